--- a/benchmarks/door.py
+++ b/benchmarks/admission.py
@@ -1,10 +1,12 @@
-"""What the door does and costs: `python -m benchmarks.door [PART ...]`. About six minutes for all parts.
+"""What admission control does and costs: `python -m benchmarks.admission [PART ...]`.
 
-fair      50 small tenants and a large one at 2.4 times the fleet's capacity, with the door on and off
+All parts take about six minutes.
+
+fair      50 small tenants and a large one at 2.4 times the fleet's capacity, with admission on and off
 returns   Retry-After: who comes back when told is let in, and the time that was really needed
-memory    100,000 tenant names, and as many IPv6 addresses, at the door alone
-cost      CPU of the program for a request, with the door on and off, in turns in one run
-speed     decisions a second of the door alone at 10, 1,000 and 100,000 tenants
+memory    100,000 tenant names, and as many IPv6 addresses, at admission alone
+cost      CPU of the program for a request, with admission control on and off, in turns in one run
+speed     decisions a second of admission control alone at 10, 1,000 and 100,000 tenants
 """
 
 import asyncio
@@ -21,12 +23,12 @@
 import psutil
 
 from robinhill import api
-from robinhill.door.door import Admit, Ask, Door
-from robinhill.door.options import DoorOptions
-from robinhill.standin.client import REFUSALS, Asked, Clients, Tenant, served_worth
-from robinhill.standin.program import Town, town
-from robinhill.standin.site import Site
-from robinhill.witness.rules import broken
+from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.options import AdmissionOptions
+from robinhill.checker.rules import broken
+from robinhill.emulator.client import REFUSALS, Asked, Clients, Tenant, served_worth
+from robinhill.emulator.program import Town, town
+from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
 ON: Json = {"door": {"enabled": True}}
@@ -47,13 +49,13 @@
         clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=11)
         begun = time.monotonic()
         await clients.play(tenants(here), seconds + WARM_S)
-        door = await here.program.door()
+        admission = await here.program.admission()
         clients.asked = [a for a in clients.asked if a.tries and a.tries[0].at > begun + WARM_S]
         if faults := broken(here.journal, UNSAFE):
             print(f"  RULES BROKEN: {len(faults)}, such as {faults[0]}")
         if clients.latest_s > 0.25:
             print(f"  clients were up to {clients.latest_s:.2f} s late: this machine was too slow")
-    return here, clients, door
+    return here, clients, admission
 
 
 def crowd(here: Town, small_share: float = 0.8, **of_large: Any) -> list[Tenant]:
@@ -82,14 +84,14 @@
         work = sum(a.work_s for a in clients.asked if a.in_time) / (FAIR_S * here.slots)
         rows.append((name, small[0], statistics.median(small), served_worth(grouped["large"]), work))
     print(f"  {SMALL} small tenants and a large one at {LOAD} times the capacity, served worth in time:")
-    print("  door   least of the small   their median   the large one   fleet's time used")
+    print("  admission   least of the small   their median   the large one   fleet's time used")
     for name, least, median, large, work in rows:
         print(f"  {name:4} {least:20.1%} {median:14.1%} {large:15.1%} {work:19.1%}")
 
 
 async def returns() -> None:
     """Callers that come back when they are told."""
-    _, clients, door = await play(ON, lambda here: crowd(here, retries=30), RETURNS_S)
+    _, clients, admission = await play(ON, lambda here: crowd(here, retries=30), RETURNS_S)
     first = [a for a in clients.asked if a.tries[0].status in REFUSALS and len(a.tries) > 1]
     let_in = [a for a in first if a.tries[1].status not in REFUSALS]
     ratios = []
@@ -104,12 +106,12 @@
         told = statistics.median([a.tries[0].told_s or 0.0 for a in its] or [0.0])
         print(f"  {kind.name}: {good} of {len(its)} let in when they came back, told {told:.2f} s (median)")
     near = sum(0.5 <= r <= 2 for r in ratios)
-    promises = door["promises"]
+    promises = admission["promises"]
     judged = promises["right"] + promises["short"] + promises["long"]
     print(f"  callers told to come back that did: {len(first)}, let in then: {len(let_in) / len(first):.1%}")
     print(f"  told / time until they were let in, within a factor of two: {near / max(1, len(ratios)):.1%}")
     print(
-        f"  told / time their queue needed, as the door measures it: {promises['right'] / max(1, judged):.1%}"
+        f"  told / time their queue needed, as admission has it: {promises['right'] / max(1, judged):.1%}"
         f" of {judged} (too short {promises['short']}, too long {promises['long']})"
     )
 
@@ -129,10 +131,10 @@
 
 
 class Alone:
-    """A door without sockets: workers of so many slots that run each job for its class's mean."""
+    """Admission control without sockets: workers of so many slots that run each job for its class's mean."""
 
     def __init__(self, slots: int) -> None:
-        self.door = Door(SETTINGS, DoorOptions(enabled=True), 7, bytes(16))
+        self.admission = Admission(SETTINGS, AdmissionOptions(enabled=True), 7, bytes(16))
         self.slots = slots
         self.random = random.Random(3)
         self.now = 1_000_000_000
@@ -146,26 +148,26 @@
         self.number += 1
         job_class = self.random.randrange(3)
         left = SETTINGS.classes[job_class].deadline_us
-        caller = self.door.directory.find(header, address, str(self.number))
-        self.carry_out(self.door.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
-        due = self.door.next_us
+        caller = self.admission.directory.find(header, address, str(self.number))
+        self.carry_out(self.admission.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
+        due = self.admission.next_us
         if due is not None and due <= self.now:
-            self.carry_out(self.door.tick(self.now))
+            self.carry_out(self.admission.tick(self.now))
         # Twice as much is asked for as the workers do: something always waits.
         if len(self.running) >= self.slots and self.number % 2:
-            self.carry_out(self.door.ended(self.now, self.running.pop(0), True))
+            self.carry_out(self.admission.ended(self.now, self.running.pop(0), True))
         while self.pending and len(self.running) < self.slots:
             number = self.pending.pop(0)
             self.running.append(number)
-            self.carry_out(self.door.placed(self.now, number))
-            self.carry_out(self.door.began(self.now, number))
+            self.carry_out(self.admission.placed(self.now, number))
+            self.carry_out(self.admission.began(self.now, number))
 
     def carry_out(self, actions: list[Any]) -> None:
         self.pending += [a.number for a in actions if isinstance(a, Admit)]
 
 
 async def memory() -> None:
-    """Resident memory of the door while names come that were never seen."""
+    """Resident memory of admission control while names come that were never seen."""
     rng = random.Random(5)
     for what in ("names", "IPv6 addresses"):
         alone = Alone(20)
@@ -179,7 +181,7 @@
             alone.step(header, address, 1_000)
         gc.collect()
         more = (psutil.Process().memory_info().rss - before) / 1e6
-        figures = alone.door.figures()
+        figures = alone.admission.figures()
         print(
             f"  100,000 {what}: {more:.1f} MB more, {figures['accounts']} accounts,"
             f" {figures['queued']} queued, {figures['let_in']} let in"
@@ -187,7 +189,7 @@
 
 
 async def cost() -> None:
-    """One program, reloaded between door on and off in turns, under the same calm load."""
+    """One program, reloaded between admission control on and off in turns, under the same calm load."""
     spent: dict[str, list[float]] = defaultdict(list)
     async with town(operator=ON, workers=8) as here:
         process = psutil.Process(here.program.pid)
@@ -204,7 +206,7 @@
                 cpu = now.user + now.system - used.user - used.system
                 spent[name].append(cpu / len(clients.asked) * 1000)
     on, off = statistics.median(spent["on"]), statistics.median(spent["off"])
-    print(f"  CPU a request: door on {on:.3f} ms, off {off:.3f} ms, ratio {on / off:.3f}")
+    print(f"  CPU a request: admission control on {on:.3f} ms, off {off:.3f} ms, ratio {on / off:.3f}")
 
 
 async def speed() -> None:
@@ -228,7 +230,7 @@
 
 
 def main(names: list[str]) -> None:
-    gc.disable()  # the stand-ins' own pauses would look like waiting workers; a run's garbage is small
+    gc.disable()  # the emulators' own pauses would look like waiting workers; a run's garbage is small
     for name in names or PARTS:
         print(f"{name}: {(PARTS[name].__doc__ or '').splitlines()[0]}")
         asyncio.run(PARTS[name]())
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -23,14 +23,14 @@
 
 import orjson
 
-from robinhill.standin.relay import Harm
-from robinhill.standin.rig import BOUND_MS, EQUAL_S, Rig, play, rig, schedule_of
-from robinhill.witness.journal import What
+from robinhill.checker.journal import What
+from robinhill.emulator.relay import Harm
+from robinhill.emulator.rig import BOUND_MS, EQUAL_S, Rig, play, rig, schedule_of
 
 Json = dict[str, Any]
 OUT = "mesh-figures.jsonl"
 CORDON_WORKERS = 3  # few, so that each is sent to often and the last send is seen closely
-CORDON_LOAD = 150.0  # beyond some 200 the stand-ins, all in one process, are late themselves
+CORDON_LOAD = 150.0  # beyond some 200 the emulators, all in one process, are late themselves
 WATCH_S = 0.4  # without a send after a cordon is in force, until it counts as the last
 WAIT_S = 5.0
 WARM_S = 2.0
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -21,15 +21,15 @@
 from msgspec.structs import replace
 
 from robinhill.commands.modelling import version
+from robinhill.emulator import loopback
+from robinhill.emulator.client import Clients, Tenant
+from robinhill.emulator.program import town
 from robinhill.model import sites
 from robinhill.model.compare import Failed, Version, compare, play
 from robinhill.model.describe import Machine
 from robinhill.model.statistics import LOOKS, interval, may_stop
 from robinhill.model.trace import draw
 from robinhill.model.world import Side, World
-from robinhill.standin import loopback
-from robinhill.standin.client import Clients, Tenant
-from robinhill.standin.program import town
 
 OLD, NEW = "b5b2696", "HEAD"  # the module before and after `99bc2f4..`: see `journal/` and docs/ROADMAP.md
 
@@ -55,12 +55,15 @@
 
 
 async def comparison() -> None:
-    """Door on against off, on the day with all troubles."""
-    from robinhill.door.options import DoorOptions
+    """Admission control on against off, on the day with all troubles."""
+    from robinhill.admission.options import AdmissionOptions
 
     begun = time.monotonic()
     done = compare(
-        sites.site("clubs-all"), Version("off"), Version("on", door=DoorOptions(enabled=True)), until=0.02
+        sites.site("clubs-all"),
+        Version("off"),
+        Version("on", admission=AdmissionOptions(enabled=True)),
+        until=0.02,
     )
     print(f"  {done.verdict}")
     print(f"  {len(done.results_a)} pairs in {time.monotonic() - begun:.0f} s: {done.why}")
--- a/robinhill/door/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -4,8 +4,8 @@
 from heapq import heapify, heappush, heapreplace
 from math import exp
 
-from robinhill.door.buckets import Meter
-from robinhill.door.queues import Queue
+from robinhill.admission.buckets import Meter
+from robinhill.admission.queues import Queue
 
 FORGET_US = 600_000_000  # what a tenant was served counts 1/e after ten minutes
 ESTABLISHED_JOBS = 3  # served jobs that make a name a tenant with a queue of its own
--- a/robinhill/door/door.py
+++ b/robinhill/admission/admission.py
@@ -1,4 +1,6 @@
-"""The door: who waits, who goes in and who is told to come back. Events with a time in, actions out; no I/O.
+"""Admission control: who waits, who goes in and who is told to come back.
+
+Events with a time go in, actions come out; no I/O.
 
 The caller hands in events under the numbers that it gave the requests, carries the actions out at once and in
 order, and calls ``tick`` at ``next_us``. Times are whole microseconds of a clock that only advances; one
@@ -11,15 +13,15 @@
 from heapq import heappop, heappush
 from typing import Any
 
+from robinhill.admission.accounts import Account, Accounts
+from robinhill.admission.buckets import Cells, Meter, meter
+from robinhill.admission.callers import Caller, Directory
+from robinhill.admission.estimate import Costs, Pace
+from robinhill.admission.options import AdmissionOptions
+from robinhill.admission.promises import Promise, Promises
+from robinhill.admission.queues import Line, Queue, Rounds, Ticket
+from robinhill.admission.window import Windows
 from robinhill.api import JobClass, Settings
-from robinhill.door.accounts import Account, Accounts
-from robinhill.door.buckets import Cells, Meter, meter
-from robinhill.door.callers import Caller, Directory
-from robinhill.door.estimate import Costs, Pace
-from robinhill.door.options import DoorOptions
-from robinhill.door.promises import Promise, Promises
-from robinhill.door.queues import Line, Queue, Rounds, Ticket
-from robinhill.door.window import Windows
 
 HOLD = 1.5  # as the module: how far a job may wait into what its own length adds to its aim
 TARGET = 0.8  # of its patience: who comes back when told finds so much work before it at the most
@@ -82,10 +84,10 @@
     queued: int = 0
 
 
-class Door:
-    """All of the door's state and decisions; deterministic for a seed and a secret."""
+class Admission:
+    """All of admission's state and decisions; deterministic for a seed and a secret."""
 
-    def __init__(self, settings: Settings, options: DoorOptions, seed: int, secret: bytes) -> None:
+    def __init__(self, settings: Settings, options: AdmissionOptions, seed: int, secret: bytes) -> None:
         self.s, self.random = settings, random.Random(seed)
         self.secret = secret
         self.now = 0
@@ -107,7 +109,7 @@
         self.out: list[Action] = []
         self.network_meters: dict[str, Meter] = {}
         self._network_open: Counter[str] = Counter()
-        self.options = DoorOptions()
+        self.options = AdmissionOptions()
         self.cells = Cells(self.options.limits)
         self.strangers: list[Queue] = []
         self.configure(0, options)
@@ -119,7 +121,7 @@
 
     # Settings
 
-    def configure(self, now: int, options: DoorOptions) -> list[Action]:
+    def configure(self, now: int, options: AdmissionOptions) -> list[Action]:
         """Go by these settings from now on. Nothing that waits is dropped, and no limit starts afresh."""
         self._begin(now)
         old, self.options = self.options, options
@@ -254,7 +256,7 @@
         return self._end()
 
     def left(self, now: int, number: int) -> list[Action]:
-        """Its client has gone: a place at the door is free at once."""
+        """Its client has gone: a place at admission is free at once."""
         return self.ended(now, number, False)
 
     def tick(self, now: int) -> list[Action]:
@@ -290,11 +292,11 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait at the door."""
+        """Requests that wait at admission."""
         return self.rounds.length
 
     def waits(self, number: int) -> bool:
-        """Whether this request waits at the door."""
+        """Whether this request waits at admission."""
         ticket = self.tickets.get(number)
         return ticket is not None and not ticket.let_in_us
 
@@ -563,7 +565,7 @@
     # For staff
 
     def figures(self) -> dict[str, Any]:
-        """What the door does now, as plain values."""
+        """What admission control does now, as plain values."""
         return {
             "queued": self.rounds.length,
             "let_in": self.let_in,
--- a/robinhill/door/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from robinhill.door.options import Limits
+from robinhill.admission.options import Limits
 
 CELLS = 4_096
 ROWS = 2
--- a/robinhill/door/callers.py
+++ b/robinhill/admission/callers.py
@@ -6,7 +6,7 @@
 
 from pytricia import PyTricia
 
-from robinhill.door.options import DoorOptions
+from robinhill.admission.options import AdmissionOptions
 
 SECRET_BYTES = 16
 REMEMBERED = 4_096  # addresses; some 1 MB
@@ -34,7 +34,7 @@
 class Directory:
     """Finds callers. The longest matching network wins, for IPv4 and IPv6 alike."""
 
-    def __init__(self, options: DoorOptions, secret: bytes) -> None:
+    def __init__(self, options: AdmissionOptions, secret: bytes) -> None:
         self.options = options
         self.secret = secret
         self._v4, self._v6 = PyTricia(32), PyTricia(128)
--- a/robinhill/door/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Pace:
-    """Own jobs that run at once, smoothed while requests wait at the door.
+    """Own jobs that run at once, smoothed while requests wait at admission.
 
     Since work is running time, this is the work done in a unit of time. It follows a fleet that grows or
     shrinks as fast as jobs begin, where a rate of completions tells what was let in a job's time ago.
--- a/robinhill/door/memory.py
+++ b/robinhill/admission/memory.py
@@ -1,4 +1,4 @@
-"""The door's state as plain values, so that a successor process can go on with it.
+"""Admission's state as plain values, so that a successor process can go on with it.
 
 Requests that wait are handed over one by one; this is what was learned of tenants and classes, how far
 limits are used up, and what callers were told. Values go by name: versions may differ.
@@ -6,12 +6,12 @@
 
 from typing import Any
 
-from robinhill.door.accounts import Account
-from robinhill.door.buckets import Meter
-from robinhill.door.callers import Directory
-from robinhill.door.door import Door
-from robinhill.door.promises import Promise
-from robinhill.door.queues import Queue
+from robinhill.admission.accounts import Account
+from robinhill.admission.admission import Admission
+from robinhill.admission.buckets import Meter
+from robinhill.admission.callers import Directory
+from robinhill.admission.promises import Promise
+from robinhill.admission.queues import Queue
 
 Json = dict[str, Any]
 
@@ -29,15 +29,15 @@
             bucket.tokens, bucket.at_us = min(bucket.burst, tokens), at_us
 
 
-def learned(door: Door) -> Json:
+def learned(admission: Admission) -> Json:
     """All that goes along; the secret too, so that both know tenants by the same numbers."""
     return {
-        "secret": door.secret.hex(),
-        "costs": door.costs.by_class,
-        "known": door.costs.known,
-        "running": door.pace.smooth,
-        "windows": [w.size for w in door.windows.windows],
-        "start_us": door.accounts.start_us,
+        "secret": admission.secret.hex(),
+        "costs": admission.costs.by_class,
+        "known": admission.costs.known,
+        "running": admission.pace.smooth,
+        "windows": [w.size for w in admission.windows.windows],
+        "start_us": admission.accounts.start_us,
         "accounts": [
             {
                 "tenant": a.tenant, "name": a.name, "count": a.count, "error": a.error, "jobs": a.jobs,
@@ -45,16 +45,16 @@
                 "returns": {str(c): line.return_share for c, line in a.queue.lines.items()},
                 "levels": _levels(a.meter),
             }
-            for a in door.accounts.by_tenant.values()
+            for a in admission.accounts.by_tenant.values()
         ],
-        "networks": {name: _levels(meter) for name, meter in door.network_meters.items()},
-        "promises": [_promise(door, p) for p in door.promises.held()],
+        "networks": {name: _levels(meter) for name, meter in admission.network_meters.items()},
+        "promises": [_promise(admission, p) for p in admission.promises.held()],
     }  # fmt: skip
 
 
-def _promise(door: Door, promise: Promise) -> Json:
+def _promise(admission: Admission, promise: Promise) -> Json:
     queue = promise.line.queue
-    strangers = door.strangers.index(queue) if queue in door.strangers else -1
+    strangers = admission.strangers.index(queue) if queue in admission.strangers else -1
     return {
         "mark": promise.mark, "tenant": promise.tenant, "strangers": strangers,
         "class": promise.line.job_class, "cost_us": promise.cost_us,
@@ -62,39 +62,39 @@
     }  # fmt: skip
 
 
-def recall(door: Door, now: int, told: Json) -> None:
+def recall(admission: Admission, now: int, told: Json) -> None:
     """Go on from there; before any request has come."""
-    door.secret = bytes.fromhex(told["secret"])
-    door.directory = Directory(door.options, door.secret)
-    if len(told["costs"]) == len(door.costs.by_class):
-        door.costs.by_class, door.costs.known = list(told["costs"]), list(told["known"])
-    for window, size in zip(door.windows.windows, told["windows"], strict=False):
+    admission.secret = bytes.fromhex(told["secret"])
+    admission.directory = Directory(admission.options, admission.secret)
+    if len(told["costs"]) == len(admission.costs.by_class):
+        admission.costs.by_class, admission.costs.known = list(told["costs"]), list(told["known"])
+    for window, size in zip(admission.windows.windows, told["windows"], strict=False):
         window.size = size
-    door.pace.smooth = told["running"]
-    door.accounts.reset(told["start_us"])
+    admission.pace.smooth = told["running"]
+    admission.accounts.reset(told["start_us"])
     for values in told["accounts"]:
-        account: Account = door.account(values["tenant"], values["name"])
+        account: Account = admission.account(values["tenant"], values["name"])
         for name in ("count", "error", "jobs", "ratio", "served_us"):
             setattr(account, name, values[name])
         account.queue.deficit_us, account.queue.settled_us = min(0.0, values["deficit_us"]), now
         for job_class, share in values["returns"].items():
             account.queue.line(int(job_class)).return_share = share
         _set_levels(account.meter, values["levels"])
-        door.accounts.restore(account)
-    door.repin()
+        admission.accounts.restore(account)
+    admission.repin()
     for name, levels in told["networks"].items():
-        _set_levels(door.network_meters.get(name), levels)
+        _set_levels(admission.network_meters.get(name), levels)
     for values in told["promises"]:
-        queue = _queue(door, values)
+        queue = _queue(admission, values)
         if queue:
-            door.promises.make(
+            admission.promises.make(
                 values["told_us"], values["mark"], values["tenant"], queue.line(values["class"]),
                 values["cost_us"], values["wait_us"],
             )  # fmt: skip
 
 
-def _queue(door: Door, values: Json) -> Queue | None:
-    if 0 <= values["strangers"] < len(door.strangers):
-        return door.strangers[values["strangers"]]
-    account = door.accounts.get(values["tenant"])
+def _queue(admission: Admission, values: Json) -> Queue | None:
+    if 0 <= values["strangers"] < len(admission.strangers):
+        return admission.strangers[values["strangers"]]
+    account = admission.accounts.get(values["tenant"])
     return account.queue if account else None
--- a/robinhill/door/options.py
+++ b/robinhill/admission/options.py
@@ -1,4 +1,4 @@
-"""The door's part of the operators' file, as checked structs. Times are in the units that the keys name."""
+"""Admission's part of the operators' file, as checked structs. Times are in the units that the keys name."""
 
 import ipaddress
 from typing import Annotated
@@ -55,8 +55,8 @@
             raise ValueError(str(e)) from None
 
 
-class DoorOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """All of the door's settings; each has a default. Without ``enabled`` requests pass straight through."""
+class AdmissionOptions(Struct, frozen=True, forbid_unknown_fields=True):
+    """All of admission's settings; each has a default. Without ``enabled`` requests pass straight through."""
 
     enabled: bool = False
     tenant_header: Annotated[str, Meta(pattern=HEADER_FORM)] = "X-Tenant-Id"
--- a/robinhill/door/promises.py
+++ b/robinhill/admission/promises.py
@@ -6,7 +6,7 @@
 from heapq import heapify, heappop, heappush
 from itertools import chain
 
-from robinhill.door.queues import Line
+from robinhill.admission.queues import Line
 
 MOST = 8_192
 LAPSE_US = 2_000_000  # a caller so long behind its time has lost its place
--- a/robinhill/door/queues.py
+++ b/robinhill/admission/queues.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """A request at the door or let in, until its answer."""
+    """A request at admission or let in, until its answer."""
 
     number: int
     job_class: int
@@ -32,7 +32,7 @@
     cost_us: float  # what it is thought to take; what it has been charged so far
     arrived_us: int
     until_us: int  # it waits no longer than this
-    let_in_us: int = 0  # 0: it waits at the door
+    let_in_us: int = 0  # 0: it waits at admission
     placed_us: int = 0  # 0: no attempt of it is out yet
     began_us: int = 0  # 0: not that we know of
     kept: bool = False  # it has come back when it was told
--- a/robinhill/door/window.py
+++ b/robinhill/admission/window.py
@@ -1,4 +1,4 @@
-"""How many requests may be let in and have no attempt out: the door's window on the module."""
+"""How many requests may be let in and have no attempt out: admission's window on the module."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -54,7 +54,7 @@
         return max(1, int(self.size))
 
     def placed(self, now: int, waited_us: int, more: bool) -> None:
-        """An attempt is out, so long after the request was let in; ``more`` if others wait at the door."""
+        """An attempt is out, so long after the request was let in; ``more`` if others wait at admission."""
         if waited_us > STALL_US:
             if now - self.shrunk_us >= SHRINK_EVERY_US:
                 self.shrunk_us, self.size = now, max(FLOOR, self.size * SHRINK)
--- a/robinhill/witness/journal.py
+++ b/robinhill/checker/journal.py
@@ -1,4 +1,4 @@
-"""What happened, as the stand-ins saw it: one list of events with their times, for checkers and figures."""
+"""What happened, as the emulators saw it: one list of events with their times, for checkers and figures."""
 
 import time
 from collections import Counter
--- a/robinhill/witness/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from robinhill.witness import rules
-from robinhill.witness.journal import Event, Journal, What
+from robinhill.checker import rules
+from robinhill.checker.journal import Event, Journal, What
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/witness/rules.py
+++ b/robinhill/checker/rules.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from robinhill.witness.journal import NOBODYS, Event, Journal, What
+from robinhill.checker.journal import NOBODYS, Event, Journal, What
 
 DRAIN_S = 0.55  # the grace of half a second, and the 50 ms that sockets get
 REFUSALS = (429, 503)
--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -68,12 +68,12 @@
     context.exit(check(files))
 
 
-@cli.group()
-def door() -> None:
-    """Fair queues at the door."""
+@cli.group("door")
+def admission() -> None:
+    """Fair queues at admission."""
 
 
-@door.command()
+@admission.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--address", default="127.0.0.1", show_default=True, help="the caller's address")
 @click.option("--tenant", default=None, help="the tenant header's value, if the caller sends one")
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -8,7 +8,7 @@
 import orjson
 
 from robinhill import config
-from robinhill.door.callers import BadNameError, Directory
+from robinhill.admission.callers import BadNameError, Directory
 
 SECRET = bytes(16)  # hashes are not shown
 
@@ -56,7 +56,7 @@
 def explain_caller(path: str, address: str, tenant: str | None) -> int:
     """Print the tenant, weight and limits of a caller; 2 for a faulty file or name."""
     try:
-        options = config.read_operator(path).door
+        options = config.read_operator(path).admission
         caller = Directory(options, SECRET).find(tenant, address)
     except (config.ConfigError, BadNameError) as e:
         print(f"robinhill: {e}", file=sys.stderr)
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -13,21 +13,21 @@
 import orjson
 
 from robinhill import config
-from robinhill.standin.client import Asked, Clients, Tenant, served_worth
-from robinhill.standin.program import Town, town
-from robinhill.standin.site import Site
-from robinhill.witness.rules import broken
+from robinhill.checker.rules import broken
+from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
+from robinhill.emulator.program import Town, town
+from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
 SMALL, LOAD = 8, 1.3  # small tenants beside a large one; all together ask for so much of the fleet
 LARGE_SHARE = 0.6
-DOOR: Json = {"door": {"enabled": True}}
+ADMISSION: Json = {"door": {"enabled": True}}
 
 
 def show(seconds: float, workers: int, operator: str | None) -> int:
     """Play for so long, or until Ctrl-C; 1 if a rule was broken, 2 for a faulty operators' file."""
-    given = DOOR
+    given = ADMISSION
     if operator:
         try:
             config.read_operator(operator)
@@ -88,7 +88,7 @@
         lines.append(f"{worker.name:12} {jobs:6} {len(worker.running):8} {len(worker.waiting):8}")
     status, text = await here.program.call("GET", "/ops/door")
     if status == 200:
-        door = orjson.loads(text)
-        why = ", ".join(f"{reason} {n}" for reason, n in door["refused"].items()) or "nobody"
-        lines.append(f"door: {door['queued']} queued, {door['let_in']} let in; refused {why}")
+        admission = orjson.loads(text)
+        why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "nobody"
+        lines.append(f"admission: {admission['queued']} queued, {admission['let_in']} let in; refused {why}")
     return "\n".join(lines)
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -58,12 +58,12 @@
     except orjson.JSONDecodeError as e:
         raise DescriptionError(f"{path}: is not JSON: {e}") from e
     if isinstance(document, dict) and set(document) <= {"log", "door"} and "door" in document:
-        return {"door": config.read_operator(str(path)).door}
+        return {"door": config.read_operator(str(path)).admission}
     try:
         found = msgspec.convert({"name": str(path), **document}, Version)
     except (msgspec.ValidationError, TypeError) as e:
         raise DescriptionError(f"{path}: {e}") from e
-    return {k: v for k, v in msgspec.structs.asdict(found).items() if k != "name" and v}
+    return {k: v for k, v in msgspec.to_builtins(found).items() if k != "name" and v}
 
 
 @contextmanager
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -18,7 +18,7 @@
 import orjson
 
 from robinhill import api
-from robinhill.door.options import DoorOptions
+from robinhill.admission.options import AdmissionOptions
 from robinhill.mesh.options import MeshOptions
 from robinhill.net import messages
 from robinhill.net.logs import LogOptions
@@ -75,7 +75,7 @@
     """The operators' own file: what the platform does not set. All of it has defaults."""
 
     log: LogOptions = LogOptions()
-    door: DoorOptions = DoorOptions()
+    admission: AdmissionOptions = msgspec.field(default=AdmissionOptions(), name="door")
     record: RecordOptions = RecordOptions()
     mesh: MeshOptions = MeshOptions()
 
--- a/robinhill/standin/client.py
+++ b/robinhill/emulator/client.py
@@ -11,9 +11,9 @@
 
 import aiohttp
 
-from robinhill.standin.site import JobKind, Site
-from robinhill.standin.worker import WORK
-from robinhill.witness.journal import Journal, What
+from robinhill.checker.journal import Journal, What
+from robinhill.emulator.site import JobKind, Site
+from robinhill.emulator.worker import WORK
 
 REFUSALS = (429, 503)
 IMPATIENT_S = 0.01  # how soon a client that takes no advice is back
--- a/robinhill/standin/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -10,9 +10,9 @@
 import orjson
 from aiohttp import web
 
-from robinhill.standin.site import LOOPBACK
-from robinhill.standin.worker import Worker
-from robinhill.witness.journal import Journal, What
+from robinhill.checker.journal import Journal, What
+from robinhill.emulator.site import LOOPBACK
+from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
 EMPTY_EVERY_S = 2.0
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class Discovery:
-    """Speaks PROTOCOL's discovery for a set of stand-in workers. Changes are told at once."""
+    """Speaks PROTOCOL's discovery for a set of emulated workers. Changes are told at once."""
 
     workers: Iterable[Worker]
     journal: Journal
--- a/robinhill/standin/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -9,15 +9,15 @@
 
 from msgspec.structs import replace
 
+from robinhill.checker.rules import broken
+from robinhill.emulator.client import Asked, Clients, Planned, served_worth
+from robinhill.emulator.program import Town, town
+from robinhill.emulator.site import JobKind, Site
+from robinhill.emulator.worker import Worker
 from robinhill.model import sites
 from robinhill.model.describe import Description, Fleet, Machine
 from robinhill.model.trace import Trace, draw
 from robinhill.model.world import FLEET, TROUBLES, stream
-from robinhill.standin.client import Asked, Clients, Planned, served_worth
-from robinhill.standin.program import Town, town
-from robinhill.standin.site import JobKind, Site
-from robinhill.standin.worker import Worker
-from robinhill.witness.rules import broken
 
 S = 1_000_000
 SCALE = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
--- a/robinhill/standin/program.py
+++ b/robinhill/emulator/program.py
@@ -15,10 +15,10 @@
 
 import aiohttp
 
-from robinhill.standin.discovery import Discovery, Listed
-from robinhill.standin.site import Site, free_address
-from robinhill.standin.worker import Worker
-from robinhill.witness.journal import Journal
+from robinhill.checker.journal import Journal
+from robinhill.emulator.discovery import Discovery, Listed
+from robinhill.emulator.site import Site, free_address
+from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
 ROOT = Path(__file__).parent.parent.parent
@@ -93,8 +93,8 @@
         ):
             return answer.status, await answer.text()
 
-    async def door(self) -> Json:
-        """The door's figures."""
+    async def admission(self) -> Json:
+        """Admission's figures."""
         status, text = await self.call("GET", "/ops/door")
         assert status == 200, text
         figures: Json = json.loads(text)
--- a/robinhill/standin/relay.py
+++ b/robinhill/emulator/relay.py
@@ -20,7 +20,7 @@
 from enum import Enum, auto
 from itertools import count
 
-from robinhill.standin.site import LOOPBACK
+from robinhill.emulator.site import LOOPBACK
 
 LONGEST_HEAD = 64 << 10  # of the handshake
 LONGEST_MESSAGE = 64 << 20  # more is no peer of ours, and would be held here in memory
--- a/robinhill/standin/rig.py
+++ b/robinhill/emulator/rig.py
@@ -1,9 +1,9 @@
 """Several real processes of the program on loopback, each link between them through a relay, faults on all.
 
-    python -m robinhill.standin.rig --seed 7 --processes 5
+    python -m robinhill.emulator.rig --seed 7 --processes 5
 
 draws the schedule of that seed, prints it, plays it and says which rules were broken; with `--shrink` it cuts
-a failing one down. Workers, discovery and clients are the stand-ins; each scheduler has an address of its own
+a failing one down. Workers, discovery and clients are the emulators; each scheduler has an address of its own
 at each worker, so that call-backs find their way.
 """
 
@@ -26,11 +26,13 @@
 import aiohttp
 import orjson
 
-from robinhill.standin.client import Clients, Tenant
-from robinhill.standin.discovery import Discovery
-from robinhill.standin.program import Program
-from robinhill.standin.relay import NO_HARM, Harm, Relay, Way
-from robinhill.standin.schedule import (
+from robinhill.checker.journal import Event, Journal, What
+from robinhill.checker.mesh import Terms, broken, equal_after
+from robinhill.emulator.client import Clients, Tenant
+from robinhill.emulator.discovery import Discovery
+from robinhill.emulator.program import Program
+from robinhill.emulator.relay import NO_HARM, Harm, Relay, Way
+from robinhill.emulator.schedule import (
     KILLS,
     PROCESSES,
     Call,
@@ -41,10 +43,8 @@
     names_of,
     shrink,
 )
-from robinhill.standin.site import JobKind, Site, free_address
-from robinhill.standin.worker import Worker
-from robinhill.witness.journal import Event, Journal, What
-from robinhill.witness.mesh import Terms, broken, equal_after
+from robinhill.emulator.site import JobKind, Site, free_address
+from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
 WORKERS = 6
@@ -417,12 +417,12 @@
             own = folder / name
             (own / "state").mkdir(parents=True)
             listen = free_address()
-            doors = {w.name: await w.door(name, listen) for w in made.values()}
+            addresses = {w.name: await w.open_address(name, listen) for w in made.values()}
             peers = {b: relays[name, b].address for b in names if b != name}
             section = {"installation": "rig", "listen": listens[name], "peers": peers, "bound_ms": BOUND_MS}
             operator = {"mesh": section | (mesh or {})}
             programs[name] = Program(
-                own, site, await discovery.view(doors), operator, name, place, listen, entry=entry,
+                own, site, await discovery.view(addresses), operator, name, place, listen, entry=entry,
                 state=own / "state",
             )  # fmt: skip
         clients = Clients(site, lambda: it.address(), journal, seed)
@@ -517,7 +517,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m robinhill.standin.rig", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m robinhill.emulator.rig", description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--processes", type=int, default=5)
     parser.add_argument("--only", help="numbers of the faults to play, with commas, or none")
--- a/robinhill/standin/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -132,7 +132,7 @@
         """The command that plays it again."""
         numbers = ",".join(str(f.number) for f in sorted(self.faults, key=lambda f: f.number))
         return (
-            f"python -m robinhill.standin.rig --seed {self.seed} --processes {len(self.names)}"
+            f"python -m robinhill.emulator.rig --seed {self.seed} --processes {len(self.names)}"
             f" --only {numbers or 'none'}"
         )
 
--- a/robinhill/standin/worker.py
+++ b/robinhill/emulator/worker.py
@@ -13,11 +13,11 @@
 import orjson
 from aiohttp import web
 
+from robinhill.checker.journal import Journal
+from robinhill.emulator.site import LOOPBACK, Site
 from robinhill.model.describe import Fleet, Machine
 from robinhill.model.workers import Job
 from robinhill.model.workers import Worker as Core
-from robinhill.standin.site import LOOPBACK, Site
-from robinhill.witness.journal import Journal
 
 CALLS = 10  # times that a call-back is tried
 CALL_AGAIN_S = 0.1
@@ -58,8 +58,8 @@
     """One worker on a loopback address. What goes wrong with it is set from outside.
 
     A call does not say which scheduler sent it. Where there are several, each is told an address of its own
-    for the worker (``door``), as the protocol lets ``hostPort`` differ between schedulers; what came in there
-    is called back there.
+    for the worker (``open_address``), as the protocol lets ``hostPort`` differ between schedulers; what came
+    in there is called back there.
     """
 
     name: str
@@ -92,9 +92,9 @@
 
     async def start(self) -> None:
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
-        self.host_port = await self.door()
+        self.host_port = await self.open_address()
 
-    async def door(self, name: str = "", listen: str | None = None) -> str:
+    async def open_address(self, name: str = "", listen: str | None = None) -> str:
         """A further address, for the scheduler of this name that listens for call-backs there."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
--- a/robinhill/gang/words.py
+++ b/robinhill/gang/words.py
@@ -39,8 +39,8 @@
 def read_membership(values: list[str], owner: str = "") -> Membership | None:
     """Decode all values of the gang header of one request; None where there is none.
 
-    ``owner`` is the tenant, where the door tells one. Keys that a newer portal may add are passed over.
-    Raises MalformedGang.
+    ``owner`` is the tenant, where admission control tells one. Keys that a newer portal may add are passed
+    over. Raises MalformedGang.
     """
     if not values:
         return None
--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from robinhill import api
-from robinhill.door.options import DoorOptions
+from robinhill.admission.options import AdmissionOptions
 from robinhill.model.describe import Description, DescriptionError
 from robinhill.model.statistics import LOOK_LEVEL, LOOKS, Interval, interval, may_stop
 from robinhill.model.trace import Trace, draw
@@ -38,12 +38,12 @@
     name: str
     settings: dict[str, Any] = {}  # of api.Settings, by field
     clients: dict[str, Any] = {}
-    door: DoorOptions | None = None
+    admission: AdmissionOptions | None = msgspec.field(default=None, name="door")
     root: str | None = None  # a checked-out tree of another revision, whose module plays
 
     def side(self) -> Side:
         """For one run of this tree's module; `play` gives it another one where a root is named."""
-        return Side(self.name, dict(self.settings), self.door, dict(self.clients))
+        return Side(self.name, dict(self.settings), self.admission, dict(self.clients))
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -1,4 +1,4 @@
-"""A scheduler in simulated time: the real decision module, and the real door where it is on, with a network
+"""A scheduler in simulated time: the real decision module, admission control where it is on, and a network
 round them.
 
 What the sockets do on a site is here a few delays and outcomes, as PROTOCOL's table tells them.
@@ -10,9 +10,9 @@
 from typing import Any, Protocol
 
 from robinhill import api
-from robinhill.door.callers import Caller
-from robinhill.door.door import Action as DoorAction
-from robinhill.door.door import Admit, Ask, Door
+from robinhill.admission.admission import Action as AdmissionAction
+from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.callers import Caller
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
 
@@ -72,7 +72,7 @@
     zone: int
     engine: Engine
     module: Module
-    door: Door | None
+    admission: Admission | None
     workers: dict[str, Worker]
     kinds: tuple[Any, ...]  # of the description
     way_us: Callable[[int, int], float]  # between two zones, one way
@@ -86,7 +86,7 @@
     idle: dict[str, list[int]] = field(default_factory=dict)  # when idle connections were last used
     tenants: dict[int, Caller] = field(default_factory=dict)
     starts: dict[str, int] = field(default_factory=dict)  # workers' last starts, as far as it was told
-    _door_due_us: int | None = None
+    _admission_due_us: int | None = None
 
     def start(self) -> None:
         self._perform(self.module.start(self.engine.now))
@@ -111,15 +111,15 @@
         held = _Held(arrival, now + arrival.deadline_us, answer)
         self.held[arrival.number] = held
         self.engine.at(held.until_us, self._deadline, arrival.number)
-        if self.door is None:
+        if self.admission is None:
             self._let_in(arrival.number)
             return
         if (caller := self.tenants.get(arrival.tenant)) is None:
-            caller = self.door.directory.find(f"tenant-{arrival.tenant}", ADDRESS)
+            caller = self.admission.directory.find(f"tenant-{arrival.tenant}", ADDRESS)
             self.tenants[arrival.tenant] = caller
         caller = Caller(caller.tenant, caller.name, -1, caller.mark ^ arrival.number)
         ask = Ask(arrival.number, arrival.kind, caller, now, arrival.deadline_us)
-        self._at_door(self.door.arrive(now, ask))
+        self._at_admission(self.admission.arrive(now, ask))
 
     def leave(self, number: int) -> None:
         """Its client has gone."""
@@ -127,9 +127,9 @@
         if held is None or not held.owed or not self.alive:
             return
         held.owed = False
-        waits = self.door.waits(number) if self.door else False
-        if self.door:
-            self._at_door(self.door.left(self.engine.now, number))
+        waits = self.admission.waits(number) if self.admission else False
+        if self.admission:
+            self._at_admission(self.admission.left(self.engine.now, number))
         if not waits:
             self._decide(api.ClientGone(number))
         self._forget(number)
@@ -140,23 +140,23 @@
         request = api.Request(number, arrival.kind, max(1, left), tenant=0, client_repeat=arrival.again)
         self._decide(api.Arrived(request))
 
-    def _at_door(self, actions: list[DoorAction]) -> None:
+    def _at_admission(self, actions: list[AdmissionAction]) -> None:
         for action in actions:
             if isinstance(action, Admit):
                 self._let_in(action.number)
             else:
                 self.counts.refused[action.reason] += 1
                 self._final(action.number, 429 if action.own else 503, action.retry_us)
-        assert self.door
-        due = self.door.next_us
-        if due is not None and (self._door_due_us is None or due < self._door_due_us):
-            self._door_due_us = due
-            self.engine.at(due, self._door_tick, due)
+        assert self.admission
+        due = self.admission.next_us
+        if due is not None and (self._admission_due_us is None or due < self._admission_due_us):
+            self._admission_due_us = due
+            self.engine.at(due, self._admission_tick, due)
 
-    def _door_tick(self, due: int) -> None:
-        if self.alive and self.door and self._door_due_us == due:
-            self._door_due_us = None
-            self._at_door(self.door.tick(self.engine.now))
+    def _admission_tick(self, due: int) -> None:
+        if self.alive and self.admission and self._admission_due_us == due:
+            self._admission_due_us = None
+            self._at_admission(self.admission.tick(self.engine.now))
 
     def _deadline(self, number: int) -> None:
         """The client's limit: attempts that are out have timed out."""
@@ -193,10 +193,10 @@
                     self._send(number, address, timeout)
                 case api.Refuse(job=number, retry_in_us=wait):
                     self.counts.refused["module"] += 1
-                    self._over_at_door(number, False)
+                    self._over_at_admission(number, False)
                     self._final(number, 503, wait)
                 case api.Fail(job=number):
-                    self._over_at_door(number, False)
+                    self._over_at_admission(number, False)
                     self._final(number, 502)
                 case api.Cancel(job=number, attempt=attempt):
                     self._withdraw(number, attempt)
@@ -210,9 +210,9 @@
                 case api.CloseIdle(address=address):
                     self._close_idle(address)
 
-    def _over_at_door(self, number: int, served: bool) -> None:
-        if self.door:
-            self._at_door(self.door.ended(self.engine.now, number, served))
+    def _over_at_admission(self, number: int, served: bool) -> None:
+        if self.admission:
+            self._at_admission(self.admission.ended(self.engine.now, number, served))
 
     # Attempts
 
@@ -224,8 +224,8 @@
         held.out.add(attempt)
         self.counts.tries += 1
         self.counts.crossings += worker.zone != self.zone
-        if self.door and attempt == 0:
-            self._at_door(self.door.placed(now, number))
+        if self.admission and attempt == 0:
+            self._at_admission(self.admission.placed(now, number))
         if timeout_us and now + timeout_us < held.until_us:
             self.engine.after(timeout_us, self._timed_out, number, attempt)
         way = self.way_us(self.zone, worker.zone)
@@ -282,8 +282,8 @@
             return
         match what:
             case "started":
-                if self.door:
-                    self._at_door(self.door.began(self.engine.now, number))
+                if self.admission:
+                    self._at_admission(self.admission.began(self.engine.now, number))
                 self._decide(api.JobStarted(number, attempt))
             case "done":
                 self._ended(number, attempt, api.Outcome.COMPLETED)
@@ -298,7 +298,7 @@
         held = self.held[number]
         held.out.discard(attempt)
         if outcome is api.Outcome.COMPLETED:
-            self._over_at_door(number, True)
+            self._over_at_admission(number, True)
             self._final(number, 200)
         took = self.engine.now - held.sent_us[attempt]
         self._decide(api.AttemptEnded(number, attempt, outcome, took, not held.owed))
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -8,8 +8,8 @@
 from math import inf
 from typing import Any, Protocol
 
+from robinhill.checker.journal import NOBODYS, Event, Journal, What
 from robinhill.model.describe import Fleet, Machine
-from robinhill.witness.journal import NOBODYS, Event, Journal, What
 
 
 class Agenda(Protocol):
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -15,16 +15,16 @@
 from msgspec.structs import asdict
 
 from robinhill import api
-from robinhill.door.door import Door
-from robinhill.door.options import DoorOptions
+from robinhill.admission.admission import Admission
+from robinhill.admission.options import AdmissionOptions
+from robinhill.checker.journal import Event, Journal, What
+from robinhill.checker.rules import broken
 from robinhill.logic import Balancer
 from robinhill.model.describe import Description, DescriptionError, JobKind, Trouble
 from robinhill.model.engine import Engine
 from robinhill.model.node import Arrival, Module, Node
 from robinhill.model.trace import Asked, Trace
 from robinhill.model.workers import Worker
-from robinhill.witness.journal import Event, Journal, What
-from robinhill.witness.rules import broken
 
 S = 1_000_000
 START_US = 1_000_000_000 * S  # an hour on the clock of Unix, as the module gets on a site
@@ -43,12 +43,12 @@
 @dataclass(slots=True)
 class Side:
     """What is compared: the module (of this tree, or one that ``module`` makes), its settings and the
-    door's.
+    admission's.
     """
 
     name: str = "this"
     settings: dict[str, Any] = field(default_factory=dict)  # of api.Settings, by field
-    door: DoorOptions | None = None
+    admission: AdmissionOptions | None = None
     clients: dict[str, Any] = field(default_factory=dict)  # of the description's clients, by key
     module: Callable[[api.Settings, int], Module] | None = None
 
@@ -166,9 +166,9 @@
         settings = replace(self.settings, zone=zone)
         seed = int(stream(self.seed, NODES, number).integers(1 << 60))
         make = self.side.module or Balancer
-        door = None
-        if self.side.door and self.side.door.enabled:
-            door = Door(settings, self.side.door, seed, number.to_bytes(16))
+        admission = None
+        if self.side.admission and self.side.admission.enabled:
+            admission = Admission(settings, self.side.admission, seed, number.to_bytes(16))
         fleet = self.d.fleet
 
         def way(a: int, b: int) -> float:
@@ -180,9 +180,18 @@
             return worker.error_share > 0 and bool(errors.random() < worker.error_share)
 
         return Node(
-            f"n{number}", zone, self.engine, make(settings, seed), door, self.workers, self.d.traffic.kinds,
-            way, int(fleet.connect_timeout_ms * 1000), fails, on_subscribe=self._subscribe,
-        )  # fmt: skip
+            f"n{number}",
+            zone,
+            self.engine,
+            make(settings, seed),
+            admission,
+            self.workers,
+            self.d.traffic.kinds,
+            way,
+            int(fleet.connect_timeout_ms * 1000),
+            fails,
+            on_subscribe=self._subscribe,
+        )
 
     # Discovery
 
--- a/robinhill/net/doorkeeper.py
+++ b/robinhill/net/admission.py
@@ -1,4 +1,4 @@
-"""The doorkeeper: the actor between inbound and decider that owns the door and carries out its actions."""
+"""The actor between inbound and decider that owns admission control and carries out its actions."""
 
 import asyncio
 import logging
@@ -9,11 +9,11 @@
 
 from multidict import MultiMapping
 
+from robinhill.admission import memory
+from robinhill.admission.admission import Action, Admission, Admit, Ask, Refuse
+from robinhill.admission.callers import SECRET_BYTES, BadNameError, Caller
+from robinhill.admission.options import AdmissionOptions
 from robinhill.config import Config
-from robinhill.door import memory
-from robinhill.door.callers import SECRET_BYTES, BadNameError, Caller
-from robinhill.door.door import Action, Admit, Ask, Door, Refuse
-from robinhill.door.options import DoorOptions
 from robinhill.net import messages
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
@@ -40,7 +40,7 @@
 class Reconfigure:
     """The operators' file has changed."""
 
-    options: DoorOptions
+    options: AdmissionOptions
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,7 +73,7 @@
     """Time has passed."""
 
 
-ToDoor = Taken | ClientLeft | Placed | Began | Answered | Reconfigure | Shut | TakeOut | PutIn | Tick
+ToAdmission = Taken | ClientLeft | Placed | Began | Answered | Reconfigure | Shut | TakeOut | PutIn | Tick
 
 
 @dataclass(slots=True, eq=False)
@@ -82,7 +82,7 @@
     caller: Caller
 
 
-class Doorkeeper(Actor[ToDoor]):
+class AdmissionActor(Actor[ToAdmission]):
     """Requests come from inbound; those let in go on to the decider, which tells what becomes of them."""
 
     def __init__(
@@ -93,25 +93,25 @@
         figures: Figures,
         let_in: Callable[[Taken | ClientLeft], None],
     ) -> None:
-        super().__init__("doorkeeper", supervisor)
+        super().__init__("admission", supervisor)
         assert config.operator
         self.clock = clock
         self.figures = figures
         self.let_in = let_in
         self._classes = config.classes
-        self.door = Door(
-            config.settings, config.operator.door, config.seed, secrets.token_bytes(SECRET_BYTES)
+        self.admission = Admission(
+            config.settings, config.operator.admission, config.seed, secrets.token_bytes(SECRET_BYTES)
         )
         self.tape: Tape | None = None  # records what passes
         self._entries: dict[int, _Entry] = {}
         self._numbers: dict[str, int] = {}
         self._next = 1
         self._due_us: int | None = None  # when the timer that is set fires
-        self.figures.at_door = lambda: self.door.waiting
+        self.figures.admission_queued = lambda: self.admission.waiting
 
-    # For the scheduler, which loads this module only where there is a door
+    # For the scheduler, which loads this module only where there is admission control
 
-    def reconfigure(self, options: DoorOptions) -> None:
+    def reconfigure(self, options: AdmissionOptions) -> None:
         """Go by other options from now on."""
         self.tell(Reconfigure(options))
 
@@ -128,40 +128,43 @@
         self.tell(PutIn(request, told, reply, placed))
 
     def find(self, headers: MultiMapping[str], address: str | None) -> Caller | None:
-        """Who sends a request; None while the door is off. Raises MalformedError for a name that is none."""
-        options = self.door.options
+        """Who sends a request; None while admission control is off.
+
+        Raises MalformedError for a name that is none.
+        """
+        options = self.admission.options
         if not options.enabled:
             return None
         try:
-            return self.door.directory.find(
+            return self.admission.directory.find(
                 headers.get(options.tenant_header), address, headers.get(ROUTE_KEY, "")
             )
         except BadNameError as e:
             raise messages.MalformedError(str(e)) from e
 
-    def receive(self, message: ToDoor) -> None:
+    def receive(self, message: ToAdmission) -> None:
         now = self.clock.now_us()
         match message:
             case Taken():
                 self._arrive(now, message)
             case Placed(request=request):
                 if number := self._number(request):
-                    self._perform(self.door.placed(now, number))
+                    self._perform(self.admission.placed(now, number))
             case Began(request=request):
                 if number := self._number(request):
-                    self._perform(self.door.began(now, number))
+                    self._perform(self.admission.began(now, number))
             case Answered(number=number, served=served):
                 if self._forget(number):
-                    self._perform(self.door.ended(now, number, served))
+                    self._perform(self.admission.ended(now, number, served))
             case ClientLeft(request=request):
                 self._client_left(now, message, request)
             case Tick():
                 self._due_us = None
-                self._perform(self.door.tick(now))
+                self._perform(self.admission.tick(now))
             case Reconfigure(options=options):
-                self._perform(self.door.configure(now, options))
+                self._perform(self.admission.configure(now, options))
             case Shut(yes=yes):
-                self._perform(self.door.shut_up(now, yes))
+                self._perform(self.admission.shut_up(now, yes))
             case TakeOut():
                 self._take_out(now, message)
             case PutIn():
@@ -182,7 +185,7 @@
         if self.tape and not owed:
             self.tape.arrived(request, taken.arrived_us, taken.caller.name)
         ask = Ask(number, request.job_class, taken.caller, taken.arrived_us, request.time_left_us, owed)
-        self._perform(self.door.arrive(now, ask))
+        self._perform(self.admission.arrive(now, ask))
 
     def _note(self, taken: Taken, caller: Caller) -> int:
         number, self._next = self._next, self._next + 1
@@ -234,9 +237,9 @@
         if number is None:
             self.let_in(message)
             return
-        waits = self.door.waits(number)
+        waits = self.admission.waits(number)
         self._forget(number)
-        self._perform(self.door.left(now, number))
+        self._perform(self.admission.left(now, number))
         if waits:
             log.debug("door_left", extra={"id": request.id})
         else:
@@ -253,7 +256,7 @@
         return [(n, e) for n, e in self._entries.items() if e.taken.request.id == request.id]
 
     def _set_timer(self, now: int) -> None:
-        due = self.door.next_us
+        due = self.admission.next_us
         if due is None or (self._due_us is not None and self._due_us <= due):
             return
         self._due_us = due
@@ -267,11 +270,11 @@
             message.reply.set_result({})
             return
         told: Json = {"caller": asdict(self._entries[number].caller)}
-        if self.door.waits(number):
+        if self.admission.waits(number):
             taken = self._entries[number].taken
             told["waiting"] = {"arrived_us": taken.arrived_us}
             self._forget(number)
-            self._perform(self.door.left(now, number))
+            self._perform(self.admission.left(now, number))
         message.reply.set_result(told)
 
     def _put_in(self, now: int, message: PutIn) -> None:
@@ -284,19 +287,19 @@
         taken = Taken(message.request, now, message.reply, caller)
         number = self._note(taken, caller)
         ask = Ask(number, message.request.job_class, caller, now, message.request.time_left_us, owed=True)
-        self.door.resume(now, ask, placed=message.placed)
+        self.admission.resume(now, ask, placed=message.placed)
         self._follow(number, message.reply)
 
     def memory(self) -> Json:
         """What a successor must know to go on as one with this process."""
-        return memory.learned(self.door)
+        return memory.learned(self.admission)
 
     def recall(self, told: Json) -> None:
-        memory.recall(self.door, self.clock.now_us(), told)
+        memory.recall(self.admission, self.clock.now_us(), told)
 
     def stats(self) -> Answer:
-        """The door's figures as they are now."""
-        shown = {"enabled": self.door.options.enabled} | self.door.figures()
+        """Admission's figures as they are now."""
+        shown = {"enabled": self.admission.options.enabled} | self.admission.figures()
         names = self._classes
         for key in ("unplaced", "class_ms"):
             shown[key] = dict(zip(names, shown[key], strict=True))
--- a/robinhill/net/decider.py
+++ b/robinhill/net/decider.py
@@ -27,7 +27,7 @@
 from robinhill.net.tape import Tape
 
 if TYPE_CHECKING:
-    from robinhill.door.callers import Caller
+    from robinhill.admission.callers import Caller
 
 log = logging.getLogger(__name__)
 
@@ -49,19 +49,19 @@
     request: JobRequest
     arrived_us: int
     reply: asyncio.Future[Answer]
-    caller: "Caller | None" = None  # None: it does not pass the door
+    caller: "Caller | None" = None  # None: it does not pass admission control
 
 
 @dataclass(slots=True, frozen=True)
 class Placed:
-    """The first attempt of a request is on its way; for the door."""
+    """The first attempt of a request is on its way; for admission control."""
 
     request: JobRequest
 
 
 @dataclass(slots=True, frozen=True)
 class Began:
-    """An endpoint has begun to run a request; for the door."""
+    """An endpoint has begun to run a request; for admission control."""
 
     request: JobRequest
 
@@ -183,7 +183,7 @@
         # Requests on their way to another process: what is said of one waits until it is there, or stays.
         self.moving: dict[str, asyncio.Event] = {}
         self.elsewhere: Callable[[JobEvent], None] = lambda event: None  # brings such an event there
-        self.door: Callable[[Placed | Began], None] | None = None  # hears what becomes of requests
+        self.admission: Callable[[Placed | Began], None] | None = None  # hears what becomes of requests
         self.tape: Tape | None = None  # records what passes
         self.listed_once = asyncio.Event()  # discovery has answered, or failed to
         self.destinations: dict[str, Destination] = {}
@@ -217,8 +217,8 @@
             case ep.Started(job=job, attempt=attempt, share=None):
                 if held := self.held.get(job):
                     held.began_us = held.began_us or self.clock.now_us()
-                    if self.door:
-                        self.door(Began(held.request))
+                    if self.admission:
+                        self.admission(Began(held.request))
                 self._decide(api.JobStarted(job, attempt))
             case ep.Started(job=job, attempt=attempt, share=share):
                 self._decide(api.JobProgress(job, attempt, share or 0.0))
@@ -298,7 +298,7 @@
         self.next_number += 1
         deadline_us = taken.arrived_us + request.time_left_us
         self.held[job] = _Held(job, request, deadline_us, taken.reply)
-        if self.tape and taken.caller is None:  # else the door has told of it
+        if self.tape and taken.caller is None:  # else admission control has told of it
             self.tape.arrived(request, taken.arrived_us, "")
         left_us = max(1, deadline_us - self.clock.now_us())
         tenant = self.tenants.get(request.tenant, len(self.tenants))  # one that is not named has no share
@@ -318,8 +318,8 @@
         held.began_us = 0
         held.out.add(number)
         self._remember(held.request, (action.job, number), action.address)
-        if self.door and number == 0:
-            self.door(Placed(held.request))
+        if self.admission and number == 0:
+            self.admission(Placed(held.request))
         self.endpoints[action.address].tell(
             ep.Dispatch(
                 action.job, number, held.request, until_us, held.deadline_us,
@@ -685,7 +685,8 @@
 
     def stats(self) -> Answer:
         """The figures as they are now."""
-        self.figures.active = len(self.held) + (self.figures.at_door() if self.figures.at_door else 0)
+        queued = self.figures.admission_queued() if self.figures.admission_queued else 0
+        self.figures.active = len(self.held) + queued
         listed = {d.instance_id for d in self.listed()}
         self.figures.pool_size = len(listed)
         out = {d.instance_id for d in self.listed() if self._is_out(d, d.instance_id)}
--- a/robinhill/net/figures.py
+++ b/robinhill/net/figures.py
@@ -30,7 +30,7 @@
         self.pool_size = 0
         self.pool_ejected = 0
         self.recorder: Recorder | None = None  # where what passes is recorded
-        self.at_door: Callable[[], int] | None = None  # requests that wait at the door, where there is one
+        self.admission_queued: Callable[[], int] | None = None  # requests that wait there; None: no admission
 
     def answered(self, job_class: int, answer: Answer) -> None:
         """A request has got its final answer, whoever worded it."""
@@ -47,8 +47,8 @@
         lines.append(f"{PREFIX}.active:{self.active}|g")
         lines.append(f"{PREFIX}.pool_size:{self.pool_size}|g")
         lines.append(f"{PREFIX}.pool_ejected:{self.pool_ejected}|g")
-        if self.at_door:
-            lines.append(f"{PREFIX}.door.queued:{self.at_door()}|g")
+        if self.admission_queued:
+            lines.append(f"{PREFIX}.door.queued:{self.admission_queued()}|g")
         if self.recorder:
             lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
             lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
--- a/robinhill/net/inbound.py
+++ b/robinhill/net/inbound.py
@@ -20,7 +20,7 @@
 from robinhill.net.messages import Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:
-    from robinhill.door.callers import Caller
+    from robinhill.admission.callers import Caller
 
 JOB_EVENTS = "/v1/job-events"
 READY = "/ready"
@@ -52,7 +52,7 @@
         deliver: Callable[[JobEvent], Awaitable[None]],
         find: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
     ) -> None:
-        self.find = find  # who sends a request, where there is a door
+        self.find = find  # who sends a request, where there is admission control
         self.config = config
         self.supervisor = supervisor
         self.clock = clock
--- a/robinhill/net/operators.py
+++ b/robinhill/net/operators.py
@@ -22,7 +22,7 @@
 
     readiness: Callable[[], Answer]
     stats: Callable[[], Answer]
-    door: Callable[[], Answer]
+    admission: Callable[[], Answer]
     hold_out: Callable[[str, bool], Awaitable[Answer]]
     drain: Callable[[bool], Awaitable[Answer]]
     # Where schedulers share: a call's method, the cordon's id ("": all), body, and for how long it waits.
@@ -42,7 +42,7 @@
         self._routes: dict[str, tuple[str, Callable[[bytes], Awaitable[Answer]]]] = {
             "/ops/readiness": ("GET", self._readiness),
             "/ops/stats": ("GET", self._stats),
-            "/ops/door": ("GET", self._door),
+            "/ops/door": ("GET", self._admission),
             "/ops/workers/down": ("PUT", lambda body: self._worker(body, True)),
             "/ops/workers/up": ("PUT", lambda body: self._worker(body, False)),
             "/ops/drain/start": ("PUT", lambda body: calls.drain(True)),
@@ -102,8 +102,8 @@
     async def _stats(self, body: bytes) -> Answer:
         return self.calls.stats()
 
-    async def _door(self, body: bytes) -> Answer:
-        return self.calls.door()
+    async def _admission(self, body: bytes) -> Answer:
+        return self.calls.admission()
 
     async def _worker(self, body: bytes, out: bool) -> Answer:
         return await self.calls.hold_out(messages.read_instance_id(body), out)
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -28,7 +28,7 @@
 from robinhill.net.tape import Tape
 
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
-    from robinhill.net.doorkeeper import Doorkeeper
+    from robinhill.net.admission import AdmissionActor
     from robinhill.net.sharing import Sharing
     from robinhill.record.recorder import Recorder
 
@@ -40,7 +40,7 @@
 LIST_S = 1.5  # for discovery's first answer, where clients wait for it; older lists count meanwhile
 START_S = 0.9  # an operator's call to a process that still starts is answered no after it
 STARTING = Answer(503, b"still starting\n")
-NO_DOOR = Answer(404, b"no operators' file is named, so there is no door\n")
+NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
 
 
 class Scheduler:
@@ -57,14 +57,14 @@
         self.destinations = Destinations(
             config.discovery, config.known.generation, pace, self.clock, self.supervisor, self.decider.tell
         )
-        self.door: Doorkeeper | None = None
+        self.admission: AdmissionActor | None = None
         if config.operator:
-            from robinhill.net import doorkeeper
+            from robinhill.net import admission
 
-            self.door = doorkeeper.Doorkeeper(
+            self.admission = admission.AdmissionActor(
                 config, self.supervisor, self.clock, self.figures, self.decider.tell
             )
-            self.decider.door = self.door.tell
+            self.decider.admission = self.admission.tell
         self.recorder: Recorder | None = None
         if config.operator and config.operator.record.folder:
             from robinhill.record import recorder
@@ -72,8 +72,8 @@
             self.recorder = recorder.Recorder(config.operator.record, config.name)
             tape = Tape(self.recorder, self.clock, config.classes)
             self.decider.tape = tape
-            if self.door:
-                self.door.tape = tape
+            if self.admission:
+                self.admission.tape = tape
             self.figures.recorder = self.recorder
             self.recorder.start()
         self.inbound = Inbound(
@@ -81,9 +81,9 @@
             self.supervisor,
             self.clock,
             self.figures,
-            self.door.tell if self.door else self.decider.tell,
+            self.admission.tell if self.admission else self.decider.tell,
             self._deliver,
-            self.door.find if self.door else None,
+            self.admission.find if self.admission else None,
         )
         self.sharing: Sharing | None = None
         if config.operator and config.operator.mesh.peers:
@@ -95,7 +95,7 @@
             calls = Calls(
                 self.readiness,
                 self.stats,
-                self.door.stats if self.door else lambda: NO_DOOR,
+                self.admission.stats if self.admission else lambda: NO_ADMISSION,
                 self.hold_out,
                 self.set_drained,
                 self.sharing.call if self.sharing else None,
@@ -124,8 +124,8 @@
                 await self._listed_once()
         if self.sharing:
             self.sharing.start()
-        if self.door:
-            self.door.start()
+        if self.admission:
+            self.admission.start()
         self.inbound.start(sock)
         if self.succession:
             await self.succession.begin()
@@ -146,8 +146,8 @@
         await self._listed_once()
         if told and (memory := await succession.ask("memory")):
             self.decider.recall(memory["decider"])
-            if self.door and memory.get("door"):
-                self.door.recall(memory["door"])
+            if self.admission and memory.get("door"):
+                self.admission.recall(memory["door"])
             self.inbound.drain(memory["drained"])
 
     async def _listed_once(self) -> None:
@@ -177,12 +177,12 @@
         self.destinations.tell(Move(new.discovery))
 
     def _reconfigure(self, new: OperatorFile, old: OperatorFile) -> None:
-        """Go by another operators' file from now on; what waits at the door goes on waiting."""
+        """Go by another operators' file from now on; what waits at admission goes on waiting."""
         if new.log != old.log:
             logs.configure(new.log)
-        if self.door and new.door != old.door:
-            self.door.reconfigure(new.door)
-            log.info("door_reconfigured", extra={"enabled": new.door.enabled})
+        if self.admission and new.admission != old.admission:
+            self.admission.reconfigure(new.admission)
+            log.info("door_reconfigured", extra={"enabled": new.admission.enabled})
         if new.mesh != old.mesh:
             if self.sharing and new.mesh.peers:
                 self.sharing.reconfigure(new.mesh)
@@ -211,15 +211,15 @@
 
     async def _leave_to_successor(self) -> bool:
         """Whether there was one until all was settled."""
-        if self.door and self.inbound.succeeded:
-            self.door.shut(True)
+        if self.admission and self.inbound.succeeded:
+            self.admission.shut(True)
         while self.inbound.succeeded:
             await self.inbound.hand_over(self._release, self._send_over)
             if self.inbound.settled:
                 return self.inbound.succeeded
             await asyncio.sleep(HAND_OVER_S)
-        if self.door:
-            self.door.shut(False)
+        if self.admission:
+            self.admission.shut(False)
         return False
 
     # Operators' calls
@@ -282,17 +282,17 @@
 
     async def _release(self, request: JobRequest) -> Json | None:
         """What a successor needs to go on with a request; None while it can't go."""
-        at_door: Json = {}
-        if self.door:
+        at_admission: Json = {}
+        if self.admission:
             known: asyncio.Future[Json] = asyncio.get_running_loop().create_future()
-            self.door.take_out(request, known)
-            at_door = await known
-            if "waiting" in at_door:
-                return {"door": at_door}
+            self.admission.take_out(request, known)
+            at_admission = await known
+            if "waiting" in at_admission:
+                return {"door": at_admission}
         reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
         self.decider.tell(Release(request, reply))
         told = await reply
-        return told and told | {"door": at_door}
+        return told and told | {"door": at_admission}
 
     async def _send_over(
         self, told: Json, fd: int, request: JobRequest, reply: asyncio.Future[Answer]
@@ -320,8 +320,8 @@
 
     async def _take_back(self, told: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
         """Go on ourselves with a request that no successor has had."""
-        if self.door and "waiting" in told["door"]:
-            self.door.put_in(request, told["door"], reply, False)
+        if self.admission and "waiting" in told["door"]:
+            self.admission.put_in(request, told["door"], reply, False)
             return
         done = asyncio.Event()
         self.decider.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
@@ -338,8 +338,8 @@
         }
 
     def memory(self) -> Json:
-        door = self.door.memory() if self.door else None
-        return {"decider": self.decider.memory(), "drained": self.inbound.drained, "door": door}
+        admission = self.admission.memory() if self.admission else None
+        return {"decider": self.decider.memory(), "drained": self.inbound.drained, "door": admission}
 
     def succeeded(self, yes: bool) -> None:
         """A successor accepts; or the other process has gone, and all is ours again."""
@@ -365,11 +365,11 @@
             return False
         request = messages.read_handed(body["request"])
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        at_door = body.get("door") or {}
-        if self.door and "caller" in at_door:
-            self.door.put_in(request, at_door, reply, bool(body.get("attempt")))
-        if waiting := at_door.get("waiting"):
-            if not self.door:  # it has waited long enough
+        at_admission = body.get("door") or {}
+        if self.admission and "caller" in at_admission:
+            self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
+        if waiting := at_admission.get("waiting"):
+            if not self.admission:  # it has waited long enough
                 self.decider.tell(Taken(request, waiting["arrived_us"], reply))
             await self.inbound.adopt(request, reply, fd)
             return True
--- a/robinhill/net/tape.py
+++ b/robinhill/net/tape.py
@@ -20,7 +20,7 @@
         self.classes = classes
 
     def arrived(self, request: JobRequest, at_us: int, tenant: str) -> None:
-        """A request was taken; without a door nobody knows of its tenant."""
+        """A request was taken; without admission control nobody knows of its tenant."""
         number = self.recorder.hash(tenant) if tenant else 0
         self.recorder.note(
             Arrived(
--- a/tests/test_door.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The door's hard cases, each caused by hand on a clock of its own."""
+"""Admission's hard cases, each caused by hand on a clock of its own."""
 
 import random
 from ipaddress import IPv6Address
@@ -7,12 +7,12 @@
 import pytest
 
 from robinhill import api
-from robinhill.door import memory
-from robinhill.door.accounts import Accounts
-from robinhill.door.callers import BadNameError, Directory
-from robinhill.door.door import Admit, Ask, Door, Refuse
-from robinhill.door.options import DoorOptions, Limits, Network, Tenant
-from robinhill.door.window import FLOOR, MOST
+from robinhill.admission import memory
+from robinhill.admission.accounts import Accounts
+from robinhill.admission.admission import Admission, Admit, Ask, Refuse
+from robinhill.admission.callers import BadNameError, Directory
+from robinhill.admission.options import AdmissionOptions, Limits, Network, Tenant
+from robinhill.admission.window import FLOOR, MOST
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -25,13 +25,13 @@
 
 
 class Fleet:
-    """A door and a fleet behind it that runs so many jobs at once, each for ``run_ms``."""
+    """Admission control and a fleet behind it that runs so many jobs at once, each for ``run_ms``."""
 
     def __init__(self, slots: int = 4, run_ms: int = 100, **options: Any) -> None:
         settings = node_settings(
             classes=CLASSES, retry_after=True, max_retry_after_us=60 * S, tells_start=True
         )
-        self.door = Door(settings, DoorOptions(enabled=True, **options), 7, bytes(16))
+        self.admission = Admission(settings, AdmissionOptions(enabled=True, **options), 7, bytes(16))
         self.slots, self.run_ms = slots, run_ms
         self.now, self.number = 1_000 * S, 0
         self.unplaced: list[int] = []
@@ -45,10 +45,10 @@
         self, tenant: str | None = "a", job_class: int = LOOKUP, address: str = "10.0.0.1", key: str = ""
     ) -> int:  # fmt: skip
         self.number += 1
-        caller = self.door.directory.find(tenant, address, key or str(self.number))
+        caller = self.admission.directory.find(tenant, address, key or str(self.number))
         self.names[self.number] = caller.name
         left = CLASSES[job_class].deadline_us
-        self.perform(self.door.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
+        self.perform(self.admission.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
         return self.number
 
     def perform(self, actions: list[Any]) -> None:
@@ -61,15 +61,15 @@
         while self.unplaced and len(self.running) < self.slots:
             number = self.unplaced.pop(0)
             self.running[number] = self.now + self.run_by.get(self.names[number], self.run_ms) * MS
-            self.perform(self.door.placed(self.now, number))
-            self.perform(self.door.began(self.now, number))
+            self.perform(self.admission.placed(self.now, number))
+            self.perform(self.admission.began(self.now, number))
 
     def pass_time(self, ms: int) -> None:
-        """Jobs end, and the door's timers fire, each at its time."""
+        """Jobs end, and admission's timers fire, each at its time."""
         until = self.now + ms * MS
         while True:
             due = [(at, number) for number, at in self.running.items()]
-            timer = self.door.next_us
+            timer = self.admission.next_us
             if timer is not None:
                 due.append((max(timer, self.now + 1), 0))
             at, number = min(due, default=(until + 1, 0))
@@ -79,9 +79,9 @@
             if number:
                 del self.running[number]
                 self.served.append(self.names[number])
-                self.perform(self.door.ended(self.now, number, True))
+                self.perform(self.admission.ended(self.now, number, True))
             else:
-                self.perform(self.door.tick(self.now))
+                self.perform(self.admission.tick(self.now))
         self.now = until
 
     def count(self, tenant: str) -> int:
@@ -118,16 +118,18 @@
         return None, LOOKUP, str(IPv6Address(rng.getrandbits(128)))
 
     served = flood(fleet, stranger, 10)
-    door = fleet.door
+    admission = fleet.admission
     assert served >= 0.9 * 300
-    held = len(fleet.running) + len(fleet.unplaced) + door.waiting
-    assert len(door.accounts.by_tenant) <= 64 and len(door._present) <= held == len(door.tickets)
-    assert len(door.promises._lapses) <= 2 * 8192 + 1 and door.promises.length <= 8192
+    held = len(fleet.running) + len(fleet.unplaced) + admission.waiting
+    assert len(admission.accounts.by_tenant) <= 64
+    assert len(admission._present) <= held == len(admission.tickets)
+    assert len(admission.promises._lapses) <= 2 * 8192 + 1 and admission.promises.length <= 8192
     for _ in range(90_000):
         fleet.ask(*stranger())
         fleet.now += 20
-    assert len(door.accounts.by_tenant) <= 64 and len(door._present) <= len(door.tickets) <= 300
-    assert len(door.promises._lapses) <= 2 * 8192 + 1
+    assert len(admission.accounts.by_tenant) <= 64
+    assert len(admission._present) <= len(admission.tickets) <= 300
+    assert len(admission.promises._lapses) <= 2 * 8192 + 1
 
 
 def test_who_returns_at_once_gains_nothing_and_loses_nothing() -> None:
@@ -145,7 +147,7 @@
         fleet.now += 1 * MS
         told.append(fleet.refused[fleet.ask("a", key="k")].retry_us)
     assert told == sorted(told, reverse=True) and told[-1] == first.retry_us - 20 * MS
-    assert fleet.door.promises.by_mark[fleet.door.directory.find("a", "10.0.0.1", "k").mark]
+    assert fleet.admission.promises.by_mark[fleet.admission.directory.find("a", "10.0.0.1", "k").mark]
     assert {fleet.refused[n].reason for n in range(fleet.number - 19, fleet.number + 1)} == {"early"}
 
 
@@ -164,7 +166,7 @@
             kept += number not in fleet.refused
         fleet.pass_time(1)
     assert returned > 20 and kept >= 0.9 * returned
-    told = fleet.door.promises
+    told = fleet.admission.promises
     assert told.right >= 0.9 * (told.right + told.short + told.long) > 0
 
 
@@ -226,12 +228,12 @@
         fleet.ask(f"t{i % 30}", RENEWAL)
         fleet.pass_time(5)
         assert len(fleet.unplaced) <= MOST
-    assert fleet.door.waiting > 0 or fleet.refused
+    assert fleet.admission.waiting > 0 or fleet.refused
 
 
 def test_a_window_that_fell_recovers_within_seconds() -> None:
     fleet = Fleet(slots=32, run_ms=100)
-    window = fleet.door.windows.windows[0]
+    window = fleet.admission.windows.windows[0]
     for _ in range(50):
         fleet.ask("a")
         fleet.pass_time(20)
@@ -251,13 +253,13 @@
     for _ in range(30):
         fleet.ask("a")
         fleet.pass_time(60)
-    window = fleet.door.windows.windows[0]
+    window = fleet.admission.windows.windows[0]
     window.places = 4.0
     lost = [fleet.ask("a", RENEWAL) for _ in range(4)]
     for number in lost:
         fleet.running.pop(number, None)
     waits = fleet.ask("b", RENEWAL)
-    assert fleet.door.waits(waits)
+    assert fleet.admission.waits(waits)
     fleet.pass_time(3_000)
     later = fleet.ask("b", RENEWAL)
     assert later in fleet.running
@@ -279,11 +281,11 @@
     fleet.ask("a")
     fleet.ask("a")
     assert fleet.refused[fleet.ask("a")].reason == "requests"
-    options = DoorOptions(enabled=True, tenants={"a": Tenant(weight=3, limits=limits)})
-    fleet.perform(fleet.door.configure(fleet.now, options))
+    options = AdmissionOptions(enabled=True, tenants={"a": Tenant(weight=3, limits=limits)})
+    fleet.perform(fleet.admission.configure(fleet.now, options))
     assert fleet.refused[fleet.ask("a")].reason == "requests"
     successor = Fleet(tenants={"a": Tenant(limits=limits)})
-    memory.recall(successor.door, successor.now, memory.learned(fleet.door))
+    memory.recall(successor.admission, successor.now, memory.learned(fleet.admission))
     assert successor.refused[successor.ask("a")].reason == "requests"
     assert successor.ask("b") not in successor.refused
 
@@ -296,11 +298,11 @@
     for _ in range(30):
         fleet.ask("a")
     refusal = fleet.refused[fleet.ask("a", key="k")]
-    told = memory.learned(fleet.door)
+    told = memory.learned(fleet.admission)
     successor = Fleet(slots=1, run_ms=300)
-    memory.recall(successor.door, successor.now, told)
-    assert successor.door.costs.by_class == fleet.door.costs.by_class
-    account = successor.door.accounts.get(fleet.door.directory.hash("a"))
+    memory.recall(successor.admission, successor.now, told)
+    assert successor.admission.costs.by_class == fleet.admission.costs.by_class
+    account = successor.admission.accounts.get(fleet.admission.directory.hash("a"))
     assert account and account.established and account.jobs >= 8
     successor.now = fleet.now + 1 * MS
     successor.slots = 0
@@ -310,7 +312,7 @@
     assert early.reason == "early" and early.retry_us == refusal.retry_us - 1 * MS
 
 
-def test_a_full_door_puts_out_the_newest_of_the_longest_queue() -> None:
+def test_a_full_queue_puts_out_the_newest_of_the_longest_queue() -> None:
     fleet = Fleet(slots=0, queued=10)
     for each in ("a", "b") * 4:  # both have been served before
         fleet.slots = 4
@@ -318,7 +320,7 @@
         fleet.pass_time(200)
     fleet.slots = 0
     large = [fleet.ask("a", RENEWAL) for _ in range(18)]
-    assert fleet.door.waiting == 10
+    assert fleet.admission.waiting == 10
     small = fleet.ask("b", RENEWAL)
     assert small not in fleet.refused and fleet.refused[large[-1]].reason == "pushed_out"
     assert fleet.refused[large[-1]].own
@@ -338,16 +340,16 @@
 def test_refusals_end_with_the_time_and_the_places_of_those_that_left_are_free() -> None:
     fleet = Fleet(slots=0, queued=5)
     numbers = [fleet.ask(f"t{i}", RENEWAL) for i in range(13)]
-    assert fleet.door.waiting == 5
-    fleet.perform(fleet.door.left(fleet.now, numbers[-1]))
-    assert fleet.door.waiting == 4
+    assert fleet.admission.waiting == 5
+    fleet.perform(fleet.admission.left(fleet.now, numbers[-1]))
+    assert fleet.admission.waiting == 4
     fleet.pass_time(10_000)
-    assert fleet.door.waiting == 0 and all(n in fleet.refused for n in numbers[8:12])
+    assert fleet.admission.waiting == 0 and all(n in fleet.refused for n in numbers[8:12])
     assert all(not fleet.refused[n].own for n in numbers[8:12])
 
 
 DIRECTORY = Directory(
-    DoorOptions(
+    AdmissionOptions(
         networks=(
             Network("10.0.0.0/8", tenant="state"), Network("10.1.0.0/16", tenant="north"),
             Network("10.1.2.0/24", limits=Limits(open=1)), Network("2001:db8::/32", tenant="six"),
@@ -385,7 +387,7 @@
 
 
 def test_names_can_not_be_aimed_without_the_secret() -> None:
-    other = Directory(DoorOptions(), b"another secret!!")
+    other = Directory(AdmissionOptions(), b"another secret!!")
     assert DIRECTORY.hash("a") != other.hash("a")
 
 
@@ -406,14 +408,14 @@
 
 
 def test_the_sketch_keeps_the_heavy_and_bounds_the_rest() -> None:
-    door = Fleet().door
+    admission = Fleet().admission
     accounts = Accounts(16)
-    heavy = [door.account(i, f"h{i}") for i in range(4)]
+    heavy = [admission.account(i, f"h{i}") for i in range(4)]
     for account in heavy:
         accounts.admit(account)
     for step in range(2_000):
         accounts.serve(step * MS, heavy[step % 4], 1000.0)
-        light = door.account(1_000 + step, f"l{step}")
+        light = admission.account(1_000 + step, f"l{step}")
         if accounts.admit(light) is not light:
             accounts.serve(step * MS, light, 100.0)
         assert len(accounts.by_tenant) <= 16
@@ -425,11 +427,11 @@
     fleet = Fleet(slots=1)
     for _ in range(20):
         fleet.ask("a")
-    door = fleet.door
-    (present,) = door._present.values()
+    admission = fleet.admission
+    (present,) = admission._present.values()
     before = present.queued
-    assert before == door.waiting > 0
-    caller = door.directory.find("a", "10.0.0.1", "late")
-    actions = door.arrive(fleet.now, Ask(1_000, LOOKUP, caller, fleet.now, 0))
+    assert before == admission.waiting > 0
+    caller = admission.directory.find("a", "10.0.0.1", "late")
+    actions = admission.arrive(fleet.now, Ask(1_000, LOOKUP, caller, fleet.now, 0))
     assert [a.number for a in actions if isinstance(a, Admit)] == [1_000]
-    assert present.queued == door.waiting == before
+    assert present.queued == admission.waiting == before
--- a/tests/test_door_properties.py
+++ b/tests/test_admission_properties.py
@@ -1,4 +1,4 @@
-"""The door under arbitrary interleavings of arrive, leave, place, begin, end, time and reload."""
+"""Admission control under arbitrary interleavings of arrive, leave, place, begin, end, time and reload."""
 
 from collections import defaultdict
 from typing import Any
@@ -9,9 +9,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from robinhill import api
-from robinhill.door.door import Admit, Ask, Door, Refuse
-from robinhill.door.options import DoorOptions, Limits, Tenant
-from robinhill.door.queues import BURST, Queue, Rounds, Ticket
+from robinhill.admission.admission import Admission, Admit, Ask, Refuse
+from robinhill.admission.options import AdmissionOptions, Limits, Tenant
+from robinhill.admission.queues import BURST, Queue, Rounds, Ticket
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -23,15 +23,15 @@
 SETTINGS = node_settings(classes=CLASSES, retry_after=True, max_retry_after_us=10 * S, tells_start=True)
 TENANTS = ("a", "b", "c", "d", "e")
 OPTIONS = (
-    DoorOptions(enabled=True, queued=12, queues=4, hand=2, accounts=8),
-    DoorOptions(enabled=True, queued=5, queues=8, hand=3, accounts=8, tenants={"a": Tenant(weight=3)}),
-    DoorOptions(enabled=True, queued=12, queues=4, hand=2, limits=Limits(requests_per_s=20, open=6)),
-    DoorOptions(enabled=False),
+    AdmissionOptions(enabled=True, queued=12, queues=4, hand=2, accounts=8),
+    AdmissionOptions(enabled=True, queued=5, queues=8, hand=3, accounts=8, tenants={"a": Tenant(weight=3)}),
+    AdmissionOptions(enabled=True, queued=12, queues=4, hand=2, limits=Limits(requests_per_s=20, open=6)),
+    AdmissionOptions(enabled=False),
 )
 
 
 class World(RuleBasedStateMachine):
-    """A caller of the door that carries its actions out and checks each."""
+    """A caller of admission control that carries its actions out and checks each."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,8 +40,8 @@
         self.state: dict[int, str] = {}  # waits, in, placed, runs; gone once answered
 
     @initialize(options=st.sampled_from(OPTIONS))
-    def begin(self, options: DoorOptions) -> None:
-        self.door = Door(SETTINGS, options, 7, bytes(16))
+    def begin(self, options: AdmissionOptions) -> None:
+        self.admission = Admission(SETTINGS, options, 7, bytes(16))
 
     def perform(self, actions: list[Any]) -> None:
         for action in actions:
@@ -62,83 +62,83 @@
     )  # fmt: skip
     def arrive(self, tenant: str, job_class: int, left: int, key: int, owed: bool) -> None:
         self.number += 1
-        caller = self.door.directory.find(tenant, "10.0.0.1", str(key))
+        caller = self.admission.directory.find(tenant, "10.0.0.1", str(key))
         self.state[self.number] = "waits"
         ask = Ask(self.number, job_class, caller, self.now, left * MS, owed)
-        self.perform(self.door.arrive(self.now, ask))
+        self.perform(self.admission.arrive(self.now, ask))
 
     @rule(data=st.data())
     def place(self, data: Any) -> None:
         if number := self.some(data, "in"):
             self.state[number] = "placed"
-            self.perform(self.door.placed(self.now, number))
+            self.perform(self.admission.placed(self.now, number))
 
     @rule(data=st.data())
     def start(self, data: Any) -> None:
         if number := self.some(data, "placed"):
             self.state[number] = "runs"
-            self.perform(self.door.began(self.now, number))
+            self.perform(self.admission.began(self.now, number))
 
     @rule(data=st.data(), served=st.booleans())
     def end(self, data: Any, served: bool) -> None:
         if number := self.some(data, "in", "placed", "runs"):
             del self.state[number]
-            self.perform(self.door.ended(self.now, number, served))
+            self.perform(self.admission.ended(self.now, number, served))
 
     @rule(data=st.data())
     def leave(self, data: Any) -> None:
         if number := self.some(data, "waits", "in", "placed", "runs"):
             del self.state[number]
-            self.perform(self.door.left(self.now, number))
+            self.perform(self.admission.left(self.now, number))
 
     @rule(ms=st.integers(0, 3_000))
     def pass_time(self, ms: int) -> None:
         until = self.now + ms * MS
-        while (due := self.door.next_us) is not None and due <= until:
+        while (due := self.admission.next_us) is not None and due <= until:
             self.now = max(self.now + 1, due)
-            self.perform(self.door.tick(self.now))
+            self.perform(self.admission.tick(self.now))
         self.now = until
 
     @rule(seconds=st.integers(1, 100))
     def step_back(self, seconds: int) -> None:
         """A clock that steps back changes nothing and ends nothing."""
-        self.perform(self.door.tick(self.now - seconds * S))
+        self.perform(self.admission.tick(self.now - seconds * S))
 
     @rule(options=st.sampled_from(OPTIONS))
-    def reload(self, options: DoorOptions) -> None:
+    def reload(self, options: AdmissionOptions) -> None:
         before = {n for n, state in self.state.items() if state == "waits"}
-        actions = self.door.configure(self.now, options)
+        actions = self.admission.configure(self.now, options)
         assert not any(isinstance(a, Refuse) for a in actions), "a reload drops nothing that waits"
         self.perform(actions)
         assert before <= set(self.state)
 
     @invariant()
-    @precondition(lambda self: hasattr(self, "door"))
+    @precondition(lambda self: hasattr(self, "admission"))
     def it_is_consistent(self) -> None:
         waiting = [n for n, state in self.state.items() if state == "waits"]
-        assert self.door.waiting == len(waiting)
-        assert set(self.door.tickets) == set(self.state)
+        assert self.admission.waiting == len(waiting)
+        assert set(self.admission.tickets) == set(self.state)
         # Its memory is that of what is there: a name leaves nothing behind.
-        assert sum(p.open for p in self.door._present.values()) == len(self.state)
-        assert all(p.open > 0 and p.queued >= 0 for p in self.door._present.values())
-        assert sum(p.queued for p in self.door._present.values()) == len(waiting)
+        assert sum(p.open for p in self.admission._present.values()) == len(self.state)
+        assert all(p.open > 0 and p.queued >= 0 for p in self.admission._present.values())
+        assert sum(p.queued for p in self.admission._present.values()) == len(waiting)
         for job_class in (0, 1):
             unplaced = [
                 n for n, s in self.state.items()
-                if s == "in" and self.door.tickets[n].job_class == job_class
+                if s == "in" and self.admission.tickets[n].job_class == job_class
             ]  # fmt: skip
-            assert self.door.windows.unplaced[job_class] == len(unplaced)
-            # Work conserving: nobody waits at the door while the module has next to nothing at hand.
-            waits = any(self.door.tickets[n].job_class == job_class for n in waiting)
-            assert not (waits and self.door.windows.roomy(job_class)), "somebody waits and could go in"
-        queues = {t.queue for t in self.door.tickets.values()}
+            assert self.admission.windows.unplaced[job_class] == len(unplaced)
+            # Work conserving: nobody waits at admission while the module has next to nothing at hand.
+            waits = any(self.admission.tickets[n].job_class == job_class for n in waiting)
+            assert not (waits and self.admission.windows.roomy(job_class)), "somebody waits and could go in"
+        queues = {t.queue for t in self.admission.tickets.values()}
         assert sum(q.length for q in queues) == len(waiting)
         assert sum(q.users for q in queues) == len(self.state)
-        assert set(self.door.rounds.active) == {q for q in queues if q.length}
+        assert set(self.admission.rounds.active) == {q for q in queues if q.length}
 
     def teardown(self) -> None:
         """Whatever waits gets its answer in bounded time."""
-        if hasattr(self, "door"):
+        if hasattr(self, "admission"):
             self.pass_time(10_000)
             assert "waits" not in self.state.values()
 
--- a/tests/test_witness_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from robinhill.witness.journal import Event, Journal, What
-from robinhill.witness.mesh import Terms, broken, equal_after, late_sends, lists
+from robinhill.checker.journal import Event, Journal, What
+from robinhill.checker.mesh import Terms, broken, equal_after, late_sends, lists
 
 W = What
 HOLD, SERVE = Terms(0.5, holds=True), Terms(0.5, holds=False)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -11,8 +11,8 @@
 from click.testing import CliRunner
 
 from robinhill import config
+from robinhill.admission.options import AdmissionOptions
 from robinhill.commands import FLAGS, cli
-from robinhill.door.options import DoorOptions
 
 from .test_config import GIVEN
 from .test_exchanges import ROOT
@@ -51,7 +51,7 @@
 def test_the_shipped_file_holds_every_key_with_its_default() -> None:
     path = ROOT / "deploy" / "operator.json"
     assert config.read_operator(str(path)) == config.OperatorFile()
-    assert set(json.loads(path.read_text())["door"]) == set(DoorOptions.__struct_fields__)
+    assert set(json.loads(path.read_text())["door"]) == set(AdmissionOptions.__struct_fields__)
 
 
 def test_a_faulty_file_ends_the_program_before_it_listens(tmp_path: Path) -> None:
@@ -114,12 +114,13 @@
 
 
 def test_a_start_loads_only_what_the_platform_needs(tmp_path: Path) -> None:
-    """A restart is an outage for who comes meanwhile: certificates of the machine and the door's code took a
+    """A restart is an outage for who comes meanwhile: certificates of the machine and admission's code took a
     fifth of it, and no connection here uses either."""
     (tmp_path / "config.json").write_text("{}")
     code = (
         "import sys, robinhill.__main__ as m; code = m.main(['run']);"
-        "print(code, sorted(n for n in ('ssl', 'robinhill.door.door', 'numpy') if sys.modules.get(n)))"
+        "heavy = ('ssl', 'robinhill.admission.admission', 'numpy');"
+        "print(code, sorted(n for n in heavy if sys.modules.get(n)))"
     )
     environment = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
     done = subprocess.run(
--- a/tests/test_standin.py
+++ b/tests/test_emulator.py
@@ -1,14 +1,14 @@
-"""The checker sees each broken rule, and the program keeps them all against stand-ins that fail."""
+"""The checker sees each broken rule, and the program keeps them all against emulators that fail."""
 
 import asyncio
 
 import pytest
 
-from robinhill.standin.client import Clients, Tenant
-from robinhill.standin.program import town
-from robinhill.standin.site import Site
-from robinhill.witness.journal import Event, Journal, What
-from robinhill.witness.rules import broken
+from robinhill.checker.journal import Event, Journal, What
+from robinhill.checker.rules import broken
+from robinhill.emulator.client import Clients, Tenant
+from robinhill.emulator.program import town
+from robinhill.emulator.site import Site
 
 ASKED, ANSWERED, GONE, SENT = What.ASKED, What.ANSWERED, What.GONE, What.SENT
 RETURNED, ENDED, CALLED_OFF = What.RETURNED, What.ENDED, What.CALLED_OFF
@@ -59,7 +59,7 @@
     assert "pushed over" in broken(made, UNSAFE)[-1]
 
 
-def test_no_herd_out_of_the_door_after_every_worker_was_silent() -> None:
+def test_no_herd_leaves_admission_after_every_worker_was_silent() -> None:
     """All workers fall silent under load with hundreds waiting, and come back cold at once.
 
     None is pushed over, every request gets one answer, and the fleet serves again.
@@ -89,7 +89,7 @@
     assert not faults and served_after > 0
 
 
-def test_a_drained_worker_gets_nothing_new_with_the_door_on() -> None:
+def test_a_drained_worker_gets_nothing_new_with_admission_control_on() -> None:
     async def play() -> list[str]:
         async with town(workers=3, operator={"door": {"enabled": True}}) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=6)
--- a/tests/test_standin_relay.py
+++ b/tests/test_emulator_relay.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from robinhill.standin.relay import Harm, Messages, Relay, Unit, Way
+from robinhill.emulator.relay import Harm, Messages, Relay, Unit, Way
 
 Socket = aiohttp.ClientWebSocketResponse
 
--- a/tests/test_standin_schedule.py
+++ b/tests/test_emulator_schedule.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from robinhill.standin.schedule import KILLS, Fault, Trouble, draw, names_of, shrink
+from robinhill.emulator.schedule import KILLS, Fault, Trouble, draw, names_of, shrink
 
 WORKERS = [f"w{i}" for i in range(6)]
 SEEDS = range(150)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -30,7 +30,7 @@
 JOB = b"POST /x HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\n\r\nwork"
 
 
-class Door:
+class InboundServer:
     """A listener whose handler claims each request and answers when it is let."""
 
     def __init__(self, budget: int = 16) -> None:
@@ -70,8 +70,8 @@
 
 
 @asynccontextmanager
-async def door(budget: int = 16) -> AsyncIterator[Door]:
-    made = Door(budget)
+async def inbound_server(budget: int = 16) -> AsyncIterator[InboundServer]:
+    made = InboundServer(budget)
     made.listener.listen(made.socket)
     try:
         yield made
@@ -117,7 +117,7 @@
     """The server stopped reading when enough had come: the end of the connection lay unread behind it."""
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             sock = here.client()
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, first)
@@ -135,7 +135,7 @@
     """Its request is answered, and what it did wrong gets 400."""
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             sock = here.client()
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, JOB * 64)
@@ -158,7 +158,7 @@
     """Request and end are in the kernel together; it has done nothing wrong."""
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             sock = here.client()
             connection = await only(here.listener)
             arrive(connection, sock, JOB)
@@ -237,7 +237,7 @@
     monkeypatch.setattr(connections, "REQUEST_S", 0.05)
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             here.let.set()
             sock = here.client()
             sock.sendall(JOB[:-1])
@@ -256,7 +256,7 @@
 @pytest.mark.parametrize("first", [b"", JOB[:-1]], ids=["whole", "last byte"])
 def test_a_request_that_waits_to_be_read_when_its_time_is_up_is_answered(first: bytes) -> None:
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             here.let.set()
             sock = here.client()
             connection = await only(here.listener)
@@ -275,7 +275,7 @@
 @pytest.mark.parametrize("read", [True, False])
 def test_a_request_that_begins_as_a_connection_has_rested_enough_is_answered(read: bool) -> None:
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             here.let.set()
             sock = here.client()
             sock.sendall(JOB)
@@ -300,7 +300,7 @@
     """A close would reset it, and a request that is read behind a shutdown must go nowhere."""
 
     async def play() -> None:
-        async with door(budget=1) as here:
+        async with inbound_server(budget=1) as here:
             here.let.set()
             sock = here.client()
             sock.sendall(JOB)
@@ -323,7 +323,7 @@
     """Its client reads the end without an answer and sends it again elsewhere."""
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             here.let.set()
             sock = here.client()
             sock.sendall(JOB)
@@ -346,7 +346,7 @@
     size = 60_000
 
     async def play() -> None:
-        async with door(budget=1) as here:
+        async with inbound_server(budget=1) as here:
 
             async def much(request: web.BaseRequest) -> web.StreamResponse:
                 await request.read()
@@ -381,7 +381,7 @@
     monkeypatch.setattr(connections, "NEW_S", 0.0)
 
     async def play() -> None:
-        async with door(budget=16) as here:
+        async with inbound_server(budget=16) as here:
             idle = [here.client() for _ in range(16)]
             await here.until(lambda: len(here.listener.open) == 16)
             more = [here.client() for _ in range(16)]
@@ -408,7 +408,7 @@
     """Where more carry requests than the new budget holds, it comes to be kept as they end."""
 
     async def play() -> None:
-        async with door() as here:
+        async with inbound_server() as here:
             busy = [here.client() for _ in range(3)]
             for sock in busy:
                 sock.sendall(JOB)
@@ -504,7 +504,7 @@
     """Its connection was silent long enough to go; the handler has yet to begin."""
 
     async def play() -> None:
-        async with door(budget=1) as here:
+        async with inbound_server(budget=1) as here:
             here.let.set()
             sock = here.client()
             connection = await only(here.listener)
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -14,12 +14,12 @@
 import aiohttp
 import pytest
 
+from robinhill.checker.journal import Journal, What
 from robinhill.commands import main
-from robinhill.standin.discovery import Discovery
-from robinhill.standin.program import Program
-from robinhill.standin.site import JobKind, Site, free_address
-from robinhill.standin.worker import Worker
-from robinhill.witness.journal import Journal, What
+from robinhill.emulator.discovery import Discovery
+from robinhill.emulator.program import Program
+from robinhill.emulator.site import JobKind, Site, free_address
+from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
 QUICK = JobKind("lookup", 5, 500, 2.0, 5_000)
--- a/tests/test_mesh_rig.py
+++ b/tests/test_mesh_rig.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from robinhill.standin.rig import PROGRAM, Outcome, play
-from robinhill.standin.schedule import Call, Fault, Schedule, Trouble, names_of
+from robinhill.emulator.rig import PROGRAM, Outcome, play
+from robinhill.emulator.schedule import Call, Fault, Schedule, Trouble, names_of
 
 T = Trouble
 BOUND_MS = 600
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,8 +11,9 @@
 from msgspec.structs import replace
 
 from robinhill import api
+from robinhill.admission.options import AdmissionOptions
+from robinhill.checker.journal import Journal
 from robinhill.commands import cli
-from robinhill.door.options import DoorOptions
 from robinhill.logic import Balancer
 from robinhill.model import report, sites
 from robinhill.model.compare import Comparison, Failed, Version, compare, play
@@ -33,7 +34,6 @@
 from robinhill.model.trace import draw
 from robinhill.model.workers import Job, Worker
 from robinhill.model.world import Side, World
-from robinhill.witness.journal import Journal
 
 S = 1_000_000
 ROOT = Path(__file__).parent.parent
@@ -103,7 +103,7 @@
     description = replace(
         SMALL, troubles=tuple(replace(t, at_s=t.at_s / 4, for_s=t.for_s / 4) for t in sites.TROUBLES[name])
     )
-    for side in (Side(), Side(door=DoorOptions(enabled=True))):
+    for side in (Side(), Side(admission=AdmissionOptions(enabled=True))):
         result = World(description, draw(description, 5), side, 5).play()
         assert not [b for b in result.broken if "answer" in b or "sent again" in b or "while at" in b]
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from robinhill.emulator.client import Clients, Tenant
+from robinhill.emulator.program import town
 from robinhill.model.describe import DescriptionError
 from robinhill.model.recorded import load
 from robinhill.model.sites import KINDS
@@ -17,8 +19,6 @@
 from robinhill.record.options import RecordOptions
 from robinhill.record.recorder import Recorder
 from robinhill.record.records import Answered, Arrived, Attempted, Dropped, Record
-from robinhill.standin.client import Clients, Tenant
-from robinhill.standin.program import town
 
 S = 1_000_000
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -4,7 +4,7 @@
 import signal
 from collections import Counter
 
-from robinhill.standin.program import Town, town
+from robinhill.emulator.program import Town, town
 
 CONNECTIONS = 50
 
