--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -225,7 +225,9 @@
         self.thin = self.estimates.fewer_jobs_than_workers(now)
         unsafe = job.klass.repeat is api.Repeat.UNSAFE
         choice = Choice(job, unsafe, HINT_MARGIN * job.request.work_hint_us, self.derived.idle_limit_us)
-        return self._cheapest(now, choice, self._cold_pace(now))
+        # To a cold worker, were it warm: half its budget, as chance adds to it.
+        pace = self.settings.fall_multiple / 2 * self.estimates.borne(now) / self.estimates.gaps_counted(now)
+        return self._cheapest(now, choice, pace)
 
     def _cheapest(self, now: int, choice: Choice, cold_pace: float) -> WorkerRecord | None:
         """Each arrival goes over all workers: what most of them need is in the loop itself, without calls."""
@@ -241,9 +243,9 @@
                 continue  # what follows only raises the cost
             if now < worker.shut_until_us or now < worker.rest_until_us:
                 continue
-            if (bound and not klass.open_to(worker.entry)) or (
-                worker.out and not self._has_room(now, worker)
-            ):
+            if bound and not klass.open_to(worker.entry):
+                continue
+            if worker.out and not self._has_room(now, worker):
                 continue
             no_room = False
             cost = self._full_cost(now, worker, choice, cost)
@@ -305,10 +307,6 @@
             return True
         return klass.group_of(worker.entry) == job.group and now < job.group_until_us
 
-    def _cold_pace(self, now: int) -> float:
-        """Own jobs a microsecond to a cold worker, were it warm: half its budget, as chance adds to it."""
-        return self.settings.fall_multiple / 2 * self.estimates.borne(now) / self.estimates.gaps_counted(now)
-
     def _cold_turn(self, now: int, worker: WorkerRecord, pace: float) -> bool:
         """Whether it is time for a job to a cold worker: all nodes' shares add up to half its budget."""
         # In a lull all nodes would come to their turn, and the first burst send all of these at once.
@@ -353,10 +351,9 @@
         klass, hint = job.klass, job.request.work_hint_us
         worker.last_send = self.sends
         self.sends += 1
-        group = klass.group_of(worker.entry)
-        attempt = Attempt((job.request.job, job.tries), worker, now, job, len(worker.out), group)
-        self.attempts[attempt.key] = attempt
-        worker.out.add(attempt.key)
+        key, group = (job.request.job, job.tries), klass.group_of(worker.entry)
+        attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.out), group)
+        worker.out.add(key)
         worker.waiting = attempt if self.settings.tells_start else None
         worker.credit = 0.0
         job.tries += 1
--- /dev/null
+++ b/tests/test_estimates.py
@@ -0,0 +1,78 @@
+"""What the decision module learns of job times, rates and clients' tries."""
+
+import pytest
+
+from robinhill import api
+from robinhill.derived import Derived
+from robinhill.estimates import ClientTries, Estimates, JobTimes
+from robinhill.means import Weighed, follow
+from robinhill.state import WorkerRecord
+
+from .conftest import MS, S, settings
+
+
+def estimates() -> Estimates:
+    learned = Estimates(settings(), JobTimes(1), S)
+    learned.start(0)
+    return learned
+
+
+def test_smoothing_starts_with_the_first_sample() -> None:
+    assert follow(0.0, 8.0) == 8.0 and follow(8.0, 40.0) == 9.0
+
+
+def test_a_hint_scales_the_mean_and_without_one_the_class_counts() -> None:
+    times = JobTimes(2)
+    assert times.expected_us(0, 5) == 0.0, "nothing is known"
+    times.add(0, 100, 100.0)
+    times.add_hint(50)
+    assert times.expected_us(0, 0) == 100.0 and times.expected_us(0, 25) == 50.0
+    assert times.expected_us(1, 0) == 100.0, "a class without samples takes the mean of all"
+    times.add(0, 10_000, 400.0)
+    assert times.usual_us[0] == pytest.approx(100 + 300 / 32 / 1024)
+
+
+def test_one_huge_job_counts_as_four() -> None:
+    learned, worker = estimates(), WorkerRecord(api.Worker("w"), 0.0, Weighed(), S)
+    request = api.Request(1, 0, S)
+    learned.add_completion(MS, worker, request, 100 * MS)
+    learned.add_completion(2 * MS, worker, request, 100 * S)
+    assert worker.own_time.value == pytest.approx((100 + 4 * 100) / 2 * MS, rel=0.001)
+
+
+def test_a_cold_worker_is_warm_for_sure_by_the_time_left() -> None:
+    learned = estimates()  # warm after 9 s, from 0.3 on
+    worker = WorkerRecord(api.Worker("w"), 0.0, Weighed(), S, cold_until_us=9 * S)
+    assert learned.warm_share(0, worker) == pytest.approx(0.3)
+    assert learned.warm_share(9 * S, worker) == pytest.approx(1.0)
+
+
+def test_the_rate_is_that_of_the_window_and_never_falls_to_nothing() -> None:
+    learned = estimates()
+    for second in range(1, 100):
+        learned.add_arrival(second * S)
+    assert learned.rate == pytest.approx(1.0, rel=0.1)
+    learned.add_arrival(10_000 * S)
+    assert learned.rate == pytest.approx(1 / 9)
+
+
+def test_a_try_with_less_time_is_a_further_one_only_while_one_was_given_up() -> None:
+    tries = ClientTries(1, least_us=10 * MS)
+    assert tries.spent_us(api.Request(1, 0, S)) == 0
+    assert tries.spent_us(api.Request(2, 0, S - 5 * MS)) == 5 * MS
+    assert tries.spent_us(api.Request(3, 0, S - 300 * MS)) == 0, "the first of a client that waits for less"
+    tries.given_up = 1
+    assert tries.spent_us(api.Request(4, 0, S - 300 * MS)) == 300 * MS and tries.given_up == 0
+    assert tries.spent_us(api.Request(5, 0, S - 300 * MS, client_repeat=True)) == 300 * MS
+
+
+def test_bounds_follow_from_the_settings() -> None:
+    few = Derived.of(
+        settings(fleet_size=2, keepalive_us=S, handshake_price=0.1, progress_us=100), 50 * MS, 3.0
+    )
+    assert (few.tick_us, few.least_limit, few.silence_us) == (26 * MS, 1.0, 150)
+    assert few.idle_limit_us == S - 26 * MS and not few.checks_attempts and not few.probes_workers
+    many = Derived.of(settings(fleet_size=200, tells_start=True, probes=True), 50 * MS, 3.0)
+    assert many.least_limit == 0.2 and many.idle_limit_us == float("inf")
+    assert many.checks_attempts and many.probes_workers
+    assert (few.list_spread_us, many.list_spread_us) == (100 * MS, 5 * S)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -64,3 +64,30 @@
     told = memory.release(old.balancer, 2)
     assert told and sent_to(memory.resume(new.balancer, new.now, told)) in ("w0", "w1")
     assert memory.release(old.balancer, 2) is None
+
+
+def test_names_on_the_link_are_those_of_older_versions() -> None:
+    """Values go by name: one under a new name would be lost at an upgrade, without a word."""
+    node = Node(1, tells_start=True)
+    node.ask()
+    learned = memory.learned(node.balancer)
+    assert set(learned) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
+    own = (
+        "sends rate_us began_us rate priced_rate mean_us class_us usual_us hint_us full_us given_up budget "
+        "shed worth asked_us free_us spare"
+    )
+    assert set(learned["own"]) == set(own.split())
+    seat = learned["seats"]["w0"]
+    assert set(seat) == {"values", "own", "full", "out"}
+    values = (
+        "rank last time_us lnq cold_us shut_us limit base_us quick unit errors failed faults wanted heard_us "
+        "done_us doubt_us asked_us unanswered rest_us back_us credit credit_us idle_us"
+    )
+    assert set(seat["values"]) == set(values.split())
+    job = memory.release(node.balancer, 1)
+    assert job and set(job) == {"request", "values", "flights"}
+    values = "until_us end_us aim_us tries pending ran group group_until_us order late_us"
+    assert set(job["values"]) == set(values.split())
+    (flight,) = job["flights"]
+    assert set(flight) == {"address", "attempt", "waiting", "values"}
+    assert set(flight["values"]) == {"sent_us", "others", "group", "dropped", "heard_us"}
--- /dev/null
+++ b/tests/test_timers.py
@@ -0,0 +1,22 @@
+"""Timers' tags go from version to version with the jobs they are about."""
+
+import pytest
+
+from robinhill import memory, timers
+
+
+def test_tags_are_read_back_and_stay_as_older_versions_write_them() -> None:
+    progress = timers.AttemptTimer(timers.Check.PROGRESS, 12, 0)
+    overdue = timers.AttemptTimer(timers.Check.OVERDUE, 12, 3)
+    assert (progress.tag, overdue.tag) == ("look 12 0", "overdue 12 3")
+    assert timers.read(progress.tag) == progress and timers.read(overdue.tag) == overdue
+
+
+@pytest.mark.parametrize("tag", [timers.HELD, timers.LIST, "", "look", "look 1", "later 1 2", "look 1 2 3"])
+def test_a_tag_that_is_about_no_attempt_is_left_alone(tag: str) -> None:
+    assert timers.read(tag) is None and not memory.concerns(tag, 1)
+
+
+def test_a_timer_goes_with_its_job_alone() -> None:
+    assert memory.concerns("look 1 2", 1) and memory.concerns("overdue 1 0", 1)
+    assert not memory.concerns("look 11 1", 1) and not memory.concerns("look 2 1", 1)
