--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -31,8 +31,8 @@
 from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
-ON: Json = {"door": {"enabled": True}}
-OFF: Json = {"door": {"enabled": False}}
+ON: Json = {"admission": {"enabled": True}}
+OFF: Json = {"admission": {"enabled": False}}
 SMALL = 50
 LOAD = 2.4
 WARM_S = 6.0  # each run is played so long before it counts: nothing is learned at its start
--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -68,7 +68,7 @@
     context.exit(check(files))
 
 
-@cli.group("door")
+@cli.group()
 def admission() -> None:
     """Fair queues at admission."""
 
@@ -85,6 +85,14 @@
     context.exit(explain_caller(file, address, tenant))
 
 
+@cli.group(hidden=True, deprecated="Write `robinhill admission explain`.")
+def door() -> None:
+    """Fair queues at admission, under the command's old name."""
+
+
+door.add_command(explain)
+
+
 @cli.command()
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(min=1))
 @click.option("--workers", default=6, show_default=True, type=click.IntRange(1, 64))
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -1,4 +1,4 @@
-"""`robinhill check-config` and `robinhill door explain`: what a file means, before a scheduler reads it."""
+"""`robinhill check-config` and `admission explain`: what a file means, before a scheduler reads it."""
 
 import sys
 from pathlib import Path
@@ -9,6 +9,7 @@
 
 from robinhill import config
 from robinhill.admission.callers import BadNameError, Directory
+from robinhill.net import logs
 
 SECRET = bytes(16)  # hashes are not shown
 
@@ -17,6 +18,7 @@
     """Print what each file would make of a scheduler; 2 where one is faulty, with its key on standard
     error.
     """
+    logs.configure()
     faulty = False
     for path in files:
         try:
@@ -55,6 +57,7 @@
 
 def explain_caller(path: str, address: str, tenant: str | None) -> int:
     """Print the tenant, weight and limits of a caller; 2 for a faulty file or name."""
+    logs.configure()
     try:
         options = config.read_operator(path).admission
         caller = Directory(options, SECRET).find(tenant, address)
@@ -64,7 +67,7 @@
     named = options.tenants.get(caller.name)
     by = f"header {options.tenant_header}" if tenant is not None else f"address {address}"
     network = options.networks[caller.network] if caller.network >= 0 else None
-    click.echo(f"door      {'on' if options.enabled else 'off'}")
+    click.echo(f"admission {'on' if options.enabled else 'off'}")
     click.echo(f"tenant    {caller.name} (by {by})")
     click.echo(f"weight    {named.weight if named else 1.0:g}{'' if named else ' (not named in the file)'}")
     click.echo(f"limits    {_limits(options.limits_of(caller.name))}")
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -17,18 +17,20 @@
 from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import Site
+from robinhill.net import logs
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
 SMALL, LOAD = 8, 1.3  # small tenants beside a large one; all together ask for so much of the fleet
 LARGE_SHARE = 0.6
-ADMISSION: Json = {"door": {"enabled": True}}
+ADMISSION: Json = {"admission": {"enabled": True}}
 
 
 def show(seconds: float, workers: int, operator: str | None) -> int:
     """Play for so long, or until Ctrl-C; 1 if a rule was broken, 2 for a faulty operators' file."""
     given = ADMISSION
     if operator:
+        logs.configure()
         try:
             config.read_operator(operator)
         except config.ConfigError as e:
@@ -86,7 +88,7 @@
     for worker in here.workers:
         jobs = here.journal.begun[worker.name]
         lines.append(f"{worker.name:12} {jobs:6} {len(worker.running):8} {len(worker.waiting):8}")
-    status, text = await here.program.call("GET", "/ops/door")
+    status, text = await here.program.call("GET", "/ops/admission")
     if status == 200:
         admission = orjson.loads(text)
         why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "nobody"
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -18,6 +18,7 @@
 from robinhill.model.describe import Description, DescriptionError, read, write
 from robinhill.model.recorded import load
 from robinhill.model.trace import Trace, fit
+from robinhill.net import logs
 from robinhill.record.frames import RecordingError
 
 DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
@@ -38,8 +39,9 @@
 
 @contextmanager
 def version(words: str) -> Iterator[Version]:
-    """A side: `this`, a file (an operators' file, or {"settings", "clients", "door"}), a git revision, or
-    several of them joined by `+`. A revision is checked out beside this tree for as long as it is needed."""
+    """A side: `this`, a file (an operators' file, or {"settings", "clients", "admission"}), a git revision,
+    or several of them joined by `+`. A revision is checked out beside this tree for as long as it is needed.
+    """
     merged: dict[str, object] = {"name": words}
     with ExitStack() as stack:
         for word in words.split("+"):
@@ -57,13 +59,23 @@
         document = orjson.loads(path.read_bytes())
     except orjson.JSONDecodeError as e:
         raise DescriptionError(f"{path}: is not JSON: {e}") from e
-    if isinstance(document, dict) and set(document) <= {"log", "door"} and "door" in document:
-        return {"door": config.read_operator(str(path)).admission}
+    if _is_operators_file(document):
+        return {"admission": config.read_operator(str(path)).admission}
+    if isinstance(document, dict):
+        document = config.with_current_keys(document, str(path))
     try:
         found = msgspec.convert({"name": str(path), **document}, Version)
     except (msgspec.ValidationError, TypeError) as e:
         raise DescriptionError(f"{path}: {e}") from e
-    return {k: v for k, v in msgspec.to_builtins(found).items() if k != "name" and v}
+    return {k: v for k, v in msgspec.structs.asdict(found).items() if k != "name" and v}
+
+
+def _is_operators_file(document: object) -> bool:
+    """A side's own file has no log; one with nothing but admission reads the same either way."""
+    if not isinstance(document, dict):
+        return False
+    admission = {"admission", *config.RENAMED_KEYS}
+    return bool(admission & set(document)) and set(document) <= {"log", *admission}
 
 
 @contextmanager
@@ -177,6 +189,7 @@
 def guarded(call: object, *arguments: object) -> int:
     """The exit code of a command; a faulty description, trace or file is one line and 2."""
     assert callable(call)
+    logs.configure()
     try:
         code: int = call(*arguments)
     except (DescriptionError, RecordingError, config.ConfigError) as e:
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -6,13 +6,14 @@
 platform knows nothing of. Whatever is wrong ends in a ConfigError that names the faulty key.
 """
 
+import logging
 import math
 import os
 import socket
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 import orjson
@@ -25,6 +26,10 @@
 from robinhill.record.options import RecordOptions
 from robinhill.settings import REPEATS, SCOPES, read_settings
 
+log = logging.getLogger(__name__)
+
+T = TypeVar("T")
+RENAMED_KEYS = {"door": "admission"}  # keys of the operators' file as they were, and as they are
 DEFAULT_SOCKETS = 1024
 OWN_SOCKETS = 16  # log, event loop, listener, two watches of discovery, the file on a reload; a few spare
 OPS_SOCKETS = 32
@@ -75,7 +80,7 @@
     """The operators' own file: what the platform does not set. All of it has defaults."""
 
     log: LogOptions = LogOptions()
-    admission: AdmissionOptions = msgspec.field(default=AdmissionOptions(), name="door")
+    admission: AdmissionOptions = AdmissionOptions()
     record: RecordOptions = RecordOptions()
     mesh: MeshOptions = MeshOptions()
 
@@ -157,18 +162,48 @@
 
 
 def read_operator(path: str) -> OperatorFile:
-    """The operators' file, checked; a ConfigError names the file and the path of the faulty key."""
+    """The operators' file, checked; a ConfigError names the file and the path of the faulty key.
+
+    Keys that were renamed are read under their old name too, with a warning in the log.
+    """
     try:
-        return msgspec.json.decode(Path(path).read_bytes(), type=OperatorFile)
+        document = msgspec.json.decode(Path(path).read_bytes(), type=dict[str, msgspec.Raw])
+        renamed = with_current_keys(document, path)
+        return msgspec.json.decode(msgspec.json.encode(renamed), type=OperatorFile)
     except OSError as e:
         raise ConfigError("GW_OPERATOR", f"can't read {path}: {e.strerror}") from e
     except msgspec.ValidationError as e:
         what, _, key = str(e).partition(" - at `$.")
-        raise ConfigError(f"{path}: {key.rstrip('`') or '(whole file)'}", what) from e
+        written = _as_written(key.rstrip("`"), document) if key else "(whole file)"
+        raise ConfigError(f"{path}: {written}", what) from e
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ConfigError("GW_OPERATOR", f"{path} is not JSON: {e}") from e
 
 
+def with_current_keys(document: Mapping[str, T], path: str) -> dict[str, T]:
+    """The document with renamed keys under their current name; each old one is warned of in the log.
+
+    Raises ConfigError where a key is there under both names.
+    """
+    for old, current in RENAMED_KEYS.items():
+        if old not in document:
+            continue
+        if current in document:
+            raise ConfigError(
+                f"{path}: {old}", f"is the old name of {current}, which is there too; remove {old}"
+            )
+        log.warning("deprecated_key", extra={"file": path, "key": old, "write": current})
+    return {RENAMED_KEYS.get(key, key): value for key, value in document.items()}
+
+
+def _as_written(key: str, document: Mapping[str, object]) -> str:
+    """A key's path as the operator wrote it, who may have used an old name."""
+    for old, current in RENAMED_KEYS.items():
+        if old in document and (key == current or key.startswith(f"{current}.")):
+            return old + key.removeprefix(current)
+    return key
+
+
 def _document(env: Mapping[str, str]) -> dict[str, Any]:
     path = env.get("GW_CONFIG")
     if not path:
--- a/robinhill/emulator/program.py
+++ b/robinhill/emulator/program.py
@@ -95,7 +95,7 @@
 
     async def admission(self) -> Json:
         """Admission's figures."""
-        status, text = await self.call("GET", "/ops/door")
+        status, text = await self.call("GET", "/ops/admission")
         assert status == 200, text
         figures: Json = json.loads(text)
         return figures
--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -38,7 +38,7 @@
     name: str
     settings: dict[str, Any] = {}  # of api.Settings, by field
     clients: dict[str, Any] = {}
-    admission: AdmissionOptions | None = msgspec.field(default=None, name="door")
+    admission: AdmissionOptions | None = None
     root: str | None = None  # a checked-out tree of another revision, whose module plays
 
     def side(self) -> Side:
--- a/robinhill/net/admission.py
+++ b/robinhill/net/admission.py
@@ -226,7 +226,7 @@
         if self.tape:
             self.tape.answered(request, answer.status)
         log.debug(
-            "door_refused",
+            "admission_refused",
             extra={"id": request.id, "tenant": entry.caller.name, "why": refusal.reason},
         )
         if not reply.done():
@@ -241,7 +241,7 @@
         self._forget(number)
         self._perform(self.admission.left(now, number))
         if waits:
-            log.debug("door_left", extra={"id": request.id})
+            log.debug("admission_left", extra={"id": request.id})
         else:
             self.let_in(message)
 
--- a/robinhill/net/figures.py
+++ b/robinhill/net/figures.py
@@ -48,7 +48,9 @@
         lines.append(f"{PREFIX}.pool_size:{self.pool_size}|g")
         lines.append(f"{PREFIX}.pool_ejected:{self.pool_ejected}|g")
         if self.admission_queued:
-            lines.append(f"{PREFIX}.door.queued:{self.admission_queued()}|g")
+            queued = self.admission_queued()
+            lines.append(f"{PREFIX}.admission.queued:{queued}|g")
+            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # its old name, for dashboards that ask for it
         if self.recorder:
             lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
             lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
--- a/robinhill/net/operators.py
+++ b/robinhill/net/operators.py
@@ -1,5 +1,6 @@
 """The operators' side: a listener of its own, one call to a connection, 2xx for yes and 4xx or 5xx for no."""
 
+import logging
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
@@ -11,9 +12,12 @@
 from robinhill.net.connections import Listener, bind, connection_of, reject
 from robinhill.net.messages import Answer
 
+log = logging.getLogger(__name__)
+
 MAX_CALL = 1024  # an id, with room for blanks round it
 MAX_CORDON_CALL = 4096  # a target, a reason and who asks, in JSON
 CORDONS = "/ops/cordons"
+OLD_ADMISSION = "/ops/door"  # the call's name before it was /ops/admission
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +46,8 @@
         self._routes: dict[str, tuple[str, Callable[[bytes], Awaitable[Answer]]]] = {
             "/ops/readiness": ("GET", self._readiness),
             "/ops/stats": ("GET", self._stats),
-            "/ops/door": ("GET", self._admission),
+            "/ops/admission": ("GET", self._admission),
+            OLD_ADMISSION: ("GET", self._admission_by_old_name),
             "/ops/workers/down": ("PUT", lambda body: self._worker(body, True)),
             "/ops/workers/up": ("PUT", lambda body: self._worker(body, False)),
             "/ops/drain/start": ("PUT", lambda body: calls.drain(True)),
@@ -105,6 +110,10 @@
     async def _admission(self, body: bytes) -> Answer:
         return self.calls.admission()
 
+    async def _admission_by_old_name(self, body: bytes) -> Answer:
+        log.warning("deprecated_call", extra={"call": OLD_ADMISSION, "write": "/ops/admission"})
+        return self.calls.admission()
+
     async def _worker(self, body: bytes, out: bool) -> Answer:
         return await self.calls.hold_out(messages.read_instance_id(body), out)
 
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -40,6 +40,7 @@
 LIST_S = 1.5  # for discovery's first answer, where clients wait for it; older lists count meanwhile
 START_S = 0.9  # an operator's call to a process that still starts is answered no after it
 STARTING = Answer(503, b"still starting\n")
+HANDED_ADMISSION = "door"  # the key between processes of all versions, which may take over from one another
 NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
 
 
@@ -146,8 +147,8 @@
         await self._listed_once()
         if told and (memory := await succession.ask("memory")):
             self.decider.recall(memory["decider"])
-            if self.admission and memory.get("door"):
-                self.admission.recall(memory["door"])
+            if self.admission and memory.get(HANDED_ADMISSION):
+                self.admission.recall(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _listed_once(self) -> None:
@@ -182,7 +183,7 @@
             logs.configure(new.log)
         if self.admission and new.admission != old.admission:
             self.admission.reconfigure(new.admission)
-            log.info("door_reconfigured", extra={"enabled": new.admission.enabled})
+            log.info("admission_reconfigured", extra={"enabled": new.admission.enabled})
         if new.mesh != old.mesh:
             if self.sharing and new.mesh.peers:
                 self.sharing.reconfigure(new.mesh)
@@ -288,11 +289,11 @@
             self.admission.take_out(request, known)
             at_admission = await known
             if "waiting" in at_admission:
-                return {"door": at_admission}
+                return {HANDED_ADMISSION: at_admission}
         reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
         self.decider.tell(Release(request, reply))
         told = await reply
-        return told and told | {"door": at_admission}
+        return told and told | {HANDED_ADMISSION: at_admission}
 
     async def _send_over(
         self, told: Json, fd: int, request: JobRequest, reply: asyncio.Future[Answer]
@@ -320,8 +321,8 @@
 
     async def _take_back(self, told: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
         """Go on ourselves with a request that no successor has had."""
-        if self.admission and "waiting" in told["door"]:
-            self.admission.put_in(request, told["door"], reply, False)
+        if self.admission and "waiting" in told[HANDED_ADMISSION]:
+            self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
         self.decider.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
@@ -339,7 +340,11 @@
 
     def memory(self) -> Json:
         admission = self.admission.memory() if self.admission else None
-        return {"decider": self.decider.memory(), "drained": self.inbound.drained, "door": admission}
+        return {
+            "decider": self.decider.memory(),
+            "drained": self.inbound.drained,
+            HANDED_ADMISSION: admission,
+        }
 
     def succeeded(self, yes: bool) -> None:
         """A successor accepts; or the other process has gone, and all is ours again."""
@@ -365,7 +370,7 @@
             return False
         request = messages.read_handed(body["request"])
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        at_admission = body.get("door") or {}
+        at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
             self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -13,6 +13,7 @@
 from robinhill import config
 from robinhill.admission.options import AdmissionOptions
 from robinhill.commands import FLAGS, cli
+from robinhill.commands.modelling import version
 
 from .test_config import GIVEN
 from .test_exchanges import ROOT
@@ -22,18 +23,18 @@
     "document, key",
     [
         ("[]", "(whole file)"),
-        ('{"doors": {}}', "doors"),
-        ('{"door": {"enabled": 1}}', "door.enabled"),
-        ('{"door": {"queus": 3}}', "queus"),
-        ('{"door": {"queues": 0}}', "door.queues"),
-        ('{"door": {"hand": 9, "queues": 4}}', "hand"),
-        ('{"door": {"newcomers": 1}}', "door.newcomers"),
-        ('{"door": {"tenant_header": "X Y"}}', "door.tenant_header"),
-        ('{"door": {"limits": {"open": 0}}}', "door.limits.open"),
-        ('{"door": {"limits": {"work_per_s": -1}}}', "door.limits.work_per_s"),
-        ('{"door": {"tenants": {"a": {"weight": 0}}}}', "door.tenants[...].weight"),
-        ('{"door": {"networks": [{"network": "10.0.0.1/8"}]}}', "door.networks[0]"),
-        ('{"door": {"networks": [{"network": "10.0.0.0/8"}, {"network": "10.0.0.0/8"}]}}', "twice"),
+        ('{"admissions": {}}', "admissions"),
+        ('{"admission": {"enabled": 1}}', "admission.enabled"),
+        ('{"admission": {"queus": 3}}', "queus"),
+        ('{"admission": {"queues": 0}}', "admission.queues"),
+        ('{"admission": {"hand": 9, "queues": 4}}', "hand"),
+        ('{"admission": {"newcomers": 1}}', "admission.newcomers"),
+        ('{"admission": {"tenant_header": "X Y"}}', "admission.tenant_header"),
+        ('{"admission": {"limits": {"open": 0}}}', "admission.limits.open"),
+        ('{"admission": {"limits": {"work_per_s": -1}}}', "admission.limits.work_per_s"),
+        ('{"admission": {"tenants": {"a": {"weight": 0}}}}', "admission.tenants[...].weight"),
+        ('{"admission": {"networks": [{"network": "10.0.0.1/8"}]}}', "admission.networks[0]"),
+        ('{"admission": {"networks": [{"network": "10.0.0.0/8"}, {"network": "10.0.0.0/8"}]}}', "twice"),
         ('{"log": {"format": "xml"}}', "log.format"),
         ('{"log": ', "GW_OPERATOR"),
     ],
@@ -48,21 +49,95 @@
     assert done.return_value == 2
 
 
+def test_a_renamed_key_is_read_under_its_old_name_with_a_warning(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    old, current = tmp_path / "old.json", tmp_path / "current.json"
+    current.write_text('{"admission": {"enabled": true, "queued": 7}, "log": {"format": "json"}}')
+    old.write_text('{"door": {"enabled": true, "queued": 7}, "log": {"format": "json"}}')
+    assert config.read_operator(str(current)).admission.queued == 7
+    assert not caplog.records
+    assert config.read_operator(str(old)) == config.read_operator(str(current))
+    (record,) = caplog.records
+    assert record.levelname == "WARNING" and record.msg == "deprecated_key"
+    told = vars(record)
+    assert (told["file"], told["key"], told["write"]) == (str(old), "door", "admission")
+
+
+def test_check_config_tells_on_stderr_what_to_write_for_a_renamed_key(tmp_path: Path) -> None:
+    path = tmp_path / "operator.json"
+    path.write_text('{"door": {"queued": 7}}')
+    done = _command("check-config", str(path))
+    assert done.returncode == 0
+    assert '"admission"' in done.stdout and '"queued": 7' in done.stdout and '"door"' not in done.stdout
+    assert "event=deprecated_key" in done.stderr and "key=door write=admission" in done.stderr
+
+
+@pytest.mark.parametrize(
+    "document, key",
+    [
+        ('{"door": {}, "admission": {}}', "door"),
+        ('{"admission": {"enabled": true}, "door": {"enabled": true}}', "door"),
+        ('{"door": {"queues": 0}}', "door.queues"),
+        ('{"door": 3}', "door"),
+    ],
+)
+def test_a_fault_is_named_by_the_old_key_where_that_was_written(
+    document: str, key: str, tmp_path: Path
+) -> None:
+    path = tmp_path / "operator.json"
+    path.write_text(document)
+    with pytest.raises(config.ConfigError) as caught:
+        config.read_operator(str(path))
+    assert caught.value.key == f"{path}: {key}"
+
+
+def test_a_key_under_both_names_ends_the_program_with_one_line(tmp_path: Path) -> None:
+    (tmp_path / "config.json").write_text(json.dumps(GIVEN))
+    path = tmp_path / "operator.json"
+    path.write_text('{"door": {}, "admission": {}}')
+    done = _command("run", "--operator", str(path), GW_CONFIG=str(tmp_path / "config.json"))
+    assert done.returncode == 2
+    assert done.stderr == (
+        f"robinhill: {path}: door: is the old name of admission, which is there too; remove door\n"
+    )
+
+
+@pytest.mark.parametrize("settings", ["", '"settings": {"max_attempts": 1}, ', '"log": {"level": "info"}, '])
+def test_a_side_of_a_comparison_may_name_admission_by_its_old_key(
+    settings: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    old, current = tmp_path / "old.json", tmp_path / "current.json"
+    old.write_text(f'{{{settings}"door": {{"enabled": true, "queued": 7}}}}')
+    current.write_text(f'{{{settings}"admission": {{"enabled": true, "queued": 7}}}}')
+    with version(str(current)) as side:
+        assert side.admission == AdmissionOptions(enabled=True, queued=7)
+        assert not caplog.records
+        with version(str(old)) as same:
+            assert (same.admission, same.settings) == (side.admission, side.settings)
+    assert [record.msg for record in caplog.records] == ["deprecated_key"]
+
+
+def _command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "robinhill", *words]
+    return subprocess.run(command, env=environment, cwd=ROOT, capture_output=True, text=True, check=False)
+
+
 def test_the_shipped_file_holds_every_key_with_its_default() -> None:
     path = ROOT / "deploy" / "operator.json"
     assert config.read_operator(str(path)) == config.OperatorFile()
-    assert set(json.loads(path.read_text())["door"]) == set(AdmissionOptions.__struct_fields__)
+    assert set(json.loads(path.read_text())["admission"]) == set(AdmissionOptions.__struct_fields__)
 
 
 def test_a_faulty_file_ends_the_program_before_it_listens(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(GIVEN))
-    (tmp_path / "operator.json").write_text('{"door": {"enabled": "yes"}}')
+    (tmp_path / "operator.json").write_text('{"admission": {"enabled": "yes"}}')
     done = subprocess.run(
         [sys.executable, "-m", "robinhill", "run", "--operator", str(tmp_path / "operator.json")],
         env={"GW_CONFIG": str(tmp_path / "config.json")}, cwd=ROOT,
         capture_output=True, text=True, check=False,
     )  # fmt: skip
-    assert done.returncode == 2 and "door.enabled" in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and "admission.enabled" in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_every_flag_has_its_variable_and_goes_before_it(tmp_path: Path) -> None:
@@ -85,11 +160,11 @@
 
 def test_explain_tells_tenant_weight_and_limits(tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
-    path.write_text(json.dumps({"door": {
+    path.write_text(json.dumps({"admission": {
         "networks": [{"network": "10.1.0.0/16", "tenant": "north", "limits": {"open": 9}}],
         "tenants": {"north": {"weight": 3, "limits": {"open": 4}}}, "limits": {"queued": 7},
     }}))  # fmt: skip
-    words = ["door", "explain", str(path), "--address", "10.1.2.3"]
+    words = ["admission", "explain", str(path), "--address", "10.1.2.3"]
     told = CliRunner().invoke(cli, words, standalone_mode=False).output.splitlines()
     assert told[1:3] == ["tenant    north (by address 10.1.2.3)", "weight    3"]
     assert "open 4" in told[3] and "queued 7" in told[3] and "open 9" in told[5]
@@ -97,6 +172,18 @@
     assert named.return_value == 2
 
 
+def test_the_old_sub_command_tells_the_same_and_what_to_write(tmp_path: Path) -> None:
+    path = tmp_path / "operator.json"
+    path.write_text('{"admission": {"tenants": {"north": {"weight": 3}}}}')
+    words = ["explain", str(path), "--tenant", "north"]
+    current, old = _command("admission", *words), _command("door", *words)
+    assert current.returncode == old.returncode == 0
+    assert current.stdout == old.stdout and "weight    3" in old.stdout
+    assert current.stderr == ""
+    assert "'door' is deprecated" in old.stderr and "robinhill admission explain" in old.stderr
+    assert "door" not in _command("--help").stdout
+
+
 @pytest.mark.skipif(not hasattr(os, "killpg"), reason="needs process groups")
 def test_the_demo_shows_a_table_and_ends_cleanly_on_ctrl_c() -> None:
     """Guards against a demo that leaves its scheduler behind."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -67,7 +67,7 @@
 
     async def play() -> tuple[list[str], int]:
         site = Site(cold_s=3.0)
-        async with town(site, workers=3, operator={"door": {"enabled": True}}) as here:
+        async with town(site, workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(site, lambda: here.program.listen, here.journal, seed=5)
             tenants = [Tenant(f"t{i}", 8.0, retries=1) for i in range(8)]
             playing = asyncio.get_running_loop().create_task(clients.play(tenants, 6.0))
@@ -91,7 +91,7 @@
 
 def test_a_drained_worker_gets_nothing_new_with_admission_control_on() -> None:
     async def play() -> list[str]:
-        async with town(workers=3, operator={"door": {"enabled": True}}) as here:
+        async with town(workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=6)
             playing = asyncio.get_running_loop().create_task(
                 clients.play([Tenant("a", 30.0, heed=False, retries=1), Tenant("b", 5.0)], 4.0)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -140,7 +140,7 @@
     """From sockets to a trace: each request once, with its class, tenant, ending and the time that it ran."""
 
     async def play() -> tuple[int, str]:
-        operator = {"door": {"enabled": True}, "record": {"folder": str(tmp_path)}}
+        operator = {"admission": {"enabled": True}, "record": {"folder": str(tmp_path)}}
         async with town(workers=2, operator=operator) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=3)
             await clients.play([Tenant("a", 12.0), Tenant("b", 6.0)], 2.0)
