--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -96,14 +96,14 @@
     let_in = [a for a in first if a.tries[1].status not in REFUSALS]
     ratios = []
     for asked in first:
-        if asked.tries[-1].status in REFUSALS or asked.tries[0].told_s is None:
+        if asked.tries[-1].status in REFUSALS or asked.tries[0].retry_after_s is None:
             continue
         last = asked.tries[-1]
-        ratios.append(asked.tries[0].told_s / max(0.001, last.at - asked.tries[0].at))
+        ratios.append(asked.tries[0].retry_after_s / max(0.001, last.at - asked.tries[0].at))
     for kind in Site().kinds:
         its = [a for a in first if a.kind.name == kind.name]
         good = sum(a.tries[1].status not in REFUSALS for a in its)
-        told = statistics.median([a.tries[0].told_s or 0.0 for a in its] or [0.0])
+        told = statistics.median([a.tries[0].retry_after_s or 0.0 for a in its] or [0.0])
         print(f"  {kind.name}: {good} of {len(its)} let in when they came back, told {told:.2f} s (median)")
     near = sum(0.5 <= r <= 2 for r in ratios)
     promises = admission["promises"]
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -18,9 +18,10 @@
 
 from robinhill.api import Repeat
 from robinhill.gang.gangs import Gangs
+from robinhill.gang.membership import Membership
+from robinhill.gang.messages import Move
 from robinhill.gang.options import GangOptions
 from robinhill.gang.share import Progress
-from robinhill.gang.words import Membership, Move
 
 S = 1_000_000
 WORKERS = 40
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -197,7 +197,7 @@
             return self._end()
         if self.rounds.length >= self.options.queued and not self._make_room(ticket):
             if not ask.owed:
-                self._refuse(ask.number, "full", self._excess(ticket.queue), self._told(ticket))
+                self._refuse(ask.number, "full", self._excess(ticket.queue), self._told_wait_us(ticket))
                 return self._end()
         self._enter(ticket, account)
         self._present[ticket.tenant].queued += 1
@@ -267,7 +267,7 @@
             _, number = heappop(self._waits)
             ticket = self.tickets.get(number)
             if ticket and not ticket.let_in_us:
-                wait = self._told(ticket)
+                wait = self._told_wait_us(ticket)
                 self._close(ticket, False)
                 self._refuse(number, "late", False, wait)
         if now - self._swept_us >= SWEEP_US:
@@ -512,13 +512,13 @@
         own = self._excess(ticket.queue)
         if own and (account := self.accounts.get(ticket.tenant)):
             account.refused += 1
-        wait = self._told(ticket)
+        wait = self._told_wait_us(ticket)
         self.promises.make(self.now, ticket.mark, ticket.tenant, line, ticket.cost_us, wait)
         if self._cap(wait) >= wait:
             self.promises.measure(self.now, line, wait, ahead - rate * patience * TARGET)
         return "time", own, wait
 
-    def _told(self, ticket: Ticket) -> int:
+    def _told_wait_us(self, ticket: Ticket) -> int:
         """When its line will have come down far enough for a request like it."""
         line = ticket.queue.line(ticket.job_class)
         patience = self._patience(self.s.classes[ticket.job_class], self.costs.by_class[ticket.job_class])
@@ -553,11 +553,11 @@
         weight = self.rounds.weight
         if longest is None or longest is ticket.queue:
             return False
-        mine = (ticket.queue.work_us + ticket.cost_us) / weight(ticket.queue)
-        if longest.work_us / weight(longest) <= mine:
+        queued_share = (ticket.queue.work_us + ticket.cost_us) / weight(ticket.queue)
+        if longest.work_us / weight(longest) <= queued_share:
             return False
         victim = self.rounds.newest(longest)
-        wait = self._told(victim)
+        wait = self._told_wait_us(victim)
         self._close(victim, False)
         self._refuse(victim.number, "pushed_out", True, wait)
         return True
--- a/robinhill/admission/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -68,9 +68,9 @@
     def adopt(self, other: "Meter | None") -> "Meter":
         """This meter at the other's levels."""
         if other:
-            for mine, theirs in ((self.requests, other.requests), (self.work, other.work)):
-                if mine and theirs:
-                    mine.adopt(theirs)
+            for bucket, other_bucket in ((self.requests, other.requests), (self.work, other.work)):
+                if bucket and other_bucket:
+                    bucket.adopt(other_bucket)
         return self
 
 
--- a/robinhill/admission/memory.py
+++ b/robinhill/admission/memory.py
@@ -23,8 +23,8 @@
     return {name: [bucket.tokens, bucket.at_us] for name, bucket in both.items() if bucket}
 
 
-def _set_levels(meter: Meter | None, told: Json) -> None:
-    for name, (tokens, at_us) in told.items():
+def _set_levels(meter: Meter | None, learned_values: Json) -> None:
+    for name, (tokens, at_us) in learned_values.items():
         if meter and (bucket := getattr(meter, name)):
             bucket.tokens, bucket.at_us = min(bucket.burst, tokens), at_us
 
@@ -62,17 +62,20 @@
     }  # fmt: skip
 
 
-def recall(admission: Admission, now: int, told: Json) -> None:
+def recall(admission: Admission, now: int, learned_values: Json) -> None:
     """Go on from there; before any request has come."""
-    admission.secret = bytes.fromhex(told["secret"])
+    admission.secret = bytes.fromhex(learned_values["secret"])
     admission.directory = Directory(admission.options, admission.secret)
-    if len(told["costs"]) == len(admission.costs.by_class):
-        admission.costs.by_class, admission.costs.known = list(told["costs"]), list(told["known"])
-    for window, size in zip(admission.windows.windows, told["windows"], strict=False):
+    if len(learned_values["costs"]) == len(admission.costs.by_class):
+        admission.costs.by_class, admission.costs.known = (
+            list(learned_values["costs"]),
+            list(learned_values["known"]),
+        )
+    for window, size in zip(admission.windows.windows, learned_values["windows"], strict=False):
         window.size = size
-    admission.pace.smooth = told["running"]
-    admission.accounts.reset(told["start_us"])
-    for values in told["accounts"]:
+    admission.pace.smooth = learned_values["running"]
+    admission.accounts.reset(learned_values["start_us"])
+    for values in learned_values["accounts"]:
         account: Account = admission.account(values["tenant"], values["name"])
         for name in ("count", "error", "jobs", "ratio", "served_us"):
             setattr(account, name, values[name])
@@ -82,9 +85,9 @@
         _set_levels(account.meter, values["levels"])
         admission.accounts.restore(account)
     admission.repin()
-    for name, levels in told["networks"].items():
+    for name, levels in learned_values["networks"].items():
         _set_levels(admission.network_meters.get(name), levels)
-    for values in told["promises"]:
+    for values in learned_values["promises"]:
         queue = _queue(admission, values)
         if queue:
             admission.promises.make(
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _PendingPromise:
     """A told time under measurement: needed is the time until ``target_us`` of the line's work has gone."""
 
     told_us: int
@@ -48,7 +48,7 @@
     long: int = 0
     _lapses: list[tuple[int, int, Promise]] = field(default_factory=list)
     _serial: int = 0
-    _told: dict[Line, deque[_Told]] = field(default_factory=dict)
+    _pending: dict[Line, deque[_PendingPromise]] = field(default_factory=dict)
 
     def make(self, now: int, mark: int, tenant: int, line: Line, cost_us: float, wait_us: int) -> None:
         """Note what a caller is told; without room the caller is told all the same, with no place kept."""
@@ -108,20 +108,20 @@
 
     def measure(self, now: int, line: Line, wait_us: int, ahead_us: float) -> None:
         """A told time is to be compared with when so much of the work before it has gone."""
-        told = self._told.setdefault(line, deque())
-        if len(told) < PENDING:
-            told.append(_Told(now, wait_us, line.gone_us + ahead_us))
+        pending = self._pending.setdefault(line, deque())
+        if len(pending) < PENDING:
+            pending.append(_PendingPromise(now, wait_us, line.gone_us + ahead_us))
 
     def drained(self, now: int, line: Line) -> None:
         """A line has come down: which told times' needs have come about."""
-        told = self._told.get(line)
-        if told is None:
+        pending = self._pending.get(line)
+        if pending is None:
             return
-        while told and (line.gone_us >= told[0].target_us or line.ahead_us <= 0):
-            this = told.popleft()
-            self._judge(this.wait_us, now - this.told_us)
-        if not told:
-            del self._told[line]
+        while pending and (line.gone_us >= pending[0].target_us or line.ahead_us <= 0):
+            oldest = pending.popleft()
+            self._judge(oldest.wait_us, now - oldest.told_us)
+        if not pending:
+            del self._pending[line]
 
     def _judge(self, told_us: int, needed_us: int) -> None:
         if told_us > FACTOR * max(1, needed_us):
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -83,24 +83,24 @@
 def _follow(cordons: dict[str, Cordon], event: Event) -> None:
     """What a call or its answer makes of an id. Unanswered ones may have done its work, or may yet."""
     if event.what is What.CORDON_ASKED:
-        its = cordons.setdefault(event.request, Cordon(event.worker, event.scheduler))
-        its.asked += 1
-        its.lifted = its.doubtful = False
+        cordon = cordons.setdefault(event.request, Cordon(event.worker, event.scheduler))
+        cordon.asked += 1
+        cordon.lifted = cordon.doubtful = False
     elif event.request not in cordons:
         return
-    its = cordons[event.request]
+    cordon = cordons[event.request]
     if event.what is What.CORDONED:
-        its.asked -= 1
-        if not its.doubtful:
-            its.since = event.at if its.since is None else its.since
-            its.by = event.scheduler
+        cordon.asked -= 1
+        if not cordon.doubtful:
+            cordon.since = event.at if cordon.since is None else cordon.since
+            cordon.by = event.scheduler
     elif event.what is What.IN_FORCE:
-        its.in_force = event.at if not its.doubtful else None
+        cordon.in_force = event.at if not cordon.doubtful else None
     elif event.what is What.LIFT_ASKED:
-        its.since = its.in_force = None
-        its.doubtful = True
+        cordon.since = cordon.in_force = None
+        cordon.doubtful = True
     elif event.what is What.LIFTED:
-        its.lifted = its.asked == 0
+        cordon.lifted = cordon.asked == 0
 
 
 def late_sends(events: Iterable[Event], terms: Terms) -> list[str]:
@@ -117,13 +117,13 @@
         if event.what is not What.SENT:
             continue
         sound = -inf
-        for id_, its in cordons.items():
-            if its.worker != event.worker or its.since is None:
+        for id_, cordon in cordons.items():
+            if cordon.worker != event.worker or cordon.since is None:
                 continue
             if not terms.holds:
-                sound = max(health.since(event.scheduler), health.since(its.by)) + terms.back_s
-            past = event.at - max(its.since, sound) - terms.bound_s
-            said = event.at - max(its.in_force, sound) if its.in_force is not None else -inf
+                sound = max(health.since(event.scheduler), health.since(cordon.by)) + terms.back_s
+            past = event.at - max(cordon.since, sound) - terms.bound_s
+            said = event.at - max(cordon.in_force, sound) if cordon.in_force is not None else -inf
             if max(past, said) > terms.grace_s + terms.late_s:
                 late = past > terms.grace_s + terms.late_s
                 why = f"{past:.3f} s past the bound" if late else f"{said:.3f} s after it was in force"
@@ -160,7 +160,7 @@
     """Seconds from the last heal or call until all copies that live were equal for good; None: never."""
     settled = _settled(events)
     live: set[str] = set()
-    told: dict[str, str] = {}
+    digests: dict[str, str] = {}
     equal: float | None = None
     for event in events:
         if event.what is What.UP:
@@ -168,8 +168,8 @@
         elif event.what is What.DOWN:
             live.discard(event.scheduler)
         elif event.what is What.DIGEST and event.at >= settled:
-            told[event.scheduler] = event.kind
-            if {d for s, d in told.items() if s in live} != {event.kind} or not live <= set(told):
+            digests[event.scheduler] = event.kind
+            if {d for s, d in digests.items() if s in live} != {event.kind} or not live <= set(digests):
                 equal = None
             elif equal is None:
                 equal = event.at - settled
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -20,37 +20,37 @@
             by_request[event.request].append(event)
     found: list[str] = []
     kinds = set(unsafe)
-    for request, its in by_request.items():
-        found += _answers(request, its, ended)
-        found += _attempts(request, its, kinds, late_s)
+    for request, request_events in by_request.items():
+        found += _answers(request, request_events, ended)
+        found += _attempts(request, request_events, kinds, late_s)
     found += _drains(events)
     found += [f"{e.worker} was pushed over" for e in events if e.what is What.FELL and e.status != NOBODYS]
     return found
 
 
-def _answers(request: str, its: list[Event], ended: bool) -> list[str]:
+def _answers(request: str, request_events: list[Event], ended: bool) -> list[str]:
     """Each request taken gets exactly one final answer; 200 only if a worker has run it to its end."""
-    counts = Counter(e.what for e in its)
+    counts = Counter(e.what for e in request_events)
     found = []
     if counts[What.ANSWERED] > 1:
         found.append(f"{request} was answered {counts[What.ANSWERED]} times")
     if ended and counts[What.ASKED] and not (counts[What.ANSWERED] or counts[What.GONE]):
         found.append(f"{request} was never answered")
-    served = any(e.what is What.ANSWERED and e.status == 200 for e in its)
+    served = any(e.what is What.ANSWERED and e.status == 200 for e in request_events)
     if served and not counts[What.ENDED]:
         found.append(f"{request} was served with nobody's result")
     return found
 
 
-def _attempts(request: str, its: list[Event], unsafe: set[str], late_s: float) -> list[str]:
+def _attempts(request: str, request_events: list[Event], unsafe: set[str], late_s: float) -> list[str]:
     """Never two attempts at once; an unsafe one that may have run is neither sent again nor refused."""
     found = []
     out: set[str] = set()  # workers that have it and have not given it up
     may_have_run = False
-    kind = next((e.kind for e in its if e.kind), "")
-    for event in its:
+    kind = next((e.kind for e in request_events if e.kind), "")
+    for event in request_events:
         if event.what is What.SENT:
-            if out and not out <= _freed(its, event.at, late_s):
+            if out and not out <= _freed(request_events, event.at, late_s):
                 found.append(f"{request} was at {event.worker} while at {', '.join(sorted(out))}")
             if kind in unsafe and may_have_run:
                 found.append(f"{request} ({kind}) was sent again though it may have run")
@@ -66,10 +66,14 @@
     return found
 
 
-def _freed(its: list[Event], at: float, late_s: float) -> set[str]:
+def _freed(request_events: list[Event], at: float, late_s: float) -> set[str]:
     """Workers that noted soon after a moment that they had given it up."""
     over = (What.CALLED_OFF, What.ENDED, What.RETURNED)
-    return {e.worker for e in its if e.what in over and at <= e.at <= at + late_s} if late_s else set()
+    return (
+        {e.worker for e in request_events if e.what in over and at <= e.at <= at + late_s}
+        if late_s
+        else set()
+    )
 
 
 def _drains(events: list[Event]) -> list[str]:
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -51,7 +51,7 @@
     at: float
     status: int = 0  # 0: none came
     took_s: float = 0.0
-    told_s: float | None = None
+    retry_after_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -153,11 +153,11 @@
         self.asked.append(asked)
         key = f"{self._tag}{next(self._numbers):x}"
         for number in range(tenant.retries + 1):
-            this = await self._try(tenant, asked.kind, asked.work_s, key, number)
-            asked.tries.append(this)
-            if this.status not in REFUSALS or number == tenant.retries:
+            attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
+            asked.tries.append(attempt)
+            if attempt.status not in REFUSALS or number == tenant.retries:
                 return
-            wait = (this.told_s or 0.0) if tenant.heed else 0.0
+            wait = (attempt.retry_after_s or 0.0) if tenant.heed else 0.0
             if time.monotonic() + wait > self._begun + seconds:
                 return
             await asyncio.sleep(max(wait, IMPATIENT_S))
@@ -169,10 +169,10 @@
         self.asked.append(asked)
         key = f"{self._tag}{next(self._numbers):x}"
         for number in range(tenant.retries + 1):
-            this = await self._try(tenant, asked.kind, asked.work_s, key, number)
-            asked.tries.append(this)
-            safe = asked.kind.repeat == "retryable" or this.status in REFUSALS
-            if this.status == 200 or not safe or number == tenant.retries:
+            attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
+            asked.tries.append(attempt)
+            safe = asked.kind.repeat == "retryable" or attempt.status in REFUSALS
+            if attempt.status == 200 or not safe or number == tenant.retries:
                 return
             await asyncio.sleep(back_off_s * factor**number * self.random.uniform(0.5, 1.5))
 
@@ -186,7 +186,7 @@
         }  # fmt: skip
         if number:
             headers["X-Retried"] = "1"
-        this = Try(time.monotonic())
+        attempt = Try(time.monotonic())
         timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1000 + 1)
         self.journal.note(What.ASKED, request_id, kind=kind.name)
         try:
@@ -194,15 +194,15 @@
                 f"http://{self.address()}/{kind.name}/x", data=b"work", headers=headers, timeout=timeout
             ) as response:
                 await response.read()
-                this.status = response.status
-                told = response.headers.get("Retry-After")
-                this.told_s = float(told) if told else None
+                attempt.status = response.status
+                retry_after = response.headers.get("Retry-After")
+                attempt.retry_after_s = float(retry_after) if retry_after else None
         except (aiohttp.ClientError, OSError, TimeoutError):
             self.journal.note(What.GONE, request_id)
         else:
-            self.journal.note(What.ANSWERED, request_id, status=this.status)
-        this.took_s = time.monotonic() - this.at
-        return this
+            self.journal.note(What.ANSWERED, request_id, status=attempt.status)
+        attempt.took_s = time.monotonic() - attempt.at
+        return attempt
 
 
 def served_worth(asked: list[Asked]) -> float:
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -102,8 +102,8 @@
         return [e | {"hostPort": host_ports.get(n, e["hostPort"])} for n in names for e in (self.entries[n],)]
 
     def _list(self, names: Iterable[str], host_ports: Mapping[str, str]) -> bytes:
-        told = {"generation": self.generation, "reset": False, "instances": self._seen(names, host_ports)}
-        return orjson.dumps(told) + b"\n"
+        update = {"generation": self.generation, "reset": False, "instances": self._seen(names, host_ports)}
+        return orjson.dumps(update) + b"\n"
 
     async def _handle(self, request: web.BaseRequest, host_ports: dict[str, str]) -> web.StreamResponse:
         if request.path != "/v1/endpoints":
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -105,9 +105,9 @@
         return whole
 
     def _take(self, length: int) -> bytes:
-        taken = bytes(self._buffer[:length])
+        chunk = bytes(self._buffer[:length])
         del self._buffer[:length]
-        return taken
+        return chunk
 
     def _frame(self) -> int | None:
         """Length of the frame that the buffer begins with, head included; None while that is not known."""
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -149,8 +149,8 @@
             async with self.session.request(method, url, data=data, timeout=timeout) as answer:
                 text = await answer.read()
                 with contextlib.suppress(orjson.JSONDecodeError):
-                    if isinstance(told := orjson.loads(text), dict):
-                        return answer.status, told
+                    if isinstance(reply := orjson.loads(text), dict):
+                        return answer.status, reply
                 return answer.status, {}
         except (aiohttp.ClientError, OSError, TimeoutError):
             return 0, {}
@@ -159,24 +159,24 @@
         """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
         self.journal.note(What.CORDON_ASKED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
-        status, told = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
-        if told.get("accepted"):
+        status, reply = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
+        if reply.get("accepted"):
             self.journal.note(What.CORDONED, id_, worker, status, scheduler=name)
-        if told.get("in_force"):
+        if reply.get("in_force"):
             self.journal.note(What.IN_FORCE, id_, worker, status, scheduler=name)
-        return told
+        return reply
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
         self.journal.note(What.LIFT_ASKED, id_, worker, scheduler=name)
-        status, told = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
-        if told.get("accepted"):
+        status, reply = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
+        if reply.get("accepted"):
             self.journal.note(What.LIFTED, id_, worker, status, scheduler=name)
-        return told
+        return reply
 
     async def digest(self, name: str) -> str | None:
         """What a scheduler tells of its copy; None where it does not, or has not caught up."""
-        status, told = await self.ask(name, "GET", "/ops/mesh")
-        return str(told["digest"]) if status == 200 and "digest" in told else None
+        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
     async def digests(self) -> None:
         """One look at all of them, into the journal."""
@@ -199,9 +199,9 @@
     async def lists(self) -> None:
         """What each lists as in force, into the journal."""
         for name in self.names:
-            status, told = await self.ask(name, "GET", "/ops/cordons")
+            status, reply = await self.ask(name, "GET", "/ops/cordons")
             if status == 200:
-                ids = sorted(str(c["id"]) for c in told.get("cordons", []))
+                ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
                 self.journal.note(What.LOOKED, kind=" ".join(ids), scheduler=name)
 
     async def prove(self) -> None:
@@ -210,9 +210,9 @@
         async def try_(name: str, worker: str) -> None:
             body = {"target": f"worker/{worker}", "reason": "a trial"}
             path = cordon_path(f"proof-{name}", PROOF_S)
-            _, told = await self.ask(name, "PUT", path, body)
+            _, reply = await self.ask(name, "PUT", path, body)
             self.journal.note(
-                What.PROVED, worker=worker, status=int(bool(told.get("in_force"))), scheduler=name
+                What.PROVED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
             )
 
         await self.load(PROOF_LOAD_S)
@@ -339,27 +339,27 @@
 
         busy = {name: asyncio.Lock() for name in self.names}
 
-        async def fault(its: Fault) -> None:
-            await at(its.at_s)
+        async def fault(planned: Fault) -> None:
+            await at(planned.at_s)
             # A start takes longer than it was drawn on a slow machine: what strikes next waits for it.
-            async with busy[its.who[0]] if its.trouble in PROCESSES else contextlib.nullcontext():
-                await self.begin(its)
-                await at(its.end_s)
-                await self.end(its)
-
-        async def call(its: Call) -> None:
-            await at(its.at_s)
-            if its.lift:
-                await self.lift(its.scheduler, its.worker, its.id)
+            async with busy[planned.who[0]] if planned.trouble in PROCESSES else contextlib.nullcontext():
+                await self.begin(planned)
+                await at(planned.end_s)
+                await self.end(planned)
+
+        async def call(planned: Call) -> None:
+            await at(planned.at_s)
+            if planned.lift:
+                await self.lift(planned.scheduler, planned.worker, planned.id)
             else:
-                await self.cordon(its.scheduler, its.worker, its.id)
+                await self.cordon(planned.scheduler, planned.worker, planned.id)
 
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.load(schedule.end_s))
             for each in schedule.faults:
                 tasks.create_task(fault(each))
-            for one in schedule.calls:
-                tasks.create_task(call(one))
+            for planned_call in schedule.calls:
+                tasks.create_task(call(planned_call))
 
 
 def cordon_path(id_: str, wait_s: float | None) -> str:
@@ -425,15 +425,15 @@
                 own, site, await discovery.view(addresses), operator, name, place, listen, entry=entry,
                 state=own / "state",
             )  # fmt: skip
-        clients = Clients(site, lambda: it.address(), journal, seed)
-        it = Rig(names, journal, made, discovery, programs, relays, clients, session, lateness)
-        stack.push_async_callback(it.stop)
-        await asyncio.gather(*map(it.start, names))
-        if await it.equal(FORM_S) is None:
+        clients = Clients(site, lambda: running.address(), journal, seed)
+        running = Rig(names, journal, made, discovery, programs, relays, clients, session, lateness)
+        stack.push_async_callback(running.stop)
+        await asyncio.gather(*map(running.start, names))
+        if await running.equal(FORM_S) is None:
             raise RuntimeError(f"the links did not come up; see {folder}")
         lateness.start()
         stack.callback(lateness.stop)
-        yield it
+        yield running
 
 
 @dataclass(slots=True)
@@ -462,20 +462,20 @@
 ) -> Outcome:  # fmt: skip
     """One schedule on fresh processes, whose logs stay in the folder."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
-    async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as it:
-        it.journal.events[:] = [e for e in it.journal.events if e.what is not What.DIGEST]
-        await it.play(schedule)
-        equal = await it.equal(EQUAL_S + SPARE_S)
-        await it.lists()
-        await it.prove()
-        late = it.lateness.worst_s
+    async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
+        running.journal.events[:] = [e for e in running.journal.events if e.what is not What.DIGEST]
+        await running.play(schedule)
+        equal = await running.equal(EQUAL_S + SPARE_S)
+        await running.lists()
+        await running.prove()
+        late = running.lateness.worst_s
     terms = Terms(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
-    counts = Counter(e.what for e in it.journal.events)
-    links = {"dialled": sum(r.dialled for r in it.relays.values())}
-    passed = [p for relay in it.relays.values() for p in relay.passed.values()]
+    counts = Counter(e.what for e in running.journal.events)
+    links = {"dialled": sum(r.dialled for r in running.relays.values())}
+    passed = [p for relay in running.relays.values() for p in relay.passed.values()]
     for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
         links[what] = sum(getattr(p, what) for p in passed)
-    return Outcome(broken(it.journal, terms, UNSAFE), equal, counts, late, it.journal, links)
+    return Outcome(broken(running.journal, terms, UNSAFE), equal, counts, late, running.journal, links)
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -167,10 +167,10 @@
 
     def _tell(self, listen: str | None, what: str, job: Job) -> None:
         """A word of the model's worker becomes a call to the scheduler."""
-        words = {"id": job.request, "from": self.name, "state": what}
+        report = {"id": job.request, "from": self.name, "state": what}
         if what == "done":
-            words["result"] = f"{job.request} by {self.name}"
-        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(words)))
+            report["result"] = f"{job.request} by {self.name}"
+        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(report)))
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
--- a/robinhill/gang/errors.py
+++ b/robinhill/gang/errors.py
@@ -19,7 +19,7 @@
     advice = "tell the portal's developers: all members of a gang must give one size, and ids are used once"
 
 
-class MemberTaken(GangError):
+class DuplicateMember(GangError):
     """Two requests at a time claim one place in a gang."""
 
     advice = "tell the portal's developers: each member has an index of its own, and a repeat waits its turn"
--- a/robinhill/gang/evidence.py
+++ b/robinhill/gang/evidence.py
@@ -4,7 +4,7 @@
 from itertools import islice
 from statistics import median
 
-from robinhill.gang.words import Evidence
+from robinhill.gang.messages import Evidence
 
 WHAT = "slow"
 WINDOW_US = 600_000_000  # what a worker did more than ten minutes ago counts no more
--- a/robinhill/gang/explain.py
+++ b/robinhill/gang/explain.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from robinhill.gang.words import Then, Verdict
+from robinhill.gang.messages import Decision, Verdict
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class MemberReport:
     """One member as it stands: ``phase`` in words, ``share`` None where no word came. Durations in µs.
 
     ``scheduler`` is empty for our own. ``last`` is the latest look's verdict; ``called`` that by which it was
@@ -40,23 +40,23 @@
 
 
 def _reason(verdict: Verdict) -> str:
-    text = verdict.why.value
+    text = verdict.reason.value
     if verdict.behind is not None and verdict.bound is not None:
         least = "at least " if verdict.silent else ""
         text += f" ({least}{verdict.behind:.2f} times as slow as {verdict.peers} peers,"
         text += f" bound {verdict.bound:.2f})"
     if verdict.remaining_us is not None and verdict.fresh_us is not None:
         text += f", needs {verdict.remaining_us / 1e6:.2f} s, elsewhere {verdict.fresh_us / 1e6:.2f} s"
-    return f"{text}; {verdict.then.value}" if verdict.then is not Then.NOTHING else text
+    return f"{text}; {verdict.decision.value}" if verdict.decision is not Decision.NOTHING else text
 
 
 @dataclass(slots=True, frozen=True)
-class Explained:
+class GangReport:
     """One gang: what is known here of each member."""
 
     gang: str
     size: int
-    members: tuple[Told, ...]
+    members: tuple[MemberReport, ...]
 
     def text(self) -> str:
         """Lines for people."""
--- a/robinhill/gang/gangs.py
+++ b/robinhill/gang/gangs.py
@@ -10,15 +10,16 @@
 from robinhill.api import Repeat
 from robinhill.gang.errors import GangError, NoSuchGang
 from robinhill.gang.evidence import Ledger
-from robinhill.gang.explain import Explained, Told
+from robinhill.gang.explain import GangReport, MemberReport
 from robinhill.gang.figures import GangFigures
-from robinhill.gang.moves import Budget, Plea, decide
+from robinhill.gang.membership import Membership
+from robinhill.gang.messages import Decision, Look, Move, Phase, Reason, Verdict
+from robinhill.gang.moves import Budget, MoveCandidate, decide
 from robinhill.gang.options import GangOptions
 from robinhill.gang.progress import Curve, Paces
 from robinhill.gang.share import Progress
 from robinhill.gang.straggle import LEAST_TOGETHER, Compared, Runner, compare
-from robinhill.gang.table import SHARE_STEP, Gang, Own, Table
-from robinhill.gang.words import Look, Membership, Move, Phase, Then, Verdict, Why
+from robinhill.gang.table import SHARE_STEP, Gang, LocalMember, Table
 
 # Only members this much slower than their gang's median over their whole run are compared pair by pair.
 WORTH_A_LOOK = 1.2
@@ -59,53 +60,53 @@
 
     # What becomes of members
 
-    def joined(self, now_us: int, job: int, place: Membership, repeat: Repeat, hint_us: int = 0) -> None:
+    def joined(self, now_us: int, job: int, membership: Membership, repeat: Repeat, hint_us: int = 0) -> None:
         """A job of a gang is taken; ``hint_us`` is its own hint of cost, 0 for none.
 
-        Raises GangMismatch, MemberTaken or GangsFull: then the job runs as one without a gang.
+        Raises GangMismatch, DuplicateMember or GangsFull: then the job runs as one without a gang.
         """
         now_us = self._time(now_us)
         try:
-            gang = self._table.join(now_us, Own(job, place, repeat, max(0, hint_us), now_us))
+            gang = self._table.join(now_us, LocalMember(job, membership, repeat, max(0, hint_us), now_us))
         except GangError:
             self.counters.counts["refused"] += 1
             raise
-        self._change(gang, place.index)
+        self._change(gang, membership.index)
 
     def placed(self, now_us: int, job: int, attempt: int, worker: str, kind: str = "") -> None:
         """An attempt of it was sent. ``kind`` is the worker's machine type, by the name that all use."""
         now_us = self._time(now_us)
         if not (found := self._find(job)) or attempt <= found[1].attempt:
             return
-        gang, own = found
-        own.attempt, own.worker, own.kind, own.placed_us = attempt, worker, kind, now_us
-        own.phase = Phase.WAITS if self.options.tells_start else Phase.RUNS
-        own.curve = Curve(None if self.options.tells_start else now_us)
-        own.streak, own.counted_us, own.judged, own.told_share = 0, -1, False, 0.0
+        gang, local = found
+        local.attempt, local.worker, local.kind, local.placed_us = attempt, worker, kind, now_us
+        local.phase = Phase.WAITING if self.options.tells_start else Phase.RUNNING
+        local.curve = Curve(None if self.options.tells_start else now_us)
+        local.streak, local.counted_us, local.judged, local.sent_share = 0, -1, False, 0.0
         self._budget.placed(now_us)
-        self._change(gang, own.place.index)
+        self._change(gang, local.membership.index)
 
     def started(self, now_us: int, job: int, attempt: int) -> None:
         """Its worker says that it runs."""
         now_us = self._time(now_us)
         if (found := self._find(job, attempt)) and found[1].curve.empty:
-            gang, own = found
-            own.phase, own.curve = Phase.RUNS, Curve(now_us)
-            self._change(gang, own.place.index)
+            gang, local = found
+            local.phase, local.curve = Phase.RUNNING, Curve(now_us)
+            self._change(gang, local.membership.index)
 
     def progress(self, now_us: int, job: int, attempt: int, share: float) -> None:
         """Its worker says how much (0 to 1) is done; late, doubled and absurd words change nothing."""
         now_us = self._time(now_us)
         if not (found := self._find(job, attempt)):
             return
-        gang, own = found
-        if not own.curve.add(now_us, share):
+        gang, local = found
+        if not local.curve.add(now_us, share):
             return
-        begun = own.phase is Phase.RUNS
-        own.phase = Phase.RUNS
-        if not begun or share >= own.told_share + SHARE_STEP:
-            own.told_share = share
-            self._change(gang, own.place.index)
+        begun = local.phase is Phase.RUNNING
+        local.phase = Phase.RUNNING
+        if not begun or share >= local.sent_share + SHARE_STEP:
+            local.sent_share = share
+            self._change(gang, local.membership.index)
         else:
             self._table.touch(now_us, gang)
 
@@ -117,38 +118,40 @@
         now_us = self._time(now_us)
         if not (found := self._find(job)):
             return
-        gang, own = found
+        gang, local = found
         if not (done or final):
             # Between two attempts. If a copy took its place, the end of the first one changes nothing.
-            if attempt == own.attempt:
-                own.placed_us, own.phase, own.curve, own.streak = 0, Phase.WAITS, Curve(), 0
-                self._change(gang, own.place.index)
+            if attempt == local.attempt:
+                local.placed_us, local.phase, local.curve, local.streak = 0, Phase.WAITING, Curve(), 0
+                self._change(gang, local.membership.index)
             return
-        own.over_us = now_us
+        local.over_us = now_us
         if done:
-            known = own.curve.start_us is not None and attempt == own.attempt
-            own.curve.end(now_us)
+            known = local.curve.start_us is not None and attempt == local.attempt
+            local.curve.end(now_us)
             if known:
-                against = gang.against(own.place.index)
-                self._paces.ended(now_us, own.kind, own.hint_us, own.run_us(now_us), against)
-            if attempt == own.attempt and not own.judged and own.last and own.last.peers:
-                self._ledger.judged(now_us, own.worker, gang.name, own.place.index, 0.0)
-        own.phase = Phase.DONE if done else Phase.GONE
+                against = gang.against(local.membership.index)
+                self._paces.ended(now_us, local.kind, local.hint_us, local.run_us(now_us), against)
+            if attempt == local.attempt and not local.judged and local.last and local.last.peers:
+                self._ledger.judged(now_us, local.worker, gang.name, local.membership.index, 0.0)
+        local.phase = Phase.DONE if done else Phase.GONE
         del self._table.jobs[job]
-        self._change(gang, own.place.index)
+        self._change(gang, local.membership.index)
         self._tail(gang)
 
     # What schedulers tell each other
 
-    def peers(self, now_us: int, gang: str, told: Progress) -> None:
+    def peers(self, now_us: int, gang: str, reported: Progress) -> None:
         """A record of the mesh has changed: what other schedulers tell of a gang's members."""
         now_us = self._time(now_us)
-        held, news = self._table.hear(now_us, gang, told)
-        for far in news:
-            word = far.word
-            if held and word.state is Phase.DONE:
-                self._paces.ended(now_us, word.kind, word.hint_us, word.run_us, held.against(word.index))
-        if held and news:
+        held, updated = self._table.receive(now_us, gang, reported)
+        for remote in updated:
+            update = remote.update
+            if held and update.current_phase is Phase.DONE:
+                self._paces.ended(
+                    now_us, update.kind, update.hint_us, update.run_us, held.against(update.index)
+                )
+        if held and updated:
             self._tail(held)
 
     def changes(self, now_us: int) -> list[tuple[str, Progress]]:
@@ -160,12 +163,12 @@
         found: list[tuple[str, Progress]] = []
         for name in list(self._changed):
             gang = self._table.get(name)
-            if gang and gang.told_us and now_us < gang.told_us + self.options.look_us and gang.active:
+            if gang and gang.sent_us and now_us < gang.sent_us + self.options.look_us and gang.active:
                 continue
             del self._changed[name]
-            if gang is None or (len(gang.own) == gang.size and not gang.far):
+            if gang is None or (len(gang.local) == gang.size and not gang.remote):
                 continue
-            gang.told_us = now_us
+            gang.sent_us = now_us
             gang.changed.clear()
             found.append((name, gang.progress(now_us, self.name)))
         return found
@@ -191,20 +194,20 @@
         shared = len(behind) > 1 and count >= SHARED_LEAST and count > SHARED * running
         others = _at_workers(views) if behind else {}
         verdicts: list[Verdict] = []
-        lag: list[tuple[Gang, Own, Verdict]] = []
+        lag: list[tuple[Gang, LocalMember, Verdict]] = []
         for view in views:
-            for own, verdict in self._verdicts(view, shared, others):
-                own.last = verdict
+            for local, verdict in self._verdicts(view, shared, others):
+                local.last = verdict
                 if verdict.lags:
-                    lag.append((view.gang, own, verdict))
+                    lag.append((view.gang, local, verdict))
                 else:
                     verdicts.append(verdict)
         # Where budgets are short, those that gain most go first.
         lag.sort(key=lambda x: ((x[2].fresh_us or 0) - (x[2].remaining_us or 0), x[2].gang, x[2].index))
         moves: list[Move] = []
-        for gang, own, verdict in lag:
-            verdicts.append(self._follow(now_us, gang, own, verdict, moves))
-        evidence = self._ledger.evidence(now_us, [own.worker for _, own, _ in lag])
+        for gang, local, verdict in lag:
+            verdicts.append(self._follow(now_us, gang, local, verdict, moves))
+        evidence = self._ledger.evidence(now_us, [local.worker for _, local, _ in lag])
         self.counters.counts["evidence"] += len(evidence)
         verdicts.sort(key=lambda x: (x.gang, x.index))
         return Look(tuple(verdicts), tuple(moves), tuple(evidence))
@@ -220,16 +223,16 @@
             return view
         elsewhere: list[int] = []
         for index, runner in runners.items():
-            own = gang.holds(index)
-            if runner.curve.ended or (own and not own.active):
+            local = gang.current_local(index)
+            if runner.curve.ended or (local and not local.active):
                 continue
             if runner.begun and runner.run_us < LEAST_TOGETHER * runner.usual_us:
                 continue
-            if own:
+            if local:
                 view.running.add(index)
             if index in paces and paces[index] < WORTH_A_LOOK * usual_pace:
                 continue
-            if own:
+            if local:
                 view.compared[index] = self._compare(view, index)
             else:
                 elsewhere.append(index)
@@ -245,129 +248,169 @@
         pace = max(view.of_late, view.usual_pace if not view.runners[index].begun else 1.0)
         return compare(view.runners[index], others, self.options.ratio, self.options.peers, pace)
 
-    def _verdicts(self, view: "_View", shared: bool, others: "_Others") -> list[tuple[Own, Verdict]]:
+    def _verdicts(self, view: "_View", shared: bool, others: "_Others") -> list[tuple[LocalMember, Verdict]]:
         """Verdicts of our own members under way in one gang."""
         gang, found = view.gang, []
-        for index in sorted(gang.own):
-            own = gang.own[index]
-            if not own.active or gang.holds(index) is not own:
+        for index in sorted(gang.local):
+            local = gang.local[index]
+            if not local.active or gang.current_local(index) is not local:
                 continue
             runner = view.runners.get(index)
-            why = self._why(own, runner, view, shared, others)
+            reason = self._confirmed_reason(local, runner, view, shared, others)
             if compared := view.compared.get(index):
                 verdict = Verdict(
-                    gang.name, index, view.now_us, why, own.worker, compared.behind, compared.bound,
-                    compared.peers, own.streak, view.remaining_us(index), view.fresh_us(index),
+                    gang.name,
+                    index,
+                    view.now_us,
+                    reason,
+                    local.worker,
+                    compared.behind,
+                    compared.bound,
+                    compared.peers,
+                    local.streak,
+                    view.remaining_us(index),
+                    view.fresh_us(index),
                     compared.silent,
-                )  # fmt: skip
+                )
             else:
-                peers = len(view.runners) - 1 if why is Why.WITHIN else 0
-                verdict = Verdict(gang.name, index, view.now_us, why, own.worker, peers=peers)
-            found.append((own, verdict))
+                peers = len(view.runners) - 1 if reason is Reason.WITHIN else 0
+                verdict = Verdict(gang.name, index, view.now_us, reason, local.worker, peers=peers)
+            found.append((local, verdict))
         return found
 
-    def _why(self, own: Own, runner: Runner | None, view: "_View", shared: bool, others: "_Others") -> Why:
+    def _confirmed_reason(
+        self, local: LocalMember, runner: Runner | None, view: "_View", shared: bool, others: "_Others"
+    ) -> Reason:
         """The reason of a verdict; it keeps the count of looks in a row."""
-        why = self._found(own, runner, view, shared, others)
-        if why is not Why.ONCE or runner is None:
-            own.streak = 0
-            return why
+        reason = self._reason_now(local, runner, view, shared, others)
+        if reason is not Reason.ONCE or runner is None:
+            local.streak = 0
+            return reason
         # A look counts that knows more than the one before: a new word, or more time without any.
         last = runner.curve.last_us if runner.begun and not runner.silent else view.now_us
-        if last != own.counted_us:
-            own.counted_us = last
-            own.streak += 1
-        return Why.LAGS if own.streak >= self.options.looks else Why.ONCE
-
-    def _found(self, own: Own, runner: Runner | None, view: "_View", shared: bool, others: "_Others") -> Why:
+        if last != local.counted_us:
+            local.counted_us = last
+            local.streak += 1
+        return Reason.LAGS if local.streak >= self.options.looks else Reason.ONCE
+
+    def _reason_now(
+        self, local: LocalMember, runner: Runner | None, view: "_View", shared: bool, others: "_Others"
+    ) -> Reason:
         """The reason by this look alone: ONCE for one that is behind."""
-        index = own.place.index
+        index = local.membership.index
         compared = view.compared.get(index)
         if view.paused:
-            return Why.PAUSED
+            return Reason.PAUSED
         if runner is None:
-            return Why.NOT_BEGUN
+            return Reason.NOT_BEGUN
         if index not in view.compared:
             if len(view.runners) <= self.options.peers:
-                return Why.FEW_PEERS
-            return Why.WITHIN if index in view.running else Why.EARLY if runner.begun else Why.NOT_BEGUN
+                return Reason.FEW_PEERS
+            if index in view.running:
+                return Reason.WITHIN
+            return Reason.EARLY if runner.begun else Reason.NOT_BEGUN
         if compared is None:
-            return Why.FEW_PEERS
+            return Reason.FEW_PEERS
         if not compared.beyond:
-            return Why.WITHIN
+            return Reason.WITHIN
         if view.alike:
             self.counters.counts["alike"] += 1
-            return Why.ALIKE
+            return Reason.ALIKE
         if shared or (not runner.begun and view.now_us < self._backlog_us):
             self.counters.counts["shared"] += 1
-            return Why.SHARED
-        beside = [x for gang, i, x in others.get(own.worker, ()) if (gang, i) != (view.gang.name, index)]
+            return Reason.SHARED
+        beside = [x for gang, i, x in others.get(local.worker, ()) if (gang, i) != (view.gang.name, index)]
         if runner.begun and len(beside) >= FINE_LEAST and median(beside) <= FINE:
-            return Why.WORKER_FINE
-        return Why.ONCE
+            return Reason.WORKER_FINE
+        return Reason.ONCE
 
-    def _follow(self, now_us: int, gang: Gang, own: Own, verdict: Verdict, moves: list[Move]) -> Verdict:
+    def _follow(
+        self, now_us: int, gang: Gang, local: LocalMember, verdict: Verdict, moves: list[Move]
+    ) -> Verdict:
         """What follows for one that lags, and what it tells of its worker."""
-        index = own.place.index
-        if own.moved_attempt == own.attempt and own.called:  # the caller was told; it may yet carry it out
-            return replace(verdict, then=own.called.then)
-        begun = own.phase is Phase.RUNS
-        others = bool(own.moved_from) and own.worker in self._ledger.slow(now_us)
-        plea = Plea(
-            own.repeat, begun, own.moves, gang.size, gang.moves, verdict.remaining_us or 0,
-            verdict.fresh_us or 0, others,
-        )  # fmt: skip
-        if not own.judged:
-            own.judged = True
+        index = local.membership.index
+        if local.moved_attempt == local.attempt and local.called:
+            # The caller has the move already and may yet carry it out.
+            return replace(verdict, decision=local.called.decision)
+        begun = local.phase is Phase.RUNNING
+        others = bool(local.moved_from) and local.worker in self._ledger.slow(now_us)
+        candidate = MoveCandidate(
+            local.repeat,
+            begun,
+            local.moves,
+            gang.size,
+            gang.moves,
+            verdict.remaining_us or 0,
+            verdict.fresh_us or 0,
+            others,
+        )
+        if not local.judged:
+            local.judged = True
             self.counters.counts["lags"] += 1
-            if own.moved_from and not others:  # it lags here too: it is the job, not the worker before
-                self._ledger.retract(own.moved_from, gang.name, index)
+            if local.moved_from and not others:  # it lags here too: it is the job, not the worker before
+                self._ledger.retract(local.moved_from, gang.name, index)
             elif begun:
-                self._ledger.judged(now_us, own.worker, gang.name, index, verdict.behind or 0.0)
-        then = decide(plea, self.options, self._budget, now_us)
-        verdict = replace(verdict, then=then)
-        if then in (Then.MOVED, Then.COPIED):
-            copy = then is Then.COPIED
+                self._ledger.judged(now_us, local.worker, gang.name, index, verdict.behind or 0.0)
+        decision = decide(candidate, self.options, self._budget, now_us)
+        verdict = replace(verdict, decision=decision)
+        if decision in (Decision.MOVED, Decision.COPIED):
+            copy = decision is Decision.COPIED
             avoid = self._ledger.slow(now_us)
-            moves.append(Move(own.job, own.attempt, own.worker, gang.name, index, copy, avoid))
-            own.moves += 1
-            own.moved_attempt = own.attempt
-            own.moved_from = own.worker if begun else ""
+            moves.append(Move(local.job, local.attempt, local.worker, gang.name, index, copy, avoid))
+            local.moves += 1
+            local.moved_attempt = local.attempt
+            local.moved_from = local.worker if begun else ""
             self.counters.counts["copied" if copy else "moved"] += 1
             self._change(gang, index)
-        elif then in (Then.GANG_SPENT, Then.ALL_SPENT):
+        elif decision in (Decision.GANG_SPENT, Decision.ALL_SPENT):
             self.counters.counts["spared"] += 1
-        own.last = own.called = verdict
+        local.last = local.called = verdict
         return verdict
 
     # Telling people
 
-    def explain(self, now_us: int, gang: str) -> Explained:
+    def explain(self, now_us: int, gang: str) -> GangReport:
         """Why members of a gang were or were not called stragglers. Raises NoSuchGang."""
         now_us = self._time(now_us)
         if not (held := self._table.get(gang)):
             raise NoSuchGang(f"no gang {gang[:160]!r} is known here")
         runners = held.runners(now_us, self._paces)
         found = []
-        for index in sorted({*held.own, *held.far}):
+        for index in sorted({*held.local, *held.remote}):
             usual = int(runners[index].usual_us) if index in runners else None
-            if own := held.holds(index):
-                last = own.last
-                if not own.active and last:
-                    last = replace(last, why=Why.ENDED)
-                told = Told(
-                    index, "", own.worker, _PHASES[own.phase], own.curve.share, own.waited_us(now_us),
-                    own.run_us(now_us), usual, own.moves, last, own.called,
-                )  # fmt: skip
+            if local := held.current_local(index):
+                last = local.last
+                if not local.active and last:
+                    last = replace(last, reason=Reason.ENDED)
+                reported = MemberReport(
+                    index,
+                    "",
+                    local.worker,
+                    _PHASES[local.phase],
+                    local.curve.share,
+                    local.waited_us(now_us),
+                    local.run_us(now_us),
+                    usual,
+                    local.moves,
+                    last,
+                    local.called,
+                )
             else:
-                far = held.far[index]
-                word = far.word
-                told = Told(
-                    index, word.origin, word.worker, _PHASES[word.state], far.curve.share, word.waited_us,
-                    word.run_us, usual, word.moves,
-                )  # fmt: skip
-            found.append(told)
-        return Explained(gang, held.size, tuple(found))
+                remote = held.remote[index]
+                update = remote.update
+                reported = MemberReport(
+                    index,
+                    update.origin,
+                    update.worker,
+                    _PHASES[update.current_phase],
+                    remote.curve.share,
+                    update.waited_us,
+                    update.run_us,
+                    usual,
+                    update.moves,
+                )
+            found.append(reported)
+        return GangReport(gang, held.size, tuple(found))
 
     def figures(self) -> list[tuple[str, int, str]]:
         """Name, value and type of each figure."""
@@ -379,12 +422,12 @@
         self._now_us = max(now_us, self._now_us)
         return self._now_us
 
-    def _find(self, job: int, attempt: int | None = None) -> tuple[Gang, Own] | None:
-        own = self._table.jobs.get(job)
-        if own is None or (attempt is not None and attempt != own.attempt):
+    def _find(self, job: int, attempt: int | None = None) -> tuple[Gang, LocalMember] | None:
+        local = self._table.jobs.get(job)
+        if local is None or (attempt is not None and attempt != local.attempt):
             return None
-        gang = self._table.get(own.place.gang)
-        return (gang, own) if gang else None
+        gang = self._table.get(local.membership.gang)
+        return (gang, local) if gang else None
 
     def _change(self, gang: Gang, index: int) -> None:
         gang.change(index)
@@ -393,22 +436,22 @@
 
     def _tail(self, gang: Gang) -> None:
         """Once all members have ended somewhere, note how far the last one was behind."""
-        if gang.tail_told or len({*gang.own, *gang.far}) < gang.size:
+        if gang.tail_recorded or len({*gang.local, *gang.remote}) < gang.size:
             return
-        own = [x for i in gang.own if (x := gang.holds(i))]
-        far = [x for i, x in gang.far.items() if gang.holds(i) is None]
-        if any(x.active for x in own) or any(x.word.state <= Phase.RUNS for x in far):
+        local = [x for i in gang.local if (x := gang.current_local(i))]
+        remote = [x for i, x in gang.remote.items() if gang.current_local(i) is None]
+        if any(x.active for x in local) or any(x.update.current_phase <= Phase.RUNNING for x in remote):
             return
-        gang.tail_told = True
-        ends = [x.over_us for x in own if x.phase is Phase.DONE]
-        ends += [x.heard_us for x in far if x.word.state is Phase.DONE]
+        gang.tail_recorded = True
+        ends = [x.over_us for x in local if x.phase is Phase.DONE]
+        ends += [x.received_us for x in remote if x.update.current_phase is Phase.DONE]
         if ends:
             self.counters.ended(ends)
 
 
 _PHASES = {
-    Phase.WAITS: "waits",
-    Phase.RUNS: "runs",
+    Phase.WAITING: "waits",
+    Phase.RUNNING: "runs",
     Phase.DONE: "is done",
     Phase.GONE: "failed or was given up",
 }
@@ -424,12 +467,12 @@
         gang = view.gang
         for index, pace in view.paces.items():
             runner = view.runners[index]
-            if runner.curve.ended and runner.heard_us < view.now_us - FINE_US:
+            if runner.curve.ended and runner.received_us < view.now_us - FINE_US:
                 continue
             if runner.silent or runner.run_us < LEAST_TOGETHER * runner.usual_us:
                 continue
-            own = gang.holds(index)
-            worker = own.worker if own else gang.far[index].word.worker
+            local = gang.current_local(index)
+            worker = local.worker if local else gang.remote[index].update.worker
             found.setdefault(worker, []).append((gang.name, index, pace / view.usual_pace))
     return found
 
@@ -438,14 +481,28 @@
     """One gang at one look."""
 
     __slots__ = (
-        "alike", "behind_here", "compared", "gang", "now_us", "of_late", "paces", "paused", "runners",
-        "running", "usual_pace",
-    )  # fmt: skip
+        "alike",
+        "behind_here",
+        "compared",
+        "gang",
+        "now_us",
+        "of_late",
+        "paces",
+        "paused",
+        "runners",
+        "running",
+        "usual_pace",
+    )
 
     def __init__(
-        self, gang: Gang, now_us: int, runners: dict[int, Runner], paces: dict[int, float],
-        usual_pace: float, of_late: float,
-    ) -> None:  # fmt: skip
+        self,
+        gang: Gang,
+        now_us: int,
+        runners: dict[int, Runner],
+        paces: dict[int, float],
+        usual_pace: float,
+        of_late: float,
+    ) -> None:
         self.gang = gang
         self.now_us = now_us
         self.runners = runners
@@ -468,10 +525,10 @@
         if not runner.begun:
             return runner.waited_us + int(runner.usual_us * self.usual_pace)
         since = self.now_us - runner.curve.last_us
-        told = runner.curve.remaining_us()
+        reported = runner.curve.remaining_us()
         if runner.silent:
-            return runner.run_us if told is None else max(since, told - since)
-        return max(0, (told or 0) - since)
+            return runner.run_us if reported is None else max(since, reported - since)
+        return max(0, (reported or 0) - since)
 
     def fresh_us(self, index: int) -> int:
         """What a fresh run elsewhere needs: a wait and a run as its peers have them."""
--- a/robinhill/gang/messages.py
+++ b/robinhill/gang/messages.py
@@ -1,83 +1,25 @@
-"""The words of gangs: who belongs to one, what a look finds, and what follows.
+"""What the parts of the package tell each other: what a look finds of members, and what follows.
 
 Times are microseconds of this process's own clock, which never steps back; they are times of hearing. What a
 worker or another scheduler says of its own clock is used nowhere.
 """
 
-import re
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
 from robinhill.api import Repeat
-from robinhill.gang.errors import MalformedGang
-
-HEADER = "X-Gang"
-# Larger gangs would make a shared record of over 32 kB; a season report has some tens of parts.
-MAX_SIZE = 128
-MAX_HEADER = 160  # characters; the longest proper one has some 90
-MAX_NAME = 128  # characters of a gang's name with its owner; keys of records are not longer
-_FIELD_FORM = re.compile(r"\s*([a-z]+)\s*=\s*([!-:<-~]+)\s*", re.ASCII)
-_ID_FORM = re.compile(r"[A-Za-z0-9._:-]{1,64}", re.ASCII)
-_NUMBER_FORM = re.compile(r"[0-9]{1,4}", re.ASCII)
-
-
-@dataclass(slots=True, frozen=True)
-class Membership:
-    """A job's place in its gang, as its header names it. ``owner`` keeps tenants' ids apart."""
-
-    id: str
-    size: int
-    index: int
-    owner: str = ""
-
-    @property
-    def gang(self) -> str:
-        """What the gang is called among schedulers and by operators."""
-        return f"{self.owner}/{self.id}" if self.owner else self.id
-
-
-def read_membership(values: list[str], owner: str = "") -> Membership | None:
-    """Decode all values of the gang header of one request; None where there is none.
-
-    ``owner`` is the tenant, where admission control tells one. Keys that a newer portal may add are passed
-    over. Raises MalformedGang.
-    """
-    if not values:
-        return None
-    if len(values) > 1:
-        raise MalformedGang("the gang header stands more than once")
-    if len(values[0]) > MAX_HEADER:
-        raise MalformedGang(f"the gang header has {len(values[0])} characters, at most {MAX_HEADER} are read")
-    fields: dict[str, str] = {}
-    for part in values[0].strip().removesuffix(";").split(";"):
-        if not (form := _FIELD_FORM.fullmatch(part)):
-            raise MalformedGang(f"the gang header has {part[:40]!r} where key=value is due")
-        if form[1] in fields:
-            raise MalformedGang(f"the gang header names {form[1][:40]!r} twice")
-        fields[form[1]] = form[2]
-    name, size, index = (fields.get(key, "") for key in ("id", "size", "index"))
-    if not _ID_FORM.fullmatch(name):
-        raise MalformedGang("a gang's id must be 1 to 64 letters, digits or any of . _ : -")
-    for key, text in (("size", size), ("index", index)):
-        if not _NUMBER_FORM.fullmatch(text):
-            raise MalformedGang(f"a gang's {key} must be a whole number, is {text[:40]!r}")
-    if not 1 <= int(size) <= MAX_SIZE:
-        raise MalformedGang(f"a gang's size must be 1 to {MAX_SIZE}, is {int(size)}")
-    if int(index) >= int(size):
-        raise MalformedGang(f"a gang's index must be below its size {int(size)}, is {int(index)}")
-    return Membership(name, int(size), int(index), owner[: MAX_NAME - len(name) - 1])
 
 
 class Phase(IntEnum):
     """How far a member has come, as schedulers tell each other. A number of a newer peer counts as GONE."""
 
-    WAITS = 0  # taken, or sent to a worker that has not begun it
-    RUNS = 1
+    WAITING = 0  # taken, or sent to a worker that has not begun it
+    RUNNING = 1
     DONE = 2
     GONE = 3  # failed, refused or left by its client
 
 
-class Why(Enum):
+class Reason(Enum):
     """Why a member was or was not called a straggler; the value is for people."""
 
     ENDED = "it has ended"
@@ -93,7 +35,7 @@
     LAGS = "it lags: it is behind its peers, for enough looks in a row"
 
 
-class Then(Enum):
+class Decision(Enum):
     """What followed for one that lags; the value is for people."""
 
     NOTHING = "nothing"
@@ -119,7 +61,7 @@
     gang: str
     index: int
     at_us: int
-    why: Why
+    reason: Reason
     worker: str = ""
     behind: float | None = None
     bound: float | None = None
@@ -128,11 +70,11 @@
     remaining_us: int | None = None
     fresh_us: int | None = None
     silent: bool = False  # judged by its time alone: no word on its progress
-    then: Then = Then.NOTHING
+    decision: Decision = Decision.NOTHING
 
     @property
     def lags(self) -> bool:
-        return self.why is Why.LAGS
+        return self.reason is Reason.LAGS
 
 
 @dataclass(slots=True, frozen=True)
@@ -176,12 +118,12 @@
     evidence: tuple[Evidence, ...] = ()
 
 
-def safe_to_move(repeat: Repeat, begun: bool) -> Then:
+def safe_to_move(repeat: Repeat, begun: bool) -> Decision:
     """Whether a second run can do no harm: NOTHING if so, else why not.
 
     A keyed job that has not begun may go elsewhere: were the withdrawal late, its key would drop the repeat
     within its scope, which the module keeps to. Once it has begun, part of it may have been done.
     """
     if repeat is Repeat.UNSAFE:
-        return Then.UNSAFE
-    return Then.BEGUN if repeat is Repeat.KEYED and begun else Then.NOTHING
+        return Decision.UNSAFE
+    return Decision.BEGUN if repeat is Repeat.KEYED and begun else Decision.NOTHING
--- a/robinhill/gang/moves.py
+++ b/robinhill/gang/moves.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from robinhill.api import Repeat
+from robinhill.gang.messages import Decision, safe_to_move
 from robinhill.gang.options import GangOptions
-from robinhill.gang.words import Then, safe_to_move
 
 # Members placed and moved count for the budget of all with this half-life: a bad minute is over in a few.
 HALF_LIFE_US = 30_000_000
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Plea:
+class MoveCandidate:
     """One member that lags, for the decision. Durations in microseconds."""
 
     repeat: Repeat
@@ -62,21 +62,21 @@
     others_lag: bool = False  # members other than it lag where it is, by what is known here
 
 
-def decide(plea: Plea, options: GangOptions, budget: Budget, now_us: int) -> Then:
+def decide(candidate: MoveCandidate, options: GangOptions, budget: Budget, now_us: int) -> Decision:
     """What follows; MOVED and COPIED are counted in the budget of all."""
-    if (harm := safe_to_move(plea.repeat, plea.begun)) is not Then.NOTHING:
+    if (harm := safe_to_move(candidate.repeat, candidate.begun)) is not Decision.NOTHING:
         return harm
-    if plea.moves >= MOVES_OF_MEMBER + plea.others_lag:
-        return Then.ONCE_MOVED
-    fresh_us = plea.fresh_us + OVERHEAD_US
-    if plea.remaining_us <= fresh_us * (1 + options.margin):
-        return Then.NO_GAIN
+    if candidate.moves >= MOVES_OF_MEMBER + candidate.others_lag:
+        return Decision.ONCE_MOVED
+    fresh_us = candidate.fresh_us + OVERHEAD_US
+    if candidate.remaining_us <= fresh_us * (1 + options.margin):
+        return Decision.NO_GAIN
     # Of a small gang one may always be moved, unless none may at all.
-    most = max(1, int(options.moves_of_gang * plea.gang_size)) if options.moves_of_gang else 0
-    if plea.gang_moves >= most:
-        return Then.GANG_SPENT
+    most = max(1, int(options.moves_of_gang * candidate.gang_size)) if options.moves_of_gang else 0
+    if candidate.gang_moves >= most:
+        return Decision.GANG_SPENT
     if not budget.allows(now_us):
-        return Then.ALL_SPENT
+        return Decision.ALL_SPENT
     budget.moved(now_us)
-    both = options.copies and plea.repeat is Repeat.SAFE and plea.begun
-    return Then.COPIED if both and plea.remaining_us < COPY_BELOW * fresh_us else Then.MOVED
+    both = options.copies and candidate.repeat is Repeat.SAFE and candidate.begun
+    return Decision.COPIED if both and candidate.remaining_us < COPY_BELOW * fresh_us else Decision.MOVED
--- a/robinhill/gang/options.py
+++ b/robinhill/gang/options.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-from robinhill.gang.words import HEADER
+from robinhill.gang.membership import HEADER
 
 Millis = Annotated[int, Meta(ge=1, le=3_600_000)]
 HEADER_FORM = r"^[A-Za-z0-9-]{1,64}$"
--- a/robinhill/gang/progress.py
+++ b/robinhill/gang/progress.py
@@ -42,7 +42,7 @@
             self._put(start_us, 0.0)
 
     @property
-    def words(self) -> int:
+    def updates(self) -> int:
         """Words on its progress so far (thinned; its start is none)."""
         return len(self._at) - (self.start_us is not None)
 
@@ -62,7 +62,7 @@
     @property
     def share(self) -> float | None:
         """How much is done, None where there is no word: that is not nothing."""
-        return self._share[-1] if self.words else None
+        return self._share[-1] if self.updates else None
 
     def add(self, at_us: int, share: float) -> bool:
         """A word on progress; False (and no effect) for one that is absurd, late or doubled."""
@@ -124,7 +124,7 @@
         """
         if self.ended:
             return 0
-        if not self.words or len(self._at) < 2:
+        if not self.updates or len(self._at) < 2:
             return None
         middle = (self.first_us + self.last_us) // 2
         rate = max(self.rate(self.first_us, self.last_us), self.rate(middle, self.last_us))
--- a/robinhill/gang/share.py
+++ b/robinhill/gang/share.py
@@ -10,7 +10,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from robinhill.gang.words import MAX_SIZE, Phase
+from robinhill.gang.membership import MAX_SIZE
+from robinhill.gang.messages import Phase
 from robinhill.mesh.words import ForeignState, Kind, Record
 
 NAME = "gang.progress"
@@ -23,10 +24,10 @@
 MAX_SEQUENCE = 1 << 40
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Text = Annotated[str, Meta(max_length=256)]
-_STATES = (Phase.WAITS, Phase.RUNS, Phase.DONE, Phase.GONE)
+_PHASES = (Phase.WAITING, Phase.RUNNING, Phase.DONE, Phase.GONE)
 
 
-class Word(Struct, frozen=True, array_like=True, order=True):
+class MemberUpdate(Struct, frozen=True, array_like=True, order=True):
     """One member as its scheduler last told. ``share`` in millionths, -1 where no word on it came."""
 
     index: Annotated[int, Meta(ge=0, lt=MAX_SIZE)]
@@ -42,15 +43,15 @@
     origin: Text
 
     @property
-    def state(self) -> Phase:
-        return _STATES[min(self.phase, 3)]
+    def current_phase(self) -> Phase:
+        return _PHASES[min(self.phase, 3)]
 
 
 class Progress(Struct, frozen=True, array_like=True):
     """A gang: its size and the words of its members by ascending index."""
 
     size: Annotated[int, Meta(ge=1, le=MAX_SIZE)]
-    members: Annotated[tuple[Word, ...], Meta(max_length=MAX_SIZE)]
+    members: Annotated[tuple[MemberUpdate, ...], Meta(max_length=MAX_SIZE)]
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -70,18 +71,18 @@
     return merge(value, value)
 
 
-def _later(word: Word) -> tuple[bool, int, Word]:
+def _precedence(update: MemberUpdate) -> tuple[bool, int, MemberUpdate]:
     # What is done is done: a client's repeat elsewhere takes nothing back. The word itself breaks ties.
-    return word.phase == Phase.DONE, word.sequence, word
+    return update.phase == Phase.DONE, update.sequence, update
 
 
 def merge(a: Progress, b: Progress) -> Progress:
     """Each member's latest word; sizes that differ (a portal's fault) make the larger one."""
-    latest: dict[int, Word] = {}
-    for word in (*a.members, *b.members):
-        held = latest.get(word.index)
-        if held is None or _later(word) > _later(held):
-            latest[word.index] = word
+    latest: dict[int, MemberUpdate] = {}
+    for update in (*a.members, *b.members):
+        held = latest.get(update.index)
+        if held is None or _precedence(update) > _precedence(held):
+            latest[update.index] = update
     return Progress(max(a.size, b.size), tuple(latest[i] for i in sorted(latest)))
 
 
--- a/robinhill/gang/straggle.py
+++ b/robinhill/gang/straggle.py
@@ -48,7 +48,7 @@
 
     curve: Curve
     usual_us: float
-    heard_us: int
+    received_us: int
     waited_us: int = 0
     kind: str | None = None
 
@@ -59,7 +59,7 @@
     @property
     def run_us(self) -> int:
         """So long it is known to run; 0 before its start."""
-        return max(0, self.heard_us - self.curve.first_us) if self.begun else 0
+        return max(0, self.received_us - self.curve.first_us) if self.begun else 0
 
     @property
     def silent(self) -> bool:
@@ -67,7 +67,7 @@
         curve = self.curve
         if curve.ended or curve.empty:
             return False
-        return not curve.words or self.heard_us - curve.last_us > SILENT_AFTER * self.usual_us
+        return not curve.updates or self.received_us - curve.last_us > SILENT_AFTER * self.usual_us
 
     def pace(self) -> float | None:
         """Time spent for each unit of usual work, over its whole run; for silent ones at the least."""
@@ -144,25 +144,25 @@
     votes = [x for x in cast if x is not None]
     if len(votes) < least:
         return None
-    middle = median(votes)
+    median_vote = median(votes)
     if silent and member.run_us:
-        middle = min(middle, math.log(member.run_us / (member.usual_us * pace)))
+        median_vote = min(median_vote, math.log(member.run_us / (member.usual_us * pace)))
     limit = bound(votes, ratio, FALSE_SILENT if silent else FALSE_IN_GANG)
-    return Compared(math.exp(middle), math.exp(limit), len(votes), silent)
+    return Compared(math.exp(median_vote), math.exp(limit), len(votes), silent)
 
 
 def _vote(member: Runner, peer: Runner, _: float) -> float | None:
     """ln(how many times slower than the peer), over the time that both are known in."""
-    mine, theirs = member.curve, peer.curve
-    if not theirs.words or mine.empty:
+    member_curve, peer_curve = member.curve, peer.curve
+    if not peer_curve.updates or member_curve.empty:
         return None
-    begin = max(mine.first_us, theirs.first_us)
-    end = min(mine.last_us, theirs.last_us)
+    begin = max(member_curve.first_us, peer_curve.first_us)
+    end = min(member_curve.last_us, peer_curve.last_us)
     if end - begin < LEAST_TOGETHER * member.usual_us:
         return None
-    own = max(SLOWEST, mine.rate(begin, end) * member.usual_us)
-    other = max(SLOWEST, theirs.rate(begin, end) * peer.usual_us)
-    return math.log(other / own)
+    member_rate = max(SLOWEST, member_curve.rate(begin, end) * member.usual_us)
+    peer_rate = max(SLOWEST, peer_curve.rate(begin, end) * peer.usual_us)
+    return math.log(peer_rate / member_rate)
 
 
 def _vote_on_silent(member: Runner, peer: Runner, _: float) -> float | None:
@@ -177,9 +177,9 @@
     if peer.silent:
         waited = max(1, peer.run_us)
         return min(0.0, math.log(max(SLOWEST, peer.usual_us / waited) / own_at_best))
-    if peer.curve.last_us < member.curve.first_us or (theirs := peer.pace()) is None:
+    if peer.curve.last_us < member.curve.first_us or (peer_curve := peer.pace()) is None:
         return None  # it ran before the member did: that proves nothing now
-    return -math.log(theirs * own_at_best)
+    return -math.log(peer_curve * own_at_best)
 
 
 def _vote_on_waiting(member: Runner, peer: Runner, pace: float) -> float | None:
@@ -188,6 +188,6 @@
     A peer that waits too votes that it is as the member, unless it has waited even longer.
     """
     run = member.usual_us * pace
-    own, other = member.waited_us + run, peer.waited_us + run
-    vote = math.log(own / other)
+    member_us, peer_us = member.waited_us + run, peer.waited_us + run
+    vote = math.log(member_us / peer_us)
     return vote if peer.begun else min(0.0, vote)
--- a/robinhill/gang/table.py
+++ b/robinhill/gang/table.py
@@ -7,11 +7,12 @@
 from statistics import median
 
 from robinhill.api import Repeat
-from robinhill.gang.errors import GangMismatch, GangsFull, MemberTaken
+from robinhill.gang.errors import DuplicateMember, GangMismatch, GangsFull
+from robinhill.gang.membership import Membership
+from robinhill.gang.messages import Phase, Verdict
 from robinhill.gang.progress import SLOWEST, Curve, Paces
-from robinhill.gang.share import FULL, LIFETIME_US, MAX_SEQUENCE, UNKNOWN, Progress, Word
+from robinhill.gang.share import FULL, LIFETIME_US, MAX_SEQUENCE, UNKNOWN, MemberUpdate, Progress
 from robinhill.gang.straggle import Runner
-from robinhill.gang.words import Membership, Phase, Verdict
 
 # A gang is kept so long after anything was heard of it: staff ask "why was it late" some minutes later.
 KEPT_US = LIFETIME_US
@@ -22,15 +23,15 @@
 # Progress is told to other schedulers in such steps: some twenty words of a member at most.
 SHARE_STEP = 0.05
 LEAST_TELLING = 3  # others of a gang that must tell of their pace before a kind is held against them
-WORDS_TEXT = 128  # characters of a worker's or kind's name that are shared
+UPDATE_TEXT = 128  # characters of a worker's or kind's name that are shared
 
 
 @dataclass(slots=True, eq=False)
-class Own:
+class LocalMember:
     """A member whose job this scheduler holds, and its latest attempt."""
 
     job: int
-    place: Membership
+    membership: Membership
     repeat: Repeat
     hint_us: int
     joined_us: int
@@ -38,7 +39,7 @@
     worker: str = ""
     kind: str = ""
     placed_us: int = 0
-    phase: Phase = Phase.WAITS
+    phase: Phase = Phase.WAITING
     curve: Curve = field(default_factory=Curve)
     over_us: int = 0
     moves: int = 0
@@ -49,11 +50,11 @@
     judged: bool = False  # its stay at this worker stands in the ledger
     last: Verdict | None = None
     called: Verdict | None = None
-    told_share: float = 0.0
+    sent_share: float = 0.0
 
     @property
     def active(self) -> bool:
-        return self.phase <= Phase.RUNS
+        return self.phase <= Phase.RUNNING
 
     def waited_us(self, now_us: int) -> int:
         """From placing to start, or so far; 0 while it is not placed."""
@@ -69,42 +70,52 @@
             return 0
         return max(0, (now_us if self.active else self.over_us) - self.curve.first_us)
 
-    def word(self, now_us: int, sequence: int, origin: str) -> Word:
+    def update(self, now_us: int, sequence: int, origin: str) -> MemberUpdate:
         share = self.curve.share
-        return Word(
-            self.place.index, sequence, int(self.phase), UNKNOWN if share is None else int(share * FULL),
-            self.waited_us(now_us), self.run_us(now_us), self.hint_us, self.moves,
-            self.kind[:WORDS_TEXT], self.worker[:WORDS_TEXT], origin[:WORDS_TEXT],
-        )  # fmt: skip
+        return MemberUpdate(
+            self.membership.index,
+            sequence,
+            int(self.phase),
+            UNKNOWN if share is None else int(share * FULL),
+            self.waited_us(now_us),
+            self.run_us(now_us),
+            self.hint_us,
+            self.moves,
+            self.kind[:UPDATE_TEXT],
+            self.worker[:UPDATE_TEXT],
+            origin[:UPDATE_TEXT],
+        )
 
 
 @dataclass(slots=True, eq=False)
-class Far:
+class RemoteMember:
     """A member at another scheduler, as heard here."""
 
-    word: Word
-    heard_us: int
+    update: MemberUpdate
+    received_us: int
     curve: Curve = field(default_factory=Curve)
 
-    def hear(self, now_us: int, word: Word) -> None:
+    def receive(self, now_us: int, update: MemberUpdate) -> None:
         """A later word. Its curve stands where the word with the least delay puts its start."""
-        before = self.word
-        again = (word.origin, word.worker, word.moves) != (before.origin, before.worker, before.moves)
-        if again or word.run_us < before.run_us:
+        before = self.update
+        again = (update.origin, update.worker, update.moves) != (before.origin, before.worker, before.moves)
+        if again or update.run_us < before.run_us:
             self.curve = Curve()
-        self.word, self.heard_us = word, now_us
-        if word.state is Phase.WAITS or (word.state is Phase.GONE and not word.run_us):
+        self.update, self.received_us = update, now_us
+        if update.current_phase is Phase.WAITING or (
+            update.current_phase is Phase.GONE and not update.run_us
+        ):
             return
-        curve, start_us = self.curve, now_us - word.run_us
+        curve, start_us = self.curve, now_us - update.run_us
         if curve.start_us is None:
             self.curve = curve = Curve(start_us)
         elif start_us < curve.start_us:
             curve.shift(curve.start_us - start_us)
         begun = curve.start_us or 0
-        if word.state is Phase.DONE:
-            curve.end(begun + word.run_us)
-        elif word.share != UNKNOWN:
-            curve.add(begun + word.run_us, word.share / FULL)
+        if update.current_phase is Phase.DONE:
+            curve.end(begun + update.run_us)
+        elif update.share != UNKNOWN:
+            curve.add(begun + update.run_us, update.share / FULL)
 
 
 @dataclass(slots=True, eq=False)
@@ -114,27 +125,27 @@
     name: str
     size: int
     touched_us: int
-    own: dict[int, Own] = field(default_factory=dict)
-    far: dict[int, Far] = field(default_factory=dict)
+    local: dict[int, LocalMember] = field(default_factory=dict)
+    remote: dict[int, RemoteMember] = field(default_factory=dict)
     sequence: dict[int, int] = field(default_factory=dict)  # the largest seen of each member
     changed: set[int] = field(default_factory=set)  # members to tell of
-    told_us: int = 0
-    tail_told: bool = False
+    sent_us: int = 0
+    tail_recorded: bool = False
 
     @property
     def active(self) -> bool:
-        return any(x.active for x in self.own.values())
+        return any(x.active for x in self.local.values())
 
     @property
     def moves(self) -> int:
-        return sum(x.moves for x in self.own.values()) + sum(
-            x.word.moves for i, x in self.far.items() if i not in self.own
+        return sum(x.moves for x in self.local.values()) + sum(
+            x.update.moves for i, x in self.remote.items() if i not in self.local
         )
 
-    def holds(self, index: int) -> Own | None:
+    def current_local(self, index: int) -> LocalMember | None:
         """Our own member of this index, unless it is over here and goes on elsewhere."""
-        own = self.own.get(index)
-        return None if own and own.phase is Phase.GONE and index in self.far else own
+        local = self.local.get(index)
+        return None if local and local.phase is Phase.GONE and index in self.remote else local
 
     def change(self, index: int) -> None:
         """Our member's state is to be told: its number goes on from the largest seen."""
@@ -142,18 +153,20 @@
         self.changed.add(index)
 
     def usual_hint(self) -> float:
-        hints = [x.hint_us for x in self.own.values() if x.hint_us]
-        hints += [x.word.hint_us for i, x in self.far.items() if i not in self.own and x.word.hint_us]
+        hints = [x.hint_us for x in self.local.values() if x.hint_us]
+        hints += [
+            x.update.hint_us for i, x in self.remote.items() if i not in self.local and x.update.hint_us
+        ]
         return median(hints) if hints else 0.0
 
     def against(self, index: int) -> float | None:
         """ln(a member's pace over its gang's median), by hints alone; None where too few tell."""
         logs: dict[int, float] = {}
-        for i in {*self.own, *self.far}:
-            own = self.holds(i)
-            curve = own.curve if own else self.far[i].curve
-            hint = own.hint_us if own else self.far[i].word.hint_us
-            if hint and curve.words and (rate := curve.whole_rate) is not None:
+        for i in {*self.local, *self.remote}:
+            local = self.current_local(i)
+            curve = local.curve if local else self.remote[i].curve
+            hint = local.hint_us if local else self.remote[i].update.hint_us
+            if hint and curve.updates and (rate := curve.whole_rate) is not None:
                 logs[i] = -math.log(max(SLOWEST, rate * hint))
         return logs[index] - median(logs.values()) if index in logs and len(logs) > LEAST_TELLING else None
 
@@ -161,31 +174,35 @@
         """All members that are placed somewhere or have run, by index, as they are compared."""
         hint = self.usual_hint()
         found: dict[int, Runner] = {}
-        for index in sorted({*self.own, *self.far}):
-            if own := self.holds(index):
-                if own.phase is Phase.GONE or not own.placed_us:
+        for index in sorted({*self.local, *self.remote}):
+            if local := self.current_local(index):
+                if local.phase is Phase.GONE or not local.placed_us:
                     continue
-                usual, kind = _usual(own.hint_us or hint, own.kind, paces)
-                heard = now_us if own.active else own.over_us
-                found[index] = Runner(own.curve, usual, heard, own.waited_us(now_us), kind)
-            elif (far := self.far[index]).word.state is not Phase.GONE:
-                word = far.word
-                usual, kind = _usual(word.hint_us or hint, word.kind, paces)
-                since = min(now_us - far.heard_us, STALE_US) if word.state is not Phase.DONE else 0
-                heard, waited = far.heard_us + since, word.waited_us
-                if word.state is Phase.WAITS:
+                usual, kind = _usual(local.hint_us or hint, local.kind, paces)
+                received = now_us if local.active else local.over_us
+                found[index] = Runner(local.curve, usual, received, local.waited_us(now_us), kind)
+            elif (remote := self.remote[index]).update.current_phase is not Phase.GONE:
+                update = remote.update
+                usual, kind = _usual(update.hint_us or hint, update.kind, paces)
+                since = (
+                    min(now_us - remote.received_us, STALE_US)
+                    if update.current_phase is not Phase.DONE
+                    else 0
+                )
+                received, waited = remote.received_us + since, update.waited_us
+                if update.current_phase is Phase.WAITING:
                     waited += since
-                elif word.state is Phase.DONE:
-                    heard = far.curve.last_us
-                found[index] = Runner(far.curve, usual, heard, waited, kind)
+                elif update.current_phase is Phase.DONE:
+                    received = remote.curve.last_us
+                found[index] = Runner(remote.curve, usual, received, waited, kind)
         return found if hint else _without_hints(found)
 
     def progress(self, now_us: int, origin: str) -> Progress:
         """What we tell of our own members that others don't tell of by now."""
-        mine = [x for i, x in self.own.items() if self.holds(i)]
-        mine.sort(key=lambda x: x.place.index)
+        mine = [x for i, x in self.local.items() if self.current_local(i)]
+        mine.sort(key=lambda x: x.membership.index)
         return Progress(
-            self.size, tuple(x.word(now_us, self.sequence.get(x.place.index, 0), origin) for x in mine)
+            self.size, tuple(x.update(now_us, self.sequence.get(x.membership.index, 0), origin) for x in mine)
         )
 
 
@@ -199,11 +216,11 @@
 
 def _without_hints(runners: dict[int, Runner]) -> dict[int, Runner]:
     """A gang without hints: all its members usually need what the median of those that tell does."""
-    told = [p * x.usual_us for x in runners.values() if not x.silent and (p := x.pace()) is not None]
-    if not told:
+    known_paces = [p * x.usual_us for x in runners.values() if not x.silent and (p := x.pace()) is not None]
+    if not known_paces:
         return runners
-    usual = max(1.0, median(told))
-    return {i: Runner(x.curve, usual, x.heard_us, x.waited_us, x.kind) for i, x in runners.items()}
+    usual = max(1.0, median(known_paces))
+    return {i: Runner(x.curve, usual, x.received_us, x.waited_us, x.kind) for i, x in runners.items()}
 
 
 class Table:
@@ -213,7 +230,7 @@
         self._most_gangs = gangs
         self._most_members = members
         self.members = 0
-        self.jobs: dict[int, Own] = {}  # of own members that are not over
+        self.jobs: dict[int, LocalMember] = {}  # of own members that are not over
         self._active: OrderedDict[str, Gang] = OrderedDict()
         self._idle: OrderedDict[str, Gang] = OrderedDict()  # by when something was last heard of them
 
@@ -227,54 +244,60 @@
         """Those with a member under way here, in a stable order."""
         return iter(self._active.values())
 
-    def join(self, now_us: int, own: Own) -> Gang:
-        """Take a member in. Raises GangMismatch, MemberTaken or GangsFull; then nothing has changed."""
-        place = own.place
-        gang = self.get(place.gang)
-        if gang and gang.size != place.size:
-            raise GangMismatch(f"a member of gang {gang.name} says size {place.size}, others {gang.size}")
-        held = gang.own.get(place.index) if gang else None
+    def join(self, now_us: int, local: LocalMember) -> Gang:
+        """Take a member in. Raises GangMismatch, DuplicateMember or GangsFull; then nothing has changed."""
+        membership = local.membership
+        gang = self.get(membership.gang)
+        if gang and gang.size != membership.size:
+            raise GangMismatch(
+                f"a member of gang {gang.name} says size {membership.size}, others {gang.size}"
+            )
+        held = gang.local.get(membership.index) if gang else None
         if held and held.active:
-            raise MemberTaken(f"member {place.index} of gang {place.gang} is under way already")
-        if not gang or (held is None and place.index not in gang.far):
+            raise DuplicateMember(f"member {membership.index} of gang {membership.gang} is under way already")
+        if not gang or (held is None and membership.index not in gang.remote):
             self._room(gang)
-        gang = gang or Gang(place.gang, place.size, now_us)
+        gang = gang or Gang(membership.gang, membership.size, now_us)
         # One held on both sides counts once.
-        self.members += held is None and place.index not in gang.far
-        gang.own[place.index] = own
-        self.jobs[own.job] = own
+        self.members += held is None and membership.index not in gang.remote
+        gang.local[membership.index] = local
+        self.jobs[local.job] = local
         self.touch(now_us, gang)
         return gang
 
-    def hear(self, now_us: int, name: str, progress: Progress) -> tuple[Gang | None, list[Far]]:
+    def receive(self, now_us: int, name: str, progress: Progress) -> tuple[Gang | None, list[RemoteMember]]:
         """Take in what others tell; the second value are the members with news. None: no room for it."""
-        gang, news = self.get(name), []
-        for word in progress.members:
-            far = gang.far.get(word.index) if gang else None
-            if gang and word.sequence <= gang.sequence.get(word.index, -1) and word.state is not Phase.DONE:
+        gang, updated = self.get(name), []
+        for update in progress.members:
+            remote = gang.remote.get(update.index) if gang else None
+            if (
+                gang
+                and update.sequence <= gang.sequence.get(update.index, -1)
+                and update.current_phase is not Phase.DONE
+            ):
                 continue
-            if far and far.word.state is Phase.DONE:
+            if remote and remote.update.current_phase is Phase.DONE:
                 continue
-            if gang and (own := gang.own.get(word.index)) and own.phase is Phase.DONE:
+            if gang and (local := gang.local.get(update.index)) and local.phase is Phase.DONE:
                 continue  # our own word, come back
-            if far is None:
+            if remote is None:
                 try:
-                    if not gang or word.index not in gang.own:
+                    if not gang or update.index not in gang.local:
                         self._room(gang)
                 except GangsFull:
                     break
                 if gang is None:
                     gang = Gang(name, progress.size, now_us)
-                self.members += word.index not in gang.own
-                far = gang.far[word.index] = Far(word, now_us)
-            far.hear(now_us, word)
+                self.members += update.index not in gang.local
+                remote = gang.remote[update.index] = RemoteMember(update, now_us)
+            remote.receive(now_us, update)
             gang = gang or Gang(name, progress.size, now_us)
-            gang.sequence[word.index] = max(word.sequence, gang.sequence.get(word.index, 0))
-            news.append(far)
-        if gang and news:
+            gang.sequence[update.index] = max(update.sequence, gang.sequence.get(update.index, 0))
+            updated.append(remote)
+        if gang and updated:
             gang.size = max(gang.size, progress.size)
             self.touch(now_us, gang)
-        return gang, news
+        return gang, updated
 
     def touch(self, now_us: int, gang: Gang) -> None:
         """Something was heard of a gang; it stands where it belongs."""
@@ -292,15 +315,15 @@
         while self._idle and next(iter(self._idle.values())).touched_us <= now_us - KEPT_US:
             self._drop()
         for gang in [g for g in self._active.values() if g.touched_us <= now_us - KEPT_US]:
-            for own in gang.own.values():
-                self.jobs.pop(own.job, None)
-                own.phase = Phase.GONE if own.active else own.phase
+            for local in gang.local.values():
+                self.jobs.pop(local.job, None)
+                local.phase = Phase.GONE if local.active else local.phase
             self.touch(gang.touched_us, gang)
             self._idle.move_to_end(gang.name, last=False)
 
     def _drop(self) -> None:
         _, gang = self._idle.popitem(last=False)
-        self.members -= len({*gang.own, *gang.far})
+        self.members -= len({*gang.local, *gang.remote})
 
     def _room(self, gang: Gang | None) -> None:
         """Make room for one more member of this gang (None: of a new one). Raises GangsFull."""
--- a/robinhill/record/recorder.py
+++ b/robinhill/record/recorder.py
@@ -35,7 +35,7 @@
         self.dropped = 0
         self._secret = secrets.token_bytes(16)
         self._waiting: deque[Record] = deque()
-        self._told = 0  # of those dropped, how many stand in the recording
+        self._dropped_recorded = 0  # of those dropped, how many stand in the recording
         self._failing = False
         self._stop = threading.Event()
         self._file: Path | None = None
@@ -71,11 +71,11 @@
         self._write_all()
 
     def _write_all(self) -> None:
-        while self._waiting or self.dropped > self._told:
+        while self._waiting or self.dropped > self._dropped_recorded:
             records: list[Record] = []
-            if self.dropped > self._told:
-                records.append(Dropped(time.time_ns() // 1000, self.dropped - self._told))
-            told = self.dropped
+            if self.dropped > self._dropped_recorded:
+                records.append(Dropped(time.time_ns() // 1000, self.dropped - self._dropped_recorded))
+            dropped = self.dropped
             while self._waiting and len(records) < FRAME_RECORDS:
                 records.append(self._waiting.popleft())
             try:
@@ -86,7 +86,7 @@
                     log.error("recording_failed", extra={"folder": str(self.folder), "why": str(e)})
                 self._failing, self._file = True, None
                 return
-            self._told, self._failing = told, False
+            self._dropped_recorded, self._failing = dropped, False
             self.written += sum(not isinstance(r, Dropped) for r in records)
 
     def _write(self, data: bytes) -> None:
@@ -109,10 +109,10 @@
 
     def _trim(self) -> None:
         """Remove the oldest files of this scheduler beyond the bound on disk."""
-        mine = sorted(self.folder.glob(f"*-{self.name}-*{SUFFIX}"))
-        sizes = {path: path.stat().st_size for path in mine}
+        own_files = sorted(self.folder.glob(f"*-{self.name}-*{SUFFIX}"))
+        sizes = {path: path.stat().st_size for path in own_files}
         room = (self.options.total_mb - self.options.file_mb) * MB
-        for path in mine[:-1]:
+        for path in own_files[:-1]:
             if sum(sizes.values()) <= room:
                 break
             with contextlib.suppress(OSError):
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -8,14 +8,15 @@
 from hypothesis import strategies as st
 
 from robinhill.api import Repeat
-from robinhill.gang.errors import GangMismatch, GangsFull, MalformedGang, MemberTaken, NoSuchGang
+from robinhill.gang.errors import DuplicateMember, GangMismatch, GangsFull, MalformedGang, NoSuchGang
 from robinhill.gang.gangs import Gangs
+from robinhill.gang.membership import Membership, read_membership
+from robinhill.gang.messages import Decision, Look, Reason
 from robinhill.gang.moves import Budget
 from robinhill.gang.options import GangOptions
 from robinhill.gang.progress import MAX_POINTS, Curve
-from robinhill.gang.share import MAX_SEQUENCE, Progress, Word, decode, encode, merge
+from robinhill.gang.share import MAX_SEQUENCE, MemberUpdate, Progress, decode, encode, merge
 from robinhill.gang.straggle import spread
-from robinhill.gang.words import Look, Membership, Then, Why, read_membership
 from robinhill.mesh.words import ForeignState
 
 S = 1_000_000
@@ -104,8 +105,8 @@
     play.begin([1.0] * 7 + [4.0])
     play.run(4)
     assert play.called == {7} and play.moved == [7]
-    whys = [v.why for look in play.looks for v in look.verdicts if v.index == 7]
-    assert whys[whys.index(Why.LAGS) - 1] is Why.ONCE
+    reasons = [v.reason for look in play.looks for v in look.verdicts if v.index == 7]
+    assert reasons[reasons.index(Reason.LAGS) - 1] is Reason.ONCE
 
 
 @pytest.mark.parametrize("repeat", [Repeat.UNSAFE, Repeat.KEYED])
@@ -178,7 +179,7 @@
     play.run(4)
     play.now += 30 * S  # the ends of both lie unread
     found = play.gangs.look(play.now)
-    assert {v.why for v in found.verdicts} == {Why.PAUSED}
+    assert {v.reason for v in found.verdicts} == {Reason.PAUSED}
 
 
 def test_other_kind_is_not_compared_until_it_is_known() -> None:
@@ -191,8 +192,8 @@
         now += LOOK
         for i in range(8):
             gangs.progress(now, i, 0, step / (64 if i == 7 else 16))
-        why = {v.index: v.why for v in gangs.look(now).verdicts}
-    assert why[7] is Why.FEW_PEERS
+        reason = {v.index: v.reason for v in gangs.look(now).verdicts}
+    assert reason[7] is Reason.FEW_PEERS
 
 
 def test_budget_of_all_gangs_is_kept_and_fades() -> None:
@@ -214,14 +215,14 @@
     play.begin([1.0] * 10 + [3.0, 5.0])
     play.run(4)
     assert len(play.moved) == 1
-    thens = {v.then for look in play.looks for v in look.verdicts if v.lags}
-    assert Then.GANG_SPENT in thens
+    decisions = {v.decision for look in play.looks for v in look.verdicts if v.lags}
+    assert Decision.GANG_SPENT in decisions
 
 
-def words_of(index: int) -> st.SearchStrategy[Word]:
+def words_of(index: int) -> st.SearchStrategy[MemberUpdate]:
     n = st.integers(0, 5)
     return st.builds(
-        Word, st.just(index), st.integers(0, 2), st.integers(0, 5), st.integers(-1, 3), n, n, n, n,
+        MemberUpdate, st.just(index), st.integers(0, 2), st.integers(0, 5), st.integers(-1, 3), n, n, n, n,
         st.sampled_from(("", "new")), st.sampled_from(("w1", "w2")), st.sampled_from(("s1", "s2")),
     )  # fmt: skip
 
@@ -253,7 +254,7 @@
 
 
 def test_forged_sequence_is_refused() -> None:
-    word = Word(0, MAX_SEQUENCE + 1, 1, 0, 0, 0, 0, 0, "", "", "")
+    word = MemberUpdate(0, MAX_SEQUENCE + 1, 1, 0, 0, 0, 0, 0, "", "", "")
     with pytest.raises(ForeignState):
         decode(encode(Progress(2, (word,))))
 
@@ -295,7 +296,7 @@
 def test_places_are_taken_once_and_sizes_agree() -> None:
     gangs = Gangs(GangOptions(), "s")
     gangs.joined(T0, 1, Membership("g", 4, 0), Repeat.SAFE)
-    with pytest.raises(MemberTaken):
+    with pytest.raises(DuplicateMember):
         gangs.joined(T0, 2, Membership("g", 4, 0), Repeat.SAFE)
     with pytest.raises(GangMismatch):
         gangs.joined(T0, 2, Membership("g", 5, 1), Repeat.SAFE)
@@ -311,18 +312,18 @@
     gangs = Gangs(GangOptions(gangs=3, members=7), "s")
     for job, (name, index, far, ends) in enumerate(steps):
         if far:
-            word = Word(index, job, 1, -1, 0, job, 0, 0, "", "w", "p")
+            word = MemberUpdate(index, job, 1, -1, 0, job, 0, 0, "", "w", "p")
             gangs.peers(T0 + job, f"g{name}", Progress(6, (word,)))
         else:
             try:
                 gangs.joined(T0 + job, job, Membership(f"g{name}", 6, index), Repeat.SAFE)
-            except (MemberTaken, GangsFull):
+            except (DuplicateMember, GangsFull):
                 continue
             if ends:
                 gangs.ended(T0 + job, job, -1, True)
         table = gangs._table
         held = [*table._active.values(), *table._idle.values()]
-        assert table.members == sum(len({*g.own, *g.far}) for g in held) <= 7 and len(held) <= 3
+        assert table.members == sum(len({*g.local, *g.remote}) for g in held) <= 7 and len(held) <= 3
         assert not {g.name for g in table._active.values()} & set(table._idle)
         assert all(g.active for g in table._active.values())
         assert not any(g.active for g in table._idle.values())
@@ -341,7 +342,7 @@
     curve = Curve(0)
     for at, share in words:
         curve.add(at, share)
-    assert curve.words <= MAX_POINTS
+    assert curve.updates <= MAX_POINTS
     shares = [curve.share_at(t) for t in range(0, 51)]
     assert shares == sorted(shares) and all(0 <= x <= 1 for x in shares)
     left = curve.remaining_us()
