--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -213,7 +213,10 @@
 
     def _pick_worker(self, now: int, job: JobRecord) -> WorkerRecord | None:
         """Age-priced rotation: the lowest x ln q among the eligible; equal costs go to the larger age."""
-        if abs(self.estimates.rate - self.weighted_rate) > self.weighted_rate / 5:
+        # Own jobs come too seldom to learn from: one failure tells, unsafe jobs go where others ended well.
+        was_thin, self.thin = self.thin, self.estimates.fewer_jobs_than_workers(now)
+        changed = abs(self.estimates.rate - self.weighted_rate) > self.weighted_rate / 5
+        if changed or self.thin != was_thin:
             # A weight for each worker at each arrival cost more than all else.
             self.weighted_rate = self.estimates.rate
             for worker in self.workers.values():
@@ -221,8 +224,6 @@
         if not self.sends % 8:
             self._weigh_zones()
             self._weigh_unbound()
-        # Own jobs come too seldom to learn from: one failure tells, unsafe jobs go where others ended well.
-        self.thin = self.estimates.fewer_jobs_than_workers(now)
         unsafe = job.klass.repeat is api.Repeat.UNSAFE
         choice = Choice(job, unsafe, HINT_MARGIN * job.request.work_hint_us, self.derived.idle_limit_us)
         # To a cold worker, were it warm: half its budget, as chance adds to it.
@@ -321,8 +322,10 @@
     def _weigh_age(self, worker: WorkerRecord) -> None:
         """The logarithm of q, the chance that a worker's last own job still runs when the next one comes."""
         self.estimates.update_times(worker)
-        # What is slow leaves less of the aim: the age counts by the speed once more.
-        worker.age_weight = -log1p(1e6 / (worker.time_us * self.estimates.rate)) / worker.time_us
+        worker.age_weight = -log1p(1e6 / (worker.time_us * self.estimates.rate))
+        if not self.thin:
+            # Slow ones leave less of the aim. Thin nodes learn that late, and would all turn over together.
+            worker.age_weight /= worker.time_us
 
     def _weigh_zones(self) -> None:
         """How much ages count by zone."""
@@ -585,6 +588,8 @@
         """When to withdraw an attempt as things stand; without end: not at all."""
         job, klass, silence = attempt.job, attempt.job.klass, self.derived.silence_us
         if attempt.worker.waiting is attempt:
+            if self.thin and klass.repeat is api.Repeat.SAFE:
+                return inf  # a second choice knows no more, and what is withdrawn may run on
             in_time = attempt.key[1] == 0 and now < job.hold_until_us and self.retry_budget >= 1
             if in_time and self._can_move(now, attempt):
                 return now  # own jobs can't tell where those of others are; a start that does not come does
--- a/robinhill/memory.py
+++ b/robinhill/memory.py
@@ -117,6 +117,7 @@
     ):
         values = {on_link: told["own"][on_link] for on_link in names.values() if on_link in told["own"]}
         _set(record, values, names)
+    balancer.weighted_rate = 0.0  # so that ages get the weights of this version at the first choice
     _set(estimates.weighted_time, told["unit"])
     for number, values in told["kinds"]:
         _set(estimates.kinds.setdefault(number, Mean()), values)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -29,6 +29,21 @@
             node.end(node.jobs, after_us=5 * MS)
 
 
+def test_a_successor_weighs_ages_anew_whatever_the_version_before_weighed_them_by() -> None:
+    """Weights of two versions side by side would send all jobs to the workers of one of them."""
+    old = Node(3)
+    for _ in range(400):
+        old.ask(after_us=100 * MS)
+        old.end(old.jobs, took_us=50 * MS, after_us=5 * MS)
+    weights = [worker.age_weight for worker in old.balancer.workers.values()]
+    for worker in old.balancer.workers.values():
+        worker.age_weight *= 1e6
+    new = successor(old)
+    new.ask(after_us=100 * MS)
+    for worker, weight in zip(new.balancer.workers.values(), weights, strict=True):
+        assert 0.5 < worker.age_weight / weight < 2.0
+
+
 def test_an_ejected_worker_stays_out() -> None:
     old = Node(3)
     worker = sent_to(old.ask(after_us=10 * MS))
