--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -663,7 +663,7 @@
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
             old.decider.tell(Release(owed.request, reply))
             assert (await here.taken()).id == "j1"
-            assert len(old.decider.endpoints) == 1
+            await until(lambda: len(old.decider.endpoints) == 1)
             async with asyncio.timeout(PATIENCE_S):
                 assert await reply is None
             assert not old.decider.moving and old.decider.holds("j1")
