--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -47,6 +47,12 @@
     return executed_lines(lambda: many_requests(node)) / ARRIVALS
 
 
+def priced_arrival_us(worker_count: int) -> float:
+    """Microseconds of an arrival at which all workers are priced anew, as at a start or a burst."""
+    node = Node(worker_count)
+    return microseconds(lambda: node.arrive(APART_US))
+
+
 def holding(held_jobs: int) -> Node:
     """A node whose few workers are all taken, with so many jobs held."""
     node = Node(FEW_WORKERS, settings(LONG_US, 2 * LONG_US))
@@ -77,6 +83,8 @@
     """Both ladders; ``sizes`` are of workers, empty for all."""
     counts = sizes or WORKERS
     print_ladder("one request's decisions", "us", [Point(n, arrival_us(n)) for n in counts], "workers")
+    points = [Point(n, priced_arrival_us(n)) for n in counts]
+    print_ladder("one arrival at which all workers are priced anew", "us", points, "workers")
     print_ladder("one request's decisions", "lines", [Point(n, arrival_lines(n)) for n in counts], "workers")
     print_ladder("end of an attempt", "us", [Point(n, held_end_us(n)) for n in HELD_JOBS], "held jobs")
     print_ladder("end of an attempt", "lines", [Point(n, held_end_lines(n)) for n in HELD_JOBS], "held jobs")
