--- /dev/null
+++ b/robinhill/control/options.py
@@ -0,0 +1,190 @@
+"""The operators' keys on voters: `mesh.voters`, `mesh.regions`, `mesh.on_lost_by_kind`; typed and checked."""
+
+from collections import Counter
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Annotated
+
+from msgspec import Meta, Struct
+
+from robinhill.control.errors import VotersMalformed
+from robinhill.cordon.promise import Mode
+from robinhill.mesh.options import HostPort, Name
+
+MAX_VOTERS = 13
+"""Each voter keeps a link to each other; a write costs a message to each, and a majority's confirmation."""
+
+HEARTBEATS_A_BOUND = 4
+"""Heartbeats of an observer within the bound: two may be lost and the lease still lasts."""
+
+PINGS_A_BOUND = 16
+"""Pings of a voter to each other one within the bound: what they add to an observer's age stays small."""
+
+
+class VoterPlace(Struct, frozen=True, forbid_unknown_fields=True):
+    """Where a voter is found, and where it stands."""
+
+    address: HostPort
+    region: Name
+    zone: Name
+
+
+class Place(Struct, frozen=True, forbid_unknown_fields=True):
+    """Where a scheduler stands; empty where the file does not say."""
+
+    region: str = ""
+    zone: str = ""
+
+
+class VotersKeys(Struct, frozen=True):
+    """The keys of `mesh` that concern voters, as they are read. Without ``voters`` there is no control group.
+
+    ``regions``: all regions of the installation and their zones; where it is empty, any region counts as
+    known. ``on_lost_by_kind``: what goes on without a majority, by kind of record; others by ``on_lost``.
+    """
+
+    voters: dict[Name, VoterPlace] = {}
+    regions: dict[Name, tuple[Name, ...]] = {}
+    on_lost_by_kind: dict[Name, Mode] = {}
+    installation: Name = "robinhill"
+    bound_ms: Annotated[int, Meta(ge=100, le=600_000)] = 2_000
+    on_lost: Mode = Mode.SERVE
+
+
+@dataclass(slots=True, frozen=True)
+class ControlOptions:
+    """What a voter or an observer needs of the file, checked. Times in microseconds."""
+
+    name: str
+    installation: str
+    voters: Mapping[str, VoterPlace]
+    place: Place
+    bound_us: int
+    on_lost: Mode
+    on_lost_by_kind: Mapping[str, Mode] = field(default_factory=dict)
+    warnings: tuple[str, ...] = ()
+
+    @property
+    def is_voter(self) -> bool:
+        """Whether this process is one of the voters; else it observes."""
+        return self.name in self.voters
+
+    @property
+    def heartbeat_us(self) -> int:
+        """From one heartbeat of an observer to the next."""
+        return self.bound_us // HEARTBEATS_A_BOUND
+
+    @property
+    def ping_us(self) -> int:
+        """From one ping of a voter to another to the next."""
+        return self.bound_us // PINGS_A_BOUND
+
+    def mode_of(self, kind: str) -> Mode:
+        """What goes on with records of a kind while no majority is known."""
+        return self.on_lost_by_kind.get(kind, self.on_lost)
+
+
+def voter_options(keys: VotersKeys, name: str, kinds: Sequence[str] = ()) -> ControlOptions:
+    """The options of the voter of this name. Raises VotersMalformed, also where it is none."""
+    if name not in keys.voters:
+        raise VotersMalformed(
+            "mesh.voters", f"{name!r} is not among them", "name it there, or start it as a scheduler (run)"
+        )
+    place = keys.voters[name]
+    return _checked(keys, name, Place(place.region, place.zone), kinds)
+
+
+def observer_options(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str] = ()) -> ControlOptions:
+    """The options of a scheduler, which observes. Raises VotersMalformed, also where it is a voter."""
+    if name in keys.voters:
+        raise VotersMalformed(
+            "mesh.voters", f"{name!r} is this scheduler's own name", "give the scheduler another GW_NAME"
+        )
+    if keys.voters and place.region and place.region not in _regions(keys):
+        raise VotersMalformed(
+            "mesh.region", f"{place.region!r} is no known region", f"use one of {_listed(_regions(keys))}"
+        )
+    return _checked(keys, name, place, kinds)
+
+
+def _checked(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str]) -> ControlOptions:
+    _check_number(keys)
+    _check_addresses(keys)
+    _check_places(keys)
+    _check_kinds(keys, kinds)
+    return ControlOptions(
+        name=name,
+        installation=keys.installation,
+        voters=dict(sorted(keys.voters.items())),
+        place=place,
+        bound_us=keys.bound_ms * 1000,
+        on_lost=keys.on_lost,
+        on_lost_by_kind=keys.on_lost_by_kind,
+        warnings=tuple(_warnings(keys)),
+    )
+
+
+def _check_number(keys: VotersKeys) -> None:
+    if not 1 <= len(keys.voters) <= MAX_VOTERS:
+        raise VotersMalformed(
+            "mesh.voters", f"{len(keys.voters)} are named", f"name 1 to {MAX_VOTERS}, an odd number"
+        )
+
+
+def _check_addresses(keys: VotersKeys) -> None:
+    counted = Counter(voter.address for voter in keys.voters.values())
+    for name, voter in keys.voters.items():
+        if counted[voter.address] > 1:
+            raise VotersMalformed(
+                f"mesh.voters.{name}.address",
+                f"{voter.address} is named {counted[voter.address]} times",
+                "give each voter an address of its own",
+            )
+        if not 0 < int(voter.address.rpartition(":")[2]) < 65_536:
+            raise VotersMalformed(
+                f"mesh.voters.{name}.address",
+                f"the port of {voter.address} is none",
+                "use a port from 1 to 65535",
+            )
+
+
+def _check_places(keys: VotersKeys) -> None:
+    for name, voter in keys.voters.items():
+        if keys.regions and voter.region not in keys.regions:
+            raise VotersMalformed(
+                f"mesh.voters.{name}.region",
+                f"{voter.region!r} is no known region",
+                f"use one of {_listed(keys.regions)}, or add it to mesh.regions",
+            )
+        if keys.regions and voter.zone not in keys.regions[voter.region]:
+            raise VotersMalformed(
+                f"mesh.voters.{name}.zone",
+                f"{voter.zone!r} is no zone of {voter.region!r}",
+                f"use one of {_listed(keys.regions[voter.region])}, or add it to mesh.regions",
+            )
+
+
+def _check_kinds(keys: VotersKeys, kinds: Sequence[str]) -> None:
+    for kind in keys.on_lost_by_kind:
+        if kinds and kind not in kinds:
+            raise VotersMalformed(
+                f"mesh.on_lost_by_kind.{kind}", "no records are of that kind", f"use one of {_listed(kinds)}"
+            )
+
+
+def _warnings(keys: VotersKeys) -> list[str]:
+    number = len(keys.voters)
+    if number % 2 == 0:
+        return [
+            f"mesh.voters: {number} voters stand the loss of no more than {number - 1} would; "
+            "add one or remove one"
+        ]
+    return []
+
+
+def _regions(keys: VotersKeys) -> Sequence[str]:
+    return sorted(keys.regions) or sorted({voter.region for voter in keys.voters.values()})
+
+
+def _listed(names: Mapping[str, object] | Sequence[str]) -> str:
+    return ", ".join(sorted(names))
