--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -6,11 +6,13 @@
 import gc
 import os
 import sys
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import Callable, Sequence
+from typing import Any, TypeVar
 
 import click
 
+Command = TypeVar("Command", bound=Callable[..., Any])
+
 # Flags of `run`, with the variable of the same meaning; robinhill/config.py reads and checks them all.
 FLAGS = {
     "--config": ("GW_CONFIG", "JSON file of the platform"),
@@ -22,13 +24,25 @@
     "--record": ("GW_RECORD", "folder for a recording of what passes"),
     "--socket-fd": ("GW_SOCKET_FD", "descriptor of an inherited listening socket"),
 }
+# Flags of `control`.
+VOTER_FLAGS = {
+    "--operator": ("GW_OPERATOR", "JSON file of the operators, which names all voters"),
+    "--name": ("GW_NAME", "name of this voter there"),
+    "--ops": ("GW_OPS", "host:port for operators"),
+    "--folder": ("TMPDIR", "folder for its state"),
+}
 FAULTY = 2  # exit code for a faulty configuration or command line
 
 
-def _run_options(command: Any) -> Any:
-    for flag, (variable, text) in reversed(FLAGS.items()):
-        command = click.option(flag, variable, envvar=variable, help=f"{text} [{variable}]")(command)
-    return command
+def _options(flags: dict[str, tuple[str, str]]) -> Callable[[Command], Command]:
+    """Options that stand for variables of the environment."""
+
+    def decorate(command: Command) -> Command:
+        for flag, (variable, text) in reversed(flags.items()):
+            command = click.option(flag, variable, envvar=variable, help=f"{text} [{variable}]")(command)
+        return command
+
+    return decorate
 
 
 @click.group(invoke_without_command=True)
@@ -40,7 +54,7 @@
 
 
 @cli.command()
-@_run_options
+@_options(FLAGS)
 @click.pass_context
 def run(context: click.Context, /, **flags: str | None) -> None:
     """Run one scheduler until SIGTERM."""
@@ -58,6 +72,17 @@
     return serve({**os.environ, **flags})
 
 
+@cli.command()
+@_options(VOTER_FLAGS)
+@click.pass_context
+def control(context: click.Context, /, **flags: str | None) -> None:
+    """Run one voter of the control group until SIGTERM."""
+    sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
+    from robinhill.commands.control import vote
+
+    context.exit(vote({**os.environ, **{k.upper(): v for k, v in flags.items() if v is not None}}))
+
+
 @cli.command("check-config")
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 @click.pass_context
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -116,6 +116,32 @@
         return min(OPS_SOCKETS, self.sockets // 8) if self.ops else 0
 
 
+@dataclass(slots=True, frozen=True)
+class VoterConfig:
+    """All that one voter of the control group is told."""
+
+    name: str
+    ops: Address | None  # the operators' address; without one they have no side
+    folder: Path | None  # $TMPDIR, for what outlives the process
+    operator: OperatorFile
+    clock_offset_us: int = 0  # the host's clock is taken to be wrong by so much, in tests
+
+
+def load_voter(env: Mapping[str, str] = os.environ) -> VoterConfig:
+    """Read what a voter is told: the operators' file, and its own name. Raises ConfigError."""
+    ops = env.get("GW_OPS")
+    operator = read_operator(_text(env.get("GW_OPERATOR"), "GW_OPERATOR"))
+    if not operator.mesh.voters:
+        raise ConfigError("mesh.voters", "names none; name this voter and the others there")
+    return VoterConfig(
+        name=_text(env.get("GW_NAME"), "GW_NAME"),
+        ops=_address(ops, "GW_OPS") if ops else None,
+        folder=_folder(env.get("TMPDIR")),
+        operator=operator,
+        clock_offset_us=_offset(env.get("ROBINHILL_CLOCK_OFFSET_US")),
+    )
+
+
 def load(env: Mapping[str, str] = os.environ, *, again: bool = False) -> Config:
     """Read the configuration that the environment names; ``again`` in a program that runs already."""
     document = _document(env)
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -14,6 +14,14 @@
 MAX_PEERS = 999  # what is known of each is some hundred bytes; ages of all go with each pong
 
 
+class VoterPlace(Struct, frozen=True, forbid_unknown_fields=True):
+    """Where a voter of the control group is found, and where it stands."""
+
+    address: HostPort
+    region: Name
+    zone: Name
+
+
 class MeshOptions(Struct, frozen=True, forbid_unknown_fields=True):
     """Who shares with whom, and how late a cordon may be. Without ``peers`` all of it is off.
 
@@ -23,6 +31,10 @@
     know any more whether it is up to date: ``serve`` on, or ``hold`` new work. ``catch_up_ms``: how long a
     scheduler that has just started waits for what its peers know before it serves without. ``folder``:
     whether its own last state is kept in $TMPDIR. ``gang_*``: headers by which jobs name their gang.
+
+    ``voters``: the control group, in place of ``peers`` (docs/control.md); ``regions``: all regions of the
+    installation and their zones, against which places are checked; ``region`` and ``zone``: where this
+    scheduler stands; ``on_lost_by_kind``: what goes before ``on_lost`` for records of a kind.
     """
 
     installation: Name = "robinhill"
@@ -34,6 +46,11 @@
     partners: Annotated[int, Meta(ge=2, le=16)] = 16
     catch_up_ms: Annotated[int, Meta(ge=0, le=600_000)] = 3_000
     folder: bool = True
+    voters: dict[Name, VoterPlace] = {}
+    regions: dict[Name, tuple[Name, ...]] = {}
+    region: str = ""
+    zone: str = ""
+    on_lost_by_kind: dict[Name, Literal["serve", "hold"]] = {}
     gang_header: Header = "X-Gang"
     gang_size_header: Header = "X-Gang-Size"
     gang_index_header: Header = "X-Gang-Index"
--- /dev/null
+++ b/robinhill/net/control/kinds.py
@@ -0,0 +1,25 @@
+"""The kinds of records that the control group replicates."""
+
+from collections.abc import Iterable
+from typing import Any
+
+from robinhill.cordon.value import NAME as CORDON
+from robinhill.cordon.value import cordon_kind
+from robinhill.mesh.kinds import DRAIN, SEEN, requests
+from robinhill.mesh.words import Kind
+
+LONGEST_WINDOW_US = 600_000_000
+"""In which a client repeats a keyed request."""
+
+URGENT_KINDS = frozenset({CORDON})
+"""What goes ahead of all other changes."""
+
+
+def kinds() -> tuple[Kind[Any], ...]:
+    """All kinds, as each replica registers them."""
+    return (cordon_kind(), DRAIN, SEEN, requests(LONGEST_WINDOW_US))
+
+
+def names_of(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
+    """The names of kinds, as the operators' file uses them."""
+    return tuple(kind.name for kind in registered)
--- /dev/null
+++ b/robinhill/net/control/voting.py
@@ -0,0 +1,280 @@
+"""A voter of the control group as a process: no clients, no workers; links, disk and operators' calls."""
+
+import asyncio
+import logging
+import os
+import random
+import signal
+from collections.abc import Coroutine, Iterable, Mapping
+from typing import Any
+
+import msgspec
+
+from robinhill import config as configuration
+from robinhill.config import Address, ConfigError, VoterConfig
+from robinhill.control.actions import Action, Apply, CaughtUp, Progressed, VotersSettled
+from robinhill.control.errors import VotersNotOneAtATime
+from robinhill.control.options import ControlOptions
+from robinhill.control.voter import Voter
+from robinhill.mesh.clocks import next_incarnation
+from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.replica import Replica
+from robinhill.mesh.rest import Owner
+from robinhill.mesh.words import Record
+from robinhill.net import logs, messages
+from robinhill.net.actor import Supervisor
+from robinhill.net.atrest import AtRest
+from robinhill.net.clock import Clock
+from robinhill.net.control.cordons import CordonCall, Cordons
+from robinhill.net.control.disk import recall
+from robinhill.net.control.driver import Driver, Run
+from robinhill.net.control.kinds import URGENT_KINDS, kinds
+from robinhill.net.control.options import address_of, options_of_voter
+from robinhill.net.figures import PREFIX
+from robinhill.net.messages import Answer
+from robinhill.net.operators import Calls, Operators
+from robinhill.net.peers import mono_us
+
+log = logging.getLogger(__name__)
+
+OPERATORS_AT_ONCE = 32
+REFRESH_S = 3_600.0
+"""How often cordons that stand for longer than their record are looked for."""
+
+NEEDS_RESTART = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
+"""Keys of `mesh` that a reload does not change."""
+
+NOT_HERE = Answer(404, b"this is a voter: it has no clients and no workers\n")
+
+
+class VoterProcess:
+    """Owns the voter, its links, its disk and its operators' side."""
+
+    def __init__(self, config: VoterConfig, env: Mapping[str, str] = os.environ) -> None:
+        self.config = config
+        self.env = env  # for a reload
+        self.mesh: MeshOptions = config.operator.mesh
+        self.options = options_of_voter(self.mesh, config.name)
+        self.clock = Clock(config.clock_offset_us)
+        self.supervisor = Supervisor()
+        self.rest = AtRest(config.folder if self.mesh.folder else None, self.mesh.installation, config.name)
+        owner, records = self.rest.load()
+        self.incarnation = next_incarnation(self.clock.now_us(), owner.incarnation if owner else 0)
+        self.replica = Replica(config.name, self.incarnation, kinds())
+        if owner:
+            recall(self.replica, owner, records, self.clock.now_us())
+        # Decisions never draw from this: it spreads connecting in time.
+        rng = random.Random(f"{config.name} {self.incarnation}")
+        self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
+        self.driver = Driver(self.voter, self.supervisor, self.clock, self._address_of, self._act)
+        self.cordons = Cordons(
+            self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
+        )
+        self.operators: Operators | None = None
+        if config.ops:
+            self.operators = VoterOperators(config.ops, self.supervisor, self)
+
+    async def run(self) -> None:
+        """Vote until SIGTERM or SIGINT; reload on SIGHUP. An actor's death raises its error."""
+        stop = asyncio.Event()
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, stop.set)
+        await self.start()
+        try:
+            await self._unless_failed(stop.wait())
+        finally:
+            await self.close()
+
+    async def start(self) -> None:
+        """Raises ConfigError where an address can't be listened on."""
+        for warning in self.options.warnings:
+            log.warning("voters_questionable", extra={"why": warning})
+        # The next start must be a later one, also if this one ends before its first save.
+        await self.rest.save(-1, self._owner(), list(self._lasting()))
+        name = self.config.name
+        await self.driver.listen(self._address_of(name), f"mesh.voters.{name}.address")
+        if self.operators:
+            self.operators.start()
+        self.driver.start()
+        keeping = self.rest.keep(lambda: self.replica.head, self._owner, self._lasting)
+        self.supervisor.spawn(keeping, "keep")
+        self.supervisor.spawn(self._refresh(), "refresh")
+        extra = {"voter": name, "voters": len(self.options.voters), "incarnation": self.incarnation}
+        log.info("started", extra=extra | {"listen": self._address_of(name)})
+
+    def reload(self) -> None:
+        """Take the file's new voters; a faulty file, or more than one change, changes nothing."""
+        try:
+            new = configuration.load_voter(self.env)
+            options = options_of_voter(new.operator.mesh, self.config.name)
+        except ConfigError as e:
+            log.error("reload_failed", extra={"key": e.key, "why": e.what})
+            return
+        if new.operator.log != self.config.operator.log:
+            logs.configure(new.operator.log)
+        mesh = new.operator.mesh
+        waiting = [key for key in NEEDS_RESTART if getattr(mesh, key) != getattr(self.mesh, key)]
+        if waiting:
+            log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in waiting)})
+            return
+        self.driver.tell(Run(lambda: self._change_voters(mesh, options)))
+
+    async def close(self) -> None:
+        """Save, and end all links."""
+        if self.operators:
+            await self.operators.close()
+        self.cordons.stop()
+        await self.driver.close()
+        await self.rest.save(self.replica.head, self._owner(), list(self._lasting()))
+        await self.supervisor.close()
+        log.info("stopped")
+
+    # Operators' calls
+
+    async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
+        """An operator's call about cordons."""
+        reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        call = CordonCall(method, cordon_id, body, wait, reply)
+        self.driver.tell(Run(lambda: self.cordons.call(call)))
+        return await reply
+
+    def readiness(self) -> Answer:
+        """Ready once it counts for majorities."""
+        return Answer(200, b"ready\n") if self.voter.counts else Answer(503, b"does not count yet\n")
+
+    def status(self) -> Answer:
+        """How this copy stands, for operators and for whoever compares copies."""
+        now = mono_us()
+        age_us = self.voter.age_us(now)
+        told = {
+            "name": self.config.name,
+            "role": "voter",
+            "incarnation": self.incarnation,
+            "digest": self.replica.digest(self.clock.now_us()).hex(),
+            "counts": self.voter.counts,
+            "voters": sorted(self.options.voters),
+            "settled": len(self.voter.freshness.quorum.lists) == 1,
+            "links": list(self.voter.linked_voters),
+            "observers": self.voter.linked_observers,
+            "on_lost": self.mesh.on_lost,
+            "majority_known_ms_ago": None if age_us is None else age_us / 1000,
+        }
+        return Answer(200, msgspec.json.encode({k: v for k, v in told.items() if v is not None}) + b"\n")
+
+    def vouch(self) -> Answer:
+        """An operator says that nothing is in force that this voter does not know."""
+        log.warning("vouched", extra={"voter": self.config.name})
+        self.driver.tell(Run(lambda: self.driver.perform(self.voter.vouch(self.clock.now_us(), mono_us()))))
+        return Answer(200, b"it counts for majorities\n")
+
+    def forget(self, scheduler: str) -> Answer:
+        """An operator says that a scheduler runs no more: changes don't wait for it."""
+        log.warning("scheduler_forgotten", extra={"scheduler": scheduler})
+        self.driver.tell(Run(lambda: self._forget(scheduler)))
+        return Answer(200, b"this voter waits for it no more; ask each voter\n")
+
+    def figures(self) -> Answer:
+        """Lines for operators."""
+        age_us = self.voter.age_us(mono_us())
+        traffic, written = self.driver.traffic, self.voter.figures.bytes_out
+        lines = [
+            f"voters_linked:{len(self.voter.linked_voters)}|g",
+            f"observers:{self.voter.linked_observers}|g",
+            f"counts:{int(self.voter.counts)}|g",
+            f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
+            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"comparisons:{self.voter.figures.comparisons}|c",
+            f"refused:{self.voter.figures.refused}|c",
+            f"opened:{traffic.opened}|c",
+            f"lost:{traffic.lost}|c",
+            f"messages_in:{traffic.messages_in}|c",
+            f"messages_out:{traffic.messages_out}|c",
+            f"bytes_in:{traffic.bytes_in}|c",
+            f"bytes_out.voters:{written['voters']}|c",
+            f"bytes_out.observers:{written['observers']}|c",
+        ]
+        for kind, (records, size) in sorted(self.replica.sizes().items()):
+            lines += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size}|g"]
+        return Answer(200, "".join(f"{PREFIX}.control.{line}\n" for line in lines).encode())
+
+    # What the voter asks for
+
+    def _act(self, action: Action) -> None:
+        match action:
+            case Apply(declined=declined):
+                for record, error in declined:
+                    extra = {"kind": record.kind, "key": record.key, "why": str(error)}
+                    log.warning("record_declined", extra=extra)
+            case Progressed():
+                self.cordons.progressed(action)
+            case CaughtUp():
+                log.info("counts_for_majorities", extra={"voter": self.config.name})
+            case VotersSettled():
+                log.info("voters_settled", extra={"voters": ",".join(sorted(self.options.voters))})
+
+    def _change_voters(self, mesh: MeshOptions, options: ControlOptions) -> None:
+        try:
+            actions = self.voter.change_voters(self.clock.now_us(), mono_us(), options)
+        except VotersNotOneAtATime as e:
+            log.error("reload_failed", extra={"key": "mesh.voters", "why": str(e)})
+            return
+        self.mesh, self.options, self.cordons.options = mesh, options, options
+        self.driver.perform(actions)
+        log.info("voters_reconfigured", extra={"voters": len(options.voters)})
+
+    def _forget(self, scheduler: str) -> None:
+        self.driver.perform(self.voter.forget(self.clock.now_us(), mono_us(), scheduler))
+
+    async def _refresh(self) -> None:
+        while True:
+            await asyncio.sleep(REFRESH_S)
+            self.driver.tell(Run(self.cordons.refresh))
+
+    def _owner(self) -> Owner:
+        return Owner(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
+
+    def _lasting(self) -> Iterable[Record]:
+        return self.replica.snapshot(lasting=True)
+
+    def _address_of(self, voter: str) -> Address:
+        return address_of(self.options, voter)
+
+    async def _unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        await asyncio.wait([task, self.supervisor.failed], return_when=asyncio.FIRST_COMPLETED)
+        if self.supervisor.failed.done():
+            task.cancel()
+            self.supervisor.failed.result()
+        await task
+
+
+class VoterOperators(Operators):
+    """The operators' side of a voter; `PUT /ops/mesh/forget` names a scheduler that runs no more."""
+
+    def __init__(self, address: Address, supervisor: Supervisor, voter: VoterProcess) -> None:
+        calls = Calls(
+            readiness=voter.readiness,
+            stats=voter.figures,
+            door=lambda: NOT_HERE,
+            hold_out=_no_workers,
+            drain=_no_clients,
+            cordons=voter.call,
+            mesh=voter.status,
+            vouch=voter.vouch,
+        )
+        super().__init__(address, OPERATORS_AT_ONCE, supervisor, calls)
+        self._voter = voter
+        self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
+
+    async def _forget(self, body: bytes) -> Answer:
+        return self._voter.forget(messages.read_instance_id(body))
+
+
+async def _no_workers(instance_id: str, out: bool) -> Answer:
+    return NOT_HERE
+
+
+async def _no_clients(start: bool) -> Answer:
+    return NOT_HERE
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -28,6 +28,7 @@
 from robinhill.net.tape import Tape
 
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
+    from robinhill.net.control.observing import Observing
     from robinhill.net.doorkeeper import Doorkeeper
     from robinhill.net.sharing import Sharing
     from robinhill.record.recorder import Recorder
@@ -85,8 +86,14 @@
             self._deliver,
             self.door.find if self.door else None,
         )
-        self.sharing: Sharing | None = None
-        if config.operator and config.operator.mesh.peers:
+        self.sharing: Sharing | Observing | None = None
+        if config.operator and config.operator.mesh.voters:
+            from robinhill.net.control import observing
+
+            self.sharing = observing.Observing(
+                config, self.supervisor, self.clock, self.decider, self.inbound
+            )
+        elif config.operator and config.operator.mesh.peers:
             from robinhill.net import sharing
 
             self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.decider, self.inbound)
@@ -184,10 +191,10 @@
             self.door.reconfigure(new.door)
             log.info("door_reconfigured", extra={"enabled": new.door.enabled})
         if new.mesh != old.mesh:
-            if self.sharing and new.mesh.peers:
+            if self.sharing and bool(new.mesh.peers) is bool(old.mesh.peers):
                 self.sharing.reconfigure(new.mesh)
             else:
-                log.warning("reload_needs_restart", extra={"keys": "mesh.peers"})
+                log.warning("reload_needs_restart", extra={"keys": "mesh.peers,mesh.voters"})
 
     async def drain(self) -> None:
         """Take requests a little longer, then refuse new ones, until all that was taken is answered.
