--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -185,7 +185,7 @@
 def read_operator(path: str) -> OperatorFile:
     """The operators' file, checked; a ConfigError names the file and the path of the faulty key."""
     try:
-        return msgspec.json.decode(Path(path).read_bytes(), type=OperatorFile)
+        operator = msgspec.json.decode(Path(path).read_bytes(), type=OperatorFile)
     except OSError as e:
         raise ConfigError("GW_OPERATOR", f"can't read {path}: {e.strerror}") from e
     except msgspec.ValidationError as e:
@@ -193,6 +193,11 @@
         raise ConfigError(f"{path}: {key.rstrip('`') or '(whole file)'}", what) from e
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ConfigError("GW_OPERATOR", f"{path} is not JSON: {e}") from e
+    if operator.mesh.voters:
+        from robinhill.net.control.options import check_voters  # not loaded where none are named
+
+        check_voters(operator.mesh)
+    return operator
 
 
 def _document(env: Mapping[str, str]) -> dict[str, Any]:
--- a/robinhill/net/control/options.py
+++ b/robinhill/net/control/options.py
@@ -17,6 +17,11 @@
 from robinhill.net.control.kinds import kinds, names_of
 
 
+def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
+    """Check all that does not hang on who reads the file; what to warn of. Raises ConfigError."""
+    return options_of_voter(mesh, min(mesh.voters)).warnings
+
+
 def options_of_voter(mesh: MeshOptions, name: str) -> ControlOptions:
     """The options of the voter of this name. Raises ConfigError."""
     keys = _keys(mesh)
