--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -352,10 +352,10 @@
             assert (await cordon(here.voters["v4"]))[0] == 200
             assert await here.ask("s1", 12) == {"w1", "w2"}
             del here.places["v1"]  # and now one goes
-            for name in ("v2", "v3", "v4"):
-                here.voters[name].reload(here.operator())
             one.reload(here.operator(0))
             await settled(one, not_voter="v1")
+            for name in ("v2", "v3", "v4"):
+                here.voters[name].reload(here.operator())
             assert await here.voters["v1"].stop() == 0
             for name in ("v2", "v3", "v4"):
                 await logged(here.voters[name], "event=voters_settled", 2 if name != "v4" else 1)
