--- a/robinhill/standin/voter.py
+++ b/robinhill/emulator/voter.py
@@ -12,8 +12,8 @@
 
 import aiohttp
 
-from robinhill.standin.program import END_S, ROOT, START_S
-from robinhill.standin.site import free_address
+from robinhill.emulator.program import END_S, ROOT, START_S
+from robinhill.emulator.site import free_address
 
 Json = dict[str, Any]
 
--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control/voting.py
@@ -257,7 +257,7 @@
         calls = Calls(
             readiness=voter.readiness,
             stats=voter.figures,
-            door=lambda: NOT_HERE,
+            admission=lambda: NOT_HERE,
             hold_out=_no_workers,
             drain=_no_clients,
             cordons=voter.call,
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -16,13 +16,13 @@
 import aiohttp
 import pytest
 
+from robinhill.checker.journal import Journal, What
 from robinhill.commands import main
-from robinhill.standin.discovery import Discovery
-from robinhill.standin.program import Program
-from robinhill.standin.site import JobKind, Site, free_address
-from robinhill.standin.voter import VoterProgram
-from robinhill.standin.worker import Worker
-from robinhill.witness.journal import Journal, What
+from robinhill.emulator.discovery import Discovery
+from robinhill.emulator.program import Program
+from robinhill.emulator.site import JobKind, Site, free_address
+from robinhill.emulator.voter import VoterProgram
+from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
 QUICK = JobKind("lookup", 5, 500, 2.0, 5_000)
@@ -60,6 +60,9 @@
     def voter(self, name: str) -> VoterProgram:
         return VoterProgram(self.folder(name), name, self.operator())
 
+    def programs(self) -> list[Program | VoterProgram]:
+        return [*self.voters.values(), *self.schedulers.values()]
+
     def folder(self, name: str) -> Path:
         folder = self.root / f"{name}-{len(list(self.root.iterdir()))}"
         folder.mkdir()
@@ -97,14 +100,14 @@
             for worker in here.workers:
                 await worker.start()
             await here.discovery.start()
-            await asyncio.gather(*(p.start() for p in (*here.voters.values(), *here.schedulers.values())))
+            await asyncio.gather(*(program.start() for program in here.programs()))
             for voter in here.voters.values():
                 await until(lambda voter=voter: has(voter, "/ops/mesh", counts=True))  # type: ignore[misc]
             for program in here.schedulers.values():
                 await settled(program)
             yield here
         finally:
-            for process in [each.process for each in (*here.voters.values(), *here.schedulers.values())]:
+            for process in [program.process for program in here.programs()]:
                 if process and process.returncode is None:
                     process.kill()
                     await process.wait()
