--- /dev/null
+++ b/robinhill/emulator/control_rig.py
@@ -0,0 +1,224 @@
+"""Voters and schedulers of a control group on loopback, each link through a relay, with faults on all.
+
+Voters are linked to each other, schedulers to voters. Rules are those of several schedulers under ``hold``,
+which promises them whatever fails; copies of voters count as those of schedulers do.
+"""
+
+import contextlib
+import random
+import socket
+from collections import Counter
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+
+from robinhill.checker import rules
+from robinhill.checker.journal import Event, What
+from robinhill.checker.mesh import Terms, copies, late_sends, lists, once, recovered
+from robinhill.emulator.client import Clients
+from robinhill.emulator.discovery import Discovery
+from robinhill.emulator.program import Program
+from robinhill.emulator.relay import Harm, Relay, Way
+from robinhill.emulator.rig import FORM_S, KINDS, PROGRAM, UNSAFE, WORKERS, Lateness, Outcome, Rig, Watched
+from robinhill.emulator.schedule import KILLS, LINKS, Fault, Schedule, Trouble, draw, names_of
+from robinhill.emulator.site import Site, free_address
+from robinhill.emulator.voter import VOTER, voter_program
+from robinhill.emulator.worker import Worker
+
+Json = dict[str, Any]
+BOUND_MS = 1_000
+EQUAL_S = 4.0
+"""From the last heal to equal copies at all voters and schedulers."""
+
+SPARE_S = 4.0
+
+
+@dataclass(slots=True, eq=False)
+class ControlRig(Rig):
+    """``names`` are all processes, the voters first."""
+
+    voters: tuple[str, ...] = ()
+
+    @property
+    def schedulers(self) -> tuple[str, ...]:
+        """Processes with clients."""
+        return self.names[len(self.voters) :]
+
+    def harm(self, harm: Harm, start: str, end: str) -> None:
+        """From now on this befalls what one process tells another, whoever connected."""
+        if relay := self.relays.get((start, end)):
+            relay.suffer(harm, Way.THERE)
+        if relay := self.relays.get((end, start)):
+            relay.suffer(harm, Way.BACK)
+
+    def links(self, fault: Fault) -> list[Relay]:
+        """The relay of each link that a fault strikes."""
+        if fault.trouble is Trouble.PARTITION:
+            ends = [(a, b) for a in fault.who for b in self.names if b not in fault.who]
+        else:
+            ends = [(fault.who[0], fault.who[1])]
+        pairs = [pair for a, b in ends for pair in ((a, b), (b, a))]
+        return [self.relays[pair] for pair in pairs if pair in self.relays]
+
+    def address(self) -> str:
+        """Of the next scheduler in turn, down or not."""
+        return self.programs[self.schedulers[next(self._turns) % len(self.schedulers)]].listen
+
+    def _keep(self, name: str) -> None:
+        program = self.programs[name]
+        assert program.operator
+        addresses = [program.listen, program.ops]
+        if name in self.voters:
+            addresses.append(program.operator["mesh"]["voters"][name]["address"])
+        for address in addresses:
+            host, _, port = address.rpartition(":")
+            kept = socket.socket()
+            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._kept.setdefault(name, []).append(kept)
+            with contextlib.suppress(OSError):
+                kept.bind((host, int(port)))
+
+
+@asynccontextmanager
+async def control_rig(
+    voters: int,
+    schedulers: int,
+    folder: Path,
+    *,
+    seed: int = 0,
+    bound_ms: int = BOUND_MS,
+    voter_entry: tuple[str, ...] = VOTER,
+    entry: tuple[str, ...] = PROGRAM,
+) -> AsyncIterator[ControlRig]:
+    """All of it at work and in step; all of it has ended behind the block.
+
+    ``entry``, ``voter_entry``: what is run in place of the programs.
+    """
+    site = Site(KINDS, schedulers=schedulers)
+    names = names_of(voters + schedulers)
+    voting, others = names[:voters], names[voters:]
+    journal, lateness = Watched(), Lateness()
+    made = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(WORKERS)}
+    discovery = Discovery(made.values(), journal)
+    listens = {name: free_address() for name in voting}
+    ends = [(a, b) for a in names for b in voting if a != b]
+    relays = {(a, b): Relay(listens[b], f"{seed} {a} {b}") for a, b in ends}
+    programs: dict[str, Program] = {}
+    async with contextlib.AsyncExitStack() as stack:
+        session = await stack.enter_async_context(aiohttp.ClientSession())
+        for worker in made.values():
+            await worker.start()
+            stack.push_async_callback(worker.stop)
+        await discovery.start()
+        stack.push_async_callback(discovery.stop)
+        for relay in relays.values():
+            await relay.start()
+            stack.push_async_callback(relay.stop)
+
+        def operator(name: str) -> Json:
+            addresses = {b: relays[name, b].address if b != name else listens[b] for b in voting}
+            places = {b: {"address": a, "region": "r", "zone": f"z-{b}"} for b, a in addresses.items()}
+            section: Json = {"installation": "rig", "voters": places, "bound_ms": bound_ms}
+            return {"mesh": section | {"on_lost": "hold"}}
+
+        for name in names:
+            (folder / name / "state").mkdir(parents=True)
+        for name in voting:
+            own = folder / name
+            programs[name] = voter_program(
+                own, site, discovery, operator(name), name, state=own / "state", entry=voter_entry
+            )
+        for number, name in enumerate(others):
+            own, listen = folder / name, free_address()
+            view = await discovery.view({w.name: await w.open_address(name, listen) for w in made.values()})
+            programs[name] = Program(
+                own, site, view, operator(name), name, number, listen, entry=entry, state=own / "state"
+            )
+        clients = Clients(site, lambda: here.address(), journal, seed)
+        here = ControlRig(
+            names, journal, made, discovery, programs, relays, clients, session, lateness, voters=voting
+        )
+        stack.push_async_callback(here.stop)
+        for name in names:
+            await here.start(name)
+        if await here.equal(FORM_S) is None:
+            raise RuntimeError(f"the links did not come up; see {folder}")
+        lateness.start()
+        stack.callback(lateness.stop)
+        yield here
+
+
+async def play(
+    schedule: Schedule,
+    folder: Path,
+    voters: int,
+    *,
+    bound_ms: int = BOUND_MS,
+    voter_entry: tuple[str, ...] = VOTER,
+    entry: tuple[str, ...] = PROGRAM,
+) -> Outcome:
+    """One schedule on fresh processes, whose logs stay in the folder."""
+    schedulers = len(schedule.names) - voters
+    rig = control_rig(
+        voters,
+        schedulers,
+        folder,
+        seed=schedule.seed,
+        bound_ms=bound_ms,
+        voter_entry=voter_entry,
+        entry=entry,
+    )
+    async with rig as here:
+        here.journal.events[:] = [e for e in here.journal.events if e.what is not What.DIGEST]
+        await here.play(schedule)
+        equal = await here.equal(EQUAL_S + SPARE_S)
+        await here.lists()
+        await here.prove()
+        late = here.lateness.worst_s
+    terms = Terms(bound_ms / 1000, True, EQUAL_S, late_s=late)
+    found = rules.broken(here.journal, set(UNSAFE), ended=True, late_s=late)
+    found += broken(sorted(here.journal.events, key=lambda e: e.at), terms, here.voters)
+    counts = Counter(e.what for e in here.journal.events)
+    links = {"dialled": sum(r.dialled for r in here.relays.values())}
+    passed = [p for relay in here.relays.values() for p in relay.passed.values()]
+    for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
+        links[what] = sum(getattr(p, what) for p in passed)
+    return Outcome(found, equal, counts, late, here.journal, links)
+
+
+def broken(events: list[Event], terms: Terms, voters: tuple[str, ...]) -> list[str]:
+    """What broke a rule of several processes, in words. Only schedulers send, so only they must again."""
+    found = once(events, set(UNSAFE))
+    found += late_sends(events, terms)
+    found += lists(events, terms)
+    found += copies(events, terms)
+    return found + recovered([event for event in events if event.scheduler not in voters])
+
+
+def schedule_of(seed: int, voters: int, schedulers: int) -> Schedule:
+    """The seed's schedule: links that there are, and a minority of the voters killed at most."""
+    workers = [f"w{i}" for i in range(WORKERS)]
+    whole = draw(seed, voters + schedulers, workers)
+    voting = whole.names[:voters]
+    rng = random.Random(f"control {seed}")
+    kept: list[Fault] = []
+    killed: set[str] = set()
+    for fault in whole.faults:
+        its = _on_a_link(fault, voting, rng)
+        dead = {*killed, *its.who} & set(voting) if its.trouble in KILLS else killed
+        if len(dead) > (voters - 1) // 2 or any(its.clashes(one, whole.names) for one in kept):
+            continue
+        killed = dead
+        kept.append(its)
+    return Schedule(seed, whole.names, tuple(kept), whole.calls)
+
+
+def _on_a_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
+    """The same fault, at a link that there is: schedulers have none to each other."""
+    if fault.trouble not in LINKS or any(name in voters for name in fault.who):
+        return fault
+    return replace(fault, who=(rng.choice(voters), fault.who[1]))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -21,7 +21,7 @@
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
 from robinhill.emulator.site import JobKind, Site, free_address
-from robinhill.emulator.voter import VoterProgram
+from robinhill.emulator.voter import voter_program
 from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
@@ -57,10 +57,10 @@
     def place(self, number: int) -> Json:
         return {"address": free_address()} | stand(number)
 
-    def voter(self, name: str) -> VoterProgram:
-        return VoterProgram(self.folder(name), name, self.operator())
+    def voter(self, name: str) -> Program:
+        return voter_program(self.folder(name), self.site, self.discovery, self.operator(), name)
 
-    def programs(self) -> list[Program | VoterProgram]:
+    def programs(self) -> list[Program]:
         return [*self.voters.values(), *self.schedulers.values()]
 
     def folder(self, name: str) -> Path:
@@ -116,13 +116,19 @@
                 await worker.stop()
 
 
+async def kill(program: Program) -> None:
+    assert program.process
+    program.process.kill()
+    await program.process.wait()
+
+
 async def until(holds: Callable[[], Awaitable[bool]], deadline_s: float = DEADLINE_S) -> None:
     async with asyncio.timeout(deadline_s):
         while not await holds():
             await asyncio.sleep(0.02)
 
 
-async def logged(program: Program | VoterProgram, text: str, times: int = 1) -> None:
+async def logged(program: Program, text: str, times: int = 1) -> None:
     """Until so many lines of its log hold this."""
 
     async def found() -> bool:
@@ -131,14 +137,14 @@
     await until(found)
 
 
-async def status_of(program: Program | VoterProgram) -> Json:
+async def status_of(program: Program) -> Json:
     status, text = await program.call("GET", "/ops/mesh")
     assert status == 200
     told: Json = json.loads(text)
     return told
 
 
-async def has(program: Program | VoterProgram, path: str, **wanted: Any) -> bool:
+async def has(program: Program, path: str, **wanted: Any) -> bool:
     """Whether an operators' call tells these values."""
     _, text = await program.call("GET", path)
     told = json.loads(text)
@@ -157,7 +163,7 @@
     return await status_of(program)
 
 
-async def equal(*programs: Program | VoterProgram) -> None:
+async def equal(*programs: Program) -> None:
     """Until all copies are equal."""
 
     async def same() -> bool:
@@ -167,14 +173,14 @@
 
 
 async def cordon(
-    program: Program | VoterProgram, cordon_id: str = "c1", wait: str = "?wait=10", **body: Any
+    program: Program, cordon_id: str = "c1", wait: str = "?wait=10", **body: Any
 ) -> tuple[int, Json]:
     asked = {"target": "worker/w0", "reason": "a fan is loud", "by": "ann"} | body
     status, text = await program.call("PUT", f"/ops/cordons/{cordon_id}{wait}", json.dumps(asked))
     return status, json.loads(text)
 
 
-async def lift(program: Program | VoterProgram, cordon_id: str = "c1") -> tuple[int, Json]:
+async def lift(program: Program, cordon_id: str = "c1") -> tuple[int, Json]:
     status, text = await program.call("DELETE", f"/ops/cordons/{cordon_id}?wait=10")
     return status, json.loads(text)
 
@@ -237,7 +243,7 @@
                 return b"c1" in (first.folder / "mesh.state").read_bytes()
 
             await until(saved)
-            await first.kill()
+            await kill(first)
             told = await settled(one, not_voter="v1")
             assert {told["voter"], told["spare_voter"]} == {"v2", "v3"}
             assert (await cordon(one, "c2", wait="", target="worker/w1"))[0] == 200
@@ -245,7 +251,7 @@
             assert "records=1" in first.log.read_text(), "it took what its disk held"
             await until(lambda: has(first, "/ops/mesh", counts=True))
             second = here.voters["v2"]
-            await second.kill()
+            await kill(second)
             (second.folder / "mesh.state").unlink()
             await second.start()
             await until(lambda: has(second, "/ops/mesh", counts=True))
@@ -293,9 +299,7 @@
             assert await here.ask("s1", 6) == {"w1", "w2"}
 
             await settled(two)
-            assert two.process
-            two.process.kill()
-            await two.process.wait()
+            await kill(two)
             status, told = await cordon(one, "c2", target="worker/w1")
             assert status == 200 and told["in_force"]
             # It may have sent until its lease was over: the bound after the last answer to a heartbeat.
@@ -310,9 +314,7 @@
     async def play() -> None:
         async with group() as here:
             one, three = here.schedulers["s1"], here.schedulers["s3"]
-            assert three.process
-            three.process.kill()
-            await three.process.wait()
+            await kill(three)
             assert await here.schedulers["s2"].stop() == 0
             status, told = await cordon(one, wait="?wait=0.5")
             assert (status, told["type"]) == (504, "BoundNotMet")
@@ -328,7 +330,7 @@
     asyncio.run(play())
 
 
-async def in_force(program: Program | VoterProgram, cordon_id: str) -> bool:
+async def in_force(program: Program, cordon_id: str) -> bool:
     _, text = await program.call("GET", f"/ops/cordons/{cordon_id}")
     return bool(json.loads(text)["cordons"][0]["state"] == "in force")
 
@@ -440,10 +442,12 @@
 def test_an_even_number_of_voters_and_a_taken_address_are_told(tmp_path: Path) -> None:
     async def play() -> None:
         voters = {name: VOTER | {"address": free_address()} for name in ("v1", "v2")}
-        voter = VoterProgram(tmp_path, "v1", {"mesh": {"voters": voters}})
+        site, discovery = Site((QUICK,)), Discovery([], Journal())
+        voter = voter_program(tmp_path, site, discovery, {"mesh": {"voters": voters}}, "v1")
         await voter.start()
         assert "event=voters_questionable" in voter.log.read_text()
-        again = VoterProgram(tmp_path, "v1", voter.operator, number=7)
+        again = voter_program(tmp_path, site, discovery, {"mesh": {"voters": voters}}, "v1")
+        again.number = 1
         with pytest.raises(RuntimeError, match=r"mesh\.voters\.v1\.address: can't listen on"):
             await again.start()
         assert again.process and again.process.returncode == 2
