--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -266,9 +266,10 @@
     if latest:
         equal = [x["equal_s"] for x in latest.values() if x["equal_s"] is not None]
         broken = sum(bool(x["broken"]) for x in latest.values())
+        middle, worst = statistics.median(equal or [0]), max(equal, default=0)
         print(
             f"{len(latest)} fault schedules, {broken} with a broken rule; copies equal in {len(equal)}, "
-            f"after {statistics.median(equal or [0]):.3f} s in the middle and {max(equal, default=0):.3f} at worst"
+            f"after {middle:.3f} s in the middle and {worst:.3f} at worst"
         )
         for x in latest.values():
             if x["broken"]:
--- /dev/null
+++ b/tests/test_control_rig.py
@@ -0,0 +1,118 @@
+"""Real voters and schedulers keep what they promise under faults; broken ones are found out.
+
+Of five processes n1 to n3 are voters, n4 and n5 schedulers.
+"""
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from robinhill.emulator.control_rig import play
+from robinhill.emulator.rig import PROGRAM, Outcome
+from robinhill.emulator.schedule import Call, Fault, Schedule, Trouble, names_of
+from robinhill.emulator.voter import VOTER
+
+T = Trouble
+VOTERS, PROCESSES = 3, 5
+BOUND_MS, LONG_BOUND_MS = 1_000, 3_000
+Row = tuple[float, float, Trouble, tuple[str, ...], float]
+
+ONE_IS_CUT_OFF = (
+    [(0.3, 3.5, T.PARTITION, ("n3", "n4"), 0.0)],
+    [Call(0.1, False, "n4", "w0", "early"), Call(0.8, False, "n5", "w1", "amid")],
+)
+# Both ways together take less than half of the bound, past which a link counts as silent.
+FAR_AWAY = (
+    [(0.0, 3.5, T.DELAY, (voter, "n4"), 0.45) for voter in ("n1", "n2", "n3")],
+    [
+        Call(1.0, False, "n5", "w0", "c0"),
+        Call(1.8, False, "n1", "w1", "c1"),
+        Call(2.6, False, "n5", "w2", "c2"),
+        Call(3.4, True, "n4", "w0", "c0"),
+    ],
+)
+# A cordon that n1 and n2 accept while n3 hears of nothing. Then n1 loses it, n2 and the scheduler that knows
+# it are cut off, and the other scheduler starts anew: n1 and n3 are a majority that knows nothing of it.
+MEMORY_IS_LOST = (
+    [
+        (0.2, 2.0, T.LOSS, ("n1", "n3"), 1.0),
+        (0.2, 8.8, T.LOSS, ("n2", "n3"), 1.0),
+        (0.2, 2.0, T.LOSS, ("n3", "n4"), 1.0),
+        (0.2, 8.8, T.LOSS, ("n3", "n5"), 1.0),
+        (1.8, 7.2, T.LOSS, ("n1", "n2"), 1.0),
+        (1.8, 7.2, T.LOSS, ("n1", "n5"), 1.0),
+        (1.8, 7.2, T.LOSS, ("n2", "n4"), 1.0),
+        (1.9, 0.1, T.WIPE, ("n1",), 0.0),
+        (1.9, 0.1, T.KILL, ("n4",), 0.0),
+    ],
+    [Call(0.7, False, "n2", "w0", "kept")],
+)
+SCHEDULES: dict[str, tuple[list[Row], list[Call]]] = {
+    "a voter and a scheduler are cut off": ONE_IS_CUT_OFF,
+    "a scheduler is far away": FAR_AWAY,
+    "a voter loses its memory": MEMORY_IS_LOST,
+}
+
+# What is broken, in whom, the schedule that shows it, and the words that tell of it.
+BROKEN = {
+    "sends though it can't know": (
+        "n4",
+        "import robinhill.control.lease as l\n"
+        "l.ObserverLease.holds = lambda self, now: self.as_of_us is not None",
+        "a voter and a scheduler are cut off",
+        "past the bound",
+    ),
+    "confirms what it does not go by": (
+        "n4",
+        "import robinhill.net.control.observing as o; o.covers = lambda targets, destination: False",
+        "a scheduler is far away",
+        "cordoned by c0",
+    ),
+    "says in force at once": (
+        "n1",
+        "import robinhill.control.following as f; f.Following._behind = lambda self, group: (0, ())",
+        "a scheduler is far away",
+        "after it was in force",
+    ),
+    "counts though its memory is lost": (
+        "n1",
+        "import robinhill.control.voter as v; start = v.Voter.start\n"
+        "def counts(self, now, mono):\n"
+        "    self._catch_up(mono)\n"
+        "    return start(self, now, mono)\n"
+        "v.Voter.start = counts",
+        "a voter loses its memory",
+        "past the bound",
+    ),
+}
+
+
+def run(
+    name: str, folder: Path, voter: tuple[str, ...] = VOTER, scheduler: tuple[str, ...] = PROGRAM
+) -> Outcome:
+    rows, calls = SCHEDULES[name]
+    faults = tuple(
+        Fault(i, at, for_s, what, who, size) for i, (at, for_s, what, who, size) in enumerate(rows)
+    )
+    schedule = Schedule(3, names_of(PROCESSES), faults, tuple(calls))
+    bound_ms = LONG_BOUND_MS if SCHEDULES[name] is FAR_AWAY else BOUND_MS
+    played = play(schedule, folder, VOTERS, bound_ms=bound_ms, voter_entry=voter, entry=scheduler)
+    return asyncio.run(played)
+
+
+@pytest.mark.parametrize("name", SCHEDULES)
+def test_voters_and_schedulers_keep_what_they_promise(name: str, tmp_path: Path) -> None:
+    outcome = run(name, tmp_path)
+    assert not outcome.broken, str(outcome)
+
+
+@pytest.mark.parametrize("bug", BROKEN)
+def test_a_broken_one_is_found_out(bug: str, tmp_path: Path) -> None:
+    who, code, name, words = BROKEN[bug]
+    entry = ("-c", f"{code}\nfrom robinhill.commands import main; raise SystemExit(main())")
+    if who in names_of(PROCESSES)[:VOTERS]:
+        outcome = run(name, tmp_path, voter=(*entry, "control"))
+    else:
+        outcome = run(name, tmp_path, scheduler=entry)
+    assert any(words in what for what in outcome.broken), (str(outcome), outcome.broken)
