--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -56,5 +56,10 @@
             if state.connecting_us is not None and mono_us - state.connecting_us > CONNECT_PATIENCE_US:
                 self.failed(mono_us, name)
 
+    def expires_us(self) -> int | None:
+        """When the first attempt that is on counts as failed."""
+        since = [one.connecting_us for one in self._states.values() if one.connecting_us is not None]
+        return min(since) + CONNECT_PATIENCE_US + 1 if since else None
+
     def _state(self, voter: str) -> _State:
         return self._states.setdefault(voter, _State())
--- a/robinhill/control/choice.py
+++ b/robinhill/control/choice.py
@@ -24,19 +24,21 @@
         self.order = tuple(sorted(shuffled, key=lambda name: self._distance(voters[name])))
 
     def next(self, mono_us: int, taken: Collection[str]) -> str | None:
-        """The best voter that may be tried now and is not taken."""
+        """The best voter that may be tried now and is not taken; None while another is being tried."""
         self.backoff.expire(mono_us)
-        busy = self.backoff.connecting
+        if self.backoff.connecting:
+            return None
         for name in self.order:
-            if name not in taken and name not in busy and mono_us >= self.backoff.due_us(name):
+            if name not in taken and mono_us >= self.backoff.due_us(name):
                 return name
         return None
 
     def due_us(self, taken: Collection[str]) -> int | None:
-        """When one that is not taken may be tried; None if all are."""
-        busy = self.backoff.connecting
-        times = [self.backoff.due_us(name) for name in self.order if name not in taken and name not in busy]
-        return min(times, default=None)
+        """When `next` may name one: an attempt that is on has failed, or a pause is over; None: all are
+        taken."""
+        if self.backoff.connecting:
+            return self.backoff.expires_us()
+        return min((self.backoff.due_us(name) for name in self.order if name not in taken), default=None)
 
     def _distance(self, voter: VoterPlace) -> int:
         if voter.region != self._place.region:
--- a/robinhill/control/following.py
+++ b/robinhill/control/following.py
@@ -42,6 +42,7 @@
     asked: set[str] = field(default_factory=set)  # voters that have its barrier on the present link
     behind: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)  # by voter, as last told
     told: tuple[bool, bool, int] | None = None
+    news: bool = True  # something changed since it was looked at
 
 
 class Following:
@@ -81,7 +82,7 @@
         """Groups whose barriers are due now: at once where none went out shortly before."""
         due = [group for group in self._open.values() if not group.sealed and mono_us >= self._due_us(group)]
         for group in due:
-            group.sealed = True
+            group.sealed = group.news = True
         return due
 
     def next_us(self) -> int | None:
@@ -98,6 +99,7 @@
         """How far our own observers are; ``counts``: we count for majorities."""
         names = tuple(sorted(mark.waiting)[:NAMES_AT_MOST])
         group.behind[self.me] = len(mark.waiting), names
+        group.news = True
         if counts:
             self._confirmed(mono_us, group, self.me, self.incarnation)
 
@@ -110,6 +112,7 @@
         if group is None or voter not in self.quorum.names:
             return
         group.behind[voter] = status.behind, status.names
+        group.news = True
         if status.counts:
             self._confirmed(mono_us, group, voter, status.incarnation)
 
@@ -122,11 +125,13 @@
         for group in self.groups.values():
             group.asked.discard(voter)
             group.behind.pop(voter, None)
+            group.news = True
 
     def reconfigured(self, mono_us: int) -> None:
         """The list of voters has changed."""
         accepted = set(self.acceptance.review(mono_us))
         for group in self.groups.values():
+            group.news = True
             if group.stamp in accepted:
                 group.accepted_us = mono_us
 
@@ -134,6 +139,9 @@
         """News for who asked; groups that are in force are dropped, see `ended`."""
         news: list[Progressed] = []
         for group in list(self.groups.values()):
+            if not group.news and not self._leases_over(mono_us, group):
+                continue
+            group.news = False
             behind, names = self._behind(group)
             accepted = group.accepted_us is not None or not group.hold
             group.in_force = accepted and (not behind or self._leases_over(mono_us, group))
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -39,8 +39,9 @@
 OFFERS_AT_MOST = 1_024
 """Own changes that may wait to be in force."""
 
-OFFER_RECORDS = 256
-"""Records in one offer of what a voter was found to lack."""
+OFFER_RECORDS = 64
+OFFER_BYTES = 32 << 10
+"""Records, and bytes of their values, in one offer of what a voter was found to lack."""
 
 REPAIR_US = 30_000_000
 """From one comparison by digests to the next: two kilobytes each."""
@@ -226,14 +227,13 @@
     def next_us(self, mono_us: int) -> int:
         """When `tick` is due at the latest (monotonic)."""
         times = [self._collect_us]
-        times += [one.beat_us for one in self._links.values()]
+        times += [one.beat_us for one in self._links.values() if one.welcomed]
         if self._confirm_due():
             times.append(self._confirm_us)
         if self._told_lease:
             times.append(self.lease.until_us() + 1)
-        if self._primary is None or self._spare is None:
-            if (due_us := self.choice.due_us(self._taken())) is not None:
-                times.append(due_us)
+        if self._wants_link() and (due_us := self.choice.due_us(self._taken())) is not None:
+            times.append(due_us)
         return max(mono_us + 1, min(times))
 
     @property
@@ -324,11 +324,17 @@
             self._stepped_in(mono_us, link)
 
     def _offer_lacking(self, link: Link) -> None:
-        names = list(self._lacking)
+        batch: list[Record] = []
+        for name in self._lacking:
+            record = self.replica.record(*name)
+            if record is not None:
+                batch.append(record)
+            if len(batch) >= OFFER_RECORDS or sum(len(one.value) for one in batch) >= OFFER_BYTES:
+                self._send(link, wire.Offer(0, tuple(batch)))
+                batch.clear()
+        if batch:
+            self._send(link, wire.Offer(0, tuple(batch)))
         self._lacking.clear()
-        for at in range(0, len(names), OFFER_RECORDS):
-            found = [self.replica.record(*name) for name in names[at : at + OFFER_RECORDS]]
-            self._send(link, wire.Offer(0, tuple(record for record in found if record is not None)))
 
     def _stepped_in(self, mono_us: int, link: Link) -> None:
         """All that the voter held is here, and it has been sent what it lacked: its answers count now."""
@@ -424,15 +430,16 @@
 
     def _connect(self, mono_us: int) -> None:
         """Connect to a voter; once in step, to a spare one."""
-        connecting = self.choice.backoff.connecting
-        needed = self._primary is None or (self._spare is None and self._in_step)
-        if not needed or connecting:
+        if not self._wants_link():
             return
         voter = self.choice.next(mono_us, self._taken())
         if voter is not None:
             self.choice.backoff.connect(mono_us, voter)
             self._out.append(Connect(voter))
 
+    def _wants_link(self) -> bool:
+        return self._primary is None or (self._spare is None and self._in_step)
+
     def _taken(self) -> set[str]:
         return {one.voter for one in self._links.values()}
 
--- a/robinhill/control/tally.py
+++ b/robinhill/control/tally.py
@@ -120,11 +120,14 @@
             if name in mark.waiting:
                 self._confirm(key, mark, name)
 
-    def moved(self, name: str, incarnation: int, join: int) -> None:
-        """An observer is in step with another voter by this join: that voter answers for it from now on."""
+    def moved(self, name: str, incarnation: int, join: int) -> bool:
+        """An observer is in step with another voter by this join, which answers for it from now on. True if
+        it was known here by an earlier join."""
         observed = self.observed.get(name)
-        if observed is not None and (observed.incarnation, observed.join) < (incarnation, join):
-            self.gone(name)
+        if observed is None or (observed.incarnation, observed.join) >= (incarnation, join):
+            return False
+        self.gone(name)
+        return True
 
     def mark(self, mono_us: int, key: Key, position: int, *, urgent: bool, hold: bool) -> Mark:
         """Follow who reaches this position."""
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -26,7 +26,7 @@
 )
 from robinhill.control.backoff import Backoff
 from robinhill.control.changelog import ChangeLog
-from robinhill.control.errors import ControlError, JoinRefused, VotersNotOneAtATime
+from robinhill.control.errors import ChangesFull, ControlError, JoinRefused, VotersNotOneAtATime
 from robinhill.control.feed import Feed
 from robinhill.control.following import Following, Group
 from robinhill.control.options import ControlOptions
@@ -138,6 +138,7 @@
         self._flushed_us = mono_us - BATCH_US
         self._unflushed = False
         self._collect_us = mono_us + COLLECT_US
+        self._review_us = mono_us
         self._agreed_us: int | None = None  # since when all go by the newest list
 
     # Links
@@ -219,6 +220,9 @@
 
     def forget(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
         """An operator says that a scheduler runs no more."""
+        observed = self.tally.observed.get(observer)
+        if observed is not None and observed.link is not None:
+            self._drop_link(mono_us, observed.link, f"operators say that {observer} runs no more")
         self.tally.gone(observer)
         return self._done(Now(now_us, mono_us))
 
@@ -316,8 +320,8 @@
             case wire.BarrierEnd():
                 self.tally.drop((voter.name, message.number))
             case wire.Moved():
-                for name, incarnation, join in message.observers:
-                    self.tally.moved(name, incarnation, join)
+                for observer in message.observers:
+                    self._observer_moved(now.mono_us, *observer)
             case _:
                 raise JoinRefused(f"{voter.name} sent {type(message).__name__}, which voters don't")
 
@@ -350,7 +354,7 @@
                 self.following.started(name, incarnation)
 
     def _from_observer(self, now: Now, link: Link, observer: ObserverLink, message: wire.AnyMessage) -> None:
-        feed = observer.feed
+        feed = observer.feed if self._is_current(link, observer) else None
         match message:
             case wire.Join():
                 self._check(message)
@@ -373,6 +377,17 @@
             case _:
                 raise JoinRefused(f"{observer.name} sent {type(message).__name__}, which observers don't")
 
+    def _observer_moved(self, mono_us: int, name: str, incarnation: int, join: int) -> None:
+        """Another voter answers for an observer now; whatever link it still has here is an old one."""
+        observed = self.tally.observed.get(name)
+        if self.tally.moved(name, incarnation, join) and observed is not None and observed.link is not None:
+            self._drop_link(mono_us, observed.link, f"{name} has another voter now")
+
+    def _is_current(self, link: Link, observer: ObserverLink) -> bool:
+        """Whether an observer still has this voter by this link: else nothing may be answered to it."""
+        observed = self.tally.observed.get(observer.name)
+        return observed is not None and observed.link == link
+
     def _check(self, join: wire.Join) -> None:
         options = self.options
         if join.protocol != wire.PROTOCOL:
@@ -432,12 +447,16 @@
         self._draw(now.mono_us, link, observer)
 
     def _offered(self, now: Now, link: Link, offer: wire.Offer) -> None:
-        if offer.number:
-            self.following.check_room()
         changed, declined = take_all(self.replica, now.now_us, offer.records)
         self._learned(changed, declined)
-        if offer.number:
-            self._follow(now.mono_us, offer.records, _Request(link, offer.number))
+        if not offer.number:
+            return
+        try:
+            self.following.check_room()
+        except ChangesFull as e:  # it spreads all the same; only nobody can say how far it is
+            self._send(link, wire.Progress(offer.number, False, False, 1, (f"voter {self.name}: {e.what}",)))
+            return
+        self._follow(now.mono_us, offer.records, _Request(link, offer.number))
 
     def _goodbye(self, observer: ObserverLink, link: Link) -> None:
         observed = self.tally.observed.get(observer.name)
@@ -476,7 +495,9 @@
 
     def _done(self, now: Now, *, sessions: bool = True) -> list[Action]:
         """What follows from all that was taken in; ``sessions``: other voters may be concerned."""
-        self.tally.review(now.mono_us)
+        if now.mono_us >= self._review_us:
+            self._review_us = now.mono_us + STATUS_US
+            self.tally.review(now.mono_us)
         self._seal(now.mono_us)
         self._tell_marks(now.mono_us)
         self._tell_progress(now.mono_us)
@@ -577,7 +598,7 @@
 
     def _draw(self, mono_us: int, link: Link, observer: ObserverLink) -> None:
         feed = observer.feed
-        if feed is None:
+        if feed is None or not self._is_current(link, observer):
             return
         found, answered = feed.draw()
         for data in found:
