--- a/robinhill/net/control/changes.py
+++ b/robinhill/net/control/changes.py
@@ -3,7 +3,7 @@
 A change is *accepted* once it can't be forgotten, and *in force* once no scheduler can act without it.
 """
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
 from robinhill.control.actions import Progressed
@@ -99,7 +99,7 @@
             del self._by_number[number]
         return idle
 
-    def forget_ended(self, standing: Mapping[str, object] | set[str]) -> None:
+    def forget_ended(self, standing: Collection[str]) -> None:
         """Forget changes that are over: their reason does not stand and nothing of them is under way."""
         for dot, change in list(self._by_dot.items()):
             if dot not in standing and change.in_force:
--- a/robinhill/net/control/driver.py
+++ b/robinhill/net/control/driver.py
@@ -19,7 +19,6 @@
 from robinhill.config import Address
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
 from robinhill.control.messages import MAX_MESSAGE
-from robinhill.control.voter import Voter
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.connections import bind
@@ -117,7 +116,8 @@
 
 class Driver(Actor[ToDriver]):
     """``address_of``: where a voter is; ``act``: carries out what is not about connections, at once;
-    ``after``: called when the actions of one call are carried out.
+    ``after``: called when the actions of one call are carried out; ``accepted``: the machine's, if it takes
+    links from others.
     """
 
     def __init__(
@@ -128,6 +128,7 @@
         address_of: Callable[[str], Address],
         act: Callable[[Action], None],
         after: Callable[[], None] = lambda: None,
+        accepted: Callable[[int, Link], None] = lambda mono_us, link: None,
     ) -> None:
         super().__init__("control", supervisor)
         self.machine = machine
@@ -135,6 +136,7 @@
         self.address_of = address_of
         self.act = act
         self.after = after
+        self.accepted = accepted
         self.links: dict[Link, ControlLink] = {}
         self.traffic = Traffic()
         self._numbers = count(1)
@@ -262,8 +264,7 @@
         self.links[link.number] = link
         self.traffic.opened += 1
         if link.voter is None:
-            assert isinstance(self.machine, Voter)  # nobody else listens
-            self.machine.accepted(now_mono_us, link.number)
+            self.accepted(now_mono_us, link.number)
             self._schedule_tick()
             return
         self._failures.pop(link.voter, None)
--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control/voting.py
@@ -66,7 +66,14 @@
         # Decisions never draw from this: it spreads connecting in time.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
-        self.driver = Driver(self.voter, self.supervisor, self.clock, self._address_of, self._act)
+        self.driver = Driver(
+            self.voter,
+            self.supervisor,
+            self.clock,
+            self._address_of,
+            self._act,
+            accepted=self.voter.accepted,
+        )
         self.cordons = Cordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -18,12 +18,13 @@
 BOUND_MS, LONG_BOUND_MS = 1_000, 3_000
 Row = tuple[float, float, Trouble, tuple[str, ...], float]
 
-ONE_IS_CUT_OFF = (
+Play = tuple[list[Row], list[Call]]
+ONE_IS_CUT_OFF: Play = (
     [(0.3, 3.5, T.PARTITION, ("n3", "n4"), 0.0)],
     [Call(0.1, False, "n4", "w0", "early"), Call(0.8, False, "n5", "w1", "amid")],
 )
 # Both ways together take less than half of the bound, past which a link counts as silent.
-FAR_AWAY = (
+FAR_AWAY: Play = (
     [(0.0, 3.5, T.DELAY, (voter, "n4"), 0.45) for voter in ("n1", "n2", "n3")],
     [
         Call(1.0, False, "n5", "w0", "c0"),
@@ -34,7 +35,7 @@
 )
 # A cordon that n1 and n2 accept while n3 hears of nothing. Then n1 loses it, n2 and the scheduler that knows
 # it are cut off, and the other scheduler starts anew: n1 and n3 are a majority that knows nothing of it.
-MEMORY_IS_LOST = (
+MEMORY_IS_LOST: Play = (
     [
         (0.2, 2.0, T.LOSS, ("n1", "n3"), 1.0),
         (0.2, 8.8, T.LOSS, ("n2", "n3"), 1.0),
@@ -48,7 +49,7 @@
     ],
     [Call(0.7, False, "n2", "w0", "kept")],
 )
-SCHEDULES: dict[str, tuple[list[Row], list[Call]]] = {
+SCHEDULES: dict[str, Play] = {
     "a voter and a scheduler are cut off": ONE_IS_CUT_OFF,
     "a scheduler is far away": FAR_AWAY,
     "a voter loses its memory": MEMORY_IS_LOST,
