--- a/robinhill/control/following.py
+++ b/robinhill/control/following.py
@@ -95,8 +95,20 @@
         ]
         return min(times, default=None)
 
-    def own(self, mono_us: int, group: Group, mark: Mark, counts: bool) -> None:
+    def to_ask(self, voter: str, held: int) -> list[Group]:
+        """Groups of which a voter is to be asked now: it holds our changes up to position ``held``."""
+        due = [
+            group
+            for group in self.groups.values()
+            if group.sealed and voter not in group.asked and held >= group.position
+        ]
+        for group in due:
+            group.asked.add(voter)
+        return due
+
+    def own(self, mono_us: int, number: int, mark: Mark, counts: bool) -> None:
         """How far our own observers are; ``counts``: we count for majorities."""
+        group = self.groups[number]
         names = tuple(sorted(mark.waiting)[:NAMES_AT_MOST])
         group.behind[self.me] = len(mark.waiting), names
         group.news = True
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -28,7 +28,6 @@
 from robinhill.control.lease import ObserverLease
 from robinhill.control.options import ControlOptions
 from robinhill.control.taking import Declined, take_all
-from robinhill.control.voter import modes_digest
 from robinhill.cordon.promise import Mode
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.words import Record
@@ -455,7 +454,7 @@
                 self.name,
                 self.incarnation,
                 options.bound_us,
-                modes_digest(options),
+                options.modes,
                 spare,
                 self._joins,
                 place.voter,
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -79,6 +79,12 @@
         """From one ping of a voter to another to the next."""
         return self.bound_us // PINGS_A_BOUND
 
+    @property
+    def modes(self) -> str:
+        """What goes on while no majority is known, as observers and voters compare it."""
+        kinds = sorted(self.on_lost_by_kind.items())
+        return ",".join([self.on_lost.value, *(f"{kind}={mode.value}" for kind, mode in kinds)])
+
     def mode_of(self, kind: str) -> Mode:
         """What goes on with records of a kind while no majority is known."""
         return self.on_lost_by_kind.get(kind, self.on_lost)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from robinhill.control.audience import Audience
 from robinhill.control.following import Following, Group
 from robinhill.control.lease import ObserverLease
 from robinhill.control.observer import Observer
 from robinhill.control.tally import Mark, Tally
-from robinhill.control.voter import Voter
 from robinhill.cordon.promise import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Network
 
@@ -172,15 +172,15 @@
 
 
 def moved_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
-    grant = Voter._grant
+    grant = Audience._grant
 
-    def planted(self: Voter) -> None:
+    def planted(self: Audience) -> None:
         for link in self._waiting:
-            observer = self._observers[link]
-            self._moved[observer.name] = observer.incarnation, observer.join
+            observer = self.links[link]
+            self.moved[observer.name] = observer.incarnation, observer.join
         grant(self)
 
-    monkeypatch.setattr(Voter, "_grant", planted)
+    monkeypatch.setattr(Audience, "_grant", planted)
 
 
 def lease_lasts_twice_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
