--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control/voting.py
@@ -185,22 +185,22 @@
     def figures(self) -> Answer:
         """Lines for operators."""
         age_us = self.voter.age_us(mono_us())
-        traffic, written = self.driver.traffic, self.voter.figures.bytes_out
+        traffic, counted = self.driver.traffic, self.voter.figures
         lines = [
             f"voters_linked:{len(self.voter.linked_voters)}|g",
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
             f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
-            f"comparisons:{self.voter.figures.comparisons}|c",
-            f"refused:{self.voter.figures.refused}|c",
+            f"comparisons:{counted.comparisons}|c",
+            f"refused:{counted.refused}|c",
             f"opened:{traffic.opened}|c",
             f"lost:{traffic.lost}|c",
             f"messages_in:{traffic.messages_in}|c",
             f"messages_out:{traffic.messages_out}|c",
             f"bytes_in:{traffic.bytes_in}|c",
-            f"bytes_out.voters:{written['voters']}|c",
-            f"bytes_out.observers:{written['observers']}|c",
+            f"bytes_out.voters:{counted.bytes_to_voters}|c",
+            f"bytes_out.observers:{counted.bytes_to_observers}|c",
         ]
         for kind, (records, size) in sorted(self.replica.sizes().items()):
             lines += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size}|g"]
