--- a/robinhill/net/control/cordons.py
+++ b/robinhill/net/control/cordons.py
@@ -97,7 +97,6 @@
     def update(self) -> frozenset[str]:
         """Work out the targets that are cordoned now."""
         now_us = self.clock.now_us()
-        self.replica.collect(now_us)
         workers = {d.instance_id: place_of(d) for d in self.listed()} if self.listed else {}
         self.next_end_us = self.book.update(now_us, self._items(), workers).next_us
         self.targets = frozenset(
