--- a/robinhill/control/audience.py
+++ b/robinhill/control/audience.py
@@ -3,6 +3,7 @@
 All times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from robinhill.control import messages as wire
@@ -14,7 +15,6 @@
 from robinhill.control.outbox import Outbox
 from robinhill.control.tally import Tally
 from robinhill.cordon.promise import Mode
-from robinhill.mesh.freshness import Freshness
 
 COMPARISONS_AT_ONCE = 64
 """Observers that are brought in step at the same time; others wait their turn."""
@@ -33,7 +33,7 @@
 
 
 class Audience:
-    """The observers that are linked to one voter."""
+    """The observers of one voter. ``age_us``: as of how long ago the voter knows a majority."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         incarnation: int,
         log: ChangeLog,
         tally: Tally,
-        freshness: Freshness,
+        age_us: Callable[[int], int | None],
         outbox: Outbox,
     ) -> None:
         self.options = options
         self.incarnation = incarnation
         self.log = log
         self.tally = tally
-        self.freshness = freshness
+        self._age_us = age_us
         self.links: dict[Link, ObserverLink] = {}
         self.moved: dict[str, tuple[int, int]] = {}  # what other voters must be told of
         self._outbox = outbox
@@ -143,7 +143,7 @@
         self._draw(mono_us, link, observer)
 
     def _heartbeat(self, mono_us: int, link: Link, observer: ObserverLink, number: int) -> None:
-        age_us = self.freshness.age_us(mono_us)
+        age_us = self._age_us(mono_us)
         if observer.feed is None or not number:  # it renews nothing by it, and asks whether we are there
             reply = wire.HeartbeatReply(number, -1 if age_us is None else age_us, 0)
             self._outbox.to_observer(link, reply)
--- a/robinhill/control/following.py
+++ b/robinhill/control/following.py
@@ -41,7 +41,7 @@
     in_force: bool = False
     asked: set[str] = field(default_factory=set)  # voters that have its barrier on the present link
     behind: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)  # by voter, as last told
-    told: tuple[bool, bool, int] | None = None
+    told: tuple[bool, bool, int, tuple[str, ...]] | None = None
     news: bool = True  # something changed since it was looked at
 
 
@@ -95,12 +95,13 @@
         ]
         return min(times, default=None)
 
-    def to_ask(self, voter: str, held: int) -> list[Group]:
-        """Groups of which a voter is to be asked now: it holds our changes up to position ``held``."""
+    def to_ask(self, voter: str, written: int) -> list[Group]:
+        """Groups of which a voter is to be asked now: changes up to ``written`` are on their way to it, in
+        order before the question."""
         due = [
             group
             for group in self.groups.values()
-            if group.sealed and voter not in group.asked and held >= group.position
+            if group.sealed and voter not in group.asked and written >= group.position
         ]
         for group in due:
             group.asked.add(voter)
@@ -157,11 +158,11 @@
             behind, names = self._behind(group)
             accepted = group.accepted_us is not None or not group.hold
             group.in_force = accepted and (not behind or self._leases_over(mono_us, group))
-            now = accepted, group.in_force, 0 if group.in_force else behind
+            behind, names = (0, ()) if group.in_force else (behind, names)
+            now = accepted, group.in_force, behind, names
             if now != group.told and (group.sealed or group.in_force):
                 group.told = now
-                names = () if group.in_force else names
-                news += [Progressed(change, *now, names) for change in group.changes]
+                news += [Progressed(change, *now) for change in group.changes]
             if group.in_force:
                 self._drop(group)
         return news
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -38,9 +38,9 @@
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="barrier"):
-    """Tell how far your observers are with all that you hold now. Sent only once the reader is known to hold
-    the change that it is about. ``urgent``: only changes of urgent kinds matter. ``hold``: whoever has no
-    lease any more need not be waited for."""
+    """Tell how far your observers are with all that you hold now. Sent behind the changes that it is about,
+    on an ordered link. ``urgent``: only changes of urgent kinds matter. ``hold``: whoever has no lease any
+    more need not be waited for."""
 
     number: int
     urgent: bool
@@ -50,8 +50,8 @@
 class BarrierStatus(msgspec.Struct, frozen=True, array_like=True, tag="behind"):
     """The writer holds what the barrier is about; ``behind`` of its observers may not go by it yet.
 
-    ``counts``: it counted for majorities when it wrote this. ``starts``: as in `VoterStatus`, told here too
-    since a confirmation counts only together with them.
+    ``counts``: it counted for majorities when it wrote this, and had refused no record. ``starts``: as in
+    `VoterStatus`, told here too since a confirmation counts only together with them.
     """
 
     number: int
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -27,7 +27,7 @@
 from robinhill.control.errors import ChangesFull, ControlError, JoinRefused
 from robinhill.control.lease import ObserverLease
 from robinhill.control.options import ControlOptions
-from robinhill.control.taking import Declined, take_all
+from robinhill.control.taking import Declined, refused, take_all
 from robinhill.cordon.promise import Mode
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.words import Record
@@ -43,7 +43,10 @@
 """Records, and bytes of their values, in one offer of what a voter was found to lack."""
 
 REPAIR_US = 30_000_000
-"""From one comparison by digests to the next: two kilobytes each."""
+"""From one comparison by digests to the next, at most: two kilobytes each."""
+
+RETRY_US = 5_000_000
+"""The same after a record was refused here."""
 
 COLLECT_US = 1_000_000
 SILENT_BOUNDS = 2
@@ -107,6 +110,8 @@
         self._given: dict[int, set[tuple[str, str]]] = {}  # names of the range that is on its way
         self._lacking: dict[tuple[str, str], None] = {}  # what the voter was found to lack
         self._repair_us = 0
+        self._refused = False  # a record was refused: we don't hold all that the voter holds
+        self._refused_now = False  # the same, in the comparison that is on
         self._offers: dict[int, tuple[Record, ...]] = {}
         self._offer = 0
         self._told_lease = False
@@ -283,7 +288,8 @@
                 self._reached(message.position, message.urgent)
             case wire.HeartbeatReply():
                 self._reached(message.position, False)
-                self.lease.answered(message.number, message.age_us)
+                if not self._refused:
+                    self.lease.answered(message.number, message.age_us)
             case wire.Progress():
                 self._progress(message)
             case _:
@@ -299,6 +305,7 @@
         digests = b"".join(value.to_bytes(8, "big") for value in self.replica.ranges(now_us))
         self._given.clear()
         self._lacking.clear()
+        self._refused_now = False
         self._send(link, wire.Digests(now_us, digests))
 
     def _take_part(self, now_us: int, part: wire.RangePart) -> None:
@@ -316,9 +323,9 @@
 
     def _compared(self, mono_us: int, link: Link, position: int) -> None:
         self._offer_lacking(link)
-        if position > 0 or not self._in_step:
-            self._place.position = max(self._place.position, position)
-            self._place.urgent = max(self._place.urgent, position)
+        if position > 0 or not self._in_step:  # else nothing was compared
+            self._refused = self._refused_now
+            self._reached(position, False)
         if not self._in_step:
             self._stepped_in(mono_us, link)
 
@@ -349,6 +356,8 @@
 
     def _take(self, now_us: int, records: Iterable[Record]) -> None:
         changed, declined = take_all(self.replica, now_us, records)
+        if refused(declined):
+            self._refused = self._refused_now = True
         self._applied(changed, declined)
 
     def _applied(self, changed: Collection[Record], declined: Collection[Declined]) -> None:
@@ -356,6 +365,8 @@
             self._out.append(Apply(tuple(changed), tuple(declined)))
 
     def _reached(self, position: int, urgent: bool) -> None:
+        if self._refused:
+            return  # what lies behind a record that was refused can't be confirmed
         place = self._place
         place.urgent = max(place.urgent, position)
         if not urgent:
@@ -421,8 +432,11 @@
                 self._send(link, wire.Heartbeat(0))
 
     def _repair(self, now_us: int, mono_us: int) -> None:
+        if self._refused:
+            self._repair_us = min(self._repair_us, mono_us + RETRY_US)
         if self._in_step and self._primary is not None and mono_us >= self._repair_us:
-            self._repair_us = mono_us + self._rng.randint(REPAIR_US // 2, REPAIR_US)
+            longest_us = RETRY_US if self._refused else REPAIR_US
+            self._repair_us = mono_us + self._rng.randint(longest_us // 2, longest_us)
             self._send_digests(now_us, self._primary)
 
     # Voters
--- a/robinhill/control/peers.py
+++ b/robinhill/control/peers.py
@@ -3,7 +3,7 @@
 All times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from random import Random
 
@@ -31,6 +31,71 @@
     status: wire.VoterStatus | None = None
     told: wire.VoterStatus | None = None
 
+    @property
+    def written(self) -> int:
+        """All our changes up to this one are written to the voter, which reads them before what we write
+        next, as links are ordered; 0 while it is not yet known what else it lacks."""
+        comparison = self.session.comparison
+        return self.session.cursor if comparison.rounds and not comparison.owed else 0
+
+
+class Refusals:
+    """Voters that sent a record which could not be taken: of those we don't know all that they knew.
+
+    As long as there is one, what we know of other voters is of no use to anybody else. It ends once a
+    comparison that began later finds no difference.
+    """
+
+    def __init__(self) -> None:
+        self._rounds: dict[str, tuple[Session, int]] = {}  # after how many rounds of a session
+
+    def __bool__(self) -> bool:
+        return bool(self._rounds)
+
+    def __contains__(self, voter: str) -> bool:
+        return voter in self._rounds
+
+    def refused(self, voter: str, session: Session) -> None:
+        """A record that this voter sent was refused."""
+        self._rounds[voter] = session, session.comparison.rounds + 2  # one may be under way
+
+    def recovered(self, voter: str, session: Session) -> bool:
+        """Whether we hold all that this voter holds by now. True once."""
+        if voter not in self._rounds:
+            return False
+        before, needed = self._rounds[voter]
+        comparison = session.comparison
+        if comparison.rounds < (needed if before is session else 1) or comparison.differing:
+            return False
+        del self._rounds[voter]
+        return True
+
+
+class TrueAges:
+    """What sessions tell of `Freshness`: only of ourselves while something was refused."""
+
+    def __init__(self, freshness: Freshness, refusals: Refusals) -> None:
+        self.pinged = freshness.pinged
+        self.answered = freshness.answered
+        self._freshness = freshness
+        self._refusals = refusals
+
+    def ages(self, mono_us: int) -> Mapping[str, int]:
+        """How old our knowledge is of each voter that counts."""
+        return self._ours(self._freshness.ages(mono_us))
+
+    def starting_ages(self, mono_us: int) -> Mapping[str, int]:
+        """The same of those that do not count yet."""
+        return self._ours(self._freshness.starting_ages(mono_us))
+
+    def age_us(self, mono_us: int) -> int | None:
+        """As of how long ago we know a majority, for observers."""
+        return None if self._refusals else self._freshness.age_us(mono_us)
+
+    def _ours(self, ages: Mapping[str, int]) -> Mapping[str, int]:
+        me = self._freshness.me
+        return {name: age for name, age in ages.items() if name == me} if self._refusals else ages
+
 
 class Peers:
     """The other voters. ``brings``: whether another voter than we brings what a process wrote to all."""
@@ -52,6 +117,8 @@
         self.links: dict[Link, VoterLink] = {}
         self.by_name: dict[str, Link] = {}
         self.starts = {options.name: incarnation}
+        self.refusals = Refusals()
+        self.ages = TrueAges(freshness, self.refusals)
         self._outbox = outbox
         self._brings = brings
         self._backoff = Backoff(rng)
@@ -139,11 +206,6 @@
         for link in self.by_name.values():
             self._outbox.to_voter(link, message)
 
-    def ask(self) -> None:
-        """Ask all how far they are, as soon as may be."""
-        for voter in self.links.values():
-            voter.session.ask()
-
     # Starts and lists
 
     def started(self, starts: Iterable[tuple[str, int]]) -> list[tuple[str, int]]:
@@ -193,7 +255,7 @@
     def _session(self, *, opens: bool) -> Session:
         options = self.options
         identity = Identity(options.installation, options.name, self.incarnation, tuple(sorted(self.names)))
-        session = Session(identity, self.replica, self.freshness, opens, options.ping_us)
+        session = Session(identity, self.replica, self.ages, opens, options.ping_us)
         session.direct = self._brings
         return session
 
--- a/robinhill/control/taking.py
+++ b/robinhill/control/taking.py
@@ -17,7 +17,18 @@
             outcome = replica.take(now_us, record)
         except MeshError as e:
             declined.append((record, e))
-            outcome = getattr(e, "held", None)  # from the future a little: it was taken all the same
+            outcome = held_after(e)
         if outcome is not None:
             changed.append(outcome)
     return changed, declined
+
+
+def held_after(error: MeshError) -> Record | None:
+    """The record that is held all the same, as it was from the future a little; None: it was refused."""
+    held = getattr(error, "held", None)
+    return held if isinstance(held, Record) else None
+
+
+def refused(declined: Iterable[Declined]) -> bool:
+    """Whether any record was not taken at all: who refused one does not hold what the sender holds."""
+    return any(held_after(error) is None for _, error in declined)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -21,7 +21,7 @@
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Figures, Outbox
 from robinhill.control.peers import Peers, VoterLink
-from robinhill.control.taking import take_all
+from robinhill.control.taking import refused, take_all
 from robinhill.control.tally import Key, Tally
 from robinhill.cordon.promise import Mode
 from robinhill.mesh.freshness import Freshness
@@ -71,7 +71,7 @@
         self._peers = Peers(
             options, incarnation, replica, self.freshness, rng, self._outbox, self._brought_by_another
         )
-        self._audience = Audience(options, incarnation, self.log, self.tally, self.freshness, self._outbox)
+        self._audience = Audience(options, incarnation, self.log, self.tally, self.age_us, self._outbox)
         self._pending: dict[Link, int] = {}  # accepted, nothing has come yet; since when
         self._requests: dict[int, _Request] = {}
         self._request = 0
@@ -187,7 +187,7 @@
 
     def age_us(self, mono_us: int) -> int | None:
         """As of how long ago a majority of voters is known; None if none is."""
-        return self.freshness.age_us(mono_us)
+        return self._peers.ages.age_us(mono_us)
 
     @property
     def counts(self) -> bool:
@@ -261,14 +261,19 @@
                 raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
 
     def _event(self, mono_us: int, link: Link, event: Event) -> None:
+        voter = self._peers.links[link]
         match event:
             case Greeted(hello=hello):
                 self._greeted(mono_us, link, hello.name, hello.incarnation)
             case Learned(records=records, declined=declined):
                 self._learned(records, declined)
+                if voter.name is not None and refused(declined):
+                    self._peers.refusals.refused(voter.name, voter.session)
             case Answered():
-                if not self.counts and self.freshness.may_catch_up():
+                if not self.counts and not self._peers.refusals and self.freshness.may_catch_up():
                     self._catch_up()
+                if voter.name is not None and self._peers.refusals.recovered(voter.name, voter.session):
+                    self.tally.news.update(self.tally.marks)
 
     def _greeted(self, mono_us: int, link: Link, name: str, incarnation: int) -> None:
         if (before := self._peers.by_name.get(name)) is not None:
@@ -291,11 +296,17 @@
         try:
             self.following.check_room()
         except ChangesFull as e:  # it spreads all the same; only nobody can say how far it is
-            progress = wire.Progress(offer.number, False, False, 1, (f"voter {self.name}: {e.what}",))
-            self._outbox.to_observer(link, progress)
+            self._not_followed(link, offer.number, e.what)
+            return
+        if refused(declined):
+            self._not_followed(link, offer.number, declined[0][1].what)
             return
         self._follow(mono_us, offer.records, _Request(link, offer.number))
 
+    def _not_followed(self, link: Link, number: int, why: str) -> None:
+        progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
+        self._outbox.to_observer(link, progress)
+
     def _learned(self, records: Iterable[Record], declined: Iterable[tuple[Record, MeshError]] = ()) -> None:
         changed, refused = tuple(records), tuple(declined)
         if changed:
@@ -339,16 +350,15 @@
         return self._outbox.take()
 
     def _pump(self, now_us: int, mono_us: int) -> None:
-        """Let sessions write; ask for barriers where a voter is now known to hold what they are about."""
+        """Let sessions write; send barriers behind the changes that they are about."""
         for link, voter, name in self._peers.pump(now_us, mono_us):
-            for group in self.following.to_ask(name, voter.session.held):
+            for group in self.following.to_ask(name, voter.written):
                 self._outbox.to_voter(link, wire.Barrier(group.number, group.urgent, group.hold))
 
     def _seal(self, mono_us: int) -> None:
         for group in self.following.to_seal(mono_us):
             key = self.name, group.number
             self.tally.mark(mono_us, key, group.position, urgent=group.urgent, hold=group.hold)
-            self._peers.ask()
 
     def _tell_marks(self, mono_us: int) -> None:
         """Tell who is behind a mark: at once where nobody is any more, else not too often."""
@@ -367,11 +377,16 @@
         if origin == self.name:
             self.following.own(mono_us, number, mark, self.counts)
             return
-        names = tuple(sorted(mark.waiting)[: wire.NAMES_AT_MOST])
+        link = self._peers.by_name.get(origin)
+        if link is None:
+            return
+        behind, names = len(mark.waiting), sorted(mark.waiting)[: wire.NAMES_AT_MOST]
+        counts = self.counts
+        if origin in self._peers.refusals:
+            behind, names, counts = behind + 1, [f"voter {self.name}, which refused a record", *names], False
         starts = self._peers.told_starts()
-        status = wire.BarrierStatus(number, self.incarnation, self.counts, starts, len(mark.waiting), names)
-        if (link := self._peers.by_name.get(origin)) is not None:
-            self._outbox.to_voter(link, status)
+        status = wire.BarrierStatus(number, self.incarnation, counts, starts, behind, tuple(names))
+        self._outbox.to_voter(link, status)
 
     def _tell_progress(self, mono_us: int) -> None:
         for news in self.following.review(mono_us):
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -290,3 +290,42 @@
     network.run(500_000)
     assert all(change.in_force_us for change in network.changes)
     assert network.processes["v00"].sent - before < 10 * 20
+
+
+# Records that are refused
+
+
+def test_an_observer_that_refuses_a_record_confirms_nothing_and_gets_no_lease() -> None:
+    network = running(3, 4, room={"s0001": 2})  # takes twice as many
+    for i in range(6):
+        network.write("v00", NOTE, f"n{i}")
+    network.run(SECOND // 2)
+    assert network.changes[-1].names == ("s0001",)
+    network.run(network.bound_us + SECOND)
+    assert not network.observer("s0001").holds_lease(network.mono_us("s0001"))
+    assert all(change.in_force_us is not None for change in network.changes) and network.broken == []
+
+
+def test_a_voter_that_refuses_a_record_does_not_accept_it() -> None:
+    network = running(3, 3, room={"v01": 2})
+    changes = [network.write("v00", NOTE, f"n{i}") for i in range(6)]
+    network.run(SECOND // 2)
+    last = changes[-1]
+    assert last.accepted_us is not None and last.in_force_us is None
+    assert "voter v01, which refused a record" in last.names
+    network.run(network.bound_us + SECOND)
+    assert last.in_force_us is not None and network.broken == []
+
+
+def test_nothing_is_accepted_that_a_majority_refuses() -> None:
+    network = running(3, 3, room={"v01": 2, "v02": 2})
+    changes = [network.write("v00", NOTE, f"n{i}") for i in range(6)]
+    network.run(5 * SECOND)
+    assert changes[-1].accepted_us is None and network.broken == []
+
+
+def test_an_offer_that_the_voter_refuses_is_told() -> None:
+    network = running(1, 2, room={"v00": 2})
+    changes = [network.write("s0000", NOTE, f"n{i}") for i in range(6)]
+    network.run(3 * SECOND)
+    assert changes[-1].accepted_us is None and changes[-1].names[0].startswith("voter v00: ")
