--- a/robinhill/control/following.py
+++ b/robinhill/control/following.py
@@ -22,7 +22,8 @@
 
 GROUPS_AT_MOST = 1_024
 CHANGES_AT_MOST = 8_192
-"""Changes that may be followed at once."""
+"""Changes that may be followed at once. Beyond it the oldest accepted one is forgotten: under `serve` a
+scheduler that was killed is waited for until an operator says that it runs no more."""
 
 
 @dataclass(slots=True)
@@ -58,12 +59,18 @@
         self._changes = 0
         self._last = 0
         self._open: dict[tuple[bool, bool], Group] = {}
-        self._ended: list[int] = []
+        self._ended: list[Group] = []
 
-    def check_room(self) -> None:
-        """Raises ChangesFull where another change could not be followed; to be asked before it is written."""
-        if self._changes >= CHANGES_AT_MOST or len(self.groups) >= GROUPS_AT_MOST:
-            raise ChangesFull(f"{self._changes} changes are waited for")
+    def make_room(self) -> None:
+        """Forget the oldest accepted group where another change could not be followed; to be called before
+        one is written. Raises ChangesFull where none is accepted."""
+        if self._changes < CHANGES_AT_MOST and len(self.groups) < GROUPS_AT_MOST:
+            return
+        for group in self.groups.values():
+            if group.sealed and (group.accepted_us is not None or not group.hold):
+                self._drop(group)
+                return
+        raise ChangesFull(f"{self._changes} changes are waited for, none of them accepted")
 
     def follow(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
         """A change was stored here; it is the last of its sort in the log."""
@@ -109,7 +116,9 @@
 
     def own(self, mono_us: int, number: int, mark: Mark, counts: bool) -> None:
         """How far our own observers are; ``counts``: we count for majorities."""
-        group = self.groups[number]
+        group = self.groups.get(number)
+        if group is None:
+            return  # it was forgotten in this very call
         names = tuple(sorted(mark.waiting)[:NAMES_AT_MOST])
         group.behind[self.me] = len(mark.waiting), names
         group.news = True
@@ -167,8 +176,8 @@
                 self._drop(group)
         return news
 
-    def ended(self) -> list[int]:
-        """Groups that were dropped since the last call: voters need not tell more of them."""
+    def ended(self) -> list[Group]:
+        """Groups that were dropped since the last call, in force or not: nobody need tell more of them."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -202,7 +211,7 @@
         del self.groups[group.number]
         self._changes -= len(group.changes)
         self.acceptance.forget(group.stamp)
-        self._ended.append(group.number)
+        self._ended.append(group)
         key = group.urgent, group.hold
         if self._open.get(key) is group and not group.sealed:
             del self._open[key]
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -36,7 +36,7 @@
 """From one confirmation to the next: what comes between shares one."""
 
 OFFERS_AT_MOST = 1_024
-"""Own changes that may wait to be in force."""
+"""Own changes that may wait to be in force; beyond it the oldest accepted one is forgotten."""
 
 OFFER_RECORDS = 64
 OFFER_BYTES = 32 << 10
@@ -113,6 +113,7 @@
         self._refused = False  # a record was refused: we don't hold all that the voter holds
         self._refused_now = False  # the same, in the comparison that is on
         self._offers: dict[int, tuple[Record, ...]] = {}
+        self._accepted: set[int] = set()  # of the offers
         self._offer = 0
         self._told_lease = False
         self._lost_us = mono_us  # since when there has been no lease, or the observer runs
@@ -170,8 +171,7 @@
 
         Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
         """
-        if len(self._offers) >= OFFERS_AT_MOST:
-            raise ChangesFull(f"{len(self._offers)} changes are waited for")
+        self._make_room()
         record = self.replica.write(now_us, kind, key, value)
         self._offer += 1
         self._offers[self._offer] = (record,)
@@ -180,9 +180,18 @@
             self._send(self._primary, wire.Offer(self._offer, (record,)))
         return self._offer, record, self._done(mono_us)
 
+    def _make_room(self) -> None:
+        if len(self._offers) < OFFERS_AT_MOST:
+            return
+        accepted = next((number for number in self._offers if number in self._accepted), None)
+        if accepted is None:
+            raise ChangesFull(f"{len(self._offers)} changes are waited for, none of them accepted")
+        self.abandon(accepted)
+
     def abandon(self, number: int) -> None:
         """Nobody waits for this change any more; what was written stays and spreads."""
         self._offers.pop(number, None)
+        self._accepted.discard(number)
 
     def holds_lease(self, mono_us: int) -> bool:
         """Whether a majority is known as of no longer ago than the bound. Cheap: for each send."""
@@ -375,8 +384,10 @@
     def _progress(self, progress: wire.Progress) -> None:
         if progress.number not in self._offers:
             return
+        if progress.accepted:
+            self._accepted.add(progress.number)
         if progress.in_force:
-            del self._offers[progress.number]
+            self.abandon(progress.number)
         self._out.append(
             Progressed(progress.number, progress.accepted, progress.in_force, progress.behind, progress.names)
         )
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -125,7 +125,7 @@
 
         Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
         """
-        self.following.check_room()
+        self.following.make_room()
         record = self.replica.write(now_us, kind, key, value)
         self._learned([record])
         number = self._follow(mono_us, [record], _Request(None, 0))
@@ -294,7 +294,7 @@
         if not offer.number:
             return
         try:
-            self.following.check_room()
+            self.following.make_room()
         except ChangesFull as e:  # it spreads all the same; only nobody can say how far it is
             self._not_followed(link, offer.number, e.what)
             return
@@ -391,11 +391,11 @@
     def _tell_progress(self, mono_us: int) -> None:
         for news in self.following.review(mono_us):
             self._tell_request(news, self._requests[news.number])
-            if news.in_force:
-                del self._requests[news.number]
-        for number in self.following.ended():
-            self.tally.drop((self.name, number))
-            self._peers.to_all(wire.BarrierEnd(number))
+        for group in self.following.ended():
+            self.tally.drop((self.name, group.number))
+            self._peers.to_all(wire.BarrierEnd(group.number))
+            for change in group.changes:
+                del self._requests[change]
 
     def _tell_request(self, news: Progressed, request: _Request) -> None:
         if request.link is None:
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from robinhill.control.errors import VotersNotOneAtATime
+from robinhill.control.errors import ChangesFull, VotersNotOneAtATime
 from robinhill.control.options import Place, VotersKeys, voter_options
 from robinhill.cordon.promise import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Change, Network
@@ -329,3 +329,35 @@
     changes = [network.write("s0000", NOTE, f"n{i}") for i in range(6)]
     network.run(3 * SECOND)
     assert changes[-1].accepted_us is None and changes[-1].names[0].startswith("voter v00: ")
+
+
+# Bounds
+
+
+def test_changes_that_wait_for_a_killed_scheduler_do_not_stop_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("robinhill.control.following.GROUPS_AT_MOST", 4)
+    monkeypatch.setattr("robinhill.control.observer.OFFERS_AT_MOST", 4)
+    network = running(3, 3, on_lost=Mode.SERVE)
+    network.crash("s0002")
+    for i in range(10):
+        network.write("v00", CORDON, f"v{i}")
+        network.write("s0000", CORDON, f"s{i}")
+        network.run(30_000)
+    network.run(SECOND)
+    assert all(network.know_all(change) for change in network.changes)
+    assert len(network.voter("v00").following.groups) <= 4
+
+
+def test_changes_that_nobody_accepts_are_refused_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("robinhill.control.following.GROUPS_AT_MOST", 4)
+    network = running(3, 1)
+    for other in ("v01", "v02"):
+        network.cut("v00", other)
+    for i in range(4):
+        network.write("v00", CORDON, f"c{i}")
+        network.run(100_000)
+    with pytest.raises(ChangesFull, match="none of them accepted"):
+        network.write("v00", CORDON, "one more")
+    assert network.voter("v00").replica.record(CORDON, "one more") is None
+    network.heal()
+    network.run_until(lambda: all(change.in_force_us for change in network.changes), 5 * SECOND)
