--- a/robinhill/control/following.py
+++ b/robinhill/control/following.py
@@ -22,7 +22,8 @@
 
 GROUPS_AT_MOST = 1_024
 CHANGES_AT_MOST = 8_192
-"""Changes that may be followed at once."""
+"""Changes that may be followed at once. Beyond it the oldest accepted one is forgotten: under `serve` a
+scheduler that was killed is waited for until an operator says that it runs no more."""
 
 
 @dataclass(slots=True)
@@ -41,7 +42,7 @@
     in_force: bool = False
     asked: set[str] = field(default_factory=set)  # voters that have its barrier on the present link
     behind: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)  # by voter, as last told
-    told: tuple[bool, bool, int] | None = None
+    told: tuple[bool, bool, int, tuple[str, ...]] | None = None
     news: bool = True  # something changed since it was looked at
 
 
@@ -58,12 +59,18 @@
         self._changes = 0
         self._last = 0
         self._open: dict[tuple[bool, bool], Group] = {}
-        self._ended: list[int] = []
+        self._ended: list[Group] = []
 
-    def check_room(self) -> None:
-        """Raises ChangesFull where another change could not be followed; to be asked before it is written."""
-        if self._changes >= CHANGES_AT_MOST or len(self.groups) >= GROUPS_AT_MOST:
-            raise ChangesFull(f"{self._changes} changes are waited for")
+    def make_room(self) -> None:
+        """Forget the oldest accepted group where another change could not be followed; to be called before
+        one is written. Raises ChangesFull where none is accepted."""
+        if self._changes < CHANGES_AT_MOST and len(self.groups) < GROUPS_AT_MOST:
+            return
+        for group in self.groups.values():
+            if group.sealed and (group.accepted_us is not None or not group.hold):
+                self._drop(group)
+                return
+        raise ChangesFull(f"{self._changes} changes are waited for, none of them accepted")
 
     def follow(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
         """A change was stored here; it is the last of its sort in the log."""
@@ -95,12 +102,13 @@
         ]
         return min(times, default=None)
 
-    def to_ask(self, voter: str, held: int) -> list[Group]:
-        """Groups of which a voter is to be asked now: it holds our changes up to position ``held``."""
+    def to_ask(self, voter: str, written: int) -> list[Group]:
+        """Groups of which a voter is to be asked now: changes up to ``written`` are on their way to it, in
+        order before the question."""
         due = [
             group
             for group in self.groups.values()
-            if group.sealed and voter not in group.asked and held >= group.position
+            if group.sealed and voter not in group.asked and written >= group.position
         ]
         for group in due:
             group.asked.add(voter)
@@ -108,7 +116,9 @@
 
     def own(self, mono_us: int, number: int, mark: Mark, counts: bool) -> None:
         """How far our own observers are; ``counts``: we count for majorities."""
-        group = self.groups[number]
+        group = self.groups.get(number)
+        if group is None:
+            return  # it was forgotten in this very call
         names = tuple(sorted(mark.waiting)[:NAMES_AT_MOST])
         group.behind[self.me] = len(mark.waiting), names
         group.news = True
@@ -157,17 +167,17 @@
             behind, names = self._behind(group)
             accepted = group.accepted_us is not None or not group.hold
             group.in_force = accepted and (not behind or self._leases_over(mono_us, group))
-            now = accepted, group.in_force, 0 if group.in_force else behind
+            behind, names = (0, ()) if group.in_force else (behind, names)
+            now = accepted, group.in_force, behind, names
             if now != group.told and (group.sealed or group.in_force):
                 group.told = now
-                names = () if group.in_force else names
-                news += [Progressed(change, *now, names) for change in group.changes]
+                news += [Progressed(change, *now) for change in group.changes]
             if group.in_force:
                 self._drop(group)
         return news
 
-    def ended(self) -> list[int]:
-        """Groups that were dropped since the last call: voters need not tell more of them."""
+    def ended(self) -> list[Group]:
+        """Groups that were dropped since the last call, in force or not: nobody need tell more of them."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -201,7 +211,7 @@
         del self.groups[group.number]
         self._changes -= len(group.changes)
         self.acceptance.forget(group.stamp)
-        self._ended.append(group.number)
+        self._ended.append(group)
         key = group.urgent, group.hold
         if self._open.get(key) is group and not group.sealed:
             del self._open[key]
