--- a/robinhill/control/audience.py
+++ b/robinhill/control/audience.py
@@ -152,10 +152,8 @@
         self._draw(mono_us, link, observer)
 
     def _goodbye(self, link: Link, observer: ObserverLink) -> None:
-        observed = self.tally.observed.get(observer.name)
-        if observed is not None and observed.incarnation == observer.incarnation:
-            self.tally.gone(observer.name)
-            self.moved[observer.name] = observer.incarnation, observer.join
+        self.tally.left(observer.name, observer.incarnation)
+        self.moved[observer.name] = observer.incarnation, wire.GOODBYE
         self.lost(link)
         self._outbox.disconnect(link, "it said goodbye")
 
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -11,6 +11,9 @@
 from robinhill.mesh.words import Record
 
 PROTOCOL = 1
+GOODBYE = 1 << 62
+"""Stands for the number of a join after which this start of an observer makes no other."""
+
 MAX_MESSAGE = 1 << 20
 """Bytes of a message; a reader closes a link that sends more."""
 
@@ -75,6 +78,14 @@
     observers: tuple[tuple[str, int, int], ...]
 
 
+class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
+    """The writer waits for these observers, which went from it without a goodbye: whoever knows better
+    answers with `Moved`. So a word on a move that was lost, or overtook the join before, does no lasting
+    harm."""
+
+    observers: tuple[tuple[str, int, int], ...]
+
+
 # From an observer
 
 
@@ -202,7 +213,7 @@
     why: str
 
 
-VoterMessage = MeshData | VoterStatus | Barrier | BarrierStatus | BarrierEnd | Moved
+VoterMessage = MeshData | VoterStatus | Barrier | BarrierStatus | BarrierEnd | Moved | Departed
 ObserverMessage = Join | Digests | Offer | Heartbeat | Applied | Goodbye
 ToObserver = Welcome | Compare | RangeRecords | Compared | Changes | HeartbeatReply | Progress | Refused
 AnyMessage = VoterMessage | ObserverMessage | ToObserver
--- a/robinhill/control/tally.py
+++ b/robinhill/control/tally.py
@@ -14,15 +14,19 @@
 may last.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
 from robinhill.control.actions import Link
+from robinhill.control.messages import GOODBYE
 from robinhill.cordon.promise import with_slack
 
 DEPARTED_AT_MOST = 4_096
 """Observers that went without a goodbye and are remembered under `serve`: a day's restarts."""
 
+ASKED_AT_ONCE = 64
+"""Of those, how many other voters are asked about at a time."""
+
 UNKNOWN = "observers of an earlier start"
 Key = tuple[str, int]
 
@@ -62,6 +66,7 @@
         self.news: set[Key] = set()
         self._unknown_until_us = started_us + self.lease_us
         self._departed: dict[str, None] = {}
+        self._left: dict[str, tuple[int, int]] = {}  # who said goodbye last: start and join
 
     def joined(self, mono_us: int, name: str, incarnation: int, join: int, link: Link) -> Observed | None:
         """An observer has this voter now; None for a start that a later one has replaced."""
@@ -166,6 +171,36 @@
         for name in [name for name in self._departed if self._lease_over(mono_us, name)]:
             self.gone(name)
 
+    def left(self, name: str, incarnation: int) -> None:
+        """An observer said goodbye here."""
+        self._left.pop(name, None)
+        self._left[name] = incarnation, GOODBYE
+        if len(self._left) > DEPARTED_AT_MOST:
+            del self._left[next(iter(self._left))]
+        observed = self.observed.get(name)
+        if observed is not None and observed.incarnation == incarnation:
+            self.gone(name)
+
+    def to_ask(self, mono_us: int) -> tuple[tuple[str, int, int], ...]:
+        """Some of those that went longer ago than a lease lasts; others the next time."""
+        names = [name for name in self._departed if self._lease_over(mono_us, name)][:ASKED_AT_ONCE]
+        for name in names:
+            del self._departed[name]
+            self._departed[name] = None
+        return tuple((one.name, one.incarnation, one.join) for one in map(self.observed.__getitem__, names))
+
+    def known_better(self, asked: Iterable[tuple[str, int, int]]) -> tuple[tuple[str, int, int], ...]:
+        """Of these observers of another voter, those that are in step here, or said goodbye here."""
+        found = []
+        for name, incarnation, join in asked:
+            start = self._left.get(name, (0, 0))
+            observed = self.observed.get(name)
+            if observed is not None and observed.link is not None and observed.confirmed:
+                start = max(start, (observed.incarnation, observed.join))
+            if start > (incarnation, join):
+                found.append((name, *start))
+        return tuple(found)
+
     def linked(self) -> list[Observed]:
         """Observers with a link, those that are in step."""
         return [one for one in self.observed.values() if one.link is not None and one.confirmed]
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -166,6 +166,8 @@
                 self.log.collected()
             self._drop_silent(mono_us)
             self._audience.review(mono_us)
+            if departed := self.tally.to_ask(mono_us):
+                self._peers.to_all(wire.Departed(departed))
         self._peers.connect(mono_us)
         if self._peers.settles(mono_us):
             self.following.reconfigured(mono_us)
@@ -257,6 +259,9 @@
             case wire.Moved():
                 for observer in message.observers:
                     self._audience.moved_elsewhere(*observer)
+            case wire.Departed():
+                if (known := self.tally.known_better(message.observers)) and name in self._peers.by_name:
+                    self._outbox.to_voter(self._peers.by_name[name], wire.Moved(known))
             case _:
                 raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
 
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -144,6 +144,32 @@
     assert change.in_force_us is not None
 
 
+def test_a_join_that_came_late_is_not_waited_for() -> None:
+    network = running(3, 3, on_lost=Mode.SERVE)
+    having = network.observer("s0000").voter
+    other = next(name for name in network.keys.voters if name != having)
+    tally, start = network.voter(other).tally, network.processes["s0000"].incarnation
+    tally.joined(network.mono_us(other), "s0000", start, 0, 999)  # overtaken by the word on the next join
+    tally.unlinked("s0000", 999)
+    change = network.write("v00", CORDON, "c")
+    network.run(SECOND // 2)
+    assert change.names == ("s0000",)
+    in_force(network, change, network.bound_us + 2 * SECOND)
+
+
+def test_a_goodbye_that_another_voter_did_not_hear_of_is_told_again() -> None:
+    network = running(3, 3, on_lost=Mode.SERVE)
+    having = network.observer("s0000").voter
+    other = next(name for name in network.keys.voters if name != having)
+    tally, start = network.voter(other).tally, network.processes["s0000"].incarnation
+    network.leave("s0000")
+    network.run(SECOND)
+    tally.joined(network.mono_us(other), "s0000", start, 0, 999)
+    tally.unlinked("s0000", 999)
+    change = network.write("v00", CORDON, "c")
+    in_force(network, change, network.bound_us + 2 * SECOND)
+
+
 def test_a_voter_that_is_cut_off_is_named() -> None:
     network = running(3, 4)
     for other in ("v00", "v01"):
