--- /dev/null
+++ b/robinhill/control/taking.py
@@ -0,0 +1,34 @@
+"""Taking records of another copy: what changed here, and what was declined with why."""
+
+from collections.abc import Iterable
+
+from robinhill.mesh.replica import Replica
+from robinhill.mesh.words import MeshError, Record
+
+Declined = tuple[Record, MeshError]
+
+
+def take_all(replica: Replica, now_us: int, records: Iterable[Record]) -> tuple[list[Record], list[Declined]]:
+    """Merge records; those that this copy holds anew, and those that it refused or took with a warning."""
+    changed: list[Record] = []
+    declined: list[Declined] = []
+    for record in records:
+        try:
+            outcome = replica.take(now_us, record)
+        except MeshError as e:
+            declined.append((record, e))
+            outcome = held_after(e)
+        if outcome is not None:
+            changed.append(outcome)
+    return changed, declined
+
+
+def held_after(error: MeshError) -> Record | None:
+    """The record that is held all the same, as it was from the future a little; None: it was refused."""
+    held = getattr(error, "held", None)
+    return held if isinstance(held, Record) else None
+
+
+def refused(declined: Iterable[Declined]) -> bool:
+    """Whether any record was not taken at all: who refused one does not hold what the sender holds."""
+    return any(held_after(error) is None for _, error in declined)
--- /dev/null
+++ b/robinhill/emulator/voter.py
@@ -0,0 +1,34 @@
+"""A voter of the control group as a process of its own."""
+
+from pathlib import Path
+from typing import Any
+
+from robinhill.emulator.discovery import Listed
+from robinhill.emulator.program import Program
+from robinhill.emulator.site import Site
+
+Json = dict[str, Any]
+VOTER = ("-m", "robinhill", "control")
+
+
+def voter_program(
+    folder: Path,
+    site: Site,
+    discovery: Listed,
+    operator: Json,
+    name: str,
+    *,
+    state: Path | None = None,
+    entry: tuple[str, ...] = VOTER,
+) -> Program:
+    """`robinhill control` by this name; it reads nothing of the configuration of the platform."""
+    return Program(
+        folder,
+        site,
+        discovery,
+        operator,
+        name,
+        state=state,
+        entry=entry,
+        env={"GW_NAME": name},
+    )
