--- a/benchmarks/scale/gang.py
+++ b/benchmarks/scale/gang.py
@@ -7,9 +7,9 @@
 from robinhill.api import Repeat
 from robinhill.gang.errors import MalformedGang
 from robinhill.gang.gangs import Gangs
+from robinhill.gang.membership import Membership, read_membership
 from robinhill.gang.options import GangOptions
 from robinhill.gang.share import encode
-from robinhill.gang.words import Membership, read_membership
 
 MEMBERS = (16, 32, 64, 128, 256)
 WANTED_MEMBERS = 256  # of the plan
--- a/benchmarks/scale/nodes.py
+++ b/benchmarks/scale/nodes.py
@@ -33,7 +33,7 @@
         self.now_us = START_US
         self.balancer = Balancer(given or settings(), seed=7)
         self.balancer.start(self.now_us)
-        self.deadline_us = self.balancer.s.classes[0].deadline_us
+        self.deadline_us = self.balancer.settings.classes[0].deadline_us
         self.jobs = 0
         self.sent: list[int] = []
         self.list(api.ListKind.FULL, workers(worker_count))
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -13,7 +13,12 @@
 import orjson
 import psutil
 
-from benchmarks.scale.renamed import Discovery, JobKind, Journal, Program, Rig, Site, Worker
+from robinhill.checker.journal import Journal
+from robinhill.emulator.discovery import Discovery
+from robinhill.emulator.program import Program
+from robinhill.emulator.rig import Rig
+from robinhill.emulator.site import JobKind, Site
+from robinhill.emulator.worker import Worker
 from robinhill.model.workers import Job
 
 MOST_PROCESSES = 24
@@ -58,7 +63,7 @@
     entry = discovery.entries.pop(worker.name)
     for number in range(worker_count):
         name = f"worker-{number:05}"
-        host_port = await worker.door(name) if serving else worker.host_port
+        host_port = await worker.open_address(name) if serving else worker.host_port
         discovery.entries[name] = entry | {"instanceId": name, "hostPort": host_port}
 
 
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -5,8 +5,9 @@
 
 from benchmarks.scale.counting import allocated_bytes, executed_lines, microseconds
 from benchmarks.scale.fitting import Point, print_ladder
-from benchmarks.scale.renamed import Admit, Ask, Door, DoorOptions, Limits, Tenant
 from robinhill import api
+from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.options import AdmissionOptions, Limits, Tenant
 
 TENANTS = (10, 50, 190, 1_000, 5_000)
 SCHEDULERS = (1, 2, 4, 8)
@@ -24,14 +25,14 @@
     return f"team-{tenant:04}"
 
 
-class Admission:
+class AdmittingScheduler:
     """One scheduler's admission with so many tenants that have quotas; each admitted request ends at once."""
 
     def __init__(self, tenants: int, seed: int = 7) -> None:
         limits = Limits(requests_per_s=QUOTA_PER_S, requests_burst=QUOTA_PER_S)
         named = {name_of(tenant): Tenant(limits=limits) for tenant in range(tenants)}
-        options = DoorOptions(enabled=True, tenants=named)
-        self.door = Door(SETTINGS, options, seed, bytes(16))
+        options = AdmissionOptions(enabled=True, tenants=named)
+        self.admission = Admission(SETTINGS, options, seed, bytes(16))
         self.tenants = tenants
         self.random = random.Random(seed)
         self.now_us = START_US
@@ -42,17 +43,17 @@
         """A request of a tenant's comes, runs and ends if it is admitted."""
         self.now_us += after_us
         self.number += 1
-        caller = self.door.directory.find(name_of(tenant), "127.0.0.1", str(self.number))
+        caller = self.admission.directory.find(name_of(tenant), "127.0.0.1", str(self.number))
         ask = Ask(self.number, 0, caller, self.now_us, 5 * SECOND_US)
-        for action in self.door.arrive(self.now_us, ask):
+        for action in self.admission.arrive(self.now_us, ask):
             if isinstance(action, Admit):
                 self.admitted += 1
                 self._run(action.number)
 
     def _run(self, number: int) -> None:
-        self.door.placed(self.now_us, number)
-        self.door.began(self.now_us, number)
-        self.door.ended(self.now_us, number, True)
+        self.admission.placed(self.now_us, number)
+        self.admission.began(self.now_us, number)
+        self.admission.ended(self.now_us, number, True)
 
     def requests(self) -> None:
         """A count of requests of tenants drawn evenly."""
@@ -60,8 +61,8 @@
             self.request(self.random.randrange(self.tenants), APART_US)
 
 
-def warmed(tenants: int) -> Admission:
-    admission = Admission(tenants)
+def warmed(tenants: int) -> AdmittingScheduler:
+    admission = AdmittingScheduler(tenants)
     admission.requests()
     return admission
 
@@ -85,7 +86,7 @@
     """Requests a second that are admitted of one tenant that asks all schedulers in turn, its quota the same
     at each.
     """
-    admissions = [Admission(1, seed) for seed in range(schedulers)]
+    admissions = [AdmittingScheduler(1, seed) for seed in range(schedulers)]
     for number in range(ASKED_PER_S * SECONDS):
         at_us = START_US + number * SECOND_US // ASKED_PER_S
         admission = admissions[number % schedulers]
--- a/benchmarks/scale/requests.py
+++ b/benchmarks/scale/requests.py
@@ -7,7 +7,8 @@
 
 from benchmarks.scale.fitting import Point, print_ladder
 from benchmarks.scale.processes import SHORT_KIND, listing
-from benchmarks.scale.renamed import AskingTenant, Clients
+from robinhill.emulator.client import Clients
+from robinhill.emulator.client import Tenant as AskingTenant
 
 WORKERS = (10, 100, 300, 1_000)
 RATE_PER_S = 120.0
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.counting import allocated_by
 from benchmarks.scale.fitting import Point, print_ladder, print_ratio
 from benchmarks.scale.processes import MOST_PROCESSES, Usage, listing, usage_of
-from benchmarks.scale.renamed import Rig, rig
+from robinhill.emulator.rig import Rig, rig
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.notices import notice_kind
 from robinhill.mesh.replica import Replica
--- a/benchmarks/scale/spread.py
+++ b/benchmarks/scale/spread.py
@@ -13,7 +13,7 @@
 from benchmarks.scale import hollow
 from benchmarks.scale.fitting import Point, print_ladder, print_ratio
 from benchmarks.scale.processes import usage_of
-from benchmarks.scale.renamed import Rig, rig
+from robinhill.emulator.rig import Rig, rig
 
 SCHEDULERS = (4, 12, 24)
 CHECKED = (4, 12)
