--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -24,13 +24,13 @@
     Send,
 )
 from robinhill.control.choice import VoterChoice
-from robinhill.control.errors import ChangesFull, ControlError, JoinRefused
+from robinhill.control.errors import ChangesFull, JoinRefused
 from robinhill.control.lease import ObserverLease
 from robinhill.control.options import ControlOptions
 from robinhill.control.taking import Declined, refused, take_all
 from robinhill.cordon.promise import Mode
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import Record
+from robinhill.mesh.words import MeshError, Record
 
 APPLIED_US = 10_000
 """From one confirmation to the next: what comes between shares one."""
@@ -157,7 +157,7 @@
         if link in self._links:
             try:
                 self._dispatch(now_us, mono_us, link, wire.read(data))
-            except ControlError as e:
+            except MeshError as e:
                 self._drop(now_us, mono_us, link, str(e))
         return self._done(mono_us)
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -16,7 +16,7 @@
 from robinhill.control.actions import Action, Apply, CaughtUp, Link, Progressed, VotersSettled
 from robinhill.control.audience import Audience
 from robinhill.control.changelog import ChangeLog
-from robinhill.control.errors import ChangesFull, ControlError, JoinRefused, VotersNotOneAtATime
+from robinhill.control.errors import ChangesFull, JoinRefused, VotersNotOneAtATime
 from robinhill.control.following import Following
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Figures, Outbox
@@ -112,7 +112,7 @@
         head = self.replica.head
         try:
             self._dispatch(now_us, mono_us, link, wire.read(data))
-        except (MeshError, ControlError) as e:
+        except MeshError as e:
             self._refuse(mono_us, link, str(e))
         return self._done(now_us, mono_us, sessions=link in self._peers.links or self.replica.head != head)
 
