--- a/robinhill/model/describe.py
+++ b/robinhill/model/describe.py
@@ -20,8 +20,8 @@
 
 
 class JobKind(Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of jobs. ``work_ms`` is the mean running time on a core of speed 1, ``sigma`` its spread
-    (lognormal).
+    """A class of jobs. ``work_ms`` is the mean running time on a core of speed 1, lognormal with the spread
+    ``sigma`` or exponential.
     """
 
     name: str
@@ -35,11 +35,12 @@
     repeat: Literal["retryable", "fragile"] = "retryable"
     slots: Annotated[int, Meta(ge=1, le=64)] = 1
     memory: Annotated[float, Meta(ge=0)] = 1.0
+    lengths: Literal["lognormal", "exponential"] = "lognormal"
 
 
 class Traffic(Struct, frozen=True, forbid_unknown_fields=True):
     """What clients ask for. The rate follows a wave of a period; tenants have shares of it, falling as
-    1/rank^skew.
+    1/rank^skew, and so have schedulers and programs. A job needs one program, where there are any.
     """
 
     rate_per_s: Positive
@@ -48,6 +49,9 @@
     tenant_skew: Annotated[float, Meta(ge=0, le=4)] = 0.0
     wave: Share = 0.0
     wave_s: Positive = 60.0
+    scheduler_skew: Annotated[float, Meta(ge=0, le=4)] = 0.0
+    programs: Annotated[int, Meta(ge=0, le=100_000)] = 0
+    program_skew: Annotated[float, Meta(ge=0, le=4)] = 0.0
 
 
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
@@ -70,6 +74,7 @@
     speed: tuple[float, float] = (1.0, 1.0)
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 16
     connections: Annotated[int, Meta(ge=1)] = 512
+    programs: Annotated[int, Meta(ge=1)] = 4  # it keeps so many, the last used ones
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
@@ -88,6 +93,12 @@
     tip_after_s: Positive = 1.0
     list_delay_s: tuple[float, float] = (0.5, 2.0)
     drain_returns: bool = True
+    fetch_ms: Ms = 0.0  # work to fetch a program that a worker does not have
+    cancel_drops: bool = True  # a cancel takes waiting work out of the queue
+    probes: bool = True
+    waste_price: Annotated[float, Meta(ge=0)] = 0.02
+    handshake_price: Annotated[float, Meta(ge=0)] = 0.0
+    keepalive_s: Positive = 15.0  # idle connections are closed after it
     max_retry_after_s: Annotated[float, Meta(ge=0)] = 2.0
     most_tries: Annotated[int, Meta(ge=1)] = 4
 
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -16,7 +16,7 @@
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
 
-KEEPALIVE_US = 9_000_000  # idle connections are retired after it
+RETIRED_SHARE = 0.6  # of the time after which idle connections are closed: ours are retired then
 ADDRESS = "10.0.0.1"
 
 
@@ -37,6 +37,7 @@
     work_us: float
     deadline_us: int
     again: bool = False
+    program: int = -1
 
 
 Answer = Callable[[int, int], None]  # status, microseconds to stay away
@@ -78,6 +79,7 @@
     way_us: Callable[[int, int], float]  # between two zones, one way
     connect_timeout_us: int
     fails: Callable[[Worker], bool]  # whether a job that begins there is to end in an error
+    retire_us: float  # idle connections are retired after it
     counts: Counts = field(default_factory=Counts)
     alive: bool = True
     subscribed: bool = False
@@ -229,7 +231,7 @@
         if timeout_us and now + timeout_us < held.until_us:
             self.engine.after(timeout_us, self._timed_out, number, attempt)
         way = self.way_us(self.zone, worker.zone)
-        idle = [t for t in self.idle.get(address, []) if now - t < KEEPALIVE_US]
+        idle = [t for t in self.idle.get(address, []) if now - t < self.retire_us]
         if idle:
             idle.pop()
             self.idle[address] = idle
@@ -272,6 +274,7 @@
         job = Job(
             str(number), kind.name, arrival.work_us, kind.slots, kind.memory, tell,
             told=self.starts.get(worker.name, 0) >= worker.started_us, fails=self.fails(worker),
+            program=arrival.program,
         )  # fmt: skip
         self.idle.setdefault(worker.name, []).append(self.engine.now)
         if not worker.take(job):
--- a/robinhill/model/trace.py
+++ b/robinhill/model/trace.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 from itertools import pairwise
-from math import exp, log, pi, sin, sqrt
+from math import erfc, exp, log, pi, sin, sqrt
 
 import numpy as np
 
@@ -22,6 +22,7 @@
     tenant: int
     work_us: float  # on a core of speed 1
     deadline_us: int = 0  # 0: its class's
+    program: int = -1  # that it needs; -1: none
 
 
 @dataclass(slots=True)
@@ -51,16 +52,29 @@
     ranks = 1.0 / np.arange(1, traffic.tenants + 1) ** traffic.tenant_skew
     tenants = rng.choice(traffic.tenants, size=count, p=ranks / ranks.sum())
     lengths = rng.standard_normal(count)
+    programs = np.full(count, -1)
+    if traffic.programs:
+        ranks = 1.0 / np.arange(1, traffic.programs + 1) ** traffic.program_skew
+        programs = rng.choice(traffic.programs, size=count, p=ranks / ranks.sum())
     asked: list[Asked] = []
-    for at, kept, kind, tenant, z in zip(times, keep, kinds, tenants, lengths, strict=True):
+    for at, kept, kind, tenant, z, program in zip(
+        times, keep, kinds, tenants, lengths, programs, strict=True
+    ):
         if kept * peak > rate_at(traffic, surges, float(at)):
             continue
         job: JobKind = traffic.kinds[int(kind)]
-        work = job.work_ms * 1000 * exp(job.sigma * float(z) - job.sigma**2 / 2)
-        asked.append(Asked(len(asked), int(at * S), job.name, int(tenant), work))
+        work = job.work_ms * 1000 * relative_length(job, float(z))
+        asked.append(Asked(len(asked), int(at * S), job.name, int(tenant), work, program=int(program)))
     return Trace(asked)
 
 
+def relative_length(job: JobKind, z: float) -> float:
+    """A job's length over its class's mean, from a standard normal draw."""
+    if job.lengths == "exponential":
+        return -log(max(1e-300, erfc(z / sqrt(2)) / 2))
+    return exp(job.sigma * z - job.sigma**2 / 2)
+
+
 def rate_at(traffic: Traffic, surges: list[Trouble], at_s: float) -> float:
     """Requests a second at a moment: the wave, times the surges that are on."""
     rate = traffic.rate_per_s * (1 + traffic.wave * sin(2 * pi * at_s / traffic.wave_s))
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -2,7 +2,7 @@
 pauses.
 """
 
-from collections import deque
+from collections import OrderedDict, deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from math import inf
@@ -38,6 +38,7 @@
     fails: bool = False  # it ends in an error
     quiet: bool = False  # called off: nobody is told
     scheduler: str = ""  # that sent it, by name
+    program: int = -1  # that it needs; -1: none
 
 
 @dataclass(slots=True, eq=False)
@@ -62,6 +63,7 @@
     cut: set[int] = field(default_factory=set)  # zones whose schedulers can't reach it
     running: list[Job] = field(default_factory=list)
     waiting: deque[Job] = field(default_factory=deque)
+    programs: OrderedDict[int, None] = field(default_factory=OrderedDict)  # kept; the last used one last
     connections: int = 0
     fell: bool = False
     busy_us: float = 0.0  # core time spent on jobs
@@ -105,11 +107,11 @@
         return True
 
     def cancel(self, request: str) -> None:
-        """Waiting work is dropped; what runs goes on, and nobody is told."""
+        """Waiting work is dropped, where workers do so; what runs goes on, and nobody is told."""
         self._emit(Event(self.engine.now / 1e6, What.CALLED_OFF, request, self.name))
-        for job in [j for j in self.waiting if j.request == request]:
+        for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
             self.waiting.remove(job)
-        for job in self.running:
+        for job in [*self.running, *self.waiting]:
             if job.request == request:
                 job.quiet = True
 
@@ -124,6 +126,7 @@
             self._note(What.ENDED, job)
         self.running.clear()
         self.waiting.clear()
+        self.programs.clear()
         self._pressed.clear()
         self._burden_us = 0.0
         self._turn += 1
@@ -176,10 +179,22 @@
                 self.waiting.appendleft(job)
                 break
             self.running.append(job)
+            self._fetch(job)
             self._note(What.BEGAN, job)
             job.tell("started", job)
         self._plan()
 
+    def _fetch(self, job: Job) -> None:
+        """A program that is not here is fetched while the job holds its slots, and the oldest one dropped."""
+        if job.program < 0:
+            return
+        if job.program not in self.programs:
+            job.left_us += self.fleet.fetch_ms * 1000
+        self.programs[job.program] = None
+        self.programs.move_to_end(job.program)
+        if len(self.programs) > self.machine.programs:
+            self.programs.popitem(last=False)
+
     def _fits(self, job: Job) -> bool:
         """Whether it can run beside what runs now."""
         slots = sum(j.slots for j in self.running) + job.slots
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -20,7 +20,7 @@
 from robinhill.logic import Balancer
 from robinhill.model.describe import Description, DescriptionError, JobKind, Trouble
 from robinhill.model.engine import Engine
-from robinhill.model.node import Arrival, Module, Node
+from robinhill.model.node import RETIRED_SHARE, Arrival, Module, Node
 from robinhill.model.trace import Asked, Trace
 from robinhill.model.workers import Worker
 from robinhill.witness.journal import Event, Journal, What
@@ -120,6 +120,8 @@
         self.settings = self._settings()
         self.workers = {w.name: w for w in self._make_workers()}
         self.nodes = [self._make_node(n) for n in range(description.fleet.schedulers)]
+        skew = description.traffic.scheduler_skew
+        self.node_shares = {n.name: (rank + 1) ** -skew for rank, n in enumerate(self.nodes)}
 
     # Building
 
@@ -137,9 +139,10 @@
             "drain_grace_us": 500_000, "cold_from": f.cold_from, "cold_us": int(f.cold_s * S),
             "fall_multiple": f.fall_multiple, "tip_after_us": int(f.tip_after_s * S),
             "connect_timeout_us": int(f.connect_timeout_ms * 1000), "max_attempts": f.most_tries,
-            "cancelling": True, "probes": True, "retry_after": f.max_retry_after_s > 0,
-            "max_retry_after_us": int(f.max_retry_after_s * S), "tells_start": True, "waste_price": 0.02,
-            "keepalive_us": 15 * S, "cross_zone_price": 0.1 if len(f.zones) > 1 else 0.0,
+            "cancelling": True, "probes": f.probes, "retry_after": f.max_retry_after_s > 0,
+            "max_retry_after_us": int(f.max_retry_after_s * S), "tells_start": True,
+            "waste_price": f.waste_price, "handshake_price": f.handshake_price,
+            "keepalive_us": int(f.keepalive_s * S), "cross_zone_price": 0.1 if len(f.zones) > 1 else 0.0,
         }  # fmt: skip
         unknown = set(self.side.settings) - set(api.Settings.__dataclass_fields__)
         if unknown:
@@ -181,7 +184,8 @@
 
         return Node(
             f"n{number}", zone, self.engine, make(settings, seed), door, self.workers, self.d.traffic.kinds,
-            way, int(fleet.connect_timeout_ms * 1000), fails, on_subscribe=self._subscribe,
+            way, int(fleet.connect_timeout_ms * 1000), fails, RETIRED_SHARE * fleet.keepalive_s * S,
+            on_subscribe=self._subscribe,
         )  # fmt: skip
 
     # Discovery
@@ -239,7 +243,7 @@
             self._failed(wish, 0, 0)
             return
         rng = stream(self.seed, CLIENTS, asked.number, wish.tries)
-        node = candidates[int(rng.integers(len(candidates)))]
+        node = self._choose(candidates, rng)
         self._emit(What.ASKED, str(number), kind=asked.kind)
         self._count_present(1)
         since = now
@@ -270,10 +274,17 @@
                 self._failed(wish, 0, 0)
 
         deadline = int(asked.deadline_us or self.d.traffic.kinds[kind].deadline_ms * 1000)
-        arrival = Arrival(number, kind, asked.tenant, asked.work_us, deadline, wish.tries > 1)
+        arrival = Arrival(number, kind, asked.tenant, asked.work_us, deadline, wish.tries > 1, asked.program)
         self.engine.after(self.d.fleet.near_ms * 1000, node.take, arrival, answer)
         self.engine.after(deadline + 100_000, give_up)
 
+    def _choose(self, candidates: list[Node], rng: np.random.Generator) -> Node:
+        """The scheduler that the front gives a client; where they have unequal shares, by the share."""
+        if not self.d.traffic.scheduler_skew:
+            return candidates[int(rng.integers(len(candidates)))]
+        shares = np.array([self.node_shares[node.name] for node in candidates])
+        return candidates[int(np.searchsorted(np.cumsum(shares), rng.random() * shares.sum()))]
+
     def _served(self, wish: _Wish, took_us: int) -> None:
         kind = self.d.traffic.kinds[self.kind_index[wish.asked.kind]]
         wish.done = True
--- /dev/null
+++ b/tests/test_thin_fleet.py
@@ -0,0 +1,130 @@
+"""Many schedulers of a few requests a second each: the module against policies that know nothing."""
+
+import random
+from collections.abc import Callable
+
+from msgspec.structs import replace
+
+from robinhill import api
+from robinhill.logic import Balancer
+from robinhill.model import sites
+from robinhill.model.describe import Description
+from robinhill.model.node import Module
+from robinhill.model.trace import draw
+from robinhill.model.world import Result, Side, World
+
+from .conftest import MS, Node, S, klass, only
+
+SEED = 1
+MARGIN = 0.02  # of the worth asked for
+
+
+class Oblivious:
+    """Sends each job to the worker that ``pick`` names by the number of sends; again only if turned away."""
+
+    def __init__(self, pick: Callable[[int, int], int], rng: random.Random) -> None:
+        self.pick, self.rng = pick, rng
+        self.workers: list[str] = []
+        self.sends = 0
+        self.tries: dict[int, int] = {}
+
+    def start(self, now: int) -> list[api.Action]:
+        return [api.SetTimer(1000, "list")]
+
+    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        match event:
+            case api.TimerFired():
+                return [api.Subscribe()]
+            case api.WorkersListed() if not self.workers:
+                self.workers = [worker.address for worker in event.workers]
+                self.rng.shuffle(self.workers)
+            case api.Arrived():
+                self.tries[event.request.job] = 0
+                return self.send(event.request.job)
+            case api.ClientGone():
+                self.tries.pop(event.job, None)
+            case api.AttemptEnded() if event.final:
+                self.tries.pop(event.job, None)
+            case api.AttemptEnded() if event.job in self.tries:
+                if event.outcome is api.Outcome.FULL and self.tries[event.job] < 6:
+                    return self.send(event.job)
+                del self.tries[event.job]
+                return [api.Refuse(event.job)]
+        return []
+
+    def send(self, job: int) -> list[api.Action]:
+        address = self.workers[self.pick(self.sends, len(self.workers))]
+        self.sends, self.tries[job] = self.sends + 1, self.tries[job] + 1
+        return [api.Send(job, address)]
+
+
+def round_robin(_: api.Settings, seed: int) -> Module:
+    """From a random start, in an order of its own."""
+    return Oblivious(lambda sends, workers: sends % workers, random.Random(seed))
+
+
+def plain_random(_: api.Settings, seed: int) -> Module:
+    rng = random.Random(seed)
+    return Oblivious(lambda sends, workers: rng.randrange(workers), rng)
+
+
+def small_observatory() -> Description:
+    """A third of all machines and of the traffic: still thin, at a ninth of the time."""
+    fleet, traffic = sites.OBSERVATORY.fleet, sites.OBSERVATORY.traffic
+    machines = tuple(replace(machine, count=machine.count // 3) for machine in fleet.machines)
+    return replace(
+        sites.OBSERVATORY,
+        seconds=16.0,
+        fleet=replace(fleet, machines=machines, schedulers=fleet.schedulers // 3),
+        traffic=replace(traffic, rate_per_s=traffic.rate_per_s / 3),
+    )
+
+
+def played(module: Callable[[api.Settings, int], Module]) -> Result:
+    description = small_observatory()
+    return World(description, draw(description, SEED), Side(module=module), SEED).play()
+
+
+def test_thin_schedulers_serve_what_oblivious_policies_serve() -> None:
+    ours = played(Balancer)
+    others = {policy.__name__: played(policy).share for policy in (round_robin, plain_random)}
+    assert not ours.broken
+    assert ours.share >= max(others.values()) - MARGIN, (ours.share, others)
+    # Work for nobody and handshakes are load as well: both tip a fleet that is nearly full.
+    assert ours.wasted_s <= 0.03 * ours.busy_s, (ours.wasted_s, ours.busy_s)
+    assert ours.connects <= ours.firsts, (ours.connects, ours.firsts)
+
+
+SAFE_AND_UNSAFE = (klass(), klass(repeat=api.Repeat.UNSAFE))
+
+
+def second_job(job_class: int, workers: int, handshake_price: float = 0.0) -> list[api.Action]:
+    """What a scheduler does for a job a second after another one ended at each of its workers."""
+    node = Node(
+        workers,
+        classes=SAFE_AND_UNSAFE,
+        cold_us=2 * S,
+        tells_start=True,
+        handshake_price=handshake_price,
+    )
+    for _ in range(workers):
+        node.ask(500 * MS, job_class=job_class)
+        node.do(api.JobStarted(node.jobs, 0), MS)
+        node.end(node.jobs)
+    return node.ask(S, job_class=job_class)
+
+
+def test_an_idle_connection_serves_safe_jobs_where_handshakes_have_a_price() -> None:
+    safe, unsafe = 0, 1
+    assert not only(second_job(safe, 2, handshake_price=0.02), api.CloseIdle)
+    # What may not run twice needs a new connection's proof; all else gets it where it costs nothing.
+    assert only(second_job(unsafe, 2, handshake_price=0.02), api.CloseIdle)
+    assert only(second_job(safe, 2), api.CloseIdle)
+
+
+def test_only_a_scheduler_that_hears_of_its_workers_withdraws_what_waits() -> None:
+    def looks(actions: list[api.Action]) -> list[api.SetTimer]:
+        return [timer for timer in only(actions, api.SetTimer) if timer.tag.startswith("look ")]
+
+    assert looks(second_job(0, workers=1))
+    assert not looks(second_job(0, workers=8))
