--- a/robinhill/estimates.py
+++ b/robinhill/estimates.py
@@ -115,6 +115,11 @@
         """Whether fewer own jobs come than there are workers, as far as the window has come."""
         return 1e6 * self.ready * self.window_share(now) > self.rate * self.window_us
 
+    def fewer_jobs_out_than_workers(self, now: int) -> bool:
+        """Whether fewer own jobs are out at a time than there are workers, by Little's law."""
+        jobs_out = self.rate * self.jobs.mean_us / 1e6
+        return 0 < jobs_out < self.ready * self.window_share(now)
+
     def borne(self, now: int) -> float:
         """Own jobs a microsecond that a usable worker bears: a share of those served, or of one job."""
         served = self.served.count * exp((self.served.at_us - now) / self.window_us)
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -48,6 +48,7 @@
         self.weighted_rate = 0.0  # rate for which the ages of all workers were last weighted
         self.unbound_factor = 1.0  # how much ages of unbound work count at machines that bound classes want
         self.thin = False  # fewer own jobs than workers in the window, as of the last choice
+        self.sparse = False  # fewer own jobs out at a time than workers, as of the last choice
         self.shed = 0.0  # share of requests refused at once
         self.retry_budget = 1.0
         self.subscribed, self.list_failures = False, 0
@@ -214,9 +215,10 @@
     def _pick_worker(self, now: int, job: JobRecord) -> WorkerRecord | None:
         """Age-priced rotation: the lowest x ln q among the eligible; equal costs go to the larger age."""
         # Own jobs come too seldom to learn from: one failure tells, unsafe jobs go where others ended well.
-        was_thin, self.thin = self.thin, self.estimates.fewer_jobs_than_workers(now)
+        self.thin = self.estimates.fewer_jobs_than_workers(now)
+        was_sparse, self.sparse = self.sparse, self.estimates.fewer_jobs_out_than_workers(now)
         changed = abs(self.estimates.rate - self.weighted_rate) > self.weighted_rate / 5
-        if changed or self.thin != was_thin:
+        if changed or self.sparse != was_sparse:
             # A weight for each worker at each arrival cost more than all else.
             self.weighted_rate = self.estimates.rate
             for worker in self.workers.values():
@@ -323,8 +325,8 @@
         """The logarithm of q, the chance that a worker's last own job still runs when the next one comes."""
         self.estimates.update_times(worker)
         worker.age_weight = -log1p(1e6 / (worker.time_us * self.estimates.rate))
-        if not self.thin:
-            # Slow ones leave less of the aim. Thin nodes learn that late, and would all turn over together.
+        if not self.sparse:
+            # Slow ones leave less of the aim; who learns late from few jobs would swing between kinds.
             worker.age_weight /= worker.time_us
 
     def _weigh_zones(self) -> None:
@@ -588,7 +590,7 @@
         """When to withdraw an attempt as things stand; without end: not at all."""
         job, klass, silence = attempt.job, attempt.job.klass, self.derived.silence_us
         if attempt.worker.waiting is attempt:
-            if self.thin and klass.repeat is api.Repeat.SAFE:
+            if self.sparse and klass.repeat is api.Repeat.SAFE:
                 return inf  # a second choice knows no more, and what is withdrawn may run on
             in_time = attempt.key[1] == 0 and now < job.hold_until_us and self.retry_budget >= 1
             if in_time and self._can_move(now, attempt):
--- a/robinhill/state.py
+++ b/robinhill/state.py
@@ -22,7 +22,7 @@
     time_us: float  # time from send to completion, leaning on the worker's kind; its inverse is the speed
     last_send: int = 0  # number of the own send that went here last; far back if none did
     own_time: Mean = field(default_factory=Mean)  # the same, of own jobs here alone
-    age_weight: float = -1.0  # ln q over the job time: what each own send since the last one here adds
+    age_weight: float = -1.0  # ln q (over the job time): what each own send since the last one here adds
     cold_until_us: int = 0  # at most
     shut_until_us: float = 0  # gets nothing before: ejected, or not ready at all (without end)
     out: set[AttemptKey] = field(default_factory=set)  # own attempts there
