--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -28,7 +28,7 @@
 from robinhill.net import cordons, peers, sharing
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.cordons import Call
+from robinhill.net.cordon_calls import CordonCall
 from robinhill.net.decider import Cordoned, Decider, Lease
 from robinhill.net.inbound import Inbound
 from robinhill.net.messages import Answer, Destination, Lifecycle
@@ -295,7 +295,7 @@
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Answer] = loop.create_future()
         begun_s = loop.time()
-        self.schedulers[name].cordons.tell(Call("PUT", cordon_id, body, f"{wait_s:g}s", reply))
+        self.schedulers[name].cordons.tell(CordonCall("PUT", cordon_id, body, f"{wait_s:g}s", reply))
         told = msgspec.json.decode((await reply).body)
         return bool(told.get("in_force")), loop.time() - begun_s
 
--- a/robinhill/net/control/cordons.py
+++ b/robinhill/net/control/cordons.py
@@ -7,7 +7,7 @@
 import logging
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol, cast
+from typing import Protocol, cast
 
 import msgspec
 
@@ -15,23 +15,29 @@
 from robinhill.control.errors import ChangesFull
 from robinhill.control.options import ControlOptions
 from robinhill.cordon import value, views
-from robinhill.cordon.book import Book, Place, targets_of
-from robinhill.cordon.errors import BoundNotMet, CordonError, CordonUnknown, NotAccepted
+from robinhill.cordon.book import Book
+from robinhill.cordon.errors import BoundNotMet, CordonError, NotAccepted
 from robinhill.cordon.promise import Promises
 from robinhill.errors import RobinhillError
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.words import Record, StateFull
 from robinhill.net.clock import Clock
 from robinhill.net.control.changes import Change, Changes
+from robinhill.net.cordon_calls import (
+    NOT_STORED,
+    CordonCall,
+    Json,
+    answer,
+    counted_targets,
+    error_body,
+    keep_only,
+    place_of,
+)
 from robinhill.net.messages import Answer, Destination
 from robinhill.net.peers import mono_us
 
 log = logging.getLogger(__name__)
 
-Json = dict[str, Any]
-NOT_STORED = 507
-"""The kind is full."""
-
 TOO_MANY = 429
 
 
@@ -43,17 +49,6 @@
     ) -> tuple[int, Record, list[Action]]: ...
 
 
-@dataclass(slots=True, frozen=True)
-class CordonCall:
-    """An operator's call; ``wait``: the query's word, None: it waits only to be accepted."""
-
-    method: str
-    cordon_id: str
-    body: bytes
-    wait: str | None
-    reply: asyncio.Future[Answer]
-
-
 @dataclass(slots=True, eq=False)
 class _Waiter:
     change: Change
@@ -99,9 +94,7 @@
         now_us = self.clock.now_us()
         workers = {d.instance_id: place_of(d) for d in self.listed()} if self.listed else {}
         self.next_end_us = self.book.update(now_us, self._items(), workers).next_us
-        self.targets = frozenset(
-            target for target, entry in self.book.standing() if self.book.counts(target, entry.reason)
-        )
+        self.targets = counted_targets(self.book)
         self.changes.forget_ended({str(entry.dot) for _, entry in self.book.standing()})
         return self.targets
 
@@ -129,13 +122,13 @@
         try:
             match call.method:
                 case "GET":
-                    call.reply.set_result(_answer(200, self._show(call.cordon_id)))
+                    call.reply.set_result(answer(200, self._show(call.cordon_id)))
                 case "PUT":
                     self._set(call)
                 case _:
                     self._lift(call)
         except RobinhillError as e:
-            call.reply.set_result(_answer(_status(e), _error(e)))
+            call.reply.set_result(answer(_status(e), error_body(e)))
 
     def progressed(self, news: Progressed) -> None:
         """A change that was asked for here has come further."""
@@ -151,7 +144,7 @@
 
     def _set(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
-        wait_us = _wait_us(call)
+        wait_us = call.wait_us
         target, reason = views.read_put(call.cordon_id, call.body, now_us)
         value.check_elsewhere(self._items(), reason.id, target, now_us)
         self._writes += 1
@@ -165,7 +158,7 @@
 
     def _lift(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
-        wait_us = _wait_us(call)
+        wait_us = call.wait_us
         targets = value.find(self._items(), call.cordon_id, now_us)
         new = {target: value.lift(self._held(target), call.cordon_id, now_us) for target in targets}
         change = Change(call.cordon_id, targets, True, mono_us())
@@ -185,7 +178,7 @@
     def _wait(self, change: Change, wait_us: int | None, reply: asyncio.Future[Answer]) -> None:
         for_force = wait_us is not None
         if change.in_force if for_force else change.accepted:
-            reply.set_result(_answer(200, self._progress(change)))
+            reply.set_result(answer(200, self._progress(change)))
             return
         waiter = _Waiter(change, for_force, reply)
         change.waiting += 1
@@ -205,8 +198,8 @@
         if not waiter.reply.done():
             told = self._progress(waiter.change)
             if status != 200:
-                told |= _error(_failure(waiter.change))
-            waiter.reply.set_result(_answer(status, told))
+                told |= error_body(_failure(waiter.change))
+            waiter.reply.set_result(answer(status, told))
 
     def _progress(self, change: Change) -> Json:
         names = [] if change.in_force else change.names_behind
@@ -230,10 +223,7 @@
         told: Json = msgspec.to_builtins(views.listing(mono_us(), self.book, Promises()))
         dots = {(target, entry.reason.id): entry.dot for target, entry in self.book.standing()}
         if cordon_id:
-            known = sorted({c["id"] for c in told["cordons"]})
-            told["cordons"] = [c for c in told["cordons"] if c["id"] == cordon_id]
-            if not told["cordons"]:
-                raise CordonUnknown(cordon_id, known)
+            keep_only(told, cordon_id)
         for cordon in told["cordons"]:
             dot = dots[cordon["target"], cordon["id"]]
             change = self.changes.of_dot(str(dot))
@@ -261,22 +251,6 @@
         return cast(value.Cordons | None, self.replica.value(value.NAME, target))
 
 
-def covers(targets: frozenset[str], destination: Destination) -> bool:
-    """Whether a worker is among what is cordoned. Cheap: asked before each send."""
-    if not targets:
-        return False
-    return not targets.isdisjoint(targets_of(destination.instance_id, place_of(destination)))
-
-
-def place_of(destination: Destination) -> Place:
-    """Where a worker stands, as targets name it."""
-    return Place(destination.zone, destination.machine_type, destination.cell)
-
-
-def _wait_us(call: CordonCall) -> int | None:
-    return views.read_wait(call.wait.removesuffix("s")) if call.wait is not None else None
-
-
 def _failure(change: Change) -> CordonError:
     names = change.names_behind
     if change.accepted:
@@ -288,11 +262,3 @@
     if isinstance(error, CordonError):
         return views.STATUS.get(type(error), 500)
     return TOO_MANY if isinstance(error, ChangesFull) else NOT_STORED
-
-
-def _error(error: RobinhillError) -> Json:
-    return {"error": error.what, "advice": error.advice, "type": type(error).__name__}
-
-
-def _answer(status: int, body: Json) -> Answer:
-    return Answer(status, msgspec.json.encode(body) + b"\n")
--- a/robinhill/net/control/observing.py
+++ b/robinhill/net/control/observing.py
@@ -23,11 +23,12 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.atrest import AtRest
 from robinhill.net.clock import Clock
-from robinhill.net.control.cordons import CordonCall, Cordons, covers
+from robinhill.net.control.cordons import Cordons
 from robinhill.net.control.disk import recall
 from robinhill.net.control.driver import Driver, Run
 from robinhill.net.control.kinds import kinds, names_of
 from robinhill.net.control.options import address_of, options_of_observer
+from robinhill.net.cordon_calls import CordonCall, covers
 from robinhill.net.decider import Cordoned, Decider, Lease
 from robinhill.net.figures import PREFIX
 from robinhill.net.inbound import Inbound
--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control/voting.py
@@ -25,11 +25,12 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.atrest import AtRest
 from robinhill.net.clock import Clock
-from robinhill.net.control.cordons import CordonCall, Cordons
+from robinhill.net.control.cordons import Cordons
 from robinhill.net.control.disk import recall
 from robinhill.net.control.driver import Driver, Run
 from robinhill.net.control.kinds import URGENT_KINDS, kinds
 from robinhill.net.control.options import address_of, options_of_voter
+from robinhill.net.cordon_calls import CordonCall
 from robinhill.net.figures import PREFIX
 from robinhill.net.messages import Answer
 from robinhill.net.operators import Calls, Operators
--- a/robinhill/net/cordons.py
+++ b/robinhill/net/cordons.py
@@ -10,13 +10,13 @@
 import logging
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any, cast
+from typing import cast
 
 import msgspec
 
 from robinhill.cordon import value, views
-from robinhill.cordon.book import Book, Place, targets_of
-from robinhill.cordon.errors import CordonError, CordonUnknown
+from robinhill.cordon.book import Book
+from robinhill.cordon.errors import CordonError
 from robinhill.cordon.following import Followed, Following
 from robinhill.cordon.promise import Mode, Step
 from robinhill.errors import RobinhillError
@@ -29,29 +29,27 @@
 from robinhill.mesh.words import Record, StateFull
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
+from robinhill.net.cordon_calls import (
+    NOT_STORED,
+    CordonCall,
+    Json,
+    answer,
+    counted_targets,
+    covers,
+    error_body,
+    keep_only,
+    place_of,
+)
 from robinhill.net.decider import Cordoned, Lease
 from robinhill.net.messages import Answer, Destination
 from robinhill.net.peers import mono_us
 
 log = logging.getLogger(__name__)
 
-Json = dict[str, Any]
 LEAST_LOOK_US = 5_000
 ALIVE_US = 10_000_000  # since when a scheduler may not have been heard of to be dialled as one that runs
 STARTS_S = 0.05  # in which starts of others are gathered into one word: they come in crowds
 FADES_US = 3_600_000_000  # how often what must be written anew is looked for
-NOT_STORED = 507  # the kind is full
-
-
-@dataclass(slots=True, frozen=True)
-class Call:
-    """An operator's call; ``wait`` is the query's word, None: it waits only to be accepted."""
-
-    method: str
-    cordon_id: str
-    body: bytes
-    wait: str | None
-    reply: asyncio.Future[Answer]
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,7 +69,7 @@
     """Time has passed."""
 
 
-ToCordons = Call | AppliedNow | ListChanged | Look
+ToCordons = CordonCall | AppliedNow | ListChanged | Look
 
 
 @dataclass(slots=True, eq=False)
@@ -147,7 +145,7 @@
 
     def receive(self, message: ToCordons) -> None:
         match message:
-            case Call():
+            case CordonCall():
                 self._call(message)
             case AppliedNow(number=number):
                 self._applied_now(number)
@@ -160,7 +158,7 @@
 
     def may_send(self, worker: Destination) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
-        return not _covers(self.targets, worker) and self.lease()
+        return not covers(self.targets, worker) and self.lease()
 
     def lease(self) -> bool:
         """Whether this scheduler may send at all: under ``hold`` only while it can't be behind."""
@@ -303,15 +301,13 @@
     def _update(self) -> None:
         """Work out what is cordoned, and tell the decider, who confirms."""
         self.replica.collect(self.clock.now_us())  # it tells what counts as of the latest time that it heard
-        workers = {d.instance_id: _place(d) for d in self.listed()}
+        workers = {d.instance_id: place_of(d) for d in self.listed()}
         self._next_end_us = self.book.update(self.clock.now_us(), self._items(), workers).next_us
-        self.targets = frozenset(
-            target for target, entry in self.book.standing() if self.book.counts(target, entry.reason)
-        )
+        self.targets = counted_targets(self.book)
         self._told += 1
         number, targets = self._told, self.targets
         self._tellings[number] = self.following.applied.all
-        self.decider(Cordoned(lambda d: _covers(targets, d), lambda: self.tell(AppliedNow(number))))
+        self.decider(Cordoned(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
 
     def _applied_now(self, number: int) -> None:
         digest = self._tellings.pop(number)
@@ -356,22 +352,22 @@
 
     # Operators
 
-    def _call(self, call: Call) -> None:
+    def _call(self, call: CordonCall) -> None:
         if call.reply.done():
             return
         try:
             match call.method:
                 case "GET":
-                    call.reply.set_result(_answer(200, self._show(call.cordon_id)))
+                    call.reply.set_result(answer(200, self._show(call.cordon_id)))
                 case "PUT":
                     self._set(call)
                 case _:
                     self._lift(call)
         except RobinhillError as e:
             status = views.STATUS.get(type(e), 500) if isinstance(e, CordonError) else NOT_STORED
-            call.reply.set_result(_answer(status, {"error": e.what, "advice": e.advice, "type": _name(e)}))
+            call.reply.set_result(answer(status, error_body(e)))
 
-    def _set(self, call: Call) -> None:
+    def _set(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
         target, reason = views.read_put(call.cordon_id, call.body, now_us)
         value.check_elsewhere(self._items(), reason.id, target, now_us)
@@ -381,7 +377,7 @@
         self._write(call, str(dot), {target: new}, lifts=False)
         log.info("cordon_set", extra={"id": reason.id, "target": target, "by": reason.by, "why": reason.text})
 
-    def _lift(self, call: Call) -> None:
+    def _lift(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
         targets = value.find(self._items(), call.cordon_id, now_us)
         self._counter += 1
@@ -389,9 +385,9 @@
         self._write(call, f"lift {self._counter}", new, lifts=True)
         log.info("cordon_lifted", extra={"id": call.cordon_id, "targets": ",".join(targets)})
 
-    def _write(self, call: Call, key: str, new: dict[str, value.Cordons], *, lifts: bool) -> None:
+    def _write(self, call: CordonCall, key: str, new: dict[str, value.Cordons], *, lifts: bool) -> None:
         """Write and follow a change; the call is answered by `_review`."""
-        wait_us = views.read_wait(call.wait.removesuffix("s")) if call.wait is not None else None
+        wait_us = call.wait_us
         now, now_us = mono_us(), self.clock.now_us()
         self.following.promises.make_room()  # a call that is turned away must not have written anything
         records = [self.replica.write(now_us, value.NAME, target, each) for target, each in new.items()]
@@ -419,7 +415,7 @@
             elif reached or now >= waiter.deadline_us:
                 self._waiters.remove(waiter)
                 status = 200 if reached else 504 if waiter.step is Step.IN_FORCE else 202
-                waiter.reply.set_result(_answer(status, self._progress(waiter.followed, now, not reached)))
+                waiter.reply.set_result(answer(status, self._progress(waiter.followed, now, not reached)))
         self._schedule_look(now)
 
     def _progress(self, followed: Followed, now: int, failed: bool = False) -> Json:
@@ -437,7 +433,7 @@
         if not promise.lifts:
             told["warnings"] = [w for target in sorted(followed.stamps) for w in self.book.warnings(target)]
         if failed and (error := promise.failure(now, self.following.missing(followed))):
-            told |= {"error": error.what, "advice": error.advice, "type": _name(error)}
+            told |= error_body(error)
         return told
 
     def _show(self, cordon_id: str) -> Json:
@@ -445,10 +441,7 @@
         now = mono_us()
         told: Json = msgspec.to_builtins(views.listing(now, self.book, self.following.promises))
         if cordon_id:
-            known = sorted({c["id"] for c in told["cordons"]})
-            told["cordons"] = [c for c in told["cordons"] if c["id"] == cordon_id]
-            if not told["cordons"]:
-                raise CordonUnknown(cordon_id, known)
+            keep_only(told, cordon_id)
         for cordon in told["cordons"]:
             cordon["behind"] = self.following.behind(cordon["target"])
         return told | {"schedulers": [self._stand(name, now) for name in self.names]}
@@ -558,20 +551,4 @@
                 timer.cancel()
         for waiter in self._waiters:
             if not waiter.reply.done():
-                waiter.reply.set_result(_answer(503, {"error": "this scheduler ends"}))
-
-
-def _covers(targets: frozenset[str], d: Destination) -> bool:
-    return bool(targets) and not targets.isdisjoint(targets_of(d.instance_id, _place(d)))
-
-
-def _place(d: Destination) -> Place:
-    return Place(d.zone, d.machine_type, d.cell)
-
-
-def _name(error: RobinhillError) -> str:
-    return type(error).__name__
-
-
-def _answer(status: int, body: Json) -> Answer:
-    return Answer(status, msgspec.json.encode(body) + b"\n")
+                waiter.reply.set_result(answer(503, {"error": "this scheduler ends"}))
--- a/robinhill/net/sharing.py
+++ b/robinhill/net/sharing.py
@@ -26,7 +26,8 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.atrest import AtRest
 from robinhill.net.clock import Clock
-from robinhill.net.cordons import Call, Cordons, ListChanged
+from robinhill.net.cordon_calls import CordonCall
+from robinhill.net.cordons import Cordons, ListChanged
 from robinhill.net.decider import Decider
 from robinhill.net.figures import PREFIX
 from robinhill.net.inbound import Inbound
@@ -173,7 +174,7 @@
     async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
         """An operator's call about cordons."""
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.cordons.tell(Call(method, cordon_id, body, wait, reply))
+        self.cordons.tell(CordonCall(method, cordon_id, body, wait, reply))
         return await reply
 
     def status(self) -> Answer:
