--- a/robinhill/net/actor.py
+++ b/robinhill/net/actor.py
@@ -42,6 +42,15 @@
         if not self.failed.done():
             self.failed.set_exception(ActorDiedError(name))
 
+    async def unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
+        """Wait for this work; an actor's or task's death meanwhile cancels it and raises ActorDiedError."""
+        task = asyncio.get_running_loop().create_task(work)
+        await asyncio.wait([task, self.failed], return_when=asyncio.FIRST_COMPLETED)
+        if self.failed.done():
+            task.cancel()
+            self.failed.result()
+        await task
+
     async def close(self) -> None:
         """Cancel what still runs and wait for its end."""
         tasks = list(self._tasks)
--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control/voting.py
@@ -5,8 +5,7 @@
 import os
 import random
 import signal
-from collections.abc import Coroutine, Iterable, Mapping
-from typing import Any
+from collections.abc import Iterable, Mapping
 
 import msgspec
 
@@ -91,7 +90,7 @@
             loop.add_signal_handler(number, stop.set)
         await self.start()
         try:
-            await self._unless_failed(stop.wait())
+            await self.supervisor.unless_failed(stop.wait())
         finally:
             await self.close()
 
@@ -249,14 +248,6 @@
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
 
-    async def _unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        await asyncio.wait([task, self.supervisor.failed], return_when=asyncio.FIRST_COMPLETED)
-        if self.supervisor.failed.done():
-            task.cancel()
-            self.supervisor.failed.result()
-        await task
-
 
 class VoterOperators(Operators):
     """The operators' side of a voter; `PUT /ops/mesh/forget` names a scheduler that runs no more."""
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -6,7 +6,7 @@
 import os
 import random
 import signal
-from collections.abc import Coroutine, Mapping
+from collections.abc import Mapping
 from dataclasses import fields, replace
 from typing import TYPE_CHECKING, Any
 
@@ -413,15 +413,7 @@
             asyncio.get_running_loop().add_signal_handler(number, stop.set)
         await self.start()
         try:
-            await self._unless_failed(stop.wait())
-            await self._unless_failed(self.drain())
+            await self.supervisor.unless_failed(stop.wait())
+            await self.supervisor.unless_failed(self.drain())
         finally:
             await self.close()
-
-    async def _unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        await asyncio.wait([task, self.supervisor.failed], return_when=asyncio.FIRST_COMPLETED)
-        if self.supervisor.failed.done():
-            task.cancel()
-            self.supervisor.failed.result()
-        await task
