--- a/robinhill/control/choice.py
+++ b/robinhill/control/choice.py
@@ -4,7 +4,8 @@
 from random import Random
 
 from robinhill.control.backoff import Backoff
-from robinhill.control.options import Place, VoterPlace
+from robinhill.control.options import Place
+from robinhill.mesh.options import VoterPlace
 
 
 class VoterChoice:
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -9,7 +9,7 @@
 
 from robinhill.control.errors import VotersMalformed
 from robinhill.cordon.promise import Mode
-from robinhill.mesh.options import HostPort, Name
+from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
 """Each voter keeps a link to each other; a write costs a message to each, and a majority's confirmation."""
@@ -21,14 +21,6 @@
 """Pings of a voter to each other one within the bound: what they add to an observer's age stays small."""
 
 
-class VoterPlace(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a voter is found, and where it stands."""
-
-    address: HostPort
-    region: Name
-    zone: Name
-
-
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
     """Where a scheduler stands; empty where the file does not say."""
 
--- a/robinhill/mesh/kinds.py
+++ b/robinhill/mesh/kinds.py
@@ -15,6 +15,9 @@
 from robinhill.mesh.clocks import LAST_US
 from robinhill.mesh.words import Kind, Record, Stamp
 
+LONGEST_WINDOW_US = 600_000_000
+"""In which a client repeats a keyed request, where nothing says otherwise."""
+
 Text = Annotated[str, msgspec.Meta(max_length=512)]
 Word = Annotated[str, msgspec.Meta(max_length=128)]
 Time = Annotated[int, msgspec.Meta(ge=0, le=LAST_US)]
--- a/robinhill/net/control/kinds.py
+++ b/robinhill/net/control/kinds.py
@@ -5,12 +5,9 @@
 
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.cordon.value import cordon_kind
-from robinhill.mesh.kinds import DRAIN, SEEN, requests
+from robinhill.mesh.kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
 from robinhill.mesh.words import Kind
 
-LONGEST_WINDOW_US = 600_000_000
-"""In which a client repeats a keyed request."""
-
 URGENT_KINDS = frozenset({CORDON})
 """What goes ahead of all other changes."""
 
--- a/robinhill/net/control/options.py
+++ b/robinhill/net/control/options.py
@@ -7,7 +7,6 @@
 from robinhill.control.options import (
     ControlOptions,
     Place,
-    VoterPlace,
     VotersKeys,
     observer_options,
     voter_options,
@@ -45,9 +44,7 @@
     if mesh.peers:
         raise ConfigError("mesh.peers", "can't be named beside mesh.voters; take one of the two out")
     return VotersKeys(
-        voters={
-            name: VoterPlace(voter.address, voter.region, voter.zone) for name, voter in mesh.voters.items()
-        },
+        voters=mesh.voters,
         regions=mesh.regions,
         on_lost_by_kind={kind: Mode(mode) for kind, mode in mesh.on_lost_by_kind.items()},
         installation=mesh.installation,
--- a/robinhill/net/sharing.py
+++ b/robinhill/net/sharing.py
@@ -16,7 +16,7 @@
 from robinhill.cordon.value import cordon_kind
 from robinhill.mesh.clocks import agreed_offset_us, next_incarnation
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.kinds import DRAIN, SEEN, requests
+from robinhill.mesh.kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
 from robinhill.mesh.notices import notice_kind
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.replica import Replica
@@ -37,7 +37,6 @@
 log = logging.getLogger(__name__)
 
 COLLECT_S = 1.0  # what is over leaves memory within a second or so
-LONGEST_WINDOW_US = 600_000_000  # in which a client repeats a keyed request
 LEAVE_S = 0.1  # for our last word to reach partners
 CLOCKS_DIFFER_US = 2_000_000  # more is told of: ends of cordons would come late or early
 RENEW_S = 60.0  # two processes by one name must not outdo each other for ever
--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -17,9 +17,10 @@
 
 from robinhill.control.actions import Action, Apply, Connect, Disconnect, LeaseChanged, Progressed, Send
 from robinhill.control.observer import Observer
-from robinhill.control.options import Place, VoterPlace, VotersKeys, observer_options, voter_options
+from robinhill.control.options import Place, VotersKeys, observer_options, voter_options
 from robinhill.control.voter import Voter
 from robinhill.cordon.promise import Mode
+from robinhill.mesh.options import VoterPlace
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.words import Kind, Record
 
