--- /dev/null
+++ b/robinhill/commands/process.py
@@ -0,0 +1,32 @@
+"""What each long-running sub-command does round its work: log lines, configuration, exit codes."""
+
+import asyncio
+import gc
+import sys
+from collections.abc import Callable, Coroutine
+from typing import Any, TypeVar
+
+from robinhill import config
+from robinhill.net import logs
+from robinhill.net.actor import ActorDiedError
+
+Settings = TypeVar("Settings", config.Config, config.VoterConfig)
+
+
+def serve_until_end(
+    load: Callable[[], Settings], work: Callable[[Settings], Coroutine[Any, Any, None]]
+) -> int:
+    """Exit code 0 once the work is over, 1 after an actor's death, 2 for a faulty configuration."""
+    logs.configure()
+    try:
+        settings = load()
+        if settings.operator:
+            logs.configure(settings.operator.log)
+        gc.freeze()
+        asyncio.run(work(settings))
+    except config.ConfigError as e:
+        print(f"robinhill: {e}", file=sys.stderr)
+        return 2
+    except ActorDiedError:
+        return 1
+    return 0
