--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -7,7 +7,6 @@
 import contextlib
 import random
 import socket
-from collections import Counter
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
@@ -17,13 +16,24 @@
 import aiohttp
 
 from robinhill.checker import rules
-from robinhill.checker.journal import Event, What
+from robinhill.checker.journal import Event
 from robinhill.checker.mesh import Terms, copies, late_sends, lists, once, recovered
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
 from robinhill.emulator.relay import Harm, Relay, Way
-from robinhill.emulator.rig import FORM_S, KINDS, PROGRAM, UNSAFE, WORKERS, Lateness, Outcome, Rig, Watched
+from robinhill.emulator.rig import (
+    FORM_S,
+    KINDS,
+    PROGRAM,
+    UNSAFE,
+    WORKERS,
+    Lateness,
+    Outcome,
+    Rig,
+    Watched,
+    start_parts,
+)
 from robinhill.emulator.schedule import KILLS, LINKS, Fault, Schedule, Trouble, draw, names_of
 from robinhill.emulator.site import Site, free_address
 from robinhill.emulator.voter import VOTER, voter_program
@@ -110,14 +120,7 @@
     programs: dict[str, Program] = {}
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        for worker in made.values():
-            await worker.start()
-            stack.push_async_callback(worker.stop)
-        await discovery.start()
-        stack.push_async_callback(discovery.stop)
-        for relay in relays.values():
-            await relay.start()
-            stack.push_async_callback(relay.stop)
+        await start_parts(stack, [*made.values(), discovery, *relays.values()])
 
         def operator(name: str) -> Json:
             addresses = {b: relays[name, b].address if b != name else listens[b] for b in voting}
@@ -173,21 +176,12 @@
         entry=entry,
     )
     async with rig as here:
-        here.journal.events[:] = [e for e in here.journal.events if e.what is not What.DIGEST]
-        await here.play(schedule)
-        equal = await here.equal(EQUAL_S + SPARE_S)
-        await here.lists()
-        await here.prove()
+        equal = await here.play_whole(schedule, EQUAL_S + SPARE_S)
         late = here.lateness.worst_s
     terms = Terms(bound_ms / 1000, True, EQUAL_S, late_s=late)
     found = rules.broken(here.journal, set(UNSAFE), ended=True, late_s=late)
     found += broken(sorted(here.journal.events, key=lambda e: e.at), terms, here.voters)
-    counts = Counter(e.what for e in here.journal.events)
-    links = {"dialled": sum(r.dialled for r in here.relays.values())}
-    passed = [p for relay in here.relays.values() for p in relay.passed.values()]
-    for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
-        links[what] = sum(getattr(p, what) for p in passed)
-    return Outcome(found, equal, counts, late, here.journal, links)
+    return here.outcome(found, equal, late)
 
 
 def broken(events: list[Event], terms: Terms, voters: tuple[str, ...]) -> list[str]:
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -16,12 +16,12 @@
 import sys
 import tempfile
 from collections import Counter
-from collections.abc import AsyncIterator, Callable, Sequence
+from collections.abc import AsyncIterator, Callable, Iterable, Sequence
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from itertools import count, permutations
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 import aiohttp
 import orjson
@@ -196,6 +196,24 @@
                     await self.digests()
         return equal_after(self.journal.events)
 
+    async def play_whole(self, schedule: Schedule, equal_within_s: float) -> float | None:
+        """Play a schedule and what proves it; seconds until copies were equal, None if they never were."""
+        self.journal.events[:] = [e for e in self.journal.events if e.what is not What.DIGEST]
+        await self.play(schedule)
+        equal = await self.equal(equal_within_s)
+        await self.lists()
+        await self.prove()
+        return equal
+
+    def outcome(self, broken: list[str], equal_s: float | None, late_s: float) -> "Outcome":
+        """What the journal and the relays show."""
+        counts = Counter(e.what for e in self.journal.events)
+        links = {"dialled": sum(r.dialled for r in self.relays.values())}
+        passed = [p for relay in self.relays.values() for p in relay.passed.values()]
+        for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
+            links[what] = sum(getattr(p, what) for p in passed)
+        return Outcome(broken, equal_s, counts, late_s, self.journal, links)
+
     async def lists(self) -> None:
         """What each lists as in force, into the journal."""
         for name in self.names:
@@ -405,14 +423,7 @@
     programs: dict[str, Program] = {}
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        for worker in made.values():
-            await worker.start()
-            stack.push_async_callback(worker.stop)
-        await discovery.start()
-        stack.push_async_callback(discovery.stop)
-        for relay in relays.values():
-            await relay.start()
-            stack.push_async_callback(relay.stop)
+        await start_parts(stack, [*made.values(), discovery, *relays.values()])
         for place, name in enumerate(names):
             own = folder / name
             (own / "state").mkdir(parents=True)
@@ -436,6 +447,21 @@
         yield running
 
 
+class Part(Protocol):
+    """An emulated part of the world round the schedulers."""
+
+    async def start(self) -> Any: ...
+
+    async def stop(self) -> Any: ...
+
+
+async def start_parts(stack: contextlib.AsyncExitStack, parts: Iterable[Part]) -> None:
+    """Start them one after another; the stack stops them."""
+    for part in parts:
+        await part.start()
+        stack.push_async_callback(part.stop)
+
+
 @dataclass(slots=True)
 class Outcome:
     """What a schedule showed."""
@@ -463,19 +489,10 @@
     """One schedule on fresh processes, whose logs stay in the folder."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
-        running.journal.events[:] = [e for e in running.journal.events if e.what is not What.DIGEST]
-        await running.play(schedule)
-        equal = await running.equal(EQUAL_S + SPARE_S)
-        await running.lists()
-        await running.prove()
+        equal = await running.play_whole(schedule, EQUAL_S + SPARE_S)
         late = running.lateness.worst_s
     terms = Terms(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
-    counts = Counter(e.what for e in running.journal.events)
-    links = {"dialled": sum(r.dialled for r in running.relays.values())}
-    passed = [p for relay in running.relays.values() for p in relay.passed.values()]
-    for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
-        links[what] = sum(getattr(p, what) for p in passed)
-    return Outcome(broken(running.journal, terms, UNSAFE), equal, counts, late, running.journal, links)
+    return running.outcome(broken(running.journal, terms, UNSAFE), equal, late)
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
