--- /dev/null
+++ b/tests/surfaces.py
@@ -0,0 +1,628 @@
+"""The program's outward surfaces under names of their own, for the compatibility tests.
+
+The literals in ``tests/test_compat_*.py`` never change. This module alone knows what the code behind a
+surface is called now: a rename is followed here, and nowhere in those tests. Samples are built with
+keywords, so that fields that trade places show as other bytes.
+"""
+
+import asyncio
+import importlib
+import json
+import pkgutil
+from collections.abc import AsyncIterator, Callable, Iterator, Mapping
+from contextlib import asynccontextmanager
+from dataclasses import asdict
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import click
+import msgspec
+
+import robinhill
+from robinhill import api, memory, timers
+from robinhill.admission import memory as admission_memory
+from robinhill.admission.callers import Caller
+from robinhill.commands import cli
+from robinhill.config import OperatorFile
+from robinhill.control import messages as control
+from robinhill.cordon import value as cordon
+from robinhill.cordon import views
+from robinhill.errors import RobinhillError
+from robinhill.gang import share as gang
+from robinhill.mesh import frames, kinds, members, notices
+from robinhill.mesh import rest as snapshot
+from robinhill.mesh import words as shared
+from robinhill.mesh.replica import Replica
+from robinhill.net import cordon_calls, messages
+from robinhill.net.atrest import AtRest
+from robinhill.net.control.kinds import kinds as control_kinds
+from robinhill.net.figures import Figures
+from robinhill.net.messages import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.net.state import State
+from robinhill.record import records as recording
+from robinhill.record.frames import frame as recording_frame
+from robinhill.record.frames import header as recording_header
+from robinhill.record.frames import read as read_recording
+
+from .conftest import MS, Node, sent_to
+from .test_admission import Fleet
+from .test_endings_handover import world
+
+Json = dict[str, Any]
+
+# Bytes: messages, records and values
+
+SAMPLES: dict[str, msgspec.Struct] = {
+    "control.mesh": control.MeshData(data=b"data1"),
+    "control.status": control.VoterStatus(
+        incarnation=1, counts=True, voters=b"voters2", starts=(("starts3", 4),)
+    ),
+    "control.barrier": control.Barrier(number=1, urgent=True, hold=True),
+    "control.behind": control.BarrierStatus(
+        number=1, incarnation=2, counts=True, starts=(("starts3", 4),), behind=5, names=("names6",)
+    ),
+    "control.unbar": control.BarrierEnd(number=1),
+    "control.moved": control.Moved(observers=(("observers1", 2, 3),)),
+    "control.departed": control.Departed(observers=(("observers1", 2, 3),)),
+    "control.join": control.Join(
+        protocol=1,
+        installation="installation2",
+        name="name3",
+        incarnation=4,
+        bound_us=5,
+        on_lost="on_lost6",
+        spare=True,
+        number=7,
+        voter="voter8",
+        voter_incarnation=9,
+        position=10,
+    ),
+    "control.digests": control.Digests(at_us=1, digests=b"digests2"),
+    "control.offer": control.Offer(
+        number=1,
+        records=(
+            shared.Record(
+                kind="kind2",
+                key="key3",
+                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                until_us=8,
+                value=b"value9",
+            ),
+        ),
+    ),
+    "control.beat": control.Heartbeat(number=1),
+    "control.applied": control.Applied(received=1, position=2, urgent=3),
+    "control.goodbye": control.Goodbye(),
+    "control.welcome": control.Welcome(voter="voter1", incarnation=2, resumed=True),
+    "control.compare": control.Compare(),
+    "control.RangePart": control.RangePart(
+        index=1,
+        records=(
+            shared.Record(
+                kind="kind2",
+                key="key3",
+                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                until_us=8,
+                value=b"value9",
+            ),
+        ),
+        last=True,
+    ),
+    "control.ranges": control.RangeRecords(
+        parts=(
+            control.RangePart(
+                index=1,
+                records=(
+                    shared.Record(
+                        kind="kind2",
+                        key="key3",
+                        stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                        until_us=8,
+                        value=b"value9",
+                    ),
+                ),
+                last=True,
+            ),
+        )
+    ),
+    "control.compared": control.Compared(position=1),
+    "control.changes": control.Changes(
+        position=1,
+        urgent=True,
+        records=(
+            shared.Record(
+                kind="kind2",
+                key="key3",
+                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                until_us=8,
+                value=b"value9",
+            ),
+        ),
+    ),
+    "control.reply": control.HeartbeatReply(number=1, age_us=2, position=3),
+    "control.progress": control.Progress(number=1, accepted=True, in_force=True, behind=2, names=("names3",)),
+    "control.refused": control.Refused(why="why1"),
+    "shared.Stamp": shared.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
+    "shared.Record": shared.Record(
+        kind="kind1",
+        key="key2",
+        stamp=shared.Stamp(wall_us=3, count=4, origin="origin5", incarnation=6),
+        until_us=7,
+        value=b"value8",
+    ),
+    "frames.hello": frames.Hello(
+        protocol=1,
+        installation="installation2",
+        name="name3",
+        incarnation=4,
+        features=("features5",),
+        now_us=6,
+        names=("names7",),
+    ),
+    "frames.push": frames.Push(
+        number=1,
+        records=(
+            shared.Record(
+                kind="kind2",
+                key="key3",
+                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                until_us=8,
+                value=b"value9",
+            ),
+        ),
+        instead=(10,),
+    ),
+    "frames.ping": frames.Ping(number=1, pushed=2, low=3),
+    "frames.pong": frames.Pong(number=1, pushed=2, low=3, ages_ms=(4,), starting_ms=((5, 6),)),
+    "frames.again": frames.Again(numbers=(1,)),
+    "frames.ranges": frames.Ranges(round=1, at_us=2, answers=True, digests=b"digests3"),
+    "frames.Part": frames.Part(index=1, part=2, parts=3, heads=(("heads4", "heads5", b"heads6"),)),
+    "frames.heads": frames.Heads(
+        round=1, parts=(frames.Part(index=2, part=3, parts=4, heads=(("heads5", "heads6", b"heads7"),)),)
+    ),
+    "frames.redo": frames.Redo(round=1, indices=(2,)),
+    "frames.aside": frames.Aside(words=b"words1"),
+    "notices.Notice": notices.Notice(
+        version=1,
+        incarnation=1,
+        serial=2,
+        mode="mode3",
+        bound_us=4,
+        counts=True,
+        serving=True,
+        left=True,
+        names=b"names5",
+        applied=b"applied6",
+        recent=(("recent7", b"recent8"),),
+        starts=(("starts9", 10),),
+    ),
+    "members.Rumour": members.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
+    "members.check": members.Check(
+        sender="sender1",
+        incarnation=2,
+        number=3,
+        target="target4",
+        rumours=(members.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+    ),
+    "members.check-for": members.CheckFor(
+        sender="sender1",
+        incarnation=2,
+        number=3,
+        target="target4",
+        rumours=(members.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+    ),
+    "members.checked": members.Checked(
+        sender="sender1",
+        incarnation=2,
+        number=3,
+        target="target4",
+        target_incarnation=5,
+        rumours=(members.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
+    ),
+    "members.word": members.Word(
+        sender="sender1",
+        incarnation=2,
+        rumours=(members.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
+    ),
+    "kinds.Drain": kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
+    "kinds.Sighting": kinds.Sighting(observer="observer1", what="what2", at_us=3, about="about4", amount=5),
+    "kinds.Outcome": kinds.Outcome(
+        state=2, attempt=1, at_us=2, window_us=3, zone="zone4", by="by5", result=b"result6"
+    ),
+    "snapshot.Owner": snapshot.Owner(
+        installation="installation1", origin="origin2", incarnation=3, saved_us=4
+    ),
+    "recording.a": recording.Arrived(at_us=1, id=2, kind="kind3", tenant=4, size=5, left_us=6, again=True),
+    "recording.t": recording.Attempted(
+        at_us=1, id=2, worker="worker3", outcome="outcome4", took_us=5, ran_us=6
+    ),
+    "recording.f": recording.Answered(at_us=1, id=2, status=3),
+    "recording.l": recording.Listed(
+        at_us=1, worker="worker2", zone="zone3", machine="machine4", lifecycle="lifecycle5", started_us=6
+    ),
+    "recording.d": recording.Dropped(at_us=1, count=2),
+    "gang.MemberUpdate": gang.MemberUpdate(
+        index=1,
+        sequence=2,
+        phase=2,
+        share=3,
+        waited_us=4,
+        run_us=5,
+        hint_us=6,
+        moves=2,
+        kind="kind7",
+        worker="worker8",
+        origin="origin9",
+    ),
+    "gang.Progress": gang.Progress(
+        size=2,
+        members=(
+            gang.MemberUpdate(
+                index=1,
+                sequence=2,
+                phase=2,
+                share=3,
+                waited_us=4,
+                run_us=5,
+                hint_us=6,
+                moves=2,
+                kind="kind7",
+                worker="worker8",
+                origin="origin9",
+            ),
+        ),
+    ),
+    "cordon.value": cordon.Cordons(
+        version=1,
+        entries=(
+            cordon.Entry(
+                dot=cordon.Dot(origin="s1", incarnation=2, counter=3),
+                reason=cordon.Reason(
+                    id="auto-7",
+                    text="text4",
+                    by="by5",
+                    since_us=6,
+                    until_us=7,
+                    automatic=True,
+                    cause="cause8",
+                    observers=("observer9",),
+                    times=10,
+                ),
+            ),
+        ),
+        seen=(cordon.Seen(origin="s1", incarnation=2, ranges=((1, 3),)),),
+        lifted_us=11,
+    ),
+}
+
+
+def encode(sample: msgspec.Struct) -> bytes:
+    """A sample as it travels inside a message or file."""
+    return msgspec.msgpack.encode(sample)
+
+
+def decode(data: bytes, name: str) -> msgspec.Struct:
+    """Bytes as the sample of that name."""
+    decoded: msgspec.Struct = msgspec.msgpack.decode(data, type=type(SAMPLES[name]))
+    return decoded
+
+
+def pass_on(name: str, data: bytes) -> bytes:
+    """A whole message of a link, read and written again by the module that owns its format."""
+    if name.startswith("control."):
+        return control.write(control.read(data))
+    if name.startswith("frames."):
+        return frames.write(frames.read(data))
+    raise KeyError(name)
+
+
+_REQUESTS = kinds.requests(kinds.LONGEST_WINDOW_US)
+
+VALUES: Mapping[str, Callable[[bytes], bytes]] = {
+    "cordon": lambda data: cordon.encode(cordon.decode(data)),
+    "notice": lambda data: notices.encode(notices.decode(data)),
+    "gang.progress": lambda data: gang.encode(gang.decode(data)),
+    "drain": lambda data: kinds.DRAIN.encode(kinds.DRAIN.decode(data)),
+    "evidence": lambda data: kinds.SEEN.encode(kinds.SEEN.decode(data)),
+    "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
+}
+"""Values of records by the name of their kind, read and written again."""
+
+
+def kind_names() -> list[str]:
+    """The names of the kinds that a member of the control group replicates, in order, and of the others."""
+    return [kind.name for kind in control_kinds()] + [notices.NAME, gang.NAME]
+
+
+def digests() -> dict[str, str]:
+    """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
+    record = SAMPLES["shared.Record"]
+    assert isinstance(record, shared.Record)
+    replica = Replica("s1", 5, (cordon.cordon_kind(), kinds.DRAIN))
+    stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
+    drain = encode(SAMPLES["kinds.Drain"])
+    replica.take(
+        2_000_000, shared.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain)
+    )
+    return {
+        "record": frames.check(record).hex(),
+        "parts": notices.digest(b"a", b"bc").hex(),
+        "names": notices.list_digest(["s2", "s1"]).hex(),
+        "replica": replica.digest(2_000_000).hex(),
+    }
+
+
+# Files
+
+
+def write_snapshot(folder: Path) -> None:
+    """Save one record of each kind as a scheduler, or a voter, does."""
+    store = AtRest(folder, "fernvale", "s1")
+    owner = snapshot.Owner(
+        installation="fernvale", origin="s1", incarnation=77, saved_us=1_700_000_000_000_000
+    )
+    store.write(owner, stored_records())
+
+
+def read_snapshot(folder: Path) -> tuple[tuple[str, str, int, int], list[bytes]]:
+    """Whose file it is, and its records as bytes."""
+    owner, records = AtRest(folder, "fernvale", "s1").load()
+    assert owner
+    head = owner.installation, owner.origin, owner.incarnation, owner.saved_us
+    return head, [encode(record) for record in records]
+
+
+def stored_records() -> list[shared.Record]:
+    """A record of each kind, as they lie in a snapshot."""
+    stamp = shared.Stamp(wall_us=1_700_000_000_000_000, count=1, origin="s1", incarnation=77)
+    values = {
+        "cordon": "cordon.value",
+        "notice": "notices.Notice",
+        "drain": "kinds.Drain",
+        "request": "kinds.Outcome",
+        "gang.progress": "gang.Progress",
+    }
+    return [
+        shared.Record(
+            kind=kind, key=f"key-{kind}", stamp=stamp, until_us=1 << 52, value=encode(SAMPLES[name])
+        )
+        for kind, name in values.items()
+    ]
+
+
+def save_disabled_workers(folder: Path, names: set[str]) -> bool:
+    """Keep the workers that operators have taken out."""
+    return State(folder).save(names)
+
+
+def load_disabled_workers(folder: Path) -> set[str]:
+    """Those workers as the last process left them."""
+    return State(folder).held_out()
+
+
+def recorded() -> list[Any]:
+    """A record of each type that a recording holds."""
+    return [SAMPLES[f"recording.{tag}"] for tag in "atfld"]
+
+
+def write_recording(path: Path) -> None:
+    """A recording with one frame."""
+    path.write_bytes(recording_header() + recording_frame(recorded()))
+
+
+def load_recording(path: Path) -> list[Any]:
+    """The records of a recording, which must be complete."""
+    reading = read_recording(path)
+    assert not reading.lost
+    return reading.records
+
+
+# What a process hands to its successor
+
+
+def _driven() -> Node:
+    node = Node(3, tells_start=True)
+    for _ in range(40):
+        worker = sent_to(node.ask(after_us=10 * MS))
+        node.end(node.jobs, took_us=300 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
+    node.do(api.JobStarted(_open_job(node), 0), 20 * MS)
+    worker = sent_to(node.ask(after_us=10 * MS))
+    node.end(node.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
+    node.ask(after_us=10 * MS)
+    return node
+
+
+def _open_job(node: Node) -> int:
+    node.ask(after_us=10 * MS)
+    return node.jobs
+
+
+def exported_state() -> Json:
+    """What a driven decision module knows, as its successor gets it."""
+    return _as_json(memory.learned(_driven().balancer))
+
+
+def reexported_state(state: Json) -> Json:
+    """The same, told to a fresh module and exported by it."""
+    node = Node(3, tells_start=True)
+    memory.recall(node.balancer, state)
+    return _as_json(memory.learned(node.balancer))
+
+
+def handed_over_jobs() -> list[Json]:
+    """The jobs that the driven module still has, as a successor gets them."""
+    balancer = _driven().balancer
+    return [_as_json(memory.release(balancer, number)) for number in sorted(balancer.jobs)]
+
+
+def handed_over_again(jobs: list[Json]) -> list[Json]:
+    """The same, taken by a fresh module and handed over by it."""
+    node = Node(3, tells_start=True)
+    for job in jobs:
+        memory.resume(node.balancer, node.now, job)
+    return [_as_json(memory.release(node.balancer, number)) for number in sorted(node.balancer.jobs)]
+
+
+def timer_tags() -> list[str]:
+    """The tags of timers, which go along with the jobs that they are about."""
+    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.Check] + [timers.HELD, timers.LIST]
+
+
+def exported_admission() -> Json:
+    """What a driven admission control knows, as its successor gets it."""
+    fleet = Fleet(slots=1, run_ms=300)
+    for _ in range(8):
+        fleet.ask("a")
+        fleet.pass_time(400)
+    for _ in range(30):
+        fleet.ask("a")
+    fleet.ask("a", key="k")
+    return _as_json(admission_memory.learned(fleet.admission))
+
+
+def reexported_admission(state: Json) -> Json:
+    """The same, told to a fresh admission control and exported by it."""
+    fleet = Fleet(slots=1, run_ms=300)
+    admission_memory.recall(fleet.admission, fleet.now, state)
+    return _as_json(admission_memory.learned(fleet.admission))
+
+
+def exported_caller() -> Json:
+    """A request's tenant as it goes along with the request."""
+    return asdict(Caller(tenant=1, name="name2", network=3, mark=4))
+
+
+def handed_request() -> Json:
+    """A client's request as it goes to a successor."""
+    request = JobRequest(
+        id="id1", job_class=2, time_left_us=3, client_repeat=True, target="/target4", body=b"body\xff",
+        headers=(("key5", "value6"),), tenant="tenant7", cost_us=8, key="key9",
+    )  # fmt: skip
+    written = _as_json(messages.write_handed(request))
+    assert messages.read_handed(written) == request
+    return written
+
+
+def worker_event() -> Json:
+    """A worker's call about a job as it goes from process to process."""
+    event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
+    written = _as_json(messages.write_job_event(event))
+    assert messages.job_event(written) == event
+    return written
+
+
+def listed_worker() -> Json:
+    """An entry of the endpoint list as it goes from process to process."""
+    entry = Destination(
+        instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
+        lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
+    )  # fmt: skip
+    written = _as_json(messages.write_destination(entry))
+    assert messages.read_destination(written) == entry
+    return written
+
+
+def _as_json(value: Any) -> Json:
+    told: Json = json.loads(json.dumps(value))
+    return told
+
+
+# Operators
+
+
+def error_types() -> set[str]:
+    """The ``type`` in operators' answers, of every error that they may meet."""
+    load_all_modules()
+    return {_type_of(error) for error in _subclasses(RobinhillError)}
+
+
+def load_all_modules() -> None:
+    """Import every module of the package, so that all subclasses are known."""
+    for module in pkgutil.walk_packages(robinhill.__path__, "robinhill."):
+        if not module.name.endswith("__main__"):
+            importlib.import_module(module.name)
+
+
+def _type_of(error: type[RobinhillError]) -> str:
+    raised = error.__new__(error)
+    raised.what = "what"
+    body = cordon_calls.error_body(raised)
+    assert set(body) == {"error", "advice", "type"}
+    return str(body["type"])
+
+
+def _subclasses(base: type[Any]) -> Iterator[type[Any]]:
+    for each in base.__subclasses__():
+        yield each
+        yield from _subclasses(each)
+
+
+def json_keys() -> dict[str, list[str]]:
+    """Keys of what operators read as JSON."""
+    shown = {
+        "unconfirmed": views.UnconfirmedView,
+        "cordon": views.CordonView,
+        "listing": views.Listing,
+        "answer": views.Answer,
+        "put": views._Put,
+    }
+    return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
+
+
+def cordon_states() -> list[str]:
+    """The states of a cordon in operators' answers."""
+    return [*views.STATES.values(), views.OVER_BUDGET, views.HELD]
+
+
+def operator_file_keys() -> list[str]:
+    """All keys of the operators' file, dotted."""
+    return sorted(_keys(OperatorFile, ""))
+
+
+def _keys(struct: Any, prefix: str) -> Iterator[str]:
+    for field in msgspec.structs.fields(struct):
+        yield prefix + field.encode_name
+        if isinstance(field.type, type) and issubclass(field.type, msgspec.Struct):
+            yield from _keys(field.type, f"{prefix}{field.encode_name}.")
+
+
+def figures_text() -> str:
+    """The figures of a process that has just started."""
+    return Figures(("class-a",)).text()
+
+
+def enumerations() -> list[list[str]]:
+    """Values of all enumerations whose values are text."""
+    load_all_modules()
+    found = [each for each in _subclasses(Enum) if each.__module__.startswith("robinhill.")]
+    values = [[member.value for member in each] for each in found]
+    return [each for each in values if each and all(isinstance(value, str) for value in each)]
+
+
+def command_line() -> dict[str, list[str]]:
+    """Each command with its flags and arguments."""
+    found: dict[str, list[str]] = {}
+
+    def walk(name: str, command: click.Command) -> None:
+        found[name] = sorted(text for each in command.params for text in (*each.opts, *each.secondary_opts))
+        if isinstance(command, click.Group):
+            for below, subcommand in command.commands.items():
+                walk(f"{name} {below}".strip(), subcommand)
+
+    walk("", cli)
+    return found
+
+
+@asynccontextmanager
+async def process_with_a_running_job(folder: Path, request_id: str) -> AsyncIterator[None]:
+    """A scheduler that a successor can find in this folder; one job of a client runs at its worker w1."""
+    async with world(folder) as here:
+        process = here.scheduler()
+        await process.start()
+        await here.running(process, request_id)
+        drain = asyncio.create_task(process.drain())
+        try:
+            yield
+        finally:
+            drain.cancel()
