--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -22,7 +22,7 @@
 
 from robinhill.mesh.acceptance import Acceptance
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.words import Stamp
+from robinhill.mesh.records import Stamp
 
 TICK_US = 1_000
 BOUND_US = 1_500  # one tick, and room for the allowance for other clocks' rates on the way
--- a/benchmarks/mesh_members.py
+++ b/benchmarks/mesh_members.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from robinhill.mesh import overlay
-from robinhill.mesh.members import (
+from robinhill.mesh.failure_detector import (
     Act,
     Answer,
     Became,
--- a/benchmarks/mesh_replica.py
+++ b/benchmarks/mesh_replica.py
@@ -10,9 +10,10 @@
 
 import msgspec
 
-from robinhill.mesh import kinds, rest
+from robinhill.mesh import record_kinds
+from robinhill.mesh import snapshot as rest
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import Record
 
 RECORDS = 10_000
 NOW_US = 1_800_000_000_000_000
@@ -21,11 +22,11 @@
 
 
 def fresh() -> Replica:
-    return Replica(ORIGIN, NOW_US, (kinds.DRAIN, kinds.SEEN, kinds.requests(WINDOW_US)))
+    return Replica(ORIGIN, NOW_US, (record_kinds.DRAIN, record_kinds.SEEN, record_kinds.requests(WINDOW_US)))
 
 
-def outcome(state: int, i: int) -> kinds.Outcome:
-    return kinds.Outcome(state, 1, NOW_US + i, WINDOW_US, "zone-a", ORIGIN, bytes(16))
+def outcome(state: int, i: int) -> record_kinds.Outcome:
+    return record_kinds.Outcome(state, 1, NOW_US + i, WINDOW_US, "zone-a", ORIGIN, bytes(16))
 
 
 def cpu_s(call: Callable[[], object], prepare: Callable[[], object] = lambda: None, times: int = 1) -> float:
@@ -44,7 +45,7 @@
     source = fresh()
     keys = [f"club-{i % 50}/{i:08d}" for i in range(RECORDS)]
     for i, key in enumerate(keys):
-        source.write(NOW_US + i, "request", key, outcome(kinds.PLACED, i))
+        source.write(NOW_US + i, "request", key, outcome(record_kinds.PLACED, i))
     packed = msgspec.msgpack.encode(list(source.snapshot()))
     decode = msgspec.msgpack.Decoder(list[Record]).decode
     copies = [fresh()]
@@ -60,7 +61,7 @@
     tracemalloc.stop()
     first = decode(packed)
     now = NOW_US + 2 * RECORDS
-    second = [source.write(now, "request", key, outcome(kinds.ENDED, i)) for i, key in enumerate(keys)]
+    second = [source.write(now, "request", key, outcome(record_kinds.ENDED, i)) for i, key in enumerate(keys)]
 
     def empty() -> None:
         copies[0] = fresh()
@@ -70,7 +71,7 @@
         take_all(first)
 
     def repair() -> None:
-        copies[0].write(now, "drain", "s", kinds.Drain(now, ORIGIN, True, ""))
+        copies[0].write(now, "drain", "s", record_kinds.Drain(now, ORIGIN, True, ""))
         copies[0].digest(now)
 
     def walk() -> None:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -25,16 +25,17 @@
 
 from robinhill.config import Config
 from robinhill.mesh.options import MeshOptions
-from robinhill.net import cordons, peers, sharing
 from robinhill.net.actor import Actor, Supervisor
+from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.cordon_calls import CordonCall
-from robinhill.net.decider import Cordoned, Decider, Lease
-from robinhill.net.inbound import Inbound
-from robinhill.net.messages import Answer, Destination, Lifecycle
-from robinhill.net.peerlink import PATH
-from robinhill.net.peers import STRANGERS, Peers
-from robinhill.net.sharing import Sharing
+from robinhill.net.cordons import actor as cordons
+from robinhill.net.cordons.operator_calls import CordonCall
+from robinhill.net.dispatcher.dispatcher import Cordoned, Decider, Lease
+from robinhill.net.peers import peer_connections, sharing
+from robinhill.net.peers.peer_connections import STRANGERS, Peers
+from robinhill.net.peers.peer_link import PATH
+from robinhill.net.peers.sharing import Sharing
+from robinhill.protocol import Answer, Destination, Lifecycle
 
 Result = TypeVar("Result")
 UNIX_EPOCH_S = 1_700_000_000
@@ -329,7 +330,7 @@
     HollowPeers.network = network
     try:
         with (
-            patch.object(peers, "mono_us", now_us),
+            patch.object(peer_connections, "mono_us", now_us),
             patch.object(cordons, "mono_us", now_us),
             patch.object(sharing, "Peers", HollowPeers),
         ):
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.fitting import Point, print_ladder
 from benchmarks.scale.nodes import ADDRESS_PORT, Node, worker, workers
 from robinhill import api
-from robinhill.net.messages import WatchReader
+from robinhill.protocol import WatchReader
 
 WORKERS = (100, 300, 1_000, 3_000, 10_000)
 CHANGED = 10
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -13,9 +13,9 @@
 from benchmarks.scale.processes import LONG_KIND, WORKER_NAME, Listing, listing
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.endpoint import Endpoint
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Destination, Lifecycle
+from robinhill.net.metrics import Figures
+from robinhill.net.workers.endpoint import Endpoint
+from robinhill.protocol import Destination, Lifecycle
 
 WORKERS = (100, 300, 1_000, 3_000, 10_000)
 JOBS = (100, 300, 1_000)
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -14,8 +14,8 @@
 from benchmarks.scale.fitting import Point, print_ladder, print_ratio
 from benchmarks.scale.processes import MOST_PROCESSES, Usage, listing, usage_of
 from robinhill.emulator.rig import Rig, rig
+from robinhill.mesh.acknowledgements import notice_kind
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.notices import notice_kind
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Identity, Session
 
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -7,9 +7,9 @@
 import msgspec
 import orjson
 
-from robinhill import config
+from robinhill import config, logs
 from robinhill.admission.callers import BadNameError, Directory
-from robinhill.net import logs
+from robinhill.config_types import ConfigError
 
 SECRET = bytes(16)  # hashes are not shown
 
@@ -23,7 +23,7 @@
     for path in files:
         try:
             click.echo(_summary(path))
-        except config.ConfigError as e:
+        except ConfigError as e:
             print(f"{path}: {e}", file=sys.stderr)
             faulty = True
     return 2 if faulty else 0
@@ -34,7 +34,7 @@
     try:
         document = orjson.loads(Path(path).read_bytes())
     except (OSError, orjson.JSONDecodeError) as e:
-        raise config.ConfigError("(whole file)", f"is not JSON: {e}") from e
+        raise ConfigError("(whole file)", f"is not JSON: {e}") from e
     if not isinstance(document, dict) or "settings" not in document:
         operator = config.read_operator(path)
         text = msgspec.json.format(msgspec.json.encode(operator), indent=2).decode()
@@ -61,7 +61,7 @@
     try:
         options = config.read_operator(path).admission
         caller = Directory(options, SECRET).find(tenant, address)
-    except (config.ConfigError, BadNameError) as e:
+    except (ConfigError, BadNameError) as e:
         print(f"robinhill: {e}", file=sys.stderr)
         return 2
     named = options.tenants.get(caller.name)
--- a/robinhill/commands/control.py
+++ b/robinhill/commands/control.py
@@ -4,7 +4,7 @@
 
 from robinhill import config
 from robinhill.commands.process import serve_until_end
-from robinhill.net.control.voting import VoterProcess
+from robinhill.net.control_group.voter_process import VoterProcess
 
 
 def vote(env: Mapping[str, str]) -> int:
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -12,12 +12,12 @@
 import click
 import orjson
 
-from robinhill import config
+from robinhill import config, logs
 from robinhill.checker.rules import broken
+from robinhill.config_types import ConfigError
 from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import Site
-from robinhill.net import logs
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
@@ -33,7 +33,7 @@
         logs.configure()
         try:
             config.read_operator(operator)
-        except config.ConfigError as e:
+        except ConfigError as e:
             print(f"robinhill: {e}", file=sys.stderr)
             return 2
         given = orjson.loads(Path(operator).read_bytes())
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -12,13 +12,13 @@
 import msgspec
 import orjson
 
-from robinhill import config
+from robinhill import config, logs
+from robinhill.config_types import ConfigError
 from robinhill.model import report, sites
 from robinhill.model.compare import Comparison, Failed, Version, compare, play
 from robinhill.model.describe import Description, DescriptionError, read, write
 from robinhill.model.recorded import load
 from robinhill.model.trace import Trace, fit
-from robinhill.net import logs
 from robinhill.record.frames import RecordingError
 
 DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
@@ -192,7 +192,7 @@
     logs.configure()
     try:
         code: int = call(*arguments)
-    except (DescriptionError, RecordingError, config.ConfigError) as e:
+    except (DescriptionError, RecordingError, ConfigError) as e:
         click.echo(f"robinhill: {e}", err=True)
         return FAULTY
     return code
--- a/robinhill/commands/process.py
+++ b/robinhill/commands/process.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from robinhill import config
-from robinhill.net import logs
+from robinhill import config, logs
+from robinhill.config_types import ConfigError
 from robinhill.net.actor import ActorDiedError
 
 Settings = TypeVar("Settings", config.Config, config.VoterConfig)
@@ -24,7 +24,7 @@
             logs.configure(settings.operator.log)
         gc.freeze()
         asyncio.run(work(settings))
-    except config.ConfigError as e:
+    except ConfigError as e:
         print(f"robinhill: {e}", file=sys.stderr)
         return 2
     except ActorDiedError:
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -18,11 +18,11 @@
 import msgspec
 import orjson
 
-from robinhill import api
+from robinhill import api, protocol
 from robinhill.admission.options import AdmissionOptions
+from robinhill.config_types import Address, ConfigError
+from robinhill.logs import LogOptions
 from robinhill.mesh.options import MeshOptions
-from robinhill.net import messages
-from robinhill.net.logs import LogOptions
 from robinhill.record.options import RecordOptions
 from robinhill.settings import REPEATS, SCOPES, read_settings
 
@@ -57,25 +57,6 @@
 )  # fmt: skip
 
 
-class ConfigError(Exception):
-    """A key of the configuration is missing or wrong."""
-
-    def __init__(self, key: str, what: str) -> None:
-        super().__init__(f"{key}: {what}")
-        self.key, self.what = key, what
-
-
-@dataclass(slots=True, frozen=True)
-class Address:
-    """A host and a port to listen on or to call."""
-
-    host: str
-    port: int
-
-    def __str__(self) -> str:
-        return f"{self.host}:{self.port}"
-
-
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The operators' own file: what the platform does not set. All of it has defaults."""
 
@@ -97,7 +78,7 @@
     seed: int
     sockets: int
     folder: Path | None  # $TMPDIR, for what outlives the process
-    known: messages.DestinationList
+    known: protocol.DestinationList
     settings: api.Settings
     classes: tuple[str, ...]
     zones: tuple[str, ...]
@@ -205,7 +186,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ConfigError("GW_OPERATOR", f"{path} is not JSON: {e}") from e
     if operator.mesh.voters:
-        from robinhill.net.control.options import check_voters  # not loaded where none are named
+        from robinhill.control.operator_options import check_voters  # not loaded where none are named
 
         check_voters(operator.mesh)
     return operator
@@ -310,12 +291,12 @@
     return Path(path) if path else None
 
 
-def _known(value: object) -> messages.DestinationList:
+def _known(value: object) -> protocol.DestinationList:
     if value is None:
-        return messages.DestinationList(0, True, ())
+        return protocol.DestinationList(0, True, ())
     try:
-        return messages.read_destinations(value)
-    except (messages.MalformedError, OverflowError) as e:
+        return protocol.read_destinations(value)
+    except (protocol.MalformedError, OverflowError) as e:
         raise ConfigError("known", str(e)) from e
 
 
--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from robinhill.mesh.words import MeshError, Record
+from robinhill.mesh.records import MeshError, Record
 
 Link = int
 """A connection: a number that the caller chooses and never uses twice in a process."""
--- a/robinhill/control/feed.py
+++ b/robinhill/control/change_feed.py
@@ -10,7 +10,7 @@
 from robinhill.control.errors import JoinRefused
 from robinhill.control.messages import Compared, Digests, HeartbeatReply, RangePart, RangeRecords, write
 from robinhill.mesh.digests import RANGES
-from robinhill.mesh.words import Record
+from robinhill.mesh.records import Record
 
 MESSAGES_AT_MOST = 8
 """Messages with records that may be unconfirmed: with `BYTES_AT_MOST` some 256 KB for each observer."""
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from robinhill.control.messages import Changes, write
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import Record
 
 RECORDS_AT_MOST = 256
 """Records in one message."""
--- a/robinhill/control/following.py
+++ b/robinhill/control/commit_tracker.py
@@ -11,11 +11,11 @@
 from robinhill.control.actions import Progressed
 from robinhill.control.errors import ChangesFull
 from robinhill.control.messages import NAMES_AT_MOST, BarrierStatus
-from robinhill.control.tally import Mark
-from robinhill.cordon.promise import with_slack
+from robinhill.control.observer_progress import Mark
+from robinhill.cordon.propagation import with_slack
 from robinhill.mesh.acceptance import Acceptance
 from robinhill.mesh.quorum import Quorum
-from robinhill.mesh.words import Stamp
+from robinhill.mesh.records import Stamp
 
 GROUP_US = 20_000
 """From one group's barriers to the next one's of the same sort: what comes between shares them."""
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from robinhill.control.errors import JoinRefused
-from robinhill.mesh.words import Record
+from robinhill.mesh.records import Record
 
 PROTOCOL = 1
 GOODBYE = 1 << 62
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -23,14 +23,14 @@
     Progressed,
     Send,
 )
-from robinhill.control.choice import VoterChoice
 from robinhill.control.errors import ChangesFull, JoinRefused
 from robinhill.control.lease import ObserverLease
 from robinhill.control.options import ControlOptions
-from robinhill.control.taking import Declined, refused, take_all
-from robinhill.cordon.promise import Mode
+from robinhill.control.record_merging import Declined, refused, take_all
+from robinhill.control.voter_selection import VoterChoice
+from robinhill.cordon.propagation import Mode
+from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import MeshError, Record
 
 APPLIED_US = 10_000
 """From one confirmation to the next: what comes between shares one."""
--- a/robinhill/control/tally.py
+++ b/robinhill/control/observer_progress.py
@@ -19,7 +19,7 @@
 
 from robinhill.control.actions import Link
 from robinhill.control.messages import GOODBYE
-from robinhill.cordon.promise import with_slack
+from robinhill.cordon.propagation import with_slack
 
 DEPARTED_AT_MOST = 4_096
 """Observers that went without a goodbye and are remembered under `serve`: a day's restarts."""
--- a/robinhill/control/audience.py
+++ b/robinhill/control/observer_sessions.py
@@ -8,13 +8,13 @@
 
 from robinhill.control import messages as wire
 from robinhill.control.actions import Link
+from robinhill.control.change_feed import Feed
 from robinhill.control.changelog import ChangeLog
 from robinhill.control.errors import JoinRefused
-from robinhill.control.feed import Feed
+from robinhill.control.observer_progress import Tally
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Outbox
-from robinhill.control.tally import Tally
-from robinhill.cordon.promise import Mode
+from robinhill.cordon.propagation import Mode
 
 COMPARISONS_AT_ONCE = 64
 """Observers that are brought in step at the same time; others wait their turn."""
--- a/robinhill/net/control/options.py
+++ b/robinhill/control/operator_options.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from robinhill.config import Address, ConfigError
+from robinhill.config_types import Address, ConfigError
 from robinhill.control.errors import VotersMalformed
 from robinhill.control.options import (
     ControlOptions,
@@ -11,9 +11,9 @@
     observer_options,
     voter_options,
 )
-from robinhill.cordon.promise import Mode
+from robinhill.control.record_kinds import kinds, names_of
+from robinhill.cordon.propagation import Mode
 from robinhill.mesh.options import MeshOptions
-from robinhill.net.control.kinds import kinds, names_of
 
 
 def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from robinhill.control.errors import VotersMalformed
-from robinhill.cordon.promise import Mode
+from robinhill.cordon.propagation import Mode
 from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
--- a/robinhill/net/control/kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -5,8 +5,8 @@
 
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.cordon.value import cordon_kind
-from robinhill.mesh.kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
-from robinhill.mesh.words import Kind
+from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
+from robinhill.mesh.records import Kind
 
 URGENT_KINDS = frozenset({CORDON})
 """What goes ahead of all other changes."""
--- a/robinhill/control/taking.py
+++ b/robinhill/control/record_merging.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
+from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import MeshError, Record
 
 Declined = tuple[Record, MeshError]
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -14,20 +14,20 @@
 
 from robinhill.control import messages as wire
 from robinhill.control.actions import Action, Apply, CaughtUp, Link, Progressed, VotersSettled
-from robinhill.control.audience import Audience
 from robinhill.control.changelog import ChangeLog
+from robinhill.control.commit_tracker import Following
 from robinhill.control.errors import ChangesFull, JoinRefused, VotersNotOneAtATime
-from robinhill.control.following import Following
+from robinhill.control.observer_progress import Key, Tally
+from robinhill.control.observer_sessions import Audience
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Figures, Outbox
-from robinhill.control.peers import Peers, VoterLink
-from robinhill.control.taking import refused, take_all
-from robinhill.control.tally import Key, Tally
-from robinhill.cordon.promise import Mode
+from robinhill.control.record_merging import refused, take_all
+from robinhill.control.voter_links import Peers, VoterLink
+from robinhill.cordon.propagation import Mode
 from robinhill.mesh.freshness import Freshness
+from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Event, Greeted, Learned
-from robinhill.mesh.words import MeshError, Record
 
 BATCH_US = 5_000
 """From one round of messages with changes to the next; the first goes at once."""
--- a/robinhill/control/peers.py
+++ b/robinhill/control/voter_links.py
@@ -12,9 +12,9 @@
 from robinhill.control.backoff import Backoff
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Outbox
-from robinhill.cordon.promise import with_slack
+from robinhill.cordon.propagation import with_slack
+from robinhill.mesh.acknowledgements import list_digest
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.notices import list_digest
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Identity, Session
 
--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -21,8 +21,8 @@
 from statistics import median
 
 from robinhill.cordon import limits
-from robinhill.cordon.book import targets_of
 from robinhill.cordon.budget import CAUSES, Place
+from robinhill.cordon.index import targets_of
 from robinhill.cordon.value import AUTOMATIC, Cordons, Reason, is_id
 
 
--- a/robinhill/cordon/following.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from robinhill.cordon.promise import Mode, Promise, Promises, Scheduler, Standing, Step
+from robinhill.cordon.propagation import Mode, Promise, Promises, Scheduler, Standing, Step
 from robinhill.mesh.acceptance import Acceptance
-from robinhill.mesh.notices import RECENT, Applied, Notice
+from robinhill.mesh.acknowledgements import RECENT, Applied, Notice
 from robinhill.mesh.quorum import Quorum
-from robinhill.mesh.words import Record, Stamp
+from robinhill.mesh.records import Record, Stamp
 
 HISTORY = 256  # digests of before that still confirm: as many changes may pass while a scheduler answers
 MODES = {mode.value for mode in Mode}
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -17,7 +17,7 @@
 
 from robinhill.cordon import limits
 from robinhill.cordon.errors import CordonElsewhere, CordonMalformed, CordonsFull, CordonUnknown
-from robinhill.mesh.words import ForeignState, Kind
+from robinhill.mesh.records import ForeignState, Kind
 
 NAME = "cordon"
 VERSION = 1
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -16,7 +16,6 @@
 import msgspec
 
 from robinhill.cordon import limits
-from robinhill.cordon.book import Book
 from robinhill.cordon.errors import (
     BoundNotMet,
     CordonElsewhere,
@@ -27,7 +26,8 @@
     NotAccepted,
     TooManyCalls,
 )
-from robinhill.cordon.promise import Promise, Promises, Step
+from robinhill.cordon.index import Book
+from robinhill.cordon.propagation import Promise, Promises, Step
 from robinhill.cordon.value import Reason, check_reason, check_target
 
 STATUS: dict[type[CordonError], int] = {
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -7,12 +7,13 @@
 import random
 from math import inf, log1p
 
-from robinhill import api, timers
-from robinhill.derived import Derived
-from robinhill.dispatch import EventHandler
-from robinhill.estimates import ClientTries, Estimates, JobTimes
-from robinhill.held import HeldJobs
-from robinhill.state import Attempt, AttemptKey, Choice, JobRecord, WorkerRecord
+from robinhill import api
+from robinhill.placement import timers
+from robinhill.placement.derived_settings import Derived
+from robinhill.placement.estimates import ClientTries, Estimates, JobTimes
+from robinhill.placement.event_dispatch import EventHandler
+from robinhill.placement.job_queue import HeldJobs
+from robinhill.placement.records import Attempt, AttemptKey, Choice, JobRecord, WorkerRecord
 
 UNKNOWN_JOB_US = 1_000_000.0  # the design page: 1 job a second where no speed is known
 BACK_OFF = 64.0  # an age counts so much less for a class just turned away: picked only if most others were
--- a/robinhill/mesh/acceptance.py
+++ b/robinhill/mesh/acceptance.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from robinhill.mesh.quorum import Quorum
-from robinhill.mesh.words import Stamp
+from robinhill.mesh.records import Stamp
 
 TRACKED_AT_MOST = 4_096
 """Changes followed at once: an operator's script that cordons a whole fleet. The oldest is let go first, and
--- a/robinhill/mesh/notices.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from robinhill.mesh.words import ForeignState, Kind
+from robinhill.mesh.records import ForeignState, Kind
 
 NAME = "notice"
 VERSION = 1
--- a/robinhill/mesh/comparing.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from robinhill.mesh.frames import RANGES, Heads, Part, Ranges, Redo, check
-from robinhill.mesh.words import PeerRefused, Record
+from robinhill.mesh.records import PeerRefused, Record
 
 HEADS = 512  # in a frame, or little more: some 20 kB
 MAX_PARTS = 4096  # of one range
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from robinhill.mesh.words import ForeignState, Record
+from robinhill.mesh.records import ForeignState, Record
 
 RANGES = 256
 _SIZE = 2**64
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from robinhill.mesh.words import PeerRefused, Record
+from robinhill.mesh.records import PeerRefused, Record
 
 PROTOCOL = 1
 RANGES = 256
--- a/robinhill/mesh/kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from robinhill.mesh.clocks import LAST_US
-from robinhill.mesh.words import Kind, Record, Stamp
+from robinhill.mesh.records import Kind, Record, Stamp
 
 LONGEST_WINDOW_US = 600_000_000
 """In which a client repeats a keyed request, where nothing says otherwise."""
--- a/robinhill/mesh/shelves.py
+++ b/robinhill/mesh/record_table.py
@@ -4,7 +4,7 @@
 from bisect import bisect_left, insort
 from typing import Any
 
-from robinhill.mesh.words import Kind, Record
+from robinhill.mesh.records import Kind, Record
 
 UNREAD = object()  # a value that nobody has decoded yet
 
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from robinhill.mesh.comparing import Comparison
-from robinhill.mesh.delivery import Arrivals, Departures, Name, Pushed
+from robinhill.mesh.anti_entropy import Comparison
+from robinhill.mesh.delivery_windows import Arrivals, Departures, Name, Pushed
 from robinhill.mesh.frames import (
     MAX_MEMBERS,
     MAX_MESSAGE,
@@ -30,7 +30,7 @@
     read,
     write,
 )  # fmt: skip
-from robinhill.mesh.words import MeshError, PeerRefused, Record
+from robinhill.mesh.records import MeshError, PeerRefused, Record
 
 BATCH = 256  # records in a push at most, fewer where they are large: a pong must not wait behind a long one
 BATCH_BYTES = 64 << 10
--- a/robinhill/mesh/rest.py
+++ b/robinhill/mesh/snapshot.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from robinhill.mesh.words import ForeignState, Record
+from robinhill.mesh.records import ForeignState, Record
 
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
--- /dev/null
+++ b/robinhill/net/clients/__init__.py
@@ -0,0 +1,1 @@
+"""The clients' side: connections, their limits, and the requests on them."""
--- a/robinhill/net/connections.py
+++ b/robinhill/net/clients/connections.py
@@ -20,8 +20,8 @@
 from aiohttp import web
 from aiohttp.http_exceptions import HttpProcessingError
 
-from robinhill.config import Address, ConfigError
-from robinhill.net import messages
+from robinhill import protocol as messages
+from robinhill.config_types import Address, ConfigError
 from robinhill.net.actor import Supervisor
 
 log = logging.getLogger(__name__)
--- a/robinhill/net/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -11,12 +11,10 @@
 from aiohttp import web
 from multidict import MultiMapping
 
+from robinhill import protocol
 from robinhill.config import Config
-from robinhill.net import messages
 from robinhill.net.actor import Supervisor
-from robinhill.net.catch_up import CatchUp
-from robinhill.net.clock import Clock
-from robinhill.net.connections import (
+from robinhill.net.clients.connections import (
     FRONT_S,
     SWEEP_S,
     CloseReason,
@@ -25,9 +23,11 @@
     connection_of,
     reject,
 )
-from robinhill.net.decider import ClientLeft, Taken
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Answer, JobEvent, JobRequest
+from robinhill.net.clock import Clock
+from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
+from robinhill.net.metrics import Figures
+from robinhill.protocol import Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:
     from robinhill.admission.callers import Caller
@@ -86,7 +86,7 @@
         self.none_owed = asyncio.Event()
         self.none_owed.set()
         self._listener = Listener(
-            self._handle, config.client_sockets(), supervisor, messages.MAX_BODY, self._note_close
+            self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY, self._note_close
         )
 
     def _note_close(self, why: CloseReason) -> None:
@@ -117,7 +117,7 @@
         if request.method != "POST":
             return reject(request, 405, "jobs come by POST")
         if path == JOB_EVENTS:
-            event = messages.read_job_event(await request.read())
+            event = protocol.read_job_event(await request.read())
             connection = connection_of(request)
             connection.claim(useful=True)
             connection.calls_back = True
@@ -149,14 +149,14 @@
         # After a stall it may have been here since the last moment at which we looked.
         arrived_us = self.catch_up.arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
-        job = messages.read_request(
+        job = protocol.read_request(
             request.raw_path, request.headers, body, self.config.classes, self.deadlines_us
         )
         caller = self.find(request.headers, connection_of(request).peer()) if self.find else None
         connection_of(request).claim(useful=True)
         if self.closed_to_new:
             settings = self.config.settings
-            refusal = messages.fail_fast(min(RETURN_US, settings.max_retry_after_us) * settings.retry_after)
+            refusal = protocol.fail_fast(min(RETURN_US, settings.max_retry_after_us) * settings.retry_after)
             self.figures.refusals["leaving"] += 1
             log.debug("request_refused", extra={"id": job.id, "why": "leaving"})
             self.figures.answered(job.job_class, refusal)
--- a/robinhill/net/clock.py
+++ b/robinhill/net/clock.py
@@ -28,3 +28,8 @@
 
     def now_us(self) -> int:
         return (self._anchor + time.monotonic_ns()) // 1000
+
+
+def mono_us() -> int:
+    """A clock that also goes on while the host sleeps, where there is one."""
+    return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) // 1000
--- a/robinhill/net/control/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -16,14 +16,13 @@
 import aiohttp
 from aiohttp import web
 
-from robinhill.config import Address
+from robinhill.config_types import Address
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
 from robinhill.control.messages import MAX_MESSAGE
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clock import Clock
-from robinhill.net.connections import bind
-from robinhill.net.control.link import CLOSE_S, PATH, ControlLink, Socket
-from robinhill.net.peers import mono_us
+from robinhill.net.clients.connections import bind
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.control_group.link import CLOSE_S, PATH, ControlLink, Socket
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/control/observing.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -9,31 +9,31 @@
 
 import msgspec
 
-from robinhill.config import Address, Config, ConfigError
+from robinhill.config import Config
+from robinhill.config_types import Address, ConfigError
 from robinhill.control.actions import Action, Apply, LeaseChanged, Progressed
 from robinhill.control.observer import Observer
+from robinhill.control.operator_options import address_of, options_of_observer
 from robinhill.control.options import ControlOptions
-from robinhill.cordon.promise import Mode
+from robinhill.control.record_kinds import kinds, names_of
+from robinhill.cordon.propagation import Mode
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.mesh.clocks import next_incarnation
 from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.rest import Owner
-from robinhill.mesh.words import Record
+from robinhill.mesh.snapshot import Owner
 from robinhill.net.actor import Supervisor
-from robinhill.net.atrest import AtRest
-from robinhill.net.clock import Clock
-from robinhill.net.control.cordons import Cordons
-from robinhill.net.control.disk import recall
-from robinhill.net.control.driver import Driver, Run
-from robinhill.net.control.kinds import kinds, names_of
-from robinhill.net.control.options import address_of, options_of_observer
-from robinhill.net.cordon_calls import CordonCall, covers
-from robinhill.net.decider import Cordoned, Decider, Lease
-from robinhill.net.figures import PREFIX
-from robinhill.net.inbound import Inbound
-from robinhill.net.messages import Answer, Destination
-from robinhill.net.peers import mono_us
+from robinhill.net.clients.inbound import Inbound
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.control_group.driver import Driver, Run
+from robinhill.net.control_group.recovery import recall
+from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.operator_calls import CordonCall, covers
+from robinhill.net.dispatcher.dispatcher import Cordoned, Decider, Lease
+from robinhill.net.metrics import PREFIX
+from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.protocol import Answer, Destination
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/control/disk.py
+++ b/robinhill/net/control_group/recovery.py
@@ -3,9 +3,9 @@
 import logging
 from collections.abc import Iterable
 
+from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.rest import Owner
-from robinhill.mesh.words import MeshError, Record
+from robinhill.mesh.snapshot import Owner
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/control/voting.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -10,30 +10,30 @@
 import msgspec
 
 from robinhill import config as configuration
-from robinhill.config import Address, ConfigError, VoterConfig
+from robinhill import logs, protocol
+from robinhill.config import VoterConfig
+from robinhill.config_types import Address, ConfigError
 from robinhill.control.actions import Action, Apply, CaughtUp, Progressed, VotersSettled
 from robinhill.control.errors import VotersNotOneAtATime
+from robinhill.control.operator_options import address_of, options_of_voter
 from robinhill.control.options import ControlOptions
+from robinhill.control.record_kinds import URGENT_KINDS, kinds
 from robinhill.control.voter import Voter
 from robinhill.mesh.clocks import next_incarnation
 from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.rest import Owner
-from robinhill.mesh.words import Record
-from robinhill.net import logs, messages
+from robinhill.mesh.snapshot import Owner
 from robinhill.net.actor import Supervisor
-from robinhill.net.atrest import AtRest
-from robinhill.net.clock import Clock
-from robinhill.net.control.cordons import Cordons
-from robinhill.net.control.disk import recall
-from robinhill.net.control.driver import Driver, Run
-from robinhill.net.control.kinds import URGENT_KINDS, kinds
-from robinhill.net.control.options import address_of, options_of_voter
-from robinhill.net.cordon_calls import CordonCall
-from robinhill.net.figures import PREFIX
-from robinhill.net.messages import Answer
-from robinhill.net.operators import Calls, Operators
-from robinhill.net.peers import mono_us
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.control_group.driver import Driver, Run
+from robinhill.net.control_group.recovery import recall
+from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.operator_calls import CordonCall
+from robinhill.net.metrics import PREFIX
+from robinhill.net.operators.server import Calls, Operators
+from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
 
@@ -268,7 +268,7 @@
         self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
 
     async def _forget(self, body: bytes) -> Answer:
-        return self._voter.forget(messages.read_instance_id(body))
+        return self._voter.forget(protocol.read_instance_id(body))
 
 
 async def _no_workers(instance_id: str, out: bool) -> Answer:
--- a/robinhill/net/cordons.py
+++ b/robinhill/net/cordons/actor.py
@@ -15,21 +15,21 @@
 import msgspec
 
 from robinhill.cordon import value, views
-from robinhill.cordon.book import Book
 from robinhill.cordon.errors import CordonError
-from robinhill.cordon.following import Followed, Following
-from robinhill.cordon.promise import Mode, Step
+from robinhill.cordon.index import Book
+from robinhill.cordon.propagation import Mode, Step
+from robinhill.cordon.propagation_tracker import Followed, Following
 from robinhill.errors import RobinhillError
-from robinhill.mesh import notices
+from robinhill.mesh import acknowledgements
+from robinhill.mesh.acknowledgements import Notice
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.notices import Notice
 from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.records import Record, StateFull
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Learned
-from robinhill.mesh.words import Record, StateFull
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clock import Clock
-from robinhill.net.cordon_calls import (
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.cordons.operator_calls import (
     NOT_STORED,
     CordonCall,
     Json,
@@ -40,9 +40,8 @@
     keep_only,
     place_of,
 )
-from robinhill.net.decider import Cordoned, Lease
-from robinhill.net.messages import Answer, Destination
-from robinhill.net.peers import mono_us
+from robinhill.net.dispatcher.dispatcher import Cordoned, Lease
+from robinhill.protocol import Answer, Destination
 
 log = logging.getLogger(__name__)
 
@@ -210,7 +209,7 @@
         if record.kind == value.NAME:
             self.following.changed(record.key, record.value)
             return True
-        if record.kind == notices.NAME:
+        if record.kind == acknowledgements.NAME:
             notice = self.replica.value(record.kind, record.key)
             if isinstance(notice, Notice):
                 self._word(record.key, notice)
@@ -239,7 +238,7 @@
             log.info("peer_started_again", extra={"peer": name, "incarnation": incarnation})
         self._starts.pop(name, None)
         self._starts[name] = incarnation
-        if len(self._starts) > notices.RECENT:
+        if len(self._starts) > acknowledgements.RECENT:
             del self._starts[next(iter(self._starts))]
         if self._alive and self._starts_due is None:
             self._starts_due = asyncio.get_running_loop().call_later(STARTS_S, self._write_notice)
@@ -249,7 +248,7 @@
         self.options, self.names = options, tuple(sorted(names))
         self.following.reconfigure(mono_us(), self.names)
         for name in self.names:
-            notice = self.replica.value(notices.NAME, name)
+            notice = self.replica.value(acknowledgements.NAME, name)
             if isinstance(notice, Notice):
                 self._word(name, notice)
         self._write_notice()
@@ -259,7 +258,7 @@
         """Majorities of former lists are needed until all have been known to go by ours for a bound."""
         if len(self.freshness.quorum.lists) == 1:
             return
-        ours = notices.list_digest(self.names)
+        ours = acknowledgements.list_digest(self.names)
         if not all((w := p.word) and w.names == ours for p in self.following.peers.values()):
             self._one_list_us = None
         elif self._one_list_us is None:
@@ -328,13 +327,13 @@
         if self._applied == applied.all:
             recent = tuple((t, d) for t in self.following.recent if (d := applied.get(t)))
         notice = Notice(
-            notices.VERSION, self.incarnation, self._serial, self.options.on_lost,
+            acknowledgements.VERSION, self.incarnation, self._serial, self.options.on_lost,
             self.options.bound_ms * 1000, self.freshness.caught_up, self.serving, left,
-            notices.list_digest(self.names), self._applied, recent, tuple(self._starts.items()),
+            acknowledgements.list_digest(self.names), self._applied, recent, tuple(self._starts.items()),
         )  # fmt: skip
         self._noticed_us = self.clock.now_us()
         try:
-            self.replica.write(self._noticed_us, notices.NAME, self.me, notice)
+            self.replica.write(self._noticed_us, acknowledgements.NAME, self.me, notice)
         except StateFull as e:
             log.error("notice_not_written", extra={"why": str(e)})
         self.following.said(mono_us(), self.me, notice)
@@ -457,7 +456,7 @@
             "incarnation": scheduler.incarnation,
             "on_lost": scheduler.mode.value if scheduler.mode else None,
             "counts": self.freshness.caught_up if mine else bool(word and word.counts),
-            "same_list": mine or bool(word and word.names == notices.list_digest(self.names)),
+            "same_list": mine or bool(word and word.names == acknowledgements.list_digest(self.names)),
             "known_ms_ago": None if as_of is None else (now - as_of) / 1000,
         }
 
@@ -509,7 +508,7 @@
             self._maybe_serve()
         if self._next_end_us and now_us >= self._next_end_us:
             self._update()
-        if now_us - self._noticed_us > notices.AGAIN_US:
+        if now_us - self._noticed_us > acknowledgements.AGAIN_US:
             self._write_notice()
         self._settle_list(now)
         if now >= self._fades_us:
--- a/robinhill/net/control/cordons.py
+++ b/robinhill/net/cordons/group_member.py
@@ -15,15 +15,14 @@
 from robinhill.control.errors import ChangesFull
 from robinhill.control.options import ControlOptions
 from robinhill.cordon import value, views
-from robinhill.cordon.book import Book
 from robinhill.cordon.errors import BoundNotMet, CordonError, NotAccepted
-from robinhill.cordon.promise import Promises
+from robinhill.cordon.index import Book
+from robinhill.cordon.propagation import Promises
 from robinhill.errors import RobinhillError
+from robinhill.mesh.records import Record, StateFull
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import Record, StateFull
-from robinhill.net.clock import Clock
-from robinhill.net.control.changes import Change, Changes
-from robinhill.net.cordon_calls import (
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.cordons.operator_calls import (
     NOT_STORED,
     CordonCall,
     Json,
@@ -33,8 +32,8 @@
     keep_only,
     place_of,
 )
-from robinhill.net.messages import Answer, Destination
-from robinhill.net.peers import mono_us
+from robinhill.net.cordons.pending_changes import Change, Changes
+from robinhill.protocol import Answer, Destination
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/cordon_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from robinhill.cordon import views
-from robinhill.cordon.book import Book, Place, targets_of
 from robinhill.cordon.errors import CordonUnknown
+from robinhill.cordon.index import Book, Place, targets_of
 from robinhill.errors import RobinhillError
-from robinhill.net.messages import Answer, Destination
+from robinhill.protocol import Answer, Destination
 
 Json = dict[str, Any]
 
--- a/robinhill/net/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from robinhill.net.clock import Clock
-from robinhill.stalls import BEAT_US, StallDetector
+from robinhill.placement.stall_detector import BEAT_US, StallDetector
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/destinations.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -8,14 +8,14 @@
 
 import aiohttp
 
-from robinhill.config import Address
-from robinhill.listing import Pace
-from robinhill.net import messages
+from robinhill import protocol
+from robinhill.config_types import Address
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.catch_up import CatchUp
+from robinhill.net.clients.connections import unread
 from robinhill.net.clock import Clock
-from robinhill.net.connections import unread
-from robinhill.net.decider import DiscoveryAway, DiscoveryMoved, ListConfirmed, Listed
+from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.dispatcher.dispatcher import DiscoveryAway, DiscoveryMoved, ListConfirmed, Listed
+from robinhill.placement.watch_schedule import Pace
 
 log = logging.getLogger(__name__)
 
@@ -119,7 +119,7 @@
                 self.answered = response.status == 200
                 self._transport = response.connection.transport if response.connection else None
                 if response.status != 200:
-                    raise messages.MalformedError(f"status {response.status}")
+                    raise protocol.MalformedError(f"status {response.status}")
                 await self._listen(response.content)
 
     def unread(self) -> bool:
@@ -129,7 +129,7 @@
         return unread(self._transport) > 0
 
     async def _listen(self, content: aiohttp.StreamReader) -> None:
-        reader, first = messages.WatchReader(LONGEST_LIST), True
+        reader, first = protocol.WatchReader(LONGEST_LIST), True
         while data := await self._in_time(content.readany()):
             for told in reader.feed(data):
                 self.pace.heard(self.clock.now_us())
@@ -139,7 +139,7 @@
                     self.note(ListConfirmed(self.generation, self.pace.heard_us))
                 if first and not told:
                     # Nothing has changed: the module hears that its call has been answered.
-                    unchanged = messages.DestinationList(self.generation or 0, False, ())
+                    unchanged = protocol.DestinationList(self.generation or 0, False, ())
                     self.report(Listed(unchanged))
                 first = False
 
@@ -160,7 +160,7 @@
                 waiting.cancel()
                 await asyncio.gather(waiting, return_exceptions=True)
 
-    def _told(self, told: messages.DestinationList) -> None:
+    def _told(self, told: protocol.DestinationList) -> None:
         self.generation = told.generation
         self.report(Listed(told, heard_us=self.pace.heard_us))
         log.info(
--- a/robinhill/net/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -9,18 +9,18 @@
 
 from multidict import MultiMapping
 
-from robinhill.admission import memory
+from robinhill import protocol
+from robinhill.admission import exported_state
 from robinhill.admission.admission import Action, Admission, Admit, Ask, Refuse
 from robinhill.admission.callers import SECRET_BYTES, BadNameError, Caller
 from robinhill.admission.options import AdmissionOptions
 from robinhill.config import Config
-from robinhill.net import messages
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.decider import Began, ClientLeft, Placed, Taken
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Answer, JobRequest
-from robinhill.net.tape import Tape
+from robinhill.net.dispatcher.dispatcher import Began, ClientLeft, Placed, Taken
+from robinhill.net.dispatcher.traffic_recorder import Tape
+from robinhill.net.metrics import Figures
+from robinhill.protocol import Answer, JobRequest
 
 log = logging.getLogger(__name__)
 
@@ -140,7 +140,7 @@
                 headers.get(options.tenant_header), address, headers.get(ROUTE_KEY, "")
             )
         except BadNameError as e:
-            raise messages.MalformedError(str(e)) from e
+            raise protocol.MalformedError(str(e)) from e
 
     def receive(self, message: ToAdmission) -> None:
         now = self.clock.now_us()
@@ -222,7 +222,7 @@
         assert entry, "a refusal is of a request that waits here"
         request, reply = entry.taken.request, entry.taken.reply
         self.figures.refusals["admission"] += 1
-        answer = messages.excess(refusal.retry_us) if refusal.own else messages.fail_fast(refusal.retry_us)
+        answer = protocol.excess(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
         self.figures.answered(request.job_class, answer)
         if self.tape:
             self.tape.answered(request, answer.status)
@@ -293,10 +293,10 @@
 
     def memory(self) -> Json:
         """What a successor must know to go on as one with this process."""
-        return memory.learned(self.admission)
+        return exported_state.learned(self.admission)
 
     def recall(self, told: Json) -> None:
-        memory.recall(self.admission, self.clock.now_us(), told)
+        exported_state.recall(self.admission, self.clock.now_us(), told)
 
     def stats(self) -> Answer:
         """Admission's figures as they are now."""
@@ -304,4 +304,4 @@
         names = self._classes
         for key in ("unplaced", "class_ms"):
             shown[key] = dict(zip(names, shown[key], strict=True))
-        return messages.figures(shown)
+        return protocol.figures(shown)
--- a/robinhill/net/decider.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -6,17 +6,19 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any
 
-from robinhill import api, keys, memory
+from robinhill import api, protocol
 from robinhill.config import Config
-from robinhill.list_lease import ListLease
 from robinhill.logic import Balancer
-from robinhill.net import endpoint as ep
-from robinhill.net import messages
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.catch_up import CatchUp
 from robinhill.net.clock import Clock
-from robinhill.net.figures import Figures
-from robinhill.net.messages import (
+from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.dispatcher.traffic_recorder import Tape
+from robinhill.net.metrics import Figures
+from robinhill.net.operators.disabled_workers import State
+from robinhill.net.workers import endpoint as ep
+from robinhill.placement import exported_state, idempotency
+from robinhill.placement.list_lease import ListLease
+from robinhill.protocol import (  # fmt: skip
     DONE,
     Answer,
     Destination,
@@ -24,9 +26,7 @@
     JobEvent,
     JobRequest,
     Lifecycle,
-)  # fmt: skip
-from robinhill.net.state import State
-from robinhill.net.tape import Tape
+)
 
 if TYPE_CHECKING:
     from robinhill.admission.callers import Caller
@@ -211,7 +211,7 @@
         self.jobs: dict[str, int] = {}  # the wire's ids are text, the module's numbers
         # Ids of late. An endpoint knows a request in the form it got first, and turns away any other.
         self.seen: dict[str, None] = {}
-        self.keys = keys.Keys()
+        self.keys = idempotency.Keys()
         self.next_number = 1
         self._timers: dict[Due, int] = {}  # that are set, and when they are due
         # Requests on their way to another process: what is said of one waits until it is there, or stays.
@@ -348,7 +348,7 @@
                 case api.Refuse(job=job, retry_in_us=wait, why=why):
                     self._refuse(job, wait, why)
                 case api.Fail(job=job):
-                    self._answer(job, messages.FAILED)
+                    self._answer(job, protocol.FAILED)
                 case api.Cancel(job=job, attempt=attempt):
                     self._cancel(job, attempt)
                 case api.SetTimer(after_us=after, tag=tag):
@@ -376,7 +376,7 @@
         if request.id in self.seen:
             log.warning("request_repeated", extra={"id": request.id})
             if not taken.reply.done():  # its client may have gone already
-                taken.reply.set_result(messages.CONFLICT)
+                taken.reply.set_result(protocol.CONFLICT)
             return
         self.seen[request.id] = None
         if len(self.seen) > SEEN_IDS:
@@ -403,7 +403,7 @@
             held = self.held[job]
             told = {"id": held.request.id, "why": why.value, "attempts": ", ".join(held.endings)}
             log.debug("request_refused", extra=told | self._list_fields())
-        self._answer(job, messages.fail_fast(retry_in_us))
+        self._answer(job, protocol.fail_fast(retry_in_us))
 
     def _send(self, action: api.Send) -> None:
         held = self.held[action.job]
@@ -443,7 +443,7 @@
         if request.key and klass.repeat is api.Repeat.KEYED and address in self.destinations:
             now = self.clock.now_us()
             group = klass.group_of(self._worker(self.destinations[address]))
-            place = keys.Place(group, now + klass.memory_us)
+            place = idempotency.Place(group, now + klass.memory_us)
             self.keys.sent(now, attempt, (request.job_class, request.key), place)
 
     def _cancel(self, job: int, attempt: int) -> None:
@@ -474,7 +474,7 @@
         if ended.outcome is api.Outcome.FULL:
             held.returned.append(endpoint)
         if ended.result is not None:
-            self._answer(ended.job, messages.served(ended.result))
+            self._answer(ended.job, protocol.served(ended.result))
         over = not held.owed
         self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, over))
         self._forget(held)
@@ -487,7 +487,7 @@
         self.figures.answered(held.request.job_class, answer)
         if self.tape:
             self.tape.answered(held.request, answer.status)
-        if answer is messages.FAILED:
+        if answer is protocol.FAILED:
             name = self.config.classes[held.request.job_class]
             log.warning(
                 "request_failed",
@@ -534,7 +534,7 @@
     def memory(self) -> Json:
         """What a successor must know to decide as one with this process."""
         return {
-            "module": memory.learned(self.balancer),
+            "module": exported_state.learned(self.balancer),
             "seen": list(self.seen),
             "held_out": sorted(self.held_out),
             "outages": self.outages,
@@ -552,7 +552,7 @@
         self.next_number = told["next"] + NUMBERS_APART
         self.held_out, self.outages = set(told["held_out"]), {k: tuple(v) for k, v in told["outages"].items()}
         self._tell_anew()
-        memory.recall(self.balancer, told["module"])
+        exported_state.recall(self.balancer, told["module"])
 
     def _release(self, message: Release) -> None:
         held = self.held.get(self.jobs.get(message.request.id, 0))
@@ -593,7 +593,7 @@
             if attempt:
                 self.endpoints[held.endpoints[-1]].tell(attempt)
             return
-        module = memory.release(self.balancer, job)
+        module = exported_state.release(self.balancer, job)
         assert module, "a request that is owed an answer is the module's"
         told: Json = {
             "job": job,
@@ -607,9 +607,11 @@
                 "final": attempt.until_us >= attempt.deadline_us,  # a process of an older version asks for it
                 "sent_us": attempt.sent_us,
             },
-            "destination": attempt and messages.write_destination(self.destinations[held.endpoints[-1]]),
+            "destination": attempt and protocol.write_destination(self.destinations[held.endpoints[-1]]),
             "module": module,
-            "timers": [[at, due.tag] for due, at in self._timers.items() if memory.concerns(due.tag, job)],
+            "timers": [
+                [at, due.tag] for due, at in self._timers.items() if exported_state.concerns(due.tag, job)
+            ],
         }
         held.leaving.set_result(told)
         del self.held[job]
@@ -626,7 +628,7 @@
             address = held.endpoints[-1]
             held.out = {len(held.endpoints) - 1}
             if (endpoint := self.endpoints.get(address)) is None:  # it has left the list meanwhile
-                left = messages.read_destination(told["destination"] | {"lifecycle": "left"})
+                left = protocol.read_destination(told["destination"] | {"lifecycle": "left"})
                 self.destinations[address] = left
                 endpoint = self._open(left)
             number, until_us = len(held.endpoints) - 1, attempt["until_us"]
@@ -636,7 +638,7 @@
                 endpoint.tell(ep.Returned(request.id))
         for at, tag in told["timers"]:
             self._set_timer(max(0, at - now), tag)
-        self._perform(memory.resume(self.balancer, now, told["module"], message.own))
+        self._perform(exported_state.resume(self.balancer, now, told["module"], message.own))
         message.done.set()
 
     # The destination set
--- a/robinhill/net/tape.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -4,7 +4,7 @@
 
 from robinhill.api import Outcome
 from robinhill.net.clock import Clock
-from robinhill.net.messages import Destination, JobRequest
+from robinhill.protocol import Destination, JobRequest
 from robinhill.record.records import Answered, Arrived, Attempted, Listed
 
 if TYPE_CHECKING:  # its compressor is loaded where something is recorded, and only there
--- a/robinhill/net/link.py
+++ b/robinhill/net/handover/process_link.py
@@ -14,7 +14,7 @@
 import orjson
 
 from robinhill.net.actor import Supervisor
-from robinhill.net.messages import MalformedError
+from robinhill.protocol import MalformedError
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/succession.py
+++ b/robinhill/net/handover/succession.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from robinhill.net.actor import Supervisor
-from robinhill.net.link import Link, LinkLostError
+from robinhill.net.handover.process_link import Link, LinkLostError
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/figures.py
+++ b/robinhill/net/metrics.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from robinhill.list_lease import ListLease, ListOrigin
-from robinhill.net.messages import Answer
+from robinhill.placement.list_lease import ListLease, ListOrigin
+from robinhill.protocol import Answer
 
 if TYPE_CHECKING:
     from robinhill.record.recorder import Recorder
--- a/robinhill/net/operators.py
+++ b/robinhill/net/operators/server.py
@@ -6,11 +6,11 @@
 
 from aiohttp import web
 
-from robinhill.config import Address
-from robinhill.net import messages
+from robinhill import protocol
+from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
-from robinhill.net.connections import Listener, bind, connection_of, reject
-from robinhill.net.messages import Answer
+from robinhill.net.clients.connections import Listener, bind, connection_of, reject
+from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
 
@@ -115,7 +115,7 @@
         return self.calls.admission()
 
     async def _worker(self, body: bytes, out: bool) -> Answer:
-        return await self.calls.hold_out(messages.read_instance_id(body), out)
+        return await self.calls.hold_out(protocol.read_instance_id(body), out)
 
 
 async def _at_once(answer: Answer) -> Answer:
--- a/robinhill/net/peers.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -12,15 +12,15 @@
 import aiohttp
 from aiohttp import web
 
-from robinhill.config import Address
+from robinhill.config_types import Address
 from robinhill.mesh import overlay
 from robinhill.mesh.frames import MAX_MESSAGE
+from robinhill.mesh.records import PeerRefused, PeerUnreachable
 from robinhill.mesh.session import Ages, Answered, Event, Greeted, Identity, Learned, Session, Store, Told
-from robinhill.mesh.words import PeerRefused, PeerUnreachable
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clock import Clock
-from robinhill.net.connections import bind
-from robinhill.net.peerlink import PATH, PeerLink
+from robinhill.net.clients.connections import bind
+from robinhill.net.clock import Clock, mono_us
+from robinhill.net.peers.peer_link import PATH, PeerLink
 
 log = logging.getLogger(__name__)
 
@@ -38,11 +38,6 @@
 SAID_AGAIN_S = 60.0  # how often a peer that stays unreachable is told of again
 
 
-def mono_us() -> int:
-    """A clock that also goes on while the host sleeps, where there is one."""
-    return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) // 1000
-
-
 class Hearer(Protocol):
     """Who owns the replica. It is called at once, not told: what has come must be acted on before an answer
     behind it lends a lease. ``told_us``: the peer's Unix time as it greeted.
--- a/robinhill/net/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -12,27 +12,28 @@
 
 import msgspec
 
-from robinhill.config import Address, Config, ConfigError
+from robinhill.config import Config
+from robinhill.config_types import Address, ConfigError
 from robinhill.cordon.value import cordon_kind
+from robinhill.mesh.acknowledgements import notice_kind
 from robinhill.mesh.clocks import agreed_offset_us, next_incarnation
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
-from robinhill.mesh.notices import notice_kind
 from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
+from robinhill.mesh.records import Kind, MeshError
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.rest import Owner
 from robinhill.mesh.session import Answered, Identity, Learned
-from robinhill.mesh.words import Kind, MeshError
+from robinhill.mesh.snapshot import Owner
 from robinhill.net.actor import Supervisor
-from robinhill.net.atrest import AtRest
+from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.cordon_calls import CordonCall
-from robinhill.net.cordons import Cordons, ListChanged
-from robinhill.net.decider import Decider
-from robinhill.net.figures import PREFIX
-from robinhill.net.inbound import Inbound
-from robinhill.net.messages import Answer
-from robinhill.net.peers import Configure, Peers
+from robinhill.net.cordons.actor import Cordons, ListChanged
+from robinhill.net.cordons.operator_calls import CordonCall
+from robinhill.net.dispatcher.dispatcher import Decider
+from robinhill.net.metrics import PREFIX
+from robinhill.net.peers.peer_connections import Configure, Peers
+from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/net/atrest.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from robinhill.mesh import rest
-from robinhill.mesh.rest import Owner
-from robinhill.mesh.words import ForeignState, Record
+from robinhill.mesh import snapshot
+from robinhill.mesh.records import ForeignState, Record
+from robinhill.mesh.snapshot import Owner
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
         try:
             if path.stat().st_size > MAX_BYTES:
                 raise ForeignState(f"{FILE} is longer than {MAX_BYTES} bytes")
-            owner, records = rest.decode(path.read_bytes(), self.installation)
+            owner, records = snapshot.decode(path.read_bytes(), self.installation)
             if owner.origin != self.origin:
                 raise ForeignState(f"{FILE} is of {owner.origin}")
             return owner, records
@@ -85,7 +85,7 @@
         temporary = self.folder / f"{FILE}.{os.getpid()}"
         try:
             with temporary.open("wb") as file:
-                for piece in rest.encode(owner, records):
+                for piece in snapshot.encode(owner, records):
                     file.write(piece)
                 file.flush()
                 os.fsync(file.fileno())
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -11,28 +11,29 @@
 from typing import TYPE_CHECKING, Any
 
 from robinhill import config as configuration
-from robinhill import listing
+from robinhill import logs, protocol
 from robinhill.config import Config, OperatorFile
-from robinhill.list_lease import ListLease
-from robinhill.net import logs, messages
+from robinhill.config_types import ConfigError
 from robinhill.net.actor import Supervisor
-from robinhill.net.catch_up import CatchUp
+from robinhill.net.clients.connections import bind, inherit
+from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.connections import bind, inherit
-from robinhill.net.decider import Adopt, Decider, HoldOut, Release, Taken
-from robinhill.net.destinations import Destinations, Move
-from robinhill.net.figures import Figures
-from robinhill.net.inbound import Inbound
-from robinhill.net.link import LinkLostError
-from robinhill.net.messages import DONE, Answer, JobEvent, JobRequest
-from robinhill.net.operators import Calls, Operators
-from robinhill.net.succession import Succession
-from robinhill.net.tape import Tape
+from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.discovery.list_watcher import Destinations, Move
+from robinhill.net.dispatcher.dispatcher import Adopt, Decider, HoldOut, Release, Taken
+from robinhill.net.dispatcher.traffic_recorder import Tape
+from robinhill.net.handover.process_link import LinkLostError
+from robinhill.net.handover.succession import Succession
+from robinhill.net.metrics import Figures
+from robinhill.net.operators.server import Calls, Operators
+from robinhill.placement import watch_schedule
+from robinhill.placement.list_lease import ListLease
+from robinhill.protocol import DONE, Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
-    from robinhill.net.admission import AdmissionActor
-    from robinhill.net.control.observing import Observing
-    from robinhill.net.sharing import Sharing
+    from robinhill.net.control_group.observing_scheduler import Observing
+    from robinhill.net.dispatcher.admission import AdmissionActor
+    from robinhill.net.peers.sharing import Sharing
     from robinhill.record.recorder import Recorder
 
 log = logging.getLogger(__name__)
@@ -56,7 +57,7 @@
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.figures = Figures(config.classes)
-        pace = listing.by_settings(config.settings, random.Random(config.seed))
+        pace = watch_schedule.by_settings(config.settings, random.Random(config.seed))
         self.list_lease = ListLease.by_settings(config.settings, config.known.generation)
         self.decider = Decider(config, self.supervisor, self.clock, self.figures, self.list_lease)
         self.destinations = Destinations(
@@ -72,7 +73,7 @@
         self.decider.catch_up = self.destinations.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
-            from robinhill.net import admission
+            from robinhill.net.dispatcher import admission
 
             self.admission = admission.AdmissionActor(
                 config, self.supervisor, self.clock, self.figures, self.decider.tell
@@ -101,13 +102,13 @@
         self.inbound.catch_up = self.catch_up
         self.sharing: Sharing | Observing | None = None
         if config.operator and config.operator.mesh.voters:
-            from robinhill.net.control import observing
+            from robinhill.net.control_group import observing_scheduler
 
-            self.sharing = observing.Observing(
+            self.sharing = observing_scheduler.Observing(
                 config, self.supervisor, self.clock, self.decider, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
-            from robinhill.net import sharing
+            from robinhill.net.peers import sharing
 
             self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.decider, self.inbound)
         self.operators: Operators | None = None
@@ -165,7 +166,7 @@
         if told and "clock_anchor_ns" in told:  # an older version does not tell
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
-            known = messages.read_destinations(told["known"])
+            known = protocol.read_destinations(told["known"])
             self.destinations.generation = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
@@ -195,7 +196,7 @@
         """Take the file's new values; a faulty one changes nothing. Requests in flight go on as they are."""
         try:
             new = configuration.load(self.env, again=True)
-        except configuration.ConfigError as e:
+        except ConfigError as e:
             log.error("reload_failed", extra={"key": e.key, "why": e.what})
             return
         moved = [f.name for f in fields(Config) if getattr(new, f.name) != getattr(self.config, f.name)]
@@ -304,7 +305,7 @@
         if (
             not self.decider.holds(event.id)
             and self.succession
-            and await self.succession.forward(messages.write_job_event(event))
+            and await self.succession.forward(protocol.write_job_event(event))
         ):
             return
         if self.decider.holds(event.id):  # it may have come here meanwhile
@@ -332,7 +333,7 @@
     ) -> bool:
         """Whether the successor has a request now; else it is ours again, or answered."""
         taken, sent = False, False
-        body = told | {"request": messages.write_handed(request)}
+        body = told | {"request": protocol.write_handed(request)}
         try:
             if self.succession and (successor := self.succession.successor):
                 taken = (await successor.ask("adopt", body, fd)).get("taken", True)
@@ -343,7 +344,7 @@
         if sent:
             # It had the request and may have sent it on, so no other attempt may follow.
             if not reply.done():
-                reply.set_result(messages.FAILED)
+                reply.set_result(protocol.FAILED)
         elif not taken:
             await self._take_back(told, request, reply)
         self.decider.moved(request.id)
@@ -363,7 +364,7 @@
     def hello(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.share(self.config.client_sockets(2))
-        known = [messages.write_destination(d) for d in self.decider.listed()]
+        known = [protocol.write_destination(d) for d in self.decider.listed()]
         generation = self.destinations.generation or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
@@ -391,7 +392,7 @@
         return (await self._obey(what, body, True)).status == 200
 
     async def take_event(self, body: Json) -> bool:
-        event = messages.job_event(body)
+        event = protocol.job_event(body)
         if moving := self.decider.moving.get(event.id):
             await moving.wait()
         if not self.decider.holds(event.id):
@@ -403,7 +404,7 @@
         if self.inbound.leaving:
             os.close(fd)
             return False
-        request = messages.read_handed(body["request"])
+        request = protocol.read_handed(body["request"])
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
--- /dev/null
+++ b/robinhill/net/workers/__init__.py
@@ -0,0 +1,1 @@
+"""One actor for each worker: attempts, cancellations, health checks, connections."""
--- a/robinhill/net/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -15,15 +15,15 @@
 from aiohttp.connector import Connection
 from yarl import URL
 
+from robinhill import protocol as messages
 from robinhill.api import Outcome
-from robinhill.list_lease import ListLease
-from robinhill.net import messages
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.catch_up import CatchUp
+from robinhill.net.clients.connections import unread
 from robinhill.net.clock import Clock
-from robinhill.net.connections import unread
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.metrics import Figures
+from robinhill.placement.list_lease import ListLease
+from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
 
 log = logging.getLogger(__name__)
 
--- a/robinhill/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -7,8 +7,8 @@
 from math import exp, expm1, inf
 
 from robinhill import api
-from robinhill.means import PRIOR, Mean, Weighed, follow, low
-from robinhill.state import WorkerRecord
+from robinhill.placement.records import WorkerRecord
+from robinhill.placement.statistics import PRIOR, Mean, Weighed, follow, low
 
 
 class JobTimes:
--- a/robinhill/dispatch.py
+++ b/robinhill/placement/event_dispatch.py
@@ -4,8 +4,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from robinhill import api, timers
-from robinhill.state import Attempt
+from robinhill import api
+from robinhill.placement import timers
+from robinhill.placement.records import Attempt
 
 
 class EventHandler(ABC):
--- a/robinhill/memory.py
+++ b/robinhill/placement/exported_state.py
@@ -8,10 +8,11 @@
 from math import inf
 from typing import Any
 
-from robinhill import api, timers
+from robinhill import api
 from robinhill.logic import UNKNOWN_JOB_US, Balancer
-from robinhill.means import Mean, Weighed
-from robinhill.state import Attempt, JobRecord, WorkerRecord
+from robinhill.placement import timers
+from robinhill.placement.records import Attempt, JobRecord, WorkerRecord
+from robinhill.placement.statistics import Mean, Weighed
 
 Json = dict[str, Any]
 Names = Mapping[str, str]
--- a/robinhill/held.py
+++ b/robinhill/placement/job_queue.py
@@ -2,7 +2,7 @@
 
 from bisect import insort
 
-from robinhill.state import JobRecord
+from robinhill.placement.records import JobRecord
 
 
 def _place(job: JobRecord) -> tuple[float, int]:
--- a/robinhill/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from robinhill import api
-from robinhill.listing import TOLD_US, WORD_US, told_within_us
+from robinhill.placement.watch_schedule import TOLD_US, WORD_US, told_within_us
 
 SPARE_US = 1_000_000  # from a watch's silence to the answer to the call that follows
 MOVED_US = 4_000_000  # what the discovery at a new address has counts so long after the order to move
--- a/robinhill/state.py
+++ b/robinhill/placement/records.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from robinhill import api
-from robinhill.means import Mean, Weighed
+from robinhill.placement.statistics import Mean, Weighed
 
 AttemptKey = tuple[int, int]  # number of the job, number of its attempt
 
--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -19,10 +19,10 @@
 from robinhill.control.observer import Observer
 from robinhill.control.options import Place, VotersKeys, observer_options, voter_options
 from robinhill.control.voter import Voter
-from robinhill.cordon.promise import Mode
+from robinhill.cordon.propagation import Mode
 from robinhill.mesh.options import VoterPlace
+from robinhill.mesh.records import Kind, Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import Kind, Record
 
 HOUR_US = 3_600_000_000
 EPOCH_US = 1_700_000_000_000_000
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -20,26 +20,28 @@
 import msgspec
 
 import robinhill
-from robinhill import api, memory, timers
-from robinhill.admission import memory as admission_memory
+from robinhill import api
+from robinhill import protocol as messages
+from robinhill.admission import exported_state as admission_memory
 from robinhill.admission.callers import Caller
 from robinhill.commands import cli
 from robinhill.config import OperatorFile
 from robinhill.control import messages as control
+from robinhill.control.record_kinds import kinds as control_kinds
 from robinhill.cordon import value as cordon
 from robinhill.cordon import views
 from robinhill.errors import RobinhillError
 from robinhill.gang import share as gang
-from robinhill.mesh import frames, kinds, members, notices
-from robinhill.mesh import rest as snapshot
-from robinhill.mesh import words as shared
+from robinhill.mesh import acknowledgements, failure_detector, frames, record_kinds, snapshot
+from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
-from robinhill.net import cordon_calls, messages
-from robinhill.net.atrest import AtRest
-from robinhill.net.control.kinds import kinds as control_kinds
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Destination, JobEvent, JobRequest, JobState, Lifecycle
-from robinhill.net.state import State
+from robinhill.net.cordons import operator_calls
+from robinhill.net.metrics import Figures
+from robinhill.net.operators.disabled_workers import State
+from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.placement import exported_state as memory
+from robinhill.placement import timers
+from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
 from robinhill.record import records as recording
 from robinhill.record.frames import frame as recording_frame
 from robinhill.record.frames import header as recording_header
@@ -183,7 +185,7 @@
     ),
     "frames.redo": frames.Redo(round=1, indices=(2,)),
     "frames.aside": frames.Aside(words=b"words1"),
-    "notices.Notice": notices.Notice(
+    "notices.Notice": acknowledgements.Notice(
         version=1,
         incarnation=1,
         serial=2,
@@ -197,37 +199,39 @@
         recent=(("recent7", b"recent8"),),
         starts=(("starts9", 10),),
     ),
-    "members.Rumour": members.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
-    "members.check": members.Check(
+    "members.Rumour": failure_detector.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
+    "members.check": failure_detector.Check(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(members.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
     ),
-    "members.check-for": members.CheckFor(
+    "members.check-for": failure_detector.CheckFor(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(members.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
     ),
-    "members.checked": members.Checked(
+    "members.checked": failure_detector.Checked(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
         target_incarnation=5,
-        rumours=(members.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
+        rumours=(failure_detector.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
     ),
-    "members.word": members.Word(
+    "members.word": failure_detector.Word(
         sender="sender1",
         incarnation=2,
-        rumours=(members.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
+        rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
     ),
-    "kinds.Drain": kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
-    "kinds.Sighting": kinds.Sighting(observer="observer1", what="what2", at_us=3, about="about4", amount=5),
-    "kinds.Outcome": kinds.Outcome(
+    "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
+    "kinds.Sighting": record_kinds.Sighting(
+        observer="observer1", what="what2", at_us=3, about="about4", amount=5
+    ),
+    "kinds.Outcome": record_kinds.Outcome(
         state=2, attempt=1, at_us=2, window_us=3, zone="zone4", by="by5", result=b"result6"
     ),
     "snapshot.Owner": snapshot.Owner(
@@ -317,14 +321,14 @@
     raise KeyError(name)
 
 
-_REQUESTS = kinds.requests(kinds.LONGEST_WINDOW_US)
+_REQUESTS = record_kinds.requests(record_kinds.LONGEST_WINDOW_US)
 
 VALUES: Mapping[str, Callable[[bytes], bytes]] = {
     "cordon": lambda data: cordon.encode(cordon.decode(data)),
-    "notice": lambda data: notices.encode(notices.decode(data)),
+    "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
-    "drain": lambda data: kinds.DRAIN.encode(kinds.DRAIN.decode(data)),
-    "evidence": lambda data: kinds.SEEN.encode(kinds.SEEN.decode(data)),
+    "drain": lambda data: record_kinds.DRAIN.encode(record_kinds.DRAIN.decode(data)),
+    "evidence": lambda data: record_kinds.SEEN.encode(record_kinds.SEEN.decode(data)),
     "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
 }
 """Values of records by the name of their kind, read and written again."""
@@ -332,14 +336,14 @@
 
 def kind_names() -> list[str]:
     """The names of the kinds that a member of the control group replicates, in order, and of the others."""
-    return [kind.name for kind in control_kinds()] + [notices.NAME, gang.NAME]
+    return [kind.name for kind in control_kinds()] + [acknowledgements.NAME, gang.NAME]
 
 
 def digests() -> dict[str, str]:
     """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
     record = SAMPLES["shared.Record"]
     assert isinstance(record, shared.Record)
-    replica = Replica("s1", 5, (cordon.cordon_kind(), kinds.DRAIN))
+    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN))
     stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
     replica.take(
@@ -347,8 +351,8 @@
     )
     return {
         "record": frames.check(record).hex(),
-        "parts": notices.digest(b"a", b"bc").hex(),
-        "names": notices.list_digest(["s2", "s1"]).hex(),
+        "parts": acknowledgements.digest(b"a", b"bc").hex(),
+        "names": acknowledgements.list_digest(["s2", "s1"]).hex(),
         "replica": replica.digest(2_000_000).hex(),
     }
 
@@ -547,7 +551,7 @@
 def _type_of(error: type[RobinhillError]) -> str:
     raised = error.__new__(error)
     raised.what = "what"
-    body = cordon_calls.error_body(raised)
+    body = operator_calls.error_body(raised)
     assert set(body) == {"error", "advice", "type"}
     return str(body["type"])
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 import pytest
 
 from robinhill import api
-from robinhill.admission import memory
+from robinhill.admission import exported_state
 from robinhill.admission.accounts import Accounts
 from robinhill.admission.admission import Admission, Admit, Ask, Refuse
 from robinhill.admission.callers import BadNameError, Directory
@@ -285,7 +285,7 @@
     fleet.perform(fleet.admission.configure(fleet.now, options))
     assert fleet.refused[fleet.ask("a")].reason == "requests"
     successor = Fleet(tenants={"a": Tenant(limits=limits)})
-    memory.recall(successor.admission, successor.now, memory.learned(fleet.admission))
+    exported_state.recall(successor.admission, successor.now, exported_state.learned(fleet.admission))
     assert successor.refused[successor.ask("a")].reason == "requests"
     assert successor.ask("b") not in successor.refused
 
@@ -298,9 +298,9 @@
     for _ in range(30):
         fleet.ask("a")
     refusal = fleet.refused[fleet.ask("a", key="k")]
-    told = memory.learned(fleet.admission)
+    told = exported_state.learned(fleet.admission)
     successor = Fleet(slots=1, run_ms=300)
-    memory.recall(successor.admission, successor.now, told)
+    exported_state.recall(successor.admission, successor.now, told)
     assert successor.admission.costs.by_class == fleet.admission.costs.by_class
     account = successor.admission.accounts.get(fleet.admission.directory.hash("a"))
     assert account and account.established and account.jobs >= 8
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -14,6 +14,7 @@
 from robinhill.admission.options import AdmissionOptions
 from robinhill.commands import FLAGS, cli
 from robinhill.commands.modelling import version
+from robinhill.config_types import ConfigError
 
 from .test_config import GIVEN
 from .test_exchanges import ROOT
@@ -42,7 +43,7 @@
 def test_a_faulty_operators_file_is_named_by_its_key(document: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text(document)
-    with pytest.raises(config.ConfigError) as caught:
+    with pytest.raises(ConfigError) as caught:
         config.read_operator(str(path))
     assert key in str(caught.value)
     done = CliRunner().invoke(cli, ["check-config", str(path)], standalone_mode=False)
@@ -87,7 +88,7 @@
 ) -> None:
     path = tmp_path / "operator.json"
     path.write_text(document)
-    with pytest.raises(config.ConfigError) as caught:
+    with pytest.raises(ConfigError) as caught:
         config.read_operator(str(path))
     assert caught.value.key == f"{path}: {key}"
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,6 +17,7 @@
 
 from robinhill import api
 from robinhill import config as configuration
+from robinhill.config_types import ConfigError
 from robinhill.logic import Balancer
 from robinhill.net.scheduler import Scheduler
 
@@ -215,7 +216,7 @@
                 holder[path[-1]] = fault
             try:
                 config = read(settings, tmp_path)
-            except configuration.ConfigError as e:
+            except ConfigError as e:
                 assert "\n" not in str(e)
                 continue
             if config.settings in driven:
@@ -270,7 +271,7 @@
 ) -> None:
     settings = copy.deepcopy(SETTINGS)
     merge(settings, changes)
-    with pytest.raises(configuration.ConfigError) as refused:
+    with pytest.raises(ConfigError) as refused:
         read(settings, tmp_path)
     assert refused.value.key == key
 
@@ -279,7 +280,7 @@
     entry = ENTRY | {"lifecycle": "active", "startedAtMs": 1e306}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GIVEN | {"known": {"generation": 1, "reset": True, "instances": [entry]}}))
-    with pytest.raises(configuration.ConfigError) as refused:
+    with pytest.raises(ConfigError) as refused:
         configuration.load({"GW_CONFIG": str(path)})
     assert refused.value.key == "known"
 
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -11,19 +11,21 @@
 import pytest
 from aiohttp import web
 
-from robinhill.config import Address, OperatorFile
+from robinhill.config import OperatorFile
+from robinhill.config_types import Address
 from robinhill.control.actions import Action, Apply, Connect, Disconnect, Link, Progressed, Send
 from robinhill.cordon import value
 from robinhill.emulator.site import free_address
 from robinhill.mesh.options import MeshOptions, VoterPlace
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.control import changes, link
-from robinhill.net.control.changes import Change, Changes
-from robinhill.net.control.driver import Driver, Run
-from robinhill.net.control.link import PATH, ControlLink
-from robinhill.net.control.observing import Observing
-from robinhill.net.messages import Destination, Lifecycle
+from robinhill.net.control_group import link
+from robinhill.net.control_group.driver import Driver, Run
+from robinhill.net.control_group.link import PATH, ControlLink
+from robinhill.net.control_group.observing_scheduler import Observing
+from robinhill.net.cordons import pending_changes
+from robinhill.net.cordons.pending_changes import Change, Changes
+from robinhill.protocol import Destination, Lifecycle
 
 DEADLINE_S = 10.0
 
@@ -280,14 +282,14 @@
 
 def test_a_change_of_several_targets_has_come_as_far_as_the_last_of_them() -> None:
     found, change = followed(4, "s1/1/1", numbers=2)
-    assert change.state == changes.STORED
+    assert change.state == pending_changes.STORED
     found.progressed(news(4, True, True))
-    assert (change.accepted, change.in_force, change.state) == (False, False, changes.STORED)
+    assert (change.accepted, change.in_force, change.state) == (False, False, pending_changes.STORED)
     found.progressed(news(5, True, False, 2, "s3", "s2"))
-    assert (change.state, change.behind, change.names_behind) == (changes.ACCEPTED, 2, ("s2", "s3"))
+    assert (change.state, change.behind, change.names_behind) == (pending_changes.ACCEPTED, 2, ("s2", "s3"))
     assert found.under_way() == 1
     found.progressed(news(5, True, True))
-    assert change.state == changes.IN_FORCE and found.under_way() == 0
+    assert change.state == pending_changes.IN_FORCE and found.under_way() == 0
     assert found.progressed(news(5, True, True)) is None
 
 
@@ -304,10 +306,10 @@
 
 def test_too_many_changes_cost_the_oldest_that_nobody_waits_for() -> None:
     found = Changes()
-    for number in range(changes.MAX_UNDER_WAY + 3):
+    for number in range(pending_changes.MAX_UNDER_WAY + 3):
         change = Change(f"c{number}", ("worker/w0",), False, 0)
         change.waiting = int(number == 0)
         found.follow(change, number)
     assert found.abandoned() == [1, 2, 3]
     assert found.abandoned() == []
-    assert found.under_way() == changes.MAX_UNDER_WAY
+    assert found.under_way() == pending_changes.MAX_UNDER_WAY
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from robinhill.control.audience import Audience
-from robinhill.control.following import Following, Group
+from robinhill.control.commit_tracker import Following, Group
 from robinhill.control.lease import ObserverLease
 from robinhill.control.observer import Observer
-from robinhill.control.tally import Mark, Tally
-from robinhill.cordon.promise import Mode, with_slack
+from robinhill.control.observer_progress import Mark, Tally
+from robinhill.control.observer_sessions import Audience
+from robinhill.cordon.propagation import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Network
 
 SECOND = 1_000_000
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -1,7 +1,7 @@
 """What a voter sends to one observer: order, bounds, priorities."""
 
+from robinhill.control.change_feed import MESSAGES_AT_MOST, Feed
 from robinhill.control.changelog import RECORDS_AT_MOST, ChangeLog
-from robinhill.control.feed import MESSAGES_AT_MOST, Feed
 from robinhill.control.messages import Changes, Compared, Digests, HeartbeatReply, RangeRecords, read
 from robinhill.mesh.replica import Replica
 from tests.control_network import CORDON, EPOCH_US, NOTE, URGENT, number_kind
--- a/tests/test_control_growth.py
+++ b/tests/test_control_growth.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from robinhill.cordon.promise import with_slack
+from robinhill.cordon.propagation import with_slack
 from tests.control_network import CORDON, NOTE, Network
 
 SECOND = 1_000_000
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -5,7 +5,7 @@
 
 from robinhill.control.errors import ChangesFull, VotersNotOneAtATime
 from robinhill.control.options import Place, VotersKeys, voter_options
-from robinhill.cordon.promise import Mode, with_slack
+from robinhill.cordon.propagation import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Change, Network
 
 SECOND = 1_000_000
@@ -361,7 +361,7 @@
 
 
 def test_changes_that_wait_for_a_killed_scheduler_do_not_stop_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("robinhill.control.following.GROUPS_AT_MOST", 4)
+    monkeypatch.setattr("robinhill.control.commit_tracker.GROUPS_AT_MOST", 4)
     monkeypatch.setattr("robinhill.control.observer.OFFERS_AT_MOST", 4)
     network = running(3, 3, on_lost=Mode.SERVE)
     network.crash("s0002")
@@ -375,7 +375,7 @@
 
 
 def test_changes_that_nobody_accepts_are_refused_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("robinhill.control.following.GROUPS_AT_MOST", 4)
+    monkeypatch.setattr("robinhill.control.commit_tracker.GROUPS_AT_MOST", 4)
     network = running(3, 1)
     for other in ("v01", "v02"):
         network.cut("v00", other)
--- a/tests/test_control_options.py
+++ b/tests/test_control_options.py
@@ -5,7 +5,7 @@
 
 from robinhill.control.errors import VotersMalformed
 from robinhill.control.options import Place, VotersKeys, observer_options, voter_options
-from robinhill.cordon.promise import Mode
+from robinhill.cordon.propagation import Mode
 
 
 def keys(number: int = 3, **more: object) -> VotersKeys:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -474,7 +474,8 @@
 def test_nothing_of_it_is_loaded_and_nothing_listens_where_no_voters_are_named() -> None:
     code = (
         "import sys, robinhill.commands.run\n"
-        "print([m for m in sys.modules if m.startswith(('robinhill.control', 'robinhill.net.control'))])"
+        "print([m for m in sys.modules if m.startswith("
+        "('robinhill.control', 'robinhill.net.control_group', 'robinhill.net.cordons'))])"
     )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert told.strip() == "[]"
@@ -486,7 +487,8 @@
         entry = tmp_path / "entry.py"
         entry.write_text(
             "import sys\nfrom robinhill.commands import main\ncode = main(['run'])\n"
-            "print('loaded', [m for m in sys.modules if 'control' in m and m.startswith('robinhill')],"
+            "print('loaded', [m for m in sys.modules if m.startswith('robinhill') and ('control' in m"
+            " or m.endswith(('.group_member', '.pending_changes')))],"
             " file=sys.stderr)\nsys.exit(code)\n"
         )
         env = {"PYTHONPATH": str(Path(__file__).parent.parent)}
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -64,13 +64,14 @@
     ),
     "goes by no cordons": (
         "n4",
-        "import robinhill.net.control.observing as o; o.covers = lambda targets, destination: False",
+        "import robinhill.net.control_group.observing_scheduler as o\n"
+        "o.covers = lambda targets, destination: False",
         "a voter and a scheduler are cut off",
         "past the bound",
     ),
     "says in force at once": (
         "n1",
-        "import robinhill.control.following as f; f.Following._behind = lambda self, group: (0, ())",
+        "import robinhill.control.commit_tracker as f; f.Following._behind = lambda self, group: (0, ())",
         "a scheduler is far away",
         "after it was in force",
     ),
--- a/tests/test_control_tally.py
+++ b/tests/test_control_tally.py
@@ -1,7 +1,7 @@
 """Whom a voter waits for."""
 
-from robinhill.control.tally import DEPARTED_AT_MOST, UNKNOWN, Tally
-from robinhill.cordon.promise import with_slack
+from robinhill.control.observer_progress import DEPARTED_AT_MOST, UNKNOWN, Tally
+from robinhill.cordon.propagation import with_slack
 
 BOUND = 1_000_000
 LATER = with_slack(BOUND)  # after the start observers of an earlier one are waited for no more
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from robinhill.cordon.automatic import Sight, propose
-from robinhill.cordon.book import Book, Budget, Change, CordonedNow, LiftedNow, Place
 from robinhill.cordon.budget import CAUSES
 from robinhill.cordon.errors import (
     BoundNotMet,
@@ -19,9 +18,10 @@
     NotAccepted,
     TooManyCalls,
 )
-from robinhill.cordon.following import Following
+from robinhill.cordon.index import Book, Budget, Change, CordonedNow, LiftedNow, Place
 from robinhill.cordon.limits import KEEP_US
-from robinhill.cordon.promise import Mode, Promise, Promises, Scheduler, Standing, Step, with_slack
+from robinhill.cordon.propagation import Mode, Promise, Promises, Scheduler, Standing, Step, with_slack
+from robinhill.cordon.propagation_tracker import Following
 from robinhill.cordon.value import (
     Cordons,
     Dot,
@@ -39,10 +39,10 @@
     set_,
 )  # fmt: skip
 from robinhill.cordon.views import answer, listing, read_put, read_wait
-from robinhill.mesh import notices
-from robinhill.mesh.notices import Notice
+from robinhill.mesh import acknowledgements
+from robinhill.mesh.acknowledgements import Notice
 from robinhill.mesh.quorum import Quorum
-from robinhill.mesh.words import ForeignState
+from robinhill.mesh.records import ForeignState
 
 S = 1_000_000
 NOW = 1_800_000_000 * S
@@ -498,7 +498,7 @@
     names = ("a", "b", "c")
     following = Following("a", Mode.SERVE, S, Quorum("a", names))
     following.reconfigure(0, names)
-    word = Notice(notices.VERSION, 7, 1, "serve", S, True, True, False, b"", b"older", (), ())
+    word = Notice(acknowledgements.VERSION, 7, 1, "serve", S, True, True, False, b"", b"older", (), ())
     for name in ("b", "c"):
         following.started(0, name, 7)
         following.said(0, name, word)
--- a/tests/test_decider.py
+++ b/tests/test_decider.py
@@ -4,14 +4,13 @@
 import json
 from pathlib import Path
 
-from robinhill import config
+from robinhill import config, protocol
 from robinhill.api import Outcome
-from robinhill.net import messages
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.decider import ClientLeft, Decider, Taken
-from robinhill.net.endpoint import Ended
-from robinhill.net.figures import Figures
+from robinhill.net.dispatcher.dispatcher import ClientLeft, Decider, Taken
+from robinhill.net.metrics import Figures
+from robinhill.net.workers.endpoint import Ended
 
 from .test_config import ENTRY, GIVEN
 
@@ -24,7 +23,7 @@
         clock = Clock()
         given = config.load({"GW_CONFIG": str(path)})
         decider = Decider(given, Supervisor(), clock, Figures(given.classes))
-        first, second = (messages.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ()) for _ in range(2))
+        first, second = (protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ()) for _ in range(2))
         replies = [asyncio.get_running_loop().create_future() for _ in range(2)]
         replies[1].cancel()  # its client has gone before the decider looks
         for request, reply in zip((first, second), replies, strict=True):
@@ -46,7 +45,7 @@
         clock, supervisor, given = Clock(), Supervisor(), config.load({"GW_CONFIG": str(path)})
         decider = Decider(given, supervisor, clock, Figures(given.classes))
         decider.start()
-        request = messages.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ())
+        request = protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ())
         decider.receive(Taken(request, clock.now_us(), asyncio.get_running_loop().create_future()))
         decider.receive(ClientLeft(request))
         assert b"app.active:1|g" in decider.stats().body
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -7,14 +7,14 @@
 import orjson
 import pytest
 
-from robinhill import listing
-from robinhill.config import Address
-from robinhill.listing import Pace
-from robinhill.net import messages
+from robinhill import protocol
+from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.decider import Listed
-from robinhill.net.destinations import Destinations, Move
+from robinhill.net.discovery.list_watcher import Destinations, Move
+from robinhill.net.dispatcher.dispatcher import Listed
+from robinhill.placement import watch_schedule
+from robinhill.placement.watch_schedule import Pace
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 Handler = Callable[[asyncio.StreamWriter], Awaitable[None]]
@@ -37,14 +37,14 @@
         lists = [orjson.dumps(orjson.loads(x), option=orjson.OPT_INDENT_2) for x in lists]
     text = b"\n" + lists[0] + b"\n\n" + lists[1] + b"\n"
     for cut in range(len(text)):
-        reader = messages.WatchReader(10_000)
+        reader = protocol.WatchReader(10_000)
         words = [*reader.feed(text[:cut]), *reader.feed(text[cut:])]
         assert [w and w.generation for w in words] == [None, 7, None, 8], cut
 
 
 def test_a_list_without_end_is_refused() -> None:
-    reader = messages.WatchReader(1_000)
-    with pytest.raises(messages.MalformedError):
+    reader = protocol.WatchReader(1_000)
+    with pytest.raises(protocol.MalformedError):
         for _ in range(100):
             list(reader.feed(b'{"instances": [\n' + b" " * 20))
 
@@ -57,14 +57,16 @@
         pace.heard(10_000_000)  # and right after it the watch falls silent
         now = pace.silent_at()
         first = now + pace.lost(now)
-        assert first <= 10_000_000 + listing.TOLD_US // 2  # the other half is for the wait at discovery
+        assert (
+            first <= 10_000_000 + watch_schedule.TOLD_US // 2
+        )  # the other half is for the wait at discovery
         now, calls = first, 0
         while now <= 16_000_000:
             pace.called(now)
             now, calls = now + 20_000, calls + 1  # refused at once
             wait = pace.lost(now)
             # whenever discovery is back, a call begins within half of what then counts as told
-            assert wait <= listing.TOLD_US // 2
+            assert wait <= watch_schedule.TOLD_US // 2
             now += wait
         assert calls >= 3
 
@@ -131,7 +133,7 @@
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same decisions, sooner."""
     for name, value in {"WORD_US": 100_000, "CALL_US": 100_000, "AGAIN_US": 10_000}.items():
-        monkeypatch.setattr(listing, name, value)
+        monkeypatch.setattr(watch_schedule, name, value)
 
 
 @pytest.mark.parametrize("script", [_silent, _trickles, _says_nothing])
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -11,16 +11,18 @@
 import pytest
 from aiohttp import web
 
-from robinhill.config import Address, Config
-from robinhill.net import connections, scheduler
+from robinhill.config import Config
+from robinhill.config_types import Address
+from robinhill.net import scheduler
 from robinhill.net.actor import Supervisor
+from robinhill.net.clients import connections
+from robinhill.net.clients.connections import Connection, Listener, connection_of
+from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.connections import Connection, Listener, connection_of
-from robinhill.net.decider import ClientLeft, Taken
-from robinhill.net.figures import Figures
-from robinhill.net.inbound import Inbound
-from robinhill.net.messages import Answer, DestinationList, JobEvent, JobRequest
+from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
+from robinhill.net.metrics import Figures
 from robinhill.net.scheduler import Scheduler
+from robinhill.protocol import Answer, DestinationList, JobEvent, JobRequest
 
 from .conftest import settings
 from .test_exchanges import Connection as Peer
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -19,14 +19,15 @@
 import orjson
 import pytest
 
-from robinhill import config, listing
-from robinhill.config import Address
-from robinhill.listing import Pace
+from robinhill import config
+from robinhill.config_types import Address
 from robinhill.net import scheduler as embedded
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.decider import DiscoveryMoved, ListConfirmed, Listed
-from robinhill.net.destinations import Destinations, Move
+from robinhill.net.discovery.list_watcher import Destinations, Move
+from robinhill.net.dispatcher.dispatcher import DiscoveryMoved, ListConfirmed, Listed
+from robinhill.placement import watch_schedule
+from robinhill.placement.watch_schedule import Pace
 
 from .conftest import MS, S, settings
 from .test_config import GIVEN
@@ -36,7 +37,7 @@
 QUEUE_US = 2 * S  # discovery fails calls that wait longer
 Ending = Literal["start", "reset", "silent"]
 Failure = Literal["refused", "never comes up", "never answered", "503"]
-LASTS_US = {"refused": MS, "never comes up": S, "never answered": listing.CALL_US, "503": 5 * MS}
+LASTS_US = {"refused": MS, "never comes up": S, "never answered": watch_schedule.CALL_US, "503": 5 * MS}
 
 
 @dataclass(slots=True)
@@ -109,7 +110,7 @@
         fleet = Fleet(size, service_us)
         fleet.play(ending, seed)
         assert len(fleet.listed) == size
-        assert max(fleet.listed.values()) <= listing.TOLD_US
+        assert max(fleet.listed.values()) <= watch_schedule.TOLD_US
         if size > 6:
             assert fleet.most_calls(50 * MS) <= size // 10 + 4
             assert fleet.most_calls(S) <= size * 0.85
@@ -123,7 +124,7 @@
     for seed in range(3):
         fleet = Fleet(size, service_us, 8 * S, failure)
         fleet.play("reset", seed)
-        assert max(fleet.listed.values()) <= 8 * S + listing.TOLD_US
+        assert max(fleet.listed.values()) <= 8 * S + watch_schedule.TOLD_US
         if size > 6:
             assert fleet.most_calls(50 * MS) <= size // 10 + 4
             assert fleet.most_calls(S) <= size * 0.7
@@ -140,8 +141,8 @@
     for ask_every_us in (2 * S, 4 * S, 10 * S):
         given = settings(must_subscribe=True, ask_every_us=ask_every_us, fleet_size=200)
         for seed in range(20):
-            pace = listing.by_settings(given, random.Random(seed))
-            assert pace.started(0) <= min(ask_every_us, listing.TOLD_US) // 2
+            pace = watch_schedule.by_settings(given, random.Random(seed))
+            assert pace.started(0) <= min(ask_every_us, watch_schedule.TOLD_US) // 2
 
 
 @pytest.mark.parametrize("fleet_size", [1, 200])
@@ -154,9 +155,9 @@
         now += chance.choice([1, 20 * MS, S, 2 * S, 3 * S])
         if chance.random() < 0.2:
             pace.heard(now)
-            now += chance.choice([0, S, listing.WORD_US])
+            now += chance.choice([0, S, watch_schedule.WORD_US])
         wait = pace.lost(now)
-        assert 0 <= wait <= listing.TOLD_US // 2
+        assert 0 <= wait <= watch_schedule.TOLD_US // 2
         now += wait
 
 
@@ -425,7 +426,7 @@
 
 
 def test_the_late_answer_to_a_call_that_was_given_up_is_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listing, "CALL_US", 100 * MS)
+    monkeypatch.setattr(watch_schedule, "CALL_US", 100 * MS)
 
     async def play() -> None:
         async with watching() as here:
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -20,11 +20,12 @@
 import pytest
 
 from robinhill import config as configuration
-from robinhill.net import connections, scheduler
-from robinhill.net.decider import Listed, Release
-from robinhill.net.endpoint import _Phase
-from robinhill.net.messages import DestinationList, JobEvent, JobState, Lifecycle
+from robinhill.net import scheduler
+from robinhill.net.clients import connections
+from robinhill.net.dispatcher.dispatcher import Listed, Release
 from robinhill.net.scheduler import Scheduler
+from robinhill.net.workers.endpoint import _Phase
+from robinhill.protocol import DestinationList, JobEvent, JobState, Lifecycle
 
 from .test_exchanges import SETTINGS, merge
 
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -17,15 +17,14 @@
 
 import pytest
 
-from robinhill import config
+from robinhill import config, protocol
 from robinhill.api import Outcome
-from robinhill.net import endpoint as ep
-from robinhill.net import messages
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.decider import Adopt, ClientLeft, Decider, Listed, Release, Taken
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
+from robinhill.net.dispatcher.dispatcher import Adopt, ClientLeft, Decider, Listed, Release, Taken
+from robinhill.net.metrics import Figures
+from robinhill.net.workers import endpoint as ep
+from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
 
 from .test_config import ENTRY, GIVEN
 
@@ -151,9 +150,9 @@
         self.endpoint.tell(JobEvent(name, "s-1", state, 0.0, "result"))
 
 
-def job(name: str, key: str = "") -> messages.JobRequest:
+def job(name: str, key: str = "") -> protocol.JobRequest:
     headers = (("X-Request-ID", name),)
-    return messages.JobRequest(name, 1, LEFT_US, False, "/x", b"work", headers, key=key)
+    return protocol.JobRequest(name, 1, LEFT_US, False, "/x", b"work", headers, key=key)
 
 
 @asynccontextmanager
@@ -478,7 +477,7 @@
     """A decider with one worker; more than one for a scheduler that is being replaced."""
 
     def __init__(self, folder: Path, worker: Worker, repeat: str) -> None:
-        listed = messages.write_destination(worker.destination())
+        listed = protocol.write_destination(worker.destination())
         klass = {"name": "x", "aim-us": 300_000, "hard-limit-us": LEFT_US, "repeat": repeat}
         given = json.loads(json.dumps(GIVEN)) | {
             "known": {"generation": 1, "reset": True, "instances": [ENTRY | listed]}
@@ -499,12 +498,12 @@
     def endpoint(self) -> ep.Endpoint:
         return self.decider.endpoints["s-1"]
 
-    def take(self, request: messages.JobRequest) -> asyncio.Future[Answer]:
+    def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.decider.receive(Taken(request, self.clock.now_us(), reply))
         return reply
 
-    async def accepted(self, worker: Worker, request: messages.JobRequest) -> asyncio.Future[Answer]:
+    async def accepted(self, worker: Worker, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply = self.take(request)
         peer = await worker.accept()
         await peer.head()
@@ -578,7 +577,7 @@
         assert not h.decider.held and not h.decider.balancer.jobs and "j1" in h.decider.seen
         h.decider.receive(ClientLeft(request))
         again = h.take(job("j1"))
-        assert again.result() is messages.CONFLICT
+        assert again.result() is protocol.CONFLICT
 
     play(house(come_and_go))
 
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -6,9 +6,9 @@
 
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.endpoint import Endpoint, FromEndpoint, Probe, Probed
-from robinhill.net.figures import Figures
-from robinhill.net.messages import Destination, Lifecycle
+from robinhill.net.metrics import Figures
+from robinhill.net.workers.endpoint import Endpoint, FromEndpoint, Probe, Probed
+from robinhill.protocol import Destination, Lifecycle
 
 
 @pytest.mark.parametrize(
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -3,10 +3,10 @@
 import pytest
 
 from robinhill import api
-from robinhill.derived import Derived
-from robinhill.estimates import ClientTries, Estimates, JobTimes
-from robinhill.means import Weighed, follow
-from robinhill.state import WorkerRecord
+from robinhill.placement.derived_settings import Derived
+from robinhill.placement.estimates import ClientTries, Estimates, JobTimes
+from robinhill.placement.records import WorkerRecord
+from robinhill.placement.statistics import Weighed, follow
 
 from .conftest import MS, S, settings
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -5,8 +5,8 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import free_address
-from robinhill.list_lease import ListLease, ListOrigin
-from robinhill.net.figures import Figures
+from robinhill.net.metrics import Figures
+from robinhill.placement.list_lease import ListLease, ListOrigin
 
 from .conftest import S
 
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -1,8 +1,8 @@
 """The jobs that wait for a worker."""
 
 from robinhill import api
-from robinhill.held import HeldJobs
-from robinhill.state import JobRecord
+from robinhill.placement.job_queue import HeldJobs
+from robinhill.placement.records import JobRecord
 
 from .conftest import klass
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,7 +9,7 @@
 import pytest
 
 from robinhill.net.actor import Supervisor
-from robinhill.net.link import Link, LinkLostError
+from robinhill.net.handover.process_link import Link, LinkLostError
 
 
 async def serve(link: Link, what: str, body: dict[str, Any], fd: int | None) -> dict[str, Any]:
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -19,7 +19,7 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
-from robinhill.listing import TOLD_US
+from robinhill.placement.watch_schedule import TOLD_US
 
 LOAD = [Tenant("one", 60.0)]
 KINDS = (JobKind("member-lookup", 10, 200, 2.5, 8_000),)
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -4,10 +4,11 @@
 
 import pytest
 
-from robinhill import api, listing
-from robinhill.list_lease import MOVED_US, ListLease, ListOrigin
-from robinhill.listing import AGAIN_US, CALL_US, TOLD_US, Pace
-from robinhill.stalls import BEAT_US, STALL_US, StallDetector
+from robinhill import api
+from robinhill.placement import watch_schedule
+from robinhill.placement.list_lease import MOVED_US, ListLease, ListOrigin
+from robinhill.placement.stall_detector import BEAT_US, STALL_US, StallDetector
+from robinhill.placement.watch_schedule import AGAIN_US, CALL_US, TOLD_US, Pace
 
 from .conftest import MS, Node, S, only, sent_to, settings
 
@@ -39,7 +40,7 @@
         made = ListLease.by_settings(settings(must_subscribe=True, ask_every_us=ask_every_us), 41)
         assert not made.held(HEARD)
         made.confirmed(HEARD, 41)
-        assert made.held(HEARD + listing.WORD_US) and not made.held(HEARD + TOLD_US)
+        assert made.held(HEARD + watch_schedule.WORD_US) and not made.held(HEARD + TOLD_US)
 
 
 def test_a_handed_over_list_is_as_old_as_it_was_there() -> None:
@@ -138,7 +139,7 @@
     assert pace.away_us == HEARD
     pace.called(HEARD + S)
     pace.lost(HEARD + S + CALL_US, answered=True)
-    assert pace.away_us == HEARD + S + CALL_US - listing.UNANSWERED_US
+    assert pace.away_us == HEARD + S + CALL_US - watch_schedule.UNANSWERED_US
     assert pace.away_us + TOLD_US >= HEARD + S + 2 * CALL_US + AGAIN_US
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from robinhill.net.logs import Throttle, formatter
+from robinhill.logs import Throttle, formatter
 
 
 def record(level: int, created: float) -> logging.LogRecord:
--- a/tests/test_means.py
+++ b/tests/test_means.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from robinhill.means import Mean, Weighed, low
+from robinhill.placement.statistics import Mean, Weighed, low
 
 
 def test_a_mean_forgets_over_its_window_and_leans_on_its_prior_while_it_knows_little() -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -3,7 +3,8 @@
 import json
 from typing import Any
 
-from robinhill import api, memory
+from robinhill import api
+from robinhill.placement import exported_state
 
 from .conftest import MS, Node, only, sent_to
 
@@ -12,7 +13,7 @@
     """A module that has recalled what the old one learned, as it comes out of JSON."""
     new = Node(len(old.balancer.workers), seed=8, **changes)
     new.now = old.now
-    memory.recall(new.balancer, json.loads(json.dumps(memory.learned(old.balancer))))
+    exported_state.recall(new.balancer, json.loads(json.dumps(exported_state.learned(old.balancer))))
     return new
 
 
@@ -61,8 +62,8 @@
         old.do(api.JobStarted(old.jobs, 0), after_us=5 * MS)
     new = successor(old, **changes)
     for job in range(1, 4):
-        told = json.loads(json.dumps(memory.release(old.balancer, job)))
-        assert not memory.resume(new.balancer, new.now, told)
+        told = json.loads(json.dumps(exported_state.release(old.balancer, job)))
+        assert not exported_state.resume(new.balancer, new.now, told)
     assert not old.balancer.attempts and not old.balancer.jobs and not old.balancer.workers["w0"].out
     new.jobs = 3
     assert sent_to(new.ask()) == "w0"
@@ -76,16 +77,16 @@
     old.ask()  # has not started: no room
     assert not only(old.ask(), api.Send)
     new = successor(Node(2, tells_start=True), tells_start=True)
-    told = memory.release(old.balancer, 2)
-    assert told and sent_to(memory.resume(new.balancer, new.now, told)) in ("w0", "w1")
-    assert memory.release(old.balancer, 2) is None
+    told = exported_state.release(old.balancer, 2)
+    assert told and sent_to(exported_state.resume(new.balancer, new.now, told)) in ("w0", "w1")
+    assert exported_state.release(old.balancer, 2) is None
 
 
 def test_names_on_the_link_are_those_of_older_versions() -> None:
     """Values go by name: one under a new name would be lost at an upgrade, without a word."""
     node = Node(1, tells_start=True)
     node.ask()
-    learned = memory.learned(node.balancer)
+    learned = exported_state.learned(node.balancer)
     assert set(learned) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
     own = (
         "sends rate_us began_us rate priced_rate mean_us class_us usual_us hint_us full_us given_up budget "
@@ -99,7 +100,7 @@
         "done_us doubt_us asked_us unanswered rest_us back_us credit credit_us idle_us"
     )
     assert set(seat["values"]) == set(values.split())
-    job = memory.release(node.balancer, 1)
+    job = exported_state.release(node.balancer, 1)
     assert job and set(job) == {"request", "values", "flights"}
     values = "until_us end_us aim_us tries pending ran group group_until_us order late_us"
     assert set(job["values"]) == set(values.split())
--- a/tests/test_mesh_freshness.py
+++ b/tests/test_mesh_freshness.py
@@ -10,7 +10,7 @@
 from robinhill.mesh.acceptance import TRACKED_AT_MOST, Acceptance
 from robinhill.mesh.freshness import AGES_AT_MOST, NEVER, PINGS_AT_MOST, Freshness
 from robinhill.mesh.quorum import LISTS_AT_MOST, ListsUnsettled, Quorum, majority
-from robinhill.mesh.words import Stamp
+from robinhill.mesh.records import Stamp
 
 BOUND_US = 1_000_000
 FIVE = "abcde"
--- a/tests/test_mesh_members.py
+++ b/tests/test_mesh_members.py
@@ -9,7 +9,7 @@
 
 from benchmarks.mesh_members import SECOND_US, Fleet
 from robinhill.mesh import overlay
-from robinhill.mesh.members import (
+from robinhill.mesh.failure_detector import (
     COUNT_AT_MOST,
     OUTSTANDING_AT_MOST,
     Answer,
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -239,7 +239,7 @@
     code = (
         "import sys, robinhill.commands.run\n"
         "print([m for m in sys.modules if m.startswith(('robinhill.mesh', 'robinhill.cordon'))"
-        " or m in ('robinhill.net.sharing', 'robinhill.net.peers', 'robinhill.net.cordons')])"
+        " or m.startswith(('robinhill.net.peers', 'robinhill.net.cordons'))])"
     )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert told.strip() == "['robinhill.mesh', 'robinhill.mesh.options']"
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -10,11 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from robinhill.mesh import clocks, digests, kinds, replica, rest
+from robinhill.mesh import clocks, digests, record_kinds, replica
+from robinhill.mesh import snapshot as rest
 from robinhill.mesh.clocks import AHEAD_US, FAR_US, HybridClock, StampAhead, agreed_offset_us
 from robinhill.mesh.merging import merged
+from robinhill.mesh.records import ForeignState, Kind, Record, Stamp, StateFull
 from robinhill.mesh.replica import SPAN_US, Replica
-from robinhill.mesh.words import ForeignState, Kind, Record, Stamp, StateFull
 
 S = 1_000_000
 DAY = 24 * 3600 * S
@@ -34,7 +35,7 @@
 
 
 FEW = marks("few", 7 * DAY, bound=3, evict=lambda record: record.stamp)
-KINDS = (marks("long", 7 * DAY), marks("short", 20 * S), FEW, kinds.DRAIN)
+KINDS = (marks("long", 7 * DAY), marks("short", 20 * S), FEW, record_kinds.DRAIN)
 
 
 def copies(count: int, *given: Kind[Any]) -> list[Replica]:
@@ -91,8 +92,10 @@
     @rule(i=which, draining=st.booleans())
     def drain(self, i: int, draining: bool) -> None:
         seen = self.copies[i].value("drain", "s9")
-        at = kinds.later(self.now + self.skewed[i], seen.at_us if isinstance(seen, kinds.Drain) else None)
-        drain = kinds.Drain(at, f"s{i}", draining, "")
+        at = record_kinds.later(
+            self.now + self.skewed[i], seen.at_us if isinstance(seen, record_kinds.Drain) else None
+        )
+        drain = record_kinds.Drain(at, f"s{i}", draining, "")
         self.copies[i].write(self.now + self.skewed[i], "drain", "s9", drain)
         assert self.copies[i].value("drain", "s9") == drain, "who has seen the former one wins over it"
 
@@ -161,11 +164,17 @@
 few = st.integers(0, 3)
 stamps = st.builds(Stamp, few, few, st.sampled_from("ab"), few)
 word = st.sampled_from("abc")
-sightings = st.builds(kinds.Sighting, word, word, few, word, few)
+sightings = st.builds(record_kinds.Sighting, word, word, few, word, few)
 VALUES: dict[str, tuple[Kind[Any] | None, Any]] = {
-    "drain": (kinds.DRAIN, st.builds(kinds.Drain, few, word, st.booleans(), word)),
-    "evidence": (kinds.SEEN, st.lists(sightings, max_size=6).map(lambda s: kinds.together(tuple(s), ()))),
-    "request": (kinds.requests(DAY), st.builds(kinds.Outcome, st.integers(1, 3), few, few, few, word, word)),
+    "drain": (record_kinds.DRAIN, st.builds(record_kinds.Drain, few, word, st.booleans(), word)),
+    "evidence": (
+        record_kinds.SEEN,
+        st.lists(sightings, max_size=6).map(lambda s: record_kinds.together(tuple(s), ())),
+    ),
+    "request": (
+        record_kinds.requests(DAY),
+        st.builds(record_kinds.Outcome, st.integers(1, 3), few, few, few, word, word),
+    ),
     "unknown": (None, few),
 }
 
@@ -183,11 +192,17 @@
 
 
 def test_evidence_keeps_the_latest_sightings_within_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(kinds, "MOST_SIGHTINGS", 2)
-    a, b, c = ((kinds.Sighting(o, kinds.SLOW, at, "", at),) for o, at in (("x", 3), ("y", 1), ("z", 2)))
-    assert kinds.together(kinds.together(a, b), c) == kinds.together(a, kinds.together(b, c)) == (*a, *c)
-    back = (kinds.Sighting("x", kinds.SLOW, kinds.later(0, 3), "", 0),)
-    assert [s.observer for s in kinds.current(kinds.together((*a, *c), back), 5, 10)] == ["z"]
+    monkeypatch.setattr(record_kinds, "MOST_SIGHTINGS", 2)
+    a, b, c = (
+        (record_kinds.Sighting(o, record_kinds.SLOW, at, "", at),) for o, at in (("x", 3), ("y", 1), ("z", 2))
+    )
+    assert (
+        record_kinds.together(record_kinds.together(a, b), c)
+        == record_kinds.together(a, record_kinds.together(b, c))
+        == (*a, *c)
+    )
+    back = (record_kinds.Sighting("x", record_kinds.SLOW, record_kinds.later(0, 3), "", 0),)
+    assert [s.observer for s in record_kinds.current(record_kinds.together((*a, *c), back), 5, 10)] == ["z"]
 
 
 def test_an_hour_ahead_counts_but_draws_no_clock_along_and_loses_to_who_has_seen_it() -> None:
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -9,13 +9,13 @@
 import pytest
 
 from robinhill.mesh import frames
-from robinhill.mesh.comparing import REPAIR_US
-from robinhill.mesh.delivery import WINDOW
+from robinhill.mesh.anti_entropy import REPAIR_US
+from robinhill.mesh.delivery_windows import WINDOW
 from robinhill.mesh.frames import Heads, Hello, Part, Ping, Push
 from robinhill.mesh.freshness import Freshness
+from robinhill.mesh.records import Kind, PeerRefused
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Event, Identity, Session
-from robinhill.mesh.words import Kind, PeerRefused
 
 from .conftest import MS, S
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from robinhill import api
-from robinhill.keys import KEPT, Keys, Place
+from robinhill.placement.idempotency import KEPT, Keys, Place
 
 from .conftest import MS, Node, S, klass, only, sent_to, settings
 from .fleet import START, play
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,8 +17,8 @@
 from benchmarks.scale.processes import counter
 from robinhill.cordon.value import Dot, Reason, cordon_kind, set_
 from robinhill.mesh.options import MeshOptions
+from robinhill.mesh.records import StateFull
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.words import StateFull
 
 WORKERS = (30, 100, 300, 1_000)
 TENANTS = (10, 50, 190)
