--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -181,10 +181,10 @@
             alone.step(header, address, 1_000)
         gc.collect()
         more = (psutil.Process().memory_info().rss - before) / 1e6
-        figures = alone.admission.figures()
+        metrics = alone.admission.metrics()
         print(
-            f"  100,000 {what}: {more:.1f} MB more, {figures['accounts']} accounts,"
-            f" {figures['queued']} queued, {figures['let_in']} let in"
+            f"  100,000 {what}: {more:.1f} MB more, {metrics['accounts']} accounts,"
+            f" {metrics['queued']} queued, {metrics['let_in']} let in"
         )
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -66,13 +66,13 @@
     status = Path(f"/proc/{program.pid}/status").read_text()
     rss_kb = int(status.split("VmRSS:")[1].split()[0])
     _, text = await program.call("GET", "/ops/stats")
-    figures = dict(line.partition(":")[::2] for line in text.splitlines())
-    sent = sum(_count(v) for k, v in figures.items() if k.startswith("app.control.bytes_out"))
+    metrics = dict(line.partition(":")[::2] for line in text.splitlines())
+    sent = sum(_count(v) for k, v in metrics.items() if k.startswith("app.control.bytes_out"))
     return Used(
         (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND,
         rss_kb / 1024,
         sent,
-        _count(figures.get("app.control.bytes_in", "0|c")),
+        _count(metrics.get("app.control.bytes_in", "0|c")),
     )
 
 
--- a/benchmarks/mesh_replica.py
+++ b/benchmarks/mesh_replica.py
@@ -80,7 +80,7 @@
             cursor = copies[0].since(cursor, 256)[1]
 
     def save() -> bytes:
-        return b"".join(rest.encode(rest.Owner("home", ORIGIN, 1, now), copies[0].snapshot()))
+        return b"".join(rest.encode(rest.SnapshotHeader("home", ORIGIN, 1, now), copies[0].snapshot()))
 
     print(f"on the wire {len(packed) / RECORDS:.0f} bytes a record, in memory {memory:.0f}")
     print(f"take: new {RECORDS / cpu_s(lambda: take_all(first), empty):,.0f} records/s", end="")
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -30,7 +30,7 @@
 from robinhill.net.clock import Clock
 from robinhill.net.cordons import actor as cordons
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.dispatcher.dispatcher import Cordoned, Decider, Lease
+from robinhill.net.dispatcher.dispatcher import Cordoned, Dispatcher, Lease
 from robinhill.net.peers import peer_connections, sharing
 from robinhill.net.peers.peer_connections import STRANGERS, Peers
 from robinhill.net.peers.peer_link import PATH
@@ -308,8 +308,8 @@
 def _scheduler(name: str, options: MeshOptions, supervisor: Supervisor) -> Sharing:
     config = SimpleNamespace(name=name, folder=None, operator=SimpleNamespace(mesh=options))
     inbound = SimpleNamespace(behind=False)
-    decider = cast(Decider, _Applying())
-    return Sharing(cast(Config, config), supervisor, LoopClock(), decider, cast(Inbound, inbound))
+    dispatcher = cast(Dispatcher, _Applying())
+    return Sharing(cast(Config, config), supervisor, LoopClock(), dispatcher, cast(Inbound, inbound))
 
 
 def _conditions(shape: Shape, names: Sequence[str]) -> dict[tuple[str, str], Conditions]:
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.processes import LONG_KIND, WORKER_NAME, Listing, listing
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.net.workers.endpoint import Endpoint
 from robinhill.protocol import Destination, Lifecycle
 
@@ -43,7 +43,7 @@
 
 
 async def _endpoint_bytes(worker_count: int) -> int:
-    supervisor, clock, figures = Supervisor(), Clock(), Figures(())
+    supervisor, clock, metrics = Supervisor(), Clock(), Metrics(())
     endpoints: list[Endpoint] = []
 
     def make() -> None:
@@ -52,7 +52,7 @@
                 f"worker-{number:05}", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0
             )
             endpoint = Endpoint(
-                destination, supervisor, clock, CONNECT_TIMEOUT_US, KEEPALIVE_US, figures, lambda word: None
+                destination, supervisor, clock, CONNECT_TIMEOUT_US, KEEPALIVE_US, metrics, lambda word: None
             )
             endpoint.start()
             endpoints.append(endpoint)
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -564,7 +564,7 @@
 
     # For staff
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """What admission control does now, as plain values."""
         return {
             "queued": self.rounds.length,
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -138,7 +138,7 @@
     ) -> None:
         if not feed.in_step and not observer.granted:
             return
-        self._outbox.figures.comparisons += 1
+        self._outbox.metrics.comparisons += 1
         feed.compare(now_us, digests)
         self._draw(mono_us, link, observer)
 
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class Metrics:
     """Counts since the start, for operators."""
 
     bytes_to_voters: int = 0
@@ -20,7 +20,7 @@
 class Outbox:
     """Actions in their order."""
 
-    figures: Figures = field(default_factory=Figures)
+    metrics: Metrics = field(default_factory=Metrics)
     _actions: list[Action] = field(default_factory=list)
 
     def add(self, action: Action) -> None:
@@ -30,7 +30,7 @@
     def to_voter(self, link: Link, message: wire.VoterMessage) -> None:
         """A message to another voter."""
         data = wire.write(message)
-        self.figures.bytes_to_voters += len(data)
+        self.metrics.bytes_to_voters += len(data)
         self._actions.append(Send(link, data))
 
     def to_observer(self, link: Link, message: wire.ToObserver) -> None:
@@ -39,7 +39,7 @@
 
     def encoded(self, link: Link, data: bytes) -> None:
         """A message to an observer that is encoded already."""
-        self.figures.bytes_to_observers += len(data)
+        self.metrics.bytes_to_observers += len(data)
         self._actions.append(Send(link, data))
 
     def disconnect(self, link: Link, why: str) -> None:
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -20,7 +20,7 @@
 from robinhill.control.observer_progress import Key, Tally
 from robinhill.control.observer_sessions import Audience
 from robinhill.control.options import ControlOptions
-from robinhill.control.outbox import Figures, Outbox
+from robinhill.control.outbox import Metrics, Outbox
 from robinhill.control.record_merging import refused, take_all
 from robinhill.control.voter_links import Peers, VoterLink
 from robinhill.cordon.propagation import Mode
@@ -207,9 +207,9 @@
         return sum(one.feed is not None for one in self._audience.links.values())
 
     @property
-    def figures(self) -> Figures:
+    def metrics(self) -> Metrics:
         """Counts since the start."""
-        return self._outbox.figures
+        return self._outbox.metrics
 
     # What came
 
@@ -425,7 +425,7 @@
     # Links that end
 
     def _refuse(self, mono_us: int, link: Link, why: str) -> None:
-        self.figures.refused += 1
+        self.metrics.refused += 1
         if link not in self._peers.links:
             self._outbox.to_observer(link, wire.Refused(why))
         self._drop(mono_us, link, why)
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -39,7 +39,7 @@
     return f"worker/{worker_id}", f"zone/{place.zone}", f"kind/{place.kind}", f"cell/{place.cell}"
 
 
-class Book:
+class CordonIndex:
     """One scheduler's view. Holds as much as there are listed workers and reasons that stand."""
 
     def __init__(self, budget: Budget | None = None) -> None:
@@ -150,4 +150,4 @@
         )
 
 
-__all__ = ["Book", "Budget", "Change", "CordonedNow", "LiftedNow", "Place", "targets_of"]
+__all__ = ["Budget", "Change", "CordonIndex", "CordonedNow", "LiftedNow", "Place", "targets_of"]
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -39,7 +39,7 @@
     LEFT = "left"  # its own last word, after its last send: the process has ended
 
 
-class Step(IntEnum):
+class PropagationStage(IntEnum):
     """How far a call has come; it never goes back."""
 
     RECEIVED = 0
@@ -72,7 +72,7 @@
     return bound_us + int(bound_us * limits.SLACK_SHARE) + limits.SLACK_US
 
 
-class Promise:
+class Propagation:
     """One call that is followed. ``schedulers`` are all that are configured, this one (``me``) with them.
 
     ``deadline_us``: until when the caller waits for it to be in force; None: it does not wait.
@@ -93,7 +93,7 @@
         self.mode = mode
         self.lifts = lifts
         self.deadline_us = deadline_us
-        self.step = Step.RECEIVED
+        self.step = PropagationStage.RECEIVED
         self.majority_us: int | None = None
         self._schedulers = {s.name: s for s in schedulers}
         if me not in self._schedulers:
@@ -102,7 +102,7 @@
 
     def stored(self, mono_us: int) -> None:
         """It is written here (and on disk, where there is one)."""
-        self.step = max(self.step, Step.STORED)
+        self.step = max(self.step, PropagationStage.STORED)
         self.look(mono_us)
 
     def accepted(self, mono_us: int) -> None:
@@ -131,24 +131,24 @@
             self._confirmed.pop(name, None)
         self.look(mono_us)
 
-    def look(self, mono_us: int) -> Step:
+    def look(self, mono_us: int) -> PropagationStage:
         """Go on as far as what is known allows."""
-        if self.step is Step.STORED and (self.mode is Mode.SERVE or self.majority_us is not None):
-            self.step = Step.ACCEPTED
-        if self.step is Step.ACCEPTED and not self.unconfirmed(mono_us):
-            self.step = Step.IN_FORCE
+        if self.step is PropagationStage.STORED and (self.mode is Mode.SERVE or self.majority_us is not None):
+            self.step = PropagationStage.ACCEPTED
+        if self.step is PropagationStage.ACCEPTED and not self.unconfirmed(mono_us):
+            self.step = PropagationStage.IN_FORCE
         return self.step
 
     def unconfirmed(self, mono_us: int) -> tuple[Unconfirmed, ...]:
         """Who may still act as before, ascending; nobody once it is in force."""
-        if self.step is Step.IN_FORCE:
+        if self.step is PropagationStage.IN_FORCE:
             return ()
         waits = (self._why(s, mono_us) for _, s in sorted(self._schedulers.items()))
         return tuple(u for u in waits if u is not None)
 
     def next_us(self) -> int | None:
         """The next time at which the clock alone may change something; None if only news can."""
-        if self.step is Step.IN_FORCE:
+        if self.step is PropagationStage.IN_FORCE:
             return None
         ends = [] if self.deadline_us is None else [self.deadline_us]
         if self.majority_us is not None:
@@ -159,9 +159,9 @@
 
     def failure(self, mono_us: int, missing: Sequence[str] = ()) -> CordonError | None:
         """What a call is told that waits no longer; None: in force. ``missing``: who does not hold it."""
-        if self.look(mono_us) is Step.IN_FORCE:
+        if self.look(mono_us) is PropagationStage.IN_FORCE:
             return None
-        if self.step is Step.ACCEPTED:
+        if self.step is PropagationStage.ACCEPTED:
             return BoundNotMet(self.what, [f"{u.name} ({u.why})" for u in self.unconfirmed(mono_us)])
         return NotAccepted(self.what, missing)
 
@@ -187,7 +187,7 @@
         return Unconfirmed(s.name, s.standing.value)
 
 
-class Promises:
+class Propagations:
     """All calls that are followed: bounded, those in force forgotten first, then those that nobody waits for.
 
     Each is known by what it wrote (a cordon's dot) or a number that the caller chose.
@@ -195,9 +195,9 @@
 
     def __init__(self, bound: int = limits.PROMISES) -> None:
         self.bound = bound
-        self._open: dict[str, Promise] = {}
+        self._open: dict[str, Propagation] = {}
 
-    def follow(self, key: str, promise: Promise) -> None:
+    def follow(self, key: str, promise: Propagation) -> None:
         """TooManyCalls if somebody waits for each that is followed."""
         if key not in self._open:
             self.make_room()
@@ -206,7 +206,7 @@
     def make_room(self) -> None:
         """Forget one for the next, if need be; to be called before what it is about is written."""
         if len(self._open) >= self.bound:
-            done = [k for k, p in self._open.items() if p.step is Step.IN_FORCE]
+            done = [k for k, p in self._open.items() if p.step is PropagationStage.IN_FORCE]
             free = done or [k for k, p in self._open.items() if p.deadline_us is None]
             if not free:
                 raise TooManyCalls(f"{self.bound} changes are waited for")
@@ -217,20 +217,20 @@
         ended = []
         for key, promise in self._open.items():
             at = promise.deadline_us
-            if at is not None and (promise.look(mono_us) is Step.IN_FORCE or mono_us >= at):
+            if at is not None and (promise.look(mono_us) is PropagationStage.IN_FORCE or mono_us >= at):
                 promise.deadline_us = None
                 ended.append(key)
         return tuple(ended)
 
-    def get(self, key: str) -> Promise | None:
+    def get(self, key: str) -> Propagation | None:
         return self._open.get(key)
 
     def drop(self, key: str) -> None:
         self._open.pop(key, None)
 
-    def under_way(self) -> tuple[Promise, ...]:
+    def under_way(self) -> tuple[Propagation, ...]:
         """Those that can still go on: tell them all news."""
-        return tuple(p for p in self._open.values() if p.step is not Step.IN_FORCE)
+        return tuple(p for p in self._open.values() if p.step is not PropagationStage.IN_FORCE)
 
     def next_us(self) -> int | None:
         """The next time at which the clock alone may change something."""
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -11,9 +11,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from robinhill.cordon.propagation import Mode, Promise, Promises, Scheduler, Standing, Step
+from robinhill.cordon.propagation import (
+    Mode,
+    Propagation,
+    Propagations,
+    PropagationStage,
+    Scheduler,
+    Standing,
+)
 from robinhill.mesh.acceptance import Acceptance
-from robinhill.mesh.acknowledgements import RECENT, Applied, Notice
+from robinhill.mesh.acknowledgements import RECENT, Acknowledgement, Applied
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
@@ -29,12 +36,12 @@
     key: str
     cordon_id: str
     began_us: int
-    promise: Promise
+    promise: Propagation
     stamps: dict[str, Stamp]  # by target
     digests: dict[str, deque[bytes]] = field(default_factory=dict)
     whole: deque[bytes] = field(default_factory=lambda: deque(maxlen=HISTORY))
 
-    def shows(self, notice: Notice) -> bool:
+    def shows(self, notice: Acknowledgement) -> bool:
         """Whether a scheduler that says so goes by this change."""
         recent = dict(notice.recent)
         return notice.applied in self.whole or all(
@@ -46,13 +53,13 @@
 class Peer:
     """What is known of another scheduler."""
 
-    notice: Notice | None = None
+    notice: Acknowledgement | None = None
     linked: bool = False
     heard_us: int = 0
     incarnation: int = 0
 
     @property
-    def word(self) -> Notice | None:
+    def word(self) -> Acknowledgement | None:
         """Its last word, if it is of its present process."""
         return self.notice if self.notice and self.notice.incarnation >= self.incarnation else None
 
@@ -67,7 +74,7 @@
         self.peers: dict[str, Peer] = {}
         self.applied = Applied()  # what is held here
         self.recent: dict[str, None] = {}  # targets that changed last, the latest behind
-        self.promises = Promises()
+        self.promises = Propagations()
         self.acceptance = Acceptance(quorum)
         self._open: dict[str, Followed] = {}
 
@@ -112,7 +119,7 @@
         """Follow what was just written here, before `changed` is told of it. TooManyCalls."""
         what = f"the lift of {cordon_id}" if lifts else cordon_id
         schedulers = [self.scheduler(mono_us, name) for name in sorted({*self.peers, self.me})]
-        promise = Promise(what, self.me, self.mode, schedulers, lifts=lifts, deadline_us=deadline_us)
+        promise = Propagation(what, self.me, self.mode, schedulers, lifts=lifts, deadline_us=deadline_us)
         self.promises.follow(key, promise)
         followed = Followed(key, cordon_id, mono_us, promise, {r.key: r.stamp for r in written})
         followed.digests = {r.key: deque(maxlen=HISTORY) for r in written}
@@ -134,7 +141,7 @@
         return self._open.get(key)
 
     def under_way(self) -> list[Followed]:
-        return [f for f in self._open.values() if f.promise.step is not Step.IN_FORCE]
+        return [f for f in self._open.values() if f.promise.step is not PropagationStage.IN_FORCE]
 
     def counts(self, mono_us: int) -> None:
         """This process counts for majorities from now on: what it has stored is stored in earnest."""
@@ -147,7 +154,7 @@
             sorted({n for stamp in followed.stamps.values() for n in self.acceptance.unconfirmed(stamp)})
         )
 
-    def _match(self, mono_us: int, name: str, notice: Notice) -> None:
+    def _match(self, mono_us: int, name: str, notice: Acknowledgement) -> None:
         for each in self.under_way():
             if not each.shows(notice):
                 continue
@@ -166,7 +173,7 @@
 
     # Schedulers
 
-    def said(self, mono_us: int, name: str, notice: Notice) -> None:
+    def said(self, mono_us: int, name: str, notice: Acknowledgement) -> None:
         """A scheduler's word on itself, or our own."""
         if name == self.me:
             self._match(mono_us, name, notice)
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -26,8 +26,8 @@
     NotAccepted,
     TooManyCalls,
 )
-from robinhill.cordon.index import Book
-from robinhill.cordon.propagation import Promise, Promises, Step
+from robinhill.cordon.index import CordonIndex
+from robinhill.cordon.propagation import Propagation, Propagations, PropagationStage
 from robinhill.cordon.value import Reason, check_reason, check_target
 
 STATUS: dict[type[CordonError], int] = {
@@ -40,10 +40,10 @@
     BoundNotMet: 504,
 }
 STATES = {
-    Step.RECEIVED: "received",
-    Step.STORED: "stored",
-    Step.ACCEPTED: "accepted",
-    Step.IN_FORCE: "in force",
+    PropagationStage.RECEIVED: "received",
+    PropagationStage.STORED: "stored",
+    PropagationStage.ACCEPTED: "accepted",
+    PropagationStage.IN_FORCE: "in force",
 }
 OVER_BUDGET = "over budget"  # an automatic one that waits for room
 HELD = "held here"  # followed by the scheduler that wrote it, which knows more
@@ -133,7 +133,7 @@
     return round(seconds * 1e6)
 
 
-def listing(mono_us: int, book: Book, promises: Promises) -> Listing:
+def listing(mono_us: int, book: CordonIndex, promises: Propagations) -> Listing:
     """Everything for a GET."""
     cordons = []
     for target, entry in book.standing():
@@ -163,8 +163,8 @@
     mono_us: int,
     cordon_id: str,
     targets: Sequence[str],
-    promise: Promise,
-    book: Book,
+    promise: Propagation,
+    book: CordonIndex,
     *,
     waited: bool,
     missing: Sequence[str] = (),
@@ -178,7 +178,7 @@
     return status, Answer(cordon_id, tuple(targets), state, unconfirmed, warned, error)
 
 
-def _told(mono_us: int, promise: Promise) -> tuple[str, tuple[UnconfirmedView, ...]]:
+def _told(mono_us: int, promise: Propagation) -> tuple[str, tuple[UnconfirmedView, ...]]:
     step = promise.look(mono_us)
     return STATES[step], tuple(UnconfirmedView(u.name, u.why) for u in promise.unconfirmed(mono_us))
 
--- a/robinhill/emulator/program.py
+++ b/robinhill/emulator/program.py
@@ -99,8 +99,8 @@
         """Admission's figures."""
         status, text = await self.call("GET", "/ops/admission")
         assert status == 200, text
-        figures: Json = json.loads(text)
-        return figures
+        metrics: Json = json.loads(text)
+        return metrics
 
     def reload(self, operator: Json) -> None:
         self.operator = operator
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -21,7 +21,7 @@
 MAX_BYTES = 4_096
 
 
-class Notice(msgspec.Struct, frozen=True, array_like=True):
+class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
     """One scheduler's word. ``serial`` counts its words since its start.
 
     ``counts``: it had caught up when it wrote. ``serving``: it takes clients. ``left``: its last word, after
@@ -45,20 +45,20 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Notice)
+_decoder = msgspec.msgpack.Decoder(Acknowledgement)
 
 
-def merge(one: Notice, other: Notice) -> Notice:
+def merge(one: Acknowledgement, other: Acknowledgement) -> Acknowledgement:
     """The later word. Two of the same number are of two processes by one name, or of damage: any of them, but
     the same one everywhere."""
     return max(one, other, key=lambda n: (n.incarnation, n.serial, encode(n)))
 
 
-def encode(notice: Notice) -> bytes:
+def encode(notice: Acknowledgement) -> bytes:
     return _encoder.encode(notice)
 
 
-def decode(data: bytes) -> Notice:
+def decode(data: bytes) -> Acknowledgement:
     """A peer's word, or ForeignState."""
     try:
         notice = _decoder.decode(data)
@@ -69,7 +69,7 @@
     return notice
 
 
-def notice_kind() -> Kind[Notice]:
+def notice_kind() -> Kind[Acknowledgement]:
     """By name of the scheduler; of too many names those that spoke longest ago go first."""
     return Kind(NAME, encode, decode, merge, LIFETIME_US, BOUND, evict=lambda r: (r.stamp.wall_us, r.key))
 
--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -27,7 +27,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Owner(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
     """Whose file it is. ``incarnation`` is that of the process that wrote it (the next one's must be larger),
     ``saved_us`` when it did, in Unix time: it was away since then.
     """
@@ -38,11 +38,11 @@
     saved_us: int
 
 
-_owner = msgspec.msgpack.Decoder(Owner)
+_owner = msgspec.msgpack.Decoder(SnapshotHeader)
 _records = msgspec.msgpack.Decoder(list[Record])
 
 
-def encode(owner: Owner, records: Iterable[Record]) -> Iterator[bytes]:
+def encode(owner: SnapshotHeader, records: Iterable[Record]) -> Iterator[bytes]:
     """The file in pieces, to be written one after the other."""
     yield _HEAD.pack(MAGIC, VERSION)
     check, frame = _frame(b"", _encode(owner))
@@ -62,7 +62,7 @@
     yield _frame(check, b"")[1]
 
 
-def decode(data: bytes, installation: str) -> tuple[Owner, list[Record]]:
+def decode(data: bytes, installation: str) -> tuple[SnapshotHeader, list[Record]]:
     """Whose file it is and the records in it.
 
     Raises ForeignState for a file that is torn, damaged, of another installation or of a newer version.
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -26,7 +26,7 @@
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.protocol import Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         config: Config,
         supervisor: Supervisor,
         clock: Clock,
-        figures: Figures,
+        metrics: Metrics,
         report: Callable[[Taken | ClientLeft], None],
         deliver: Callable[[JobEvent], Awaitable[None]],
         find: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
@@ -68,7 +68,7 @@
         self.config = config
         self.supervisor = supervisor
         self.clock = clock
-        self.figures = figures
+        self.metrics = metrics
         self.report = report
         self.deliver = deliver
         self.deadlines_us = tuple(c.deadline_us for c in config.settings.classes)
@@ -90,7 +90,7 @@
         )
 
     def _note_close(self, why: CloseReason) -> None:
-        self.figures.closes[f"client.{why.value}"] += 1
+        self.metrics.closes[f"client.{why.value}"] += 1
 
     def start(self, sock: socket.socket) -> None:
         self.serving = True
@@ -157,9 +157,9 @@
         if self.closed_to_new:
             settings = self.config.settings
             refusal = protocol.fail_fast(min(RETURN_US, settings.max_retry_after_us) * settings.retry_after)
-            self.figures.refusals["leaving"] += 1
+            self.metrics.refusals["leaving"] += 1
             log.debug("request_refused", extra={"id": job.id, "why": "leaving"})
-            self.figures.answered(job.job_class, refusal)
+            self.metrics.answered(job.job_class, refusal)
             return self._respond(refusal)
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.report(Taken(job, arrived_us, reply, caller))
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -22,7 +22,7 @@
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.snapshot import Owner
+from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock, mono_us
@@ -30,9 +30,9 @@
 from robinhill.net.control_group.recovery import recall
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
-from robinhill.net.dispatcher.dispatcher import Cordoned, Decider, Lease
+from robinhill.net.dispatcher.dispatcher import Cordoned, Dispatcher, Lease
 from robinhill.net.metrics import PREFIX
-from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer, Destination
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     """Owns the observer, its links and what it tells the decider."""
 
     def __init__(
-        self, config: Config, supervisor: Supervisor, clock: Clock, decider: Decider, inbound: Inbound
+        self, config: Config, supervisor: Supervisor, clock: Clock, dispatcher: Dispatcher, inbound: Inbound
     ) -> None:
         assert config.operator
         mesh = config.operator.mesh
@@ -55,9 +55,9 @@
         self.name = mesh.name or config.name
         self.options = options_of_observer(mesh, self.name)
         self.clock = clock
-        self.decider = decider
+        self.dispatcher = dispatcher
         self.inbound = inbound
-        self.rest = AtRest(config.folder if mesh.folder else None, mesh.installation, self.name)
+        self.rest = SnapshotStore(config.folder if mesh.folder else None, mesh.installation, self.name)
         owner, records = self.rest.load()
         self.incarnation = next_incarnation(clock.now_us(), owner.incarnation if owner else 0)
         self.replica = Replica(self.name, self.incarnation, kinds())
@@ -74,7 +74,7 @@
             clock,
             self.observer,
             self.driver.perform,
-            decider.listed,
+            dispatcher.listed,
         )
         self.cordons.abandon = self.observer.abandon
         self.serving = False
@@ -85,10 +85,10 @@
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         inbound.behind = True
-        decider.may_send = self.may_send
+        dispatcher.may_send = self.may_send
         if self._holds:
-            decider.lease, decider.vouched = self.lease, False
-        decider.list_changed = lambda: self.driver.tell(Run(self._update))
+            dispatcher.lease, dispatcher.vouched = self.lease, False
+        dispatcher.list_changed = lambda: self.driver.tell(Run(self._update))
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
         log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
@@ -158,7 +158,7 @@
         """Only voters can be vouched for."""
         return NO_VOUCHING
 
-    def figures(self) -> bytes:
+    def metrics(self) -> bytes:
         """Lines for operators."""
         standing = self.observer.standing(CORDON, mono_us())
         traffic = self.driver.traffic
@@ -221,7 +221,7 @@
         next is true, whenever the decider comes to its mailbox.
         """
         targets = self.cordons.update()
-        self.decider.tell(Cordoned(lambda d: covers(targets, d), lambda: None))
+        self.dispatcher.tell(Cordoned(lambda d: covers(targets, d), lambda: None))
         if self._end_timer:
             self._end_timer.cancel()
             self._end_timer = None
@@ -232,7 +232,7 @@
 
     def _lease_changed(self, held: bool, age_us: int | None) -> None:
         if self._holds:
-            self.decider.tell(Lease())
+            self.dispatcher.tell(Lease())
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
         if held:
@@ -263,7 +263,7 @@
 
     # Disk
 
-    def _recall(self, owner: Owner, records: list[Record]) -> None:
+    def _recall(self, owner: SnapshotHeader, records: list[Record]) -> None:
         """Cordons that this scheduler held when it shared with peers; as an observer it leaves none."""
         known = names_of(kinds())
         recall(self.replica, owner, [r for r in records if r.kind in known], self.clock.now_us())
@@ -272,7 +272,7 @@
         """A clock that was set back must not make the next start look like an earlier one."""
         if not self.rest.folder:
             return
-        owner = Owner(self.mesh.installation, self.name, self.incarnation, self.clock.now_us())
+        owner = SnapshotHeader(self.mesh.installation, self.name, self.incarnation, self.clock.now_us())
         try:
             self.rest.write(owner, ())
         except OSError as e:
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -5,12 +5,12 @@
 
 from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.snapshot import Owner
+from robinhill.mesh.snapshot import SnapshotHeader
 
 log = logging.getLogger(__name__)
 
 
-def recall(replica: Replica, owner: Owner, records: Iterable[Record], now_us: int) -> None:
+def recall(replica: Replica, owner: SnapshotHeader, records: Iterable[Record], now_us: int) -> None:
     """Take what the last process left, unless it may have been forgotten by all others since."""
     taken = 0
     for record in records:
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -23,7 +23,7 @@
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.snapshot import Owner
+from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
@@ -32,7 +32,7 @@
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
 from robinhill.net.operators.server import Calls, Operators
-from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -57,7 +57,9 @@
         self.options = options_of_voter(self.mesh, config.name)
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
-        self.rest = AtRest(config.folder if self.mesh.folder else None, self.mesh.installation, config.name)
+        self.rest = SnapshotStore(
+            config.folder if self.mesh.folder else None, self.mesh.installation, config.name
+        )
         owner, records = self.rest.load()
         self.incarnation = next_incarnation(self.clock.now_us(), owner.incarnation if owner else 0)
         self.replica = Replica(config.name, self.incarnation, kinds())
@@ -182,10 +184,10 @@
         self.driver.tell(Run(lambda: self._forget(scheduler)))
         return Answer(200, b"this voter waits for it no more; ask each voter\n")
 
-    def figures(self) -> Answer:
+    def metrics(self) -> Answer:
         """Lines for operators."""
         age_us = self.voter.age_us(mono_us())
-        traffic, counted = self.driver.traffic, self.voter.figures
+        traffic, counted = self.driver.traffic, self.voter.metrics
         lines = [
             f"voters_linked:{len(self.voter.linked_voters)}|g",
             f"observers:{self.voter.linked_observers}|g",
@@ -239,8 +241,8 @@
             await asyncio.sleep(REFRESH_S)
             self.driver.tell(Run(self.cordons.refresh))
 
-    def _owner(self) -> Owner:
-        return Owner(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
+    def _owner(self) -> SnapshotHeader:
+        return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
     def _lasting(self) -> Iterable[Record]:
         return self.replica.snapshot(lasting=True)
@@ -255,7 +257,7 @@
     def __init__(self, address: Address, supervisor: Supervisor, voter: VoterProcess) -> None:
         calls = Calls(
             readiness=voter.readiness,
-            stats=voter.figures,
+            stats=voter.metrics,
             admission=lambda: NOT_HERE,
             hold_out=_no_workers,
             drain=_no_clients,
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -16,12 +16,12 @@
 
 from robinhill.cordon import value, views
 from robinhill.cordon.errors import CordonError
-from robinhill.cordon.index import Book
-from robinhill.cordon.propagation import Mode, Step
+from robinhill.cordon.index import CordonIndex
+from robinhill.cordon.propagation import Mode, PropagationStage
 from robinhill.cordon.propagation_tracker import Followed, Following
 from robinhill.errors import RobinhillError
 from robinhill.mesh import acknowledgements
-from robinhill.mesh.acknowledgements import Notice
+from robinhill.mesh.acknowledgements import Acknowledgement
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record, StateFull
@@ -76,7 +76,7 @@
     """A call that has not been answered."""
 
     followed: Followed
-    step: Step  # that it waits for
+    step: PropagationStage  # that it waits for
     deadline_us: int
     reply: asyncio.Future[Answer]
 
@@ -93,19 +93,19 @@
         freshness: Freshness,
         supervisor: Supervisor,
         clock: Clock,
-        decider: Callable[[Cordoned | Lease], None],
+        dispatcher: Callable[[Cordoned | Lease], None],
         listed: Callable[[], list[Destination]],
     ) -> None:
         super().__init__("cordons", supervisor)
         self.options, self.me, self.names = options, me, tuple(sorted(names))
         self.replica, self.freshness, self.clock = replica, freshness, clock
-        self.decider, self.listed = decider, listed
+        self.dispatcher, self.listed = dispatcher, listed
         self.changed: Callable[[], None] = lambda: None  # the replica has: peers are to hear of it
         self.outdated: Callable[[int], None] = lambda incarnation: None  # our own name had a later start
         self.on_serving: Callable[[], None] = lambda: None
         self.serving = False  # this scheduler takes clients
         self.caught_up_us: int | None = None  # how long that took
-        self.book = Book()
+        self.book = CordonIndex()
         self.targets: frozenset[str] = frozenset()
         mode, bound_us = Mode(options.on_lost), options.bound_ms * 1000
         self.following = Following(me, mode, bound_us, freshness.quorum)
@@ -166,7 +166,7 @@
     def _check_lease(self) -> None:
         if (held := self.lease()) is not self._leased:
             self._leased = held
-            self.decider(Lease())
+            self.dispatcher(Lease())
 
     # From peers, at once
 
@@ -211,11 +211,11 @@
             return True
         if record.kind == acknowledgements.NAME:
             notice = self.replica.value(record.kind, record.key)
-            if isinstance(notice, Notice):
+            if isinstance(notice, Acknowledgement):
                 self._word(record.key, notice)
         return False
 
-    def _word(self, name: str, notice: Notice) -> None:
+    def _word(self, name: str, notice: Acknowledgement) -> None:
         """Another scheduler's word on itself, or what a former process of our own name has left."""
         if name == self.me:
             if notice.incarnation > self.incarnation:
@@ -249,7 +249,7 @@
         self.following.reconfigure(mono_us(), self.names)
         for name in self.names:
             notice = self.replica.value(acknowledgements.NAME, name)
-            if isinstance(notice, Notice):
+            if isinstance(notice, Acknowledgement):
                 self._word(name, notice)
         self._write_notice()
         self._review()
@@ -306,7 +306,7 @@
         self._told += 1
         number, targets = self._told, self.targets
         self._tellings[number] = self.following.applied.all
-        self.decider(Cordoned(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
+        self.dispatcher(Cordoned(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
 
     def _applied_now(self, number: int) -> None:
         digest = self._tellings.pop(number)
@@ -326,7 +326,7 @@
         recent: tuple[tuple[str, bytes], ...] = ()
         if self._applied == applied.all:
             recent = tuple((t, d) for t in self.following.recent if (d := applied.get(t)))
-        notice = Notice(
+        notice = Acknowledgement(
             acknowledgements.VERSION, self.incarnation, self._serial, self.options.on_lost,
             self.options.bound_ms * 1000, self.freshness.caught_up, self.serving, left,
             acknowledgements.list_digest(self.names), self._applied, recent, tuple(self._starts.items()),
@@ -397,7 +397,7 @@
         )  # fmt: skip
         for record in records:
             self._took_in(record)
-        step = Step.ACCEPTED if wait_us is None else Step.IN_FORCE
+        step = PropagationStage.ACCEPTED if wait_us is None else PropagationStage.IN_FORCE
         deadline_us = now + (self.options.bound_ms * 1000 if wait_us is None else wait_us)
         self._waiters.append(_Waiter(followed, step, deadline_us, call.reply))
         self._update()
@@ -413,7 +413,7 @@
                 self._waiters.remove(waiter)
             elif reached or now >= waiter.deadline_us:
                 self._waiters.remove(waiter)
-                status = 200 if reached else 504 if waiter.step is Step.IN_FORCE else 202
+                status = 200 if reached else 504 if waiter.step is PropagationStage.IN_FORCE else 202
                 waiter.reply.set_result(answer(status, self._progress(waiter.followed, now, not reached)))
         self._schedule_look(now)
 
@@ -424,8 +424,8 @@
             "id": followed.cordon_id,
             "targets": sorted(followed.stamps),
             "state": views.STATES[step],
-            "accepted": step >= Step.ACCEPTED,
-            "in_force": step is Step.IN_FORCE,
+            "accepted": step >= PropagationStage.ACCEPTED,
+            "in_force": step is PropagationStage.IN_FORCE,
             "ms": (now - followed.began_us) / 1000,
             "unconfirmed": [{"scheduler": u.name, "why": u.why} for u in promise.unconfirmed(now)],
         }
@@ -480,7 +480,7 @@
         late_us = mono_us() - max(ALIVE_US, 3 * self.options.bound_ms * 1000)
         return {n for n in self.names if (at := self.freshness.as_of(n)) is not None and at > late_us}
 
-    def figures(self) -> list[str]:
+    def metrics(self) -> list[str]:
         """Lines for operators, without their prefix."""
         now = mono_us()
         age_us = self.freshness.age_us(now)
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -16,8 +16,8 @@
 from robinhill.control.options import ControlOptions
 from robinhill.cordon import value, views
 from robinhill.cordon.errors import BoundNotMet, CordonError, NotAccepted
-from robinhill.cordon.index import Book
-from robinhill.cordon.propagation import Promises
+from robinhill.cordon.index import CordonIndex
+from robinhill.cordon.propagation import Propagations
 from robinhill.errors import RobinhillError
 from robinhill.mesh.records import Record, StateFull
 from robinhill.mesh.replica import Replica
@@ -79,7 +79,7 @@
         self.perform = perform
         self.listed = listed
         self.abandon: Callable[[int], None] = lambda number: None
-        self.book = Book()
+        self.book = CordonIndex()
         self.changes = Changes()
         self.targets: frozenset[str] = frozenset()
         self.next_end_us = 0
@@ -219,7 +219,7 @@
     def _show(self, cordon_id: str) -> Json:
         """One cordon, or all. How far one has come is known where it was set, or once it was asked for."""
         self.update()
-        told: Json = msgspec.to_builtins(views.listing(mono_us(), self.book, Promises()))
+        told: Json = msgspec.to_builtins(views.listing(mono_us(), self.book, Propagations()))
         dots = {(target, entry.reason.id): entry.dot for target, entry in self.book.standing()}
         if cordon_id:
             keep_only(told, cordon_id)
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -8,7 +8,7 @@
 
 from robinhill.cordon import views
 from robinhill.cordon.errors import CordonUnknown
-from robinhill.cordon.index import Book, Place, targets_of
+from robinhill.cordon.index import CordonIndex, Place, targets_of
 from robinhill.errors import RobinhillError
 from robinhill.protocol import Answer, Destination
 
@@ -34,7 +34,7 @@
         return views.read_wait(self.wait.removesuffix("s")) if self.wait is not None else None
 
 
-def counted_targets(book: Book) -> frozenset[str]:
+def counted_targets(book: CordonIndex) -> frozenset[str]:
     """The targets that are cordoned now."""
     return frozenset(target for target, entry in book.standing() if book.counts(target, entry.reason))
 
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -36,7 +36,7 @@
     """No whole word came in time."""
 
 
-class Destinations(Actor[Move]):
+class EndpointListWatcher(Actor[Move]):
     """One watch at a time, from the start on; ``pace`` alone decides when another is opened.
 
     The module hears of each call that fails and each watch that ends, but for silent ones and agents.
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -18,8 +18,8 @@
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.dispatcher.dispatcher import Began, ClientLeft, Placed, Taken
-from robinhill.net.dispatcher.traffic_recorder import Tape
-from robinhill.net.metrics import Figures
+from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
+from robinhill.net.metrics import Metrics
 from robinhill.protocol import Answer, JobRequest
 
 log = logging.getLogger(__name__)
@@ -90,24 +90,24 @@
         config: Config,
         supervisor: Supervisor,
         clock: Clock,
-        figures: Figures,
+        metrics: Metrics,
         let_in: Callable[[Taken | ClientLeft], None],
     ) -> None:
         super().__init__("admission", supervisor)
         assert config.operator
         self.clock = clock
-        self.figures = figures
+        self.metrics = metrics
         self.let_in = let_in
         self._classes = config.classes
         self.admission = Admission(
             config.settings, config.operator.admission, config.seed, secrets.token_bytes(SECRET_BYTES)
         )
-        self.tape: Tape | None = None  # records what passes
+        self.tape: TrafficRecorder | None = None  # records what passes
         self._entries: dict[int, _Entry] = {}
         self._numbers: dict[str, int] = {}
         self._next = 1
         self._due_us: int | None = None  # when the timer that is set fires
-        self.figures.admission_queued = lambda: self.admission.waiting
+        self.metrics.admission_queued = lambda: self.admission.waiting
 
     # For the scheduler, which loads this module only where there is admission control
 
@@ -221,9 +221,9 @@
         entry = self._forget(refusal.number)
         assert entry, "a refusal is of a request that waits here"
         request, reply = entry.taken.request, entry.taken.reply
-        self.figures.refusals["admission"] += 1
+        self.metrics.refusals["admission"] += 1
         answer = protocol.excess(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
-        self.figures.answered(request.job_class, answer)
+        self.metrics.answered(request.job_class, answer)
         if self.tape:
             self.tape.answered(request, answer.status)
         log.debug(
@@ -300,8 +300,8 @@
 
     def stats(self) -> Answer:
         """Admission's figures as they are now."""
-        shown = {"enabled": self.admission.options.enabled} | self.admission.figures()
+        shown = {"enabled": self.admission.options.enabled} | self.admission.metrics()
         names = self._classes
         for key in ("unplaced", "class_ms"):
             shown[key] = dict(zip(names, shown[key], strict=True))
-        return protocol.figures(shown)
+        return protocol.metrics(shown)
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -12,9 +12,9 @@
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.dispatcher.traffic_recorder import Tape
-from robinhill.net.metrics import Figures
-from robinhill.net.operators.disabled_workers import State
+from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
+from robinhill.net.metrics import Metrics
+from robinhill.net.operators.disabled_workers import DisabledWorkerStore
 from robinhill.net.workers import endpoint as ep
 from robinhill.placement import exported_state, idempotency
 from robinhill.placement.list_lease import ListLease
@@ -188,7 +188,7 @@
         return self.owed and not self.reply.cancelled()
 
 
-class Decider(Actor[ToDecider]):
+class Dispatcher(Actor[ToDecider]):
     """Carries events to the module and its actions to the endpoints and the inbound side."""
 
     def __init__(
@@ -196,16 +196,16 @@
         config: Config,
         supervisor: Supervisor,
         clock: Clock,
-        figures: Figures,
+        metrics: Metrics,
         list_lease: ListLease | None = None,
     ) -> None:
         super().__init__("decider", supervisor)
         self.list_lease = list_lease  # on the list of workers; None: whatever list there is may be sent by
-        figures.list_lease = list_lease
+        metrics.list_lease = list_lease
         self.lease_held = asyncio.Event()  # as the module was told last
         self.config = config
         self.clock = clock
-        self.figures = figures
+        self.metrics = metrics
         self.balancer = Balancer(config.settings, config.seed)
         self.held: dict[int, _Held] = {}
         self.jobs: dict[str, int] = {}  # the wire's ids are text, the module's numbers
@@ -218,10 +218,10 @@
         self.moving: dict[str, asyncio.Event] = {}
         self.elsewhere: Callable[[JobEvent], None] = lambda event: None  # brings such an event there
         self.admission: Callable[[Placed | Began], None] | None = None  # hears what becomes of requests
-        self.tape: Tape | None = None  # records what passes
+        self.tape: TrafficRecorder | None = None  # records what passes
         self.destinations: dict[str, Destination] = {}
         self.endpoints: dict[str, ep.Endpoint] = {}
-        self.state = State(config.folder)
+        self.state = DisabledWorkerStore(config.folder)
         self.held_out = self.state.held_out()  # endpoints that operators want left out
         # Since when, and until when, operators had an endpoint out; the file tells no times.
         self.outages = {instance_id: (clock.now_us(), 0) for instance_id in self.held_out}
@@ -398,7 +398,7 @@
         self._decide(api.Arrived(asked))
 
     def _refuse(self, job: int, retry_in_us: int, why: api.RefusalReason) -> None:
-        self.figures.refusals[why.value] += 1
+        self.metrics.refusals[why.value] += 1
         if log.isEnabledFor(logging.DEBUG):
             held = self.held[job]
             told = {"id": held.request.id, "why": why.value, "attempts": ", ".join(held.endings)}
@@ -428,7 +428,7 @@
 
     def _note_retry(self, held: _Held) -> None:
         if held.last_outcome:
-            self.figures.retries[held.last_outcome.value] += 1
+            self.metrics.retries[held.last_outcome.value] += 1
         log.debug("attempt_again", extra={"id": held.request.id, "after": held.endings[-1]})
 
     def _write_until(self, held: _Held) -> int:
@@ -484,7 +484,7 @@
         held.owed = False
         if held.leaving:
             self._stay(held)
-        self.figures.answered(held.request.job_class, answer)
+        self.metrics.answered(held.request.job_class, answer)
         if self.tape:
             self.tape.answered(held.request, answer.status)
         if answer is protocol.FAILED:
@@ -684,7 +684,7 @@
             self.clock,
             settings.connect_timeout_us,
             settings.keepalive_us,
-            self.figures,
+            self.metrics,
             self.tell,
             self.may_send,
             self.list_lease,
@@ -795,13 +795,13 @@
 
     def stats(self) -> Answer:
         """The figures as they are now."""
-        queued = self.figures.admission_queued() if self.figures.admission_queued else 0
-        self.figures.active = len(self.held) + queued
+        queued = self.metrics.admission_queued() if self.metrics.admission_queued else 0
+        self.metrics.active = len(self.held) + queued
         listed = {d.instance_id for d in self.listed()}
-        self.figures.pool_size = len(listed)
+        self.metrics.pool_size = len(listed)
         out = {d.instance_id for d in self.listed() if self._is_out(d, d.instance_id)}
-        self.figures.pool_ejected = len(listed & (out | self.balancer.avoided(self.clock.now_us())))
-        return Answer(200, self.figures.text(self.clock.now_us()).encode())
+        self.metrics.pool_ejected = len(listed & (out | self.balancer.avoided(self.clock.now_us())))
+        return Answer(200, self.metrics.text(self.clock.now_us()).encode())
 
     async def close(self) -> None:
         for endpoint in self.endpoints.values():
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -11,7 +11,7 @@
     from robinhill.record.recorder import Recorder
 
 
-class Tape:
+class TrafficRecorder:
     """Called by the actors that know; the recorder's thread does the rest."""
 
     def __init__(self, recorder: "Recorder", clock: Clock, classes: tuple[str, ...]) -> None:
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -20,7 +20,7 @@
     return "shed" if answer.status in (429, 503) else "errors"
 
 
-class Figures:
+class Metrics:
     """Counts since the start of the process, and gauges as they were last set."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -11,7 +11,7 @@
 FILE = "held-out.json"
 
 
-class State:
+class DisabledWorkerStore:
     """Without a folder nothing is kept."""
 
     def __init__(self, folder: Path | None) -> None:
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -23,16 +23,16 @@
 from robinhill.mesh.records import Kind, MeshError
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Identity, Learned
-from robinhill.mesh.snapshot import Owner
+from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
 from robinhill.net.cordons.actor import Cordons, ListChanged
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.dispatcher.dispatcher import Decider
+from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.peer_connections import Configure, Peers
-from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -61,7 +61,7 @@
     """Owns the parts of the mesh in this process."""
 
     def __init__(
-        self, config: Config, supervisor: Supervisor, clock: Clock, decider: Decider, inbound: Inbound
+        self, config: Config, supervisor: Supervisor, clock: Clock, dispatcher: Dispatcher, inbound: Inbound
     ) -> None:
         assert config.operator
         self.options = options = config.operator.mesh
@@ -71,15 +71,15 @@
         names = _names(options, self.name)
         listen = _listen(options, self.name)
         folder = config.folder if options.folder else None
-        self.rest = AtRest(folder, options.installation, self.name)
+        self.rest = SnapshotStore(folder, options.installation, self.name)
         owner, records = self.rest.load()
         incarnation = next_incarnation(clock.now_us(), owner.incarnation if owner else 0)
         self.replica = Replica(self.name, incarnation, _kinds())
         self._recall(owner, records)
         self.freshness = Freshness(self.name, names, options.bound_ms * 1000)
         self.cordons = Cordons(
-            options, self.name, names, self.replica, self.freshness, supervisor, self.clock, decider.tell,
-            decider.listed,
+            options, self.name, names, self.replica, self.freshness, supervisor, self.clock, dispatcher.tell,
+            dispatcher.listed,
         )  # fmt: skip
         # Decisions never draw from this: it spreads dialling in time.
         rng = random.Random(f"{self.name} {incarnation}")
@@ -94,14 +94,14 @@
         self.cordons.on_serving = self._serve
         self.cordons.outdated = self._outdated
         inbound.behind = True
-        decider.may_send = self.cordons.may_send
+        dispatcher.may_send = self.cordons.may_send
         if options.on_lost == "hold":
-            decider.lease, decider.vouched = self.cordons.lease, False
-        decider.list_changed = lambda: self.cordons.tell(ListChanged())
+            dispatcher.lease, dispatcher.vouched = self.cordons.lease, False
+        dispatcher.list_changed = lambda: self.cordons.tell(ListChanged())
         extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
         log.info("sharing", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost})
 
-    def _recall(self, owner: Owner | None, records: list[Any]) -> None:
+    def _recall(self, owner: SnapshotHeader | None, records: list[Any]) -> None:
         """Take what the last process left, unless it may have been forgotten by all others since."""
         if owner is None:
             return
@@ -122,9 +122,9 @@
         self.supervisor.spawn(self._collect(), "collect")
         self.supervisor.spawn(self.rest.keep(lambda: self.replica.head, self._owner, self._lasting), "keep")
 
-    def _owner(self) -> Owner:
+    def _owner(self) -> SnapshotHeader:
         incarnation = self.replica.clock.incarnation
-        return Owner(self.options.installation, self.name, incarnation, self.clock.now_us())
+        return SnapshotHeader(self.options.installation, self.name, incarnation, self.clock.now_us())
 
     def _lasting(self) -> Iterable[Any]:
         return self.replica.snapshot(lasting=True)
@@ -191,10 +191,10 @@
         self.cordons.vouch("an operator said so")
         return Answer(200, b"it counts for majorities\n")
 
-    def figures(self) -> bytes:
+    def metrics(self) -> bytes:
         counts = self.peers.counts
         lines = [f"links:{len(self.peers.links)}|g", *(f"{name}:{n}|c" for name, n in counts.items())]
-        return "".join(f"{PREFIX}.mesh.{line}\n" for line in [*lines, *self.cordons.figures()]).encode()
+        return "".join(f"{PREFIX}.mesh.{line}\n" for line in [*lines, *self.cordons.metrics()]).encode()
 
     def reconfigure(self, options: MeshOptions) -> None:
         """Go by other peers from now on. What else has changed waits for a restart."""
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -12,7 +12,7 @@
 
 from robinhill.mesh import snapshot
 from robinhill.mesh.records import ForeignState, Record
-from robinhill.mesh.snapshot import Owner
+from robinhill.mesh.snapshot import SnapshotHeader
 
 log = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
 MAX_BYTES = 256 << 20
 
 
-class AtRest:
+class SnapshotStore:
     """Without a folder nothing is kept."""
 
     def __init__(self, folder: Path | None, installation: str, origin: str) -> None:
@@ -31,7 +31,7 @@
         self.failing = False
         self.saved_head = -1
 
-    def load(self) -> tuple[Owner | None, list[Record]]:
+    def load(self) -> tuple[SnapshotHeader | None, list[Record]]:
         """What the last process has left; None and nothing where there is no file of ours."""
         if not self.folder:
             return None, []
@@ -57,7 +57,10 @@
             return None, []
 
     async def keep(
-        self, head: Callable[[], int], owner: Callable[[], Owner], records: Callable[[], Iterable[Record]]
+        self,
+        head: Callable[[], int],
+        owner: Callable[[], SnapshotHeader],
+        records: Callable[[], Iterable[Record]],
     ) -> None:
         """Save whenever something has changed, until cancelled."""
         while self.folder:
@@ -65,7 +68,7 @@
             if head() != self.saved_head:
                 await self.save(head(), owner(), list(records()))
 
-    async def save(self, head: int, owner: Owner, records: list[Record]) -> None:
+    async def save(self, head: int, owner: SnapshotHeader, records: list[Record]) -> None:
         """In a thread: other work goes on."""
         if not self.folder:
             return
@@ -80,7 +83,7 @@
             log.info("state_saved_again", extra={"file": FILE})
         self.failing, self.saved_head = False, head
 
-    def write(self, owner: Owner, records: Iterable[Record]) -> None:
+    def write(self, owner: SnapshotHeader, records: Iterable[Record]) -> None:
         assert self.folder
         temporary = self.folder / f"{FILE}.{os.getpid()}"
         try:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -19,12 +19,12 @@
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.discovery.list_watcher import Destinations, Move
-from robinhill.net.dispatcher.dispatcher import Adopt, Decider, HoldOut, Release, Taken
-from robinhill.net.dispatcher.traffic_recorder import Tape
+from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
+from robinhill.net.dispatcher.dispatcher import Adopt, Dispatcher, HoldOut, Release, Taken
+from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.handover.succession import Succession
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.net.operators.server import Calls, Operators
 from robinhill.placement import watch_schedule
 from robinhill.placement.list_lease import ListLease
@@ -56,46 +56,46 @@
         self.env = env  # for a reload
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
-        self.figures = Figures(config.classes)
+        self.metrics = Metrics(config.classes)
         pace = watch_schedule.by_settings(config.settings, random.Random(config.seed))
         self.list_lease = ListLease.by_settings(config.settings, config.known.generation)
-        self.decider = Decider(config, self.supervisor, self.clock, self.figures, self.list_lease)
-        self.destinations = Destinations(
+        self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
+        self.destinations = EndpointListWatcher(
             config.discovery,
             config.known.generation,
             pace,
             self.clock,
             self.supervisor,
-            self.decider.tell,
-            self.decider.tell,
+            self.dispatcher.tell,
+            self.dispatcher.tell,
         )
         self.catch_up = CatchUp(self.clock, self.destinations.unread)
-        self.decider.catch_up = self.destinations.catch_up = self.catch_up
+        self.dispatcher.catch_up = self.destinations.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
             from robinhill.net.dispatcher import admission
 
             self.admission = admission.AdmissionActor(
-                config, self.supervisor, self.clock, self.figures, self.decider.tell
+                config, self.supervisor, self.clock, self.metrics, self.dispatcher.tell
             )
-            self.decider.admission = self.admission.tell
+            self.dispatcher.admission = self.admission.tell
         self.recorder: Recorder | None = None
         if config.operator and config.operator.record.folder:
             from robinhill.record import recorder
 
             self.recorder = recorder.Recorder(config.operator.record, config.name)
-            tape = Tape(self.recorder, self.clock, config.classes)
-            self.decider.tape = tape
+            tape = TrafficRecorder(self.recorder, self.clock, config.classes)
+            self.dispatcher.tape = tape
             if self.admission:
                 self.admission.tape = tape
-            self.figures.recorder = self.recorder
+            self.metrics.recorder = self.recorder
             self.recorder.start()
         self.inbound = Inbound(
             config,
             self.supervisor,
             self.clock,
-            self.figures,
-            self.admission.tell if self.admission else self.decider.tell,
+            self.metrics,
+            self.admission.tell if self.admission else self.dispatcher.tell,
             self._deliver,
             self.admission.find if self.admission else None,
         )
@@ -105,12 +105,12 @@
             from robinhill.net.control_group import observing_scheduler
 
             self.sharing = observing_scheduler.Observing(
-                config, self.supervisor, self.clock, self.decider, self.inbound
+                config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
             from robinhill.net.peers import sharing
 
-            self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.decider, self.inbound)
+            self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.dispatcher, self.inbound)
         self.operators: Operators | None = None
         if config.ops:
             calls = Calls(
@@ -129,7 +129,7 @@
         self.succession: Succession | None = None
         if config.socket_fd is not None and config.folder:
             self.succession = Succession(config.folder, self.supervisor, self)
-            self.decider.elsewhere = lambda event: self._spawn_delivery(event)
+            self.dispatcher.elsewhere = lambda event: self._spawn_delivery(event)
 
     async def start(self) -> None:
         if self.operators:
@@ -140,7 +140,7 @@
         if self.succession and self.succession.find():
             await self._take_over(self.succession)
         else:
-            self.decider.start()
+            self.dispatcher.start()
             self.destinations.start()
             self.inbound.awaiting_list = True
         if self.sharing:
@@ -171,20 +171,20 @@
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
             self.list_lease.handed_over(known.generation, confirmed_us, until_us)
-            self.decider.start(known)
+            self.dispatcher.start(known)
         else:
-            self.decider.start()
+            self.dispatcher.start()
         self.destinations.start()
         await self._list_leased()
         if told and (memory := await succession.ask("memory")):
-            self.decider.recall(memory["decider"])
+            self.dispatcher.recall(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
                 self.admission.recall(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _list_leased(self) -> None:
         """Wait until there is a list to send by, or we are told to end; no longer than a restart may take."""
-        events = (self.decider.lease_held, self.stopping)
+        events = (self.dispatcher.lease_held, self.stopping)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         done, pending = await asyncio.wait(waiting, timeout=LIST_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in pending:
@@ -264,8 +264,8 @@
         return Answer(200, b"ready\n") if ready else Answer(503, b"not ready\n")
 
     def stats(self) -> Answer:
-        answer = self.decider.stats()
-        return replace(answer, body=answer.body + self.sharing.figures()) if self.sharing else answer
+        answer = self.dispatcher.stats()
+        return replace(answer, body=answer.body + self.sharing.metrics()) if self.sharing else answer
 
     async def hold_out(self, instance_id: str, out: bool) -> Answer:
         """Leave a worker out, or call it back."""
@@ -290,7 +290,7 @@
     async def _obey(self, what: str, body: Json, known: bool) -> Answer:
         if what == "hold_out":
             reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            self.decider.tell(HoldOut(body["id"], body["out"], reply, known))
+            self.dispatcher.tell(HoldOut(body["id"], body["out"], reply, known))
             return await reply
         log.info("drain_started" if body["start"] else "drain_stopped")
         self.inbound.drain(body["start"])
@@ -300,16 +300,16 @@
 
     async def _deliver(self, event: JobEvent) -> None:
         """Bring an endpoint's call to the process that holds its request; returns once that one has it."""
-        if moving := self.decider.moving.get(event.id):
+        if moving := self.dispatcher.moving.get(event.id):
             await moving.wait()
         if (
-            not self.decider.holds(event.id)
+            not self.dispatcher.holds(event.id)
             and self.succession
             and await self.succession.forward(protocol.write_job_event(event))
         ):
             return
-        if self.decider.holds(event.id):  # it may have come here meanwhile
-            self.decider.tell(event)
+        if self.dispatcher.holds(event.id):  # it may have come here meanwhile
+            self.dispatcher.tell(event)
 
     def _spawn_delivery(self, event: JobEvent) -> None:
         self.supervisor.spawn(self._deliver(event), f"deliver {event.id}")
@@ -324,7 +324,7 @@
             if "waiting" in at_admission:
                 return {HANDED_ADMISSION: at_admission}
         reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
-        self.decider.tell(Release(request, reply))
+        self.dispatcher.tell(Release(request, reply))
         told = await reply
         return told and told | {HANDED_ADMISSION: at_admission}
 
@@ -347,7 +347,7 @@
                 reply.set_result(protocol.FAILED)
         elif not taken:
             await self._take_back(told, request, reply)
-        self.decider.moved(request.id)
+        self.dispatcher.moved(request.id)
         if taken:
             log.info("handed_over", extra={"id": request.id})
         return taken
@@ -358,13 +358,13 @@
             self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
-        self.decider.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
+        self.dispatcher.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
         await done.wait()
 
     def hello(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.share(self.config.client_sockets(2))
-        known = [protocol.write_destination(d) for d in self.decider.listed()]
+        known = [protocol.write_destination(d) for d in self.dispatcher.listed()]
         generation = self.destinations.generation or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
@@ -377,7 +377,7 @@
     def memory(self) -> Json:
         admission = self.admission.memory() if self.admission else None
         return {
-            "decider": self.decider.memory(),
+            "decider": self.dispatcher.memory(),
             "drained": self.inbound.drained,
             HANDED_ADMISSION: admission,
         }
@@ -386,18 +386,18 @@
         """A successor accepts; or the other process has gone, and all is ours again."""
         self.inbound.succeed(yes, self.config.client_sockets(2 if yes else 1))
         if yes:
-            self.decider.close_idle()
+            self.dispatcher.close_idle()
 
     async def obey(self, what: str, body: Json) -> bool:
         return (await self._obey(what, body, True)).status == 200
 
     async def take_event(self, body: Json) -> bool:
         event = protocol.job_event(body)
-        if moving := self.decider.moving.get(event.id):
+        if moving := self.dispatcher.moving.get(event.id):
             await moving.wait()
-        if not self.decider.holds(event.id):
+        if not self.dispatcher.holds(event.id):
             return False
-        self.decider.tell(event)
+        self.dispatcher.tell(event)
         return True
 
     async def adopt(self, body: Json, fd: int) -> bool:
@@ -411,11 +411,11 @@
             self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
             if not self.admission:  # it has waited long enough
-                self.decider.tell(Taken(request, waiting["arrived_us"], reply))
+                self.dispatcher.tell(Taken(request, waiting["arrived_us"], reply))
             await self.inbound.adopt(request, reply, fd)
             return True
         done = asyncio.Event()
-        self.decider.tell(Adopt(request, body, reply, done))
+        self.dispatcher.tell(Adopt(request, body, reply, done))
         await done.wait()
         await self.inbound.adopt(request, reply, fd)
         return True
@@ -430,7 +430,7 @@
         if self.succession:
             self.succession.close()
         await self.supervisor.close()
-        await self.decider.close()
+        await self.dispatcher.close()
         if self.recorder:
             await asyncio.get_running_loop().run_in_executor(None, self.recorder.close)
         log.info("stopped")
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -21,7 +21,7 @@
 from robinhill.net.clients.connections import unread
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
 
@@ -324,7 +324,7 @@
         if current := _current.get():
             endpoint, attempt = current
             attempt.whole = True
-            endpoint.figures.tries += 1
+            endpoint.metrics.tries += 1
 
 
 class Endpoint(Actor[ToEndpoint]):
@@ -337,7 +337,7 @@
         clock: Clock,
         connect_timeout_us: int,
         keepalive_us: int,
-        figures: Figures,
+        metrics: Metrics,
         report: Callable[[FromEndpoint], None],
         may_send: Callable[[Destination], bool] | None = None,
         list_lease: ListLease | None = None,
@@ -346,7 +346,7 @@
         super().__init__(f"endpoint {destination.instance_id}", supervisor)
         self.destination = destination
         self.clock = clock
-        self.figures = figures
+        self.metrics = metrics
         self.report = report
         self.catch_up = catch_up  # after a stall; None: stalls are not looked for
         self.list_lease = list_lease  # of the list by which attempts are sent; None: nothing tells
@@ -394,7 +394,7 @@
         """Count and log by which list an attempt goes out."""
         if self.list_lease is None:
             return
-        self.figures.sends[self.list_lease.origin] += 1
+        self.metrics.sends[self.list_lease.origin] += 1
         if log.isEnabledFor(logging.DEBUG):
             told = {
                 "id": attempt.request.id,
@@ -681,7 +681,7 @@
 
     def _note_close(self, why: str) -> None:
         """Connections to this worker end from this side."""
-        self.figures.closes[f"worker.{why}"] += 1
+        self.metrics.closes[f"worker.{why}"] += 1
         log.debug("connection_closed", extra={"endpoint": self.destination.instance_id, "why": why})
 
     def _close_idle(self) -> None:
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -174,7 +174,7 @@
     return Answer(429, b"refused, your share is used up; safe to try again later\n", retry_after_us)
 
 
-def figures(values: dict[str, Any]) -> Answer:
+def metrics(values: dict[str, Any]) -> Answer:
     """Figures for operators as an object."""
     return Answer(200, orjson.dumps(values, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
 
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -36,9 +36,9 @@
 from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
 from robinhill.net.cordons import operator_calls
-from robinhill.net.metrics import Figures
-from robinhill.net.operators.disabled_workers import State
-from robinhill.net.peers.snapshot_store import AtRest
+from robinhill.net.metrics import Metrics
+from robinhill.net.operators.disabled_workers import DisabledWorkerStore
+from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.placement import exported_state as memory
 from robinhill.placement import timers
 from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
@@ -185,7 +185,7 @@
     ),
     "frames.redo": frames.Redo(round=1, indices=(2,)),
     "frames.aside": frames.Aside(words=b"words1"),
-    "notices.Notice": acknowledgements.Notice(
+    "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
         serial=2,
@@ -234,7 +234,7 @@
     "kinds.Outcome": record_kinds.Outcome(
         state=2, attempt=1, at_us=2, window_us=3, zone="zone4", by="by5", result=b"result6"
     ),
-    "snapshot.Owner": snapshot.Owner(
+    "snapshot.Owner": snapshot.SnapshotHeader(
         installation="installation1", origin="origin2", incarnation=3, saved_us=4
     ),
     "recording.a": recording.Arrived(at_us=1, id=2, kind="kind3", tenant=4, size=5, left_us=6, again=True),
@@ -362,8 +362,8 @@
 
 def write_snapshot(folder: Path) -> None:
     """Save one record of each kind as a scheduler, or a voter, does."""
-    store = AtRest(folder, "fernvale", "s1")
-    owner = snapshot.Owner(
+    store = SnapshotStore(folder, "fernvale", "s1")
+    owner = snapshot.SnapshotHeader(
         installation="fernvale", origin="s1", incarnation=77, saved_us=1_700_000_000_000_000
     )
     store.write(owner, stored_records())
@@ -371,7 +371,7 @@
 
 def read_snapshot(folder: Path) -> tuple[tuple[str, str, int, int], list[bytes]]:
     """Whose file it is, and its records as bytes."""
-    owner, records = AtRest(folder, "fernvale", "s1").load()
+    owner, records = SnapshotStore(folder, "fernvale", "s1").load()
     assert owner
     head = owner.installation, owner.origin, owner.incarnation, owner.saved_us
     return head, [encode(record) for record in records]
@@ -397,12 +397,12 @@
 
 def save_disabled_workers(folder: Path, names: set[str]) -> bool:
     """Keep the workers that operators have taken out."""
-    return State(folder).save(names)
+    return DisabledWorkerStore(folder).save(names)
 
 
 def load_disabled_workers(folder: Path) -> set[str]:
     """Those workers as the last process left them."""
-    return State(folder).held_out()
+    return DisabledWorkerStore(folder).held_out()
 
 
 def recorded() -> list[Any]:
@@ -593,7 +593,7 @@
 
 def figures_text() -> str:
     """The figures of a process that has just started."""
-    return Figures(("class-a",)).text()
+    return Metrics(("class-a",)).text()
 
 
 def enumerations() -> list[list[str]]:
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -245,25 +245,25 @@
         mesh = MeshOptions(voters={"v1": VoterPlace(free_address(), "east", "a")})
         config = SimpleNamespace(operator=OperatorFile(mesh=mesh), name="s1", folder=None)
         told: list[object] = []
-        decider = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
+        dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
         inbound = SimpleNamespace(behind=False)
-        here = Observing(cast(Any, config), Supervisor(), Clock(), cast(Any, decider), cast(Any, inbound))
+        here = Observing(cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound))
         assert inbound.behind, "it takes no clients before it is in step"
-        assert decider.may_send(worker)
+        assert dispatcher.may_send(worker)
         reason = value.Reason("c1", "a fan is loud", "ann", here.clock.now_us())
         cordoned = value.set_(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
         now_us, mono_us = here.clock.now_us(), 1
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", cordoned)
         here.driver.perform(actions)
-        assert not decider.may_send(worker), "though the decider has not come to its mailbox"
-        assert decider.may_send(other)
+        assert not dispatcher.may_send(worker), "though the decider has not come to its mailbox"
+        assert dispatcher.may_send(other)
         assert len(told) == 1
         lifted = value.lift(cordoned, "c1", now_us)
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", lifted)
         here.driver.perform(actions)
-        assert decider.may_send(worker)
+        assert dispatcher.may_send(worker)
         await here.close()
-        assert not decider.may_send(worker), "voters were told that it sends no more"
+        assert not dispatcher.may_send(worker), "voters were told that it sends no more"
 
     run(play)
 
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -93,14 +93,14 @@
 
 def test_a_lost_link_is_resumed_without_a_comparison() -> None:
     network = running(1, 1)
-    compared = network.voter("v00").figures.comparisons
+    compared = network.voter("v00").metrics.comparisons
     (number,) = network.processes["s0000"].connections
     connection = network.connections[number]
     for end in connection.ends:
         network._send_end(connection, end)
     network.run(SECOND)
     assert network.observer("s0000").moves == 2 and network.leased()
-    assert network.voter("v00").figures.comparisons == compared
+    assert network.voter("v00").metrics.comparisons == compared
 
 
 # Who has not confirmed
@@ -210,11 +210,11 @@
     network.run(20 * SECOND)
     assert max(one.steps for one in network.processes.values()) < 40 * 100  # nobody spins
     before = network.actions["Connect"]
-    comparisons = sum(network.voter(one.name).figures.comparisons for one in network.voters())
+    comparisons = sum(network.voter(one.name).metrics.comparisons for one in network.voters())
     network.heal()
     network.run_until(network.leased, 4 * SECOND)
     network.run(2 * SECOND)
-    compared = sum(network.voter(one.name).figures.comparisons for one in network.voters()) - comparisons
+    compared = sum(network.voter(one.name).metrics.comparisons for one in network.voters()) - comparisons
     assert network.actions["Connect"] - before <= 2 * 60
     assert compared <= 2 * 60 and network.broken == []
 
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -18,9 +18,17 @@
     NotAccepted,
     TooManyCalls,
 )
-from robinhill.cordon.index import Book, Budget, Change, CordonedNow, LiftedNow, Place
+from robinhill.cordon.index import Budget, Change, CordonedNow, CordonIndex, LiftedNow, Place
 from robinhill.cordon.limits import KEEP_US
-from robinhill.cordon.propagation import Mode, Promise, Promises, Scheduler, Standing, Step, with_slack
+from robinhill.cordon.propagation import (
+    Mode,
+    Propagation,
+    Propagations,
+    PropagationStage,
+    Scheduler,
+    Standing,
+    with_slack,
+)
 from robinhill.cordon.propagation_tracker import Following
 from robinhill.cordon.value import (
     Cordons,
@@ -40,7 +48,7 @@
 )  # fmt: skip
 from robinhill.cordon.views import answer, listing, read_put, read_wait
 from robinhill.mesh import acknowledgements
-from robinhill.mesh.acknowledgements import Notice
+from robinhill.mesh.acknowledgements import Acknowledgement
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import ForeignState
 
@@ -179,7 +187,7 @@
 
 
 def test_the_book_tells_who_is_held_and_who_is_back_and_cold() -> None:
-    book = Book()
+    book = CordonIndex()
     zone = item("zone/z0", why("power"))
     change = book.update(NOW, [zone, item("worker/w00", why("disk"), auto("w00"))], FLEET)
     tens = tuple(w for w in FLEET if FLEET[w].zone == "z0")
@@ -196,14 +204,14 @@
 
 
 def test_a_cordon_of_what_is_not_listed_holds_once_it_comes() -> None:
-    book, items = Book(), [item("worker/new", why()), item("cell/9", why("c"))]
+    book, items = CordonIndex(), [item("worker/new", why()), item("cell/9", why("c"))]
     assert book.update(NOW, items, FLEET).events == ()
     grown = {**FLEET, "new": Place("z0"), "other": Place("z0", cell=9)}
     assert book.update(NOW, items, grown).events == (CordonedNow(("new", "other")),)
 
 
 def test_the_answer_warns_of_what_is_left_without_workers() -> None:
-    book = Book()
+    book = CordonIndex()
     book.update(NOW, [item("zone/z0", why())], FLEET)
     assert book.warnings("worker/w01") == ()
     (typo,) = book.warnings("zone/zo")
@@ -238,7 +246,7 @@
     ]
     ends = []
     for _ in range(2):
-        book, held = Book(budget), dict(manual)
+        book, held = CordonIndex(budget), dict(manual)
         for target, value in data.draw(st.permutations(writes)):
             held[target] = merge(held[target], value) if target in held else value
             book.update(NOW, held.items(), FLEET)
@@ -253,7 +261,7 @@
 
 
 def test_over_the_budget_the_worst_and_oldest_hold_and_the_rest_wait() -> None:
-    book = Book(Budget(0.1, 0.2))
+    book = CordonIndex(Budget(0.1, 0.2))
     slow = [item(f"worker/{w}", auto(w, "slow", NOW + n)) for n, w in enumerate(["w05", "w04", "w03", "w02"])]
     book.update(NOW, slow, FLEET)
     assert book.held_workers() == {"w05", "w04", "w03"}
@@ -270,14 +278,14 @@
     return [Scheduler(f"s{i}", 1, Standing.ALIVE, mode, 3 * S) for i in range(count)]
 
 
-def promise(mode: Mode = Mode.HOLD, **more: Any) -> Promise:
-    made = Promise("cordon m1", "s0", mode, schedulers(mode), **more)
-    assert made.look(0) is Step.RECEIVED
+def promise(mode: Mode = Mode.HOLD, **more: Any) -> Propagation:
+    made = Propagation("cordon m1", "s0", mode, schedulers(mode), **more)
+    assert made.look(0) is PropagationStage.RECEIVED
     made.stored(1)
     return made
 
 
-def confirm(call: Promise, mono_us: int, *names: str, incarnation: int = 1) -> None:
+def confirm(call: Propagation, mono_us: int, *names: str, incarnation: int = 1) -> None:
     for name in names:
         call.confirmed(mono_us, name, incarnation)
 
@@ -285,21 +293,21 @@
 def test_a_call_is_accepted_by_a_majority_and_in_force_once_all_confirmed() -> None:
     call = promise()
     confirm(call, 2, "s0", "s1", "stranger")
-    assert call.look(2) is Step.STORED
+    assert call.look(2) is PropagationStage.STORED
     error = call.failure(3, ["s2", "s3", "s4"])
     assert isinstance(error, NotAccepted) and "s2, s3, s4" in str(error)
     call.accepted(4)
-    assert call.look(4) is Step.ACCEPTED
+    assert call.look(4) is PropagationStage.ACCEPTED
     confirm(call, 5, "s2", "s3")
     error = call.failure(6)
     assert isinstance(error, BoundNotMet) and "s4 (alive, its lease may last)" in str(error)
     confirm(call, 7, "s4")
-    assert call.look(7) is Step.IN_FORCE and call.failure(8) is None and not call.unconfirmed(8)
+    assert call.look(7) is PropagationStage.IN_FORCE and call.failure(8) is None and not call.unconfirmed(8)
     early = promise()
     confirm(early, 2, "s0", "s1", "s2", "s3", "s4")
-    assert early.look(3) is Step.STORED, "some may be catching up, so no majority has it for good"
+    assert early.look(3) is PropagationStage.STORED, "some may be catching up, so no majority has it for good"
     early.accepted(4)
-    assert early.look(4) is Step.IN_FORCE
+    assert early.look(4) is PropagationStage.IN_FORCE
 
 
 def test_under_hold_time_since_the_majority_stands_for_who_is_cut_off() -> None:
@@ -311,31 +319,31 @@
     end = 10 + with_slack(3 * S)
     assert end > 3 * S + 10 and call.next_us() == end
     assert [u.name for u in call.unconfirmed(end - 1)] == ["s4"], "the lease of s3 was shorter"
-    assert call.look(end - 1) is Step.ACCEPTED
-    assert call.look(end) is Step.IN_FORCE
+    assert call.look(end - 1) is PropagationStage.ACCEPTED
+    assert call.look(end) is PropagationStage.IN_FORCE
     mixed = promise()
     mixed.heard(1, Scheduler("s4", 1, Standing.GONE, Mode.SERVE, 3 * S))
     mixed.heard(1, Scheduler("s3"))
     mixed.heard(1, Scheduler("s3", 1, Standing.SUSPECT))
     confirm(mixed, 9, "s0", "s1", "s2")
     mixed.accepted(10)
-    assert mixed.look(end) is Step.ACCEPTED and mixed.next_us() is None, "these have no lease"
+    assert mixed.look(end) is PropagationStage.ACCEPTED and mixed.next_us() is None, "these have no lease"
     assert [u.name for u in mixed.unconfirmed(end)] == ["s3", "s4"]
 
 
 def test_under_serve_who_is_cut_off_is_named_whatever_time_passes() -> None:
     call = promise(Mode.SERVE)
-    assert call.look(1) is Step.ACCEPTED, "as soon as it is stored"
-    mixed = Promise("m1", "s0", Mode.SERVE, [*schedulers(Mode.SERVE, 2), *schedulers()[2:]])
+    assert call.look(1) is PropagationStage.ACCEPTED, "as soon as it is stored"
+    mixed = Propagation("m1", "s0", Mode.SERVE, [*schedulers(Mode.SERVE, 2), *schedulers()[2:]])
     mixed.stored(1)
     confirm(mixed, 2, "s0", "s1")
-    assert mixed.look(60 * S) is Step.ACCEPTED, "no lease is over before a majority holds it"
+    assert mixed.look(60 * S) is PropagationStage.ACCEPTED, "no lease is over before a majority holds it"
     confirm(call, 2, "s0", "s1", "s2", "s3")
     call.accepted(2)
     call.heard(3, Scheduler("s4", 1, Standing.GONE, Mode.SERVE))
     assert [(u.name, u.why) for u in call.unconfirmed(3600 * S)] == [("s4", "gone")]
     call.removed(3601 * S, "s4")
-    assert call.look(3601 * S) is Step.IN_FORCE
+    assert call.look(3601 * S) is PropagationStage.IN_FORCE
 
 
 def test_a_confirmer_that_crashes_confirms_anew_only_if_it_came_back() -> None:
@@ -351,7 +359,7 @@
     confirm(call, 6, "s1", incarnation=2)
     confirm(call, 6, "s1")
     call.heard(7, Scheduler("s4", 1, Standing.LEFT, Mode.SERVE))
-    assert call.step is Step.IN_FORCE
+    assert call.step is PropagationStage.IN_FORCE
 
 
 def test_a_lift_waits_for_all_and_no_lease_ends_it() -> None:
@@ -363,7 +371,7 @@
 
 
 def test_calls_are_bounded_and_told_when_their_wait_is_over() -> None:
-    calls = Promises(bound=2)
+    calls = Propagations(bound=2)
     calls.follow("a", promise(deadline_us=5 * S))
     calls.follow("b", promise(deadline_us=9 * S))
     with pytest.raises(TooManyCalls):
@@ -402,7 +410,7 @@
 
 
 def test_the_list_tells_state_and_who_has_not_confirmed() -> None:
-    book, calls, call = Book(), Promises(), promise()
+    book, calls, call = CordonIndex(), Propagations(), promise()
     crowd = [item(f"worker/w{i:02}", auto(f"w{i:02}")) for i in range(5)]
     book.update(NOW, [item("zone/z0", why(until_us=NOW + S), origin="s0"), *crowd], FLEET)
     calls.follow("s0/1/1", call)
@@ -498,7 +506,9 @@
     names = ("a", "b", "c")
     following = Following("a", Mode.SERVE, S, Quorum("a", names))
     following.reconfigure(0, names)
-    word = Notice(acknowledgements.VERSION, 7, 1, "serve", S, True, True, False, b"", b"older", (), ())
+    word = Acknowledgement(
+        acknowledgements.VERSION, 7, 1, "serve", S, True, True, False, b"", b"older", (), ()
+    )
     for name in ("b", "c"):
         following.started(0, name, 7)
         following.said(0, name, word)
@@ -509,8 +519,8 @@
 
 
 def test_room_for_a_call_is_made_before_anything_is_written() -> None:
-    promises = Promises(bound=1)
-    promises.follow("1", Promise("c1", "a", Mode.SERVE, [Scheduler("a")], deadline_us=5))
+    promises = Propagations(bound=1)
+    promises.follow("1", Propagation("c1", "a", Mode.SERVE, [Scheduler("a")], deadline_us=5))
     with pytest.raises(TooManyCalls):
         promises.make_room()
     assert promises.waited(5) == ("1",)  # nobody waits for it any more
--- a/tests/test_decider.py
+++ b/tests/test_decider.py
@@ -8,8 +8,8 @@
 from robinhill.api import Outcome
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import ClientLeft, Decider, Taken
-from robinhill.net.metrics import Figures
+from robinhill.net.dispatcher.dispatcher import ClientLeft, Dispatcher, Taken
+from robinhill.net.metrics import Metrics
 from robinhill.net.workers.endpoint import Ended
 
 from .test_config import ENTRY, GIVEN
@@ -22,14 +22,14 @@
     async def repeat() -> None:
         clock = Clock()
         given = config.load({"GW_CONFIG": str(path)})
-        decider = Decider(given, Supervisor(), clock, Figures(given.classes))
+        dispatcher = Dispatcher(given, Supervisor(), clock, Metrics(given.classes))
         first, second = (protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ()) for _ in range(2))
         replies = [asyncio.get_running_loop().create_future() for _ in range(2)]
         replies[1].cancel()  # its client has gone before the decider looks
         for request, reply in zip((first, second), replies, strict=True):
-            decider.receive(Taken(request, clock.now_us(), reply))
-        decider.receive(ClientLeft(second))
-        (held,) = decider.held.values()
+            dispatcher.receive(Taken(request, clock.now_us(), reply))
+        dispatcher.receive(ClientLeft(second))
+        (held,) = dispatcher.held.values()
         assert held.request is first and held.owed and not replies[0].done()
 
     asyncio.run(repeat())
@@ -43,17 +43,19 @@
 
     async def leave() -> None:
         clock, supervisor, given = Clock(), Supervisor(), config.load({"GW_CONFIG": str(path)})
-        decider = Decider(given, supervisor, clock, Figures(given.classes))
-        decider.start()
+        dispatcher = Dispatcher(given, supervisor, clock, Metrics(given.classes))
+        dispatcher.start()
         request = protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ())
-        decider.receive(Taken(request, clock.now_us(), asyncio.get_running_loop().create_future()))
-        decider.receive(ClientLeft(request))
-        assert b"app.active:1|g" in decider.stats().body
-        decider.receive(Ended(1, 0, Outcome.COMPLETED, 50_000, "late"))
+        dispatcher.receive(Taken(request, clock.now_us(), asyncio.get_running_loop().create_future()))
+        dispatcher.receive(ClientLeft(request))
+        assert b"app.active:1|g" in dispatcher.stats().body
+        dispatcher.receive(Ended(1, 0, Outcome.COMPLETED, 50_000, "late"))
         assert (
-            b"app.active:0|g" in decider.stats().body and not decider.jobs and not decider.balancer.attempts
+            b"app.active:0|g" in dispatcher.stats().body
+            and not dispatcher.jobs
+            and not dispatcher.balancer.attempts
         )
         await supervisor.close()
-        await decider.close()
+        await dispatcher.close()
 
     asyncio.run(leave())
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -11,7 +11,7 @@
 from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.discovery.list_watcher import Destinations, Move
+from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
 from robinhill.net.dispatcher.dispatcher import Listed
 from robinhill.placement import watch_schedule
 from robinhill.placement.watch_schedule import Pace
@@ -88,12 +88,12 @@
         finally:
             writer.close()
 
-    async def start(self, pushed: bool = False) -> Destinations:
+    async def start(self, pushed: bool = False) -> EndpointListWatcher:
         self.server = await asyncio.start_server(self, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.supervisor = Supervisor()
         pace = Pace(pushed, random.Random(1), 1)
-        actor = Destinations(
+        actor = EndpointListWatcher(
             Address("127.0.0.1", port), 41, pace, Clock(), self.supervisor, self.reports.append
         )
         actor.start()
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -20,7 +20,7 @@
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
 from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.net.scheduler import Scheduler
 from robinhill.protocol import Answer, DestinationList, JobEvent, JobRequest
 
@@ -188,7 +188,7 @@
     async def deliver(event: JobEvent) -> None:
         raise AssertionError(event)
 
-    return Inbound(config, Supervisor(), Clock(), Figures(("x",)), report, deliver)
+    return Inbound(config, Supervisor(), Clock(), Metrics(("x",)), report, deliver)
 
 
 @pytest.mark.parametrize("reset", [False, True])
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -21,8 +21,8 @@
 from robinhill.api import Outcome
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import Adopt, ClientLeft, Decider, Listed, Release, Taken
-from robinhill.net.metrics import Figures
+from robinhill.net.dispatcher.dispatcher import Adopt, ClientLeft, Dispatcher, Listed, Release, Taken
+from robinhill.net.metrics import Metrics
 from robinhill.net.workers import endpoint as ep
 from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
 
@@ -128,7 +128,7 @@
         self.worker, self.supervisor, self.clock = worker, Supervisor(), SetClock()
         self.reports: asyncio.Queue[ep.FromEndpoint] = asyncio.Queue()
         self.endpoint = ep.Endpoint(
-            worker.destination(), self.supervisor, self.clock, connect_timeout_us, 15_000_000, Figures(()),
+            worker.destination(), self.supervisor, self.clock, connect_timeout_us, 15_000_000, Metrics(()),
             self.reports.put_nowait,
         )  # fmt: skip
         self.endpoint.start()
@@ -491,16 +491,16 @@
         path.write_text(json.dumps(given))
         loaded = config.load({"GW_CONFIG": str(path)})
         self.supervisor, self.clock = Supervisor(), Clock()
-        self.decider = Decider(loaded, self.supervisor, self.clock, Figures(loaded.classes))
-        self.decider.start()
+        self.dispatcher = Dispatcher(loaded, self.supervisor, self.clock, Metrics(loaded.classes))
+        self.dispatcher.start()
 
     @property
     def endpoint(self) -> ep.Endpoint:
-        return self.decider.endpoints["s-1"]
+        return self.dispatcher.endpoints["s-1"]
 
     def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.decider.receive(Taken(request, self.clock.now_us(), reply))
+        self.dispatcher.receive(Taken(request, self.clock.now_us(), reply))
         return reply
 
     async def accepted(self, worker: Worker, request: protocol.JobRequest) -> asyncio.Future[Answer]:
@@ -512,7 +512,7 @@
         return reply
 
     def listed(self, worker: Worker, lifecycle: Lifecycle) -> None:
-        self.decider.receive(Listed(DestinationList(2, False, (worker.destination(lifecycle),))))
+        self.dispatcher.receive(Listed(DestinationList(2, False, (worker.destination(lifecycle),))))
 
 
 @pytest.fixture
@@ -526,7 +526,7 @@
         finally:
             for made in houses:
                 await made.supervisor.close()
-                await made.decider.close()
+                await made.dispatcher.close()
             worker.close()
 
     return run
@@ -543,10 +543,10 @@
         reply = h.take(request)
         await connects.begun.wait()
         reply.cancel()
-        h.decider.tell(ClientLeft(request))
+        h.dispatcher.tell(ClientLeft(request))
         await connects.called_off.wait()
-        await until(lambda: not h.decider.held)
-        assert not h.decider.balancer.attempts and not h.endpoint.attempts
+        await until(lambda: not h.dispatcher.held)
+        assert not h.dispatcher.balancer.attempts and not h.endpoint.attempts
 
     play(house(leave))
 
@@ -561,10 +561,10 @@
         await peer.head()
         reply.cancel()
         peer.say(SHED)
-        await until(lambda: not h.decider.held)
-        h.decider.receive(ClientLeft(request))
-        assert not h.decider.balancer.jobs and not h.endpoint.attempts
-        assert h.decider.figures.tries == 1
+        await until(lambda: not h.dispatcher.held)
+        h.dispatcher.receive(ClientLeft(request))
+        assert not h.dispatcher.balancer.jobs and not h.endpoint.attempts
+        assert h.dispatcher.metrics.tries == 1
 
     play(house(end))
 
@@ -573,9 +573,9 @@
     async def come_and_go(worker: Worker, h: House) -> None:
         request, reply = job("j1"), asyncio.get_running_loop().create_future()
         reply.cancel()
-        h.decider.receive(Taken(request, h.clock.now_us(), reply))
-        assert not h.decider.held and not h.decider.balancer.jobs and "j1" in h.decider.seen
-        h.decider.receive(ClientLeft(request))
+        h.dispatcher.receive(Taken(request, h.clock.now_us(), reply))
+        assert not h.dispatcher.held and not h.dispatcher.balancer.jobs and "j1" in h.dispatcher.seen
+        h.dispatcher.receive(ClientLeft(request))
         again = h.take(job("j1"))
         assert again.result() is protocol.CONFLICT
 
@@ -589,14 +589,14 @@
         request = job("j1")
         await h.accepted(worker, request)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        h.decider.receive(Release(request, told))
+        h.dispatcher.receive(Release(request, told))
         await until(lambda: not h.endpoint.attempts)
-        h.decider.receive(ClientLeft(request))  # ahead of the endpoint's word
+        h.dispatcher.receive(ClientLeft(request))  # ahead of the endpoint's word
         assert await told is None
         await until(lambda: "j1" in h.endpoint.attempts)
-        h.decider.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "late"))
-        await until(lambda: not h.decider.held)
-        assert not h.decider.balancer.attempts and not h.decider.moving
+        h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "late"))
+        await until(lambda: not h.dispatcher.held)
+        assert not h.dispatcher.balancer.attempts and not h.dispatcher.moving
 
     play(house(leave))
 
@@ -609,16 +609,16 @@
         request = job("j1")
         await old.accepted(worker, request)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        old.decider.receive(Release(request, told))
+        old.dispatcher.receive(Release(request, told))
         memory = await told
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         new.listed(worker, Lifecycle.LEFT)
-        new.decider.receive(Adopt(request, memory, reply, asyncio.Event()))
+        new.dispatcher.receive(Adopt(request, memory, reply, asyncio.Event()))
         endpoint = new.endpoint
-        await until(lambda: "j1" in endpoint.attempts and not new.decider._scheduled)
-        new.decider.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
+        await until(lambda: "j1" in endpoint.attempts and not new.dispatcher._scheduled)
+        new.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         assert (await reply).body == b"result"
-        await until(lambda: not new.decider.endpoints)
+        await until(lambda: not new.dispatcher.endpoints)
 
     play(house(cross, 2))
 
@@ -629,9 +629,9 @@
         await h.accepted(worker, request)
         h.listed(worker, Lifecycle.LEFT)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        h.decider.receive(Release(request, told))
+        h.dispatcher.receive(Release(request, told))
         assert (await told)["attempt"]
-        await until(lambda: not h.decider.endpoints)
+        await until(lambda: not h.dispatcher.endpoints)
 
     play(house(let_go))
 
@@ -641,9 +641,9 @@
 
     async def repeat(worker: Worker, h: House) -> None:
         reply = await h.accepted(worker, job("j1", "k"))
-        h.decider.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
+        h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         await reply
-        place = h.decider.keys.place(h.clock.now_us(), 1, "k")
+        place = h.dispatcher.keys.place(h.clock.now_us(), 1, "k")
         assert place and place.until_us <= h.clock.now_us() + 1_000_000
         h.take(job("j2", "k"))
         await until(lambda: "j2" in h.endpoint.attempts)
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -6,7 +6,7 @@
 
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.net.workers.endpoint import Endpoint, FromEndpoint, Probe, Probed
 from robinhill.protocol import Destination, Lifecycle
 
@@ -33,8 +33,8 @@
         host, port = server.sockets[0].getsockname()
         told: asyncio.Future[FromEndpoint] = asyncio.get_running_loop().create_future()
         destination = Destination("s-1", f"{host}:{port}", "a", "b", 0, Lifecycle.ACTIVE, 1.0, 0)
-        supervisor, figures = Supervisor(), Figures(())
-        endpoint = Endpoint(destination, supervisor, Clock(), 5_000_000, 15_000_000, figures, told.set_result)
+        supervisor, metrics = Supervisor(), Metrics(())
+        endpoint = Endpoint(destination, supervisor, Clock(), 5_000_000, 15_000_000, metrics, told.set_result)
         endpoint.start()
         endpoint.tell(Probe())
         found = await asked, await told
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -5,7 +5,7 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import free_address
-from robinhill.net.metrics import Figures
+from robinhill.net.metrics import Metrics
 from robinhill.placement.list_lease import ListLease, ListOrigin
 
 from .conftest import S
@@ -21,14 +21,14 @@
 
 
 def test_figures_tell_the_lists_version_and_age_and_each_reason() -> None:
-    figures = Figures(("lookup",))
-    figures.list_lease = ListLease()
-    figures.list_lease.confirmed(S, 43)
-    figures.sends[ListOrigin.DISCOVERY] += 2
-    figures.refusals["no_worker"] += 1
-    figures.retries["full"] += 1
-    figures.closes["client.late"] += 1
-    lines = figures.text(3 * S).splitlines()
+    metrics = Metrics(("lookup",))
+    metrics.list_lease = ListLease()
+    metrics.list_lease.confirmed(S, 43)
+    metrics.sends[ListOrigin.DISCOVERY] += 2
+    metrics.refusals["no_worker"] += 1
+    metrics.retries["full"] += 1
+    metrics.closes["client.late"] += 1
+    lines = metrics.text(3 * S).splitlines()
     for line in (
         "app.sends.configuration:0|c", "app.sends.discovery:2|c", "app.list.version:43|g",
         "app.list.age_ms:2000|g", "app.refusals.no_worker:1|c", "app.retries.full:1|c",
@@ -41,8 +41,8 @@
     async def play(here: Town) -> str:
         clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=3)
         await clients.play([Tenant("one", 40.0)], 1.0)
-        figures = (await here.program.call("GET", "/ops/stats"))[1]
-        assert "app.list.version:1|g" in figures and "app.sends.discovery:" in figures
+        metrics = (await here.program.call("GET", "/ops/stats"))[1]
+        assert "app.list.version:1|g" in metrics and "app.sends.discovery:" in metrics
         return here.program.log.read_text()
 
     async def run() -> str:
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -122,7 +122,7 @@
 
     @rule(i=which, saved=st.booleans())
     def crash(self, i: int, saved: bool) -> None:
-        owner = rest.Owner("home", f"s{i}", NOW, self.now + self.skewed[i])
+        owner = rest.SnapshotHeader("home", f"s{i}", NOW, self.now + self.skewed[i])
         file = b"".join(rest.encode(owner, self.copies[i].snapshot(lasting=True)))
         self.number += 1
         self.copies[i] = Replica(f"s{i}", NOW + self.number, KINDS)
@@ -351,7 +351,7 @@
     source = copies(1)[0]
     for i in range(6):
         source.write(NOW, "long", str(i), ((i,), ()))
-    owner = rest.Owner("home", "s0", 7, NOW)
+    owner = rest.SnapshotHeader("home", "s0", 7, NOW)
     pieces = list(rest.encode(owner, source.snapshot(lasting=True)))
     whole = b"".join(pieces)
     assert rest.decode(whole, "home") == (owner, list(source.snapshot())) and len(pieces) > 4
