--- a/robinhill/control/errors.py
+++ b/robinhill/control/errors.py
@@ -6,6 +6,7 @@
 class VotersMalformed(MeshError):
     """The operators' file is wrong about voters. ``key``: which key; ``str`` says what to do about it."""
 
+    code = "VotersMalformed"
     advice = "mend the key that is named in the operators' file, the same on all hosts, and start again"
 
     def __init__(self, key: str, what: str, advice: str) -> None:
@@ -16,16 +17,19 @@
 class VotersNotOneAtATime(MeshError):
     """More than one voter was added or removed at once, or the change before has not settled."""
 
+    code = "VotersNotOneAtATime"
     advice = "add or remove one voter, reload all voters, and go on once the change has settled"
 
 
 class JoinRefused(MeshError):
     """An observer or voter was turned away, or sent what can't be read."""
 
+    code = "JoinRefused"
     advice = "give all voters and schedulers the same installation, mesh.bound_ms and mesh.on_lost"
 
 
 class ChangesFull(MeshError):
     """More changes are followed than a voter or scheduler keeps."""
 
+    code = "ChangesFull"
     advice = "wait until changes that are under way are in force, then ask again"
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -18,16 +18,20 @@
 class CordonError(RobinhillError):
     """A call about cordons can't be carried out."""
 
+    code = "CordonError"
+
 
 class CordonMalformed(CordonError):
     """The call itself is wrong: its ID, target, reason or end. Nothing was changed."""
 
+    code = "CordonMalformed"
     advice = "name a target (worker/ID, zone/NAME, kind/NAME or cell/NUMBER), a reason, an end ahead of now"
 
 
 class CordonUnknown(CordonError):
     """No cordon has the ID that was named; the error names those that exist."""
 
+    code = "CordonUnknown"
     advice = "look at the list: it may have ended, be lifted, or not be known here yet"
 
     def __init__(self, cordon_id: str, known: Sequence[str]) -> None:
@@ -38,6 +42,7 @@
 class CordonElsewhere(CordonError):
     """The ID is in use for another target. Nothing was changed."""
 
+    code = "CordonElsewhere"
     advice = "lift that cordon first, or choose another ID"
 
     def __init__(self, cordon_id: str, target: str, present: Sequence[str]) -> None:
@@ -48,18 +53,21 @@
 class CordonsFull(CordonError):
     """A target has as many reasons as it may."""
 
+    code = "CordonsFull"
     advice = "lift what is no longer needed, or use an ID that is there already"
 
 
 class CordonBudgetSpent(CordonError):
     """An automatic cordon is not in force: it would leave out more of the fleet or of a zone than allowed."""
 
+    code = "CordonBudgetSpent"
     advice = "look why so many are bad; cordon it yourself, which no budget forbids, or raise the budget"
 
 
 class NotAccepted(CordonError):
     """By its deadline no majority of the schedulers was known to hold a change; it goes on spreading."""
 
+    code = "NotAccepted"
     advice = "see which schedulers are down or cut off; the list tells when it is accepted"
 
     def __init__(self, what: str, missing: Sequence[str]) -> None:
@@ -70,6 +78,7 @@
 class BoundNotMet(CordonError):
     """By the call's deadline some schedulers had not confirmed the change; it holds and goes on spreading."""
 
+    code = "BoundNotMet"
     advice = "those that are named may still act as before: see whether they run, or stop them"
 
     def __init__(self, what: str, unconfirmed: Sequence[str]) -> None:
@@ -80,4 +89,5 @@
 class TooManyCalls(CordonError):
     """As many changes are being followed as may be. Nothing was changed."""
 
+    code = "TooManyCalls"
     advice = "call without wait=, or wait till calls that are under way have ended"
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -39,6 +39,8 @@
 class StampAhead(FutureStamp):
     """``held`` is the record that this copy now holds; None where it refused what it was given."""
 
+    code = "StampAhead"
+
     def __init__(self, what: str, held: Record | None) -> None:
         super().__init__(what)
         self.held = held
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -11,6 +11,7 @@
 class ListsUnsettled(MeshError):
     """The list of schedulers was changed again and again before the change before had reached all."""
 
+    code = "ListsUnsettled"
     advice = "give all schedulers the same list, and wait until none is named as having the old one"
 
 
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -61,7 +61,7 @@
 
 def error_body(error: RobinhillError) -> Json:
     """What an operator is told of an error."""
-    return {"error": error.what, "advice": error.advice, "type": type(error).__name__}
+    return {"error": error.what, "advice": error.advice, "type": error.code}
 
 
 def answer(status: int, body: Json) -> Answer:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,7 +14,7 @@
 
 
 def errors() -> dict[str, type[RobinhillError]]:
-    """All subclasses that the package defines, by name; modules that define one say its base's name."""
+    """All subclasses that the package defines, by code; modules that define one say its base's name."""
     for module in pkgutil.walk_packages(robinhill.__path__, "robinhill."):
         spec = find_spec(module.name)
         if spec and spec.origin and re.search(r"^class \w+\(", Path(spec.origin).read_text(), re.M):
@@ -25,7 +25,7 @@
         error = left.pop()
         left += error.__subclasses__()
         if error.__module__.startswith("robinhill."):
-            assert found.setdefault(error.__name__, error) is error, f"two errors are called {error.__name__}"
+            assert found.setdefault(error.code, error) is error, f"two errors are called {error.code}"
     return found
 
 
