--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -2,7 +2,8 @@
 
 from dataclasses import dataclass
 
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.errors import MeshError
+from robinhill.mesh.records import Record
 
 Link = int
 """A connection: a number that the caller chooses and never uses twice in a process."""
--- a/robinhill/control/errors.py
+++ b/robinhill/control/errors.py
@@ -1,6 +1,6 @@
 """What can go wrong with the control group, and what an operator can do."""
 
-from robinhill.mesh.records import MeshError
+from robinhill.mesh.errors import MeshError
 
 
 class VotersMalformed(MeshError):
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -29,7 +29,8 @@
 from robinhill.control.record_merging import Declined, refused, take_all
 from robinhill.control.voter_selection import VoterChoice
 from robinhill.cordon.propagation import Mode
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.errors import MeshError
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
 APPLIED_US = 10_000
--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterable
 
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.errors import MeshError
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
 Declined = tuple[Record, MeshError]
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -24,8 +24,9 @@
 from robinhill.control.record_merging import refused, take_all
 from robinhill.control.voter_links import Peers, VoterLink
 from robinhill.cordon.propagation import Mode
+from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Event, Greeted, Learned
 
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -17,7 +17,8 @@
 
 from robinhill.cordon import limits
 from robinhill.cordon.errors import CordonElsewhere, CordonMalformed, CordonsFull, CordonUnknown
-from robinhill.mesh.records import ForeignState, Kind
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Kind
 
 NAME = "cordon"
 VERSION = 1
--- a/robinhill/gang/share.py
+++ b/robinhill/gang/share.py
@@ -12,7 +12,8 @@
 
 from robinhill.gang.membership import MAX_SIZE
 from robinhill.gang.messages import Phase
-from robinhill.mesh.records import ForeignState, Kind, Record
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Kind, Record
 
 NAME = "gang.progress"
 # A gang's record renews with each word; members that tell none for a quarter of an hour are forgotten.
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from robinhill.mesh.records import ForeignState, Kind
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Kind
 
 NAME = "notice"
 VERSION = 1
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -7,8 +7,9 @@
 from collections.abc import Sequence
 from typing import Protocol
 
+from robinhill.mesh.errors import PeerRefused
 from robinhill.mesh.frames import RANGES, Heads, Part, Ranges, Redo, check
-from robinhill.mesh.records import PeerRefused, Record
+from robinhill.mesh.records import Record
 
 HEADS = 512  # in a frame, or little more: some 20 kB
 MAX_PARTS = 4096  # of one range
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -26,7 +26,8 @@
 
 from collections.abc import Iterable
 
-from robinhill.mesh.records import FutureStamp, Record, Stamp
+from robinhill.mesh.errors import FutureStamp
+from robinhill.mesh.records import Record, Stamp
 
 AHEAD_US = 5_000_000  # hosts that keep time by NTP differ by far less; what is beyond it is a fault to report
 FAR_US = 24 * 3_600_000_000
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from robinhill.mesh.records import PeerRefused
+from robinhill.mesh.errors import PeerRefused
 
 Name = tuple[str, str]
 WINDOW = 64  # pushes that may be unconfirmed: beyond it the newest values wait in the replica, not in frames
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from robinhill.mesh.records import ForeignState, Record
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Record
 
 RANGES = 256
 _SIZE = 2**64
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from robinhill.mesh.records import PeerRefused, Record
+from robinhill.mesh.errors import PeerRefused
+from robinhill.mesh.records import Record
 
 PROTOCOL = 1
 RANGES = 256
--- a/robinhill/mesh/merging.py
+++ b/robinhill/mesh/merging.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from robinhill.mesh.clocks import LAST_US, MOST_COUNT
+from robinhill.mesh.errors import ForeignState
 from robinhill.mesh.record_table import UNREAD
-from robinhill.mesh.records import ForeignState, Kind, Record
+from robinhill.mesh.records import Kind, Record
 
 LARGEST_TAKE = 256 << 10  # bytes of a value: a cordon has some 100, a worker seen by 200 schedulers 10,000
 LONGEST_NAME = 512  # characters of a key or an origin; addresses and clients' keys are shorter
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection, Iterable, Mapping
 
-from robinhill.mesh.records import MeshError
+from robinhill.mesh.errors import MeshError
 
 LISTS_AT_MOST = 4
 """Lists that may wait to be settled: two operators who correct each other; more is a loop in some script."""
--- a/robinhill/mesh/records.py
+++ b/robinhill/mesh/records.py
@@ -1,4 +1,6 @@
-"""The words that the parts of the mesh share: stamps, records, kinds of state; and their errors.
+"""Replicated records: their timestamps, their form on the wire and on disk, and the kinds that define them.
+
+Errors of the mesh are in ``errors``.
 
 All times are microseconds. ``now_us`` is Unix time as ``net/clock.py`` keeps it (never steps back within a
 process); ``mono_us`` is a monotonic clock of one process, never compared between processes.
@@ -10,8 +12,6 @@
 
 import msgspec
 
-from robinhill.errors import RobinhillError
-
 Value = TypeVar("Value")
 
 
@@ -65,44 +65,3 @@
     bound: int
     evict: "Callable[[Record], Any] | None" = None
     at_rest: bool = True
-
-
-class MeshError(RobinhillError):
-    """Sharing with other schedulers failed."""
-
-    code = "MeshError"
-
-
-class PeerRefused(MeshError):
-    """A peer was turned away: another installation, another protocol, our own name, or malformed words."""
-
-    code = "PeerRefused"
-    advice = "check that both name the same installation, that names differ and that versions are close"
-
-
-class PeerUnreachable(MeshError):
-    """No link to a peer comes up."""
-
-    code = "PeerUnreachable"
-    advice = "look whether it runs and whether its address in the operators' file can be reached from here"
-
-
-class ForeignState(MeshError):
-    """A record or file is not ours, is damaged or is of a version that can't be read; it was set aside."""
-
-    code = "ForeignState"
-    advice = "nothing is lost that peers still hold; keep the file that was set aside for the developers"
-
-
-class FutureStamp(MeshError):
-    """A record claims to be from further in the future than clocks may differ; it was bounded."""
-
-    code = "FutureStamp"
-    advice = "set the clock of the host that is named, and start its scheduler again"
-
-
-class StateFull(MeshError):
-    """A kind of state is at its bound; a new record was refused."""
-
-    code = "StateFull"
-    advice = "lift what is no longer needed, or raise the bound in the operators' file on all schedulers"
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -27,9 +27,10 @@
 
 from robinhill.mesh import digests
 from robinhill.mesh.clocks import AHEAD_US, FAR_US, LONGEST_LIFETIME_US, HybridClock, StampAhead, ahead_us
+from robinhill.mesh.errors import ForeignState, StateFull
 from robinhill.mesh.merging import LARGEST_TAKE, LONGEST_KIND, decoded, joined, malformed, merged_with_value
 from robinhill.mesh.record_table import UNREAD, Held, Shelf, size_of
-from robinhill.mesh.records import ForeignState, Kind, Record, StateFull
+from robinhill.mesh.records import Kind, Record
 
 LARGEST_WRITE = LARGEST_TAKE // 4  # bytes of a value; values written apart may add up
 ROOM_TO_TAKE = 2  # times a kind's bound: each side of a partition may have filled its own
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -13,6 +13,7 @@
 
 from robinhill.mesh.anti_entropy import Comparison
 from robinhill.mesh.delivery_windows import Arrivals, Departures, Name, Pushed
+from robinhill.mesh.errors import MeshError, PeerRefused
 from robinhill.mesh.frames import (
     MAX_MEMBERS,
     MAX_MESSAGE,
@@ -30,7 +31,7 @@
     read,
     write,
 )  # fmt: skip
-from robinhill.mesh.records import MeshError, PeerRefused, Record
+from robinhill.mesh.records import Record
 
 BATCH = 256  # records in a push at most, fewer where they are large: a pong must not wait behind a long one
 BATCH_BYTES = 64 << 10
--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -15,7 +15,8 @@
 
 import msgspec
 
-from robinhill.mesh.records import ForeignState, Record
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Record
 
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -3,7 +3,8 @@
 import logging
 from collections.abc import Iterable
 
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.errors import MeshError
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.snapshot import SnapshotHeader
 
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -22,9 +22,10 @@
 from robinhill.errors import RobinhillError
 from robinhill.mesh import acknowledgements
 from robinhill.mesh.acknowledgements import Acknowledgement
+from robinhill.mesh.errors import StateFull
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
-from robinhill.mesh.records import Record, StateFull
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Learned
 from robinhill.net.actor import Actor, Supervisor
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -19,7 +19,8 @@
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation import Propagations
 from robinhill.errors import RobinhillError
-from robinhill.mesh.records import Record, StateFull
+from robinhill.mesh.errors import StateFull
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.cordons.operator_calls import (
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -14,8 +14,8 @@
 
 from robinhill.config_types import Address
 from robinhill.mesh import overlay
+from robinhill.mesh.errors import PeerRefused, PeerUnreachable
 from robinhill.mesh.frames import MAX_MESSAGE
-from robinhill.mesh.records import PeerRefused, PeerUnreachable
 from robinhill.mesh.session import Ages, Answered, Event, Greeted, Identity, Learned, Session, Store, Told
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clients.connections import bind
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -17,10 +17,11 @@
 from robinhill.cordon.value import cordon_kind
 from robinhill.mesh.acknowledgements import notice_kind
 from robinhill.mesh.clocks import agreed_offset_us, next_incarnation
+from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
-from robinhill.mesh.records import Kind, MeshError
+from robinhill.mesh.records import Kind
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Identity, Learned
 from robinhill.mesh.snapshot import SnapshotHeader
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 from robinhill.mesh import snapshot
-from robinhill.mesh.records import ForeignState, Record
+from robinhill.mesh.errors import ForeignState
+from robinhill.mesh.records import Record
 from robinhill.mesh.snapshot import SnapshotHeader
 
 log = logging.getLogger(__name__)
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -49,8 +49,8 @@
 from robinhill.cordon.views import answer, listing, read_put, read_wait
 from robinhill.mesh import acknowledgements
 from robinhill.mesh.acknowledgements import Acknowledgement
+from robinhill.mesh.errors import ForeignState
 from robinhill.mesh.quorum import Quorum
-from robinhill.mesh.records import ForeignState
 
 S = 1_000_000
 NOW = 1_800_000_000 * S
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -17,7 +17,7 @@
 from robinhill.gang.progress import MAX_POINTS, Curve
 from robinhill.gang.share import MAX_SEQUENCE, MemberUpdate, Progress, decode, encode, merge
 from robinhill.gang.straggle import spread
-from robinhill.mesh.records import ForeignState
+from robinhill.mesh.errors import ForeignState
 
 S = 1_000_000
 LOOK = 250_000
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -13,8 +13,9 @@
 from robinhill.mesh import clocks, digests, record_kinds, replica
 from robinhill.mesh import snapshot as rest
 from robinhill.mesh.clocks import AHEAD_US, FAR_US, HybridClock, StampAhead, agreed_offset_us
+from robinhill.mesh.errors import ForeignState, StateFull
 from robinhill.mesh.merging import merged
-from robinhill.mesh.records import ForeignState, Kind, Record, Stamp, StateFull
+from robinhill.mesh.records import Kind, Record, Stamp
 from robinhill.mesh.replica import SPAN_US, Replica
 
 S = 1_000_000
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -11,9 +11,10 @@
 from robinhill.mesh import frames
 from robinhill.mesh.anti_entropy import REPAIR_US
 from robinhill.mesh.delivery_windows import WINDOW
+from robinhill.mesh.errors import PeerRefused
 from robinhill.mesh.frames import Heads, Hello, Part, Ping, Push
 from robinhill.mesh.freshness import Freshness
-from robinhill.mesh.records import Kind, PeerRefused
+from robinhill.mesh.records import Kind
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Event, Identity, Session
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,8 +16,8 @@
 from benchmarks.scale.fitting import Growth, Point, growth
 from benchmarks.scale.processes import counter
 from robinhill.cordon.value import Dot, Reason, cordon_kind, set_
+from robinhill.mesh.errors import StateFull
 from robinhill.mesh.options import MeshOptions
-from robinhill.mesh.records import StateFull
 from robinhill.mesh.replica import Replica
 
 WORKERS = (30, 100, 300, 1_000)
