--- a/benchmarks/mesh_replica.py
+++ b/benchmarks/mesh_replica.py
@@ -22,7 +22,11 @@
 
 
 def fresh() -> Replica:
-    return Replica(ORIGIN, NOW_US, (record_kinds.DRAIN, record_kinds.SEEN, record_kinds.requests(WINDOW_US)))
+    return Replica(
+        ORIGIN,
+        NOW_US,
+        (record_kinds.DRAIN_KIND, record_kinds.EVIDENCE_KIND, record_kinds.request_kind(WINDOW_US)),
+    )
 
 
 def outcome(state: int, i: int) -> record_kinds.Outcome:
@@ -52,7 +56,7 @@
 
     def take_all(records: list[Record]) -> None:
         for record in records:
-            copies[0].take(NOW_US + RECORDS, record)
+            copies[0].merge(NOW_US + RECORDS, record)
 
     tracemalloc.start()
     take_all(decode(packed))
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.fitting import Point, print_ladder, print_ratio
 from benchmarks.scale.processes import MOST_PROCESSES, Usage, listing, usage_of
 from robinhill.emulator.rig import Rig, rig
-from robinhill.mesh.acknowledgements import notice_kind
+from robinhill.mesh.acknowledgements import acknowledgement_kind
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Identity, Session
@@ -69,7 +69,7 @@
 
 
 def _end(name: str, names: tuple[str, ...], opens: bool) -> Session:
-    replica = Replica(name, 1, [notice_kind()])
+    replica = Replica(name, 1, [acknowledgement_kind()])
     freshness = Freshness(name, names, hollow.BOUND_MS * 1000)
     freshness.caught_up = True
     freshness.pinged(0, names[-1], FIRST_PING)
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -5,7 +5,7 @@
 
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.cordon.value import cordon_kind
-from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
+from robinhill.mesh.record_kinds import DRAIN_KIND, EVIDENCE_KIND, MAX_RETRY_WINDOW_US, request_kind
 from robinhill.mesh.records import Kind
 
 URGENT_KINDS = frozenset({CORDON})
@@ -14,7 +14,7 @@
 
 def kinds() -> tuple[Kind[Any], ...]:
     """All kinds, as each replica registers them."""
-    return (cordon_kind(), DRAIN, SEEN, requests(LONGEST_WINDOW_US))
+    return (cordon_kind(), DRAIN_KIND, EVIDENCE_KIND, request_kind(MAX_RETRY_WINDOW_US))
 
 
 def names_of(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -15,7 +15,7 @@
     declined: list[Declined] = []
     for record in records:
         try:
-            outcome = replica.take(now_us, record)
+            outcome = replica.merge(now_us, record)
         except MeshError as e:
             declined.append((record, e))
             outcome = held_after(e)
@@ -26,7 +26,7 @@
 
 def held_after(error: MeshError) -> Record | None:
     """The record that is held all the same, as it was from the future a little; None: it was refused."""
-    held = getattr(error, "held", None)
+    held = getattr(error, "stored", None)
     return held if isinstance(held, Record) else None
 
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -28,7 +28,7 @@
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Event, Greeted, Learned
+from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
 
 BATCH_US = 5_000
 """From one round of messages with changes to the next; the first goes at once."""
@@ -269,13 +269,13 @@
     def _event(self, mono_us: int, link: Link, event: Event) -> None:
         voter = self._peers.links[link]
         match event:
-            case Greeted(hello=hello):
+            case HelloReceived(hello=hello):
                 self._greeted(mono_us, link, hello.name, hello.incarnation)
-            case Learned(records=records, declined=declined):
+            case RecordsReceived(records=records, rejected=declined):
                 self._learned(records, declined)
                 if voter.name is not None and refused(declined):
                     self._peers.refusals.refused(voter.name, voter.session)
-            case Answered():
+            case PingAnswered():
                 if not self.counts and not self._peers.refusals and self.freshness.may_catch_up():
                     self._catch_up()
                 if voter.name is not None and self._peers.refusals.recovered(voter.name, voter.session):
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -35,8 +35,8 @@
     def written(self) -> int:
         """All our changes up to this one are written to the voter, which reads them before what we write
         next, as links are ordered; 0 while it is not yet known what else it lacks."""
-        comparison = self.session.comparison
-        return self.session.cursor if comparison.rounds and not comparison.owed else 0
+        anti_entropy = self.session.anti_entropy
+        return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
 
 
 class Refusals:
@@ -57,15 +57,15 @@
 
     def refused(self, voter: str, session: Session) -> None:
         """A record that this voter sent was refused."""
-        self._rounds[voter] = session, session.comparison.rounds + 2  # one may be under way
+        self._rounds[voter] = session, session.anti_entropy.rounds + 2  # one may be under way
 
     def recovered(self, voter: str, session: Session) -> bool:
         """Whether we hold all that this voter holds by now. True once."""
         if voter not in self._rounds:
             return False
         before, needed = self._rounds[voter]
-        comparison = session.comparison
-        if comparison.rounds < (needed if before is session else 1) or comparison.differing:
+        anti_entropy = session.anti_entropy
+        if anti_entropy.rounds < (needed if before is session else 1) or anti_entropy.differing:
             return False
         del self._rounds[voter]
         return True
@@ -256,7 +256,7 @@
         options = self.options
         identity = Identity(options.installation, options.name, self.incarnation, tuple(sorted(self.names)))
         session = Session(identity, self.replica, self.ages, opens, options.ping_us)
-        session.direct = self._brings
+        session.sender.receives_directly = self._brings
         return session
 
     def _to_dial(self) -> list[str]:
--- a/robinhill/gang/share.py
+++ b/robinhill/gang/share.py
@@ -92,5 +92,5 @@
 
 
 KIND = Kind(
-    NAME, encode, decode, merge, lifetime_us=LIFETIME_US, bound=BOUND, evict=_evict, at_rest=False
+    NAME, encode, decode, merge, lifetime_us=LIFETIME_US, bound=BOUND, evict=_evict, persistent=False
 )  # progress from before a restart says nothing: the attempts ended with it
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -70,7 +70,7 @@
     return notice
 
 
-def notice_kind() -> Kind[Acknowledgement]:
+def acknowledgement_kind() -> Kind[Acknowledgement]:
     """By name of the scheduler; of too many names those that spoke longest ago go first."""
     return Kind(NAME, encode, decode, merge, LIFETIME_US, BOUND, evict=lambda r: (r.stamp.wall_us, r.key))
 
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -1,155 +1,176 @@
-"""Finding out what the other side of a link lacks: rounds of range digests, then heads of what differs.
+"""Anti-entropy over one link: rounds that find which records the peer lacks, by digests of ranges.
 
-One side opens rounds, the other answers. Both see both vectors of digests, so both know which ranges differ
-without a further word; each then writes the heads of those, and finds by the other's what that one lacks.
+One side opens rounds, the other answers. Each then has both vectors of digests and knows which ranges differ;
+it writes the record versions of those, and finds by the peer's versions which records the peer lacks. What is
+lacking is only listed here (``pending``); the session pushes it.
 """
 
 from collections.abc import Sequence
 from typing import Protocol
 
-from robinhill.mesh.errors import PeerRefused
-from robinhill.mesh.frames import RANGES, Heads, Part, Ranges, Redo, check
-from robinhill.mesh.records import Record
+from robinhill.mesh.errors import PeerRejected
+from robinhill.mesh.frames import (
+    RANGES,
+    RangeDigests,
+    RangePart,
+    RecordVersions,
+    VersionsResendRequest,
+    record_digest,
+)
+from robinhill.mesh.records import Record, RecordName
 
-HEADS = 512  # in a frame, or little more: some 20 kB
-MAX_PARTS = 4096  # of one range
-REPAIR_US = 5_000_000  # from a round's end to the next: two kilobytes each way
-PATIENCE_US = 300_000  # without a frame of a round that is on; doubled each time, as the way may be long
-MAX_PATIENCE_US = 5_000_000
-CLOCKS_DIFFER_US = 5_000_000  # an opener whose clock is further off is answered by ours, and differs
+MAX_VERSIONS_PER_PART = 512  # parts are added to a frame until it has this many: some 20 kB
+MAX_PARTS_PER_RANGE = 4096
+ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the next
+RESEND_TIMEOUT_US = 300_000  # without a frame of the current round; doubled with each request
+MAX_RESEND_TIMEOUT_US = 5_000_000
+MAX_CLOCK_DIFFERENCE_US = 5_000_000  # of an opener, beyond which the answer's digests are of our own time
+DIGEST_BYTES = 8
 
-Name = tuple[str, str]
 
+class DigestSource(Protocol):
+    """What anti-entropy needs of the replica."""
 
-class Ranged(Protocol):
-    """What a comparison needs of the replica."""
+    def ranges(self, now_us: int) -> Sequence[int]:
+        """The digests of all ranges as of ``now_us`` (Unix time)."""
+        ...
 
-    def ranges(self, now_us: int) -> Sequence[int]: ...
+    def in_range(self, index: int) -> list[Record]:
+        """The records of one range."""
+        ...
 
-    def in_range(self, index: int) -> list[Record]: ...
 
+class AntiEntropy:
+    """The rounds of one link. ``opens``: whether this side opens them.
 
-class Comparison:
-    """The rounds of one link."""
+    ``rounds``: how many are complete; ``differing``: ranges that differed in the last one; ``pending``:
+    records that the peer was found to lack, in order.
+    """
 
-    def __init__(self, store: Ranged, opens: bool) -> None:
+    def __init__(self, store: DigestSource, opens: bool) -> None:
         self.store = store
         self.opens = opens
-        self.rounds = 0  # that are over
-        self.differing = 0  # ranges that differed in the last one
-        self.owed: dict[Name, None] = {}  # what the other side was found to lack
+        self.rounds = 0
+        self.differing = 0
+        self.pending: dict[RecordName, None] = {}
         self._round = 0
-        self._mine: Sequence[int] = ()
-        self._out: list[Ranges | Redo] = []  # at most one of each
-        self._to_write: list[int] = []  # ranges whose heads the other side waits for
-        self._writing: list[Part] = []
+        self._in_progress = False
+        self._digests_received = False
+        self._own_digests: Sequence[int] = ()
+        self._differing: frozenset[int] = frozenset()
+        self._to_send: list[RangeDigests | VersionsResendRequest] = []  # at most one of each
+        self._ranges_to_send: list[int] = []
+        self._parts_to_send: list[RangePart] = []
         self._awaited: set[int] = set()
-        self._parts: dict[int, dict[int, Part]] = {}  # of ranges that have come in part
-        self._differ: frozenset[int] = frozenset()
-        self._on = False
-        self._both = False  # both vectors of the round are here
+        self._received_parts: dict[int, dict[int, RangePart]] = {}  # of ranges received in part
         self._due_us = 0
-        self._patience_us = PATIENCE_US
-
-    @property
-    def busy(self) -> bool:
-        """Whether there is something to write now."""
-        return bool(self._out or self._to_write or self._writing)
+        self._timeout_us = RESEND_TIMEOUT_US
 
     @property
     def next_us(self) -> int | None:
-        """When `tick` is due (monotonic); None: not before a frame comes."""
-        return self._due_us if self._on or self.opens else None
+        """When `tick` is due (monotonic); None: not before a frame is received."""
+        return self._due_us if self._in_progress or self.opens else None
 
     def tick(self, now_us: int, mono_us: int) -> None:
-        """Open a round if it is time; ask again for what has not come of the one that is on."""
+        """Open a round if it is due, or request again what the current one still awaits."""
         if mono_us < self._due_us:
             return
         if self._awaited:
-            self._out = [Redo(self._round, tuple(sorted(self._awaited)))]
-            self._patience_us = min(2 * self._patience_us, MAX_PATIENCE_US)
-            self._due_us = mono_us + self._patience_us
+            self._to_send = [VersionsResendRequest(self._round, tuple(sorted(self._awaited)))]
+            self._timeout_us = min(2 * self._timeout_us, MAX_RESEND_TIMEOUT_US)
+            self._due_us = mono_us + self._timeout_us
         elif self.opens:
             self._begin(now_us, mono_us, self._round + 1)
 
-    def _begin(self, at_us: int, mono_us: int, number: int) -> None:
-        self._round, self._on, self._both = number, True, False
-        self._mine = tuple(self.store.ranges(at_us))
-        digests = b"".join(value.to_bytes(8, "big") for value in self._mine)
-        self._out = [Ranges(number, at_us, not self.opens, digests)]
-        self._to_write, self._writing, self._parts = [], [], {}
-        self._differ, self._awaited = frozenset(), set()
-        self._due_us = mono_us + self._patience_us
-
-    def redo(self, frame: Redo) -> None:
+    def resend_requested(self, frame: VersionsResendRequest) -> None:
+        """The peer did not receive the versions of these ranges."""
         if frame.round == self._round:
-            self._to_write = sorted({i for i in frame.indices if i in self._differ} | set(self._to_write))
+            requested = {i for i in frame.indices if i in self._differing}
+            self._ranges_to_send = sorted(requested | set(self._ranges_to_send))
 
-    def ranges(self, now_us: int, mono_us: int, frame: Ranges) -> None:
-        if len(frame.digests) != RANGES * 8 or frame.answers is not self.opens:
-            raise PeerRefused("digests of 256 ranges were awaited from the side that opens, or answers")
+    def digests_received(self, now_us: int, mono_us: int, frame: RangeDigests) -> None:
+        """Compare the peer's digests with ours; the first frame of a round. Raises PeerRejected."""
+        if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
+            raise PeerRejected("digests of 256 ranges were awaited from the side that opens, or answers")
         if frame.answers:
-            if frame.round != self._round or self._both:
-                return  # late, or doubled
+            if frame.round != self._round or self._digests_received:
+                return  # late or duplicated
         elif frame.round <= self._round:
             return
         else:
-            near = abs(frame.at_us - now_us) <= CLOCKS_DIFFER_US
-            self._begin(frame.at_us if near else now_us, mono_us, frame.round)
-        digests = frame.digests
-        differ = [
-            i for i in range(RANGES) if int.from_bytes(digests[8 * i : 8 * i + 8], "big") != self._mine[i]
-        ]
-        self._both, self._differ, self.differing = True, frozenset(differ), len(differ)
-        self._to_write, self._awaited = differ, set(differ)
-        self._moved(mono_us)
-
-    def heads(self, mono_us: int, frame: Heads) -> None:
-        if not self._both or frame.round != self._round:
+            clocks_agree = abs(frame.at_us - now_us) <= MAX_CLOCK_DIFFERENCE_US
+            self._begin(frame.at_us if clocks_agree else now_us, mono_us, frame.round)
+        differing = self._ranges_that_differ(frame.digests)
+        self._digests_received = True
+        self._differing, self.differing = frozenset(differing), len(differing)
+        self._ranges_to_send, self._awaited = differing, set(differing)
+        self._progress(mono_us)
+
+    def versions_received(self, mono_us: int, frame: RecordVersions) -> None:
+        """Note which records of the ranges in ``frame`` the peer lacks."""
+        if not self._digests_received or frame.round != self._round:
             return
         for part in frame.parts:
-            if part.index in self._awaited and 0 <= part.part < part.parts <= MAX_PARTS:
-                self._part(part)
-        self._moved(mono_us)
+            if part.index in self._awaited and 0 <= part.part < part.parts <= MAX_PARTS_PER_RANGE:
+                self._add_part(part)
+        self._progress(mono_us)
+
+    def draw(self) -> RangeDigests | VersionsResendRequest | RecordVersions | None:
+        """The next frame to write; None: nothing at the moment."""
+        if self._to_send:
+            return self._to_send.pop()
+        parts: list[RangePart] = []
+        size = 0
+        while size < MAX_VERSIONS_PER_PART and (self._parts_to_send or self._ranges_to_send):
+            if not self._parts_to_send:
+                self._parts_to_send = self._split(self._ranges_to_send.pop())
+            parts.append(self._parts_to_send.pop())
+            size += 1 + len(parts[-1].versions)
+        return RecordVersions(self._round, tuple(parts)) if parts else None
 
-    def _part(self, part: Part) -> None:
-        parts = self._parts.setdefault(part.index, {})
+    def _begin(self, at_us: int, mono_us: int, number: int) -> None:
+        self._round, self._in_progress, self._digests_received = number, True, False
+        self._own_digests = tuple(self.store.ranges(at_us))
+        digests = b"".join(value.to_bytes(DIGEST_BYTES, "big") for value in self._own_digests)
+        self._to_send = [RangeDigests(number, at_us, not self.opens, digests)]
+        self._ranges_to_send, self._parts_to_send, self._received_parts = [], [], {}
+        self._differing, self._awaited = frozenset(), set()
+        self._due_us = mono_us + self._timeout_us
+
+    def _ranges_that_differ(self, digests: bytes) -> list[int]:
+        theirs = (digests[at : at + DIGEST_BYTES] for at in range(0, len(digests), DIGEST_BYTES))
+        return [i for i, their in enumerate(theirs) if int.from_bytes(their, "big") != self._own_digests[i]]
+
+    def _add_part(self, part: RangePart) -> None:
+        """Keep a part, and once its range is complete list what the peer lacks of it."""
+        parts = self._received_parts.setdefault(part.index, {})
         parts[part.part] = part
         if len(parts) < part.parts:
             return
-        theirs = {(kind, key): digest for one in parts.values() for kind, key, digest in one.heads}
+        theirs = {(kind, key): digest for one in parts.values() for kind, key, digest in one.versions}
         for record in self.store.in_range(part.index):
-            if theirs.get(record.name) != check(record):
-                self.owed[record.name] = None
-        del self._parts[part.index]
+            if theirs.get(record.name) != record_digest(record):
+                self.pending[record.name] = None
+        del self._received_parts[part.index]
         self._awaited.discard(part.index)
 
-    def _moved(self, mono_us: int) -> None:
-        if not self._on:
+    def _progress(self, mono_us: int) -> None:
+        """A frame of the round was received: reset the timeout, or end the round if nothing is awaited."""
+        if not self._in_progress:
             return
-        self._patience_us = PATIENCE_US
+        self._timeout_us = RESEND_TIMEOUT_US
         if self._awaited:
-            self._due_us = mono_us + self._patience_us
+            self._due_us = mono_us + self._timeout_us
             return
-        self._on = False
+        self._in_progress = False
         self.rounds += 1
-        self._due_us = mono_us + REPAIR_US
-
-    def draw(self) -> Ranges | Redo | Heads | None:
-        """The next frame to write."""
-        if self._out:
-            return self._out.pop()
-        written: list[Part] = []
-        size = 0
-        while size < HEADS and (self._writing or self._to_write):
-            if not self._writing:
-                index = self._to_write.pop()
-                heads = [(*r.name, check(r)) for r in self.store.in_range(index)]
-                starts = range(0, max(1, len(heads)), HEADS)
-                self._writing = [
-                    Part(index, number, len(starts), tuple(heads[start : start + HEADS]))
-                    for number, start in enumerate(starts)
-                ]
-            written.append(self._writing.pop())
-            size += 1 + len(written[-1].heads)
-        return Heads(self._round, tuple(written)) if written else None
+        self._due_us = mono_us + ROUND_INTERVAL_US
+
+    def _split(self, index: int) -> list[RangePart]:
+        """The versions of one range, in parts."""
+        versions = [(*record.name, record_digest(record)) for record in self.store.in_range(index)]
+        starts = range(0, max(1, len(versions)), MAX_VERSIONS_PER_PART)
+        return [
+            RangePart(index, number, len(starts), tuple(versions[start : start + MAX_VERSIONS_PER_PART]))
+            for number, start in enumerate(starts)
+        ]
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -38,13 +38,13 @@
 
 
 class StampAhead(FutureStamp):
-    """``held`` is the record that this copy now holds; None where it refused what it was given."""
+    """A stamp beyond ``AHEAD_US``. ``stored``: the record stored now; None where it was rejected."""
 
     code = "StampAhead"
 
-    def __init__(self, what: str, held: Record | None) -> None:
+    def __init__(self, what: str, stored: Record | None) -> None:
         super().__init__(what)
-        self.held = held
+        self.stored = stored
 
 
 class HybridClock:
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -1,85 +1,94 @@
-"""Which pushes have come, and what was in those that have not: numbers and names only, in bounded memory."""
+"""Receive and send window of a link: which pushes were received, and which are written but not confirmed.
+
+Only push numbers and record names are kept, in bounded memory; a lost push is written again with the newest
+values of its records.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from robinhill.mesh.errors import PeerRefused
+from robinhill.mesh.errors import PeerRejected
+from robinhill.mesh.records import RecordName
 
-Name = tuple[str, str]
-WINDOW = 64  # pushes that may be unconfirmed: beyond it the newest values wait in the replica, not in frames
-MAX_ASKED = 64  # lost pushes that are asked for in one frame
+WINDOW = 64  # unconfirmed pushes; further changes wait in the replica
+MAX_RESEND_NUMBERS = 64  # lost pushes requested in one frame
 
 
-class Arrivals:
-    """Numbers of the pushes that have come."""
+class ReceiveWindow:
+    """Numbers of the pushes that were received. All up to ``low`` were."""
 
     def __init__(self) -> None:
-        self.low = 0  # all up to here are here
+        self.low = 0
         self._beyond: set[int] = set()
 
-    def came(self, number: int, instead: Iterable[int]) -> None:
-        for each in (number, *instead):
+    def received(self, number: int, replaces: Iterable[int]) -> None:
+        """Record a push and those that it replaces. Raises PeerRejected if the peer ignores the window."""
+        for each in (number, *replaces):
             if each > self.low:
                 self._beyond.add(each)
         while self.low + 1 in self._beyond:
             self.low += 1
             self._beyond.discard(self.low)
         if len(self._beyond) > 4 * WINDOW:
-            raise PeerRefused("it writes on past pushes that were never confirmed")
+            raise PeerRejected("it writes on past pushes that were never confirmed")
 
-    def lacking(self, up_to: int) -> tuple[int, ...]:
-        """Numbers up to this one that have not come, the first of them."""
+    def missing(self, up_to: int) -> tuple[int, ...]:
+        """The first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
         last = min(up_to, self.low + 4 * WINDOW)
-        return tuple(n for n in range(self.low + 1, last + 1) if n not in self._beyond)[:MAX_ASKED]
+        return tuple(n for n in range(self.low + 1, last + 1) if n not in self._beyond)[:MAX_RESEND_NUMBERS]
 
 
 @dataclass(slots=True, frozen=True)
-class Pushed:
-    """What a push held; ``before``: our cursor then; ``instead``: lost pushes that it stands for."""
+class SentPush:
+    """A push that was written: its records, the sender's cursor before it, the lost pushes it replaces."""
 
-    names: tuple[Name, ...]
-    before: int
-    instead: tuple[int, ...] = ()
+    names: tuple[RecordName, ...]
+    cursor_before: int
+    replaces: tuple[int, ...] = ()
 
 
-class Departures:
-    """Pushes that are written and not confirmed."""
+class SendWindow:
+    """Pushes that are written and not confirmed. ``last``: the number of the latest push."""
 
     def __init__(self) -> None:
         self.last = 0
-        self._out: dict[int, Pushed] = {}
-        self._again: dict[int, None] = {}
+        self._unconfirmed: dict[int, SentPush] = {}
+        self._to_resend: dict[int, None] = {}
 
     @property
-    def room(self) -> bool:
-        return len(self._out) < WINDOW
+    def has_capacity(self) -> bool:
+        """Whether another push may be written."""
+        return len(self._unconfirmed) < WINDOW
 
     @property
-    def unconfirmed(self) -> bool:
-        return bool(self._out)
+    def unconfirmed(self) -> int:
+        """How many pushes are not confirmed."""
+        return len(self._unconfirmed)
 
-    def wrote(self, pushed: Pushed) -> int:
-        """The number of a new push."""
+    def add(self, push: SentPush) -> int:
+        """Record a new push and return its number."""
         self.last += 1
-        self._out[self.last] = pushed
+        self._unconfirmed[self.last] = push
         return self.last
 
-    def lost(self, numbers: Iterable[int]) -> None:
-        self._again.update((n, None) for n in numbers if n in self._out)
-
-    def again(self) -> Pushed | None:
-        """A push that was lost, as what is to be written in its place."""
-        while self._again:
-            number = next(iter(self._again))
-            del self._again[number]
-            if lost := self._out.pop(number, None):
-                return Pushed(lost.names, lost.before, (*lost.instead, number))
+    def mark_lost(self, numbers: Iterable[int]) -> None:
+        """The peer did not receive these; unknown numbers are ignored."""
+        self._to_resend.update((n, None) for n in numbers if n in self._unconfirmed)
+
+    def next_lost(self) -> SentPush | None:
+        """Remove a lost push and return the one to write in its place."""
+        while self._to_resend:
+            number = next(iter(self._to_resend))
+            del self._to_resend[number]
+            if lost := self._unconfirmed.pop(number, None):
+                return SentPush(lost.names, lost.cursor_before, (*lost.replaces, number))
         return None
 
-    def confirmed(self, low: int) -> None:
-        for number in [n for n in self._out if n <= low]:
-            del self._out[number]
+    def confirm(self, low: int) -> None:
+        """The peer has all pushes up to ``low``; higher numbers than the last are ignored."""
+        for number in [n for n in self._unconfirmed if n <= low]:
+            del self._unconfirmed[number]
 
-    def held(self, cursor: int) -> int:
-        """Up to where the other side has our changes."""
-        return min((pushed.before for pushed in self._out.values()), default=cursor)
+    def confirmed_cursor(self, cursor: int) -> int:
+        """Up to which change the peer has everything, where ``cursor`` is the sender's."""
+        return min((push.cursor_before for push in self._unconfirmed.values()), default=cursor)
--- a/robinhill/mesh/errors.py
+++ b/robinhill/mesh/errors.py
@@ -9,7 +9,7 @@
     code = "MeshError"
 
 
-class PeerRefused(MeshError):
+class PeerRejected(MeshError):
     """A peer was rejected: wrong installation or protocol, our own name, or a malformed message."""
 
     code = "PeerRefused"
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -1,7 +1,8 @@
-"""What passes over a link between two schedulers: messages of a few frames, which are MessagePack arrays.
+"""Wire format of a link between two schedulers: a message is a MessagePack array of frames.
 
-A message may be lost, doubled or overtaken by another: on a plain connection none is, but a guarantee must
-not hang on what lies between. So pushes are numbered, and all else can be said again.
+Messages may be lost, duplicated or reordered: a plain connection does none of this, but no guarantee may
+depend on what lies between two schedulers. Pushes are therefore numbered, and every other frame may be sent
+again. This module encodes and decodes; what a frame does to a link is in ``session``.
 """
 
 import hashlib
@@ -9,18 +10,21 @@
 
 import msgspec
 
-from robinhill.mesh.errors import PeerRefused
+from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import Record
 
 PROTOCOL = 1
 RANGES = 256
-MAX_MESSAGE = 1 << 20  # bytes: a reader closes a link that sends more
+MAX_MESSAGE_BYTES = 1 << 20  # a reader closes a link that sends more
 MAX_MEMBERS = 1024
-CHECK = 8  # bytes of a record's digest in a comparison; the next round would put right a miss in 2**64
+RECORD_DIGEST_BYTES = 8
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Who writes; first each way. ``names`` is the order of the ages in pongs; ``now_us`` is Unix time."""
+    """The sender's identity; the first frame in each direction.
+
+    ``names`` is the order of the ages in its pongs; ``now_us`` is Unix time.
+    """
 
     protocol: int
     installation: str
@@ -32,17 +36,18 @@
 
 
 class Push(msgspec.Struct, frozen=True, array_like=True, tag="push"):
-    """Records that the reader lacks. ``instead``: pushes that were lost, whose records are here anew."""
+    """Records that the reader lacks. ``replaces``: lost pushes whose records are sent again here."""
 
     number: int
     records: tuple[Record, ...]
-    instead: tuple[int, ...] = ()
+    replaces: tuple[int, ...] = ()
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
-    """Answer once all that you know now is written; pushes up to ``pushed`` went before this.
+    """Asks for a pong once everything that the reader knows now is written.
 
-    ``low``: all of the reader's pushes up to this number are here.
+    ``pushed``: the last push written before this ping. ``low``: all of the reader's pushes up to this number
+    were received.
     """
 
     number: int
@@ -51,11 +56,12 @@
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
-    """All that its sender knew when the ping came is in the pushes up to ``pushed``.
+    """Everything that its sender knew when the ping arrived is in its pushes up to ``pushed``.
 
-    ``low``: it has all pushes up to this number. ``ages_ms``: how old its knowledge of each of its ``names``
-    was when the ping came, rounded up, and -1 where it has none; of those that count for majorities, itself
-    among them if it does. ``starting_ms``: the same of those that do not count yet, by place in ``names``.
+    ``low``: all of the reader's pushes up to this number were received. ``ages_ms``: by place in the sender's
+    ``names``, the age of its knowledge of each scheduler that counts for majorities when the ping arrived,
+    rounded up, -1 where unknown; itself included if it counts. ``starting_ms``: place and age of those that
+    do not count yet.
     """
 
     number: int
@@ -65,16 +71,16 @@
     starting_ms: tuple[tuple[int, int], ...]
 
 
-class Again(msgspec.Struct, frozen=True, array_like=True, tag="again"):
-    """These pushes have not come."""
+class PushResendRequest(msgspec.Struct, frozen=True, array_like=True, tag="again"):
+    """Pushes that were not received."""
 
     numbers: tuple[int, ...]
 
 
-class Ranges(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
+class RangeDigests(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
     """Digests of all ranges, 8 bytes each; ``answers`` where the other side opened the round.
 
-    ``at_us``: the Unix time for which they hold, which an answer repeats: what is over counts in none.
+    ``at_us``: the Unix time as of which they hold, repeated in the answer; expired records count in none.
     """
 
     round: int
@@ -83,52 +89,63 @@
     digests: bytes
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
-    """Kind, key and digest of records in one range: all of them, or the part of that number."""
+class RangePart(msgspec.Struct, frozen=True, array_like=True):
+    """One of ``parts`` parts of a range: kind, key and digest of its records."""
 
     index: int
     part: int
     parts: int
-    heads: tuple[tuple[str, str, bytes], ...]
+    versions: tuple[tuple[str, str, bytes], ...]
 
 
-class Heads(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
-    """What there is in ranges that differ."""
+class RecordVersions(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
+    """The versions of the records in ranges that differ."""
 
     round: int
-    parts: tuple[Part, ...]
+    parts: tuple[RangePart, ...]
 
 
-class Redo(msgspec.Struct, frozen=True, array_like=True, tag="redo"):
-    """The heads of these ranges did not come."""
+class VersionsResendRequest(msgspec.Struct, frozen=True, array_like=True, tag="redo"):
+    """Ranges whose record versions were not received."""
 
     round: int
     indices: tuple[int, ...]
 
 
-class Aside(msgspec.Struct, frozen=True, array_like=True, tag="aside"):
-    """A word between members that is no record."""
+class MemberMessage(msgspec.Struct, frozen=True, array_like=True, tag="aside"):
+    """A message between members outside of replication; it may be lost."""
 
-    words: bytes
+    payload: bytes
 
 
-Frame = Hello | Push | Ping | Pong | Again | Ranges | Heads | Redo | Aside
+Frame = (
+    Hello
+    | Push
+    | Ping
+    | Pong
+    | PushResendRequest
+    | RangeDigests
+    | RecordVersions
+    | VersionsResendRequest
+    | MemberMessage
+)
 _decoder: msgspec.msgpack.Decoder[list[Frame]] = msgspec.msgpack.Decoder(list[Frame])
 _encoder = msgspec.msgpack.Encoder()
 
 
-def write(frames: Sequence[Frame]) -> bytes:
+def encode_message(frames: Sequence[Frame]) -> bytes:
+    """A message of these frames."""
     return _encoder.encode(frames)
 
 
-def read(data: bytes) -> list[Frame]:
-    """The frames of a message; raises PeerRefused for what is none."""
+def decode_message(data: bytes) -> list[Frame]:
+    """The frames of a message; raises PeerRejected if it is malformed."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
-        raise PeerRefused(f"a message can't be read: {e}") from e
+        raise PeerRejected(f"a message can't be read: {e}") from e
 
 
-def check(record: Record) -> bytes:
-    """A record's digest in a comparison."""
-    return hashlib.blake2b(_encoder.encode(record), digest_size=CHECK).digest()
+def record_digest(record: Record) -> bytes:
+    """The digest by which two copies compare their versions of a record."""
+    return hashlib.blake2b(_encoder.encode(record), digest_size=RECORD_DIGEST_BYTES).digest()
--- /dev/null
+++ b/robinhill/mesh/ping_schedule.py
@@ -0,0 +1,68 @@
+"""When a link's next ping is due, which pings are unanswered, and the round trip they measure.
+
+Times are monotonic microseconds of this process. The frames themselves are built by ``session``.
+"""
+
+PING_GAP_US = 50_000  # between two pings, and from a push to the ping that asks for its confirmation
+FIRST_TIMEOUT_US = 250_000  # for an answer while the round trip is unknown
+MIN_TIMEOUT_US = 50_000
+MAX_PINGS_IN_FLIGHT = 8
+
+
+class PingSchedule:
+    """The pings of one side of a link: one each ``interval_us``, more while something is unconfirmed."""
+
+    def __init__(self, interval_us: int) -> None:
+        self.interval_us = interval_us
+        self.round_trip_us: int | None = None  # smoothed; None before the first answer
+        self.due_us = 0
+        self._last_us = -PING_GAP_US
+        self._number = 0
+        self._in_flight: dict[int, int] = {}  # when each was written
+
+    @property
+    def timeout_us(self) -> int:
+        """How long an answer may take before what it answers is considered lost."""
+        if self.round_trip_us is None:
+            return FIRST_TIMEOUT_US
+        return max(MIN_TIMEOUT_US, self.round_trip_us + self.round_trip_us // 2)
+
+    def next_us(self, unconfirmed_pushes: bool) -> int:
+        """When the next ping is due: earlier than its turn if the last ping or a push may be lost."""
+        if self._in_flight or unconfirmed_pushes:
+            return min(self.due_us, self._last_us + max(PING_GAP_US, self.timeout_us))
+        return self.due_us
+
+    def ping_soon(self) -> None:
+        """Make the next ping due as soon as ``PING_GAP_US`` allows."""
+        self.due_us = min(self.due_us, self._last_us + PING_GAP_US)
+
+    def push_written(self, mono_us: int) -> None:
+        """A ping soon behind a push asks for its confirmation."""
+        self.due_us = min(self.due_us, max(mono_us, self._last_us) + PING_GAP_US)
+
+    def pong_written(self, mono_us: int) -> None:
+        """A ping that is due within half an interval goes into the same message as the pong."""
+        if self.due_us - mono_us < self.interval_us // 2:
+            self.due_us = mono_us
+
+    def ping_written(self, mono_us: int) -> int:
+        """Record a new ping and return its number."""
+        self._number += 1
+        self._in_flight[self._number] = mono_us
+        if len(self._in_flight) > MAX_PINGS_IN_FLIGHT:
+            del self._in_flight[next(iter(self._in_flight))]
+        self._last_us = mono_us
+        self.due_us = mono_us + self.interval_us
+        return self._number
+
+    def answered(self, mono_us: int, number: int) -> int | None:
+        """How long ping ``number`` took; None if it is unknown. Earlier pings count as answered too."""
+        if (written_us := self._in_flight.get(number)) is None:
+            return None
+        for earlier in [n for n in self._in_flight if n <= number]:
+            del self._in_flight[earlier]
+        took_us = mono_us - written_us
+        mean_us = took_us if self.round_trip_us is None else self.round_trip_us
+        self.round_trip_us = mean_us + (took_us - mean_us) // 4
+        return took_us
--- /dev/null
+++ b/robinhill/mesh/push_sender.py
@@ -0,0 +1,145 @@
+"""Outbound pushes of one link: changes behind a cursor, records that the peer lacks, and lost pushes again.
+
+Nothing is queued: a push is built when the transport has capacity, of the newest value of each record.
+Changes that the peer should receive from their writer directly are delayed, so that most of them need not be
+relayed.
+"""
+
+from collections.abc import Callable
+from typing import Protocol
+
+from robinhill.mesh.delivery_windows import SendWindow, SentPush
+from robinhill.mesh.frames import MAX_MESSAGE_BYTES, Push
+from robinhill.mesh.records import Record, RecordName
+
+MAX_RECORDS_PER_PUSH = 256
+MAX_PUSH_BYTES = 64 << 10  # of values; a pong must not wait behind a longer push
+FRAME_OVERHEAD_BYTES = 4 << 10  # of a frame around the value of a record
+RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer
+
+
+class ChangeLog(Protocol):
+    """What the sender needs of the replica."""
+
+    @property
+    def head(self) -> int:
+        """The number of the last change."""
+        ...
+
+    def record(self, kind: str, key: str) -> Record | None:
+        """The record of this name."""
+        ...
+
+    def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
+        """Records changed after ``cursor``, and the cursor to go on from."""
+        ...
+
+
+class PushSender:
+    """The pushes of one side of a link. ``own_name`` and ``peer_name``: the two schedulers.
+
+    ``cursor``: changes up to here are written, or compared by digests. ``receives_directly``: whether the
+    peer should receive the changes of an origin from that origin itself.
+    """
+
+    def __init__(self, log: ChangeLog, own_name: str, pending: dict[RecordName, None]) -> None:
+        self.log = log
+        self.own_name = own_name
+        self.peer_name = ""
+        self.cursor = log.head
+        self.window = SendWindow()
+        self.receives_directly: Callable[[str], bool] = lambda origin: False
+        self.relay_due_us: int | None = None  # when delayed changes must be written
+        self.pushed = 0  # records
+        self.skipped = 0  # records that the peer was known to have
+        self.oversized = 0  # records that fit no frame
+        self._pending = pending  # records that anti-entropy found the peer to lack
+        self._peer_has: dict[RecordName, Record] = {}  # of the changes behind the cursor
+
+    @property
+    def confirmed_cursor(self) -> int:
+        """Our changes up to this one are at the peer."""
+        return self.window.confirmed_cursor(self.cursor)
+
+    def peer_has(self, record: Record) -> None:
+        """The peer has sent this record: it need not be pushed if it is still the newest."""
+        if self.cursor < self.log.head and self.log.record(*record.name) == record:
+            self._peer_has[record.name] = record
+
+    def lost_push(self) -> Push | None:
+        """A push in place of a lost one, with the newest values of its records."""
+        if (lost := self.window.next_lost()) is None:
+            return None
+        records = [r for name in lost.names if (r := self.log.record(*name)) and self._fits(r)]
+        return self._push(records, lost)
+
+    def changes(self, mono_us: int, pong_pending: bool) -> Push | None:
+        """The changes behind the cursor, without records that the peer is known to have.
+
+        ``pong_pending``: a pong waits for these changes, so they are not delayed.
+        """
+        limit = MAX_RECORDS_PER_PUSH
+        while self.cursor < self.log.head and self.window.has_capacity:
+            records, cursor = self.log.since(self.cursor, limit)
+            if limit == MAX_RECORDS_PER_PUSH and self._delayed(mono_us, records, pong_pending):
+                return None
+            due = [r for r in records if self._peer_has.get(r.name) != r and self._fits(r)]
+            if len(due) > 1 and sum(len(r.value) for r in due) > MAX_PUSH_BYTES:
+                limit = len(records) // 2
+                continue
+            cursor_before, self.cursor = self.cursor, cursor if records else self.log.head
+            self._passed(records)
+            self.skipped += len(records) - len(due)
+            if due:
+                return self._push(due, SentPush(tuple(r.name for r in due), cursor_before))
+        return None
+
+    def pending_records(self) -> Push | None:
+        """Records that anti-entropy found the peer to lack, in their newest form."""
+        if not self._pending or not self.window.has_capacity:
+            return None
+        due: list[Record] = []
+        size = 0
+        while self._pending and len(due) < MAX_RECORDS_PER_PUSH and size < MAX_PUSH_BYTES:
+            name = next(iter(self._pending))
+            del self._pending[name]
+            if (record := self.log.record(*name)) and self._fits(record):
+                due.append(record)
+                size += len(record.value)
+        return self._push(due, SentPush(tuple(r.name for r in due), 0))
+
+    def _push(self, records: list[Record], sent: SentPush) -> Push:
+        number = self.window.add(sent)
+        self.pushed += len(records)
+        return Push(number, tuple(records), sent.replaces)
+
+    def _passed(self, records: list[Record]) -> None:
+        """The cursor has passed these."""
+        for record in records:
+            self._peer_has.pop(record.name, None)
+            self._pending.pop(record.name, None)
+        if self.cursor >= self.log.head:
+            self._peer_has.clear()
+            self.relay_due_us = None
+
+    def _delayed(self, mono_us: int, records: list[Record], pong_pending: bool) -> bool:
+        """Whether the peer should receive all of these from their writers, and there is time to wait.
+
+        Of two schedulers that could relay the same changes, the one with the smaller name does so first.
+        """
+        if pong_pending or len(records) >= MAX_RECORDS_PER_PUSH:
+            return False
+        if any(
+            r.stamp.origin == self.own_name or not self.receives_directly(r.stamp.origin) for r in records
+        ):
+            return False
+        if self.relay_due_us is None:
+            first = self.own_name < self.peer_name
+            self.relay_due_us = mono_us + (RELAY_DELAY_US if first else 2 * RELAY_DELAY_US)
+        return mono_us < self.relay_due_us
+
+    def _fits(self, record: Record) -> bool:
+        limit = MAX_MESSAGE_BYTES - MAX_PUSH_BYTES - FRAME_OVERHEAD_BYTES
+        fits = len(record.value) + len(record.key) <= limit
+        self.oversized += not fits
+        return fits
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -1,10 +1,10 @@
-"""Kinds of state that need no rules of their own: drains of schedulers, evidence on workers, keyed requests.
+"""Record kinds without rules of their own: drains of schedulers, evidence on workers, keyed requests.
 
-Each value is a struct whose fields are its total order, or a tuple of such structs in order; so the larger of
-two is commutative, associative and idempotent, and equal values have equal bytes. Times in values only tell
-apart what one writer said earlier and later, or what several said without knowing of each other: who writes
-takes a time later than the one that it replaces (``later``), whatever the clocks say, so no clock wins for
-ever. Numbers and texts are bounded when they are decoded; a value beyond that raises.
+Each value is a struct whose fields are its total order, or an ordered tuple of such structs. The larger of
+two is therefore a commutative, associative and idempotent merge, and equal values have equal bytes. Times
+inside values only order the writes of one scheduler, or concurrent writes of several: a writer uses a time
+later than that of the value it replaces (``later``), so no host's clock wins for good. Numbers and texts are
+bounded when they are decoded; a value beyond its bounds raises.
 """
 
 from collections.abc import Iterable
@@ -15,68 +15,66 @@
 from robinhill.mesh.clocks import LAST_US
 from robinhill.mesh.records import Kind, Record, Stamp
 
-LONGEST_WINDOW_US = 600_000_000
-"""In which a client repeats a keyed request, where nothing says otherwise."""
-
 Text = Annotated[str, msgspec.Meta(max_length=512)]
-Word = Annotated[str, msgspec.Meta(max_length=128)]
+ShortText = Annotated[str, msgspec.Meta(max_length=128)]
 Time = Annotated[int, msgspec.Meta(ge=0, le=LAST_US)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=LAST_US)]
 Hash = Annotated[bytes, msgspec.Meta(max_length=64)]
 
 HOUR_US = 3_600_000_000
-MOST_SIGHTINGS = 600  # of one worker: 200 schedulers that see three things each
-DRAINS = 1_024  # schedulers and those that they replaced
-DRAIN_US = 7 * 24 * HOUR_US  # a drain that is a week old was forgotten
-EVIDENCE = 8_192  # workers; beyond it the ones of which nothing was heard for longest go first
-EVIDENCE_US = HOUR_US  # after it a worker deserves a new trial; readers may stop believing it earlier
-SHORTEST_US = 60_000_000  # that anything is worth sharing
-REQUESTS = 16_384  # keys within the longest window; beyond it the oldest go first
+MAX_RETRY_WINDOW_US = 600_000_000  # in which a client repeats a keyed request, unless configured otherwise
+MAX_OBSERVATIONS = 600  # of one worker: three of each of 200 schedulers
+MAX_DRAIN_RECORDS = 1_024  # schedulers, with those that they replaced
+DRAIN_LIFETIME_US = 7 * 24 * HOUR_US
+MAX_EVIDENCE_RECORDS = 8_192  # workers; those written longest ago are evicted first
+EVIDENCE_LIFETIME_US = HOUR_US
+MIN_LIFETIME_US = 60_000_000
+MAX_REQUEST_RECORDS = 16_384  # idempotency keys; the oldest are evicted first
 SILENT, FAILING, SLOW = "silent", "failing", "slow"
 PLACED, FAILED, ENDED = 1, 2, 3
 
 
 def later(now_us: int, than_us: int | None) -> int:
-    """The time to write where ``than_us`` is held already: now, or just after it."""
+    """The time to write over a value of ``than_us``: now, or one microsecond after it."""
     return now_us if than_us is None else min(max(now_us, than_us + 1), LAST_US)
 
 
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """An operator's word on a scheduler: take it out, or no longer. The latest one counts.
+    """An operator's decision to drain a scheduler, or to end its drain. The latest one counts.
 
-    ``at_us``: when it was said, by ``later``. ``by``: the scheduler that was told.
+    ``at_us``: when it was made, by ``later``. ``by``: the scheduler that received the operator's request.
     """
 
     at_us: Time
-    by: Word
+    by: ShortText
     draining: bool
     reason: Text
 
 
-class Sighting(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What one scheduler saw of a worker; its latest one of each ``what`` and ``about`` counts.
+class Observation(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """What one scheduler observed of a worker; the latest for each ``what`` and ``about`` counts.
 
-    ``observer``: the scheduler's name. ``what``: ``silent``, ``failing``, ``slow``, or what newer versions
-    see. ``about``: the class of jobs or kind it was seen with, or empty. ``amount``: microseconds without an
-    answer, failures in a row, or thousandths of the expected time; 0 takes it back.
+    ``observer``: the scheduler's name. ``what``: ``silent``, ``failing``, ``slow``, or a value of a newer
+    version. ``about``: the class or kind of jobs concerned, or empty. ``amount``: microseconds without an
+    answer, consecutive failures, or thousandths of the expected time; 0 withdraws the observation.
     """
 
-    observer: Word
-    what: Word
+    observer: ShortText
+    what: ShortText
     at_us: Time
-    about: Word
+    about: ShortText
     amount: Number
 
 
-Evidence = tuple[Sighting, ...]
+Evidence = tuple[Observation, ...]
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a request that has a key: where a repeat of it should go.
+    """State of a request with an idempotency key: where a retry of it should go.
 
-    ``attempt`` counts from 1; who places the request anew adds one. ``state``: ``PLACED`` in ``zone``,
-    ``FAILED`` for good there, ``ENDED`` with a result of that hash. ``window_us``: how long after ``at_us``
-    the workers of the zone drop a repeat. ``by``: the scheduler that says so.
+    ``attempt`` counts from 1, and each new placement adds one. ``state``: ``PLACED`` in ``zone``, ``FAILED``
+    for good there, or ``ENDED`` with a result of the hash ``result``. ``window_us``: how long after ``at_us``
+    the workers of the zone deduplicate a retry. ``by``: the scheduler that wrote it.
     """
 
     state: Annotated[int, msgspec.Meta(ge=PLACED, le=ENDED)]
@@ -84,37 +82,40 @@
     at_us: Time
     window_us: Number
     zone: Text
-    by: Word
+    by: ShortText
     result: Hash = b""
 
     def counts(self, now_us: int) -> bool:
+        """Whether workers still deduplicate a retry at ``now_us`` (Unix time)."""
         return now_us < self.at_us + self.window_us
 
 
-def latest(a: Drain, b: Drain) -> Drain:
+def latest_drain(a: Drain, b: Drain) -> Drain:
+    """Merge rule of drains: the later decision."""
     return max(a, b)
 
 
-def together(a: Evidence, b: Evidence) -> Evidence:
-    """Of each observer and thing the latest sighting; of more than ``MOST_SIGHTINGS`` the latest ones."""
-    found: dict[tuple[str, str, str], Sighting] = {}
-    for sighting in (*a, *b):
-        name = sighting.observer, sighting.what, sighting.about
-        found[name] = max(sighting, found.get(name, sighting))
-    kept: Iterable[Sighting] = found.values()
-    if len(found) > MOST_SIGHTINGS:
-        kept = sorted(kept, key=lambda s: (s.at_us, s), reverse=True)[:MOST_SIGHTINGS]
-    return tuple(sorted(kept))
+def merge_evidence(a: Evidence, b: Evidence) -> Evidence:
+    """Merge rule of evidence: the latest by observer and subject, ``MAX_OBSERVATIONS`` at most."""
+    newest: dict[tuple[str, str, str], Observation] = {}
+    for observation in (*a, *b):
+        name = observation.observer, observation.what, observation.about
+        newest[name] = max(observation, newest.get(name, observation))
+    observations: Iterable[Observation] = newest.values()
+    if len(newest) > MAX_OBSERVATIONS:
+        observations = sorted(observations, key=lambda s: (s.at_us, s), reverse=True)[:MAX_OBSERVATIONS]
+    return tuple(sorted(observations))
 
 
-def current(evidence: Evidence, now_us: int, within_us: int) -> list[Sighting]:
-    """What was seen within that time and not taken back; a time in the future counts as now."""
+def current_observations(evidence: Evidence, now_us: int, within_us: int) -> list[Observation]:
+    """Observations of the last ``within_us`` that were not withdrawn; future times count as now."""
     return [s for s in evidence if s.amount and s.at_us > now_us - within_us]
 
 
-def furthest(a: Outcome, b: Outcome) -> Outcome:
-    """A result beats all, then the later attempt, then its failure; of equals the earlier one: a repeat goes
-    where the request went first.
+def merge_outcomes(a: Outcome, b: Outcome) -> Outcome:
+    """Merge rule of keyed requests: a result wins, then the later attempt, then its failure.
+
+    Between equals the earlier one wins, so that a retry goes where the request went first.
     """
     return max(a, b, key=_rank)
 
@@ -129,17 +130,22 @@
 
 _encode = msgspec.msgpack.Encoder().encode
 
-DRAIN: Kind[Drain] = Kind(
-    "drain", _encode, msgspec.msgpack.Decoder(Drain).decode, latest, lifetime_us=DRAIN_US, bound=DRAINS
-)
-SEEN: Kind[Evidence] = Kind(
-    "evidence", _encode, msgspec.msgpack.Decoder(tuple[Sighting, ...]).decode, together,
-    lifetime_us=EVIDENCE_US, bound=EVIDENCE, evict=_written,
+DRAIN_KIND: Kind[Drain] = Kind(
+    "drain",
+    _encode,
+    msgspec.msgpack.Decoder(Drain).decode,
+    latest_drain,
+    lifetime_us=DRAIN_LIFETIME_US,
+    bound=MAX_DRAIN_RECORDS,
+)  # fmt: skip
+EVIDENCE_KIND: Kind[Evidence] = Kind(
+    "evidence", _encode, msgspec.msgpack.Decoder(tuple[Observation, ...]).decode, merge_evidence,
+    lifetime_us=EVIDENCE_LIFETIME_US, bound=MAX_EVIDENCE_RECORDS, evict=_written,
 )  # fmt: skip
 
 
-def requests(longest_window_us: int, bound: int = REQUESTS) -> Kind[Outcome]:
-    """The kind of keyed requests, for the longest window that any class names."""
+def request_kind(max_retry_window_us: int, bound: int = MAX_REQUEST_RECORDS) -> Kind[Outcome]:
+    """The kind of keyed requests, for the longest retry window of any class."""
     decode = msgspec.msgpack.Decoder(Outcome).decode
-    lifetime_us = max(longest_window_us, SHORTEST_US)
-    return Kind("request", _encode, decode, furthest, lifetime_us, bound, evict=_written)
+    lifetime_us = max(max_retry_window_us, MIN_LIFETIME_US)
+    return Kind("request", _encode, decode, merge_outcomes, lifetime_us, bound, evict=_written)
--- a/robinhill/mesh/records.py
+++ b/robinhill/mesh/records.py
@@ -13,6 +13,8 @@
 import msgspec
 
 Value = TypeVar("Value")
+RecordName = tuple[str, str]
+"""Kind and key of a record."""
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -43,7 +45,7 @@
     value: bytes
 
     @property
-    def name(self) -> tuple[str, str]:
+    def name(self) -> RecordName:
         return self.kind, self.key
 
 
@@ -54,7 +56,8 @@
     ``merge`` is the rule for copies that differ: pure, commutative, associative, idempotent. ``encode`` must
     be canonical (equal values give equal bytes). ``bound``: records of it at most; beyond that ``evict`` says
     which go first (by ascending key), or new ones are refused where it is None. ``lifetime_us``: how long
-    after its last write a record counts. ``at_rest``: whether it is saved to disk and read again at a start.
+    after its last write a record counts. ``persistent``: whether it is saved to disk and read again at a
+    start.
     """
 
     name: str
@@ -64,4 +67,4 @@
     lifetime_us: int
     bound: int
     evict: "Callable[[Record], Any] | None" = None
-    at_rest: bool = True
+    persistent: bool = True
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -102,7 +102,7 @@
             raise StateFull(f"{rule.bound} records of {kind} are held that all go before {key!r}")
         return record
 
-    def take(self, now_us: int, record: Record) -> Record | None:
+    def merge(self, now_us: int, record: Record) -> Record | None:
         """Merge a peer's record. The record now held if this copy changed by it, None if not.
 
         Raises ForeignState (it can't be decoded), StateFull, and StampAhead, a FutureStamp that has ``held``:
@@ -165,13 +165,14 @@
             at += 1
         return found, self.head if at == len(self._log) else cursor
 
-    def snapshot(self, lasting: bool = False) -> Iterator[Record]:
-        """All records that still count, oldest change first; changes may go on meanwhile. ``lasting``: only
-        those that are kept at rest.
+    def snapshot(self, persistent_only: bool = False) -> Iterator[Record]:
+        """All records that have not expired, oldest change first; changes may go on meanwhile.
+
+        ``persistent_only``: only those of persistent kinds.
         """
         for held in [held for held, seq in zip(self._log, self._log_seqs, strict=True) if held.seq == seq]:
             if held.seq >= 0 and held.record.until_us > self._now_us:
-                if not lasting or held.shelf.kind is None or held.shelf.kind.at_rest:
+                if not persistent_only or held.shelf.kind is None or held.shelf.kind.persistent:
                     yield held.record
 
     def digest(self, now_us: int) -> bytes:
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -1,72 +1,86 @@
-"""One link between two schedulers as a state machine: frames in, frames out. No I/O.
+"""One end of a link between two schedulers, as a state machine: messages in, messages out. No I/O.
 
-After a greeting both sides compare what they hold; every change from the greeting on follows by itself.
-Nothing is queued for a reader: frames are *drawn* when the transport has room, and what is drawn is the
-newest value of each record. A pong counts once all that its sender knew when the ping came is here; leases
-rest on that. Times without a note are monotonic microseconds of this process.
+After the hellos both sides compare what they hold by anti-entropy; every change since then is pushed. Nothing
+is queued for a slow reader: a message is *drawn* when the transport has capacity, and carries the newest
+value of each record. A pong counts once everything that its sender knew when the ping arrived is here; leases
+depend on that (``freshness``). Times are monotonic microseconds of this process unless noted otherwise.
 """
 
 from collections import deque
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
-from robinhill.mesh.anti_entropy import Comparison
-from robinhill.mesh.delivery_windows import Arrivals, Departures, Name, Pushed
-from robinhill.mesh.errors import MeshError, PeerRefused
+from robinhill.mesh.anti_entropy import AntiEntropy
+from robinhill.mesh.delivery_windows import ReceiveWindow
+from robinhill.mesh.errors import MeshError, PeerRejected
 from robinhill.mesh.frames import (
     MAX_MEMBERS,
-    MAX_MESSAGE,
     PROTOCOL,
-    Again,
-    Aside,
     Frame,
-    Heads,
     Hello,
+    MemberMessage,
     Ping,
     Pong,
     Push,
-    Ranges,
-    Redo,
-    read,
-    write,
-)  # fmt: skip
+    PushResendRequest,
+    RangeDigests,
+    RecordVersions,
+    VersionsResendRequest,
+    decode_message,
+    encode_message,
+)
+from robinhill.mesh.ping_schedule import MAX_PINGS_IN_FLIGHT, PingSchedule
+from robinhill.mesh.push_sender import PushSender
 from robinhill.mesh.records import Record
+from robinhill.mesh.session_events import (
+    Event,
+    HelloReceived,
+    MemberMessageReceived,
+    PingAnswered,
+    RecordsReceived,
+)
 
-BATCH = 256  # records in a push at most, fewer where they are large: a pong must not wait behind a long one
-BATCH_BYTES = 64 << 10
-SMALL = 8  # records in a push that goes together with other frames
-ROOM = 4 << 10  # bytes of a frame round the value of a record
-PING_GAP_US = 50_000  # between two pings, and from a push to the ping that asks whether it came
-RELAY_US = 60_000  # what a peer should have from the writer itself is passed on only so much later
-MOST_FRAMES = 16  # in a message: sending is dear, so small frames go together
-FIRST_WAIT_US = 250_000  # for an answer, while the round trip is not known
-MIN_WAIT_US = 50_000
-MAX_PINGS = 8  # that may be out
-MAX_ASIDES = 64  # words between members that wait for room; older ones are dropped, as datagrams would be
+MAX_FRAMES_PER_MESSAGE = 16  # each message costs a system call, so small frames share one
+MAX_SMALL_PUSH_RECORDS = 8  # a larger push ends its message
+MAX_MEMBER_MESSAGES = 64  # that wait to be written; the oldest are dropped
 
 
 class Store(Protocol):
     """What a session needs of the replica."""
 
     @property
-    def head(self) -> int: ...
+    def head(self) -> int:
+        """The number of the last change."""
+        ...
 
-    def take(self, now_us: int, record: Record) -> Record | None: ...
+    def merge(self, now_us: int, record: Record) -> Record | None:
+        """Merge a peer's record; what is stored now if that changed something."""
+        ...
 
-    def record(self, kind: str, key: str) -> Record | None: ...
+    def record(self, kind: str, key: str) -> Record | None:
+        """The record of this name."""
+        ...
 
-    def since(self, cursor: int, limit: int) -> tuple[list[Record], int]: ...
+    def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
+        """Records changed after ``cursor``, and the cursor to go on from."""
+        ...
 
-    def ranges(self, now_us: int) -> Sequence[int]: ...
+    def ranges(self, now_us: int) -> Sequence[int]:
+        """The digests of all ranges as of ``now_us`` (Unix time)."""
+        ...
 
-    def in_range(self, index: int) -> list[Record]: ...
+    def in_range(self, index: int) -> list[Record]:
+        """The records of one range."""
+        ...
 
 
-class Ages(Protocol):
-    """What a session tells and asks about how fresh our knowledge of others is."""
+class KnowledgeAges(Protocol):
+    """What a session needs of `Freshness`: how old our knowledge of other schedulers is."""
 
-    def pinged(self, mono_us: int, partner: str, number: int) -> None: ...
+    def pinged(self, mono_us: int, partner: str, number: int) -> None:
+        """A ping is about to be written."""
+        ...
 
     def answered(
         self,
@@ -75,16 +89,22 @@
         number: int,
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
-    ) -> None: ...
+    ) -> None:
+        """The answer to a ping was received, with all changes before it."""
+        ...
 
-    def ages(self, mono_us: int) -> Mapping[str, int]: ...
+    def ages(self, mono_us: int) -> Mapping[str, int]:
+        """Ages of our knowledge of schedulers that count for majorities."""
+        ...
 
-    def starting_ages(self, mono_us: int) -> Mapping[str, int]: ...
+    def starting_ages(self, mono_us: int) -> Mapping[str, int]:
+        """Ages of our knowledge of schedulers that do not count yet."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """Who we are, and whom we know by configuration: sorted, with ourselves."""
+    """This scheduler, and the sorted names of all configured ones, itself included."""
 
     installation: str
     name: str
@@ -93,48 +113,8 @@
     features: tuple[str, ...] = ()
 
 
-# What a frame brought, for the caller
-
-
-@dataclass(slots=True, frozen=True)
-class Greeted:
-    """The other side has said who it is."""
-
-    hello: Hello
-
-
-@dataclass(slots=True, frozen=True)
-class Learned:
-    """Records that changed here by what came, and those that were declined, with why."""
-
-    records: tuple[Record, ...]
-    declined: tuple[tuple[Record, MeshError], ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class Answered:
-    """All that the peer knew when our ping came is here; it wrote so ``took_us`` after we had asked.
-
-    ``held``: our changes up to this one are at the peer.
-    """
-
-    number: int
-    took_us: int
-    held: int
-
-
-@dataclass(slots=True, frozen=True)
-class Told:
-    """A word between members."""
-
-    words: bytes
-
-
-Event = Greeted | Learned | Answered | Told
-
-
 @dataclass(slots=True)
-class _Owed:
+class _PendingPong:
     """An answer that is due once our changes up to ``head`` are written."""
 
     number: int
@@ -144,314 +124,240 @@
 
 
 class Session:
-    """One end of a link; both ends are alike but for who ``opens`` the comparisons."""
+    """One end of a link; both ends are alike but for who ``opens`` the rounds of anti-entropy.
+
+    ``peer``: its hello, None before it was received. ``last_received_us``: when the last message was
+    received. ``confirmed_cursor``: our changes up to this one are at the peer.
+    """
 
-    def __init__(self, own: Identity, store: Store, ages: Ages, opens: bool, interval_us: int) -> None:
+    def __init__(
+        self, own: Identity, store: Store, ages: KnowledgeAges, opens: bool, interval_us: int
+    ) -> None:
         self.own = own
         self.store = store
         self.ages = ages
-        self.interval_us = interval_us
         self.peer: Hello | None = None
-        self.comparison = Comparison(store, opens)
-        self.cursor = store.head  # our changes up to here are written, or compared by digests
-        self.held = 0  # our changes up to here are at the peer
-        self.heard_us = 0  # when the last frame came
-        self.round_trip_us: int | None = None
-        self.pushed = 0  # records
-        self.skipped = 0  # records that the peer had shown to have
-        self.oversized = 0  # records that fit no frame
-        self._came = Arrivals()
-        self._went = Departures()
-        self._understood = False  # the peer has our hello
-        self._hello_us = 0  # when it is due (again)
-        self._shown: dict[Name, Record] = {}  # what the peer has, of the changes behind the cursor
-        self._whole = False  # all that we knew at the greeting is in pushes that are written
-        self._asides: deque[bytes] = deque(maxlen=MAX_ASIDES)
-        self._owed: _Owed | None = None
-        self._asked: dict[int, int] = {}  # pings that are out, and when each was written
-        self._number = 0
-        self._ping_us = 0  # when the next one is due
-        self._last_ping_us = -PING_GAP_US
-        self._relay_us: int | None = None  # when changes must go that the peer may have from elsewhere
-        self.direct: Callable[[str], bool] = lambda origin: False  # whether it should have those of this one
-        self._early: list[Pong] = []  # pongs that came before the pushes that they stand behind
-        self._ask_again: tuple[int, ...] = ()
-
-    # In
+        self.last_received_us = 0
+        self.confirmed_cursor = 0
+        self.anti_entropy = AntiEntropy(store, opens)
+        self.sender = PushSender(store, own.name, self.anti_entropy.pending)
+        self.pings = PingSchedule(interval_us)
+        self._received = ReceiveWindow()
+        self._missing: tuple[int, ...] = ()  # pushes to request again
+        self._hello_confirmed = False  # the peer has our hello
+        self._hello_due_us = 0
+        self._initial_sync_written = False  # what we knew at the hello is in pushes that are written
+        self._pending_pong: _PendingPong | None = None
+        self._early_pongs: list[Pong] = []  # received before pushes that they stand behind
+        self._member_messages: deque[bytes] = deque(maxlen=MAX_MEMBER_MESSAGES)
+
+    # Receiving
 
     def receive(self, now_us: int, mono_us: int, data: bytes) -> list[Event]:
-        """Take in a message (``now_us``: Unix time). Raises PeerRefused; the link must end then."""
-        frames = read(data)
-        self.heard_us = mono_us
+        """Process a message (``now_us``: Unix time). Raises PeerRejected; the link must be closed then."""
+        frames = decode_message(data)
+        self.last_received_us = mono_us
         return [event for frame in frames for event in self._receive(now_us, mono_us, frame)]
 
     def _receive(self, now_us: int, mono_us: int, frame: Frame) -> list[Event]:
         if isinstance(frame, Hello):
-            return self._hello(now_us, mono_us, frame)
-        self._understood = True  # only who has greeted us back writes anything else
+            return self._receive_hello(now_us, mono_us, frame)
+        self._hello_confirmed = True  # a peer writes anything else only after our hello
         if self.peer is None:
-            return []  # its hello was lost or overtaken; all of this is said again
+            return []  # its hello was lost or overtaken; all of this will be sent again
         match frame:
             case Push():
-                return self._push(now_us, mono_us, frame)
+                return self._receive_push(now_us, mono_us, frame)
             case Ping():
-                self._confirmed(frame.low)
-                self._ask_again = self._came.lacking(frame.pushed)
-                if self._owed is None:  # else that answer is on its way, and the next ping asks again
-                    self._owed = _Owed(
-                        frame.number,
-                        self.store.head,
-                        self.ages.ages(mono_us),
-                        self.ages.starting_ages(mono_us),
-                    )
+                self._receive_ping(mono_us, frame)
             case Pong():
-                return self._pong(mono_us, frame)
-            case Again(numbers=numbers):
-                self._went.lost(numbers)
-            case Ranges():
-                self.comparison.ranges(now_us, mono_us, frame)
-            case Heads():
-                self.comparison.heads(mono_us, frame)
-            case Redo():
-                self.comparison.redo(frame)
-            case Aside(words=words):
-                return [Told(words)]
+                return self._receive_pong(mono_us, frame)
+            case PushResendRequest(numbers=numbers):
+                self.sender.window.mark_lost(numbers)
+            case RangeDigests():
+                self.anti_entropy.digests_received(now_us, mono_us, frame)
+            case RecordVersions():
+                self.anti_entropy.versions_received(mono_us, frame)
+            case VersionsResendRequest():
+                self.anti_entropy.resend_requested(frame)
+            case MemberMessage(payload=payload):
+                return [MemberMessageReceived(payload)]
         return []
 
-    def _hello(self, now_us: int, mono_us: int, hello: Hello) -> list[Event]:
+    def _receive_hello(self, now_us: int, mono_us: int, hello: Hello) -> list[Event]:
         if self.peer is not None:
             if (hello.name, hello.incarnation) != (self.peer.name, self.peer.incarnation):
-                raise PeerRefused(f"{self.peer.name} greets again as {hello.name}")
-            self._hello_us = min(self._hello_us, mono_us) if not self._understood else self._hello_us
+                raise PeerRejected(f"{self.peer.name} greets again as {hello.name}")
+            if not self._hello_confirmed:
+                self._hello_due_us = min(self._hello_due_us, mono_us)
             return []
+        self._check(hello)
+        self.peer = hello
+        self.sender.peer_name = hello.name
+        self.sender.cursor = self.store.head
+        self.pings.due_us = mono_us
+        if self.anti_entropy.opens:
+            self.anti_entropy.tick(now_us, mono_us)
+        return [HelloReceived(hello)]
+
+    def _check(self, hello: Hello) -> None:
+        """Raises PeerRejected if there can be no link with this peer."""
         if hello.protocol != PROTOCOL:
-            raise PeerRefused(f"{hello.name} speaks protocol {hello.protocol}, we speak {PROTOCOL}")
+            raise PeerRejected(f"{hello.name} speaks protocol {hello.protocol}, we speak {PROTOCOL}")
         if hello.installation != self.own.installation:
-            raise PeerRefused(f"{hello.name} is of installation {hello.installation}")
+            raise PeerRejected(f"{hello.name} is of installation {hello.installation}")
         if hello.name == self.own.name:
-            raise PeerRefused(f"{hello.name} is our own name")
+            raise PeerRejected(f"{hello.name} is our own name")
         if hello.name not in self.own.names:
-            raise PeerRefused(f"{hello.name} is no peer by our file")
+            raise PeerRejected(f"{hello.name} is no peer by our file")
         if len(hello.names) > MAX_MEMBERS:
-            raise PeerRefused(f"{hello.name} names {len(hello.names)} members")
-        self.peer = hello
-        self.cursor = self.store.head
-        self._ping_us = mono_us
-        if self.comparison.opens:
-            self.comparison.tick(now_us, mono_us)
-        return [Greeted(hello)]
-
-    def _push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
-        self._came.came(push.number, push.instead)
+            raise PeerRejected(f"{hello.name} names {len(hello.names)} members")
+
+    def _receive_push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
+        self._received.received(push.number, push.replaces)
         changed: list[Record] = []
-        declined: list[tuple[Record, MeshError]] = []
+        rejected: list[tuple[Record, MeshError]] = []
         for record in push.records:
             try:
-                outcome = self.store.take(now_us, record)
+                stored = self.store.merge(now_us, record)
             except MeshError as e:
-                declined.append((record, e))
-                outcome = getattr(e, "held", None)  # from the future a little: it was taken all the same
-            if outcome is not None:
-                changed.append(outcome)
-            if self.cursor < self.store.head and self.store.record(*record.name) == record:
-                self._shown[record.name] = record
-        events: list[Event] = [Learned(tuple(changed), tuple(declined))] if changed or declined else []
-        early, self._early = self._early, []
+                rejected.append((record, e))
+                stored = getattr(e, "stored", None)  # a record slightly in the future is stored all the same
+            if stored is not None:
+                changed.append(stored)
+            self.sender.peer_has(record)
+        events: list[Event] = []
+        if changed or rejected:
+            events.append(RecordsReceived(tuple(changed), tuple(rejected)))
+        early, self._early_pongs = self._early_pongs, []
         for pong in early:
-            events += self._pong(mono_us, pong)
+            events += self._receive_pong(mono_us, pong)
         return events
 
-    def _pong(self, mono_us: int, pong: Pong) -> list[Event]:
+    def _receive_ping(self, mono_us: int, ping: Ping) -> None:
+        self._confirm(ping.low)
+        self._missing = self._received.missing(ping.pushed)
+        if self._pending_pong is None:  # otherwise that answer is on its way, and the next ping asks again
+            self._pending_pong = _PendingPong(
+                ping.number, self.store.head, self.ages.ages(mono_us), self.ages.starting_ages(mono_us)
+            )
+
+    def _receive_pong(self, mono_us: int, pong: Pong) -> list[Event]:
         assert self.peer
-        self._confirmed(pong.low)
-        if (lacking := self._came.lacking(pong.pushed)) or pong.pushed > self._came.low:
-            self._ask_again = lacking
-            self._early = [*self._early[1 - MAX_PINGS :], pong]
+        self._confirm(pong.low)
+        if (missing := self._received.missing(pong.pushed)) or pong.pushed > self._received.low:
+            self._missing = missing
+            self._early_pongs = [*self._early_pongs[1 - MAX_PINGS_IN_FLIGHT :], pong]
             return []
-        if (asked_us := self._asked.get(pong.number)) is None:
+        if (took_us := self.pings.answered(mono_us, pong.number)) is None:
             return []
-        for number in [n for n in self._asked if n <= pong.number]:
-            del self._asked[number]
-        took_us = mono_us - asked_us
-        mean = took_us if self.round_trip_us is None else self.round_trip_us
-        self.round_trip_us = mean + (took_us - mean) // 4
         names = self.peer.names
         ages_us = {name: age * 1000 for name, age in zip(names, pong.ages_ms, strict=False) if age >= 0}
         starting_us = {names[i]: age * 1000 for i, age in pong.starting_ms if 0 <= i < len(names)}
         self.ages.answered(mono_us, self.peer.name, pong.number, ages_us, starting_us)
-        return [Answered(pong.number, took_us, self.held)]
-
-    def _confirmed(self, low: int) -> None:
-        """The peer has all our pushes up to this one."""
-        self._went.confirmed(min(low, self._went.last))
-        if self._whole:
-            self.held = max(self.held, self._went.held(self.cursor))
+        return [PingAnswered(pong.number, took_us, self.confirmed_cursor)]
 
-    # Out
+    def _confirm(self, low: int) -> None:
+        """The peer has all our pushes up to ``low``."""
+        self.sender.window.confirm(min(low, self.sender.window.last))
+        if self._initial_sync_written:
+            self.confirmed_cursor = max(self.confirmed_cursor, self.sender.confirmed_cursor)
 
-    def ask(self) -> None:
-        """Ping as soon as may be."""
-        self._ping_us = min(self._ping_us, self._last_ping_us + PING_GAP_US)
+    # Sending
 
-    def say(self, words: bytes) -> None:
-        """Tell a member something that may be lost."""
-        self._asides.append(words)
-
-    @property
-    def wait_us(self) -> int:
-        """How long an answer may take before what it answers is taken for lost."""
-        if self.round_trip_us is None:
-            return FIRST_WAIT_US
-        return max(MIN_WAIT_US, self.round_trip_us + self.round_trip_us // 2)
+    def send_member_message(self, payload: bytes) -> None:
+        """Send a message outside of replication; it may be lost."""
+        self._member_messages.append(payload)
 
     def next_us(self) -> int:
-        """When `draw` has something to write though nothing happens before."""
+        """When `draw` has something to write even if nothing happens before."""
         if self.peer is None:
-            return self._hello_us
-        due = [self._ping_due_us(), *([] if self._understood else [self._hello_us])]
-        if (next_us := self.comparison.next_us) is not None:
+            return self._hello_due_us
+        due = [self._ping_due_us()]
+        if not self._hello_confirmed:
+            due.append(self._hello_due_us)
+        if (next_us := self.anti_entropy.next_us) is not None:
             due.append(next_us)
-        if self._relay_us is not None:
-            due.append(self._relay_us)
+        if self.sender.relay_due_us is not None:
+            due.append(self.sender.relay_due_us)
         return min(due)
 
-    def _ping_due_us(self) -> int:
-        """Earlier than in turn where the last one, or a push, seems to be lost."""
-        if self._asked or self._went.unconfirmed:
-            return min(self._ping_us, self._last_ping_us + max(PING_GAP_US, self.wait_us))
-        return self._ping_us
-
     def draw(self, now_us: int, mono_us: int) -> bytes | None:
-        """The next message to write, as there is room for one; None: there is nothing to say now."""
+        """The next message to write now that the transport has capacity; None: nothing at the moment."""
         frames: list[Frame] = []
-        while len(frames) < MOST_FRAMES and (frame := self._next(now_us, mono_us)) is not None:
+        while (
+            len(frames) < MAX_FRAMES_PER_MESSAGE and (frame := self._next_frame(now_us, mono_us)) is not None
+        ):
             frames.append(frame)
-            if isinstance(frame, (Push, Heads, Ranges)) and len(frames) > 1:
+            if isinstance(frame, (Push, RecordVersions, RangeDigests)) and len(frames) > 1:
                 break
-            if isinstance(frame, Push) and len(frame.records) > SMALL:
+            if isinstance(frame, Push) and len(frame.records) > MAX_SMALL_PUSH_RECORDS:
                 break
-        return write(frames) if frames else None
-
-    def _next(self, now_us: int, mono_us: int) -> Frame | None:
-        if not self._understood and mono_us >= self._hello_us:
-            self._hello_us = mono_us + self.wait_us
-            own = self.own
-            return Hello(
-                PROTOCOL, own.installation, own.name, own.incarnation, own.features, now_us, own.names
-            )
+        return encode_message(frames) if frames else None
+
+    def _next_frame(self, now_us: int, mono_us: int) -> Frame | None:
+        """The next frame by priority: hello, resend request, pushes, pong, ping, anti-entropy."""
+        if not self._hello_confirmed and mono_us >= self._hello_due_us:
+            return self._hello(now_us, mono_us)
         if self.peer is None:
             return None
-        if self._ask_again:
-            numbers, self._ask_again = self._ask_again, ()
-            return Again(numbers)
-        frame: Frame | None
-        if frame := self._said_again(mono_us) or self._changes(mono_us) or self._answer(mono_us):
+        if self._missing:
+            numbers, self._missing = self._missing, ()
+            return PushResendRequest(numbers)
+        if (frame := self._changes_or_pong(mono_us)) is not None:
             return frame
         if mono_us >= self._ping_due_us():
             return self._ping(mono_us)
-        if self._asides:
-            return Aside(self._asides.popleft())
-        self.comparison.tick(now_us, mono_us)
-        if (part := self.comparison.draw()) is not None:
-            return part
-        if self.comparison.owed and self._went.room:
-            return self._lacked(mono_us)
-        if not self._whole and self.comparison.rounds and not self.comparison.owed:
-            self._whole = True
-            return self._answer(mono_us)
+        if self._member_messages:
+            return MemberMessage(self._member_messages.popleft())
+        return self._anti_entropy_frame(now_us, mono_us)
+
+    def _changes_or_pong(self, mono_us: int) -> Push | Pong | None:
+        push = self.sender.lost_push() or self.sender.changes(mono_us, self._pending_pong is not None)
+        if push is None:
+            return self._pong(mono_us)
+        self.pings.push_written(mono_us)
+        return push
+
+    def _anti_entropy_frame(self, now_us: int, mono_us: int) -> Frame | None:
+        self.anti_entropy.tick(now_us, mono_us)
+        if (frame := self.anti_entropy.draw()) is not None:
+            return frame
+        if (push := self.sender.pending_records()) is not None:
+            self.pings.push_written(mono_us)
+            return push
+        if not self._initial_sync_written and self.anti_entropy.rounds and not self.anti_entropy.pending:
+            self._initial_sync_written = True
+            return self._pong(mono_us)
         return None
 
-    def _answer(self, mono_us: int) -> Pong | None:
-        owed = self._owed
-        if owed is None or not self._whole or self.cursor < owed.head:
+    def _hello(self, now_us: int, mono_us: int) -> Hello:
+        self._hello_due_us = mono_us + self.pings.timeout_us
+        own = self.own
+        return Hello(PROTOCOL, own.installation, own.name, own.incarnation, own.features, now_us, own.names)
+
+    def _pong(self, mono_us: int) -> Pong | None:
+        """The pending pong, if everything that it stands for is written."""
+        pending = self._pending_pong
+        if pending is None or not self._initial_sync_written or self.sender.cursor < pending.head:
             return None
-        self._owed = None
-        names, known, starting = self.own.names, owed.ages_us, owed.starting_us
-        ages = tuple(_ms(known[name]) if name in known else -1 for name in names)
-        late = tuple((i, _ms(starting[name])) for i, name in enumerate(names) if name in starting)
-        if self._ping_us - mono_us < self.interval_us // 2:
-            self._ping_us = mono_us  # in the same message as the answer
-        return Pong(owed.number, self._went.last, self._came.low, ages, late)
+        self._pending_pong = None
+        names, known, starting = self.own.names, pending.ages_us, pending.starting_us
+        ages = tuple(_rounded_up_ms(known[name]) if name in known else -1 for name in names)
+        late = tuple((i, _rounded_up_ms(starting[name])) for i, name in enumerate(names) if name in starting)
+        self.pings.pong_written(mono_us)
+        return Pong(pending.number, self.sender.window.last, self._received.low, ages, late)
+
+    def _ping_due_us(self) -> int:
+        return self.pings.next_us(unconfirmed_pushes=self.sender.window.unconfirmed > 0)
 
     def _ping(self, mono_us: int) -> Ping:
         assert self.peer
-        self._number += 1
-        self._asked[self._number] = mono_us
-        if len(self._asked) > MAX_PINGS:
-            del self._asked[next(iter(self._asked))]
-        self.ages.pinged(mono_us, self.peer.name, self._number)
-        self._last_ping_us = mono_us
-        self._ping_us = mono_us + self.interval_us
-        return Ping(self._number, self._went.last, self._came.low)
-
-    def _write_push(self, mono_us: int, records: list[Record], pushed: Pushed) -> Push:
-        number = self._went.wrote(pushed)
-        self.pushed += len(records)
-        # An answer to a ping behind it tells that it has come.
-        self._ping_us = min(self._ping_us, max(mono_us, self._last_ping_us) + PING_GAP_US)
-        return Push(number, tuple(records), pushed.instead)
-
-    def _said_again(self, mono_us: int) -> Push | None:
-        """A push that was lost, with the newest values."""
-        if (lost := self._went.again()) is None:
-            return None
-        records = [r for name in lost.names if (r := self.store.record(*name)) and self._fits(r)]
-        return self._write_push(mono_us, records, lost)
+        number = self.pings.ping_written(mono_us)
+        self.ages.pinged(mono_us, self.peer.name, number)
+        return Ping(number, self.sender.window.last, self._received.low)
 
-    def _may_wait(self, mono_us: int, records: list[Record]) -> bool:
-        """Whether the peer should have all of these from their writers; of two such peers one asks first."""
-        assert self.peer
-        if self._owed or len(records) >= BATCH:
-            return False
-        own = self.own.name
-        if any(r.stamp.origin == own or not self.direct(r.stamp.origin) for r in records):
-            return False
-        if self._relay_us is None:
-            self._relay_us = mono_us + (RELAY_US if own < self.peer.name else 2 * RELAY_US)
-        return mono_us < self._relay_us
-
-    def _changes(self, mono_us: int) -> Push | None:
-        """The changes behind the cursor, without what the peer has shown that it has."""
-        limit = BATCH
-        while self.cursor < self.store.head and self._went.room:
-            records, cursor = self.store.since(self.cursor, limit)
-            if limit == BATCH and self._may_wait(mono_us, records):
-                return None
-            due = [r for r in records if self._shown.get(r.name) != r and self._fits(r)]
-            if len(due) > 1 and sum(len(r.value) for r in due) > BATCH_BYTES:
-                limit = len(records) // 2
-                continue
-            before, self.cursor = self.cursor, cursor if records else self.store.head
-            for record in records:
-                self._shown.pop(record.name, None)
-                self.comparison.owed.pop(record.name, None)
-            if self.cursor >= self.store.head:
-                self._shown.clear()
-                self._relay_us = None
-            self.skipped += len(records) - len(due)
-            if due:
-                return self._write_push(mono_us, due, Pushed(tuple(r.name for r in due), before))
-        return None
 
-    def _lacked(self, mono_us: int) -> Push:
-        """Records that a comparison found the peer to lack, in their newest form."""
-        due: list[Record] = []
-        size = 0
-        owed = self.comparison.owed
-        while owed and len(due) < BATCH and size < BATCH_BYTES:
-            name = next(iter(owed))
-            del owed[name]
-            if (record := self.store.record(*name)) and self._fits(record):
-                due.append(record)
-                size += len(record.value)
-        return self._write_push(mono_us, due, Pushed(tuple(r.name for r in due), 0))
-
-    def _fits(self, record: Record) -> bool:
-        fits = len(record.value) + len(record.key) <= MAX_MESSAGE - BATCH_BYTES - ROOM
-        self.oversized += not fits
-        return fits
-
-
-def _ms(us: int) -> int:
-    """Rounded up: an age may be told too large, never too small."""
+def _rounded_up_ms(us: int) -> int:
+    """Milliseconds, rounded up: an age may be overstated, never understated."""
     return -(-us // 1000)
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -16,7 +16,7 @@
     taken = 0
     for record in records:
         try:
-            replica.take(now_us, record)
+            replica.merge(now_us, record)
             taken += 1
         except MeshError as e:
             log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": str(e)})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -245,7 +245,7 @@
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
     def _lasting(self) -> Iterable[Record]:
-        return self.replica.snapshot(lasting=True)
+        return self.replica.snapshot(persistent_only=True)
 
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -27,7 +27,7 @@
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Learned
+from robinhill.mesh.session_events import PingAnswered, RecordsReceived
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.cordons.operator_calls import (
@@ -171,8 +171,8 @@
 
     # From peers, at once
 
-    def learned(self, learned: Learned) -> None:
-        for record, error in learned.declined:
+    def learned(self, learned: RecordsReceived) -> None:
+        for record, error in learned.rejected:
             extra = {"kind": record.kind, "key": record.key, "why": str(error)}
             log.warning("record_declined", extra=extra)
         if sum([self._took_in(record) for record in learned.records]):
@@ -187,7 +187,7 @@
         """There is no link to this peer now."""
         self.following.linked(mono_us(), name, False)
 
-    def answered(self, name: str, answered: Answered) -> None:
+    def answered(self, name: str, answered: PingAnswered) -> None:
         self._answered.add(name)
         if not self.freshness.caught_up and self.freshness.may_catch_up():
             self.vouch("learned from others")
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -14,9 +14,16 @@
 
 from robinhill.config_types import Address
 from robinhill.mesh import overlay
-from robinhill.mesh.errors import PeerRefused, PeerUnreachable
-from robinhill.mesh.frames import MAX_MESSAGE
-from robinhill.mesh.session import Ages, Answered, Event, Greeted, Identity, Learned, Session, Store, Told
+from robinhill.mesh.errors import PeerRejected, PeerUnreachable
+from robinhill.mesh.frames import MAX_MESSAGE_BYTES
+from robinhill.mesh.session import Identity, KnowledgeAges, Session, Store
+from robinhill.mesh.session_events import (
+    Event,
+    HelloReceived,
+    MemberMessageReceived,
+    PingAnswered,
+    RecordsReceived,
+)
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clients.connections import bind
 from robinhill.net.clock import Clock, mono_us
@@ -43,11 +50,11 @@
     behind it lends a lease. ``told_us``: the peer's Unix time as it greeted.
     """
 
-    def learned(self, learned: Learned) -> None: ...
+    def learned(self, learned: RecordsReceived) -> None: ...
 
     def greeted(self, name: str, incarnation: int, told_us: int) -> None: ...
 
-    def answered(self, name: str, answered: Answered) -> None: ...
+    def answered(self, name: str, answered: PingAnswered) -> None: ...
 
     def lost(self, name: str) -> None: ...
 
@@ -103,7 +110,7 @@
         supervisor: Supervisor,
         clock: Clock,
         store: Store,
-        ages: Ages,
+        ages: KnowledgeAges,
         hearer: Hearer,
         rng: random.Random,
     ) -> None:
@@ -119,7 +126,7 @@
         self.fresh: set[PeerLink] = set()  # not greeted yet
         self.partners: Sequence[str] = self._partners()
         self.alive: Callable[[], Collection[str]] = lambda: self.links.keys()  # who is thought to run
-        self.told: Callable[[str, bytes], None] = lambda name, words: None  # words between members
+        self.told: Callable[[str, bytes], None] = lambda name, payload: None  # words between members
         self.counts = dict.fromkeys(("opened", "lost", "refused", "frames_in", "frames_out", "bytes_in",
                                      "bytes_out"), 0)  # fmt: skip
         self.refusals: dict[str, str] = {}  # the last one by name or address, for operators; bounded
@@ -201,7 +208,7 @@
             return web.Response(status=404)
         if self._stopping or len(self.fresh) >= STRANGERS:
             return web.Response(status=503)
-        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE, compress=False, timeout=0.2)
+        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE_BYTES, compress=False, timeout=0.2)
         await socket.prepare(request)
         await self._run(socket, str(request.remote), dialled=False)
         return socket
@@ -240,7 +247,7 @@
         head = self.store.head
         try:
             events = link.session.receive(self.clock.now_us(), mono_us(), data)
-        except PeerRefused as e:
+        except PeerRejected as e:
             self._refuse(link, e)
             return
         for event in events:
@@ -251,24 +258,26 @@
 
     def _happened(self, link: PeerLink, event: Event) -> None:
         match event:
-            case Greeted(hello=hello):
+            case HelloReceived(hello=hello):
                 if self._seat(link):
                     own = self.configured.identity
                     near = set(overlay.partners(hello.name, own.names))
-                    link.session.direct = lambda origin: origin in near or origin == hello.name
+                    link.session.sender.receives_directly = lambda origin: (
+                        origin in near or origin == hello.name
+                    )
                     self.hearer.greeted(hello.name, hello.incarnation, hello.now_us)
-            case Learned():
+            case RecordsReceived():
                 self.hearer.learned(event)
-            case Answered():
+            case PingAnswered():
                 if not link.proven and self.links.get(link.name) is link:
                     link.proven = True
                     extra = {"peer": link.name, "dialled": link.dialled, "links": len(self.links)}
                     log.info("peer_linked", extra=extra)
                 self.hearer.answered(link.name, event)
-            case Told(words=words):
-                self.told(link.name, words)
+            case MemberMessageReceived(payload=payload):
+                self.told(link.name, payload)
 
-    def _refuse(self, link: PeerLink, error: PeerRefused) -> None:
+    def _refuse(self, link: PeerLink, error: PeerRejected) -> None:
         self.counts["refused"] += 1
         peer = link.name or link.address
         self.refusals.pop(peer, None)
@@ -291,7 +300,7 @@
                 return False
         else:
             assert other.session.peer
-            silent_us = mono_us() - other.session.heard_us
+            silent_us = mono_us() - other.session.last_received_us
             preferred = min(name, self.configured.identity.name)
             dialler = {True: self.configured.identity.name, False: name}
             if other.session.peer.incarnation != incarnation:
@@ -368,7 +377,7 @@
         try:
             async with asyncio.timeout(DIAL_S):
                 socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE, compress=0, autoclose=True
+                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES, compress=0, autoclose=True
                 )
         except (OSError, aiohttp.ClientError, TimeoutError) as e:
             return f"{type(e).__name__} {e}".strip()
@@ -387,12 +396,12 @@
         if late_us > AWAY_US:
             log.warning("was_away", extra={"seconds": late_us / 1e6})
             for link in self.links.values():
-                link.session.ask()
+                link.session.pings.ping_soon()
                 link.wake()
         else:
             dead_us = interval_us + DEAD_US
             for link in list(self.links.values()):
-                if now_us - link.session.heard_us > dead_us:
+                if now_us - link.session.last_received_us > dead_us:
                     link.end("silent")
                 elif now_us - link.opened_us > LASTING_US:
                     self._tries.pop(link.name, None)
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -15,15 +15,16 @@
 from robinhill.config import Config
 from robinhill.config_types import Address, ConfigError
 from robinhill.cordon.value import cordon_kind
-from robinhill.mesh.acknowledgements import notice_kind
+from robinhill.mesh.acknowledgements import acknowledgement_kind
 from robinhill.mesh.clocks import agreed_offset_us, next_incarnation
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
-from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
+from robinhill.mesh.record_kinds import DRAIN_KIND, EVIDENCE_KIND, MAX_RETRY_WINDOW_US, request_kind
 from robinhill.mesh.records import Kind
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Identity, Learned
+from robinhill.mesh.session import Identity
+from robinhill.mesh.session_events import PingAnswered, RecordsReceived
 from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.inbound import Inbound
@@ -109,7 +110,7 @@
         now_us = self.clock.now_us()
         for record in records:
             try:
-                self.replica.take(now_us, record)
+                self.replica.merge(now_us, record)
             except MeshError as e:
                 log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": str(e)})
         away_us = max(0, now_us - owner.saved_us)
@@ -128,7 +129,7 @@
         return SnapshotHeader(self.options.installation, self.name, incarnation, self.clock.now_us())
 
     def _lasting(self) -> Iterable[Any]:
-        return self.replica.snapshot(lasting=True)
+        return self.replica.snapshot(persistent_only=True)
 
     async def _collect(self) -> None:
         while True:
@@ -140,7 +141,7 @@
 
     # From peers, for all who have to know
 
-    def learned(self, learned: Learned) -> None:
+    def learned(self, learned: RecordsReceived) -> None:
         self.cordons.learned(learned)
 
     def greeted(self, name: str, incarnation: int, told_us: int) -> None:
@@ -154,7 +155,7 @@
             log.warning("clock_corrected", extra={"by_s": agreed_us / 1e6})
         self.cordons.greeted(name, incarnation)
 
-    def answered(self, name: str, answered: Answered) -> None:
+    def answered(self, name: str, answered: PingAnswered) -> None:
         self.cordons.answered(name, answered)
 
     def lost(self, name: str) -> None:
@@ -231,7 +232,13 @@
 
 
 def _kinds() -> Iterable[Kind[Any]]:
-    return (cordon_kind(), notice_kind(), DRAIN, SEEN, requests(LONGEST_WINDOW_US))
+    return (
+        cordon_kind(),
+        acknowledgement_kind(),
+        DRAIN_KIND,
+        EVIDENCE_KIND,
+        request_kind(MAX_RETRY_WINDOW_US),
+    )
 
 
 def _names(options: MeshOptions, own: str) -> tuple[str, ...]:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -173,18 +173,19 @@
                 value=b"value9",
             ),
         ),
-        instead=(10,),
+        replaces=(10,),
     ),
     "frames.ping": frames.Ping(number=1, pushed=2, low=3),
     "frames.pong": frames.Pong(number=1, pushed=2, low=3, ages_ms=(4,), starting_ms=((5, 6),)),
-    "frames.again": frames.Again(numbers=(1,)),
-    "frames.ranges": frames.Ranges(round=1, at_us=2, answers=True, digests=b"digests3"),
-    "frames.Part": frames.Part(index=1, part=2, parts=3, heads=(("heads4", "heads5", b"heads6"),)),
-    "frames.heads": frames.Heads(
-        round=1, parts=(frames.Part(index=2, part=3, parts=4, heads=(("heads5", "heads6", b"heads7"),)),)
+    "frames.again": frames.PushResendRequest(numbers=(1,)),
+    "frames.ranges": frames.RangeDigests(round=1, at_us=2, answers=True, digests=b"digests3"),
+    "frames.Part": frames.RangePart(index=1, part=2, parts=3, versions=(("heads4", "heads5", b"heads6"),)),
+    "frames.heads": frames.RecordVersions(
+        round=1,
+        parts=(frames.RangePart(index=2, part=3, parts=4, versions=(("heads5", "heads6", b"heads7"),)),),
     ),
-    "frames.redo": frames.Redo(round=1, indices=(2,)),
-    "frames.aside": frames.Aside(words=b"words1"),
+    "frames.redo": frames.VersionsResendRequest(round=1, indices=(2,)),
+    "frames.aside": frames.MemberMessage(payload=b"words1"),
     "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
@@ -228,7 +229,7 @@
         rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
     ),
     "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
-    "kinds.Sighting": record_kinds.Sighting(
+    "kinds.Sighting": record_kinds.Observation(
         observer="observer1", what="what2", at_us=3, about="about4", amount=5
     ),
     "kinds.Outcome": record_kinds.Outcome(
@@ -317,18 +318,18 @@
     if name.startswith("control."):
         return control.write(control.read(data))
     if name.startswith("frames."):
-        return frames.write(frames.read(data))
+        return frames.encode_message(frames.decode_message(data))
     raise KeyError(name)
 
 
-_REQUESTS = record_kinds.requests(record_kinds.LONGEST_WINDOW_US)
+_REQUESTS = record_kinds.request_kind(record_kinds.MAX_RETRY_WINDOW_US)
 
 VALUES: Mapping[str, Callable[[bytes], bytes]] = {
     "cordon": lambda data: cordon.encode(cordon.decode(data)),
     "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
-    "drain": lambda data: record_kinds.DRAIN.encode(record_kinds.DRAIN.decode(data)),
-    "evidence": lambda data: record_kinds.SEEN.encode(record_kinds.SEEN.decode(data)),
+    "drain": lambda data: record_kinds.DRAIN_KIND.encode(record_kinds.DRAIN_KIND.decode(data)),
+    "evidence": lambda data: record_kinds.EVIDENCE_KIND.encode(record_kinds.EVIDENCE_KIND.decode(data)),
     "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
 }
 """Values of records by the name of their kind, read and written again."""
@@ -343,14 +344,14 @@
     """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
     record = SAMPLES["shared.Record"]
     assert isinstance(record, shared.Record)
-    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN))
+    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN_KIND))
     stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
-    replica.take(
+    replica.merge(
         2_000_000, shared.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain)
     )
     return {
-        "record": frames.check(record).hex(),
+        "record": frames.record_digest(record).hex(),
         "parts": acknowledgements.digest(b"a", b"bc").hex(),
         "names": acknowledgements.list_digest(["s2", "s1"]).hex(),
         "replica": replica.digest(2_000_000).hex(),
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -94,7 +94,7 @@
     rig = Rig(100)
     other = Replica("s", 1, [number_kind(CORDON), number_kind(NOTE)])
     for record in rig.replica.snapshot():
-        other.take(EPOCH_US, record)
+        other.merge(EPOCH_US, record)
     rig.compare_with(other)
     assert rig.draw() == [Compared(100)]
 
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -36,7 +36,7 @@
 
 
 FEW = marks("few", 7 * DAY, bound=3, evict=lambda record: record.stamp)
-KINDS = (marks("long", 7 * DAY), marks("short", 20 * S), FEW, record_kinds.DRAIN)
+KINDS = (marks("long", 7 * DAY), marks("short", 20 * S), FEW, record_kinds.DRAIN_KIND)
 
 
 def copies(count: int, *given: Kind[Any]) -> list[Replica]:
@@ -45,9 +45,9 @@
 
 def take(copy: Replica, now: int, record: Record) -> Record | None:
     try:
-        return copy.take(now, record)
+        return copy.merge(now, record)
     except StampAhead as e:
-        return e.held
+        return e.stored
 
 
 def exchange(all_copies: list[Replica], now: int) -> None:
@@ -124,7 +124,7 @@
     @rule(i=which, saved=st.booleans())
     def crash(self, i: int, saved: bool) -> None:
         owner = rest.SnapshotHeader("home", f"s{i}", NOW, self.now + self.skewed[i])
-        file = b"".join(rest.encode(owner, self.copies[i].snapshot(lasting=True)))
+        file = b"".join(rest.encode(owner, self.copies[i].snapshot(persistent_only=True)))
         self.number += 1
         self.copies[i] = Replica(f"s{i}", NOW + self.number, KINDS)
         for record in rest.decode(file, "home")[1] if saved else ():
@@ -165,15 +165,15 @@
 few = st.integers(0, 3)
 stamps = st.builds(Stamp, few, few, st.sampled_from("ab"), few)
 word = st.sampled_from("abc")
-sightings = st.builds(record_kinds.Sighting, word, word, few, word, few)
+sightings = st.builds(record_kinds.Observation, word, word, few, word, few)
 VALUES: dict[str, tuple[Kind[Any] | None, Any]] = {
-    "drain": (record_kinds.DRAIN, st.builds(record_kinds.Drain, few, word, st.booleans(), word)),
+    "drain": (record_kinds.DRAIN_KIND, st.builds(record_kinds.Drain, few, word, st.booleans(), word)),
     "evidence": (
-        record_kinds.SEEN,
-        st.lists(sightings, max_size=6).map(lambda s: record_kinds.together(tuple(s), ())),
+        record_kinds.EVIDENCE_KIND,
+        st.lists(sightings, max_size=6).map(lambda s: record_kinds.merge_evidence(tuple(s), ())),
     ),
     "request": (
-        record_kinds.requests(DAY),
+        record_kinds.request_kind(DAY),
         st.builds(record_kinds.Outcome, st.integers(1, 3), few, few, few, word, word),
     ),
     "unknown": (None, few),
@@ -193,25 +193,29 @@
 
 
 def test_evidence_keeps_the_latest_sightings_within_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(record_kinds, "MOST_SIGHTINGS", 2)
+    monkeypatch.setattr(record_kinds, "MAX_OBSERVATIONS", 2)
     a, b, c = (
-        (record_kinds.Sighting(o, record_kinds.SLOW, at, "", at),) for o, at in (("x", 3), ("y", 1), ("z", 2))
+        (record_kinds.Observation(o, record_kinds.SLOW, at, "", at),)
+        for o, at in (("x", 3), ("y", 1), ("z", 2))
     )
     assert (
-        record_kinds.together(record_kinds.together(a, b), c)
-        == record_kinds.together(a, record_kinds.together(b, c))
+        record_kinds.merge_evidence(record_kinds.merge_evidence(a, b), c)
+        == record_kinds.merge_evidence(a, record_kinds.merge_evidence(b, c))
         == (*a, *c)
     )
-    back = (record_kinds.Sighting("x", record_kinds.SLOW, record_kinds.later(0, 3), "", 0),)
-    assert [s.observer for s in record_kinds.current(record_kinds.together((*a, *c), back), 5, 10)] == ["z"]
+    back = (record_kinds.Observation("x", record_kinds.SLOW, record_kinds.later(0, 3), "", 0),)
+    assert [
+        s.observer
+        for s in record_kinds.current_observations(record_kinds.merge_evidence((*a, *c), back), 5, 10)
+    ] == ["z"]
 
 
 def test_an_hour_ahead_counts_but_draws_no_clock_along_and_loses_to_who_has_seen_it() -> None:
     fast, sane, other = copies(3)
     ahead = fast.write(NOW + 3600 * S, "long", "w", ((1,), ()))
     with pytest.raises(StampAhead) as caught:
-        sane.take(NOW, ahead)
-    assert caught.value.held == ahead and sane.take(NOW, ahead) is None
+        sane.merge(NOW, ahead)
+    assert caught.value.stored == ahead and sane.merge(NOW, ahead) is None
     assert sane.write(NOW + 1, "long", "v", ((1,), ())).stamp.wall_us == NOW + 1
     answer = sane.write(NOW + 2, "long", "w", ((), (1,)))
     assert answer.stamp > ahead.stamp and answer.stamp.wall_us == ahead.stamp.wall_us
@@ -224,8 +228,8 @@
     record = mad.write(NOW + FAR_US + S, "long", "w", ((1,), ()))
     for wrong in (record, msgspec.structs.replace(record, stamp=Stamp(0, 0, "x", 0), until_us=2**53 - 1)):
         with pytest.raises(StampAhead) as caught:
-            sane.take(NOW, wrong)
-        assert caught.value.held is None and sane.record("long", "w") is None
+            sane.merge(NOW, wrong)
+        assert caught.value.stored is None and sane.record("long", "w") is None
     assert take(sane, NOW + S, record) == record
 
 
@@ -245,22 +249,22 @@
 def test_what_is_over_leaves_all_digests_at_once_and_does_not_come_back() -> None:
     a, b = copies(2)
     old = a.write(NOW, "short", "w", ((1,), ()))
-    b.take(NOW, old)
+    b.merge(NOW, old)
     gone = -(-old.until_us // SPAN_US) * SPAN_US + AHEAD_US
     assert b.items("short") == [("w", ((1,), ()))] == [("w", b.value("short", "w"))]
     assert b.collect(gone - 1) == 0 and b.items("short") == [] and b.collect(gone) == 1
     assert b.value("short", "w") is None is b.record("short", "w")
     assert a.digest(gone - AHEAD_US) == b.digest(gone - AHEAD_US) != a.digest(NOW)
-    assert b.take(gone, old) is None and b.record("short", "w") is None
+    assert b.merge(gone, old) is None and b.record("short", "w") is None
     new = a.write(old.until_us, "short", "w", ((2,), ()))
     assert a.value("short", "w") == ((2,), ()) and new.stamp > old.stamp
-    assert a.take(old.until_us, old) is None and a.value("short", "w") == ((2,), ())
+    assert a.merge(old.until_us, old) is None and a.value("short", "w") == ((2,), ())
     assert a.collect(new.until_us) == 0 and a.clear() == [], "what is over is nobody's to write again"
 
 
 def test_who_was_away_too_long_forgets_before_it_brings_back_the_lifted() -> None:
     away, here = copies(2)
-    here.take(NOW, away.write(NOW, "short", "w", ((1,), ())))
+    here.merge(NOW, away.write(NOW, "short", "w", ((1,), ())))
     here.write(NOW + S, "short", "w", ((), (1,)))
     kept = away.write(NOW + S, "long", "v", ((7,), ()))
     late = NOW + 60 * S
@@ -283,7 +287,7 @@
     held_by = copies(3)
     for copy, order in zip(held_by, (written, written[::-1], written[3:] + written[:3]), strict=True):
         for record in order:
-            copy.take(NOW, record)
+            copy.merge(NOW, record)
     assert len({copy.digest(NOW) for copy in held_by}) == 1
     assert {name: size for name, (size, _) in held_by[0].sizes().items() if size} == {"few": 3, "unknown": 2}
     assert held_by[0].record("new", "3") == written[-1] and held_by[0].record("new", "1") is None
@@ -294,12 +298,12 @@
     tight.write(NOW, "m", "0", ((1,), ()))
     with pytest.raises(StateFull):
         tight.write(NOW, "m", "1", ((1,), ()))
-    assert tight.take(NOW, others[0].write(NOW, "m", "1", ((1,), ())))
+    assert tight.merge(NOW, others[0].write(NOW, "m", "1", ((1,), ())))
     third = others[1].write(NOW + S, "m", "2", ((1,), ()))
     with pytest.raises(StateFull):
-        tight.take(NOW + S, third)
+        tight.merge(NOW + S, third)
     assert tight.write(NOW + S, "m", "0", ((2,), ())), "what is held may still change"
-    assert tight.take(NOW + 20 * S, third), "what is over makes room"
+    assert tight.merge(NOW + 20 * S, third), "what is over makes room"
     with pytest.raises(StateFull):
         tight.write(NOW + S, "m", "0", (tuple(range(replica.LARGEST_WRITE)), ()))
     assert tight.value("m", "0") == ((1, 2), ())
@@ -310,12 +314,12 @@
     source, tight = Replica("s", 1, [marks("m", DAY)]), Replica("t", 1, [marks("m", DAY)] if known else ())
     flood = [source.write(NOW + i, "m", str(i), (tuple(range(90)), ())) for i in range(4)]
     monkeypatch.setattr(replica, "MOST_BYTES", 150)
-    assert tight.take(NOW, flood[0])
+    assert tight.merge(NOW, flood[0])
     if known:
         with pytest.raises(StateFull):
-            tight.take(NOW, flood[1])
+            tight.merge(NOW, flood[1])
     else:
-        assert [tight.take(NOW, r) for r in (*flood[1:], flood[0])] == [*flood[1:], None]
+        assert [tight.merge(NOW, r) for r in (*flood[1:], flood[0])] == [*flood[1:], None]
     assert max(size for _, size in tight.sizes().values()) <= 150
 
 
@@ -341,7 +345,7 @@
         {"stamp": change(good.stamp, wall_us=-1)}, {"kind": "new", "value": bytes(1 << 20)},
     ):  # fmt: skip
         with pytest.raises(ForeignState):
-            copy.take(NOW, change(good, **wrong))
+            copy.merge(NOW, change(good, **wrong))
     assert copy.head == 0 and copy.digest(NOW) == copies(1)[0].digest(NOW)
     with pytest.raises(ForeignState):
         digests.differing(copy.ranges(NOW), (0,) * 255)
@@ -353,7 +357,7 @@
     for i in range(6):
         source.write(NOW, "long", str(i), ((i,), ()))
     owner = rest.SnapshotHeader("home", "s0", 7, NOW)
-    pieces = list(rest.encode(owner, source.snapshot(lasting=True)))
+    pieces = list(rest.encode(owner, source.snapshot(persistent_only=True)))
     whole = b"".join(pieces)
     assert rest.decode(whole, "home") == (owner, list(source.snapshot())) and len(pieces) > 4
     torn = [whole[:end] for end in range(len(whole))]
--- a/tests/test_mesh_rig.py
+++ b/tests/test_mesh_rig.py
@@ -49,8 +49,8 @@
         "one is cut off for longer than the bound", "past the bound",
     ),
     "takes in no cordons": (
-        "import robinhill.mesh.replica as r; take = r.Replica.take\n"
-        "r.Replica.take = lambda s, now, rec: None if rec.kind.startswith('cordon') else take(s, now, rec)",
+        "import robinhill.mesh.replica as r; merge = r.Replica.merge\n"
+        "r.Replica.merge = lambda s, now, rec: None if rec.kind.startswith('cordon') else merge(s, now, rec)",
         "links flap, tear and are reset", "copies",
     ),
     "never sends again once it held": (
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -9,14 +9,15 @@
 import pytest
 
 from robinhill.mesh import frames
-from robinhill.mesh.anti_entropy import REPAIR_US
+from robinhill.mesh.anti_entropy import ROUND_INTERVAL_US
 from robinhill.mesh.delivery_windows import WINDOW
-from robinhill.mesh.errors import PeerRefused
-from robinhill.mesh.frames import Heads, Hello, Part, Ping, Push
+from robinhill.mesh.errors import PeerRejected
+from robinhill.mesh.frames import Hello, Ping, Push, RangePart, RecordVersions
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.records import Kind
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Event, Identity, Session
+from robinhill.mesh.session import Identity, Session
+from robinhill.mesh.session_events import Event, PingAnswered
 
 from .conftest import MS, S
 
@@ -86,12 +87,12 @@
 
     def _deliver(self, to: int, frame: bytes) -> None:
         side = self.sides[to]
-        for read in frames.read(frame):
+        for read in frames.decode_message(frame):
             if isinstance(read, Ping):
                 self.kept.setdefault((to, read.number), {r.name: r for r in side.replica.snapshot()})
         for event in side.session.receive(UNIX + self.now, self.now, frame):
             side.events.append(event)
-            if isinstance(event, Answered) and not self.lying:  # then all that the other knew is here
+            if isinstance(event, PingAnswered) and not self.lying:  # then all that the other knew is here
                 for name, record in self.kept[1 - to, event.number].items():
                     mine = side.replica.record(*name)
                     assert mine and mine.stamp >= record.stamp, (name, self.now)
@@ -102,7 +103,7 @@
         return one == other
 
     def answers(self, side: int) -> int:
-        return sum(isinstance(e, Answered) for e in self.sides[side].events)
+        return sum(isinstance(e, PingAnswered) for e in self.sides[side].events)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -112,7 +113,7 @@
     assert link.answers(0) > 5 and link.answers(1) > 5
     link.run(3 * S)
     assert link.equal
-    assert all(s.session.held == s.replica.head for s in link.sides)
+    assert all(s.session.confirmed_cursor == s.replica.head for s in link.sides)
 
 
 def test_a_quiet_link_carries_a_change_in_one_way_and_tells_that_it_is_there() -> None:
@@ -122,19 +123,21 @@
     link.run(MS)
     assert link.equal
     head = link.sides[0].replica.head
-    assert link.sides[0].session.held < head
+    assert link.sides[0].session.confirmed_cursor < head
     link.run(60 * MS)
-    assert link.sides[0].session.held == head
+    assert link.sides[0].session.confirmed_cursor == head
 
 
 def test_what_the_peer_has_is_not_sent_again() -> None:
     link = Channel(2, records=2000)
     link.run(2 * S)
     assert link.equal
-    assert [s.session.pushed for s in link.sides] == [2000, 2000]
-    assert sum(s.session.skipped for s in link.sides) == 3999  # of number 0 each had its own; one is enough
+    assert [s.session.sender.pushed for s in link.sides] == [2000, 2000]
+    assert (
+        sum(s.session.sender.skipped for s in link.sides) == 3999
+    )  # of number 0 each had its own; one is enough
     before = sum(link.bytes)
-    link.run(REPAIR_US)
+    link.run(ROUND_INTERVAL_US)
     assert sum(link.bytes) - before < 20_000
 
 
@@ -151,7 +154,7 @@
     )
     near.bytes = [0, 0]
     near.run(S)
-    assert near.equal and near.sides[0].session.pushed == 1
+    assert near.equal and near.sides[0].session.sender.pushed == 1
     assert sum(near.bytes) < 10_000
 
 
@@ -163,7 +166,7 @@
         link.write(0, f"k{number % 10}", number)
         link.run(MS)
     session = link.sides[0].session
-    assert len(session._went._out) <= WINDOW and len(session._shown) == 0
+    assert len(session.sender.window._unconfirmed) <= WINDOW and len(session.sender._peer_has) == 0
     link.cut = False
     before = link.bytes[0]
     link.run(2 * S)
@@ -176,10 +179,10 @@
     link.run(S)
     link.write(1, "lost", 7)
     link.lying = True
-    link.sides[1].session.cursor = link.sides[1].replica.head
+    link.sides[1].session.sender.cursor = link.sides[1].replica.head
     link.run(S)
     assert not link.equal
-    link.run(REPAIR_US)
+    link.run(ROUND_INTERVAL_US)
     assert link.equal
 
 
@@ -187,14 +190,14 @@
     side = Channel(6).sides[0]
     if greeting:
         side.session.receive(UNIX, S, hello(**greeting))
-    with pytest.raises(PeerRefused) as refused:
+    with pytest.raises(PeerRejected) as refused:
         side.session.receive(UNIX, S, data)
     return str(refused.value)
 
 
 def hello(**changes: Any) -> bytes:
     told = Hello(frames.PROTOCOL, "test", "b", 1, (), UNIX, ("a", "b"))
-    return frames.write([msgspec.structs.replace(told, **changes)])
+    return frames.encode_message([msgspec.structs.replace(told, **changes)])
 
 
 def test_peers_of_another_kind_are_refused_with_what_to_do() -> None:
@@ -205,8 +208,9 @@
     assert "greets again" in refusal(hello(incarnation=2), incarnation=1)
     assert "can't be read" in refusal(b"\xc1")
     assert "can't be read" in refusal(msgspec.msgpack.encode([["push", "x", 3]]))
-    assert "256 ranges" in refusal(frames.write([frames.Ranges(1, 0, True, b"short")]), incarnation=1)
-    assert PeerRefused.advice in refusal(hello(protocol=99))
+    short = frames.RangeDigests(1, 0, True, b"short")
+    assert "256 ranges" in refusal(frames.encode_message([short]), incarnation=1)
+    assert PeerRejected.advice in refusal(hello(protocol=99))
 
 
 def test_frames_that_make_no_sense_change_nothing() -> None:
@@ -214,16 +218,17 @@
     link.run(S)
     session, head = link.sides[0].session, link.sides[0].replica.head
     for frame in (
-        frames.Pong(10**9, 0, 0, (0, 0), ((-5, 1), (70, 1))), frames.Again((-1, 5, 10**12)),
-        frames.Redo(-1, (3, -3)), frames.Redo(1, (10**9,)), Heads(99, (Part(1000, 0, 1, ()),)),
-        Heads(1, (Part(3, 0, -1, ()),)), Ping(10**12, 0, 10**9), frames.Aside(b""),
+        frames.Pong(10**9, 0, 0, (0, 0), ((-5, 1), (70, 1))), frames.PushResendRequest((-1, 5, 10**12)),
+        frames.VersionsResendRequest(-1, (3, -3)), frames.VersionsResendRequest(1, (10**9,)),
+        RecordVersions(99, (RangePart(1000, 0, 1, ()),)),
+        RecordVersions(1, (RangePart(3, 0, -1, ()),)), Ping(10**12, 0, 10**9), frames.MemberMessage(b""),
     ):  # fmt: skip
-        session.receive(UNIX, link.now, frames.write([frame]))
+        session.receive(UNIX, link.now, frames.encode_message([frame]))
     assert link.sides[0].replica.head == head
     link.run(S)
     link.write(1, "x", 1)
     link.run(10 * MS)
     assert link.equal
-    with pytest.raises(PeerRefused):
+    with pytest.raises(PeerRejected):
         for number in range(2, 10 * WINDOW):
-            session.receive(UNIX, link.now, frames.write([Push(number * 2 + 100, ())]))
+            session.receive(UNIX, link.now, frames.encode_message([Push(number * 2 + 100, ())]))
