--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -30,7 +30,8 @@
 from robinhill.net.clock import Clock
 from robinhill.net.cordons import actor as cordons
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.dispatcher.dispatcher import Cordoned, Dispatcher, Lease
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.peers import peer_connections, sharing
 from robinhill.net.peers.peer_connections import STRANGERS, Peers
 from robinhill.net.peers.peer_link import PATH
@@ -204,9 +205,9 @@
         self.may_send: Callable[[Destination], bool] | None = None
         self.list_changed: Callable[[], None] | None = None
 
-    def tell(self, message: Cordoned | Lease) -> None:
-        if isinstance(message, Cordoned):
-            asyncio.get_running_loop().call_soon(message.applied)
+    def tell(self, message: CordonsChanged | SendLeaseChanged) -> None:
+        if isinstance(message, CordonsChanged):
+            asyncio.get_running_loop().call_soon(message.on_applied)
 
     def listed(self) -> list[Destination]:
         return [Destination("w0", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0)]
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -25,7 +25,7 @@
 )
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
+from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
 from robinhill.net.metrics import Metrics
 from robinhill.protocol import Answer, JobEvent, JobRequest
 
@@ -60,7 +60,7 @@
         supervisor: Supervisor,
         clock: Clock,
         metrics: Metrics,
-        report: Callable[[Taken | ClientLeft], None],
+        report: Callable[[RequestAccepted | ClientDisconnected], None],
         deliver: Callable[[JobEvent], Awaitable[None]],
         find: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
     ) -> None:
@@ -162,7 +162,7 @@
             self.metrics.answered(job.job_class, refusal)
             return self._respond(refusal)
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.report(Taken(job, arrived_us, reply, caller))
+        self.report(RequestAccepted(job, arrived_us, reply, caller))
         return await self._answer(connection_of(request), _Answering(job, reply))
 
     async def _answer(self, connection: Connection, owed: "_Answering") -> web.StreamResponse:
@@ -173,7 +173,7 @@
             return self._respond(await owed.reply)
         except asyncio.CancelledError:
             if not connection.handed:
-                self.report(ClientLeft(owed.request))
+                self.report(ClientDisconnected(owed.request))
             raise
         finally:
             del self.answering[connection]
@@ -227,7 +227,7 @@
     async def adopt(self, request: JobRequest, reply: asyncio.Future[Answer], fd: int) -> None:
         """Answer what another process was owing."""
         if not await self._listener.adopt(fd, _Answering(request, reply)):
-            self.report(ClientLeft(request))
+            self.report(ClientDisconnected(request))
 
     def _respond(self, answer: Answer) -> web.Response:
         response = web.Response(status=answer.status, body=answer.body, headers=answer.headers())
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -30,7 +30,8 @@
 from robinhill.net.control_group.recovery import recall
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
-from robinhill.net.dispatcher.dispatcher import Cordoned, Dispatcher, Lease
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer, Destination
@@ -221,7 +222,7 @@
         next is true, whenever the decider comes to its mailbox.
         """
         targets = self.cordons.update()
-        self.dispatcher.tell(Cordoned(lambda d: covers(targets, d), lambda: None))
+        self.dispatcher.tell(CordonsChanged(lambda d: covers(targets, d), lambda: None))
         if self._end_timer:
             self._end_timer.cancel()
             self._end_timer = None
@@ -232,7 +233,7 @@
 
     def _lease_changed(self, held: bool, age_us: int | None) -> None:
         if self._holds:
-            self.dispatcher.tell(Lease())
+            self.dispatcher.tell(SendLeaseChanged())
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
         if held:
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -40,7 +40,7 @@
     keep_only,
     place_of,
 )
-from robinhill.net.dispatcher.dispatcher import Cordoned, Lease
+from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.protocol import Answer, Destination
 
 log = logging.getLogger(__name__)
@@ -93,7 +93,7 @@
         freshness: Freshness,
         supervisor: Supervisor,
         clock: Clock,
-        dispatcher: Callable[[Cordoned | Lease], None],
+        dispatcher: Callable[[CordonsChanged | SendLeaseChanged], None],
         listed: Callable[[], list[Destination]],
     ) -> None:
         super().__init__("cordons", supervisor)
@@ -166,7 +166,7 @@
     def _check_lease(self) -> None:
         if (held := self.lease()) is not self._leased:
             self._leased = held
-            self.dispatcher(Lease())
+            self.dispatcher(SendLeaseChanged())
 
     # From peers, at once
 
@@ -306,7 +306,7 @@
         self._told += 1
         number, targets = self._told, self.targets
         self._tellings[number] = self.following.applied.all
-        self.dispatcher(Cordoned(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
+        self.dispatcher(CordonsChanged(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
 
     def _applied_now(self, number: int) -> None:
         digest = self._tellings.pop(number)
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -14,7 +14,12 @@
 from robinhill.net.clients.connections import unread
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.dispatcher.dispatcher import DiscoveryAway, DiscoveryMoved, ListConfirmed, Listed
+from robinhill.net.dispatcher.messages import (
+    DiscoveryAddressChanged,
+    DiscoveryUnreachable,
+    EndpointListReceived,
+    ListConfirmed,
+)
 from robinhill.placement.watch_schedule import Pace
 
 log = logging.getLogger(__name__)
@@ -49,8 +54,10 @@
         pace: Pace,
         clock: Clock,
         supervisor: Supervisor,
-        report: Callable[[Listed], None],
-        note: Callable[[ListConfirmed | DiscoveryAway | DiscoveryMoved], None] = lambda word: None,
+        report: Callable[[EndpointListReceived], None],
+        note: Callable[
+            [ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged], None
+        ] = lambda word: None,
     ) -> None:
         super().__init__("destinations", supervisor)
         self.discovery = discovery
@@ -81,7 +88,7 @@
             self.watch.cancel()
         self.discovery, self.generation = message.discovery, None
         self.pace.moved(self.clock.now_us())
-        self.note(DiscoveryMoved(self.clock.now_us()))
+        self.note(DiscoveryAddressChanged(self.clock.now_us()))
         self._open(0)
 
     def _open(self, wait_us: int) -> None:
@@ -101,10 +108,10 @@
                 why = f"{type(e).__name__}: {e}"
             wait_us = self.pace.lost(self.clock.now_us(), self.answered)
             if self.pace.away_us is not None:
-                self.note(DiscoveryAway(self.pace.called_us, self.pace.away_us))
+                self.note(DiscoveryUnreachable(self.pace.called_us, self.pace.away_us))
             log.warning("watch_lost", extra={"generation": self.generation, "why": why, "again_us": wait_us})
             if not (silent or self.pace.pushed):
-                self.report(Listed(None))
+                self.report(EndpointListReceived(None))
 
     async def _read(self) -> None:
         query = {"watch": "1"}
@@ -140,7 +147,7 @@
                 if first and not told:
                     # Nothing has changed: the module hears that its call has been answered.
                     unchanged = protocol.DestinationList(self.generation or 0, False, ())
-                    self.report(Listed(unchanged))
+                    self.report(EndpointListReceived(unchanged))
                 first = False
 
     async def _in_time(self, work: Awaitable[Answered]) -> Answered:
@@ -162,7 +169,7 @@
 
     def _told(self, told: protocol.DestinationList) -> None:
         self.generation = told.generation
-        self.report(Listed(told, heard_us=self.pace.heard_us))
+        self.report(EndpointListReceived(told, received_us=self.pace.heard_us))
         log.info(
             "destinations",
             extra={"generation": told.generation, "reset": told.reset, "count": len(told.destinations)},
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -17,7 +17,12 @@
 from robinhill.config import Config
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import Began, ClientLeft, Placed, Taken
+from robinhill.net.dispatcher.messages import (
+    ClientDisconnected,
+    ExecutionStarted,
+    FirstAttemptSent,
+    RequestAccepted,
+)
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.metrics import Metrics
 from robinhill.protocol import Answer, JobRequest
@@ -73,12 +78,23 @@
     """Time has passed."""
 
 
-ToAdmission = Taken | ClientLeft | Placed | Began | Answered | Reconfigure | Shut | TakeOut | PutIn | Tick
+ToAdmission = (
+    RequestAccepted
+    | ClientDisconnected
+    | FirstAttemptSent
+    | ExecutionStarted
+    | Answered
+    | Reconfigure
+    | Shut
+    | TakeOut
+    | PutIn
+    | Tick
+)
 
 
 @dataclass(slots=True, eq=False)
 class _Entry:
-    taken: Taken
+    taken: RequestAccepted
     caller: Caller
 
 
@@ -91,7 +107,7 @@
         supervisor: Supervisor,
         clock: Clock,
         metrics: Metrics,
-        let_in: Callable[[Taken | ClientLeft], None],
+        let_in: Callable[[RequestAccepted | ClientDisconnected], None],
     ) -> None:
         super().__init__("admission", supervisor)
         assert config.operator
@@ -145,18 +161,18 @@
     def receive(self, message: ToAdmission) -> None:
         now = self.clock.now_us()
         match message:
-            case Taken():
+            case RequestAccepted():
                 self._arrive(now, message)
-            case Placed(request=request):
+            case FirstAttemptSent(request=request):
                 if number := self._number(request):
                     self._perform(self.admission.placed(now, number))
-            case Began(request=request):
+            case ExecutionStarted(request=request):
                 if number := self._number(request):
                     self._perform(self.admission.began(now, number))
             case Answered(number=number, served=served):
                 if self._forget(number):
                     self._perform(self.admission.ended(now, number, served))
-            case ClientLeft(request=request):
+            case ClientDisconnected(request=request):
                 self._client_left(now, message, request)
             case Tick():
                 self._due_us = None
@@ -176,7 +192,7 @@
         entry = self._entries.get(number) if number else None
         return number if entry and entry.taken.request is request else None
 
-    def _arrive(self, now: int, taken: Taken, owed: bool = False) -> None:
+    def _arrive(self, now: int, taken: RequestAccepted, owed: bool = False) -> None:
         if taken.caller is None:
             self.let_in(taken)
             return
@@ -187,7 +203,7 @@
         ask = Ask(number, request.job_class, taken.caller, taken.arrived_us, request.time_left_us, owed)
         self._perform(self.admission.arrive(now, ask))
 
-    def _note(self, taken: Taken, caller: Caller) -> int:
+    def _note(self, taken: RequestAccepted, caller: Caller) -> int:
         number, self._next = self._next, self._next + 1
         self._entries[number] = _Entry(taken, caller)
         self._numbers.setdefault(taken.request.id, number)
@@ -233,7 +249,7 @@
         if not reply.done():
             reply.set_result(answer)
 
-    def _client_left(self, now: int, message: ClientLeft, request: JobRequest) -> None:
+    def _client_left(self, now: int, message: ClientDisconnected, request: JobRequest) -> None:
         number = next((n for n, e in self._same_id(request) if e.taken.request is request), None)
         if number is None:
             self.let_in(message)
@@ -282,10 +298,10 @@
         """It keeps its arrival, so its patience; and the tenant that it was found to be of."""
         caller = Caller(**message.told["caller"])
         if waiting := message.told.get("waiting"):
-            taken = Taken(message.request, waiting["arrived_us"], message.reply, caller)
+            taken = RequestAccepted(message.request, waiting["arrived_us"], message.reply, caller)
             self._arrive(now, taken, owed=True)
             return
-        taken = Taken(message.request, now, message.reply, caller)
+        taken = RequestAccepted(message.request, now, message.reply, caller)
         number = self._note(taken, caller)
         ask = Ask(number, message.request.job_class, caller, now, message.request.time_left_us, owed=True)
         self.admission.resume(now, ask, placed=message.placed)
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -12,10 +12,42 @@
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.dispatcher.messages import (
+    DISCOVERY_MESSAGES,
+    AdoptRequest,
+    ClientDisconnected,
+    CordonsChanged,
+    DiscoveryAddressChanged,
+    DiscoveryUnreachable,
+    DispatcherMessage,
+    EndpointListReceived,
+    ExecutionStarted,
+    FirstAttemptSent,
+    ListConfirmed,
+    ReleaseRequest,
+    RequestAccepted,
+    SetWorkerDisabled,
+    TimerDue,
+)
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.disabled_workers import DisabledWorkerStore
-from robinhill.net.workers import endpoint as ep
+from robinhill.net.workers.endpoint import Endpoint
+from robinhill.net.workers.messages import (
+    AbandonUnwritten,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptReleased,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    EndpointRetired,
+    HealthCheckEnded,
+    ReleaseAttempt,
+    RequestReturned,
+    ResumeAttempt,
+    StartAttempt,
+)
 from robinhill.placement import exported_state, idempotency
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import (  # fmt: skip
@@ -29,7 +61,7 @@
 )
 
 if TYPE_CHECKING:
-    from robinhill.admission.callers import Caller
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -44,129 +76,8 @@
 }
 
 
-@dataclass(slots=True, frozen=True)
-class Taken:
-    """The inbound side has taken a request; ``reply`` is where its final answer goes."""
-
-    request: JobRequest
-    arrived_us: int
-    reply: asyncio.Future[Answer]
-    caller: "Caller | None" = None  # None: it does not pass admission control
-
-
-@dataclass(slots=True, frozen=True)
-class Placed:
-    """The first attempt of a request is on its way; for admission control."""
-
-    request: JobRequest
-
-
-@dataclass(slots=True, frozen=True)
-class Began:
-    """An endpoint has begun to run a request; for admission control."""
-
-    request: JobRequest
-
-
-@dataclass(slots=True, frozen=True)
-class ClientLeft:
-    """A client closed its connection before its answer."""
-
-    request: JobRequest
-
-
-@dataclass(slots=True, frozen=True)
-class Listed:
-    """Discovery told of the destination set; None if a call to it failed."""
-
-    list: DestinationList | None
-    cached: bool = False
-    heard_us: int | None = None  # when its last byte was read; None: it does not vouch for the list in use
-
-
-@dataclass(slots=True, frozen=True)
-class ListConfirmed:
-    """Discovery has said that nothing has changed since ``version``; read at ``heard_us``."""
-
-    version: int
-    heard_us: int
-
-
-@dataclass(slots=True, frozen=True)
-class DiscoveryAway:
-    """A call begun at ``called_us`` has shown that discovery could not be reached at ``as_of_us``."""
-
-    called_us: int
-    as_of_us: int
-
-
-@dataclass(slots=True, frozen=True)
-class DiscoveryMoved:
-    """Discovery is watched at another address since ``at_us``."""
-
-    at_us: int
-
-
-@dataclass(slots=True, frozen=True, eq=False)
-class Due:
-    """A timer of the module's."""
-
-    tag: str
-
-
-@dataclass(slots=True, frozen=True)
-class HoldOut:
-    """An operator's call to leave an endpoint out, or to take it back; ``reply`` gets what it is told."""
-
-    instance_id: str
-    out: bool
-    reply: asyncio.Future[Answer]
-    known: bool = False  # to another process of this scheduler, though our list may not name it yet
-
-
-@dataclass(slots=True, frozen=True)
-class Cordoned:
-    """What cordons ``cover`` gets nothing new. ``applied`` is called once no endpoint goes by older ones."""
-
-    cover: Callable[[Destination], bool]
-    applied: Callable[[], None]
-
-
-@dataclass(slots=True, frozen=True)
-class Lease:
-    """Whether this scheduler may send may have changed."""
-
-
-@dataclass(slots=True, frozen=True)
-class Release:
-    """The successor is to go on with a request; ``reply`` gets what it needs, or None while it can't go."""
-
-    request: JobRequest
-    reply: asyncio.Future[Json | None]
-
-
-@dataclass(slots=True, frozen=True)
-class Adopt:
-    """Go on with a request that another process has released; ``reply`` is where its final answer goes."""
-
-    request: JobRequest
-    told: Json
-    reply: asyncio.Future[Answer]
-    done: asyncio.Event  # it is here
-    own: bool = False  # it was released here, and no other process has taken it
-
-
-ToDecider = (
-    Taken | ClientLeft | Listed | ListConfirmed | DiscoveryAway | DiscoveryMoved | HoldOut | Cordoned | Lease
-    | Release | Adopt | Due | JobEvent | ep.Started | ep.Ended | ep.Probed | ep.Retired | ep.Gone
-)  # fmt: skip
-
-
-_WORDS = (Listed, ListConfirmed, DiscoveryAway, DiscoveryMoved)  # of discovery
-
-
 @dataclass(slots=True, eq=False)
-class _Held:
+class InFlightRequest:
     """A request with an answer owed or an attempt out."""
 
     job: int
@@ -188,7 +99,7 @@
         return self.owed and not self.reply.cancelled()
 
 
-class Dispatcher(Actor[ToDecider]):
+class Dispatcher(Actor[DispatcherMessage]):
     """Carries events to the module and its actions to the endpoints and the inbound side."""
 
     def __init__(
@@ -207,25 +118,27 @@
         self.clock = clock
         self.metrics = metrics
         self.balancer = Balancer(config.settings, config.seed)
-        self.held: dict[int, _Held] = {}
+        self.held: dict[int, InFlightRequest] = {}
         self.jobs: dict[str, int] = {}  # the wire's ids are text, the module's numbers
         # Ids of late. An endpoint knows a request in the form it got first, and turns away any other.
         self.seen: dict[str, None] = {}
         self.keys = idempotency.Keys()
         self.next_number = 1
-        self._timers: dict[Due, int] = {}  # that are set, and when they are due
+        self._timers: dict[TimerDue, int] = {}  # that are set, and when they are due
         # Requests on their way to another process: what is said of one waits until it is there, or stays.
         self.moving: dict[str, asyncio.Event] = {}
         self.elsewhere: Callable[[JobEvent], None] = lambda event: None  # brings such an event there
-        self.admission: Callable[[Placed | Began], None] | None = None  # hears what becomes of requests
+        self.admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = (
+            None  # hears what becomes of requests
+        )
         self.tape: TrafficRecorder | None = None  # records what passes
         self.destinations: dict[str, Destination] = {}
-        self.endpoints: dict[str, ep.Endpoint] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.state = DisabledWorkerStore(config.folder)
         self.held_out = self.state.held_out()  # endpoints that operators want left out
         # Since when, and until when, operators had an endpoint out; the file tells no times.
         self.outages = {instance_id: (clock.now_us(), 0) for instance_id in self.held_out}
-        self.cordons: Cordoned | None = None  # as told last
+        self.cordons: CordonsChanged | None = None  # as told last
         self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not looked for
         self._reading = False  # what was unread after a stall
         self.lease: Callable[[], bool] | None = None  # whether anything may be sent; None: always
@@ -244,7 +157,7 @@
             self.lease_held.set()
         else:
             self._decide(api.ListLeased(False))
-        self._listed(Listed(known or self.config.known, cached=True))
+        self._listed(EndpointListReceived(known or self.config.known, cached=True))
         super().start()
 
     def ready(self) -> bool:
@@ -254,66 +167,68 @@
             return False
         if self._reading:
             self._reading = False
-            words = [m for m in self._mailbox if isinstance(m, _WORDS)]
-            others = [m for m in self._mailbox if not isinstance(m, _WORDS)]
+            words = [m for m in self._mailbox if isinstance(m, DISCOVERY_MESSAGES)]
+            others = [m for m in self._mailbox if not isinstance(m, DISCOVERY_MESSAGES)]
             self._mailbox.clear()
             self._mailbox.extend([*words, *others])
         return True
 
-    def receive(self, message: ToDecider) -> None:
+    def receive(self, message: DispatcherMessage) -> None:
         if self.lease and self.lease() is not self.vouched:
             self._vouch(not self.vouched)
         self._check_lease()
         match message:
-            case Taken():
+            case RequestAccepted():
                 self._taken(message)
             case JobEvent():
                 self._job_event(message)
-            case ep.Started(job=job, attempt=attempt, share=None):
+            case AttemptProgress(job=job, attempt=attempt, share=None):
                 if held := self.held.get(job):
                     held.began_us = held.began_us or self.clock.now_us()
                     if self.admission:
-                        self.admission(Began(held.request))
+                        self.admission(ExecutionStarted(held.request))
                 self._decide(api.JobStarted(job, attempt))
-            case ep.Started(job=job, attempt=attempt, share=share):
+            case AttemptProgress(job=job, attempt=attempt, share=share):
                 self._decide(api.JobProgress(job, attempt, share or 0.0))
-            case ep.Ended():
+            case AttemptEnded():
                 self._ended(message)
-            case Due(tag=tag):
+            case TimerDue(tag=tag):
                 self._timers.pop(message, None)
                 self._decide(api.TimerFired(tag))
-            case ClientLeft(request=request):
+            case ClientDisconnected(request=request):
                 self._client_left(request)
-            case Listed():
+            case EndpointListReceived():
                 self._listed(message)
-            case ListConfirmed() | DiscoveryAway() | DiscoveryMoved():
+            case ListConfirmed() | DiscoveryUnreachable() | DiscoveryAddressChanged():
                 self._update_lease(message)
-            case HoldOut(instance_id=instance_id, out=out, reply=reply, known=known):
+            case SetWorkerDisabled(
+                instance_id=instance_id, disabled=out, reply=reply, listed_elsewhere=known
+            ):
                 answer = self._hold_out(instance_id, out, known)
                 if not reply.done():
                     reply.set_result(answer)
-            case Cordoned():
+            case CordonsChanged():
                 self._cordoned(message)
-            case ep.Probed(instance_id=instance_id, alive=alive):
+            case HealthCheckEnded(instance_id=instance_id, alive=alive):
                 self._decide(api.ProbeEnded(instance_id, alive))
-            case Release():
+            case ReleaseRequest():
                 self._release(message)
-            case ep.Gone(job=job, attempt=attempt):
+            case AttemptReleased(job=job, attempt=attempt):
                 self._gone(job, attempt)
-            case Adopt():
+            case AdoptRequest():
                 self._adopt(message)
-            case ep.Retired(instance_id=instance_id):
+            case EndpointRetired(instance_id=instance_id):
                 self._retired(instance_id)
 
-    def _update_lease(self, message: ListConfirmed | DiscoveryAway | DiscoveryMoved) -> None:
+    def _update_lease(self, message: ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged) -> None:
         if self.list_lease is None:
             return
         match message:
-            case ListConfirmed(version=version, heard_us=heard_us):
-                self.list_lease.confirmed(heard_us, version)
-            case DiscoveryAway(called_us=called_us, as_of_us=as_of_us):
+            case ListConfirmed(version=version, received_us=received_us):
+                self.list_lease.confirmed(received_us, version)
+            case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
                 self.list_lease.unreachable(called_us, as_of_us)
-            case DiscoveryMoved(at_us=at_us):
+            case DiscoveryAddressChanged(at_us=at_us):
                 self.list_lease.moved(at_us)
         self._check_lease()
 
@@ -358,20 +273,20 @@
                 case api.Probe(address=address):
                     if self._is_out(self.destinations.get(address), address):
                         # An operator's worker gets nothing, and its silence is no news.
-                        self.tell(ep.Probed(address, True))
+                        self.tell(HealthCheckEnded(address, True))
                     elif endpoint := self.endpoints.get(address):
-                        endpoint.tell(ep.Probe())
+                        endpoint.tell(CheckHealth())
                     else:
-                        self.tell(ep.Probed(address, False))
+                        self.tell(HealthCheckEnded(address, False))
                 case api.CloseIdle(address=address):
                     if endpoint := self.endpoints.get(address):
-                        endpoint.tell(ep.CloseIdle())
+                        endpoint.tell(CloseIdleConnections())
                 case api.Log(text=text):
                     log.info("module_says", extra={"text": text})
 
     # Requests
 
-    def _taken(self, taken: Taken) -> None:
+    def _taken(self, taken: RequestAccepted) -> None:
         request = taken.request
         if request.id in self.seen:
             log.warning("request_repeated", extra={"id": request.id})
@@ -386,7 +301,7 @@
         job = self.jobs[request.id] = self.next_number
         self.next_number += 1
         deadline_us = taken.arrived_us + request.time_left_us
-        self.held[job] = _Held(job, request, deadline_us, taken.reply)
+        self.held[job] = InFlightRequest(job, request, deadline_us, taken.reply)
         if self.tape and taken.caller is None:  # else admission control has told of it
             self.tape.arrived(request, taken.arrived_us, "")
         left_us = max(1, deadline_us - self.clock.now_us())
@@ -418,20 +333,20 @@
         held.out.add(number)
         self._remember(held.request, (action.job, number), action.address)
         if self.admission and number == 0:
-            self.admission(Placed(held.request))
+            self.admission(FirstAttemptSent(held.request))
         self.endpoints[action.address].tell(
-            ep.Dispatch(
+            StartAttempt(
                 action.job, number, held.request, until_us, held.deadline_us,
                 self._write_until(held), lambda: held.wanted,
             )
         )  # fmt: skip
 
-    def _note_retry(self, held: _Held) -> None:
+    def _note_retry(self, held: InFlightRequest) -> None:
         if held.last_outcome:
             self.metrics.retries[held.last_outcome.value] += 1
         log.debug("attempt_again", extra={"id": held.request.id, "after": held.endings[-1]})
 
-    def _write_until(self, held: _Held) -> int:
+    def _write_until(self, held: InFlightRequest) -> int:
         """A connect can outlast the window in which workers drop a repeat of a keyed request."""
         klass, job = self.config.settings.classes[held.request.job_class], self.balancer.jobs.get(held.job)
         repeats = job is not None and job.ran and klass.repeat is api.Repeat.KEYED
@@ -453,9 +368,9 @@
             and attempt < len(held.endpoints)
             and (endpoint := self.endpoints.get(held.endpoints[attempt]))
         ):
-            endpoint.tell(ep.Withdraw(job, attempt))
+            endpoint.tell(CancelAttempt(job, attempt))
 
-    def _ended(self, ended: ep.Ended) -> None:
+    def _ended(self, ended: AttemptEnded) -> None:
         held = self.held[ended.job]
         if held.reply.cancelled():
             self._client_left(held.request)
@@ -506,10 +421,10 @@
             self._decide(api.ClientGone(held.job))
             for attempt in held.out:
                 if endpoint := self.endpoints.get(held.endpoints[attempt]):
-                    endpoint.tell(ep.ClientGone(held.job, attempt))
+                    endpoint.tell(AbandonUnwritten(held.job, attempt))
             self._forget(held)
 
-    def _forget(self, held: _Held) -> None:
+    def _forget(self, held: InFlightRequest) -> None:
         if not held.owed and not held.out and held.job in self.held:
             del self.held[held.job]
             del self.jobs[held.request.id]
@@ -521,7 +436,7 @@
             endpoint.tell(event)
 
     def _set_timer(self, after_us: int, tag: str) -> None:
-        due = Due(tag)
+        due = TimerDue(tag)
         self._timers[due] = self.clock.now_us() + after_us
         asyncio.get_running_loop().call_later(after_us / 1e6, self.tell, due)
 
@@ -544,7 +459,7 @@
     def close_idle(self) -> None:
         """Leave the workers' connections to the other process."""
         for endpoint in self.endpoints.values():
-            endpoint.tell(ep.CloseIdle())
+            endpoint.tell(CloseIdleConnections())
 
     def recall(self, told: Json) -> None:
         """Go on from what a predecessor knows."""
@@ -554,7 +469,7 @@
         self._tell_anew()
         exported_state.recall(self.balancer, told["module"])
 
-    def _release(self, message: Release) -> None:
+    def _release(self, message: ReleaseRequest) -> None:
         held = self.held.get(self.jobs.get(message.request.id, 0))
         if held is None or held.request is not message.request or not held.owed or held.leaving:
             message.reply.set_result(None)
@@ -567,11 +482,11 @@
         if not held.out:
             self._gone(held.job, None)
         elif len(held.out) == 1 and endpoint:
-            endpoint.tell(ep.LetGo(held.job, held.request.id))
+            endpoint.tell(ReleaseAttempt(held.job, held.request.id))
         else:
             self._stay(held)
 
-    def _stay(self, held: _Held) -> None:
+    def _stay(self, held: InFlightRequest) -> None:
         if held.leaving and not held.leaving.done():
             held.leaving.set_result(None)
         held.leaving = None
@@ -582,7 +497,7 @@
         if moving := self.moving.pop(request_id, None):
             moving.set()
 
-    def _gone(self, job: int, attempt: ep.Resume | None) -> None:
+    def _gone(self, job: int, attempt: ResumeAttempt | None) -> None:
         held = self.held.get(job)
         if held is None:
             return  # it has ended meanwhile
@@ -617,11 +532,11 @@
         del self.held[job]
         del self.jobs[held.request.id]
 
-    def _adopt(self, message: Adopt) -> None:
-        told, request, now = message.told, message.request, self.clock.now_us()
+    def _adopt(self, message: AdoptRequest) -> None:
+        told, request, now = message.state, message.request, self.clock.now_us()
         job = told["job"]
         self.seen[request.id] = None
-        held = _Held(job, request, told["deadline_us"], message.reply)
+        held = InFlightRequest(job, request, told["deadline_us"], message.reply)
         held.endpoints, held.endings, held.returned = told["endpoints"], told["endings"], told["returned"]
         self.held[job], self.jobs[request.id] = held, job
         if attempt := told["attempt"]:
@@ -632,22 +547,22 @@
                 self.destinations[address] = left
                 endpoint = self._open(left)
             number, until_us = len(held.endpoints) - 1, attempt["until_us"]
-            endpoint.tell(ep.Resume(job, number, request, until_us, held.deadline_us, attempt["sent_us"]))
+            endpoint.tell(ResumeAttempt(job, number, request, until_us, held.deadline_us, attempt["sent_us"]))
         for address in held.returned:
             if endpoint := self.endpoints.get(address):
-                endpoint.tell(ep.Returned(request.id))
+                endpoint.tell(RequestReturned(request.id))
         for at, tag in told["timers"]:
             self._set_timer(max(0, at - now), tag)
-        self._perform(exported_state.resume(self.balancer, now, told["module"], message.own))
-        message.done.set()
+        self._perform(exported_state.resume(self.balancer, now, told["module"], message.released_here))
+        message.adopted.set()
 
     # The destination set
 
-    def _listed(self, listed: Listed) -> None:
-        if listed.list is None:
+    def _listed(self, listed: EndpointListReceived) -> None:
+        if listed.endpoint_list is None:
             self._decide(api.WorkersListed(api.ListKind.FAILED))
             return
-        told = listed.list
+        told = listed.endpoint_list
         whole = told.reset or listed.cached
         kind = api.ListKind.CACHED if listed.cached else api.ListKind.FULL if whole else api.ListKind.CHANGES
         if whole:
@@ -657,8 +572,8 @@
         for destination in told.destinations:
             self._update(destination)
         self._decide(api.WorkersListed(kind, [self._worker(d) for d in told.destinations]))
-        if self.list_lease and listed.heard_us is not None:
-            self.list_lease.confirmed(listed.heard_us, told.generation)
+        if self.list_lease and listed.received_us is not None:
+            self.list_lease.confirmed(listed.received_us, told.generation)
             self._check_lease()  # only now: what is held must not go out by the list of before
         if self.list_changed:
             self.list_changed()
@@ -676,9 +591,9 @@
             return
         self._open(told)
 
-    def _open(self, told: Destination) -> ep.Endpoint:
+    def _open(self, told: Destination) -> Endpoint:
         settings = self.config.settings
-        endpoint = ep.Endpoint(
+        endpoint = Endpoint(
             told,
             self.supervisor,
             self.clock,
@@ -731,10 +646,10 @@
     def _is_out(self, d: Destination | None, instance_id: str) -> bool:
         """Whether operators have said that an endpoint gets nothing, here or at any scheduler."""
         return instance_id in self.held_out or (
-            self.cordons is not None and d is not None and self.cordons.cover(d)
+            self.cordons is not None and d is not None and self.cordons.covers(d)
         )
 
-    def _cordoned(self, message: Cordoned) -> None:
+    def _cordoned(self, message: CordonsChanged) -> None:
         """Leave out what is cordoned now, and call back what is no longer: it counts as started just now."""
         now = self.clock.now_us()
         before = {d.instance_id: self._is_out(d, d.instance_id) for d in self.listed()}
@@ -749,7 +664,7 @@
         if moved:
             self._tell_anew()
         # Endpoints have this in their mailboxes, which the loop empties before it comes to what we call now.
-        asyncio.get_running_loop().call_soon(message.applied)
+        asyncio.get_running_loop().call_soon(message.on_applied)
 
     def _vouch(self, yes: bool) -> None:
         """This scheduler may be behind on cordons: nothing new goes out while it may; or no longer.
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -20,7 +20,8 @@
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
-from robinhill.net.dispatcher.dispatcher import Adopt, Dispatcher, HoldOut, Release, Taken
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.handover.succession import Succession
@@ -290,7 +291,7 @@
     async def _obey(self, what: str, body: Json, known: bool) -> Answer:
         if what == "hold_out":
             reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            self.dispatcher.tell(HoldOut(body["id"], body["out"], reply, known))
+            self.dispatcher.tell(SetWorkerDisabled(body["id"], body["out"], reply, known))
             return await reply
         log.info("drain_started" if body["start"] else "drain_stopped")
         self.inbound.drain(body["start"])
@@ -324,7 +325,7 @@
             if "waiting" in at_admission:
                 return {HANDED_ADMISSION: at_admission}
         reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
-        self.dispatcher.tell(Release(request, reply))
+        self.dispatcher.tell(ReleaseRequest(request, reply))
         told = await reply
         return told and told | {HANDED_ADMISSION: at_admission}
 
@@ -358,7 +359,9 @@
             self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
-        self.dispatcher.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
+        self.dispatcher.tell(
+            AdoptRequest(request, told | {"timers": []}, reply, done, released_here=True)
+        )  # ours are set
         await done.wait()
 
     def hello(self) -> Json:
@@ -411,11 +414,11 @@
             self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
             if not self.admission:  # it has waited long enough
-                self.dispatcher.tell(Taken(request, waiting["arrived_us"], reply))
+                self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
             await self.inbound.adopt(request, reply, fd)
             return True
         done = asyncio.Event()
-        self.dispatcher.tell(Adopt(request, body, reply, done))
+        self.dispatcher.tell(AdoptRequest(request, body, reply, done))
         await done.wait()
         await self.inbound.adopt(request, reply, fd)
         return True
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -22,6 +22,22 @@
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.metrics import Metrics
+from robinhill.net.workers.messages import (
+    AbandonUnwritten,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptReleased,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    EndpointReport,
+    EndpointRetired,
+    HealthCheckEnded,
+    ReleaseAttempt,
+    RequestReturned,
+    ResumeAttempt,
+    StartAttempt,
+)
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
 
@@ -36,127 +52,6 @@
 _ENDINGS = {JobState.FAILED: Outcome.ERROR, JobState.RETURNED: Outcome.FULL, JobState.LOST: Outcome.RESET}
 
 
-# To the endpoint
-
-
-@dataclass(slots=True, frozen=True)
-class Dispatch:
-    """Start an attempt; it is given up at ``until_us``, and over at the client's own limit.
-
-    Nothing of it is written from ``write_until_us`` on, nor once ``wanted`` says that no answer is owed.
-    """
-
-    job: int
-    attempt: int
-    request: JobRequest
-    until_us: int
-    deadline_us: int
-    write_until_us: int
-    wanted: Callable[[], bool]
-
-
-@dataclass(slots=True, frozen=True)
-class Withdraw:
-    """Give an attempt up."""
-
-    job: int
-    attempt: int
-
-
-@dataclass(slots=True, frozen=True)
-class ClientGone:
-    """An attempt's client has gone: if nothing of it is written, nothing will be."""
-
-    job: int
-    attempt: int
-
-
-@dataclass(slots=True, frozen=True)
-class Probe:
-    """Ask the endpoint for its health."""
-
-
-@dataclass(slots=True, frozen=True)
-class CloseIdle:
-    """Close the connections that carry nothing."""
-
-
-@dataclass(slots=True, frozen=True)
-class LetGo:
-    """Another process is to go on with a request's attempt, if this endpoint has accepted it."""
-
-    job: int
-    request_id: str
-
-
-@dataclass(slots=True, frozen=True)
-class Resume:
-    """Go on with an attempt that another process has let go; its endpoint has accepted it."""
-
-    job: int
-    attempt: int
-    request: JobRequest
-    until_us: int
-    deadline_us: int
-    sent_us: int
-
-
-@dataclass(slots=True, frozen=True)
-class Returned:
-    """This endpoint has handed a request back to another process: said again, it proves nothing."""
-
-    request_id: str
-
-
-# From the endpoint
-
-
-@dataclass(slots=True, frozen=True)
-class Started:
-    """The endpoint has begun to run an attempt, or tells how far it is."""
-
-    job: int
-    attempt: int
-    share: float | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Ended:
-    """An attempt is over; ``result`` is set if and only if it was served."""
-
-    job: int
-    attempt: int
-    outcome: Outcome
-    took_us: int
-    result: str | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Probed:
-    """What a probe found."""
-
-    instance_id: str
-    alive: bool
-
-
-@dataclass(slots=True, frozen=True)
-class Retired:
-    """An endpoint that has left the list holds no attempt any more."""
-
-    instance_id: str
-
-
-@dataclass(slots=True, frozen=True)
-class Gone:
-    """What became of a LetGo: the attempt, forgotten here, or None while it can't go."""
-
-    job: int
-    attempt: Resume | None
-
-
-FromEndpoint = Started | Ended | Probed | Retired | Gone
-
-
 class _Phase(Enum):
     CONNECTING = auto()  # nothing of it is written
     WRITTEN = auto()  # some of it may be
@@ -204,10 +99,21 @@
     task: asyncio.Task[None]
 
 
-ToEndpoint = (
-    Dispatch | Withdraw | ClientGone | LetGo | Resume | Returned | Destination | JobEvent | Probe | CloseIdle
-    | _Over | _Expired | _CallDone
-)  # fmt: skip
+EndpointMessage = (
+    StartAttempt
+    | CancelAttempt
+    | AbandonUnwritten
+    | ReleaseAttempt
+    | ResumeAttempt
+    | RequestReturned
+    | Destination
+    | JobEvent
+    | CheckHealth
+    | CloseIdleConnections
+    | _Over
+    | _Expired
+    | _CallDone
+)
 
 
 class _Wire(ResponseHandler):
@@ -327,7 +233,7 @@
             endpoint.metrics.tries += 1
 
 
-class Endpoint(Actor[ToEndpoint]):
+class Endpoint(Actor[EndpointMessage]):
     """One worker of the destination set."""
 
     def __init__(
@@ -338,7 +244,7 @@
         connect_timeout_us: int,
         keepalive_us: int,
         metrics: Metrics,
-        report: Callable[[FromEndpoint], None],
+        report: Callable[[EndpointReport], None],
         may_send: Callable[[Destination], bool] | None = None,
         list_lease: ListLease | None = None,
         catch_up: CatchUp | None = None,
@@ -416,21 +322,21 @@
         session._retry_connection = False
         return session
 
-    def receive(self, message: ToEndpoint) -> None:
+    def receive(self, message: EndpointMessage) -> None:
         match message:
-            case Dispatch():
+            case StartAttempt():
                 self._dispatch(message)
             case JobEvent():
                 self._job_event(message)
-            case Withdraw():
+            case CancelAttempt():
                 self._withdraw(message)
-            case ClientGone():
+            case AbandonUnwritten():
                 self._client_gone(message)
-            case LetGo():
+            case ReleaseAttempt():
                 self._let_go(message)
-            case Resume():
+            case ResumeAttempt():
                 self._resume(message)
-            case Returned(request_id=request_id):
+            case RequestReturned(request_id=request_id):
                 self._heard(request_id, JobState.RETURNED)
             case Destination():
                 moved = message.host_port != self.destination.host_port
@@ -438,13 +344,13 @@
                 if moved:
                     self._close_idle()
                 self._retire()
-            case Probe():
+            case CheckHealth():
                 # One that has left may be told to close at any moment, and its connections with it.
                 if self.destination.lifecycle is Lifecycle.LEFT:
-                    self.report(Probed(self.destination.instance_id, False))
+                    self.report(HealthCheckEnded(self.destination.instance_id, False))
                 else:
                     self._call(self._probe(), f"probe {self.name}")
-            case CloseIdle():
+            case CloseIdleConnections():
                 self._close_idle()
             case _Over(attempt=attempt, outcome=outcome):
                 self._end(attempt, outcome)
@@ -466,7 +372,7 @@
 
     # Attempts
 
-    def _dispatch(self, message: Dispatch) -> None:
+    def _dispatch(self, message: StartAttempt) -> None:
         request = message.request
         attempt = _Attempt(
             message.job, message.attempt, request, message.until_us, message.deadline_us, self.clock.now_us(),
@@ -480,7 +386,7 @@
         delay_s = max(0, attempt.until_us - self.clock.now_us()) / 1e6
         attempt.timer = asyncio.get_running_loop().call_later(delay_s, self.tell, _Expired(attempt))
 
-    def _let_go(self, message: LetGo) -> None:
+    def _let_go(self, message: ReleaseAttempt) -> None:
         attempt = self.attempts.get(message.request_id)
         gone = None
         if attempt and attempt.phase is _Phase.ACCEPTED and not (attempt.over or attempt.withdrawn):
@@ -488,14 +394,14 @@
             if attempt.timer:
                 attempt.timer.cancel()
             del self.attempts[message.request_id]
-            gone = Resume(
+            gone = ResumeAttempt(
                 attempt.job, attempt.number, attempt.request,
                 attempt.until_us, attempt.deadline_us, attempt.sent_us,
             )  # fmt: skip
-        self.report(Gone(message.job, gone))
+        self.report(AttemptReleased(message.job, gone))
         self._retire()
 
-    def _resume(self, message: Resume) -> None:
+    def _resume(self, message: ResumeAttempt) -> None:
         attempt = _Attempt(
             message.job, message.attempt, message.request, message.until_us, message.deadline_us,
             message.sent_us, phase=_Phase.ACCEPTED,
@@ -568,7 +474,7 @@
         if self.attempts.get(attempt.request.id) is attempt:
             del self.attempts[attempt.request.id]
         took_us = self.clock.now_us() - attempt.sent_us
-        self.report(Ended(attempt.job, attempt.number, outcome, took_us, result))
+        self.report(AttemptEnded(attempt.job, attempt.number, outcome, took_us, result))
         self._retire()
 
     def _job_event(self, event: JobEvent) -> None:
@@ -576,9 +482,9 @@
         if attempt is None or attempt.phase is _Phase.CONNECTING:
             return  # late, repeated or unknown: it is of no attempt that is out here
         if event.state is JobState.STARTED:
-            self.report(Started(attempt.job, attempt.number))
+            self.report(AttemptProgress(attempt.job, attempt.number))
         elif event.state is JobState.RUNNING:
-            self.report(Started(attempt.job, attempt.number, event.share))
+            self.report(AttemptProgress(attempt.job, attempt.number, event.share))
         elif event.state is JobState.DONE:
             self._end(attempt, Outcome.COMPLETED, event.result)
         else:
@@ -609,13 +515,13 @@
             attempt.until_us = attempt.deadline_us
             self._limit(attempt)
 
-    def _client_gone(self, message: ClientGone) -> None:
+    def _client_gone(self, message: AbandonUnwritten) -> None:
         for attempt in list(self.attempts.values()):
             found = (attempt.job, attempt.number) == (message.job, message.attempt)
             if found and attempt.phase is _Phase.CONNECTING and not attempt.withdrawn:
                 self._end(attempt, Outcome.NOT_SENT)
 
-    def _withdraw(self, message: Withdraw) -> None:
+    def _withdraw(self, message: CancelAttempt) -> None:
         for attempt in self.attempts.values():
             if (attempt.job, attempt.number) == (message.job, message.attempt):
                 self._give_up(attempt, Outcome.CANCELLED)
@@ -677,7 +583,7 @@
                 alive = True  # 503 too: it drains, and finishes what it has
         except (aiohttp.ClientError, OSError, TimeoutError):
             alive = False
-        self.report(Probed(self.destination.instance_id, alive))
+        self.report(HealthCheckEnded(self.destination.instance_id, alive))
 
     def _note_close(self, why: str) -> None:
         """Connections to this worker end from this side."""
@@ -694,7 +600,7 @@
 
     def _retire(self) -> None:
         if self.destination.lifecycle is Lifecycle.LEFT and not self.attempts and not self.calls:
-            self.report(Retired(self.destination.instance_id))
+            self.report(EndpointRetired(self.destination.instance_id))
 
     async def close(self) -> None:
         await self.session.close()
--- a/tests/test_decider.py
+++ b/tests/test_decider.py
@@ -8,9 +8,10 @@
 from robinhill.api import Outcome
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import ClientLeft, Dispatcher, Taken
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
 from robinhill.net.metrics import Metrics
-from robinhill.net.workers.endpoint import Ended
+from robinhill.net.workers.messages import AttemptEnded
 
 from .test_config import ENTRY, GIVEN
 
@@ -27,8 +28,8 @@
         replies = [asyncio.get_running_loop().create_future() for _ in range(2)]
         replies[1].cancel()  # its client has gone before the decider looks
         for request, reply in zip((first, second), replies, strict=True):
-            dispatcher.receive(Taken(request, clock.now_us(), reply))
-        dispatcher.receive(ClientLeft(second))
+            dispatcher.receive(RequestAccepted(request, clock.now_us(), reply))
+        dispatcher.receive(ClientDisconnected(second))
         (held,) = dispatcher.held.values()
         assert held.request is first and held.owed and not replies[0].done()
 
@@ -46,10 +47,12 @@
         dispatcher = Dispatcher(given, supervisor, clock, Metrics(given.classes))
         dispatcher.start()
         request = protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ())
-        dispatcher.receive(Taken(request, clock.now_us(), asyncio.get_running_loop().create_future()))
-        dispatcher.receive(ClientLeft(request))
+        dispatcher.receive(
+            RequestAccepted(request, clock.now_us(), asyncio.get_running_loop().create_future())
+        )
+        dispatcher.receive(ClientDisconnected(request))
         assert b"app.active:1|g" in dispatcher.stats().body
-        dispatcher.receive(Ended(1, 0, Outcome.COMPLETED, 50_000, "late"))
+        dispatcher.receive(AttemptEnded(1, 0, Outcome.COMPLETED, 50_000, "late"))
         assert (
             b"app.active:0|g" in dispatcher.stats().body
             and not dispatcher.jobs
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -12,7 +12,7 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
-from robinhill.net.dispatcher.dispatcher import Listed
+from robinhill.net.dispatcher.messages import EndpointListReceived
 from robinhill.placement import watch_schedule
 from robinhill.placement.watch_schedule import Pace
 
@@ -77,7 +77,7 @@
     def __init__(self, *scripts: Handler) -> None:
         self.scripts = list(scripts)
         self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.reports: list[Listed] = []
+        self.reports: list[EndpointListReceived] = []
 
     async def __call__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls.put_nowait((await reader.readuntil(b"\r\n")).decode())
@@ -144,7 +144,7 @@
         assert "after=41" in await discovery.call()
         after = 41 if script is _says_nothing else 43
         assert f"after={after}" in await discovery.call()
-        assert None not in [r.list for r in discovery.reports]  # a failed call would wait its turn
+        assert None not in [r.endpoint_list for r in discovery.reports]  # a failed call would wait its turn
         await discovery.stop()
 
     asyncio.run(play())
@@ -156,7 +156,7 @@
         await discovery.start()
         assert "after=41" in await discovery.call()
         assert "after=43" in await discovery.call()
-        assert [r.list and r.list.generation for r in discovery.reports] == [43, None]
+        assert [r.endpoint_list and r.endpoint_list.generation for r in discovery.reports] == [43, None]
         await discovery.stop()
 
     asyncio.run(play())
@@ -168,7 +168,7 @@
         actor = await discovery.start(pushed=True)
         for after in (41, 43, 43, 43):
             assert f"after={after}" in await discovery.call()
-        assert None not in [r.list for r in discovery.reports]
+        assert None not in [r.endpoint_list for r in discovery.reports]
         actor.tell(Move(Address("127.0.0.1", 9)))
         await discovery.stop()
 
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -19,7 +19,7 @@
 from robinhill.net.clients.connections import Connection, Listener, connection_of
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import ClientLeft, Taken
+from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
 from robinhill.net.metrics import Metrics
 from robinhill.net.scheduler import Scheduler
 from robinhill.protocol import Answer, DestinationList, JobEvent, JobRequest
@@ -179,7 +179,7 @@
     assert not caplog.records
 
 
-def inbound(report: Callable[[Taken | ClientLeft], None], sockets: int = 64) -> Inbound:
+def inbound(report: Callable[[RequestAccepted | ClientDisconnected], None], sockets: int = 64) -> Inbound:
     """The client side by itself; who reads what it reports answers for the decider."""
     nowhere = Address("127.0.0.1", 1)
     known = DestinationList(0, True, ())
@@ -196,7 +196,7 @@
     """The end of its connection waits in the kernel when the process that takes over first looks."""
 
     async def play() -> None:
-        told: list[Taken | ClientLeft] = []
+        told: list[RequestAccepted | ClientDisconnected] = []
         here = inbound(told.append)
         listening = socket.create_server(("127.0.0.1", 0))
         client = socket.create_connection(listening.getsockname())
@@ -207,7 +207,7 @@
         request = JobRequest("a", 0, 5_000_000, False, "/x", b"work", ())
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         await here.adopt(request, reply, ours.detach())
-        while told != [ClientLeft(request)]:
+        while told != [ClientDisconnected(request)]:
             assert not told
             await asyncio.sleep(0)
         assert not here.owed
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -25,7 +25,7 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
-from robinhill.net.dispatcher.dispatcher import DiscoveryMoved, ListConfirmed, Listed
+from robinhill.net.dispatcher.messages import DiscoveryAddressChanged, EndpointListReceived, ListConfirmed
 from robinhill.placement import watch_schedule
 from robinhill.placement.watch_schedule import Pace
 
@@ -246,7 +246,7 @@
     """The actor on its own, what it reports, and the discoveries that it may be sent to."""
 
     def __init__(self, *, pushed: bool = False, pace: Pace | None = None) -> None:
-        self.reports: asyncio.Queue[Listed] = asyncio.Queue()
+        self.reports: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
         self.supervisor = Supervisor()
         self.discoveries = [Discovery(), Discovery()]
         pace = pace or Pace(pushed, random.Random(1), 1)
@@ -256,13 +256,13 @@
 
     async def failed(self) -> None:
         """A call has failed, and nothing was told meanwhile."""
-        assert (await self.reports.get()).list is None
+        assert (await self.reports.get()).endpoint_list is None
 
     async def generation(self) -> int:
         """Of the next list that is told; calls that fail meanwhile are skipped."""
-        while not (report := await self.reports.get()).list:
+        while not (report := await self.reports.get()).endpoint_list:
             pass
-        return report.list.generation
+        return report.endpoint_list.generation
 
 
 @contextlib.asynccontextmanager
@@ -500,15 +500,15 @@
             here.actor.tell(Move(new.address))
             call = await new.call()
             call.send(HEAD + chunk(b"\n"))
-            while not (report := await here.reports.get()).list:
+            while not (report := await here.reports.get()).endpoint_list:
                 pass
-            assert report.heard_us is None
+            assert report.received_us is None
             call.send(chunk(told(7)))
             assert await here.generation() == 7
             call.send(chunk(b"\n"))
             while not any(isinstance(word, ListConfirmed) for word in words):
                 await asyncio.sleep(0)
-            assert [type(word) for word in words] == [DiscoveryMoved, ListConfirmed]
+            assert [type(word) for word in words] == [DiscoveryAddressChanged, ListConfirmed]
 
     asyncio.run(play())
 
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -22,7 +22,7 @@
 from robinhill import config as configuration
 from robinhill.net import scheduler
 from robinhill.net.clients import connections
-from robinhill.net.dispatcher.dispatcher import Listed, Release
+from robinhill.net.dispatcher.messages import EndpointListReceived, ReleaseRequest
 from robinhill.net.scheduler import Scheduler
 from robinhill.net.workers.endpoint import _Phase
 from robinhill.protocol import DestinationList, JobEvent, JobState, Lifecycle
@@ -664,12 +664,12 @@
             await here.running(old, "j1")
             endpoint = next(e for e in old.dispatcher.endpoints.values() if "j1" in e.attempts)
             left = replace(endpoint.destination, lifecycle=Lifecycle.LEFT)
-            old.dispatcher.tell(Listed(DestinationList(42, False, (left,))))
+            old.dispatcher.tell(EndpointListReceived(DestinationList(42, False, (left,))))
             await until(lambda: endpoint.destination.lifecycle is Lifecycle.LEFT)
             (owed,) = old.inbound.answering.values()
             reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
-            old.dispatcher.tell(Release(owed.request, reply))
+            old.dispatcher.tell(ReleaseRequest(owed.request, reply))
             assert (await here.taken()).id == "j1"
             await until(lambda: len(old.dispatcher.endpoints) == 1)
             async with asyncio.timeout(PATIENCE_S):
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -21,9 +21,17 @@
 from robinhill.api import Outcome
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.dispatcher.dispatcher import Adopt, ClientLeft, Dispatcher, Listed, Release, Taken
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import (
+    AdoptRequest,
+    ClientDisconnected,
+    EndpointListReceived,
+    ReleaseRequest,
+    RequestAccepted,
+)
 from robinhill.net.metrics import Metrics
 from robinhill.net.workers import endpoint as ep
+from robinhill.net.workers.messages import AttemptEnded, CancelAttempt, EndpointReport, StartAttempt
 from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
 
 from .test_config import ENTRY, GIVEN
@@ -126,7 +134,7 @@
 
     def __init__(self, worker: Worker, connect_timeout_us: int) -> None:
         self.worker, self.supervisor, self.clock = worker, Supervisor(), SetClock()
-        self.reports: asyncio.Queue[ep.FromEndpoint] = asyncio.Queue()
+        self.reports: asyncio.Queue[EndpointReport] = asyncio.Queue()
         self.endpoint = ep.Endpoint(
             worker.destination(), self.supervisor, self.clock, connect_timeout_us, 15_000_000, Metrics(()),
             self.reports.put_nowait,
@@ -139,11 +147,11 @@
         limits = {"deadline_us": LEFT_US, "write_until_us": LEFT_US} | changes
         limits = {key: now + value for key, value in limits.items()}
         wanted: Callable[[], bool] = lambda: self.wanted  # noqa: E731
-        self.endpoint.tell(ep.Dispatch(int(name[1:]), 0, job(name), now + until_us, wanted=wanted, **limits))
+        self.endpoint.tell(StartAttempt(int(name[1:]), 0, job(name), now + until_us, wanted=wanted, **limits))
 
     async def ended(self) -> tuple[int, Outcome]:
         report = await self.reports.get()
-        assert isinstance(report, ep.Ended), report
+        assert isinstance(report, AttemptEnded), report
         return report.job, report.outcome
 
     def done(self, name: str, state: JobState = JobState.DONE) -> None:
@@ -210,7 +218,7 @@
             connects = HeldConnects()
             r.dispatch("j1")
             await connects.begun.wait()
-            r.endpoint.tell(ep.Withdraw(1, 0))
+            r.endpoint.tell(CancelAttempt(1, 0))
             connects.go.set()
             assert await r.ended() == (1, Outcome.CANCELLED)
             assert r.reports.empty() and not r.endpoint.attempts
@@ -419,7 +427,7 @@
             await peer.head()
             peer.say(TAKEN)
             await until(lambda: r.endpoint.attempts["j1"].phase is ep._Phase.ACCEPTED)
-            r.endpoint.tell(ep.Withdraw(1, 0))
+            r.endpoint.tell(CancelAttempt(1, 0))
             assert await peer.head() == b"DELETE /jobs/j1 HTTP/1.1"
             peer.say(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
             assert await r.ended() == (1, Outcome.TIMEOUT)
@@ -457,9 +465,9 @@
             await until(lambda: r.endpoint.attempts["j1"].phase is ep._Phase.ACCEPTED)
             if first == "call":
                 r.done("j1")
-                r.endpoint.tell(ep.Withdraw(1, 0))
+                r.endpoint.tell(CancelAttempt(1, 0))
             else:
-                r.endpoint.tell(ep.Withdraw(1, 0))
+                r.endpoint.tell(CancelAttempt(1, 0))
                 r.done("j1")
                 assert await peer.head() == b"DELETE /jobs/j1 HTTP/1.1"
                 peer.say(CANCELLED)
@@ -500,7 +508,7 @@
 
     def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.dispatcher.receive(Taken(request, self.clock.now_us(), reply))
+        self.dispatcher.receive(RequestAccepted(request, self.clock.now_us(), reply))
         return reply
 
     async def accepted(self, worker: Worker, request: protocol.JobRequest) -> asyncio.Future[Answer]:
@@ -512,7 +520,9 @@
         return reply
 
     def listed(self, worker: Worker, lifecycle: Lifecycle) -> None:
-        self.dispatcher.receive(Listed(DestinationList(2, False, (worker.destination(lifecycle),))))
+        self.dispatcher.receive(
+            EndpointListReceived(DestinationList(2, False, (worker.destination(lifecycle),)))
+        )
 
 
 @pytest.fixture
@@ -543,7 +553,7 @@
         reply = h.take(request)
         await connects.begun.wait()
         reply.cancel()
-        h.dispatcher.tell(ClientLeft(request))
+        h.dispatcher.tell(ClientDisconnected(request))
         await connects.called_off.wait()
         await until(lambda: not h.dispatcher.held)
         assert not h.dispatcher.balancer.attempts and not h.endpoint.attempts
@@ -562,7 +572,7 @@
         reply.cancel()
         peer.say(SHED)
         await until(lambda: not h.dispatcher.held)
-        h.dispatcher.receive(ClientLeft(request))
+        h.dispatcher.receive(ClientDisconnected(request))
         assert not h.dispatcher.balancer.jobs and not h.endpoint.attempts
         assert h.dispatcher.metrics.tries == 1
 
@@ -573,9 +583,9 @@
     async def come_and_go(worker: Worker, h: House) -> None:
         request, reply = job("j1"), asyncio.get_running_loop().create_future()
         reply.cancel()
-        h.dispatcher.receive(Taken(request, h.clock.now_us(), reply))
+        h.dispatcher.receive(RequestAccepted(request, h.clock.now_us(), reply))
         assert not h.dispatcher.held and not h.dispatcher.balancer.jobs and "j1" in h.dispatcher.seen
-        h.dispatcher.receive(ClientLeft(request))
+        h.dispatcher.receive(ClientDisconnected(request))
         again = h.take(job("j1"))
         assert again.result() is protocol.CONFLICT
 
@@ -589,9 +599,9 @@
         request = job("j1")
         await h.accepted(worker, request)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        h.dispatcher.receive(Release(request, told))
+        h.dispatcher.receive(ReleaseRequest(request, told))
         await until(lambda: not h.endpoint.attempts)
-        h.dispatcher.receive(ClientLeft(request))  # ahead of the endpoint's word
+        h.dispatcher.receive(ClientDisconnected(request))  # ahead of the endpoint's word
         assert await told is None
         await until(lambda: "j1" in h.endpoint.attempts)
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "late"))
@@ -609,11 +619,11 @@
         request = job("j1")
         await old.accepted(worker, request)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        old.dispatcher.receive(Release(request, told))
+        old.dispatcher.receive(ReleaseRequest(request, told))
         memory = await told
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         new.listed(worker, Lifecycle.LEFT)
-        new.dispatcher.receive(Adopt(request, memory, reply, asyncio.Event()))
+        new.dispatcher.receive(AdoptRequest(request, memory, reply, asyncio.Event()))
         endpoint = new.endpoint
         await until(lambda: "j1" in endpoint.attempts and not new.dispatcher._scheduled)
         new.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
@@ -629,7 +639,7 @@
         await h.accepted(worker, request)
         h.listed(worker, Lifecycle.LEFT)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        h.dispatcher.receive(Release(request, told))
+        h.dispatcher.receive(ReleaseRequest(request, told))
         assert (await told)["attempt"]
         await until(lambda: not h.dispatcher.endpoints)
 
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -7,7 +7,8 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.metrics import Metrics
-from robinhill.net.workers.endpoint import Endpoint, FromEndpoint, Probe, Probed
+from robinhill.net.workers.endpoint import Endpoint
+from robinhill.net.workers.messages import CheckHealth, EndpointReport, HealthCheckEnded
 from robinhill.protocol import Destination, Lifecycle
 
 
@@ -19,7 +20,7 @@
     """One that drains says 503 and finishes what it has. Taken for dead, its jobs were moved and began anew:
     169 times in 30 s of a fleet's release (join+vast)."""
 
-    async def probe() -> tuple[bytes, FromEndpoint]:
+    async def probe() -> tuple[bytes, EndpointReport]:
         asked: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
         async def worker(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -31,16 +32,16 @@
 
         server = await asyncio.start_server(worker, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        told: asyncio.Future[FromEndpoint] = asyncio.get_running_loop().create_future()
+        told: asyncio.Future[EndpointReport] = asyncio.get_running_loop().create_future()
         destination = Destination("s-1", f"{host}:{port}", "a", "b", 0, Lifecycle.ACTIVE, 1.0, 0)
         supervisor, metrics = Supervisor(), Metrics(())
         endpoint = Endpoint(destination, supervisor, Clock(), 5_000_000, 15_000_000, metrics, told.set_result)
         endpoint.start()
-        endpoint.tell(Probe())
+        endpoint.tell(CheckHealth())
         found = await asked, await told
         await supervisor.close()
         await endpoint.close()
         server.close()
         return found
 
-    assert asyncio.run(probe()) == (b"GET /health HTTP/1.1\r\n", Probed("s-1", alive))
+    assert asyncio.run(probe()) == (b"GET /health HTTP/1.1\r\n", HealthCheckEnded("s-1", alive))
