--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -24,7 +24,10 @@
 EJECT_US = 4_000_000  # the longest time out; or half the time in which workers warm up, if longer
 SILENT_FAULTS = 3  # a worker that answers no probe stays out as long as after so many failures
 IN_LINE = 3.0  # own jobs of all nodes at a worker where they wait; below one each, it rests between two
-RETRY_SHARE, MOST_RETRIES = 0.1, 10.0  # retry budget: withdrawals for each completion; withdrawn, some run on
+RETRY_SHARE, MOST_RETRIES = (
+    0.1,
+    10.0,
+)  # retry budget: withdrawals for each completion; withdrawn, some run on
 CHEAP_WASTE = 0.1  # price of waste under which jobs past use are withdrawn: gains at 0.02, loses at 0.2
 HINT_MARGIN = 1.5  # workers that make the aim with so much of the hinted work go before tight fits
 
@@ -109,46 +112,50 @@
         if not known:
             # A start ahead of our clock is the clock's error, not a reason to pace a worker for ever.
             started = min(entry.started_us, now)
-            worker.cold_until_us = started + self.settings.cold_us if started else 0
+            worker.slow_start_until_us = started + self.settings.cold_us if started else 0
             self._begin_rotation(now, worker, turn)
         if entry.state is not api.WorkerState.READY:
             self._shut(worker)
-        elif worker.shut_until_us == inf:
+        elif worker.ejected_until_us == inf:
             self._take_back(now, worker, turn)
         elif not known:
-            worker.shut_until_us = 0
-        worker.for_bound = any(c.bound and c.open_to(entry) for c in self.settings.classes)
+            worker.ejected_until_us = 0
+        worker.serves_bound_classes = any(c.bound and c.open_to(entry) for c in self.settings.classes)
         self._weigh_age(worker)
 
     def _begin_rotation(self, now: int, worker: WorkerRecord, turn: int) -> None:
         """Never used costs nothing; cold or in a zone with a price, it starts in a phase of a turn."""
-        worker.credit, worker.credit_us, worker.error_share = self.random.random(), now, 0.0
+        worker.slow_start_credit, worker.slow_start_credit_us, worker.error_share = (
+            self.random.random(),
+            now,
+            0.0,
+        )
         away = worker.entry.zone != self.settings.zone and self.settings.cross_zone_price
-        phased = now < worker.cold_until_us or self.settings.handshake_price or away
+        phased = now < worker.slow_start_until_us or self.settings.handshake_price or away
         worker.last_send = self.sends - 1 - (int(worker.rank * turn) if phased else 1000 * (turn + 1))
 
     def _take_back(self, now: int, worker: WorkerRecord, turn: int) -> None:
         """Back after it was left out: what befell it or own jobs there before tells nothing now."""
-        worker.forget_faults(now)
+        worker.readmit(now)
         worker.last_send = self.sends - 1 - int(worker.rank * turn)
 
     def _shut(self, worker: WorkerRecord) -> None:
         """Nothing more goes to a worker that drains or left; its connections close as they fall idle."""
-        worker.shut_until_us = inf
+        worker.ejected_until_us = inf
         # Idle ones stayed open past the time allowed (deploy days): closed at the notice and each outcome.
-        if worker.connection_us and self.settings.close_within_us is not None:
-            worker.connection_us = 0
+        if worker.connection_used_us and self.settings.close_within_us is not None:
+            worker.connection_used_us = 0
             self.actions.append(api.CloseIdle(worker.entry.address))
 
     def _on_arrival(self, now: int, event: api.Arrived) -> None:
         request, hint, left = event.request, event.request.work_hint_us, event.request.time_left_us
         klass = self.settings.classes[request.job_class]
         self.estimates.add_arrival(now)
-        job = self.jobs[request.job] = JobRecord(request, klass, end_us=now + left)
+        job = self.jobs[request.job] = JobRecord(request, klass, client_deadline_us=now + left)
         if now < request.group_until_us:  # an earlier request of its key may have run
-            job.ran, job.group, job.group_until_us = True, request.group, request.group_until_us
+            job.may_have_run, job.group, job.group_until_us = True, request.group, request.group_until_us
         aim = klass.aim_us - self.client_tries.spent_us(request)
-        job.aim_us = now + aim + klass.stretch * hint
+        job.objective_us = now + aim + klass.stretch * hint
         if hint:
             self.job_times.add_hint(hint)
         expected = self.job_times.expected_us(request.job_class, hint) or UNKNOWN_JOB_US
@@ -156,9 +163,9 @@
             aim += int(max(0.0, klass.stretch * hint - expected))
         worth = klass.worth / (1.0 if self.settings.value_by_work else expected)
         self.estimates.add_work(expected, worth, klass.bound)
-        job.order, job.late_start_us = -worth, int(now + aim)
-        job.hold_until_us = now + min(left - 1, self._useful_wait(request, aim, expected))
-        job.hold_until_us = min(job.hold_until_us, job.group_until_us or job.hold_until_us)
+        job.order, job.latest_start_us = -worth, int(now + aim)
+        job.queue_deadline_us = now + min(left - 1, self._useful_wait(request, aim, expected))
+        job.queue_deadline_us = min(job.queue_deadline_us, job.group_until_us or job.queue_deadline_us)
         # In an overload that own waits show, a share is refused at once.
         if self.shed and self.random.random() * worth < self.shed * self.estimates.mean_worth:
             self._give_up(job, api.RefusalReason.OVERLOAD)
@@ -177,15 +184,15 @@
 
     def place(self, now: int, job: JobRecord) -> None:
         """Send the job, or hold it for a worker, or end it."""
-        if job.tries >= self.settings.max_attempts:
+        if job.attempts >= self.settings.max_attempts:
             self._give_up(job, api.RefusalReason.ATTEMPTS_SPENT)
-        elif now >= job.hold_until_us:
+        elif now >= job.queue_deadline_us:
             self._give_up(job, api.RefusalReason.NO_WORKER)
         elif self.list_leased and (worker := self._pick_worker(now, job)) is not None:
             self._send(now, job, worker)
         else:
             self.held.add(job)
-            self._set_held_timer(now, job.hold_until_us)
+            self._set_held_timer(now, job.queue_deadline_us)
 
     def _give_up(self, job: JobRecord, why: api.RefusalReason, unconfirmed: bool = False) -> None:
         """One final answer; a refusal only where it is true that trying again does no harm."""
@@ -193,7 +200,7 @@
         self.client_tries.given_up += 1
         klass = job.klass
         harmless = klass.repeat is api.Repeat.SAFE or klass.dropped_everywhere
-        if (job.ran or job.pending) and not harmless:
+        if (job.may_have_run or job.attempts_in_flight) and not harmless:
             return self.actions.append(api.Fail(job.request.job))
         wait = 0
         if self.settings.retry_after and not unconfirmed:
@@ -214,14 +221,14 @@
         usable = self.workers.values() if self.list_leased else ()
         room = held and any(self._takes_jobs(now, worker) for worker in usable)
         for job in held:
-            if now < job.hold_until_us and (not room or job.request.job_class in self.no_room):
+            if now < job.queue_deadline_us and (not room or job.request.job_class in self.no_room):
                 self.held.jobs.append(job)  # a long queue must not cost a choice for each job at each event
             elif self.jobs.get(job.request.job) is job:
                 self.place(now, job)
 
     def _takes_jobs(self, now: int, worker: WorkerRecord) -> bool:
-        open_now = now >= worker.shut_until_us and now >= worker.rest_until_us
-        return open_now and (not worker.out or self._has_room(now, worker))
+        open_now = now >= worker.ejected_until_us and now >= worker.backoff_until_us
+        return open_now and (not worker.in_flight or self._has_room(now, worker))
 
     def _pick_worker(self, now: int, job: JobRecord) -> WorkerRecord | None:
         """Age-priced rotation: the lowest x ln q among the eligible; equal costs go to the larger age."""
@@ -250,16 +257,16 @@
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         no_room = True
         for worker in self.workers.values():
-            if now < worker.cold_until_us and not self._cold_turn(now, worker, cold_pace):
+            if now < worker.slow_start_until_us and not self._cold_turn(now, worker, cold_pace):
                 continue
             cost = (sends - worker.last_send) * worker.age_weight * worker.zone.factor
             if cost > best_cost and not best_rank:
                 continue  # what follows only raises the cost
-            if now < worker.shut_until_us or now < worker.rest_until_us:
+            if now < worker.ejected_until_us or now < worker.backoff_until_us:
                 continue
             if bound and not klass.open_to(worker.entry):
                 continue
-            if worker.out and not self._has_room(now, worker):
+            if worker.in_flight and not self._has_room(now, worker):
                 continue
             no_room = False
             cost = self._full_cost(now, worker, choice, cost)
@@ -275,15 +282,17 @@
     def _full_cost(self, now: int, worker: WorkerRecord, choice: Choice, cost: float) -> float:
         """The cost of an age (below 0), raised by all that speaks against the worker."""
         idle_limit = choice.idle_limit_us
-        if idle_limit < inf and (worker.out or now - worker.connection_us > idle_limit):
+        if idle_limit < inf and (worker.in_flight or now - worker.connection_used_us > idle_limit):
             cost = (self.sends - worker.last_send) * worker.age_weight * worker.zone.fresh
-        if now < worker.cold_until_us:
+        if now < worker.slow_start_until_us:
             cost *= self.estimates.warm_share(now, worker)
-        factor = self.unbound_factor if worker.for_bound and not choice.job.klass.bound else 1.0
+        factor = self.unbound_factor if worker.serves_bound_classes and not choice.job.klass.bound else 1.0
         cost *= (1 - worker.error_share) ** 8 * factor if self.thin else factor
-        full = worker.full_until_us and now < worker.full_until_us.get(choice.job.request.job_class, 0)
+        full = worker.class_backoff_until_us and now < worker.class_backoff_until_us.get(
+            choice.job.request.job_class, 0
+        )
         # What has failed is tried again by jobs that may be repeated.
-        if full or now < worker.doubt_until_us or (worker.ejections and choice.unsafe):
+        if full or now < worker.suspected_until_us or (worker.consecutive_ejections and choice.unsafe):
             cost /= BACK_OFF
         return cost
 
@@ -291,12 +300,12 @@
         """Workers of a lower rank go first, whatever they cost."""
         # With a hint, those that make the aim with half as much again go before tight fits.
         hint = choice.padded_hint_us
-        rank = 2 if hint > 0 and now + worker.unit_time * hint > choice.job.aim_us else 0
+        rank = 2 if hint > 0 and now + worker.unit_time * hint > choice.job.objective_us else 0
         # Where starts are not told, one with an own job out is less surely ready than one without.
-        if worker.out and not self.settings.tells_start:
+        if worker.in_flight and not self.settings.tells_start:
             rank += 1
         if self.thin and choice.unsafe:
-            proven = worker.done_us or now < worker.cold_until_us
+            proven = worker.last_completion_us or now < worker.slow_start_until_us
             rank += worker.error_share > 0.1 or not proven
         return rank
 
@@ -304,41 +313,41 @@
         """Whether own jobs show room here; reports and probes play no part."""
         if worker.waiting:
             return False  # an own job waits: full, frozen or gone
-        limit = 1 if worker.ejections else worker.limit  # ejected before: one job
-        if len(worker.out) < limit:
+        limit = 1 if worker.consecutive_ejections else worker.concurrency_limit  # ejected before: one job
+        if len(worker.in_flight) < limit:
             return True
         # Lost jobs take no room.
         silence = self.derived.silence_us or inf
-        heard = (self.attempts[key].heard_us or now for key in worker.out)
+        heard = (self.attempts[key].last_progress_us or now for key in worker.in_flight)
         return sum(now - at < silence for at in heard) < limit
 
     def _fits(self, now: int, worker: WorkerRecord, job: JobRecord) -> bool:
         """Whether this job may go to a worker with room: in time as far as a hint tells, no effect twice."""
         klass, hint = job.klass, job.request.work_hint_us
-        if hint and not klass.late_worth and now + worker.unit_time * hint > job.aim_us:
+        if hint and not klass.late_worth and now + worker.unit_time * hint > job.objective_us:
             return False  # even its quickest would miss the aim
-        if not job.ran or klass.repeat is api.Repeat.SAFE:
+        if not job.may_have_run or klass.repeat is api.Repeat.SAFE:
             return True
         return klass.group_of(worker.entry) == job.group and now < job.group_until_us
 
     def _cold_turn(self, now: int, worker: WorkerRecord, pace: float) -> bool:
         """Whether it is time for a job to a cold worker: all nodes' shares add up to half its budget."""
         # In a lull all nodes would come to their turn, and the first burst send all of these at once.
-        gap = min(now - worker.credit_us, self.settings.tip_after_us)
-        credit = worker.credit + gap * pace * self.estimates.warm_share(now, worker)
-        if worker.credit < 1.0 <= credit:  # its turn, though cold
+        gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
+        credit = worker.slow_start_credit + gap * pace * self.estimates.warm_share(now, worker)
+        if worker.slow_start_credit < 1.0 <= credit:  # its turn, though cold
             phase = int(len(self.workers) / self.settings.cold_from)
             worker.last_send = min(worker.last_send, self.sends - phase)
-        worker.credit, worker.credit_us = min(1.0, credit), now
+        worker.slow_start_credit, worker.slow_start_credit_us = min(1.0, credit), now
         return credit >= 1.0
 
     def _weigh_age(self, worker: WorkerRecord) -> None:
         """The logarithm of q, the chance that a worker's last own job still runs when the next one comes."""
         self.estimates.update_times(worker)
-        worker.age_weight = -log1p(1e6 / (worker.time_us * self.estimates.rate))
+        worker.age_weight = -log1p(1e6 / (worker.job_time_us * self.estimates.rate))
         if not self.sparse:
             # Slow ones leave less of the aim; who learns late from few jobs would swing between kinds.
-            worker.age_weight /= worker.time_us
+            worker.age_weight /= worker.job_time_us
 
     def _weigh_zones(self) -> None:
         """How much ages count by zone."""
@@ -367,26 +376,26 @@
         klass, hint = job.klass, job.request.work_hint_us
         worker.last_send = self.sends
         self.sends += 1
-        key, group = (job.request.job, job.tries), klass.group_of(worker.entry)
-        attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.out), group)
-        worker.out.add(key)
+        key, group = (job.request.job, job.attempts), klass.group_of(worker.entry)
+        attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.in_flight), group)
+        worker.in_flight.add(key)
         worker.waiting = attempt if self.settings.tells_start else None
-        worker.credit = 0.0
-        job.tries += 1
-        job.pending += 1
+        worker.slow_start_credit = 0.0
+        job.attempts += 1
+        job.attempts_in_flight += 1
         if self.derived.checks_attempts and self._worth_withdrawing(job):
             # A keyed job has few places to go to: it moves if it waits longer than own jobs there usually do.
             usual_wait = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
-            wait = worker.shortest_start_us + klass.aim_us // 4 + usual_wait
+            wait = worker.min_start_delay_us + klass.aim_us // 4 + usual_wait
             self._set_attempt_timer(int(wait), timers.Check.PROGRESS, attempt)
-        if worker.connection_us and now - worker.heard_us > TRUST_US:
+        if worker.connection_used_us and now - worker.last_response_us > TRUST_US:
             # A vanished machine leaves its connections open; a new one does not come up: the job never ran.
             self.actions.append(api.CloseIdle(worker.entry.address))
-        worker.connection_us = now
+        worker.connection_used_us = now
         timeout = 0
         if hint and not klass.late_worth:
             # With a hint it is known when an answer turns worthless: its place serves another then.
-            timeout = max(1, int(job.aim_us + 0.25 * klass.stretch * hint) - now)
+            timeout = max(1, int(job.objective_us + 0.25 * klass.stretch * hint) - now)
         self.actions.append(api.Send(job.request.job, worker.entry.address, timeout))
 
     def _worth_withdrawing(self, job: JobRecord) -> bool:
@@ -396,12 +405,12 @@
         return self.settings.waste_price * (wasted or 1.0) < CHEAP_WASTE * (mean or 1.0)
 
     def _withdraw(self, attempt: Attempt) -> None:
-        attempt.withdrawn = True
+        attempt.cancel_requested = True
         self.actions.append(api.Cancel(*attempt.key))
 
     def _on_progress(self, now: int, event: api.JobStarted | api.JobProgress | api.StreamStarted) -> None:
         if attempt := self.attempts.get((event.job, event.attempt)):
-            attempt.heard_us = attempt.worker.heard_us = now
+            attempt.last_progress_us = attempt.worker.last_response_us = now
             if attempt.worker.waiting is attempt:
                 self._attempt_started(now, attempt)
         if isinstance(event, api.StreamStarted):
@@ -412,8 +421,8 @@
         if usual := self.job_times.usual_us[attempt.job.request.job_class]:
             self._set_attempt_timer(int(OVERDUE * usual), timers.Check.OVERDUE, attempt)
         worker.waiting = None
-        worker.shortest_start_us = min(worker.shortest_start_us or delay, delay)
-        self._adapt_limit(now, attempt, delay - worker.shortest_start_us, delay)
+        worker.min_start_delay_us = min(worker.min_start_delay_us or delay, delay)
+        self._adapt_limit(now, attempt, delay - worker.min_start_delay_us, delay)
         self._place_held(now)
 
     def _on_client_gone(self, now: int, event: api.ClientGone) -> None:
@@ -424,14 +433,16 @@
         if attempt is None:
             return
         worker = attempt.worker
-        worker.out.discard(attempt.key)
+        worker.in_flight.discard(attempt.key)
         worker.waiting = None if worker.waiting is attempt else worker.waiting
-        attempt.job.pending -= 1
-        if worker.limit < 1 and outcome is not api.Outcome.FULL:  # many nodes' jobs wait for each other there
-            worker.rest_until_us = now + int((1 / worker.limit - 1) * worker.time_us)
+        attempt.job.attempts_in_flight -= 1
+        if (
+            worker.concurrency_limit < 1 and outcome is not api.Outcome.FULL
+        ):  # many nodes' jobs wait for each other there
+            worker.backoff_until_us = now + int((1 / worker.concurrency_limit - 1) * worker.job_time_us)
         listed = self.workers.get(worker.entry.address, worker)
-        listed.connection_us = now  # a connection has fallen idle there
-        if listed.shut_until_us == inf:
+        listed.connection_used_us = now  # a connection has fallen idle there
+        if listed.ejected_until_us == inf:
             self._shut(listed)
         self._judge(now, attempt, outcome, event.took_us)
         if event.final:
@@ -443,20 +454,20 @@
     def _try_again(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
         """An attempt has failed: another one, or the answer."""
         job, klass = attempt.job, attempt.job.klass
-        if attempt.heard_us and not job.request.work_hint_us and not klass.late_worth:
+        if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_worth:
             # It started and did not end: it is at least as long as it ran, and its aim grows with that.
-            ran = now - attempt.heard_us + self.job_times.usual_us[job.request.job_class]
-            until = int(job.aim_us + max(0.0, klass.stretch - 1) * ran)
-            job.hold_until_us = min(job.end_us - 1, max(job.hold_until_us, until))
+            ran = now - attempt.last_progress_us + self.job_times.usual_us[job.request.job_class]
+            until = int(job.objective_us + max(0.0, klass.stretch - 1) * ran)
+            job.queue_deadline_us = min(job.client_deadline_us - 1, max(job.queue_deadline_us, until))
         # Where workers shed work that they had begun, unsafe jobs ran twice after a 'full'.
         if not outcome.never_ran or (outcome is api.Outcome.FULL and self.settings.full_may_have_run):
-            job.note_run(attempt)
-        if job.pending:
+            job.record_possible_run(attempt)
+        if job.attempts_in_flight:
             return
         over = outcome in (api.Outcome.TIMEOUT, api.Outcome.NOT_SENT)
-        if over or (job.ran and klass.repeat is api.Repeat.UNSAFE):
+        if over or (job.may_have_run and klass.repeat is api.Repeat.UNSAFE):
             # A withdrawal that can't be confirmed, before its time is up: the client may move it at once.
-            unconfirmed = attempt.withdrawn and now < job.hold_until_us
+            unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
             self._give_up(job, api.RefusalReason.ATTEMPT_ENDED, unconfirmed)
         else:
             self.place(now, job)
@@ -465,28 +476,30 @@
         """What an outcome tells of the worker."""
         if not self.list_leased and outcome is api.Outcome.CONNECT_FAILED:
             return  # it was not written for want of the lease
-        worker, late = attempt.worker, outcome is api.Outcome.TIMEOUT or attempt.withdrawn
+        worker, late = attempt.worker, outcome is api.Outcome.TIMEOUT or attempt.cancel_requested
         if outcome in api.ANSWERED:
-            worker.heard_us = now
-        elif worker.heard_us < attempt.sent_us and took_us >= self.settings.connect_timeout_us * 3 // 4:
+            worker.last_response_us = now
+        elif (
+            worker.last_response_us < attempt.sent_us and took_us >= self.settings.connect_timeout_us * 3 // 4
+        ):
             self._probe(now, worker)
         if outcome is api.Outcome.COMPLETED:
             return self._completed(now, attempt, took_us)
         withdrawn_by_client = outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT) and not late
-        if withdrawn_by_client or attempt.sent_us < worker.back_us:
+        if withdrawn_by_client or attempt.sent_us < worker.readmitted_us:
             return  # it tells nothing, or is a job of before the worker was left out
         # A worker that loses answers looked dead: slow, full, shunned, and the others drowned (ledger site).
         silence = self.derived.silence_us
-        lost = late and attempt.heard_us and 0 < silence <= now - attempt.heard_us
+        lost = late and attempt.last_progress_us and 0 < silence <= now - attempt.last_progress_us
         full = outcome is api.Outcome.FULL
         if full:
-            worker.full_until_us[attempt.job.request.job_class] = now + self.settings.cold_us
+            worker.class_backoff_until_us[attempt.job.request.job_class] = now + self.settings.cold_us
         elif not lost:
-            slow = took_us if outcome is api.Outcome.TIMEOUT else 2 * worker.time_us
+            slow = took_us if outcome is api.Outcome.TIMEOUT else 2 * worker.job_time_us
             self.estimates.add_job_time(now, worker, slow)
             self._weigh_age(worker)
         if full or (late and not lost):
-            waited = took_us if attempt.withdrawn else inf
+            waited = took_us if attempt.cancel_requested else inf
             return self._adapt_limit(now, attempt, waited, waited)
         self._failed(now, attempt, outcome)
 
@@ -494,7 +507,7 @@
         worker = attempt.worker
         worker.add_success(now)
         self.retry_budget = min(MOST_RETRIES, self.retry_budget + RETRY_SHARE)
-        if worker.shut_until_us < inf:
+        if worker.ejected_until_us < inf:
             self.estimates.served.add(now, took_us, self.settings.cold_us)
         request, klass = attempt.job.request, attempt.job.klass
         self.estimates.add_completion(now, worker, request, took_us)
@@ -512,55 +525,61 @@
         if unreachable and self.thin:  # a lost zone is tried worker by worker else
             worker.zone.add(now, attempt.job.klass.aim_us, self.settings.cold_us)
         broken = unreachable or outcome is api.Outcome.RESET
-        if (broken or worker.failure_share > 0.4 or worker.ejections) and now >= worker.shut_until_us:
+        if (
+            broken or worker.failure_share > 0.4 or worker.consecutive_ejections
+        ) and now >= worker.ejected_until_us:
             self._eject(now, worker, outcome.value)
 
     def _eject(self, now: int, worker: WorkerRecord, why: str) -> None:
-        out = sum(now < other.shut_until_us < inf for other in self.workers.values())
+        out = sum(now < other.ejected_until_us < inf for other in self.workers.values())
         if 2 * out < len(self.workers):
             longest = max(self.settings.cold_us // 2, EJECT_US)
-            wait = min(longest, self.settings.connect_timeout_us << worker.ejections)
-            worker.ejections += 1
-            worker.shut_until_us = max(worker.shut_until_us, now + wait)
+            wait = min(longest, self.settings.connect_timeout_us << worker.consecutive_ejections)
+            worker.consecutive_ejections += 1
+            worker.ejected_until_us = max(worker.ejected_until_us, now + wait)
             self.actions.append(api.Log(f"{worker.entry.address} ejected for {wait // 1000} ms: {why}"))
 
     def _probe(self, now: int, worker: WorkerRecord) -> None:
         """Nothing came from this worker, not even a refusal: ask it, if jobs there could be moved."""
         listed = self.workers.get(worker.entry.address) is worker
-        if self.derived.probes_workers and listed and worker.out and not worker.probed_us:
-            worker.probed_us = now
+        if self.derived.probes_workers and listed and worker.in_flight and not worker.health_check_since_us:
+            worker.health_check_since_us = now
             self.actions.append(api.Probe(worker.entry.address))
 
     def _on_probe_ended(self, now: int, event: api.ProbeEnded) -> None:
         """A machine that vanished never ends the jobs it holds: those safe to repeat are moved."""
         worker = self.workers.get(event.address)
-        if worker is None or not worker.probed_us:
+        if worker is None or not worker.health_check_since_us:
             return
-        worker.unanswered += 1
-        alive = event.alive or worker.heard_us >= worker.probed_us or not worker.out
-        if not alive and worker.unanswered < 2:  # a pause of a busy machine can swallow one
+        worker.failed_health_checks += 1
+        alive = event.alive or worker.last_response_us >= worker.health_check_since_us or not worker.in_flight
+        if not alive and worker.failed_health_checks < 2:  # a pause of a busy machine can swallow one
             return self.actions.append(api.Probe(event.address))
-        worker.probed_us = worker.unanswered = 0
+        worker.health_check_since_us = worker.failed_health_checks = 0
         if alive:
             return
-        worker.ejections = max(worker.ejections, SILENT_FAULTS)
+        worker.consecutive_ejections = max(worker.consecutive_ejections, SILENT_FAULTS)
         self._eject(now, worker, "silent")
-        for key in sorted(worker.out):
+        for key in sorted(worker.in_flight):
             attempt = self.attempts[key]
             safe = attempt.job.klass.repeat is api.Repeat.SAFE
-            if safe and not attempt.withdrawn and attempt.job.request.job in self.jobs:
+            if safe and not attempt.cancel_requested and attempt.job.request.job in self.jobs:
                 self._withdraw(attempt)
 
     def _adapt_limit(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
         """The limit grows while jobs start at once and falls when they wait (AIMD)."""
-        worker, others, aim = attempt.worker, attempt.others, attempt.job.klass.aim_us
+        worker, others, aim = attempt.worker, attempt.in_flight_at_send, attempt.job.klass.aim_us
         self.shed = min(0.8, max(0.0, self.shed + ((waited_us > aim) - 0.5) / 16))
         worker.zone.add(now, min(aim, max(0.0, delay_us)), self.settings.cold_us)
         if waited_us >= aim / 4:
-            fallen = min(worker.limit, others or 0.7 * worker.limit)
-            worker.limit = max(self.derived.least_limit, fallen)
-        elif others + 1 >= worker.limit - 0.5:
-            worker.limit = worker.limit + 1.0 if worker.limit >= 1 else min(1.0, worker.limit + 0.15)
+            fallen = min(worker.concurrency_limit, others or 0.7 * worker.concurrency_limit)
+            worker.concurrency_limit = max(self.derived.least_limit, fallen)
+        elif others + 1 >= worker.concurrency_limit - 0.5:
+            worker.concurrency_limit = (
+                worker.concurrency_limit + 1.0
+                if worker.concurrency_limit >= 1
+                else min(1.0, worker.concurrency_limit + 0.15)
+            )
 
     def _on_timer(self, now: int, event: api.TimerFired) -> None:
         if event.tag == timers.HELD:
@@ -570,26 +589,26 @@
                 self.actions.append(api.Subscribe())
         elif timer := timers.read(event.tag):
             attempt = self.attempts.get((timer.job, timer.attempt))
-            if attempt is not None and not attempt.withdrawn:
+            if attempt is not None and not attempt.cancel_requested:
                 check = self._check_progress if timer.check is timers.Check.PROGRESS else self._check_overdue
                 check(now, attempt)
 
     def _check_overdue(self, now: int, attempt: Attempt) -> None:
         """Workers that lose their answers still take jobs and start them: each one more was lost too."""
-        if attempt.worker.done_us < attempt.heard_us:
-            attempt.worker.doubt_until_us = now + self.settings.cold_us
+        if attempt.worker.last_completion_us < attempt.last_progress_us:
+            attempt.worker.suspected_until_us = now + self.settings.cold_us
             self._probe(now, attempt.worker)
 
     def _check_held(self, now: int) -> None:
-        late = [job for job in self.held.jobs if now > job.late_start_us]
+        late = [job for job in self.held.jobs if now > job.latest_start_us]
         for job in late:  # worth less: others go first
-            job.late_start_us = job.end_us
+            job.latest_start_us = job.client_deadline_us
             job.order *= job.klass.late_worth or 1.0
         if late:
             self.held.sort()
         self._place_held(now)
         if self.held.jobs:
-            self._set_held_timer(now, min(job.hold_until_us for job in self.held.jobs))
+            self._set_held_timer(now, min(job.queue_deadline_us for job in self.held.jobs))
 
     def _check_progress(self, now: int, attempt: Attempt) -> None:
         """Withdraw an own job that does not start, to move it or as too late, or one whose answer is lost."""
@@ -606,14 +625,17 @@
         if attempt.worker.waiting is attempt:
             if self.sparse and klass.repeat is api.Repeat.SAFE:
                 return inf  # a second choice knows no more, and what is withdrawn may run on
-            in_time = attempt.key[1] == 0 and now < job.hold_until_us and self.retry_budget >= 1
+            in_time = attempt.key[1] == 0 and now < job.queue_deadline_us and self.retry_budget >= 1
             if in_time and self.list_leased and self._can_move(now, attempt):
                 return now  # own jobs can't tell where those of others are; a start that does not come does
             if not klass.late_worth:  # a jam must not be spent on late answers
-                due = job.aim_us + (klass.stretch - 1) * self.job_times.class_us[job.request.job_class] / 4
+                due = (
+                    job.objective_us
+                    + (klass.stretch - 1) * self.job_times.class_us[job.request.job_class] / 4
+                )
                 return due if self.retry_budget >= 1 else max(due, now + self.derived.tick_us)
-        if klass.late_worth and klass.repeat is api.Repeat.SAFE and attempt.heard_us and silence:
-            return attempt.heard_us + silence
+        if klass.late_worth and klass.repeat is api.Repeat.SAFE and attempt.last_progress_us and silence:
+            return attempt.last_progress_us + silence
         return inf
 
     def _can_move(self, now: int, attempt: Attempt) -> bool:
@@ -622,6 +644,8 @@
         if klass.repeat is not api.Repeat.KEYED:
             return klass.repeat is api.Repeat.SAFE
         return any(
-            now >= worker.shut_until_us and not worker.out and klass.group_of(worker.entry) == attempt.group
+            now >= worker.ejected_until_us
+            and not worker.in_flight
+            and klass.group_of(worker.entry) == attempt.group
             for worker in self.workers.values()
         )
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -434,7 +434,7 @@
     def _write_until(self, held: _Held) -> int:
         """A connect can outlast the window in which workers drop a repeat of a keyed request."""
         klass, job = self.config.settings.classes[held.request.job_class], self.balancer.jobs.get(held.job)
-        repeats = job is not None and job.ran and klass.repeat is api.Repeat.KEYED
+        repeats = job is not None and job.may_have_run and klass.repeat is api.Repeat.KEYED
         return job.group_until_us if job and repeats else held.deadline_us
 
     def _remember(self, request: JobRequest, attempt: tuple[int, int], address: str) -> None:
@@ -534,7 +534,7 @@
     def memory(self) -> Json:
         """What a successor must know to decide as one with this process."""
         return {
-            "module": exported_state.learned(self.balancer),
+            "module": exported_state.export_state(self.balancer),
             "seen": list(self.seen),
             "held_out": sorted(self.held_out),
             "outages": self.outages,
@@ -552,7 +552,7 @@
         self.next_number = told["next"] + NUMBERS_APART
         self.held_out, self.outages = set(told["held_out"]), {k: tuple(v) for k, v in told["outages"].items()}
         self._tell_anew()
-        exported_state.recall(self.balancer, told["module"])
+        exported_state.import_state(self.balancer, told["module"])
 
     def _release(self, message: Release) -> None:
         held = self.held.get(self.jobs.get(message.request.id, 0))
@@ -593,7 +593,7 @@
             if attempt:
                 self.endpoints[held.endpoints[-1]].tell(attempt)
             return
-        module = exported_state.release(self.balancer, job)
+        module = exported_state.export_job(self.balancer, job)
         assert module, "a request that is owed an answer is the module's"
         told: Json = {
             "job": job,
@@ -610,7 +610,9 @@
             "destination": attempt and protocol.write_destination(self.destinations[held.endpoints[-1]]),
             "module": module,
             "timers": [
-                [at, due.tag] for due, at in self._timers.items() if exported_state.concerns(due.tag, job)
+                [at, due.tag]
+                for due, at in self._timers.items()
+                if exported_state.is_timer_of_job(due.tag, job)
             ],
         }
         held.leaving.set_result(told)
@@ -638,7 +640,7 @@
                 endpoint.tell(ep.Returned(request.id))
         for at, tag in told["timers"]:
             self._set_timer(max(0, at - now), tag)
-        self._perform(exported_state.resume(self.balancer, now, told["module"], message.own))
+        self._perform(exported_state.import_job(self.balancer, now, told["module"], message.own))
         message.done.set()
 
     # The destination set
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -15,7 +15,7 @@
     least_limit: float  # the lowest limit of a worker
     silence_us: int  # an attempt not heard of for so long after its start is lost; 0: progress is not told
     idle_limit_us: float  # a connection idle for longer may be closed; without end: new ones cost nothing
-    checks_attempts: bool  # attempts that do not start can be seen and withdrawn
+    checks_attempts: bool  # attempts that do not start can be seen and cancelled
     probes_workers: bool  # workers may be probed, and their jobs moved
 
     @classmethod
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -107,7 +107,7 @@
 
     def count_ready(self, workers: Iterable[WorkerRecord]) -> None:
         """A job done counts by the workers of its time: what many bore is not what each of few can bear."""
-        ready = max(1, sum(worker.shut_until_us < inf for worker in workers))
+        ready = max(1, sum(worker.ejected_until_us < inf for worker in workers))
         self.served.count = self.served.count * ready / self.ready
         self.ready = ready
 
@@ -149,7 +149,7 @@
 
     def warm_share(self, now: int, worker: WorkerRecord) -> float:
         """The share of its speed that a cold worker has for sure."""
-        cold = min(1.0, (worker.cold_until_us - now) / self.window_us)
+        cold = min(1.0, (worker.slow_start_until_us - now) / self.window_us)
         return 1 - (1 - self.settings.cold_from) * cold
 
     def zone(self, number: int) -> Weighed:
@@ -166,15 +166,19 @@
 
     def bound_speed_share(self, workers: Iterable[WorkerRecord]) -> float:
         """The share of all speed that machines have which bound classes want."""
-        speeds = [(1 / worker.time_us, worker.for_bound) for worker in workers if worker.shut_until_us < inf]
-        bound = sum(speed for speed, for_bound in speeds if for_bound)
+        speeds = [
+            (1 / worker.job_time_us, worker.serves_bound_classes)
+            for worker in workers
+            if worker.ejected_until_us < inf
+        ]
+        bound = sum(speed for speed, serves_bound_classes in speeds if serves_bound_classes)
         return bound / (sum(speed for speed, _ in speeds) or 1.0)
 
     def update_times(self, worker: WorkerRecord) -> None:
         """With few own jobs a worker leans on its kind, and that on the list's weight."""
         entry, kind = worker.entry, self.kinds.get(worker.entry.kind)
         prior = self.weighted_time.value / max(1e-6, entry.weight) or self.unknown_job_us
-        worker.time_us = max(1.0, worker.own_time.lean(kind.lean(prior) if kind else prior))
+        worker.job_time_us = max(1.0, worker.own_time.lean(kind.lean(prior) if kind else prior))
         worker.unit_time = worker.unit_time or self.unit_times.get(entry.kind, 0.0)
 
     def infer_wait(self, worker: WorkerRecord, request: api.Request, took_us: int) -> float:
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -1,32 +1,31 @@
-"""The module's state as plain values, so that a successor process can go on with it.
+"""State of the decision module as plain JSON values, so that a successor process can go on with it.
 
-Nothing here decides. Values go by name: processes of different versions take what both of them know.
+This module owns the keys of that format. It decides nothing. Two processes of a scheduler may be of different
+versions: each imports the keys that it knows and ignores the others, so a key never changes its meaning.
 """
 
 from collections.abc import Mapping
-from dataclasses import fields
 from math import inf
-from typing import Any
+from typing import Any, TypedDict
 
 from robinhill import api
 from robinhill.logic import UNKNOWN_JOB_US, Balancer
 from robinhill.placement import timers
-from robinhill.placement.records import Attempt, JobRecord, WorkerRecord
+from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
 from robinhill.placement.statistics import Mean, Weighed
 
 Json = dict[str, Any]
-Names = Mapping[str, str]
+Keys = Mapping[str, str]
 
-# Names on the link, by attribute: they stay as older versions know them. Of the module as a whole, of its
-# estimates, their job times and clients' tries; means by number (of kind or zone) apart.
-LEARNED = {
+# Key of the format by attribute. A renamed attribute keeps its key.
+LEARNED: Keys = {
     "sends": "sends",
     "weighted_rate": "priced_rate",
     "retry_budget": "budget",
     "shed": "shed",
     "unbound_factor": "spare",
 }
-ESTIMATES = {
+ESTIMATES: Keys = {
     "rate_us": "rate_us",
     "began_us": "began_us",
     "rate": "rate",
@@ -34,153 +33,247 @@
     "requested_us": "asked_us",
     "unbound_us": "free_us",
 }
-TRIES = {"longest_left_us": "full_us", "given_up": "given_up"}
-TIMES = {"mean_us": "mean_us", "class_us": "class_us", "usual_us": "usual_us", "hint_us": "hint_us"}
-
-# The same for attributes of records that have another name on the link.
-WORKER = {
+TRIES: Keys = {"longest_left_us": "full_us", "given_up": "given_up"}
+TIMES: Keys = {"mean_us": "mean_us", "class_us": "class_us", "usual_us": "usual_us", "hint_us": "hint_us"}
+MEAN: Keys = {"value": "value", "count": "count", "at_us": "at_us"}
+ZONE: Keys = {**MEAN, "factor": "factor", "fresh": "fresh"}
+WORKER: Keys = {
+    "rank": "rank",
+    "job_time_us": "time_us",
     "last_send": "last",
     "age_weight": "lnq",
-    "cold_until_us": "cold_us",
-    "shut_until_us": "shut_us",
-    "shortest_start_us": "base_us",
+    "slow_start_until_us": "cold_us",
+    "ejected_until_us": "shut_us",
+    "concurrency_limit": "limit",
+    "min_start_delay_us": "base_us",
     "own_unit_time": "quick",
     "unit_time": "unit",
     "failure_share": "errors",
     "error_share": "failed",
-    "ejections": "faults",
-    "for_bound": "wanted",
-    "doubt_until_us": "doubt_us",
-    "probed_us": "asked_us",
-    "rest_until_us": "rest_us",
-    "connection_us": "idle_us",
+    "consecutive_ejections": "faults",
+    "serves_bound_classes": "wanted",
+    "last_response_us": "heard_us",
+    "last_completion_us": "done_us",
+    "suspected_until_us": "doubt_us",
+    "health_check_since_us": "asked_us",
+    "failed_health_checks": "unanswered",
+    "backoff_until_us": "rest_us",
+    "readmitted_us": "back_us",
+    "slow_start_credit": "credit",
+    "slow_start_credit_us": "credit_us",
+    "connection_used_us": "idle_us",
+}
+JOB: Keys = {
+    "queue_deadline_us": "until_us",
+    "client_deadline_us": "end_us",
+    "objective_us": "aim_us",
+    "attempts": "tries",
+    "attempts_in_flight": "pending",
+    "may_have_run": "ran",
+    "group": "group",
+    "group_until_us": "group_until_us",
+    "order": "order",
+    "latest_start_us": "late_us",
+}
+ATTEMPT: Keys = {
+    "sent_us": "sent_us",
+    "in_flight_at_send": "others",
+    "group": "group",
+    "cancel_requested": "dropped",
+    "last_progress_us": "heard_us",
+}
+REQUEST: Keys = {
+    "job": "job",
+    "job_class": "job_class",
+    "time_left_us": "time_left_us",
+    "tenant": "tenant",
+    "work_hint_us": "work_hint_us",
+    "client_repeat": "client_repeat",
+    "group": "group",
+    "group_until_us": "group_until_us",
 }
-JOB = {"hold_until_us": "until_us", "late_start_us": "late_us"}
-ATTEMPT = {"withdrawn": "dropped"}
-SAME: Names = {}
 
 
-def _scalars(record: object, names: Names = SAME) -> Json:
-    """The numbers and flags of one of the module's records; without end is null in JSON."""
-    values = {f.name: getattr(record, f.name) for f in fields(record)}  # type: ignore[arg-type]
-    return {
-        names.get(name, name): None if value == inf else value
-        for name, value in values.items()
-        if isinstance(value, int | float | bool)
-    }
+class ExportedWorker(TypedDict):
+    """What is known of one worker; ``full`` has a pair of class and end of back-off, ``out`` a count."""
 
+    values: Json
+    own: Json
+    full: list[tuple[int, int]]
+    out: int
 
-def _named(record: object, names: Names) -> Json:
-    return {on_link: getattr(record, name) for name, on_link in names.items()}
 
+class ExportedState(TypedDict):
+    """What the module has learned of workers and of jobs in general.
 
-def _set(record: object, values: Json, names: Names = SAME) -> None:
-    attributes = {on_link: name for name, on_link in names.items()}
-    for on_link, value in values.items():
-        name = attributes.get(on_link, on_link)
-        if hasattr(record, name):
-            setattr(record, name, inf if value is None else value)
+    Pairs begin with the number of a kind of machine or of a zone.
+    """
+
+    own: Json
+    unit: Json
+    kinds: list[tuple[int, Json]]
+    zones: list[tuple[int, Json]]
+    quick: list[tuple[int, float]]
+    served: Json
+    seats: dict[str, ExportedWorker]
+
+
+class ExportedAttempt(TypedDict):
+    """An attempt in flight; ``waiting`` while its start has not been reported."""
 
+    address: str
+    attempt: int
+    waiting: bool
+    values: Json
 
-def learned(balancer: Balancer) -> Json:
-    """What it has learned of workers and of jobs as such."""
+
+class ExportedJob(TypedDict):
+    """A job and its attempts in flight."""
+
+    request: Json
+    values: Json
+    flights: list[ExportedAttempt]
+
+
+def export_state(balancer: Balancer) -> ExportedState:
+    """What the module has learned of workers and of jobs in general."""
     estimates = balancer.estimates
     return {
-        "own": _named(balancer, LEARNED)
-        | _named(estimates, ESTIMATES)
-        | _named(estimates.jobs, TIMES)
-        | _named(balancer.client_tries, TRIES),
-        "unit": _scalars(estimates.weighted_time),
-        "kinds": [[number, _scalars(mean)] for number, mean in estimates.kinds.items()],
-        "zones": [[number, _scalars(mean)] for number, mean in estimates.zones.items()],
+        "own": _export(balancer, LEARNED)
+        | _export(estimates, ESTIMATES)
+        | _export(estimates.jobs, TIMES)
+        | _export(balancer.client_tries, TRIES),
+        "unit": _export(estimates.weighted_time, MEAN),
+        "kinds": [(number, _export(mean, MEAN)) for number, mean in estimates.kinds.items()],
+        "zones": [(number, _export(mean, ZONE)) for number, mean in estimates.zones.items()],
         "quick": list(estimates.unit_times.items()),
-        "served": _scalars(estimates.served),
-        "seats": {
-            address: {
-                "values": _scalars(worker, WORKER),
-                "own": _scalars(worker.own_time),
-                "full": list(worker.full_until_us.items()),
-                "out": len(worker.out),
-            }
-            for address, worker in balancer.workers.items()
-        },
+        "served": _export(estimates.served, MEAN),
+        "seats": {address: _export_worker(worker) for address, worker in balancer.workers.items()},
     }
 
 
-def recall(balancer: Balancer, told: Json) -> None:
-    """Go on from there; to be called once the list is known."""
+def import_state(balancer: Balancer, state: Mapping[str, Any]) -> None:
+    """Go on from an ``ExportedState`` of any version. The endpoint list must be known by then."""
     estimates = balancer.estimates
-    for record, names in (
+    for record, keys in (
         (balancer, LEARNED),
         (estimates, ESTIMATES),
         (estimates.jobs, TIMES),
         (balancer.client_tries, TRIES),
     ):
-        values = {on_link: told["own"][on_link] for on_link in names.values() if on_link in told["own"]}
-        _set(record, values, names)
-    balancer.weighted_rate = 0.0  # so that ages get the weights of this version at the first choice
-    _set(estimates.weighted_time, told["unit"])
-    for number, values in told["kinds"]:
-        _set(estimates.kinds.setdefault(number, Mean()), values)
-    for number, values in told["zones"]:
-        _set(estimates.zone(number), values)
-    estimates.unit_times.update(told["quick"])
-    _set(estimates.served, told.get("served", {}))
-    for address, values in told["seats"].items():
-        if (worker := balancer.workers.get(address)) is None:
-            continue
-        left_out = worker.shut_until_us == inf
-        _set(worker, values["values"], WORKER)
-        _set(worker.own_time, values["own"])
-        worker.full_until_us = dict(values["full"])
-        # What the other process has out there takes room, until it comes here with it (`resume`).
-        worker.limit = max(1.0, worker.limit - values["out"])
-        if left_out or worker.shut_until_us == inf:  # the list's word on leaving is newer
-            worker.shut_until_us = inf if left_out else 0
-
-
-def release(balancer: Balancer, number: int) -> Json | None:
-    """Let a job go to another process: it and its attempt are forgotten here."""
+        _import(record, keys, state["own"])
+    balancer.weighted_rate = 0.0  # so that this version computes its own age weights at the first choice
+    _import(estimates.weighted_time, MEAN, state["unit"])
+    for number, values in state["kinds"]:
+        _import(estimates.kinds.setdefault(number, Mean()), MEAN, values)
+    for number, values in state["zones"]:
+        _import(estimates.zone(number), ZONE, values)
+    estimates.unit_times.update(state["quick"])
+    _import(estimates.served, MEAN, state.get("served", {}))
+    for address, values in state["seats"].items():
+        if (worker := balancer.workers.get(address)) is not None:
+            _import_worker(worker, values)
+
+
+def export_job(balancer: Balancer, number: int) -> ExportedJob | None:
+    """Remove a job and its attempts, for another process to go on with; None if there is no such job."""
     if (job := balancer.jobs.pop(number, None)) is None:
         return None
-    attempts = []
-    for key in [key for key in balancer.attempts if key[0] == number]:
-        attempt = balancer.attempts.pop(key)
-        worker, waiting = attempt.worker, attempt.worker.waiting is attempt
-        worker.out.discard(key)
-        worker.waiting = None if waiting else worker.waiting
-        there = {"address": worker.entry.address, "attempt": key[1], "waiting": waiting}
-        attempts.append(there | {"values": _scalars(attempt, ATTEMPT)})
-    request = {name: getattr(job.request, name) for name in api.Request.__slots__}
-    return {"request": request, "values": _scalars(job, JOB), "flights": attempts}
-
-
-def resume(balancer: Balancer, now: int, told: Json, own: bool = False) -> list[api.Action]:
-    """Take a job that another process has let go, or an ``own`` one back; what is to be done for it."""
-    request = api.Request(**told["request"])
+    keys = [key for key in balancer.attempts if key[0] == number]
+    return {
+        "request": _export(job.request, REQUEST),
+        "values": _export(job, JOB),
+        "flights": [_export_attempt(balancer.attempts.pop(key)) for key in keys],
+    }
+
+
+def import_job(
+    balancer: Balancer, now: int, exported: Mapping[str, Any], own: bool = False
+) -> list[api.Action]:
+    """Take over an ``ExportedJob`` of any version; return the actions that follow.
+
+    ``own``: this process exported the job, and no other has taken it.
+    """
+    attributes = {key: name for name, key in REQUEST.items()}
+    request = api.Request(**{attributes[key]: value for key, value in exported["request"].items()})
     job = JobRecord(request, balancer.settings.classes[request.job_class])
-    _set(job, told["values"], JOB)
-    number = job.request.job
-    balancer.jobs[number] = job
-    for there in told["flights"]:
-        worker = balancer.workers.get(there["address"])
-        if worker is None:  # it has left the list
-            gone = api.Worker(there["address"], state=api.WorkerState.GONE)
-            worker = WorkerRecord(gone, 0.0, Weighed(), UNKNOWN_JOB_US, shut_until_us=inf)
-        key = (number, there["attempt"])
-        attempt = balancer.attempts[key] = Attempt(key, worker, now, job, 0, -1)
-        _set(attempt, there["values"], ATTEMPT)
-        worker.out.add(key)
-        worker.limit += 0.0 if own else 1.0  # `recall` took that room away; `release` did not
-        if there["waiting"]:
-            worker.waiting = attempt
+    _import(job, JOB, exported["values"])
+    balancer.jobs[request.job] = job
+    for flight in exported["flights"]:
+        _import_attempt(balancer, now, job, flight, own)
     balancer.actions = []
-    if not told["flights"]:
+    if not exported["flights"]:
         balancer.place(now, job)
     return balancer.actions
 
 
-def concerns(tag: str, number: int) -> bool:
-    """Whether a timer is about this job."""
+def is_timer_of_job(tag: str, number: int) -> bool:
+    """Whether a timer is about an attempt of this job."""
     timer = timers.read(tag)
     return timer is not None and timer.job == number
+
+
+def _export_worker(worker: WorkerRecord) -> ExportedWorker:
+    return {
+        "values": _export(worker, WORKER),
+        "own": _export(worker.own_time, MEAN),
+        "full": list(worker.class_backoff_until_us.items()),
+        "out": len(worker.in_flight),
+    }
+
+
+def _import_worker(worker: WorkerRecord, exported: Mapping[str, Any]) -> None:
+    listed_as_unavailable = worker.ejected_until_us == inf
+    _import(worker, WORKER, exported["values"])
+    _import(worker.own_time, MEAN, exported["own"])
+    worker.class_backoff_until_us = dict(exported["full"])
+    # Attempts of the other process take capacity there until `import_job` brings them here.
+    worker.concurrency_limit = max(1.0, worker.concurrency_limit - exported["out"])
+    if listed_as_unavailable or worker.ejected_until_us == inf:  # the endpoint list here is newer
+        worker.ejected_until_us = inf if listed_as_unavailable else 0
+
+
+def _export_attempt(attempt: Attempt) -> ExportedAttempt:
+    worker = attempt.worker
+    waiting = worker.waiting is attempt
+    worker.in_flight.discard(attempt.key)
+    if waiting:
+        worker.waiting = None
+    return {
+        "address": worker.entry.address,
+        "attempt": attempt.key[1],
+        "waiting": waiting,
+        "values": _export(attempt, ATTEMPT),
+    }
+
+
+def _import_attempt(
+    balancer: Balancer, now: int, job: JobRecord, exported: Mapping[str, Any], own: bool
+) -> None:
+    worker = balancer.workers.get(exported["address"]) or _removed_worker(exported["address"])
+    key: AttemptKey = (job.request.job, exported["attempt"])
+    attempt = balancer.attempts[key] = Attempt(key, worker, now, job, 0, -1)
+    _import(attempt, ATTEMPT, exported["values"])
+    worker.in_flight.add(key)
+    worker.concurrency_limit += 0.0 if own else 1.0  # taken off in `_import_worker`, not in `export_job`
+    if exported["waiting"]:
+        worker.waiting = attempt
+
+
+def _removed_worker(address: str) -> WorkerRecord:
+    """A record for a worker that is no longer on the endpoint list."""
+    entry = api.Worker(address, state=api.WorkerState.GONE)
+    return WorkerRecord(entry, 0.0, Weighed(), UNKNOWN_JOB_US, ejected_until_us=inf)
+
+
+def _export(record: object, keys: Keys) -> Json:
+    """The record's values by key; JSON has no infinity, so null stands for it."""
+    values = {key: getattr(record, name) for name, key in keys.items()}
+    return {key: None if value == inf else value for key, value in values.items()}
+
+
+def _import(record: object, keys: Keys, values: Mapping[str, Any]) -> None:
+    for name, key in keys.items():
+        if key in values:
+            value = values[key]
+            setattr(record, name, inf if value is None else value)
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -444,28 +444,28 @@
 
 def exported_state() -> Json:
     """What a driven decision module knows, as its successor gets it."""
-    return _as_json(memory.learned(_driven().balancer))
+    return _as_json(memory.export_state(_driven().balancer))
 
 
 def reexported_state(state: Json) -> Json:
     """The same, told to a fresh module and exported by it."""
     node = Node(3, tells_start=True)
-    memory.recall(node.balancer, state)
-    return _as_json(memory.learned(node.balancer))
+    memory.import_state(node.balancer, state)
+    return _as_json(memory.export_state(node.balancer))
 
 
 def handed_over_jobs() -> list[Json]:
     """The jobs that the driven module still has, as a successor gets them."""
     balancer = _driven().balancer
-    return [_as_json(memory.release(balancer, number)) for number in sorted(balancer.jobs)]
+    return [_as_json(memory.export_job(balancer, number)) for number in sorted(balancer.jobs)]
 
 
 def handed_over_again(jobs: list[Json]) -> list[Json]:
     """The same, taken by a fresh module and handed over by it."""
     node = Node(3, tells_start=True)
     for job in jobs:
-        memory.resume(node.balancer, node.now, job)
-    return [_as_json(memory.release(node.balancer, number)) for number in sorted(node.balancer.jobs)]
+        memory.import_job(node.balancer, node.now, job)
+    return [_as_json(memory.export_job(node.balancer, number)) for number in sorted(node.balancer.jobs)]
 
 
 def timer_tags() -> list[str]:
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -634,14 +634,14 @@
             relay = await here.relay()
             new = await relay.begin()
             new.inbound.leaving = True
-            limits = [worker.limit for worker in old.dispatcher.balancer.workers.values()]
+            limits = [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()]
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             relay.hand(message, fd)
             relay.old.say(await relay.new.hear())
             assert not new.dispatcher.holds("j1") and not new.inbound.answering
             await until(lambda: old.dispatcher.holds("j1"))
-            assert [worker.limit for worker in old.dispatcher.balancer.workers.values()] == limits
+            assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
             relay.old.die()
             here.schedulers.remove(new)
             await new.close()  # nothing else is at the address
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -42,7 +42,7 @@
 
 def test_a_cold_worker_is_warm_for_sure_by_the_time_left() -> None:
     learned = estimates()  # warm after 9 s, from 0.3 on
-    worker = WorkerRecord(api.Worker("w"), 0.0, Weighed(), S, cold_until_us=9 * S)
+    worker = WorkerRecord(api.Worker("w"), 0.0, Weighed(), S, slow_start_until_us=9 * S)
     assert learned.warm_share(0, worker) == pytest.approx(0.3)
     assert learned.warm_share(9 * S, worker) == pytest.approx(1.0)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -131,7 +131,7 @@
     worker = node.balancer.workers[sent_to(node.ask())]
     started(node, 1)
     node.end(1, took_us=200 * MS)
-    before = worker.time_us
+    before = worker.job_time_us
     while node.balancer.attempts or worker.waiting is None:
         if sent_to(node.ask(MS)) != worker.entry.address:
             started(node, node.jobs)
@@ -140,7 +140,7 @@
             node.do(api.TimerFired(f"look {node.jobs} 0"), 25 * MS)
             node.end(node.jobs, O.CANCELLED, 25 * MS)
             break
-    assert worker.time_us > before
+    assert worker.job_time_us > before
 
 
 def test_a_started_job_is_not_moved() -> None:
@@ -178,7 +178,7 @@
         node.balancer._weigh_age(worker)
     fast = [x for x in node.balancer.workers.values() if x.entry.kind == 1]
     slow = [x for x in node.balancer.workers.values() if x.entry.kind == 0]
-    assert max(x.time_us for x in fast) < min(x.time_us for x in slow)
+    assert max(x.job_time_us for x in fast) < min(x.job_time_us for x in slow)
 
 
 def test_a_full_own_zone_spills_into_another() -> None:
@@ -235,12 +235,12 @@
 def test_a_failing_worker_comes_back_by_trial() -> None:
     node = Node(2)
     worker = node.balancer.workers["w0"]
-    while not worker.ejections:
+    while not worker.consecutive_ejections:
         where = sent_to(node.ask(20 * MS))
         node.end(node.jobs, O.CONNECT_FAILED if where == "w0" else O.COMPLETED, 10 * MS)
         node.end(node.jobs, attempt=1)
     back = [sent_to(node.ask(100 * MS)) for _ in range(8) if node.end(node.jobs) is not None]
-    assert "w0" in back and worker.ejections == 0
+    assert "w0" in back and worker.consecutive_ejections == 0
 
 
 def test_at_most_half_of_the_workers_are_ejected() -> None:
@@ -249,13 +249,13 @@
         node.ask(MS)
         for attempt in range(4):
             node.end(node.jobs, O.CONNECT_FAILED, MS, attempt=attempt, after_us=MS)
-    assert sum(node.now < worker.shut_until_us for worker in node.balancer.workers.values()) <= 2
+    assert sum(node.now < worker.ejected_until_us for worker in node.balancer.workers.values()) <= 2
 
 
 def test_a_silent_worker_is_shunned_before_it_answers() -> None:
     node = Node(3)
     for worker in node.balancer.workers.values():
-        worker.limit = 5.0
+        worker.concurrency_limit = 5.0
     for _ in range(30):
         node.ask(10 * MS)
         node.end(node.jobs, took_us=30 * MS, after_us=5 * MS)
@@ -274,7 +274,7 @@
         where = sent_to(node.ask(100 * MS))
         huge = where == "w0" and i == 20
         node.end(node.jobs, took_us=20 * S if huge else 40 * MS, after_us=40 * MS)
-    assert node.balancer.workers["w0"].time_us < 200 * MS
+    assert node.balancer.workers["w0"].job_time_us < 200 * MS
 
 
 def test_ready_workers_of_the_own_zone_go_first_where_crossing_costs() -> None:
@@ -366,10 +366,10 @@
         started(node, node.jobs)
         node.end(node.jobs)
     worker = node.balancer.workers[sent_to(node.ask(MS))]
-    before, shed = worker.time_us, node.balancer.shed
+    before, shed = worker.job_time_us, node.balancer.shed
     started(node, node.jobs)
     node.end(node.jobs, O.TIMEOUT, 5 * S, after_us=5 * S)
-    assert worker.time_us == before and node.balancer.shed == shed and not worker.ejections
+    assert worker.job_time_us == before and node.balancer.shed == shed and not worker.consecutive_ejections
 
 
 def test_a_slow_worker_that_tells_progress_is_no_lost_answer() -> None:
@@ -378,7 +378,7 @@
     started(node, 1)
     node.do(api.JobProgress(1, 0, 0.3), 4 * S)
     node.end(1, O.TIMEOUT, 5 * S, after_us=S)
-    assert worker.time_us > S
+    assert worker.job_time_us > S
 
 
 def test_a_safe_job_whose_answer_is_lost_is_sent_again() -> None:
@@ -458,7 +458,7 @@
     turned = [w for c, w in picks if c == 0 and w in ("w0", "w1", "w2")]
     others = [w for c, w in picks if c == 1 and w in ("w0", "w1", "w2")]
     assert len(turned) <= 6 and len(others) > 20
-    assert not any(worker.ejections for worker in node.balancer.workers.values())
+    assert not any(worker.consecutive_ejections for worker in node.balancer.workers.values())
 
 
 def test_a_class_turned_away_everywhere_is_still_sent() -> None:
@@ -497,7 +497,7 @@
     node = Node(1, tells_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     node.ask()
     started(node, 1, MS)
-    node.balancer.workers["w0"].limit = 1.0
+    node.balancer.workers["w0"].concurrency_limit = 1.0
     assert not only(node.ask(S), api.Send), "it may still run"
     assert only(node.ask(S), api.Send), "silent for more than one and a half progress intervals"
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -179,11 +179,11 @@
     hour = 3600 * S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
     record = node.balancer.workers["w2"]
-    assert record.cold_until_us == node.now + node.balancer.settings.cold_us
-    until = record.cold_until_us
+    assert record.slow_start_until_us == node.now + node.balancer.settings.cold_us
+    until = record.slow_start_until_us
     node.now += S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
-    assert record.cold_until_us == until  # told again, it did not start again
+    assert record.slow_start_until_us == until  # told again, it did not start again
 
 
 # Stalls
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,9 @@
     """A module that has recalled what the old one learned, as it comes out of JSON."""
     new = Node(len(old.balancer.workers), seed=8, **changes)
     new.now = old.now
-    exported_state.recall(new.balancer, json.loads(json.dumps(exported_state.learned(old.balancer))))
+    exported_state.import_state(
+        new.balancer, json.loads(json.dumps(exported_state.export_state(old.balancer)))
+    )
     return new
 
 
@@ -62,9 +64,9 @@
         old.do(api.JobStarted(old.jobs, 0), after_us=5 * MS)
     new = successor(old, **changes)
     for job in range(1, 4):
-        told = json.loads(json.dumps(exported_state.release(old.balancer, job)))
-        assert not exported_state.resume(new.balancer, new.now, told)
-    assert not old.balancer.attempts and not old.balancer.jobs and not old.balancer.workers["w0"].out
+        told = json.loads(json.dumps(exported_state.export_job(old.balancer, job)))
+        assert not exported_state.import_job(new.balancer, new.now, told)
+    assert not old.balancer.attempts and not old.balancer.jobs and not old.balancer.workers["w0"].in_flight
     new.jobs = 3
     assert sent_to(new.ask()) == "w0"
     new.do(api.JobStarted(4, 0), after_us=5 * MS)
@@ -77,16 +79,16 @@
     old.ask()  # has not started: no room
     assert not only(old.ask(), api.Send)
     new = successor(Node(2, tells_start=True), tells_start=True)
-    told = exported_state.release(old.balancer, 2)
-    assert told and sent_to(exported_state.resume(new.balancer, new.now, told)) in ("w0", "w1")
-    assert exported_state.release(old.balancer, 2) is None
+    told = exported_state.export_job(old.balancer, 2)
+    assert told and sent_to(exported_state.import_job(new.balancer, new.now, told)) in ("w0", "w1")
+    assert exported_state.export_job(old.balancer, 2) is None
 
 
 def test_names_on_the_link_are_those_of_older_versions() -> None:
     """Values go by name: one under a new name would be lost at an upgrade, without a word."""
     node = Node(1, tells_start=True)
     node.ask()
-    learned = exported_state.learned(node.balancer)
+    learned = exported_state.export_state(node.balancer)
     assert set(learned) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
     own = (
         "sends rate_us began_us rate priced_rate mean_us class_us usual_us hint_us full_us given_up budget "
@@ -100,7 +102,7 @@
         "done_us doubt_us asked_us unanswered rest_us back_us credit credit_us idle_us"
     )
     assert set(seat["values"]) == set(values.split())
-    job = exported_state.release(node.balancer, 1)
+    job = exported_state.export_job(node.balancer, 1)
     assert job and set(job) == {"request", "values", "flights"}
     values = "until_us end_us aim_us tries pending ran group group_until_us order late_us"
     assert set(job["values"]) == set(values.split())
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -14,9 +14,11 @@
 
 @pytest.mark.parametrize("tag", [timers.HELD, timers.LIST, "", "look", "look 1", "later 1 2", "look 1 2 3"])
 def test_a_tag_that_is_about_no_attempt_is_left_alone(tag: str) -> None:
-    assert timers.read(tag) is None and not exported_state.concerns(tag, 1)
+    assert timers.read(tag) is None and not exported_state.is_timer_of_job(tag, 1)
 
 
 def test_a_timer_goes_with_its_job_alone() -> None:
-    assert exported_state.concerns("look 1 2", 1) and exported_state.concerns("overdue 1 0", 1)
-    assert not exported_state.concerns("look 11 1", 1) and not exported_state.concerns("look 2 1", 1)
+    assert exported_state.is_timer_of_job("look 1 2", 1) and exported_state.is_timer_of_job("overdue 1 0", 1)
+    assert not exported_state.is_timer_of_job("look 11 1", 1) and not exported_state.is_timer_of_job(
+        "look 2 1", 1
+    )
