--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -3,17 +3,17 @@
 from dataclasses import dataclass
 from random import Random
 
-FIRST_PAUSE_US = 100_000
-LONGEST_PAUSE_US = 1_000_000
+MIN_BACKOFF_US = 100_000
+MAX_BACKOFF_US = 1_000_000
 """A region that was cut off must be in step within 4 s after the heal; this is a quarter of it."""
 
-CONNECT_PATIENCE_US = 1_000_000
+CONNECT_TIMEOUT_US = 1_000_000
 """A connection of which nothing is heard for so long may be asked for again."""
 
 
 @dataclass(slots=True)
 class _State:
-    pause_us: int = 0
+    backoff_us: int = 0
     due_us: int = 0
     connecting_us: int | None = None
 
@@ -47,19 +47,19 @@
         """None could be opened, or it was refused: wait between half of the pause and all of it."""
         state = self._state(voter)
         state.connecting_us = None
-        state.pause_us = min(LONGEST_PAUSE_US, 2 * state.pause_us or FIRST_PAUSE_US)
-        state.due_us = mono_us + self._rng.randint(state.pause_us // 2, state.pause_us)
+        state.backoff_us = min(MAX_BACKOFF_US, 2 * state.backoff_us or MIN_BACKOFF_US)
+        state.due_us = mono_us + self._rng.randint(state.backoff_us // 2, state.backoff_us)
 
     def expire(self, mono_us: int) -> None:
         """Attempts of which nothing was heard have failed."""
         for name, state in self._states.items():
-            if state.connecting_us is not None and mono_us - state.connecting_us > CONNECT_PATIENCE_US:
+            if state.connecting_us is not None and mono_us - state.connecting_us > CONNECT_TIMEOUT_US:
                 self.failed(mono_us, name)
 
     def expires_us(self) -> int | None:
         """When the first attempt that is on counts as failed."""
         since = [one.connecting_us for one in self._states.values() if one.connecting_us is not None]
-        return min(since) + CONNECT_PATIENCE_US + 1 if since else None
+        return min(since) + CONNECT_TIMEOUT_US + 1 if since else None
 
     def _state(self, voter: str) -> _State:
         return self._states.setdefault(voter, _State())
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -6,21 +6,21 @@
 
 from dataclasses import dataclass
 
-from robinhill.control.changelog import BYTES_AT_MOST, RECORDS_AT_MOST, ChangeLog
+from robinhill.control.changelog import MAX_RECORDS_PER_MESSAGE, SOFT_MAX_MESSAGE_BYTES, ChangeLog
 from robinhill.control.errors import JoinRefused
 from robinhill.control.messages import Compared, Digests, HeartbeatReply, RangePart, RangeRecords, write
 from robinhill.mesh.digests import RANGES
 from robinhill.mesh.records import Record
 
-MESSAGES_AT_MOST = 8
+MAX_UNCONFIRMED_MESSAGES = 8
 """Messages with records that may be unconfirmed: with `BYTES_AT_MOST` some 256 KB for each observer."""
 
-CLOCKS_DIFFER_US = 5_000_000
+MAX_CLOCK_DIFFERENCE_US = 5_000_000
 """Digests as of a time that is further from ours are answered by ours, and differ."""
 
 
 @dataclass(slots=True)
-class _Owed:
+class _PendingReply:
     """An answer that is due once changes up to ``position`` are sent."""
 
     number: int
@@ -29,7 +29,7 @@
     urgent: int
 
 
-class Feed:
+class ChangeFeed:
     """One link's cursor. ``in_step``: all that the voter held at some moment is sent."""
 
     def __init__(self, log: ChangeLog) -> None:
@@ -43,7 +43,7 @@
         self._index = 0
         self._rest: list[Record] | None = None  # what is left of range `_index`
         self._compared: int | None = None  # the position to tell once all ranges are sent
-        self._owed: _Owed | None = None
+        self._pending_reply: _PendingReply | None = None
 
     @property
     def comparing(self) -> bool:
@@ -68,7 +68,7 @@
         if self.in_step and not self.quiet:
             self._compared = 0
             return
-        near = abs(digests.at_us - now_us) <= CLOCKS_DIFFER_US
+        near = abs(digests.at_us - now_us) <= MAX_CLOCK_DIFFERENCE_US
         ours = self.log.replica.ranges(digests.at_us if near else now_us)
         theirs = digests.digests
         self._ranges = [
@@ -83,9 +83,9 @@
 
     def heartbeat(self, number: int, age_us: int | None) -> None:
         """A heartbeat was read when a majority was known ``age_us`` before; None: none was."""
-        if self._owed is None:  # else that answer is on its way, and the next heartbeat asks again
+        if self._pending_reply is None:  # else that answer is on its way, and the next heartbeat asks again
             position, urgent = self.log.replica.head, self.log.urgent_head
-            self._owed = _Owed(number, -1 if age_us is None else age_us, position, urgent)
+            self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
     def received(self, count: int) -> None:
         """So many messages with records have come."""
@@ -102,7 +102,7 @@
         return found, answer is not None
 
     def _draw_records(self) -> bytes | None:
-        if self.sent - self._received >= MESSAGES_AT_MOST:
+        if self.sent - self._received >= MAX_UNCONFIRMED_MESSAGES:
             return None
         if self.in_step:
             data = self._changes() or self._compare_next()
@@ -138,12 +138,16 @@
     def _range_parts(self) -> list[RangePart]:
         parts: list[RangePart] = []
         size = count = 0
-        while size < BYTES_AT_MOST and count < RECORDS_AT_MOST and (self._rest is not None or self._ranges):
+        while (
+            size < SOFT_MAX_MESSAGE_BYTES
+            and count < MAX_RECORDS_PER_MESSAGE
+            and (self._rest is not None or self._ranges)
+        ):
             if self._rest is None:
                 self._index = self._ranges.pop()
                 self._rest = self.log.replica.in_range(self._index)
             taken: list[Record] = []
-            while self._rest and size < BYTES_AT_MOST:
+            while self._rest and size < SOFT_MAX_MESSAGE_BYTES:
                 record = self._rest.pop()
                 taken.append(record)
                 size += len(record.key) + len(record.value)
@@ -155,10 +159,10 @@
         return parts
 
     def _answer(self) -> bytes | None:
-        owed = self._owed
+        owed = self._pending_reply
         if owed is None or not self.in_step:
             return None
         if self._cursor < owed.position or self._urgent_cursor < owed.urgent:
             return None
-        self._owed = None
+        self._pending_reply = None
         return write(HeartbeatReply(owed.number, owed.age_us, self._cursor))
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -10,17 +10,17 @@
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
-RECORDS_AT_MOST = 256
+MAX_RECORDS_PER_MESSAGE = 256
 """Records in one message."""
 
-BYTES_AT_MOST = 32 << 10
+SOFT_MAX_MESSAGE_BYTES = 32 << 10
 """Bytes of keys and values in one message, beyond which none is added."""
 
 Name = tuple[str, str]
 
 
 @dataclass(slots=True, frozen=True)
-class Batch:
+class EncodedChanges:
     """One message, or None where nothing need be sent to stand at ``cursor``."""
 
     data: bytes | None
@@ -35,9 +35,9 @@
         self.urgent_kinds = frozenset(urgent_kinds)
         self.urgent_head = 0
         self.bulk_head = 0
-        self.encoded = 0  # messages, for the figures
+        self.messages_encoded = 0  # messages, for the figures
         self._urgent: dict[Name, int] = {}  # by change, the latest last
-        self._batches: dict[tuple[int, bool], Batch] = {}
+        self._batches: dict[tuple[int, bool], EncodedChanges] = {}
         for record in replica.snapshot():
             self.note([record])
 
@@ -55,7 +55,7 @@
         """The position of the last change, urgent or not urgent."""
         return self.urgent_head if urgent else self.bulk_head
 
-    def after(self, cursor: int, urgent: bool) -> Batch:
+    def after(self, cursor: int, urgent: bool) -> EncodedChanges:
         """The next message for who stands at ``cursor``. Who reads what is not urgent must have read all that
         is urgent before."""
         key = cursor, urgent
@@ -69,7 +69,7 @@
         self._urgent = {name: at for name, at in self._urgent.items() if record(*name) is not None}
         self._batches.clear()
 
-    def _urgent_after(self, cursor: int) -> Batch:
+    def _urgent_after(self, cursor: int) -> EncodedChanges:
         names: list[tuple[Name, int]] = []
         for name in reversed(self._urgent):
             if self._urgent[name] <= cursor:
@@ -83,26 +83,26 @@
                 records.append(record)
                 size += _size(record)
             more = place + 1 < len(names) and names[place + 1][1] > at
-            if more and (len(records) >= RECORDS_AT_MOST or size >= BYTES_AT_MOST):
+            if more and (len(records) >= MAX_RECORDS_PER_MESSAGE or size >= SOFT_MAX_MESSAGE_BYTES):
                 position = at
                 break
         return self._batch(records, position, urgent=True)
 
-    def _bulk_after(self, cursor: int) -> Batch:
-        limit = RECORDS_AT_MOST
+    def _bulk_after(self, cursor: int) -> EncodedChanges:
+        limit = MAX_RECORDS_PER_MESSAGE
         while True:
             records, position = self.replica.since(cursor, limit)
-            if limit == 1 or sum(map(_size, records)) <= BYTES_AT_MOST:
+            if limit == 1 or sum(map(_size, records)) <= SOFT_MAX_MESSAGE_BYTES:
                 break
             limit = max(1, min(limit, len(records)) // 2)
         rest = [record for record in records if record.kind not in self.urgent_kinds]
         return self._batch(rest, position, urgent=False)
 
-    def _batch(self, records: list[Record], position: int, *, urgent: bool) -> Batch:
+    def _batch(self, records: list[Record], position: int, *, urgent: bool) -> EncodedChanges:
         if not records:
-            return Batch(None, position)
-        self.encoded += 1
-        return Batch(write(Changes(position, urgent, tuple(records))), position)
+            return EncodedChanges(None, position)
+        self.messages_encoded += 1
+        return EncodedChanges(write(Changes(position, urgent, tuple(records))), position)
 
 
 def _size(record: Record) -> int:
--- a/robinhill/control/lease.py
+++ b/robinhill/control/lease.py
@@ -17,7 +17,7 @@
 
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
 
-HEARTBEATS_AT_MOST = 64
+MAX_UNANSWERED_HEARTBEATS = 64
 """Unanswered heartbeats that are remembered; an answer to a forgotten one counts for nothing: safe."""
 
 
@@ -28,7 +28,7 @@
         self.bound_us = bound_us
         self.as_of_us: int | None = None
         self._number = 0
-        self._written: deque[tuple[int, int]] = deque(maxlen=HEARTBEATS_AT_MOST)
+        self._written: deque[tuple[int, int]] = deque(maxlen=MAX_UNANSWERED_HEARTBEATS)
         self._counts = False
 
     def moved(self) -> None:
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -14,10 +14,10 @@
 GOODBYE = 1 << 62
 """Stands for the number of a join after which this start of an observer makes no other."""
 
-MAX_MESSAGE = 1 << 20
+MAX_MESSAGE_BYTES = 1 << 20
 """Bytes of a message; a reader closes a link that sends more."""
 
-NAMES_AT_MOST = 16
+MAX_LAGGING_NAMES = 16
 """Names of those behind that a message tells; the count is always whole."""
 
 
@@ -229,8 +229,8 @@
 
 def read(data: bytes) -> AnyMessage:
     """The message in these bytes. Raises JoinRefused for what is none."""
-    if len(data) > MAX_MESSAGE:
-        raise JoinRefused(f"a message has {len(data)} bytes, at most {MAX_MESSAGE} may come")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise JoinRefused(f"a message has {len(data)} bytes, at most {MAX_MESSAGE_BYTES} may come")
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -26,29 +26,29 @@
 from robinhill.control.errors import ChangesFull, JoinRefused
 from robinhill.control.lease import ObserverLease
 from robinhill.control.options import ControlOptions
-from robinhill.control.record_merging import Declined, refused, take_all
-from robinhill.control.voter_selection import VoterChoice
+from robinhill.control.record_merging import Declined, merge_records, refused
+from robinhill.control.voter_selection import VoterSelection
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
 
-APPLIED_US = 10_000
+CONFIRM_INTERVAL_US = 10_000
 """From one confirmation to the next: what comes between shares one."""
 
-OFFERS_AT_MOST = 1_024
+MAX_PENDING_OFFERS = 1_024
 """Own changes that may wait to be in force; beyond it the oldest accepted one is forgotten."""
 
-OFFER_RECORDS = 64
-OFFER_BYTES = 32 << 10
+MAX_RECORDS_PER_OFFER = 64
+SOFT_MAX_OFFER_BYTES = 32 << 10
 """Records, and bytes of their values, in one offer of what a voter was found to lack."""
 
-REPAIR_US = 30_000_000
+REPAIR_INTERVAL_US = 30_000_000
 """From one comparison by digests to the next, at most: two kilobytes each."""
 
-RETRY_US = 5_000_000
+RETRY_INTERVAL_US = 5_000_000
 """The same after a record was refused here."""
 
-COLLECT_US = 1_000_000
+COLLECT_INTERVAL_US = 1_000_000
 SILENT_BOUNDS = 2
 """A link on which nothing came for the bound divided by this is given up."""
 
@@ -58,14 +58,14 @@
     """A link to a voter. ``age_us``: how fresh it said it is; None: nothing was said, or it is not."""
 
     voter: str
-    heard_us: int
-    beat_us: int
+    last_received_us: int
+    next_heartbeat_us: int
     welcomed: bool = False
     age_us: int | None = None
 
 
 @dataclass(slots=True)
-class _Place:
+class _FeedPosition:
     """Up to where we hold all changes of one start of one voter."""
 
     voter: str = ""
@@ -95,30 +95,32 @@
         self.incarnation = incarnation
         self.replica = replica
         self.lease = ObserverLease(options.bound_us)
-        self.choice = VoterChoice(options.voters, options.place, rng)
+        self.choice = VoterSelection(options.voters, options.place, rng)
         self.moves = 0
         self._rng = rng
         self._links: dict[Link, _VoterLink] = {}
         self._primary: Link | None = None
         self._spare: Link | None = None
         self._joins = 0
-        self._place = _Place()  # of the voter before, until a comparison with the new one is done
+        self._feed_position = (
+            _FeedPosition()
+        )  # of the voter before, until a comparison with the new one is done
         self._in_step = False
         self._received = 0
         self._confirmed = (0, -1, -1)
         self._confirm_us = mono_us
-        self._given: dict[int, set[tuple[str, str]]] = {}  # names of the range that is on its way
-        self._lacking: dict[tuple[str, str], None] = {}  # what the voter was found to lack
+        self._compared_names: dict[int, set[tuple[str, str]]] = {}  # names of the range that is on its way
+        self._missing_at_voter: dict[tuple[str, str], None] = {}  # what the voter was found to lack
         self._repair_us = 0
         self._refused = False  # a record was refused: we don't hold all that the voter holds
         self._refused_now = False  # the same, in the comparison that is on
         self._offers: dict[int, tuple[Record, ...]] = {}
         self._accepted: set[int] = set()  # of the offers
         self._offer = 0
-        self._told_lease = False
-        self._lost_us = mono_us  # since when there has been no lease, or the observer runs
-        self._collect_us = mono_us + COLLECT_US
-        self._moved_us = mono_us
+        self._reported_lease = False
+        self._lease_lost_us = mono_us  # since when there has been no lease, or the observer runs
+        self._collect_us = mono_us + COLLECT_INTERVAL_US
+        self._primary_since_us = mono_us
         self._left = False
         self._out: list[Action] = []
 
@@ -132,7 +134,7 @@
         """A connection that `Connect` asked for is open."""
         self.choice.backoff.connected(voter)
         wanted = self._primary is None or self._spare is None
-        if self._left or not wanted or voter not in self.options.voters or voter in self._taken():
+        if self._left or not wanted or voter not in self.options.voters or voter in self._linked_voters():
             self._out.append(Disconnect(link, "it is not needed"))
             return self._actions()
         self._links[link] = _VoterLink(voter, mono_us, mono_us)
@@ -171,7 +173,7 @@
 
         Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
         """
-        self._make_room()
+        self._ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
         self._offer += 1
         self._offers[self._offer] = (record,)
@@ -180,8 +182,8 @@
             self._send(self._primary, wire.Offer(self._offer, (record,)))
         return self._offer, record, self._done(mono_us)
 
-    def _make_room(self) -> None:
-        if len(self._offers) < OFFERS_AT_MOST:
+    def _ensure_capacity(self) -> None:
+        if len(self._offers) < MAX_PENDING_OFFERS:
             return
         accepted = next((number for number in self._offers if number in self._accepted), None)
         if accepted is None:
@@ -227,25 +229,25 @@
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
         """Time has gone on."""
         if mono_us >= self._collect_us:
-            self._collect_us = mono_us + COLLECT_US
+            self._collect_us = mono_us + COLLECT_INTERVAL_US
             self.replica.collect(now_us)
         if not self._left:
             self._drop_silent(now_us, mono_us)
             self._move_if_behind(now_us, mono_us)
             self._connect(mono_us)
-            self._beat(mono_us)
+            self._send_heartbeats(mono_us)
             self._repair(now_us, mono_us)
         return self._done(mono_us)
 
     def next_us(self, mono_us: int) -> int:
         """When `tick` is due at the latest (monotonic)."""
         times = [self._collect_us]
-        times += [one.beat_us for one in self._links.values() if one.welcomed]
+        times += [one.next_heartbeat_us for one in self._links.values() if one.welcomed]
         if self._confirm_due():
             times.append(self._confirm_us)
-        if self._told_lease:
+        if self._reported_lease:
             times.append(self.lease.until_us() + 1)
-        if self._wants_link() and (due_us := self.choice.due_us(self._taken())) is not None:
+        if self._wants_link() and (due_us := self.choice.due_us(self._linked_voters())) is not None:
             times.append(due_us)
         return max(mono_us + 1, min(times))
 
@@ -268,7 +270,7 @@
 
     def _dispatch(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
         one = self._links[link]
-        one.heard_us = mono_us
+        one.last_received_us = mono_us
         if isinstance(message, wire.HeartbeatReply):
             one.age_us = message.age_us if message.age_us >= 0 else None
         if isinstance(message, wire.Refused):
@@ -308,27 +310,27 @@
         if welcome.resumed:
             self._stepped_in(mono_us, link)
         else:
-            self._place = _Place(welcome.voter, welcome.incarnation)
+            self._feed_position = _FeedPosition(welcome.voter, welcome.incarnation)
 
     def _send_digests(self, now_us: int, link: Link) -> None:
         digests = b"".join(value.to_bytes(8, "big") for value in self.replica.ranges(now_us))
-        self._given.clear()
-        self._lacking.clear()
+        self._compared_names.clear()
+        self._missing_at_voter.clear()
         self._refused_now = False
         self._send(link, wire.Digests(now_us, digests))
 
     def _take_part(self, now_us: int, part: wire.RangePart) -> None:
-        given = self._given.setdefault(part.index, set())
+        given = self._compared_names.setdefault(part.index, set())
         self._take(now_us, part.records)
         for record in part.records:
             if self.replica.record(*record.name) == record:
                 given.add(record.name)
         if not part.last:
             return
-        del self._given[part.index]
+        del self._compared_names[part.index]
         for record in self.replica.in_range(part.index):
             if record.name not in given and record.until_us > now_us:
-                self._lacking[record.name] = None
+                self._missing_at_voter[record.name] = None
 
     def _compared(self, mono_us: int, link: Link, position: int) -> None:
         self._offer_lacking(link)
@@ -340,16 +342,19 @@
 
     def _offer_lacking(self, link: Link) -> None:
         batch: list[Record] = []
-        for name in self._lacking:
+        for name in self._missing_at_voter:
             record = self.replica.record(*name)
             if record is not None:
                 batch.append(record)
-            if len(batch) >= OFFER_RECORDS or sum(len(one.value) for one in batch) >= OFFER_BYTES:
+            if (
+                len(batch) >= MAX_RECORDS_PER_OFFER
+                or sum(len(one.value) for one in batch) >= SOFT_MAX_OFFER_BYTES
+            ):
                 self._send(link, wire.Offer(0, tuple(batch)))
                 batch.clear()
         if batch:
             self._send(link, wire.Offer(0, tuple(batch)))
-        self._lacking.clear()
+        self._missing_at_voter.clear()
 
     def _stepped_in(self, mono_us: int, link: Link) -> None:
         """All that the voter held is here, and it has been sent what it lacked: its answers count now."""
@@ -359,12 +364,12 @@
             self._send(link, wire.Offer(number, records))
         self.lease.in_step()
         self._confirm_us = mono_us
-        self._repair_us = mono_us + self._rng.randint(REPAIR_US // 2, REPAIR_US)
-        self._links[link].beat_us = mono_us
-        self._beat(mono_us)
+        self._repair_us = mono_us + self._rng.randint(REPAIR_INTERVAL_US // 2, REPAIR_INTERVAL_US)
+        self._links[link].next_heartbeat_us = mono_us
+        self._send_heartbeats(mono_us)
 
     def _take(self, now_us: int, records: Iterable[Record]) -> None:
-        changed, declined = take_all(self.replica, now_us, records)
+        changed, declined = merge_records(self.replica, now_us, records)
         if refused(declined):
             self._refused = self._refused_now = True
         self._applied(changed, declined)
@@ -376,7 +381,7 @@
     def _reached(self, position: int, urgent: bool) -> None:
         if self._refused:
             return  # what lies behind a record that was refused can't be confirmed
-        place = self._place
+        place = self._feed_position
         place.urgent = max(place.urgent, position)
         if not urgent:
             place.position = max(place.position, position)
@@ -396,7 +401,7 @@
 
     def _done(self, mono_us: int) -> list[Action]:
         self._confirm(mono_us)
-        self._tell_lease(mono_us)
+        self._report_lease(mono_us)
         return self._actions()
 
     def _actions(self) -> list[Action]:
@@ -404,7 +409,7 @@
         return actions
 
     def _confirm_due(self) -> bool:
-        place = self._place
+        place = self._feed_position
         return self._primary is not None and self._confirmed != (
             self._received,
             place.position,
@@ -415,28 +420,28 @@
         """Confirm what is applied: at once, but not more often than every few milliseconds."""
         if not self._confirm_due() or mono_us < self._confirm_us:
             return
-        place = self._place
+        place = self._feed_position
         self._confirmed = self._received, place.position, place.urgent
-        self._confirm_us = mono_us + APPLIED_US
+        self._confirm_us = mono_us + CONFIRM_INTERVAL_US
         if self._in_step:
             self._send(self._primary, wire.Applied(*self._confirmed))
         else:
             self._send(self._primary, wire.Applied(self._received, -1, -1))
 
-    def _tell_lease(self, mono_us: int) -> None:
+    def _report_lease(self, mono_us: int) -> None:
         held = self.lease.holds(mono_us)
-        if held != self._told_lease:
-            self._told_lease = held
-            self._lost_us = mono_us
+        if held != self._reported_lease:
+            self._reported_lease = held
+            self._lease_lost_us = mono_us
             self._out.append(LeaseChanged(held, self.lease.age_us(mono_us)))
 
-    def _beat(self, mono_us: int) -> None:
+    def _send_heartbeats(self, mono_us: int) -> None:
         """Heartbeats to the voter, which renew the lease, and to the spare, which tell that it is there."""
         for link, one in self._links.items():
-            if mono_us < one.beat_us or not one.welcomed:
+            if mono_us < one.next_heartbeat_us or not one.welcomed:
                 continue
             primary = link == self._primary
-            one.beat_us = mono_us + (1 if primary else 2) * self.options.heartbeat_us
+            one.next_heartbeat_us = mono_us + (1 if primary else 2) * self.options.heartbeat_us
             if primary and self._in_step:
                 self._send(link, wire.Heartbeat(self.lease.wrote(mono_us)))
             else:
@@ -444,9 +449,9 @@
 
     def _repair(self, now_us: int, mono_us: int) -> None:
         if self._refused:
-            self._repair_us = min(self._repair_us, mono_us + RETRY_US)
+            self._repair_us = min(self._repair_us, mono_us + RETRY_INTERVAL_US)
         if self._in_step and self._primary is not None and mono_us >= self._repair_us:
-            longest_us = RETRY_US if self._refused else REPAIR_US
+            longest_us = RETRY_INTERVAL_US if self._refused else REPAIR_INTERVAL_US
             self._repair_us = mono_us + self._rng.randint(longest_us // 2, longest_us)
             self._send_digests(now_us, self._primary)
 
@@ -456,7 +461,7 @@
         """Connect to a voter; once in step, to a spare one."""
         if not self._wants_link():
             return
-        voter = self.choice.next(mono_us, self._taken())
+        voter = self.choice.next(mono_us, self._linked_voters())
         if voter is not None:
             self.choice.backoff.connect(mono_us, voter)
             self._out.append(Connect(voter))
@@ -464,12 +469,12 @@
     def _wants_link(self) -> bool:
         return self._primary is None or (self._spare is None and self._in_step)
 
-    def _taken(self) -> set[str]:
+    def _linked_voters(self) -> set[str]:
         return {one.voter for one in self._links.values()}
 
     def _join(self, link: Link, *, spare: bool) -> None:
         self._joins += 1
-        place = self._place
+        place = self._feed_position
         options = self.options
         self._send(
             link,
@@ -490,17 +495,17 @@
 
     def _make_primary(self, now_us: int, mono_us: int, link: Link) -> None:
         """Join the voter behind this link: nothing that it says counts until we are in step with it."""
-        away_us = mono_us - self._lost_us
+        away_us = mono_us - self._lease_lost_us
         if not self.lease.holds(mono_us) and self.replica.stale(now_us, away_us):
             self.replica.clear(away_us)
-            self._place = _Place()
+            self._feed_position = _FeedPosition()
         self._primary = link
         self._in_step = False
         self._received = 0
-        self._confirmed = (0, self._place.position, self._place.urgent)
-        self._given.clear()
-        self._lacking.clear()
-        self._moved_us = mono_us
+        self._confirmed = (0, self._feed_position.position, self._feed_position.urgent)
+        self._compared_names.clear()
+        self._missing_at_voter.clear()
+        self._primary_since_us = mono_us
         self.moves += 1
         self.lease.moved()
         self._join(link, spare=False)
@@ -511,7 +516,7 @@
         if self._primary is None or self._spare is None:
             return
         half_us = self.options.bound_us // 2
-        if mono_us - self._moved_us < half_us:
+        if mono_us - self._primary_since_us < half_us:
             return
         age_us, spare = self.lease.age_us(mono_us), self._links[self._spare]
         if age_us is not None and age_us <= half_us:
@@ -523,7 +528,9 @@
     def _drop_silent(self, now_us: int, mono_us: int) -> None:
         patience_us = self.options.bound_us // SILENT_BOUNDS
         for link, one in list(self._links.items()):
-            if mono_us - one.heard_us > patience_us + 2 * self.options.heartbeat_us * (link != self._primary):
+            if mono_us - one.last_received_us > patience_us + 2 * self.options.heartbeat_us * (
+                link != self._primary
+            ):
                 self._drop(now_us, mono_us, link, "nothing came for half of the bound")
 
     def _drop(self, now_us: int, mono_us: int, link: Link, why: str) -> None:
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -8,31 +8,31 @@
 
 from robinhill.control import messages as wire
 from robinhill.control.actions import Link
-from robinhill.control.change_feed import Feed
+from robinhill.control.change_feed import ChangeFeed
 from robinhill.control.changelog import ChangeLog
 from robinhill.control.errors import JoinRefused
-from robinhill.control.observer_progress import Tally
+from robinhill.control.observer_progress import ObserverProgress
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Outbox
 from robinhill.cordon.propagation import Mode
 
-COMPARISONS_AT_ONCE = 64
+MAX_COMPARISONS = 64
 """Observers that are brought in step at the same time; others wait their turn."""
 
 
 @dataclass(slots=True)
-class ObserverLink:
+class ObserverSession:
     """A link from an observer. A spare one has no feed."""
 
     name: str
     incarnation: int
     join: int
-    heard_us: int
-    feed: Feed | None = None
+    last_received_us: int
+    feed: ChangeFeed | None = None
     granted: bool = False  # it was asked for digests, and holds one of `COMPARISONS_AT_ONCE`
 
 
-class Audience:
+class ObserverSessions:
     """The observers of one voter. ``age_us``: as of how long ago the voter knows a majority."""
 
     def __init__(
@@ -40,16 +40,16 @@
         options: ControlOptions,
         incarnation: int,
         log: ChangeLog,
-        tally: Tally,
+        observer_progress: ObserverProgress,
         age_us: Callable[[int], int | None],
         outbox: Outbox,
     ) -> None:
         self.options = options
         self.incarnation = incarnation
         self.log = log
-        self.tally = tally
+        self.observer_progress = observer_progress
         self._age_us = age_us
-        self.links: dict[Link, ObserverLink] = {}
+        self.links: dict[Link, ObserverSession] = {}
         self.moved: dict[str, tuple[int, int]] = {}  # what other voters must be told of
         self._outbox = outbox
         self._waiting: dict[Link, None] = {}  # for a comparison
@@ -60,7 +60,7 @@
     def first(self, now_us: int, mono_us: int, link: Link, join: wire.Join) -> None:
         """A link begins with a join. Raises JoinRefused."""
         self._check(join)
-        self.links[link] = ObserverLink(join.name, join.incarnation, join.number, mono_us)
+        self.links[link] = ObserverSession(join.name, join.incarnation, join.number, mono_us)
         self._join(mono_us, link, join)
 
     def received(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
@@ -77,7 +77,7 @@
                 self._goodbye(link, observer)
             case wire.Applied() if feed is not None:
                 feed.received(message.received)
-                if self.tally.applied(mono_us, observer.name, message.position, message.urgent):
+                if self.observer_progress.applied(mono_us, observer.name, message.position, message.urgent):
                     self.moved[observer.name] = observer.incarnation, observer.join
                 self._draw(mono_us, link, observer)
             case wire.Digests() if feed is not None:
@@ -102,20 +102,20 @@
         observer = self.links[link]
         observer.join = join.number
         if join.spare:
-            self._outbox.to_observer(link, wire.Welcome(self.options.name, self.incarnation, False))
+            self._outbox.send_to_observer(link, wire.Welcome(self.options.name, self.incarnation, False))
             return
-        known = self.tally.observed.get(join.name)
+        known = self.observer_progress.observers.get(join.name)
         if known is not None and known.link is not None and known.link != link:
             self.drop(known.link, f"{join.name} has connected anew")
-        if self.tally.joined(mono_us, join.name, join.incarnation, join.number, link) is None:
+        if self.observer_progress.joined(mono_us, join.name, join.incarnation, join.number, link) is None:
             raise JoinRefused(f"a later start of {join.name} has joined")
-        observer.feed = Feed(self.log)
+        observer.feed = ChangeFeed(self.log)
         resumed = self._may_resume(join)
-        self._outbox.to_observer(link, wire.Welcome(self.options.name, self.incarnation, resumed))
+        self._outbox.send_to_observer(link, wire.Welcome(self.options.name, self.incarnation, resumed))
         if resumed:
             observer.feed.resume(join.position)
             return
-        self.tally.rewound(join.name)
+        self.observer_progress.reset_position(join.name)
         self._waiting[link] = None
         self._grant()
 
@@ -126,15 +126,21 @@
 
     def _grant(self) -> None:
         """Ask those who wait, as many as may be brought in step at once, for their digests."""
-        while self._waiting and len(self._comparing) < COMPARISONS_AT_ONCE:
+        while self._waiting and len(self._comparing) < MAX_COMPARISONS:
             link = next(iter(self._waiting))
             del self._waiting[link]
             self._comparing.add(link)
             self.links[link].granted = True
-            self._outbox.to_observer(link, wire.Compare())
+            self._outbox.send_to_observer(link, wire.Compare())
 
     def _compare(
-        self, now_us: int, mono_us: int, link: Link, observer: ObserverLink, feed: Feed, digests: wire.Digests
+        self,
+        now_us: int,
+        mono_us: int,
+        link: Link,
+        observer: ObserverSession,
+        feed: ChangeFeed,
+        digests: wire.Digests,
     ) -> None:
         if not feed.in_step and not observer.granted:
             return
@@ -142,17 +148,17 @@
         feed.compare(now_us, digests)
         self._draw(mono_us, link, observer)
 
-    def _heartbeat(self, mono_us: int, link: Link, observer: ObserverLink, number: int) -> None:
+    def _heartbeat(self, mono_us: int, link: Link, observer: ObserverSession, number: int) -> None:
         age_us = self._age_us(mono_us)
         if observer.feed is None or not number:  # it renews nothing by it, and asks whether we are there
             reply = wire.HeartbeatReply(number, -1 if age_us is None else age_us, 0)
-            self._outbox.to_observer(link, reply)
+            self._outbox.send_to_observer(link, reply)
             return
         observer.feed.heartbeat(number, age_us)
         self._draw(mono_us, link, observer)
 
-    def _goodbye(self, link: Link, observer: ObserverLink) -> None:
-        self.tally.left(observer.name, observer.incarnation)
+    def _goodbye(self, link: Link, observer: ObserverSession) -> None:
+        self.observer_progress.record_goodbye(observer.name, observer.incarnation)
         self.moved[observer.name] = observer.incarnation, wire.GOODBYE
         self.lost(link)
         self._outbox.disconnect(link, "it said goodbye")
@@ -172,39 +178,43 @@
         self.moved.clear()
         return found
 
-    def _draw(self, mono_us: int, link: Link, observer: ObserverLink) -> None:
+    def _draw(self, mono_us: int, link: Link, observer: ObserverSession) -> None:
         feed = observer.feed
         if feed is None or not self._is_current(link, observer):
             return
         found, answered = feed.draw()
         for data in found:
-            self._outbox.encoded(link, data)
+            self._outbox.send_encoded_to_observer(link, data)
         if answered:
-            self.tally.answered(mono_us, observer.name)
+            self.observer_progress.heartbeat_answered(mono_us, observer.name)
         if observer.granted and feed.in_step:
             observer.granted = False
             self._comparing.discard(link)
             self._grant()
 
-    def _is_current(self, link: Link, observer: ObserverLink) -> bool:
+    def _is_current(self, link: Link, observer: ObserverSession) -> bool:
         """Whether an observer still has this voter by this link: else nothing may be answered to it."""
-        observed = self.tally.observed.get(observer.name)
+        observed = self.observer_progress.observers.get(observer.name)
         return observed is not None and observed.link == link
 
     # Links that end
 
     def moved_elsewhere(self, name: str, incarnation: int, join: int) -> None:
         """Another voter answers for an observer now; whatever link it still has here is an old one."""
-        observed = self.tally.observed.get(name)
-        if self.tally.moved(name, incarnation, join) and observed is not None and observed.link is not None:
+        observed = self.observer_progress.observers.get(name)
+        if (
+            self.observer_progress.moved_away(name, incarnation, join)
+            and observed is not None
+            and observed.link is not None
+        ):
             self.drop(observed.link, f"{name} has another voter now")
 
     def forget(self, name: str) -> None:
         """An operator says that a scheduler runs no more."""
-        observed = self.tally.observed.get(name)
+        observed = self.observer_progress.observers.get(name)
         if observed is not None and observed.link is not None:
             self.drop(observed.link, f"an operator says that {name} runs no more")
-        self.tally.gone(name)
+        self.observer_progress.remove(name)
 
     def drop(self, link: Link, why: str) -> None:
         """End a link."""
@@ -217,7 +227,7 @@
         if observer is None:
             return
         if observer.feed is not None:
-            self.tally.unlinked(observer.name, link)
+            self.observer_progress.link_lost(observer.name, link)
         self._waiting.pop(link, None)
         self._comparing.discard(link)
         self._grant()
@@ -225,9 +235,9 @@
     def silent(self, mono_us: int) -> list[Link]:
         """Links on which nothing came for longer than the bound."""
         patience_us = self.options.bound_us
-        return [link for link, one in self.links.items() if mono_us - one.heard_us > patience_us]
+        return [link for link, one in self.links.items() if mono_us - one.last_received_us > patience_us]
 
     def review(self, mono_us: int) -> None:
         """Forget those that went, where no kind serves: once their leases are over they can do no harm."""
         if self.options.on_lost is Mode.HOLD and Mode.SERVE not in self.options.on_lost_by_kind.values():
-            self.tally.forget_leaseless(mono_us)
+            self.observer_progress.remove_expired(mono_us)
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -14,10 +14,10 @@
 MAX_VOTERS = 13
 """Each voter keeps a link to each other; a write costs a message to each, and a majority's confirmation."""
 
-HEARTBEATS_A_BOUND = 4
+HEARTBEATS_PER_BOUND = 4
 """Heartbeats of an observer within the bound: two may be lost and the lease still lasts."""
 
-PINGS_A_BOUND = 16
+PINGS_PER_BOUND = 16
 """Pings of a voter to each other one within the bound: what they add to an observer's age stays small."""
 
 
@@ -64,12 +64,12 @@
     @property
     def heartbeat_us(self) -> int:
         """From one heartbeat of an observer to the next."""
-        return self.bound_us // HEARTBEATS_A_BOUND
+        return self.bound_us // HEARTBEATS_PER_BOUND
 
     @property
     def ping_us(self) -> int:
         """From one ping of a voter to another to the next."""
-        return self.bound_us // PINGS_A_BOUND
+        return self.bound_us // PINGS_PER_BOUND
 
     @property
     def modes(self) -> str:
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -27,17 +27,17 @@
         """Something else than a message."""
         self._actions.append(action)
 
-    def to_voter(self, link: Link, message: wire.VoterMessage) -> None:
+    def send_to_voter(self, link: Link, message: wire.VoterMessage) -> None:
         """A message to another voter."""
         data = wire.write(message)
         self.metrics.bytes_to_voters += len(data)
         self._actions.append(Send(link, data))
 
-    def to_observer(self, link: Link, message: wire.ToObserver) -> None:
+    def send_to_observer(self, link: Link, message: wire.ToObserver) -> None:
         """A message to an observer."""
-        self.encoded(link, wire.write(message))
+        self.send_encoded_to_observer(link, wire.write(message))
 
-    def encoded(self, link: Link, data: bytes) -> None:
+    def send_encoded_to_observer(self, link: Link, data: bytes) -> None:
         """A message to an observer that is encoded already."""
         self.metrics.bytes_to_observers += len(data)
         self._actions.append(Send(link, data))
--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -8,7 +8,9 @@
 Declined = tuple[Record, MeshError]
 
 
-def take_all(replica: Replica, now_us: int, records: Iterable[Record]) -> tuple[list[Record], list[Declined]]:
+def merge_records(
+    replica: Replica, now_us: int, records: Iterable[Record]
+) -> tuple[list[Record], list[Declined]]:
     """Merge records; those that this copy holds anew, and those that it refused or took with a warning."""
     changed: list[Record] = []
     declined: list[Declined] = []
@@ -17,13 +19,13 @@
             outcome = replica.take(now_us, record)
         except MeshError as e:
             declined.append((record, e))
-            outcome = held_after(e)
+            outcome = accepted_with_warning(e)
         if outcome is not None:
             changed.append(outcome)
     return changed, declined
 
 
-def held_after(error: MeshError) -> Record | None:
+def accepted_with_warning(error: MeshError) -> Record | None:
     """The record that is held all the same, as it was from the future a little; None: it was refused."""
     held = getattr(error, "held", None)
     return held if isinstance(held, Record) else None
@@ -31,4 +33,4 @@
 
 def refused(declined: Iterable[Declined]) -> bool:
     """Whether any record was not taken at all: who refused one does not hold what the sender holds."""
-    return any(held_after(error) is None for _, error in declined)
+    return any(accepted_with_warning(error) is None for _, error in declined)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -15,31 +15,31 @@
 from robinhill.control import messages as wire
 from robinhill.control.actions import Action, Apply, CaughtUp, Link, Progressed, VotersSettled
 from robinhill.control.changelog import ChangeLog
-from robinhill.control.commit_tracker import Following
+from robinhill.control.commit_tracker import CommitTracker
 from robinhill.control.errors import ChangesFull, JoinRefused, VotersNotOneAtATime
-from robinhill.control.observer_progress import Key, Tally
-from robinhill.control.observer_sessions import Audience
+from robinhill.control.observer_progress import Key, ObserverProgress
+from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Metrics, Outbox
-from robinhill.control.record_merging import refused, take_all
-from robinhill.control.voter_links import Peers, VoterLink
+from robinhill.control.record_merging import merge_records, refused
+from robinhill.control.voter_links import VoterLink, VoterLinks
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.records import MeshError, Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Answered, Event, Greeted, Learned
 
-BATCH_US = 5_000
+FLUSH_INTERVAL_US = 5_000
 """From one round of messages with changes to the next; the first goes at once."""
 
-STATUS_US = 50_000
+STATUS_INTERVAL_US = 50_000
 """From one word on who is behind to the next, unless nobody is any more."""
 
-COLLECT_US = 1_000_000
+COLLECT_INTERVAL_US = 1_000_000
 
 
 @dataclass(slots=True)
-class _Request:
+class _Requester:
     """Who asked for a change: an observer's link and its number there, or our caller."""
 
     link: Link | None
@@ -65,27 +65,29 @@
         self.log = ChangeLog(replica, urgent_kinds)
         self.freshness = Freshness(self.name, options.voters, options.bound_us)
         self.freshness.started(self.name, incarnation)
-        self.following = Following(self.name, incarnation, options.bound_us, self.freshness.quorum)
-        self.tally = Tally(mono_us, options.bound_us)
+        self.commit_tracker = CommitTracker(self.name, incarnation, options.bound_us, self.freshness.quorum)
+        self.observer_progress = ObserverProgress(mono_us, options.bound_us)
         self._outbox = Outbox()
-        self._peers = Peers(
+        self._voter_links = VoterLinks(
             options, incarnation, replica, self.freshness, rng, self._outbox, self._brought_by_another
         )
-        self._audience = Audience(options, incarnation, self.log, self.tally, self.age_us, self._outbox)
+        self._sessions = ObserverSessions(
+            options, incarnation, self.log, self.observer_progress, self.age_us, self._outbox
+        )
         self._pending: dict[Link, int] = {}  # accepted, nothing has come yet; since when
-        self._requests: dict[int, _Request] = {}
-        self._request = 0
-        self._marks_told: dict[Key, int] = {}
-        self._flushed_us = mono_us - BATCH_US
+        self._requesters: dict[int, _Requester] = {}
+        self._last_change = 0
+        self._status_sent_us: dict[Key, int] = {}
+        self._flushed_us = mono_us - FLUSH_INTERVAL_US
         self._unflushed = False
-        self._collect_us = mono_us + COLLECT_US
+        self._collect_us = mono_us + COLLECT_INTERVAL_US
         self._review_us = mono_us
 
     # Links
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
         """The first call."""
-        if len(self._peers.names) == 1:
+        if len(self._voter_links.names) == 1:
             self._catch_up()
         return self.tick(now_us, mono_us)
 
@@ -95,12 +97,12 @@
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
         """A connection that `Connect` asked for is open."""
-        self._peers.dialed(mono_us, link, voter)
+        self._voter_links.dialed(mono_us, link, voter)
         return self._done(now_us, mono_us)
 
     def failed(self, mono_us: int, voter: str) -> None:
         """A connection that `Connect` asked for could not be opened."""
-        self._peers.failed(mono_us, voter)
+        self._voter_links.failed(mono_us, voter)
 
     def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
         """A connection was lost, or closed by the other side."""
@@ -114,7 +116,9 @@
             self._dispatch(now_us, mono_us, link, wire.read(data))
         except MeshError as e:
             self._refuse(mono_us, link, str(e))
-        return self._done(now_us, mono_us, sessions=link in self._peers.links or self.replica.head != head)
+        return self._done(
+            now_us, mono_us, sessions=link in self._voter_links.links or self.replica.head != head
+        )
 
     # Changes
 
@@ -125,10 +129,10 @@
 
         Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
         """
-        self.following.make_room()
+        self.commit_tracker.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
-        self._learned([record])
-        number = self._follow(mono_us, [record], _Request(None, 0))
+        self._record_changes([record])
+        number = self._track_change(mono_us, [record], _Requester(None, 0))
         return number, record, self._done(now_us, mono_us)
 
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
@@ -138,11 +142,11 @@
             raise VotersNotOneAtATime(f"{', '.join(sorted(changed))} would be added or removed at once")
         if changed and len(self.freshness.quorum.lists) > 1:
             raise VotersNotOneAtATime("the change before has not settled")
-        self.options = self._audience.options = options
+        self.options = self._sessions.options = options
         if changed:
-            self._peers.reconfigure(options)
-            self.following.reconfigured(mono_us)
-            for link in list(self._peers.links):
+            self._voter_links.reconfigure(options)
+            self.commit_tracker.reconfigured(mono_us)
+            for link in list(self._voter_links.links):
                 self._drop(mono_us, link, "the list of voters has changed")
         return self._done(now_us, mono_us)
 
@@ -153,7 +157,7 @@
 
     def forget(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
         """An operator says that a scheduler runs no more."""
-        self._audience.forget(observer)
+        self._sessions.forget(observer)
         return self._done(now_us, mono_us)
 
     # Time
@@ -161,35 +165,35 @@
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
         """Time has gone on."""
         if mono_us >= self._collect_us:
-            self._collect_us = mono_us + COLLECT_US
+            self._collect_us = mono_us + COLLECT_INTERVAL_US
             if self.replica.collect(now_us):
                 self.log.collected()
             self._drop_silent(mono_us)
-            self._audience.review(mono_us)
-            if departed := self.tally.to_ask(mono_us):
-                self._peers.to_all(wire.Departed(departed))
-        self._peers.connect(mono_us)
-        if self._peers.settles(mono_us):
-            self.following.reconfigured(mono_us)
+            self._sessions.review(mono_us)
+            if departed := self.observer_progress.departed_to_query(mono_us):
+                self._voter_links.to_all(wire.Departed(departed))
+        self._voter_links.connect(mono_us)
+        if self._voter_links.settles(mono_us):
+            self.commit_tracker.reconfigured(mono_us)
             self._outbox.add(VotersSettled())
         return self._done(now_us, mono_us)
 
     def next_us(self, mono_us: int) -> int:
         """When `tick` is due at the latest (monotonic)."""
-        times = [self._collect_us, *self._peers.next_us()]
+        times = [self._collect_us, *self._voter_links.next_us()]
         if self._unflushed:
-            times.append(self._flushed_us + BATCH_US)
-        if (following_us := self.following.next_us()) is not None:
+            times.append(self._flushed_us + FLUSH_INTERVAL_US)
+        if (following_us := self.commit_tracker.next_us()) is not None:
             times.append(following_us)
-        if self.tally.news:
-            times.append(mono_us + STATUS_US)
+        if self.observer_progress.dirty:
+            times.append(mono_us + STATUS_INTERVAL_US)
         return max(mono_us + 1, min(times))
 
     # Figures
 
     def age_us(self, mono_us: int) -> int | None:
         """As of how long ago a majority of voters is known; None if none is."""
-        return self._peers.ages.age_us(mono_us)
+        return self._voter_links.ages.age_us(mono_us)
 
     @property
     def counts(self) -> bool:
@@ -199,12 +203,12 @@
     @property
     def linked_voters(self) -> tuple[str, ...]:
         """Voters with a link that is up, ascending."""
-        return tuple(sorted(self._peers.by_name))
+        return tuple(sorted(self._voter_links.by_name))
 
     @property
     def linked_observers(self) -> int:
         """Observers that have this voter, those in step and those that are brought in step."""
-        return sum(one.feed is not None for one in self._audience.links.values())
+        return sum(one.feed is not None for one in self._sessions.links.values())
 
     @property
     def metrics(self) -> Metrics:
@@ -216,103 +220,111 @@
     def _dispatch(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
         if link in self._pending:
             self._first(now_us, mono_us, link, message)
-        elif link in self._peers.links:
+        elif link in self._voter_links.links:
             self._from_voter(now_us, mono_us, link, message)
-        elif link in self._audience.links:
-            self._audience.links[link].heard_us = mono_us
+        elif link in self._sessions.links:
+            self._sessions.links[link].last_received_us = mono_us
             if isinstance(message, wire.Offer):
-                self._offered(now_us, mono_us, link, message)
+                self._handle_offer(now_us, mono_us, link, message)
             else:
-                self._audience.received(now_us, mono_us, link, message)
+                self._sessions.received(now_us, mono_us, link, message)
 
     def _first(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
         del self._pending[link]
         if isinstance(message, wire.Join):
-            self._audience.first(now_us, mono_us, link, message)
+            self._sessions.first(now_us, mono_us, link, message)
         elif isinstance(message, wire.MeshData):
-            self._peers.answered(mono_us, link)
+            self._voter_links.answered(mono_us, link)
             self._from_voter(now_us, mono_us, link, message)
         else:
             raise JoinRefused(f"a link began with {type(message).__name__}")
 
     def _from_voter(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        voter = self._peers.links[link]
-        voter.heard_us = mono_us
+        voter = self._voter_links.links[link]
+        voter.last_received_us = mono_us
         if isinstance(message, wire.MeshData):
             for event in voter.session.receive(now_us, mono_us, message.data):
-                self._event(mono_us, link, event)
+                self._handle_session_event(mono_us, link, event)
         elif voter.name is not None:  # else it speaks before it has greeted, and nothing can be placed
-            self._said(mono_us, voter, voter.name, message)
+            self._handle_voter_message(mono_us, voter, voter.name, message)
 
-    def _said(self, mono_us: int, voter: VoterLink, name: str, message: wire.AnyMessage) -> None:
+    def _handle_voter_message(
+        self, mono_us: int, voter: VoterLink, name: str, message: wire.AnyMessage
+    ) -> None:
         match message:
             case wire.VoterStatus():
                 voter.status = message
-                self._started(message.starts)
+                self._record_incarnations(message.starts)
             case wire.Barrier(number=number, urgent=urgent, hold=hold):
-                self.tally.mark(mono_us, (name, number), self.log.head(urgent), urgent=urgent, hold=hold)
+                self.observer_progress.track(
+                    mono_us, (name, number), self.log.head(urgent), urgent=urgent, hold=hold
+                )
             case wire.BarrierStatus():
-                self._started(message.starts)
-                self.following.said(mono_us, name, message)
+                self._record_incarnations(message.starts)
+                self.commit_tracker.record_status(mono_us, name, message)
             case wire.BarrierEnd():
-                self.tally.drop((name, message.number))
+                self.observer_progress.untrack((name, message.number))
             case wire.Moved():
                 for observer in message.observers:
-                    self._audience.moved_elsewhere(*observer)
+                    self._sessions.moved_elsewhere(*observer)
             case wire.Departed():
-                if (known := self.tally.known_better(message.observers)) and name in self._peers.by_name:
-                    self._outbox.to_voter(self._peers.by_name[name], wire.Moved(known))
+                if (
+                    known := self.observer_progress.newer_joins(message.observers)
+                ) and name in self._voter_links.by_name:
+                    self._outbox.send_to_voter(self._voter_links.by_name[name], wire.Moved(known))
             case _:
                 raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
 
-    def _event(self, mono_us: int, link: Link, event: Event) -> None:
-        voter = self._peers.links[link]
+    def _handle_session_event(self, mono_us: int, link: Link, event: Event) -> None:
+        voter = self._voter_links.links[link]
         match event:
             case Greeted(hello=hello):
                 self._greeted(mono_us, link, hello.name, hello.incarnation)
             case Learned(records=records, declined=declined):
-                self._learned(records, declined)
+                self._record_changes(records, declined)
                 if voter.name is not None and refused(declined):
-                    self._peers.refusals.refused(voter.name, voter.session)
+                    self._voter_links.refusals.refused(voter.name, voter.session)
             case Answered():
-                if not self.counts and not self._peers.refusals and self.freshness.may_catch_up():
+                if not self.counts and not self._voter_links.refusals and self.freshness.may_catch_up():
                     self._catch_up()
-                if voter.name is not None and self._peers.refusals.recovered(voter.name, voter.session):
-                    self.tally.news.update(self.tally.marks)
+                if voter.name is not None and self._voter_links.refusals.recovered(voter.name, voter.session):
+                    self.observer_progress.dirty.update(self.observer_progress.tracked)
 
     def _greeted(self, mono_us: int, link: Link, name: str, incarnation: int) -> None:
-        if (before := self._peers.by_name.get(name)) is not None:
+        if (before := self._voter_links.by_name.get(name)) is not None:
             self._drop(mono_us, before, f"{name} has connected anew")
-        self._peers.greeted(link, name)
-        self._started([(name, incarnation)])
-        if observers := self.tally.linked():
+        self._voter_links.greeted(link, name)
+        self._record_incarnations([(name, incarnation)])
+        if observers := self.observer_progress.synchronized_observers():
             moved = tuple((one.name, one.incarnation, one.join) for one in observers)
-            self._outbox.to_voter(link, wire.Moved(moved))
+            self._outbox.send_to_voter(link, wire.Moved(moved))
 
-    def _started(self, starts: Iterable[tuple[str, int]]) -> None:
-        for name, incarnation in self._peers.started(starts):
-            self.following.started(name, incarnation)
+    def _record_incarnations(self, starts: Iterable[tuple[str, int]]) -> None:
+        for name, incarnation in self._voter_links.started(starts):
+            self.commit_tracker.voter_restarted(name, incarnation)
 
-    def _offered(self, now_us: int, mono_us: int, link: Link, offer: wire.Offer) -> None:
-        changed, declined = take_all(self.replica, now_us, offer.records)
-        self._learned(changed, declined)
+    def _handle_offer(self, now_us: int, mono_us: int, link: Link, offer: wire.Offer) -> None:
+        changed, declined = merge_records(self.replica, now_us, offer.records)
+        self._record_changes(changed, declined)
         if not offer.number:
             return
         try:
-            self.following.make_room()
+            self.commit_tracker.ensure_capacity()
         except ChangesFull as e:  # it spreads all the same; only nobody can say how far it is
-            self._not_followed(link, offer.number, e.what)
+            self._report_untracked(link, offer.number, e.what)
             return
         if refused(declined):
-            self._not_followed(link, offer.number, declined[0][1].what)
+            self._report_untracked(link, offer.number, declined[0][1].what)
             return
-        self._follow(mono_us, offer.records, _Request(link, offer.number))
+        self._track_change(mono_us, offer.records, _Requester(link, offer.number))
 
-    def _not_followed(self, link: Link, number: int, why: str) -> None:
+    def _report_untracked(self, link: Link, number: int, why: str) -> None:
         progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
-        self._outbox.to_observer(link, progress)
+        self._outbox.send_to_observer(link, progress)
 
-    def _learned(self, records: Iterable[Record], declined: Iterable[tuple[Record, MeshError]] = ()) -> None:
+    def _record_changes(
+        self, records: Iterable[Record], declined: Iterable[tuple[Record, MeshError]] = ()
+    ) -> None:
         changed, refused = tuple(records), tuple(declined)
         if changed:
             self.log.note(changed)
@@ -320,105 +332,110 @@
         if changed or refused:
             self._outbox.add(Apply(changed, refused))
 
-    def _follow(self, mono_us: int, records: Iterable[Record], request: _Request) -> int:
+    def _track_change(self, mono_us: int, records: Iterable[Record], request: _Requester) -> int:
         """Follow a change of these records: by the slowest and strictest of their kinds."""
         kinds = {record.kind for record in records}
         urgent = kinds <= self.log.urgent_kinds
         hold = any(self.options.mode_of(kind) is Mode.HOLD for kind in kinds)
-        self._request += 1
-        self._requests[self._request] = request
-        self.following.follow(mono_us, self._request, self.log.head(urgent), urgent=urgent, hold=hold)
-        return self._request
+        self._last_change += 1
+        self._requesters[self._last_change] = request
+        self.commit_tracker.track(mono_us, self._last_change, self.log.head(urgent), urgent=urgent, hold=hold)
+        return self._last_change
 
     def _catch_up(self) -> None:
         if self.counts:
             return
         self.freshness.caught_up = True
         self._outbox.add(CaughtUp())
-        self.tally.news.update(self.tally.marks)
+        self.observer_progress.dirty.update(self.observer_progress.tracked)
 
     # What follows
 
     def _done(self, now_us: int, mono_us: int, *, sessions: bool = True) -> list[Action]:
         """What follows from all that was taken in; ``sessions``: other voters may be concerned."""
         if mono_us >= self._review_us:
-            self._review_us = mono_us + STATUS_US
-            self.tally.review(mono_us)
+            self._review_us = mono_us + STATUS_INTERVAL_US
+            self.observer_progress.expire_waits(mono_us)
         self._seal(mono_us)
-        self._tell_marks(mono_us)
-        self._tell_progress(mono_us)
+        self._send_due_statuses(mono_us)
+        self._notify_progress(mono_us)
         if sessions:
             self._pump(now_us, mono_us)
         self._flush(mono_us)
-        if (moved := self._audience.take_moved()) is not None:
-            self._peers.to_all(moved)
+        if (moved := self._sessions.take_moved()) is not None:
+            self._voter_links.to_all(moved)
         return self._outbox.take()
 
     def _pump(self, now_us: int, mono_us: int) -> None:
         """Let sessions write; send barriers behind the changes that they are about."""
-        for link, voter, name in self._peers.pump(now_us, mono_us):
-            for group in self.following.to_ask(name, voter.written):
-                self._outbox.to_voter(link, wire.Barrier(group.number, group.urgent, group.hold))
+        for link, voter, name in self._voter_links.pump(now_us, mono_us):
+            for group in self.commit_tracker.batches_to_query(name, voter.written):
+                self._outbox.send_to_voter(link, wire.Barrier(group.number, group.urgent, group.hold))
 
     def _seal(self, mono_us: int) -> None:
-        for group in self.following.to_seal(mono_us):
+        for group in self.commit_tracker.seal_due_batches(mono_us):
             key = self.name, group.number
-            self.tally.mark(mono_us, key, group.position, urgent=group.urgent, hold=group.hold)
+            self.observer_progress.track(mono_us, key, group.position, urgent=group.urgent, hold=group.hold)
 
-    def _tell_marks(self, mono_us: int) -> None:
+    def _send_due_statuses(self, mono_us: int) -> None:
         """Tell who is behind a mark: at once where nobody is any more, else not too often."""
-        for key in sorted(self.tally.news):
-            waiting = self.tally.marks[key].waiting
-            if waiting and mono_us < self._marks_told.get(key, mono_us - STATUS_US) + STATUS_US:
+        for key in sorted(self.observer_progress.dirty):
+            waiting = self.observer_progress.tracked[key].waiting
+            if (
+                waiting
+                and mono_us < self._status_sent_us.get(key, mono_us - STATUS_INTERVAL_US) + STATUS_INTERVAL_US
+            ):
                 continue
-            self.tally.news.discard(key)
-            self._marks_told[key] = mono_us
-            self._tell_mark(mono_us, *key)
-        if len(self._marks_told) > 2 * len(self.tally.marks):
-            self._marks_told = {key: at for key, at in self._marks_told.items() if key in self.tally.marks}
-
-    def _tell_mark(self, mono_us: int, origin: str, number: int) -> None:
-        mark = self.tally.marks[origin, number]
+            self.observer_progress.dirty.discard(key)
+            self._status_sent_us[key] = mono_us
+            self._send_status(mono_us, *key)
+        if len(self._status_sent_us) > 2 * len(self.observer_progress.tracked):
+            self._status_sent_us = {
+                key: at for key, at in self._status_sent_us.items() if key in self.observer_progress.tracked
+            }
+
+    def _send_status(self, mono_us: int, origin: str, number: int) -> None:
+        mark = self.observer_progress.tracked[origin, number]
         if origin == self.name:
-            self.following.own(mono_us, number, mark, self.counts)
+            self.commit_tracker.record_own_status(mono_us, number, mark, self.counts)
             return
-        link = self._peers.by_name.get(origin)
+        link = self._voter_links.by_name.get(origin)
         if link is None:
             return
-        behind, names = len(mark.waiting), sorted(mark.waiting)[: wire.NAMES_AT_MOST]
+        behind, names = len(mark.waiting), sorted(mark.waiting)[: wire.MAX_LAGGING_NAMES]
         counts = self.counts
-        if origin in self._peers.refusals:
+        if origin in self._voter_links.refusals:
             behind, names, counts = behind + 1, [f"voter {self.name}, which refused a record", *names], False
-        starts = self._peers.told_starts()
+        starts = self._voter_links.known_incarnations()
         status = wire.BarrierStatus(number, self.incarnation, counts, starts, behind, tuple(names))
-        self._outbox.to_voter(link, status)
-
-    def _tell_progress(self, mono_us: int) -> None:
-        for news in self.following.review(mono_us):
-            self._tell_request(news, self._requests[news.number])
-        for group in self.following.ended():
-            self.tally.drop((self.name, group.number))
-            self._peers.to_all(wire.BarrierEnd(group.number))
+        self._outbox.send_to_voter(link, status)
+
+    def _notify_progress(self, mono_us: int) -> None:
+        for news in self.commit_tracker.collect_progress(mono_us):
+            self._notify_requester(news, self._requesters[news.number])
+        for group in self.commit_tracker.take_ended():
+            self.observer_progress.untrack((self.name, group.number))
+            self._voter_links.to_all(wire.BarrierEnd(group.number))
             for change in group.changes:
-                del self._requests[change]
+                del self._requesters[change]
 
-    def _tell_request(self, news: Progressed, request: _Request) -> None:
+    def _notify_requester(self, news: Progressed, request: _Requester) -> None:
         if request.link is None:
             self._outbox.add(news)
-        elif request.link in self._audience.links:
+        elif request.link in self._sessions.links:
             progress = wire.Progress(request.number, news.accepted, news.in_force, news.behind, news.names)
-            self._outbox.to_observer(request.link, progress)
+            self._outbox.send_to_observer(request.link, progress)
 
     def _flush(self, mono_us: int) -> None:
         """Changes go to observers in rounds: at once, but no more often than every few milliseconds."""
-        if self._unflushed and mono_us >= self._flushed_us + BATCH_US:
+        if self._unflushed and mono_us >= self._flushed_us + FLUSH_INTERVAL_US:
             self._unflushed = False
             self._flushed_us = mono_us
-            self._audience.flush(mono_us)
+            self._sessions.flush(mono_us)
 
     def _brought_by_another(self, origin: str) -> bool:
         """Whether another voter than we brings what a process wrote to all."""
-        observed = self.tally.observed.get(origin)
+        observed = self.observer_progress.observers.get(origin)
         ours = observed is not None and observed.link is not None
         return origin != self.name and not ours
 
@@ -426,8 +443,8 @@
 
     def _refuse(self, mono_us: int, link: Link, why: str) -> None:
         self.metrics.refused += 1
-        if link not in self._peers.links:
-            self._outbox.to_observer(link, wire.Refused(why))
+        if link not in self._voter_links.links:
+            self._outbox.send_to_observer(link, wire.Refused(why))
         self._drop(mono_us, link, why)
 
     def _drop(self, mono_us: int, link: Link, why: str) -> None:
@@ -436,13 +453,13 @@
 
     def _lost(self, mono_us: int, link: Link) -> None:
         self._pending.pop(link, None)
-        self._audience.lost(link)
-        if (name := self._peers.lost(mono_us, link)) is not None:
-            self.following.unlinked(name)
-            self.tally.drop_all(lambda key: key[0] == name)
+        self._sessions.lost(link)
+        if (name := self._voter_links.lost(mono_us, link)) is not None:
+            self.commit_tracker.voter_unlinked(name)
+            self.observer_progress.untrack_matching(lambda key: key[0] == name)
 
     def _drop_silent(self, mono_us: int) -> None:
         """Links on which nothing came for longer than a lease lasts."""
         silent = [link for link, at in self._pending.items() if mono_us - at > self.options.bound_us]
-        for link in (*silent, *self._peers.silent(mono_us), *self._audience.silent(mono_us)):
+        for link in (*silent, *self._voter_links.silent(mono_us), *self._sessions.silent(mono_us)):
             self._drop(mono_us, link, "nothing came for longer than the bound")
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -25,7 +25,7 @@
     ``told``: our last word on ourselves."""
 
     session: Session
-    heard_us: int
+    last_received_us: int
     dialed: str | None = None
     name: str | None = None
     status: wire.VoterStatus | None = None
@@ -39,7 +39,7 @@
         return self.session.cursor if comparison.rounds and not comparison.owed else 0
 
 
-class Refusals:
+class IncompleteVoters:
     """Voters that sent a record which could not be taken: of those we don't know all that they knew.
 
     As long as there is one, what we know of other voters is of no use to anybody else. It ends once a
@@ -71,10 +71,10 @@
         return True
 
 
-class TrueAges:
+class ReportableAges:
     """What sessions tell of `Freshness`: only of ourselves while something was refused."""
 
-    def __init__(self, freshness: Freshness, refusals: Refusals) -> None:
+    def __init__(self, freshness: Freshness, refusals: IncompleteVoters) -> None:
         self.pinged = freshness.pinged
         self.answered = freshness.answered
         self._freshness = freshness
@@ -97,7 +97,7 @@
         return {name: age for name, age in ages.items() if name == me} if self._refusals else ages
 
 
-class Peers:
+class VoterLinks:
     """The other voters. ``brings``: whether another voter than we brings what a process wrote to all."""
 
     def __init__(
@@ -117,8 +117,8 @@
         self.links: dict[Link, VoterLink] = {}
         self.by_name: dict[str, Link] = {}
         self.starts = {options.name: incarnation}
-        self.refusals = Refusals()
-        self.ages = TrueAges(freshness, self.refusals)
+        self.refusals = IncompleteVoters()
+        self.ages = ReportableAges(freshness, self.refusals)
         self._outbox = outbox
         self._brings = brings
         self._backoff = Backoff(rng)
@@ -179,7 +179,7 @@
     def silent(self, mono_us: int) -> list[Link]:
         """Links on which nothing came for longer than the bound."""
         patience_us = self.options.bound_us
-        return [link for link, one in self.links.items() if mono_us - one.heard_us > patience_us]
+        return [link for link, one in self.links.items() if mono_us - one.last_received_us > patience_us]
 
     def next_us(self) -> Iterator[int]:
         """When something is due though nothing comes before."""
@@ -193,18 +193,18 @@
         status = self._status()
         for link, voter in self.links.items():
             while (data := voter.session.draw(now_us, mono_us)) is not None:
-                self._outbox.to_voter(link, wire.MeshData(data))
+                self._outbox.send_to_voter(link, wire.MeshData(data))
             if voter.name is None:
                 continue
             if voter.told != status:
                 voter.told = status
-                self._outbox.to_voter(link, status)
+                self._outbox.send_to_voter(link, status)
             yield link, voter, voter.name
 
     def to_all(self, message: wire.VoterMessage) -> None:
         """Send a message to each voter that is linked."""
         for link in self.by_name.values():
-            self._outbox.to_voter(link, message)
+            self._outbox.send_to_voter(link, message)
 
     # Starts and lists
 
@@ -216,7 +216,7 @@
             self.freshness.started(name, incarnation)
         return news
 
-    def told_starts(self) -> tuple[tuple[str, int], ...]:
+    def known_incarnations(self) -> tuple[tuple[str, int], ...]:
         """The starts that we know of."""
         return tuple(sorted(self.starts.items()))
 
@@ -250,7 +250,7 @@
 
     def _status(self) -> wire.VoterStatus:
         digest = list_digest(self.freshness.quorum.lists[-1])
-        return wire.VoterStatus(self.incarnation, self.freshness.caught_up, digest, self.told_starts())
+        return wire.VoterStatus(self.incarnation, self.freshness.caught_up, digest, self.known_incarnations())
 
     def _session(self, *, opens: bool) -> Session:
         options = self.options
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -8,13 +8,13 @@
 from robinhill.mesh.options import VoterPlace
 
 
-class VoterChoice:
+class VoterSelection:
     """The voters in the order of preference, and when each may be tried. Times: monotonic microseconds."""
 
     def __init__(self, voters: Mapping[str, VoterPlace], place: Place, rng: Random) -> None:
         self.backoff = Backoff(rng)
         self._rng = rng
-        self._place = place
+        self._feed_position = place
         self.order: tuple[str, ...] = ()
         self.reconfigure(voters)
 
@@ -42,6 +42,6 @@
         return min((self.backoff.due_us(name) for name in self.order if name not in taken), default=None)
 
     def _distance(self, voter: VoterPlace) -> int:
-        if voter.region != self._place.region:
+        if voter.region != self._feed_position.region:
             return 2
-        return 1 if voter.zone != self._place.zone else 0
+        return 1 if voter.zone != self._feed_position.zone else 0
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -18,26 +18,26 @@
 
 from robinhill.config_types import Address
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
-from robinhill.control.messages import MAX_MESSAGE
+from robinhill.control.messages import MAX_MESSAGE_BYTES
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clients.connections import bind
 from robinhill.net.clock import Clock, mono_us
-from robinhill.net.control_group.link import CLOSE_S, PATH, ControlLink, Socket
+from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, PATH, ControlLink, Socket
 
 log = logging.getLogger(__name__)
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """For a connection and its upgrade."""
 
-MAX_ACCEPTED = 4_096
+MAX_ACCEPTED_CONNECTIONS = 4_096
 """Connections that a voter accepts; the descriptors of the process bound them too."""
 
 MIN_TICK_US = 1_000
-REPORT_AGAIN_S = 60.0
+REPORT_INTERVAL_S = 60.0
 FAILURES_TO_REPORT = 3
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What voters and observers have in common. Times: microseconds, Unix and monotonic."""
 
     def start(self, now_us: int, mono_us: int) -> list[Action]: ...
@@ -121,7 +121,7 @@
 
     def __init__(
         self,
-        machine: Machine,
+        machine: StateMachine,
         supervisor: Supervisor,
         clock: Clock,
         address_of: Callable[[str], Address],
@@ -141,7 +141,7 @@
         self._numbers = count(1)
         self._connecting: set[asyncio.Task[None]] = set()
         self._failures: dict[str, int] = {}  # in a row, by voter
-        self._reported_s: dict[str, float] = {}
+        self._last_reported_s: dict[str, float] = {}
         self._client: aiohttp.ClientSession | None = None
         self._runner: web.ServerRunner | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -153,7 +153,7 @@
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         )
         self.perform(self.machine.start(self.clock.now_us(), mono_us()))
 
@@ -209,7 +209,7 @@
         for link in self.links.values():
             link.close("this process ends")
         if self._connecting:
-            await asyncio.wait(self._connecting, timeout=CLOSE_S)
+            await asyncio.wait(self._connecting, timeout=CLOSE_TIMEOUT_S)
         for task in list(self._connecting):
             task.cancel()
         if self._runner:
@@ -223,9 +223,9 @@
     async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != PATH:
             return web.Response(status=404)
-        if self._stopping or len(self.links) >= MAX_ACCEPTED:
+        if self._stopping or len(self.links) >= MAX_ACCEPTED_CONNECTIONS:
             return web.Response(status=503)
-        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE + 1, compress=False, timeout=0.2)
+        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE_BYTES + 1, compress=False, timeout=0.2)
         await socket.prepare(request)
         await self._run(socket, str(request.remote), None)
         return socket
@@ -250,9 +250,9 @@
         assert self._client
         address = self.address_of(voter)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE + 1, compress=0
+                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES + 1, compress=0
                 )
         except (OSError, aiohttp.ClientError, TimeoutError) as e:
             self.tell(Failed(voter, f"{type(e).__name__} {e}".strip()))
@@ -283,9 +283,9 @@
         self._schedule_tick()
         self._failures[voter] = self._failures.get(voter, 0) + 1
         now_s = time.monotonic()
-        recently = now_s - self._reported_s.get(voter, -REPORT_AGAIN_S) < REPORT_AGAIN_S
+        recently = now_s - self._last_reported_s.get(voter, -REPORT_INTERVAL_S) < REPORT_INTERVAL_S
         if self._failures[voter] >= FAILURES_TO_REPORT and not recently:
-            self._reported_s[voter] = now_s
+            self._last_reported_s[voter] = now_s
             log.warning("voter_unreachable", extra={"voter": voter, "why": why})
 
     def _send(self, number: Link, data: bytes) -> None:
--- a/robinhill/net/control_group/link.py
+++ b/robinhill/net/control_group/link.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 PATH = "/v1/control"
-CLOSE_S = 0.5
+CLOSE_TIMEOUT_S = 0.5
 """For what is still to be written, and for the other side's goodbye."""
 
 MAX_QUEUED_BYTES = 16 << 20
@@ -63,7 +63,7 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            await self._say_goodbye()
+            await self._close_socket()
         if self._overflow.is_set():
             return "the other side reads too slowly"
         return self.closed_because or _failure(reading, writing) or "closed by the other side"
@@ -79,7 +79,7 @@
     async def _write(self) -> None:
         while True:
             self._changed.clear()
-            limit_s = CLOSE_S if self.closed_because is not None else None
+            limit_s = CLOSE_TIMEOUT_S if self.closed_because is not None else None
             async with asyncio.timeout(limit_s):
                 await self._write_queued()
             if self.closed_because is not None:
@@ -92,10 +92,10 @@
             self.queued_bytes -= len(data)
             await self.socket.send_bytes(data)
 
-    async def _say_goodbye(self) -> None:
+    async def _close_socket(self) -> None:
         reason = (self.closed_because or "").encode()[:MAX_REASON_BYTES]
         with contextlib.suppress(OSError, aiohttp.ClientError, TimeoutError, RuntimeError):
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self.socket.close(message=reason)
 
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -27,7 +27,7 @@
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import recall
+from robinhill.net.control_group.recovery import restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
 from robinhill.net.dispatcher.dispatcher import Cordoned, Dispatcher, Lease
@@ -37,13 +37,13 @@
 
 log = logging.getLogger(__name__)
 
-NEEDS_RESTART = ("installation", "name", "bound_ms", "on_lost", "on_lost_by_kind", "region", "zone", "folder")
+RESTART_KEYS = ("installation", "name", "bound_ms", "on_lost", "on_lost_by_kind", "region", "zone", "folder")
 """Keys of `mesh` that a reload does not change."""
 
 NO_VOUCHING = Answer(409, b"a scheduler that observes does not count for majorities: vouch at a voter\n")
 
 
-class Observing:
+class ObservingScheduler:
     """Owns the observer, its links and what it tells the decider."""
 
     def __init__(
@@ -57,16 +57,20 @@
         self.clock = clock
         self.dispatcher = dispatcher
         self.inbound = inbound
-        self.rest = SnapshotStore(config.folder if mesh.folder else None, mesh.installation, self.name)
-        owner, records = self.rest.load()
-        self.incarnation = next_incarnation(clock.now_us(), owner.incarnation if owner else 0)
+        self.snapshot_store = SnapshotStore(
+            config.folder if mesh.folder else None, mesh.installation, self.name
+        )
+        header, records = self.snapshot_store.load()
+        self.incarnation = next_incarnation(clock.now_us(), header.incarnation if header else 0)
         self.replica = Replica(self.name, self.incarnation, kinds())
-        if owner:
-            self._recall(owner, records)
+        if header:
+            self._restore_records(header, records)
         # Decisions never draw from this: it spreads connecting in time.
         rng = random.Random(f"{self.name} {self.incarnation}")
         self.observer = Observer(self.options, self.incarnation, self.replica, rng, mono_us())
-        self.driver = Driver(self.observer, supervisor, clock, self._address_of, self._act, self._look)
+        self.driver = Driver(
+            self.observer, supervisor, clock, self._address_of, self._act, self._after_observer_call
+        )
         self.cordons = Cordons(
             self.options,
             self.incarnation,
@@ -78,15 +82,15 @@
         )
         self.cordons.abandon = self.observer.abandon
         self.serving = False
-        self._left = False  # the voters were told that nothing more is sent from here
-        self._holds = self.options.mode_of(CORDON) is Mode.HOLD
+        self._stopped = False  # the voters were told that nothing more is sent from here
+        self._requires_lease = self.options.mode_of(CORDON) is Mode.HOLD
         self._began_us = mono_us()
-        self._told_voters: tuple[str | None, str | None] = (None, None)
+        self._reported_voters: tuple[str | None, str | None] = (None, None)
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         inbound.behind = True
         dispatcher.may_send = self.may_send
-        if self._holds:
+        if self._requires_lease:
             dispatcher.lease, dispatcher.vouched = self.lease, False
         dispatcher.list_changed = lambda: self.driver.tell(Run(self._update))
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
@@ -109,7 +113,7 @@
             if timer:
                 timer.cancel()
         self.cordons.stop()
-        self._left = True
+        self._stopped = True
         self.driver.perform(self.observer.goodbye())
         await self.driver.close()
 
@@ -117,9 +121,9 @@
 
     def may_send(self, worker: Destination) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
-        if self._left or covers(self.cordons.targets, worker):
+        if self._stopped or covers(self.cordons.targets, worker):
             return False
-        return not self._holds or self.lease()
+        return not self._requires_lease or self.lease()
 
     def lease(self) -> bool:
         """Whether a majority of voters is known as of no longer ago than the bound."""
@@ -139,7 +143,7 @@
         now = mono_us()
         standing = self.observer.standing(CORDON, now)
         in_step = self.observer.in_step
-        told = {
+        fields = {
             "name": self.name,
             "role": "observer",
             "incarnation": self.incarnation,
@@ -152,7 +156,7 @@
             "may_act": standing.may_act,
             "majority_known_ms_ago": None if standing.age_us is None else standing.age_us / 1000,
         }
-        return Answer(200, msgspec.json.encode({k: v for k, v in told.items() if v is not None}) + b"\n")
+        return Answer(200, msgspec.json.encode({k: v for k, v in fields.items() if v is not None}) + b"\n")
 
     def vouch(self) -> Answer:
         """Only voters can be vouched for."""
@@ -182,9 +186,11 @@
 
     def reconfigure(self, mesh: MeshOptions) -> None:
         """Go by other voters from now on. What else has changed waits for a restart."""
-        waiting = [key for key in NEEDS_RESTART if getattr(mesh, key) != getattr(self.mesh, key)]
-        if waiting:
-            log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in waiting)})
+        restart_keys = [key for key in RESTART_KEYS if getattr(mesh, key) != getattr(self.mesh, key)]
+        if restart_keys:
+            log.warning(
+                "reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in restart_keys)}
+            )
             return
         try:
             options = options_of_observer(mesh, self.name)
@@ -231,7 +237,7 @@
             self._end_timer = loop.call_later(wait_s, self.driver.tell, Run(self._update))
 
     def _lease_changed(self, held: bool, age_us: int | None) -> None:
-        if self._holds:
+        if self._requires_lease:
             self.dispatcher.tell(Lease())
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
@@ -240,13 +246,13 @@
         else:
             log.warning("control_stale", extra=extra)
 
-    def _look(self) -> None:
+    def _after_observer_call(self) -> None:
         """After each call of the observer."""
         if self.observer.in_step and not self.serving:
             self._serve()
         voters = self.observer.voter, self.observer.spare_voter
-        if voters != self._told_voters:
-            self._told_voters = voters
+        if voters != self._reported_voters:
+            self._reported_voters = voters
             log.info("voters_in_use", extra={"voter": voters[0], "spare": voters[1]})
 
     def _serve(self) -> None:
@@ -263,18 +269,18 @@
 
     # Disk
 
-    def _recall(self, owner: SnapshotHeader, records: list[Record]) -> None:
+    def _restore_records(self, header: SnapshotHeader, records: list[Record]) -> None:
         """Cordons that this scheduler held when it shared with peers; as an observer it leaves none."""
         known = names_of(kinds())
-        recall(self.replica, owner, [r for r in records if r.kind in known], self.clock.now_us())
+        restore_records(self.replica, header, [r for r in records if r.kind in known], self.clock.now_us())
 
     def _save_incarnation(self) -> None:
         """A clock that was set back must not make the next start look like an earlier one."""
-        if not self.rest.folder:
+        if not self.snapshot_store.folder:
             return
-        owner = SnapshotHeader(self.mesh.installation, self.name, self.incarnation, self.clock.now_us())
+        header = SnapshotHeader(self.mesh.installation, self.name, self.incarnation, self.clock.now_us())
         try:
-            self.rest.write(owner, ())
+            self.snapshot_store.write(header, ())
         except OSError as e:
             log.error("state_not_saved", extra={"file": "mesh.state", "why": str(e)})
 
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -10,7 +10,7 @@
 log = logging.getLogger(__name__)
 
 
-def recall(replica: Replica, owner: SnapshotHeader, records: Iterable[Record], now_us: int) -> None:
+def restore_records(replica: Replica, header: SnapshotHeader, records: Iterable[Record], now_us: int) -> None:
     """Take what the last process left, unless it may have been forgotten by all others since."""
     taken = 0
     for record in records:
@@ -19,7 +19,7 @@
             taken += 1
         except MeshError as e:
             log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": str(e)})
-    away_us = max(0, now_us - owner.saved_us)
+    away_us = max(0, now_us - header.saved_us)
     if replica.stale(now_us, away_us):
         replica.clear(away_us)
     log.info("recalled", extra={"records": taken, "age_s": away_us / 1e6})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -27,7 +27,7 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import recall
+from robinhill.net.control_group.recovery import restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
@@ -37,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-OPERATORS_AT_ONCE = 32
-REFRESH_S = 3_600.0
+MAX_OPERATOR_CALLS = 32
+REFRESH_INTERVAL_S = 3_600.0
 """How often cordons that stand for longer than their record are looked for."""
 
-NEEDS_RESTART = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
+RESTART_KEYS = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
 """Keys of `mesh` that a reload does not change."""
 
-NOT_HERE = Answer(404, b"this is a voter: it has no clients and no workers\n")
+NOT_SERVED = Answer(404, b"this is a voter: it has no clients and no workers\n")
 
 
 class VoterProcess:
@@ -57,14 +57,14 @@
         self.options = options_of_voter(self.mesh, config.name)
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
-        self.rest = SnapshotStore(
+        self.snapshot_store = SnapshotStore(
             config.folder if self.mesh.folder else None, self.mesh.installation, config.name
         )
-        owner, records = self.rest.load()
-        self.incarnation = next_incarnation(self.clock.now_us(), owner.incarnation if owner else 0)
+        header, records = self.snapshot_store.load()
+        self.incarnation = next_incarnation(self.clock.now_us(), header.incarnation if header else 0)
         self.replica = Replica(config.name, self.incarnation, kinds())
-        if owner:
-            recall(self.replica, owner, records, self.clock.now_us())
+        if header:
+            restore_records(self.replica, header, records, self.clock.now_us())
         # Decisions never draw from this: it spreads connecting in time.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
@@ -81,7 +81,7 @@
         )
         self.operators: Operators | None = None
         if config.ops:
-            self.operators = VoterOperators(config.ops, self.supervisor, self)
+            self.operators = VoterOperatorServer(config.ops, self.supervisor, self)
 
     async def run(self) -> None:
         """Vote until SIGTERM or SIGINT; reload on SIGHUP. An actor's death raises its error."""
@@ -101,13 +101,15 @@
         for warning in self.options.warnings:
             log.warning("voters_questionable", extra={"why": warning})
         # The next start must be a later one, also if this one ends before its first save.
-        await self.rest.save(-1, self._owner(), list(self._lasting()))
+        await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
         await self.driver.listen(self._address_of(name), f"mesh.voters.{name}.address")
         if self.operators:
             self.operators.start()
         self.driver.start()
-        keeping = self.rest.keep(lambda: self.replica.head, self._owner, self._lasting)
+        keeping = self.snapshot_store.keep(
+            lambda: self.replica.head, self._snapshot_header, self._persistent_records
+        )
         self.supervisor.spawn(keeping, "keep")
         self.supervisor.spawn(self._refresh(), "refresh")
         extra = {"voter": name, "voters": len(self.options.voters), "incarnation": self.incarnation}
@@ -124,9 +126,11 @@
         if new.operator.log != self.config.operator.log:
             logs.configure(new.operator.log)
         mesh = new.operator.mesh
-        waiting = [key for key in NEEDS_RESTART if getattr(mesh, key) != getattr(self.mesh, key)]
-        if waiting:
-            log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in waiting)})
+        restart_keys = [key for key in RESTART_KEYS if getattr(mesh, key) != getattr(self.mesh, key)]
+        if restart_keys:
+            log.warning(
+                "reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in restart_keys)}
+            )
             return
         self.driver.tell(Run(lambda: self._change_voters(mesh, options)))
 
@@ -136,7 +140,9 @@
             await self.operators.close()
         self.cordons.stop()
         await self.driver.close()
-        await self.rest.save(self.replica.head, self._owner(), list(self._lasting()))
+        await self.snapshot_store.save(
+            self.replica.head, self._snapshot_header(), list(self._persistent_records())
+        )
         await self.supervisor.close()
         log.info("stopped")
 
@@ -157,7 +163,7 @@
         """How this copy stands, for operators and for whoever compares copies."""
         now = mono_us()
         age_us = self.voter.age_us(now)
-        told = {
+        fields = {
             "name": self.config.name,
             "role": "voter",
             "incarnation": self.incarnation,
@@ -170,7 +176,7 @@
             "on_lost": self.mesh.on_lost,
             "majority_known_ms_ago": None if age_us is None else age_us / 1000,
         }
-        return Answer(200, msgspec.json.encode({k: v for k, v in told.items() if v is not None}) + b"\n")
+        return Answer(200, msgspec.json.encode({k: v for k, v in fields.items() if v is not None}) + b"\n")
 
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this voter does not know."""
@@ -238,34 +244,34 @@
 
     async def _refresh(self) -> None:
         while True:
-            await asyncio.sleep(REFRESH_S)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
             self.driver.tell(Run(self.cordons.refresh))
 
-    def _owner(self) -> SnapshotHeader:
+    def _snapshot_header(self) -> SnapshotHeader:
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
-    def _lasting(self) -> Iterable[Record]:
+    def _persistent_records(self) -> Iterable[Record]:
         return self.replica.snapshot(lasting=True)
 
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
 
 
-class VoterOperators(Operators):
+class VoterOperatorServer(Operators):
     """The operators' side of a voter; `PUT /ops/mesh/forget` names a scheduler that runs no more."""
 
     def __init__(self, address: Address, supervisor: Supervisor, voter: VoterProcess) -> None:
         calls = Calls(
             readiness=voter.readiness,
             stats=voter.metrics,
-            admission=lambda: NOT_HERE,
+            admission=lambda: NOT_SERVED,
             hold_out=_no_workers,
             drain=_no_clients,
             cordons=voter.call,
             mesh=voter.status,
             vouch=voter.vouch,
         )
-        super().__init__(address, OPERATORS_AT_ONCE, supervisor, calls)
+        super().__init__(address, MAX_OPERATOR_CALLS, supervisor, calls)
         self._voter = voter
         self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
 
@@ -274,8 +280,8 @@
 
 
 async def _no_workers(instance_id: str, out: bool) -> Answer:
-    return NOT_HERE
+    return NOT_SERVED
 
 
 async def _no_clients(start: bool) -> Answer:
-    return NOT_HERE
+    return NOT_SERVED
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -31,7 +31,7 @@
 from robinhill.protocol import DONE, Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
-    from robinhill.net.control_group.observing_scheduler import Observing
+    from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
     from robinhill.net.peers.sharing import Sharing
     from robinhill.record.recorder import Recorder
@@ -100,11 +100,11 @@
             self.admission.find if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
-        self.sharing: Sharing | Observing | None = None
+        self.sharing: Sharing | ObservingScheduler | None = None
         if config.operator and config.operator.mesh.voters:
             from robinhill.net.control_group import observing_scheduler
 
-            self.sharing = observing_scheduler.Observing(
+            self.sharing = observing_scheduler.ObservingScheduler(
                 config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -22,7 +22,7 @@
 from robinhill.net.control_group import link
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.link import PATH, ControlLink
-from robinhill.net.control_group.observing_scheduler import Observing
+from robinhill.net.control_group.observing_scheduler import ObservingScheduler
 from robinhill.net.cordons import pending_changes
 from robinhill.net.cordons.pending_changes import Change, Changes
 from robinhill.protocol import Destination, Lifecycle
@@ -247,7 +247,9 @@
         told: list[object] = []
         dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
         inbound = SimpleNamespace(behind=False)
-        here = Observing(cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound))
+        here = ObservingScheduler(
+            cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound)
+        )
         assert inbound.behind, "it takes no clients before it is in step"
         assert dispatcher.may_send(worker)
         reason = value.Reason("c1", "a fan is loud", "ann", here.clock.now_us())
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from robinhill.control.commit_tracker import Following, Group
+from robinhill.control.commit_tracker import ChangeBatch, CommitTracker
 from robinhill.control.lease import ObserverLease
 from robinhill.control.observer import Observer
-from robinhill.control.observer_progress import Mark, Tally
-from robinhill.control.observer_sessions import Audience
+from robinhill.control.observer_progress import ObserverProgress, TrackedPosition
+from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.cordon.propagation import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Network
 
@@ -144,43 +144,45 @@
 
 
 def without_departed(monkeypatch: pytest.MonkeyPatch) -> None:
-    mark = Tally.mark
+    original = ObserverProgress.track
 
-    def planted(self: Tally, mono_us: int, key: tuple[str, int], position: int, **more: bool) -> Mark:
-        found = mark(self, mono_us, key, position, **more)
-        found.waiting -= {name for name, one in self.observed.items() if one.link is None}
+    def planted(
+        self: ObserverProgress, mono_us: int, key: tuple[str, int], position: int, **more: bool
+    ) -> TrackedPosition:
+        found = original(self, mono_us, key, position, **more)
+        found.waiting -= {name for name, one in self.observers.items() if one.link is None}
         return found
 
-    monkeypatch.setattr(Tally, "mark", planted)
+    monkeypatch.setattr(ObserverProgress, "track", planted)
 
 
 def without_unknown(monkeypatch: pytest.MonkeyPatch) -> None:
-    init = Tally.__init__
+    init = ObserverProgress.__init__
 
-    def planted(self: Tally, started_us: int, bound_us: int) -> None:
+    def planted(self: ObserverProgress, started_us: int, bound_us: int) -> None:
         init(self, started_us, bound_us)
         self._unknown_until_us = started_us
 
-    monkeypatch.setattr(Tally, "__init__", planted)
+    monkeypatch.setattr(ObserverProgress, "__init__", planted)
 
 
 def without_silent_voters(monkeypatch: pytest.MonkeyPatch) -> None:
-    def planted(self: Following, group: Group) -> tuple[int, tuple[str, ...]]:
-        return sum(count for count, _ in group.behind.values()), ()
+    def planted(self: CommitTracker, batch: ChangeBatch) -> tuple[int, tuple[str, ...]]:
+        return sum(count for count, _ in batch.lagging.values()), ()
 
-    monkeypatch.setattr(Following, "_behind", planted)
+    monkeypatch.setattr(CommitTracker, "_lagging", planted)
 
 
 def moved_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
-    grant = Audience._grant
+    grant = ObserverSessions._grant
 
-    def planted(self: Audience) -> None:
+    def planted(self: ObserverSessions) -> None:
         for link in self._waiting:
             observer = self.links[link]
             self.moved[observer.name] = observer.incarnation, observer.join
         grant(self)
 
-    monkeypatch.setattr(Audience, "_grant", planted)
+    monkeypatch.setattr(ObserverSessions, "_grant", planted)
 
 
 def lease_lasts_twice_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -1,7 +1,7 @@
 """What a voter sends to one observer: order, bounds, priorities."""
 
-from robinhill.control.change_feed import MESSAGES_AT_MOST, Feed
-from robinhill.control.changelog import RECORDS_AT_MOST, ChangeLog
+from robinhill.control.change_feed import MAX_UNCONFIRMED_MESSAGES, ChangeFeed
+from robinhill.control.changelog import MAX_RECORDS_PER_MESSAGE, ChangeLog
 from robinhill.control.messages import Changes, Compared, Digests, HeartbeatReply, RangeRecords, read
 from robinhill.mesh.replica import Replica
 from tests.control_network import CORDON, EPOCH_US, NOTE, URGENT, number_kind
@@ -13,7 +13,7 @@
     def __init__(self, notes: int = 0) -> None:
         self.replica = Replica("v", 1, [number_kind(CORDON), number_kind(NOTE)])
         self.log = ChangeLog(self.replica, URGENT)
-        self.feed = Feed(self.log)
+        self.feed = ChangeFeed(self.log)
         for i in range(notes):
             self.write(NOTE, f"n{i}")
 
@@ -43,26 +43,26 @@
 
 
 def test_an_answer_follows_all_that_was_known_at_its_heartbeat() -> None:
-    rig = Rig(RECORDS_AT_MOST * (MESSAGES_AT_MOST + 2))
+    rig = Rig(MAX_RECORDS_PER_MESSAGE * (MAX_UNCONFIRMED_MESSAGES + 2))
     rig.feed.resume(0)
     rig.feed.heartbeat(7, 500)
     head = rig.replica.head
     first = rig.draw()
-    assert len(first) == MESSAGES_AT_MOST and all(isinstance(one, Changes) for one in first)
-    rig.feed.received(MESSAGES_AT_MOST)
+    assert len(first) == MAX_UNCONFIRMED_MESSAGES and all(isinstance(one, Changes) for one in first)
+    rig.feed.received(MAX_UNCONFIRMED_MESSAGES)
     *rest, answer = rig.draw()
     assert isinstance(rest[-1], Changes) and rest[-1].position == head
     assert answer == HeartbeatReply(7, 500, head)
 
 
 def test_a_slow_observer_is_sent_newest_values_only() -> None:
-    rig = Rig(RECORDS_AT_MOST * MESSAGES_AT_MOST)
+    rig = Rig(MAX_RECORDS_PER_MESSAGE * MAX_UNCONFIRMED_MESSAGES)
     rig.feed.resume(0)
     rig.draw()
     for value in range(2, 1_000):
         rig.write(NOTE, "again", value)
         assert rig.draw() == []
-    rig.feed.received(MESSAGES_AT_MOST)
+    rig.feed.received(MAX_UNCONFIRMED_MESSAGES)
     (message,) = rig.draw()
     assert isinstance(message, Changes) and len(message.records) == 1
 
@@ -76,7 +76,7 @@
     found: list[object] = []
     while True:
         drawn = rig.draw()
-        assert len(drawn) <= MESSAGES_AT_MOST + 1
+        assert len(drawn) <= MAX_UNCONFIRMED_MESSAGES + 1
         if not drawn:
             break
         found += drawn
@@ -101,18 +101,18 @@
 
 def test_messages_are_encoded_once_for_all() -> None:
     rig = Rig()
-    feeds = [Feed(rig.log) for _ in range(100)]
+    feeds = [ChangeFeed(rig.log) for _ in range(100)]
     for feed in feeds:
         feed.resume(0)
     rig.write(NOTE, "n")
     drawn = {feed.draw()[0][0] for feed in feeds}
-    assert len(drawn) == 1 and rig.log.encoded == 1
+    assert len(drawn) == 1 and rig.log.messages_encoded == 1
 
 
 def test_urgent_changes_beyond_one_message_are_told_in_order() -> None:
     rig = Rig()
     rig.feed.resume(0)
-    for i in range(2 * RECORDS_AT_MOST + 1):
+    for i in range(2 * MAX_RECORDS_PER_MESSAGE + 1):
         rig.write(CORDON, f"c{i}")
     found = rig.draw()
     assert [len(one.records) for one in found if isinstance(one, Changes)] == [256, 256, 1]
--- a/tests/test_control_lease.py
+++ b/tests/test_control_lease.py
@@ -1,6 +1,6 @@
 """An observer's lease, and what a voter tells of it."""
 
-from robinhill.control.lease import HEARTBEATS_AT_MOST, ObserverLease
+from robinhill.control.lease import MAX_UNANSWERED_HEARTBEATS, ObserverLease
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
 
 SECOND = 1_000_000
@@ -68,6 +68,6 @@
 def test_unanswered_heartbeats_are_bounded() -> None:
     fresh = lease()
     first = fresh.wrote(0)
-    for at in range(HEARTBEATS_AT_MOST):
+    for at in range(MAX_UNANSWERED_HEARTBEATS):
         fresh.wrote(at)
     assert not fresh.answered(first, 0)
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -148,9 +148,11 @@
     network = running(3, 3, on_lost=Mode.SERVE)
     having = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != having)
-    tally, start = network.voter(other).tally, network.processes["s0000"].incarnation
-    tally.joined(network.mono_us(other), "s0000", start, 0, 999)  # overtaken by the word on the next join
-    tally.unlinked("s0000", 999)
+    observer_progress, start = network.voter(other).observer_progress, network.processes["s0000"].incarnation
+    observer_progress.joined(
+        network.mono_us(other), "s0000", start, 0, 999
+    )  # overtaken by the word on the next join
+    observer_progress.link_lost("s0000", 999)
     change = network.write("v00", CORDON, "c")
     network.run(SECOND // 2)
     assert change.names == ("s0000",)
@@ -161,11 +163,11 @@
     network = running(3, 3, on_lost=Mode.SERVE)
     having = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != having)
-    tally, start = network.voter(other).tally, network.processes["s0000"].incarnation
+    observer_progress, start = network.voter(other).observer_progress, network.processes["s0000"].incarnation
     network.leave("s0000")
     network.run(SECOND)
-    tally.joined(network.mono_us(other), "s0000", start, 0, 999)
-    tally.unlinked("s0000", 999)
+    observer_progress.joined(network.mono_us(other), "s0000", start, 0, 999)
+    observer_progress.link_lost("s0000", 999)
     change = network.write("v00", CORDON, "c")
     in_force(network, change, network.bound_us + 2 * SECOND)
 
@@ -361,8 +363,8 @@
 
 
 def test_changes_that_wait_for_a_killed_scheduler_do_not_stop_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("robinhill.control.commit_tracker.GROUPS_AT_MOST", 4)
-    monkeypatch.setattr("robinhill.control.observer.OFFERS_AT_MOST", 4)
+    monkeypatch.setattr("robinhill.control.commit_tracker.MAX_BATCHES", 4)
+    monkeypatch.setattr("robinhill.control.observer.MAX_PENDING_OFFERS", 4)
     network = running(3, 3, on_lost=Mode.SERVE)
     network.crash("s0002")
     for i in range(10):
@@ -371,11 +373,11 @@
         network.run(30_000)
     network.run(SECOND)
     assert all(network.know_all(change) for change in network.changes)
-    assert len(network.voter("v00").following.groups) <= 4
+    assert len(network.voter("v00").commit_tracker.batches) <= 4
 
 
 def test_changes_that_nobody_accepts_are_refused_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("robinhill.control.commit_tracker.GROUPS_AT_MOST", 4)
+    monkeypatch.setattr("robinhill.control.commit_tracker.MAX_BATCHES", 4)
     network = running(3, 1)
     for other in ("v01", "v02"):
         network.cut("v00", other)
--- a/tests/test_control_tally.py
+++ b/tests/test_control_observer_progress.py
@@ -1,93 +1,93 @@
 """Whom a voter waits for."""
 
-from robinhill.control.observer_progress import DEPARTED_AT_MOST, UNKNOWN, Tally
+from robinhill.control.observer_progress import MAX_DEPARTED, UNKNOWN_OBSERVERS, ObserverProgress
 from robinhill.cordon.propagation import with_slack
 
 BOUND = 1_000_000
 LATER = with_slack(BOUND)  # after the start observers of an earlier one are waited for no more
 
 
-def tally(*names: str) -> Tally:
-    found = Tally(0, BOUND)
+def observer_progress(*names: str) -> ObserverProgress:
+    found = ObserverProgress(0, BOUND)
     for link, name in enumerate(names):
         found.joined(LATER, name, 1, 1, link)
         found.applied(LATER, name, 5, 5)
     return found
 
 
-def waiting(found: Tally, hold: bool = True) -> set[str]:
-    return found.mark(LATER, ("v", 1), 6, urgent=False, hold=hold).waiting
+def waiting(found: ObserverProgress, hold: bool = True) -> set[str]:
+    return found.track(LATER, ("v", 1), 6, urgent=False, hold=hold).waiting
 
 
 def test_observers_are_waited_for_until_they_confirm() -> None:
-    found = tally("a", "b")
+    found = observer_progress("a", "b")
     left = waiting(found)
     assert left == {"a", "b"}
     found.applied(LATER, "a", 6, 6)
     found.applied(LATER, "b", 5, 9)
     assert left == {"b"}
-    found.gone("b")
+    found.remove("b")
     assert not left
 
 
 def test_urgent_changes_have_a_position_of_their_own() -> None:
-    found = tally("a")
-    left = found.mark(LATER, ("v", 1), 6, urgent=True, hold=True).waiting
+    found = observer_progress("a")
+    left = found.track(LATER, ("v", 1), 6, urgent=True, hold=True).waiting
     found.applied(LATER, "a", 5, 6)
     assert not left
 
 
 def test_silence_proves_nothing_until_the_lease_is_over() -> None:
-    found = tally("a")
+    found = observer_progress("a")
     left = waiting(found)
-    found.unlinked("a", 0)
-    found.review(LATER + with_slack(BOUND) - 1)
+    found.link_lost("a", 0)
+    found.expire_waits(LATER + with_slack(BOUND) - 1)
     assert left == {"a"}
-    found.review(LATER + with_slack(BOUND))
+    found.expire_waits(LATER + with_slack(BOUND))
     assert not left
 
 
 def test_under_serve_only_a_word_ends_the_wait() -> None:
-    found = tally("a", "b", "c")
+    found = observer_progress("a", "b", "c")
     left = waiting(found, hold=False)
     for link, name in enumerate("abc"):
-        found.unlinked(name, link)
-    found.review(100 * BOUND)
+        found.link_lost(name, link)
+    found.expire_waits(100 * BOUND)
     assert left == {"a", "b", "c"}
-    found.gone("a")
+    found.remove("a")
     found.joined(LATER, "b", 2, 1, 9)
     assert left == {"c"}
-    found.moved("c", 1, 2)
+    found.moved_away("c", 1, 2)
     assert not left
 
 
 def test_an_earlier_move_counts_for_nothing() -> None:
-    found = tally("a")
+    found = observer_progress("a")
     found.joined(LATER, "a", 1, 3, 7)
     left = waiting(found)
-    assert not found.moved("a", 1, 2) and left == {"a"}
-    assert found.moved("a", 1, 4) and not left
+    assert not found.moved_away("a", 1, 2) and left == {"a"}
+    assert found.moved_away("a", 1, 4) and not left
 
 
 def test_an_earlier_start_may_not_join() -> None:
-    found = tally()
+    found = observer_progress()
     found.joined(LATER, "a", 2, 1, 1)
     assert found.joined(LATER, "a", 1, 5, 2) is None
 
 
 def test_observers_of_an_earlier_start_are_waited_for() -> None:
-    found = Tally(0, BOUND)
-    left = found.mark(1, ("v", 1), 6, urgent=False, hold=False).waiting
-    assert left == {UNKNOWN}
-    found.review(LATER)
+    found = ObserverProgress(0, BOUND)
+    left = found.track(1, ("v", 1), 6, urgent=False, hold=False).waiting
+    assert left == {UNKNOWN_OBSERVERS}
+    found.expire_waits(LATER)
     assert not left
 
 
 def test_those_that_went_are_bounded() -> None:
-    found = Tally(0, BOUND)
-    for i in range(DEPARTED_AT_MOST + 10):
+    found = ObserverProgress(0, BOUND)
+    for i in range(MAX_DEPARTED + 10):
         found.joined(0, f"s{i}", 1, 1, i)
-        found.unlinked(f"s{i}", i)
-    assert len(found.observed) == DEPARTED_AT_MOST
-    found.forget_leaseless(with_slack(BOUND))
-    assert not found.observed
+        found.link_lost(f"s{i}", i)
+    assert len(found.observers) == MAX_DEPARTED
+    found.remove_expired(with_slack(BOUND))
+    assert not found.observers
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -37,7 +37,7 @@
     return {"region": "east" if number < 2 else "west", "zone": f"zone-{number}"}
 
 
-class Group:
+class ChangeBatch:
     """Voters in three zones of two regions, and schedulers beside them, with the same workers."""
 
     def __init__(self, root: Path, schedulers: tuple[str, ...], **mesh: Any) -> None:
@@ -92,10 +92,10 @@
 
 
 @asynccontextmanager
-async def group(schedulers: tuple[str, ...] = SCHEDULERS, **mesh: Any) -> AsyncIterator[Group]:
+async def group(schedulers: tuple[str, ...] = SCHEDULERS, **mesh: Any) -> AsyncIterator[ChangeBatch]:
     """All of it runs and is in step at the start of the block, and has ended behind it."""
     with tempfile.TemporaryDirectory(prefix="robinhill-") as folder:
-        here = Group(Path(folder), schedulers, **mesh)
+        here = ChangeBatch(Path(folder), schedulers, **mesh)
         try:
             for worker in here.workers:
                 await worker.start()
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -71,7 +71,8 @@
     ),
     "says in force at once": (
         "n1",
-        "import robinhill.control.commit_tracker as f; f.Following._behind = lambda self, group: (0, ())",
+        "import robinhill.control.commit_tracker as t\n"
+        "t.CommitTracker._lagging = lambda self, batch: (0, ())",
         "a scheduler is far away",
         "after it was in force",
     ),
