--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -29,7 +29,8 @@
 from robinhill.control.record_merging import Declined, merge_records, refused
 from robinhill.control.voter_selection import VoterSelection
 from robinhill.cordon.propagation import Mode
-from robinhill.mesh.records import MeshError, Record
+from robinhill.mesh.errors import MeshError
+from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
 CONFIRM_INTERVAL_US = 10_000
