--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -1,4 +1,8 @@
-"""The inbound side: the listener for clients, for the front's /ready and for the endpoints' calls."""
+"""The clients' side: jobs, the front's readiness check, and the workers' callbacks, on one address.
+
+It decodes requests, passes them on and writes each one's final answer; it decides nothing about jobs. While a
+successor process takes over, it hands connections with pending requests to that process.
+"""
 
 import asyncio
 import logging
@@ -14,15 +18,8 @@
 from robinhill import protocol
 from robinhill.config import Config
 from robinhill.net.actor import Supervisor
-from robinhill.net.clients.connections import (
-    FRONT_S,
-    SWEEP_S,
-    CloseReason,
-    Connection,
-    Listener,
-    connection_of,
-    reject,
-)
+from robinhill.net.clients.connection import CloseReason, Connection, connection_of, reject
+from robinhill.net.clients.listener import Listener
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
@@ -36,15 +33,15 @@
 
 JOB_EVENTS = "/v1/job-events"
 READY = "/ready"
-# After SIGTERM: two retries of a client that follows this advice outlast another scheduler's restart.
-RETURN_US = 700_000
-
+READINESS_SETTLE_S = 0.5  # for which the front still opens connections after a readiness check that failed
+IDLE_SWEEP_INTERVAL_S = 0.25
+SHUTDOWN_RETRY_AFTER_US = 700_000  # two retries at this interval outlast another scheduler's restart
 
 Json = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
-class _Answering:
+class _PendingRequest:
     """A request whose answer a connection waits for."""
 
     request: JobRequest
@@ -52,7 +49,7 @@
 
 
 class Inbound:
-    """Serves one address; each connection is aiohttp's, each message goes to the decider's mailbox."""
+    """Serves the clients' address; each request goes to admission control or to the dispatcher."""
 
     def __init__(
         self,
@@ -62,9 +59,9 @@
         metrics: Metrics,
         report: Callable[[RequestAccepted | ClientDisconnected], None],
         deliver: Callable[[JobEvent], Awaitable[None]],
-        find: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
+        identify_caller: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
     ) -> None:
-        self.find = find  # who sends a request, where there is admission control
+        self.identify_caller = identify_caller  # None: there is no admission control
         self.config = config
         self.supervisor = supervisor
         self.clock = clock
@@ -72,161 +69,176 @@
         self.report = report
         self.deliver = deliver
         self.deadlines_us = tuple(c.deadline_us for c in config.settings.classes)
-        self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not looked for
-        self.awaiting_list = False  # discovery has not answered yet: what comes is held
-        self.behind = False  # on what other schedulers know, where they share
-        self.drained = False  # by operators: clients should go elsewhere
-        self._drains: asyncio.Task[None] | None = None
-        self.serving = False  # it accepts
-        self.succeeded = False  # another process accepts in its place
-        self.answering: dict[Connection, _Answering] = {}
-        self.leaving = False  # answers close their connection
-        self.closed_to_new = False  # new requests are refused
-        self.owed = 0
-        self.none_owed = asyncio.Event()
-        self.none_owed.set()
+        self.catch_up: CatchUp | None = None  # None: stalls are not detected
+        self.awaiting_endpoint_list = False  # discovery has not answered yet: requests are queued
+        self.catching_up = False  # with the other schedulers' records, where they are shared
+        self.drained_by_operators = False
+        self._idle_sweep: asyncio.Task[None] | None = None
+        self.serving = False  # it accepts connections
+        self.superseded = False  # another process accepts connections in its place
+        self.pending: dict[Connection, _PendingRequest] = {}
+        self.shutting_down = False  # each answer closes its connection
+        self.closed_to_new = False  # new requests are rejected
+        self.pending_count = 0
+        self.none_pending = asyncio.Event()
+        self.none_pending.set()
         self._listener = Listener(
-            self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY, self._note_close
+            self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY, self._record_close
         )
 
-    def _note_close(self, why: CloseReason) -> None:
+    def _record_close(self, why: CloseReason) -> None:
         self.metrics.closes[f"client.{why.value}"] += 1
 
     def start(self, sock: socket.socket) -> None:
+        """Accept connections on a listening socket."""
         self.serving = True
         self._listener.listen(sock)
 
     async def close(self) -> None:
-        """Refuse what still comes, let its answers leave, and end; at once where answers are owed."""
-        self.leaving = self.closed_to_new = True
-        if not self.owed:
-            await self._listener.leave()
+        """Reject new requests, flush answers and close; at once where requests are still pending."""
+        self.shutting_down = self.closed_to_new = True
+        if not self.pending_count:
+            await self._listener.drain()
         self._listener.close()
         await self._listener.shutdown(1.0)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.rel_url.raw_path
         if request.method == "GET" and path == READY:
-            # Asked once: a connection kept behind it would only take a descriptor.
-            # Our successor is at the same address: a no on a connection to us would keep clients from it.
-            ready = self.ready or (self.succeeded and not self.drained)
+            # The connection closes after the check: kept alive, it would only take a descriptor.
+            # A successor has the same address: a failed check here would keep clients from it.
+            ready = self.ready or (self.superseded and not self.drained_by_operators)
             return self._respond(Answer(200 if ready else 503, b"", close=True))
-        if adopted := connection_of(request).take_adopted():
-            assert isinstance(adopted, _Answering)
+        if adopted := connection_of(request).take_adopted_request():
+            assert isinstance(adopted, _PendingRequest)
             return await self._answer(connection_of(request), adopted)
         if request.method != "POST":
             return reject(request, 405, "jobs come by POST")
         if path == JOB_EVENTS:
             event = protocol.read_job_event(await request.read())
             connection = connection_of(request)
-            connection.claim(useful=True)
-            connection.calls_back = True
+            connection.begin_answer(serves=True)
+            connection.carries_callbacks = True
             await self.deliver(event)
             return web.Response(status=204)
         return await self._job(request)
 
     @property
     def ready(self) -> bool:
-        """Whether clients should come here."""
+        """Whether the front should send clients here."""
         return self.serving and not (
-            self.leaving or self.drained or self.succeeded or self.behind or self.awaiting_list
+            self.shutting_down
+            or self.drained_by_operators
+            or self.superseded
+            or self.catching_up
+            or self.awaiting_endpoint_list
         )
 
     def drain(self, start: bool) -> None:
-        """Send clients elsewhere, or take them again; nothing is refused, and endpoints go on calling."""
-        self.drained = start
-        if self._drains:
-            self._drains.cancel()
-        self._drains = self.supervisor.spawn(self._send_away(), "drain") if start else None
-
-    async def _send_away(self) -> None:
-        await asyncio.sleep(FRONT_S)
+        """Fail readiness checks and close idle connections, or stop doing so; no request is rejected."""
+        self.drained_by_operators = start
+        if self._idle_sweep:
+            self._idle_sweep.cancel()
+        self._idle_sweep = self.supervisor.spawn(self._close_idle_connections(), "drain") if start else None
+
+    async def _close_idle_connections(self) -> None:
+        await asyncio.sleep(READINESS_SETTLE_S)
         while True:
-            self._listener.retire_idle()
-            await asyncio.sleep(SWEEP_S)
+            self._listener.close_idle()
+            await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
 
     async def _job(self, request: web.BaseRequest) -> web.StreamResponse:
-        # After a stall it may have been here since the last moment at which we looked.
+        # After a stall it may have arrived at any time since the loop last ran.
         arrived_us = self.catch_up.arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
         job = protocol.read_request(
             request.raw_path, request.headers, body, self.config.classes, self.deadlines_us
         )
-        caller = self.find(request.headers, connection_of(request).peer()) if self.find else None
-        connection_of(request).claim(useful=True)
+        caller = (
+            self.identify_caller(request.headers, connection_of(request).peer_address())
+            if self.identify_caller
+            else None
+        )
+        connection_of(request).begin_answer(serves=True)
         if self.closed_to_new:
             settings = self.config.settings
-            refusal = protocol.fail_fast(min(RETURN_US, settings.max_retry_after_us) * settings.retry_after)
+            refusal = protocol.fail_fast(
+                min(SHUTDOWN_RETRY_AFTER_US, settings.max_retry_after_us) * settings.retry_after
+            )
             self.metrics.refusals["leaving"] += 1
             log.debug("request_refused", extra={"id": job.id, "why": "leaving"})
             self.metrics.answered(job.job_class, refusal)
             return self._respond(refusal)
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.report(RequestAccepted(job, arrived_us, reply, caller))
-        return await self._answer(connection_of(request), _Answering(job, reply))
+        return await self._answer(connection_of(request), _PendingRequest(job, reply))
 
-    async def _answer(self, connection: Connection, owed: "_Answering") -> web.StreamResponse:
-        self.owed += 1
-        self.none_owed.clear()
-        self.answering[connection] = owed
+    async def _answer(self, connection: Connection, pending: _PendingRequest) -> web.StreamResponse:
+        self.pending_count += 1
+        self.none_pending.clear()
+        self.pending[connection] = pending
         try:
-            return self._respond(await owed.reply)
+            return self._respond(await pending.reply)
         except asyncio.CancelledError:
-            if not connection.handed:
-                self.report(ClientDisconnected(owed.request))
+            if not connection.handed_over:
+                self.report(ClientDisconnected(pending.request))
             raise
         finally:
-            del self.answering[connection]
-            self.owed -= 1
-            if not self.owed:
-                self.none_owed.set()
+            del self.pending[connection]
+            self.pending_count -= 1
+            if not self.pending_count:
+                self.none_pending.set()
 
-    # Between two processes
+    # Hand-over between two processes
 
-    def share(self, budget: int) -> None:
-        """Keep to so many connections from now on."""
-        self._listener.share(budget)
+    def set_budget(self, budget: int) -> None:
+        """Change the budget of connections, and evict idle ones down to it."""
+        self._listener.set_budget(budget)
 
-    def succeed(self, yes: bool, budget: int) -> None:
-        """Another process accepts in place of this one, or none does any more."""
-        self.succeeded = yes
-        self.share(budget)
+    def set_superseded(self, superseded: bool, budget: int) -> None:
+        """Leave new connections to another process, or accept them again; ``budget``: at most so many."""
+        self.superseded = superseded
+        self.set_budget(budget)
         if self.serving:
-            self._listener.accept(not yes)
+            self._listener.accept(not superseded)
 
     @property
     def settled(self) -> bool:
-        """Whether nothing is owed, and no request is half here or may be on its way."""
+        """Whether no request is pending, received in part or possibly in transit."""
         now = asyncio.get_running_loop().time()
-        return not self.owed and not any(c.unsettled(now) for c in self._listener.open)
+        return not self.pending_count and not any(c.has_pending_work(now) for c in self._listener.open)
 
     async def hand_over(
         self,
         release: Callable[[JobRequest], Awaitable[Json | None]],
         send: Callable[[Json, int, JobRequest, asyncio.Future[Answer]], Awaitable[bool]],
     ) -> None:
-        """Let another process answer what is owed, as far as it can go now; idle connections end."""
-        self._listener.retire_idle()
-        for connection, owed in list(self.answering.items()):
-            if not self.succeeded:
-                return  # it has gone
-            if not connection.hold():
+        """Hand pending requests to another process, as far as that is possible now; close idle connections.
+
+        ``release`` gives a request's state, None while it must stay; ``send`` passes it on with the
+        connection's descriptor and says whether the other process has it.
+        """
+        self._listener.close_idle()
+        for connection, pending in list(self.pending.items()):
+            if not self.superseded:
+                return  # the other process has ended
+            if not connection.pause_for_handover():
                 continue
-            if (fd := connection.hand_over()) is None:  # before anything is let go
-                connection.stay()
+            if (fd := connection.duplicate_descriptor()) is None:  # before anything is released
+                connection.resume_after_handover()
                 continue
-            told = await release(owed.request)
-            if told is None:
+            state = await release(pending.request)
+            if state is None:
                 os.close(fd)
-                connection.stay()
-            elif await send(told, fd, owed.request, owed.reply):
-                connection.forget()
+                connection.resume_after_handover()
+            elif await send(state, fd, pending.request, pending.reply):
+                connection.release()
             else:
-                connection.stay()
+                connection.resume_after_handover()
 
     async def adopt(self, request: JobRequest, reply: asyncio.Future[Answer], fd: int) -> None:
-        """Answer what another process was owing."""
-        if not await self._listener.adopt(fd, _Answering(request, reply)):
+        """Answer a request that another process has handed over, on its connection's descriptor."""
+        if not await self._listener.adopt(fd, _PendingRequest(request, reply)):
             self.report(ClientDisconnected(request))
 
     def _respond(self, answer: Answer) -> web.Response:
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -20,7 +20,7 @@
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
 from robinhill.control.messages import MAX_MESSAGE_BYTES
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.connections import bind
+from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, PATH, ControlLink, Socket
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -89,7 +89,7 @@
         self._reported_voters: tuple[str | None, str | None] = (None, None)
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
-        inbound.behind = True
+        inbound.catching_up = True
         dispatcher.may_send = self.may_send
         if self._requires_lease:
             dispatcher.lease, dispatcher.vouched = self.lease, False
@@ -261,7 +261,7 @@
         if self.serving:
             return
         self.serving = True
-        self.inbound.behind = False
+        self.inbound.catching_up = False
         seconds = (mono_us() - self._began_us) / 1e6
         if self.observer.in_step:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -11,7 +11,7 @@
 from robinhill import protocol
 from robinhill.config_types import Address
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.connections import unread
+from robinhill.net.clients.connection import unread_bytes
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.dispatcher.messages import (
@@ -133,7 +133,7 @@
         """Whether words of discovery wait in the kernel."""
         if self._transport is None or self._transport.is_closing():
             return False
-        return unread(self._transport) > 0
+        return unread_bytes(self._transport) > 0
 
     async def _listen(self, content: aiohttp.StreamReader) -> None:
         reader, first = protocol.WatchReader(LONGEST_LIST), True
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -9,7 +9,8 @@
 from robinhill import protocol
 from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
-from robinhill.net.clients.connections import Listener, bind, connection_of, reject
+from robinhill.net.clients.connection import connection_of, reject
+from robinhill.net.clients.listener import Listener, bind
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -79,7 +80,7 @@
         body = await request.read()
         if len(body) > MAX_CALL:
             return reject(request, 413, f"a body holds at most {MAX_CALL} bytes")
-        connection_of(request).claim(useful=True)
+        connection_of(request).begin_answer(serves=True)
         answer = await call(body)
         response = web.Response(status=answer.status, body=answer.body)
         response.force_close()
@@ -95,7 +96,7 @@
             response.headers["Allow"] = ", ".join(methods)
             return response
         body = await request.read()
-        connection_of(request).claim(useful=True)
+        connection_of(request).begin_answer(serves=True)
         answer = await call(request.method, cordon_id, body, request.rel_url.query.get("wait"))
         response = web.Response(status=answer.status, body=answer.body, content_type="application/json")
         response.force_close()
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -18,7 +18,7 @@
 from robinhill.mesh.frames import MAX_MESSAGE
 from robinhill.mesh.session import Ages, Answered, Event, Greeted, Identity, Learned, Session, Store, Told
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.connections import bind
+from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.peers.peer_link import PATH, PeerLink
 
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -94,7 +94,7 @@
         self.cordons.changed = self.peers.wake
         self.cordons.on_serving = self._serve
         self.cordons.outdated = self._outdated
-        inbound.behind = True
+        inbound.catching_up = True
         dispatcher.may_send = self.cordons.may_send
         if options.on_lost == "hold":
             dispatcher.lease, dispatcher.vouched = self.cordons.lease, False
@@ -136,7 +136,7 @@
             self.replica.collect(self.clock.now_us())
 
     def _serve(self) -> None:
-        self.inbound.behind = False
+        self.inbound.catching_up = False
 
     # From peers, for all who have to know
 
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -15,8 +15,8 @@
 from robinhill.config import Config, OperatorFile
 from robinhill.config_types import ConfigError
 from robinhill.net.actor import Supervisor
-from robinhill.net.clients.connections import bind, inherit
 from robinhill.net.clients.inbound import Inbound
+from robinhill.net.clients.listener import bind, inherit
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
@@ -143,7 +143,7 @@
         else:
             self.dispatcher.start()
             self.destinations.start()
-            self.inbound.awaiting_list = True
+            self.inbound.awaiting_endpoint_list = True
         if self.sharing:
             self.sharing.start()
         if self.admission:
@@ -151,9 +151,9 @@
         # Who comes before the list is held: the kernel takes connections from the bind on, and with most
         # schedulers restarting there is nobody else to go to. The front is told to wait.
         self.inbound.start(sock)
-        if self.inbound.awaiting_list:
+        if self.inbound.awaiting_endpoint_list:
             await self._list_leased()
-            self.inbound.awaiting_list = False
+            self.inbound.awaiting_endpoint_list = False
         if self.succession:
             await self.succession.begin()
         self.started.set()
@@ -162,7 +162,7 @@
 
     async def _take_over(self, succession: Succession) -> None:
         """Learn what the predecessor knows, and hear discovery ourselves, before we accept."""
-        self.inbound.succeed(False, self.config.client_sockets(2))
+        self.inbound.set_superseded(False, self.config.client_sockets(2))
         told = await succession.ask("hello")
         if told and "clock_anchor_ns" in told:  # an older version does not tell
             self.clock.follow(told["clock_anchor_ns"])
@@ -230,28 +230,28 @@
         The listener stays up: endpoints call back at the clients' address. Where a successor has it, that one
         also takes what is owed. `close` answers what is half here then.
         """
-        log.info("draining", extra={"owed": self.inbound.owed})
-        self.inbound.leaving = True
+        log.info("draining", extra={"owed": self.inbound.pending_count})
+        self.inbound.shutting_down = True
         if await self._leave_to_successor():
             return
         await asyncio.sleep(TAKE_ON_S)
         self.inbound.closed_to_new = True
-        log.info("refusing", extra={"owed": self.inbound.owed})
-        while self.inbound.owed:
+        log.info("refusing", extra={"owed": self.inbound.pending_count})
+        while self.inbound.pending_count:
             if await self._leave_to_successor():  # it has come only now
                 return
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HAND_OVER_S):
-                    await self.inbound.none_owed.wait()
+                    await self.inbound.none_pending.wait()
 
     async def _leave_to_successor(self) -> bool:
         """Whether there was one until all was settled."""
-        if self.admission and self.inbound.succeeded:
+        if self.admission and self.inbound.superseded:
             self.admission.shut(True)
-        while self.inbound.succeeded:
+        while self.inbound.superseded:
             await self.inbound.hand_over(self._release, self._send_over)
             if self.inbound.settled:
-                return self.inbound.succeeded
+                return self.inbound.superseded
             await asyncio.sleep(HAND_OVER_S)
         if self.admission:
             self.admission.shut(False)
@@ -366,7 +366,7 @@
 
     def hello(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
-        self.inbound.share(self.config.client_sockets(2))
+        self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.write_destination(d) for d in self.dispatcher.listed()]
         generation = self.destinations.generation or 0
         return {
@@ -381,13 +381,13 @@
         admission = self.admission.memory() if self.admission else None
         return {
             "decider": self.dispatcher.memory(),
-            "drained": self.inbound.drained,
+            "drained": self.inbound.drained_by_operators,
             HANDED_ADMISSION: admission,
         }
 
     def succeeded(self, yes: bool) -> None:
         """A successor accepts; or the other process has gone, and all is ours again."""
-        self.inbound.succeed(yes, self.config.client_sockets(2 if yes else 1))
+        self.inbound.set_superseded(yes, self.config.client_sockets(2 if yes else 1))
         if yes:
             self.dispatcher.close_idle()
 
@@ -404,7 +404,7 @@
         return True
 
     async def adopt(self, body: Json, fd: int) -> bool:
-        if self.inbound.leaving:
+        if self.inbound.shutting_down:
             os.close(fd)
             return False
         request = protocol.read_handed(body["request"])
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -18,7 +18,7 @@
 from robinhill import protocol as messages
 from robinhill.api import Outcome
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.connections import unread
+from robinhill.net.clients.connection import unread_bytes
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.metrics import Metrics
@@ -148,7 +148,7 @@
 
     def _unread(self) -> bool:
         assert self.transport
-        if not unread(self.transport):
+        if not unread_bytes(self.transport):
             return False
         self._end()
         return True
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -250,7 +250,7 @@
         here = ObservingScheduler(
             cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound)
         )
-        assert inbound.behind, "it takes no clients before it is in step"
+        assert inbound.catching_up, "it takes no clients before it is in step"
         assert dispatcher.may_send(worker)
         reason = value.Reason("c1", "a fan is loud", "ann", here.clock.now_us())
         cordoned = value.set_(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -15,9 +15,10 @@
 from robinhill.config_types import Address
 from robinhill.net import scheduler
 from robinhill.net.actor import Supervisor
-from robinhill.net.clients import connections
-from robinhill.net.clients.connections import Connection, Listener, connection_of
+from robinhill.net.clients import connection as client_connection
+from robinhill.net.clients.connection import Connection, connection_of
 from robinhill.net.clients.inbound import Inbound
+from robinhill.net.clients.listener import Listener
 from robinhill.net.clock import Clock
 from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
 from robinhill.net.metrics import Metrics
@@ -48,7 +49,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
-        connection_of(request).claim(useful=True)
+        connection_of(request).begin_answer(serves=True)
         async with self.claims:
             self.claimed += 1
             self.claims.notify_all()
@@ -210,7 +211,7 @@
         while told != [ClientDisconnected(request)]:
             assert not told
             await asyncio.sleep(0)
-        assert not here.owed
+        assert not here.pending_count
         listening.close()
         await here.close()
 
@@ -228,7 +229,7 @@
 def arrive(connection: Connection, sock: socket.socket, data: bytes) -> None:
     """Bring bytes into the kernel's buffer of our side while the loop stands still."""
     sock.sendall(data)
-    while not connection._unread():
+    while not connection._has_unread_bytes():
         pass
 
 
@@ -236,7 +237,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Both in one turn of the loop: the byte is read first, and the handler has yet to begin."""
-    monkeypatch.setattr(connections, "REQUEST_S", 0.05)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
 
     async def play() -> None:
         async with inbound_server() as here:
@@ -244,11 +245,11 @@
             sock = here.client()
             sock.sendall(JOB[:-1])
             connection = await only(here.listener)
-            await here.until(lambda: connection._more)
+            await here.until(lambda: connection._has_new_bytes)
             arrive(connection, sock, JOB[-1:])
-            due = connection._since + connections.REQUEST_S
+            due = connection._phase_start + client_connection.REQUEST_TIMEOUT_S
             time.sleep(max(0.0, due - asyncio.get_running_loop().time()) + 0.01)  # the loop stands still
-            await here.until(lambda: connection.useful)
+            await here.until(lambda: connection.has_served)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
 
@@ -264,10 +265,10 @@
             connection = await only(here.listener)
             if first:
                 sock.sendall(first)
-                await here.until(lambda: connection._more)
+                await here.until(lambda: connection._has_new_bytes)
             arrive(connection, sock, JOB[len(first) :])
-            connection._late()
-            await here.until(lambda: connection.useful)
+            connection._on_request_timeout()
+            await here.until(lambda: connection.has_served)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
 
@@ -282,10 +283,10 @@
             sock = here.client()
             sock.sendall(JOB)
             connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.useful)
+            await here.until(lambda: connection._waiter is not None and connection.has_served)
             arrive(connection, sock, JOB[:20])
             if read:
-                await here.until(lambda: connection._more)
+                await here.until(lambda: connection._has_new_bytes)
             connection._next_keepalive_close_time = 0.0
             connection._process_keepalive()
             sock.sendall(JOB[20:])
@@ -307,12 +308,12 @@
             sock = here.client()
             sock.sendall(JOB)
             connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.useful)
+            await here.until(lambda: connection._waiter is not None and connection.has_served)
             arrive(connection, sock, JOB)
             if by == "retire":
-                here.listener.retire_idle()
+                here.listener.close_idle()
             else:
-                assert not here.listener._make_room()
+                assert not here.listener._free_capacity()
             await here.until(lambda: here.claimed == 2)
             sock.shutdown(socket.SHUT_WR)
             status, rest = await answer(sock)
@@ -330,11 +331,11 @@
             sock = here.client()
             sock.sendall(JOB)
             connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.useful)
-            here.listener.retire_idle()
+            await here.until(lambda: connection._waiter is not None and connection.has_served)
+            here.listener.close_idle()
             assert (await answer(sock))[0] == 200
             sock.sendall(JOB)
-            while not connection._unread():
+            while not connection._has_unread_bytes():
                 await asyncio.sleep(0)
             sock.shutdown(socket.SHUT_WR)
             await here.until(lambda: not here.listener.open)
@@ -352,7 +353,7 @@
 
             async def much(request: web.BaseRequest) -> web.StreamResponse:
                 await request.read()
-                connection_of(request).claim(useful=False)
+                connection_of(request).begin_answer(serves=False)
                 response = web.Response(body=b"x" * size)
                 response.force_close()
                 return response
@@ -363,14 +364,14 @@
             sock.connect(here.address)
             sock.setblocking(False)
             connection = await only(here.listener)
-            assert connection._wire
-            ours = connection._wire.get_extra_info("socket")
+            assert connection._raw_transport
+            ours = connection._raw_transport.get_extra_info("socket")
             ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             sock.sendall(JOB)
-            await here.until(lambda: connection._phase is connections._Phase.ENDING)
-            assert connection._wire.get_write_buffer_size()
-            connection._since -= 2 * connections.NEW_S
-            assert not here.listener._make_room()
+            await here.until(lambda: connection._phase is client_connection._Phase.CLOSING)
+            assert connection._raw_transport.get_write_buffer_size()
+            connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
+            assert not here.listener._free_capacity()
             status, rest = await answer(sock)
             assert status == 200 and len(rest) == size
             sock.close()
@@ -380,7 +381,7 @@
 
 def test_who_comes_waits_for_the_descriptors_of_those_that_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sixteen more than the budget were open for a turn of the loop: discovery's call found no descriptor."""
-    monkeypatch.setattr(connections, "NEW_S", 0.0)
+    monkeypatch.setattr(client_connection, "MIN_SILENCE_S", 0.0)
 
     async def play() -> None:
         async with inbound_server(budget=16) as here:
@@ -418,8 +419,8 @@
             idle = here.client()
             await here.until(lambda: len(here.listener.open) == 4)
             for connection in here.listener.open:
-                connection._since -= 2 * connections.NEW_S
-            here.listener.share(1)
+                connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
+            here.listener.set_budget(1)
             assert (await answer(idle))[0] == 0
             assert len(here.listener.open) == 3
             here.let.set()
@@ -466,7 +467,7 @@
             sock.setblocking(False)
             sock.sendall(job("a")[:-1])
             connection = await only(here.inbound._listener)
-            while not connection._more:
+            while not connection._has_new_bytes:
                 await asyncio.sleep(0)
             await here.drain()
             closing = asyncio.create_task(here.inbound.close())
@@ -511,10 +512,10 @@
             sock = here.client()
             connection = await only(here.listener)
             await here.until(lambda: connection._waiter is not None)
-            connection._since -= 2 * connections.NEW_S
+            connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
             arrive(connection, sock, JOB)
-            connection._wire._read_ready()  # type: ignore[union-attr]
-            assert not here.listener._make_room()
+            connection._raw_transport._read_ready()  # type: ignore[union-attr]
+            assert not here.listener._free_capacity()
             await here.until(lambda: here.claimed == 1)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
@@ -530,8 +531,8 @@
             sock = socket.create_connection((listen.host, listen.port))
             connection = await only(here.inbound._listener)
             assert not here.inbound.settled
-            connection._since -= 2 * connections.NEW_S
-            here.inbound._listener.retire_idle()
+            connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
+            here.inbound._listener.close_idle()
             assert here.inbound.settled
             sock.close()
 
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -624,7 +624,7 @@
             call.send(HEAD + chunk(told(42, zone="brisbane", machineType="std-8")))
             await starting
             draining = asyncio.create_task(scheduler.drain())
-            while not scheduler.inbound.leaving:
+            while not scheduler.inbound.shutting_down:
                 await asyncio.sleep(0)
             call.reset()
             again = await discovery.call()
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -21,7 +21,7 @@
 
 from robinhill import config as configuration
 from robinhill.net import scheduler
-from robinhill.net.clients import connections
+from robinhill.net.clients import connection as client_connection
 from robinhill.net.dispatcher.messages import EndpointListReceived, ReleaseRequest
 from robinhill.net.scheduler import Scheduler
 from robinhill.net.workers.endpoint import _Phase
@@ -394,7 +394,7 @@
             assert old.inbound._listener.budget < budget
             new.die()
             await until(lambda: old.inbound._listener.budget == budget)
-            assert old.inbound.ready and not old.inbound.succeeded
+            assert old.inbound.ready and not old.inbound.superseded
             assert await here.event("j1", "done", "one") == 204  # which it has accepted again
             assert await client.answer() == (200, "one")
             again = await here.successor()  # and the next one finds it
@@ -447,7 +447,7 @@
             relay.new.die()
             await until(lambda: new.dispatcher.holds("j1"))
             relay.old.answer(message)  # in the place of the dead one, ours goes
-            await until(lambda: not old.inbound.owed)
+            await until(lambda: not old.inbound.pending_count)
             assert await here.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
             relay.old.die()
@@ -551,7 +551,7 @@
             relay.old.say(await relay.new.hear())
             async with asyncio.timeout(PATIENCE_S):
                 await drain
-            await until(lambda: not new.inbound.owed)
+            await until(lambda: not new.inbound.pending_count)
             assert await here.event("j1", state, "one", source) == 204
             await until(lambda: not new.dispatcher.held)
             assert here.attempts.empty()
@@ -598,7 +598,7 @@
         await scheduler.drain()
         await scheduler.close()
 
-    monkeypatch.setattr(connections, "NEW_S", 60.0)
+    monkeypatch.setattr(client_connection, "MIN_SILENCE_S", 60.0)
     asyncio.run(play())
 
 
@@ -633,13 +633,13 @@
             client = await here.running(old, "j1")
             relay = await here.relay()
             new = await relay.begin()
-            new.inbound.leaving = True
+            new.inbound.shutting_down = True
             limits = [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()]
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             relay.hand(message, fd)
             relay.old.say(await relay.new.hear())
-            assert not new.dispatcher.holds("j1") and not new.inbound.answering
+            assert not new.dispatcher.holds("j1") and not new.inbound.pending
             await until(lambda: old.dispatcher.holds("j1"))
             assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
             relay.old.die()
@@ -666,7 +666,7 @@
             left = replace(endpoint.destination, lifecycle=Lifecycle.LEFT)
             old.dispatcher.tell(EndpointListReceived(DestinationList(42, False, (left,))))
             await until(lambda: endpoint.destination.lifecycle is Lifecycle.LEFT)
-            (owed,) = old.inbound.answering.values()
+            (owed,) = old.inbound.pending.values()
             reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
             old.dispatcher.tell(ReleaseRequest(owed.request, reply))
