--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -199,11 +199,13 @@
 class _Applying:
     """Stands for the decider: what it is told about cordons it has carried out at the next turn."""
 
-    def __init__(self) -> None:
-        self.lease: Callable[[], bool] | None = None
-        self.vouched = True
-        self.may_send: Callable[[Destination], bool] | None = None
-        self.list_changed: Callable[[], None] | None = None
+    def use_cordons(
+        self,
+        may_send: Callable[[Destination], bool],
+        on_list_changed: Callable[[], None],
+        send_lease: Callable[[], bool] | None = None,
+    ) -> None:
+        pass  # nothing is sent and no list comes here
 
     def tell(self, message: CordonsChanged | SendLeaseChanged) -> None:
         if isinstance(message, CordonsChanged):
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -86,10 +86,11 @@
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         inbound.behind = True
-        dispatcher.may_send = self.may_send
-        if self._holds:
-            dispatcher.lease, dispatcher.vouched = self.lease, False
-        dispatcher.list_changed = lambda: self.driver.tell(Run(self._update))
+        dispatcher.use_cordons(
+            self.may_send,
+            lambda: self.driver.tell(Run(self._update)),
+            self.lease if self._holds else None,
+        )
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
         log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -1,17 +1,22 @@
-"""The decider: the actor that owns the decision module. Events go in, its actions are carried out."""
+"""The dispatcher: the actor that owns the decision module. It gives it events and carries its actions out.
+
+It owns the requests in flight, the endpoints and the lease on the endpoint list. It decides nothing about
+workers itself, and does no input or output but through endpoints and the clients' replies.
+"""
 
 import asyncio
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from robinhill import api, protocol
 from robinhill.config import Config
 from robinhill.logic import Balancer
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.discovery.catch_up import CatchUp
+from robinhill.net.dispatcher.decision_timers import DecisionTimers
+from robinhill.net.dispatcher.endpoint_table import EndpointTable
+from robinhill.net.dispatcher.in_flight import InFlightRequest, InFlightRequests
 from robinhill.net.dispatcher.messages import (
     DISCOVERY_MESSAGES,
     AdoptRequest,
@@ -26,13 +31,20 @@
     ListConfirmed,
     ReleaseRequest,
     RequestAccepted,
+    SendLeaseChanged,
     SetWorkerDisabled,
     TimerDue,
 )
+from robinhill.net.dispatcher.request_handover import (
+    RequestHandover,
+    export_dispatcher,
+    import_balancer,
+    import_dispatcher,
+)
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
+from robinhill.net.dispatcher.worker_restrictions import WorkerRestrictions
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.disabled_workers import DisabledWorkerStore
-from robinhill.net.workers.endpoint import Endpoint
 from robinhill.net.workers.messages import (
     AbandonUnwritten,
     AttemptEnded,
@@ -43,64 +55,21 @@
     CloseIdleConnections,
     EndpointRetired,
     HealthCheckEnded,
-    ReleaseAttempt,
-    RequestReturned,
-    ResumeAttempt,
     StartAttempt,
 )
-from robinhill.placement import exported_state, idempotency
+from robinhill.placement import idempotency
 from robinhill.placement.list_lease import ListLease
-from robinhill.protocol import (  # fmt: skip
-    DONE,
-    Answer,
-    Destination,
-    DestinationList,
-    JobEvent,
-    JobRequest,
-    Lifecycle,
-)
-
-if TYPE_CHECKING:
-    pass
+from robinhill.protocol import DONE, Answer, Destination, DestinationList, JobEvent, JobRequest, Lifecycle
 
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
-NUMBERS_APART = 1_000_000  # jobs of a predecessor keep their numbers: those of our own start so far behind
-SEEN_IDS = 16_384  # some 2 MB; ten minutes of a busy day
-
-_STATES = {
-    Lifecycle.ACTIVE: api.WorkerState.READY,
-    Lifecycle.LEAVING: api.WorkerState.DRAINING,
-    Lifecycle.LEFT: api.WorkerState.GONE,
-}
-
-
-@dataclass(slots=True, eq=False)
-class InFlightRequest:
-    """A request with an answer owed or an attempt out."""
-
-    job: int
-    request: JobRequest
-    deadline_us: int
-    reply: asyncio.Future[Answer]
-    owed: bool = True
-    out: set[int] = field(default_factory=set)  # attempts that are out
-    began_us: int = 0  # when the attempt that is out began to run; 0: not that we know of
-    endpoints: list[str] = field(default_factory=list)  # of each attempt so far
-    endings: list[str] = field(default_factory=list)  # what became of each that is over, for the log
-    last_outcome: api.Outcome | None = None  # of these, the last one that ended here
-    returned: list[str] = field(default_factory=list)  # endpoints that handed it back
-    leaving: asyncio.Future[Json | None] | None = None  # while it is to go to another process
-
-    @property
-    def wanted(self) -> bool:
-        """Whether its client still waits. One that has gone shows in the reply before it is told."""
-        return self.owed and not self.reply.cancelled()
+NO_SUCH_WORKER = Answer(404, b"no such worker\n")
+NOT_SAVED = Answer(500, b"can't be saved\n")
 
 
 class Dispatcher(Actor[DispatcherMessage]):
-    """Carries events to the module and its actions to the endpoints and the inbound side."""
+    """Carries events to the decision module, and its actions to endpoints and clients."""
 
     def __init__(
         self,
@@ -110,622 +79,451 @@
         metrics: Metrics,
         list_lease: ListLease | None = None,
     ) -> None:
-        super().__init__("decider", supervisor)
-        self.list_lease = list_lease  # on the list of workers; None: whatever list there is may be sent by
-        metrics.list_lease = list_lease
-        self.lease_held = asyncio.Event()  # as the module was told last
+        """``list_lease``: on the endpoint list; None: whatever list there is may be used."""
+        super().__init__("dispatcher", supervisor)
         self.config = config
         self.clock = clock
         self.metrics = metrics
+        self.list_lease = metrics.list_lease = list_lease
+        self.list_lease_held = asyncio.Event()  # as the decision module was notified last
+        self.send_lease: Callable[[], bool] | None = None  # whether the cordons allow sending; None: always
         self.balancer = Balancer(config.settings, config.seed)
-        self.held: dict[int, InFlightRequest] = {}
-        self.jobs: dict[str, int] = {}  # the wire's ids are text, the module's numbers
-        # Ids of late. An endpoint knows a request in the form it got first, and turns away any other.
-        self.seen: dict[str, None] = {}
-        self.keys = idempotency.Keys()
-        self.next_number = 1
-        self._timers: dict[TimerDue, int] = {}  # that are set, and when they are due
-        # Requests on their way to another process: what is said of one waits until it is there, or stays.
-        self.moving: dict[str, asyncio.Event] = {}
-        self.elsewhere: Callable[[JobEvent], None] = lambda event: None  # brings such an event there
-        self.admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = (
-            None  # hears what becomes of requests
+        self.in_flight = InFlightRequests()
+        self.idempotency_keys = idempotency.Keys()
+        self.restrictions = WorkerRestrictions(DisabledWorkerStore(config.folder), clock.now_us())
+        self.table = EndpointTable(
+            config, supervisor, clock, metrics, self.restrictions, self.tell, list_lease
         )
-        self.tape: TrafficRecorder | None = None  # records what passes
-        self.destinations: dict[str, Destination] = {}
-        self.endpoints: dict[str, Endpoint] = {}
-        self.state = DisabledWorkerStore(config.folder)
-        self.held_out = self.state.held_out()  # endpoints that operators want left out
-        # Since when, and until when, operators had an endpoint out; the file tells no times.
-        self.outages = {instance_id: (clock.now_us(), 0) for instance_id in self.held_out}
-        self.cordons: CordonsChanged | None = None  # as told last
-        self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not looked for
-        self._reading = False  # what was unread after a stall
-        self.lease: Callable[[], bool] | None = None  # whether anything may be sent; None: always
-        self.vouched = True  # as the module was told
-        self.may_send: Callable[[Destination], bool] | None = None  # asked right before each write
-        self.list_changed: Callable[[], None] | None = None  # hears when discovery has told of workers
-        self.zones = list(config.zones)
-        self.machine_types = list(config.machine_types)
-        self.tenants = {name: number for number, name in enumerate(config.tenants)}
+        self.timers = DecisionTimers(clock, self.tell)
+        self.handover = RequestHandover(
+            self.balancer, self.in_flight, self.table, self.timers, clock, self._perform
+        )
+        # Takes workers' calls about requests that this process does not have.
+        self.forward_event: Callable[[JobEvent], None] = lambda _: None
+        self.notify_admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = None
+        self.on_list_changed: Callable[[], None] | None = None
+        self.traffic_recorder: TrafficRecorder | None = None
+        self._tenant_numbers = {name: number for number, name in enumerate(config.tenants)}
+        self._reading_backlog = False  # after a stall
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            RequestAccepted: self._accept,
+            JobEvent: self._on_worker_call,
+            AttemptProgress: self._on_attempt_progress,
+            AttemptEnded: self._on_attempt_ended,
+            TimerDue: self._on_timer,
+            ClientDisconnected: lambda message: self._on_client_disconnected(message.request),
+            EndpointListReceived: self._on_list,
+            ListConfirmed: self._renew_list_lease,
+            DiscoveryUnreachable: self._renew_list_lease,
+            DiscoveryAddressChanged: self._renew_list_lease,
+            SetWorkerDisabled: self._on_set_worker_disabled,
+            CordonsChanged: self._on_cordons,
+            SendLeaseChanged: lambda _: None,  # the lease is read before each message
+            HealthCheckEnded: lambda message: self._decide(
+                api.ProbeEnded(message.instance_id, message.alive)
+            ),
+            ReleaseRequest: self.handover.release,
+            AttemptReleased: self.handover.attempt_released,
+            AdoptRequest: self.handover.adopt,
+            EndpointRetired: self._on_endpoint_retired,
+        }
+        self._performers: dict[type, Callable[[Any], None]] = {
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: lambda action: self._answer(action.job, protocol.FAILED),
+            api.Cancel: self._cancel,
+            api.SetTimer: lambda action: self.timers.set(action.after_us, action.tag),
+            api.Subscribe: lambda _: None,  # discovery is watched from the start on
+            api.Probe: self._check_health,
+            api.CloseIdle: self._close_idle_connections,
+            api.Log: lambda action: log.info("balancer_message", extra={"text": action.text}),
+        }
+
+    def use_cordons(
+        self,
+        may_send: Callable[[Destination], bool],
+        on_list_changed: Callable[[], None],
+        send_lease: Callable[[], bool] | None = None,
+    ) -> None:
+        """Send only where cordons allow it; to be called before the start.
+
+        ``may_send`` is called right before each write, ``on_list_changed`` after each list of discovery's.
+        ``send_lease``: whether the lease on the cordons is held; None: work goes on without one.
+        """
+        self.table.may_send = may_send
+        self.on_list_changed = on_list_changed
+        if send_lease:
+            self.send_lease, self.restrictions.send_lease_held = send_lease, False
+
+    def listed(self) -> list[Destination]:
+        """The workers on the endpoint list."""
+        return self.table.listed()
 
     def start(self, known: DestinationList | None = None) -> None:
         """Begin with a predecessor's list, or with that of the configuration."""
         now = self.clock.now_us()
         self._perform(self.balancer.start(now))
         if self.list_lease is None or self.list_lease.held(now):
-            self.lease_held.set()
+            self.list_lease_held.set()
         else:
             self._decide(api.ListLeased(False))
-        self._listed(EndpointListReceived(known or self.config.known, cached=True))
+        self._on_list(EndpointListReceived(known or self.config.known, cached=True))
         super().start()
 
     def ready(self) -> bool:
-        """After a stall discovery's words go first, whatever came before them."""
-        if self.catch_up and self.catch_up.reading():
-            self._reading = True
+        """After a stall, discovery's messages are handled first, whatever came before them."""
+        if self.table.catch_up and self.table.catch_up.reading():
+            self._reading_backlog = True
             return False
-        if self._reading:
-            self._reading = False
-            words = [m for m in self._mailbox if isinstance(m, DISCOVERY_MESSAGES)]
+        if self._reading_backlog:
+            self._reading_backlog = False
+            first = [m for m in self._mailbox if isinstance(m, DISCOVERY_MESSAGES)]
             others = [m for m in self._mailbox if not isinstance(m, DISCOVERY_MESSAGES)]
             self._mailbox.clear()
-            self._mailbox.extend([*words, *others])
+            self._mailbox.extend([*first, *others])
         return True
 
     def receive(self, message: DispatcherMessage) -> None:
-        if self.lease and self.lease() is not self.vouched:
-            self._vouch(not self.vouched)
-        self._check_lease()
-        match message:
-            case RequestAccepted():
-                self._taken(message)
-            case JobEvent():
-                self._job_event(message)
-            case AttemptProgress(job=job, attempt=attempt, share=None):
-                if held := self.held.get(job):
-                    held.began_us = held.began_us or self.clock.now_us()
-                    if self.admission:
-                        self.admission(ExecutionStarted(held.request))
-                self._decide(api.JobStarted(job, attempt))
-            case AttemptProgress(job=job, attempt=attempt, share=share):
-                self._decide(api.JobProgress(job, attempt, share or 0.0))
-            case AttemptEnded():
-                self._ended(message)
-            case TimerDue(tag=tag):
-                self._timers.pop(message, None)
-                self._decide(api.TimerFired(tag))
-            case ClientDisconnected(request=request):
-                self._client_left(request)
-            case EndpointListReceived():
-                self._listed(message)
-            case ListConfirmed() | DiscoveryUnreachable() | DiscoveryAddressChanged():
-                self._update_lease(message)
-            case SetWorkerDisabled(
-                instance_id=instance_id, disabled=out, reply=reply, listed_elsewhere=known
-            ):
-                answer = self._hold_out(instance_id, out, known)
-                if not reply.done():
-                    reply.set_result(answer)
-            case CordonsChanged():
-                self._cordoned(message)
-            case HealthCheckEnded(instance_id=instance_id, alive=alive):
-                self._decide(api.ProbeEnded(instance_id, alive))
-            case ReleaseRequest():
-                self._release(message)
-            case AttemptReleased(job=job, attempt=attempt):
-                self._gone(job, attempt)
-            case AdoptRequest():
-                self._adopt(message)
-            case EndpointRetired(instance_id=instance_id):
-                self._retired(instance_id)
-
-    def _update_lease(self, message: ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged) -> None:
-        if self.list_lease is None:
-            return
-        match message:
-            case ListConfirmed(version=version, received_us=received_us):
-                self.list_lease.confirmed(received_us, version)
-            case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
-                self.list_lease.unreachable(called_us, as_of_us)
-            case DiscoveryAddressChanged(at_us=at_us):
-                self.list_lease.moved(at_us)
-        self._check_lease()
-
-    def _check_lease(self) -> None:
-        """Tell the module when the lease on the list is lost or held again."""
-        if self.list_lease is None:
-            return
-        now = self.clock.now_us()
-        held = self.list_lease.held(now)
-        if held is self.lease_held.is_set():
-            return
-        told = self.list_lease.fields(now)
-        if held:
-            self.lease_held.set()
-            log.info("list_lease_held", extra=told)
-        else:
-            self.lease_held.clear()
-            log.warning("list_lease_lost", extra=told)
-        self._decide(api.ListLeased(held))
-
-    def _list_fields(self) -> dict[str, object]:
-        return self.list_lease.fields(self.clock.now_us()) if self.list_lease else {}
+        """Handle one message; both leases are read first."""
+        if self.send_lease and self.send_lease() is not self.restrictions.send_lease_held:
+            self._set_send_lease(not self.restrictions.send_lease_held)
+        self._check_list_lease()
+        self._handlers[type(message)](message)
 
     def _decide(self, event: api.Event) -> None:
         self._perform(self.balancer.handle(self.clock.now_us(), event))
 
     def _perform(self, actions: list[api.Action]) -> None:
         for action in actions:
-            match action:
-                case api.Send():
-                    self._send(action)
-                case api.Refuse(job=job, retry_in_us=wait, why=why):
-                    self._refuse(job, wait, why)
-                case api.Fail(job=job):
-                    self._answer(job, protocol.FAILED)
-                case api.Cancel(job=job, attempt=attempt):
-                    self._cancel(job, attempt)
-                case api.SetTimer(after_us=after, tag=tag):
-                    self._set_timer(after, tag)
-                case api.Subscribe():
-                    pass  # the list is watched from the start on, whenever the module asks for it
-                case api.Probe(address=address):
-                    if self._is_out(self.destinations.get(address), address):
-                        # An operator's worker gets nothing, and its silence is no news.
-                        self.tell(HealthCheckEnded(address, True))
-                    elif endpoint := self.endpoints.get(address):
-                        endpoint.tell(CheckHealth())
-                    else:
-                        self.tell(HealthCheckEnded(address, False))
-                case api.CloseIdle(address=address):
-                    if endpoint := self.endpoints.get(address):
-                        endpoint.tell(CloseIdleConnections())
-                case api.Log(text=text):
-                    log.info("module_says", extra={"text": text})
+            self._performers[type(action)](action)
 
     # Requests
 
-    def _taken(self, taken: RequestAccepted) -> None:
-        request = taken.request
-        if request.id in self.seen:
-            log.warning("request_repeated", extra={"id": request.id})
-            if not taken.reply.done():  # its client may have gone already
-                taken.reply.set_result(protocol.CONFLICT)
+    def _accept(self, message: RequestAccepted) -> None:
+        request = message.request
+        if not self.in_flight.note_id(request.id):
+            log.warning("duplicate_request_id", extra={"id": request.id})
+            if not message.reply.done():  # its client may have left already
+                message.reply.set_result(protocol.CONFLICT)
             return
-        self.seen[request.id] = None
-        if len(self.seen) > SEEN_IDS:
-            del self.seen[next(iter(self.seen))]
-        if taken.reply.cancelled():
-            return  # its client has come and gone
-        job = self.jobs[request.id] = self.next_number
-        self.next_number += 1
-        deadline_us = taken.arrived_us + request.time_left_us
-        self.held[job] = InFlightRequest(job, request, deadline_us, taken.reply)
-        if self.tape and taken.caller is None:  # else admission control has told of it
-            self.tape.arrived(request, taken.arrived_us, "")
-        left_us = max(1, deadline_us - self.clock.now_us())
-        tenant = self.tenants.get(request.tenant, len(self.tenants))  # one that is not named has no share
-        repeat = request.client_repeat
-        asked = api.Request(job, request.job_class, left_us, tenant, request.cost_us, repeat)
-        if request.key and (place := self.keys.place(taken.arrived_us, request.job_class, request.key)):
-            asked.group, asked.group_until_us = place.group, place.until_us
-        self._decide(api.Arrived(asked))
-
-    def _refuse(self, job: int, retry_in_us: int, why: api.RefusalReason) -> None:
-        self.metrics.refusals[why.value] += 1
+        if message.reply.cancelled():
+            return  # its client has left already
+        deadline_us = message.arrived_us + request.time_left_us
+        job = self.in_flight.add(request, deadline_us, message.reply).job
+        if self.traffic_recorder and message.caller is None:  # else admission control has recorded it
+            self.traffic_recorder.arrived(request, message.arrived_us, "")
+        arrival = api.Request(
+            job,
+            request.job_class,
+            max(1, deadline_us - self.clock.now_us()),
+            self._tenant_numbers.get(request.tenant, len(self._tenant_numbers)),  # unnamed: no quota
+            request.cost_us,
+            request.client_repeat,
+        )
+        if request.key:
+            place = self.idempotency_keys.place(message.arrived_us, request.job_class, request.key)
+            if place:
+                arrival.group, arrival.group_until_us = place.group, place.until_us
+        self._decide(api.Arrived(arrival))
+
+    def _refuse(self, action: api.Refuse) -> None:
+        self.metrics.refusals[action.why.value] += 1
         if log.isEnabledFor(logging.DEBUG):
-            held = self.held[job]
-            told = {"id": held.request.id, "why": why.value, "attempts": ", ".join(held.endings)}
-            log.debug("request_refused", extra=told | self._list_fields())
-        self._answer(job, protocol.fail_fast(retry_in_us))
+            request = self.in_flight.by_number[action.job]
+            fields = {
+                "id": request.request.id,
+                "why": action.why.value,
+                "attempts": ", ".join(request.endings),
+            }
+            log.debug("request_refused", extra=fields | self._list_fields())
+        self._answer(action.job, protocol.fail_fast(action.retry_in_us))
+
+    def _answer(self, job: int, answer: Answer) -> None:
+        request = self.in_flight.by_number[job]
+        request.answer_pending = False
+        if request.release_reply:
+            self.handover.keep(request)
+        self.metrics.answered(request.request.job_class, answer)
+        if self.traffic_recorder:
+            self.traffic_recorder.answered(request.request, answer.status)
+        if answer is protocol.FAILED:
+            name = self.config.classes[request.request.job_class]
+            log.warning(
+                "request_failed",
+                extra={"id": request.request.id, "class": name, "attempts": ", ".join(request.endings)},
+            )
+        if not request.reply.done():
+            request.reply.set_result(answer)
+        self.in_flight.remove_if_over(request)
+
+    def _on_client_disconnected(self, accepted: JobRequest) -> None:
+        request = self.in_flight.find(accepted)
+        if request is None or not request.answer_pending:
+            return
+        request.answer_pending = False
+        if request.release_reply:
+            self.handover.keep(request)
+        self._decide(api.ClientGone(request.job))
+        for attempt in request.attempts_in_flight:
+            if endpoint := self.table.endpoints.get(request.endpoints[attempt]):
+                endpoint.tell(AbandonUnwritten(request.job, attempt))
+        self.in_flight.remove_if_over(request)
+
+    # Attempts
 
     def _send(self, action: api.Send) -> None:
-        held = self.held[action.job]
-        if held.endings:
-            self._note_retry(held)
-        until_us = held.deadline_us
+        request = self.in_flight.by_number[action.job]
+        if request.endings:
+            self._note_retry(request)
+        until_us = request.deadline_us
         if action.timeout_us:
             until_us = min(until_us, self.clock.now_us() + action.timeout_us)
-        number = len(held.endpoints)
-        held.endpoints.append(action.address)
-        held.began_us = 0
-        held.out.add(number)
-        self._remember(held.request, (action.job, number), action.address)
-        if self.admission and number == 0:
-            self.admission(FirstAttemptSent(held.request))
-        self.endpoints[action.address].tell(
+        attempt = len(request.endpoints)
+        request.endpoints.append(action.address)
+        request.started_us = 0
+        request.attempts_in_flight.add(attempt)
+        self._note_idempotency_key(request.request, (action.job, attempt), action.address)
+        if self.notify_admission and attempt == 0:
+            self.notify_admission(FirstAttemptSent(request.request))
+        self.table.endpoints[action.address].tell(
             StartAttempt(
-                action.job, number, held.request, until_us, held.deadline_us,
-                self._write_until(held), lambda: held.wanted,
+                action.job,
+                attempt,
+                request.request,
+                until_us,
+                request.deadline_us,
+                self._write_until_us(request),
+                lambda: request.wanted,
             )
-        )  # fmt: skip
+        )
 
-    def _note_retry(self, held: InFlightRequest) -> None:
-        if held.last_outcome:
-            self.metrics.retries[held.last_outcome.value] += 1
-        log.debug("attempt_again", extra={"id": held.request.id, "after": held.endings[-1]})
+    def _note_retry(self, request: InFlightRequest) -> None:
+        if request.last_outcome:
+            self.metrics.retries[request.last_outcome.value] += 1
+        log.debug("attempt_retried", extra={"id": request.request.id, "after": request.endings[-1]})
 
-    def _write_until(self, held: InFlightRequest) -> int:
+    def _write_until_us(self, request: InFlightRequest) -> int:
         """A connect can outlast the window in which workers drop a repeat of a keyed request."""
-        klass, job = self.config.settings.classes[held.request.job_class], self.balancer.jobs.get(held.job)
-        repeats = job is not None and job.may_have_run and klass.repeat is api.Repeat.KEYED
-        return job.group_until_us if job and repeats else held.deadline_us
-
-    def _remember(self, request: JobRequest, attempt: tuple[int, int], address: str) -> None:
-        """From now on it may run: where a repeat of its key is dropped."""
-        klass = self.config.settings.classes[request.job_class]
-        if request.key and klass.repeat is api.Repeat.KEYED and address in self.destinations:
+        job_class = self.config.settings.classes[request.request.job_class]
+        job = self.balancer.jobs.get(request.job)
+        repeated = job is not None and job.may_have_run and job_class.repeat is api.Repeat.KEYED
+        return job.group_until_us if job and repeated else request.deadline_us
+
+    def _note_idempotency_key(self, request: JobRequest, attempt: tuple[int, int], instance_id: str) -> None:
+        """From now on it may run: note where a repeat of its key is dropped."""
+        job_class = self.config.settings.classes[request.job_class]
+        if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
-            group = klass.group_of(self._worker(self.destinations[address]))
-            place = idempotency.Place(group, now + klass.memory_us)
-            self.keys.sent(now, attempt, (request.job_class, request.key), place)
-
-    def _cancel(self, job: int, attempt: int) -> None:
-        held = self.held.get(job)
-        if (
-            held
-            and attempt < len(held.endpoints)
-            and (endpoint := self.endpoints.get(held.endpoints[attempt]))
-        ):
-            endpoint.tell(CancelAttempt(job, attempt))
-
-    def _ended(self, ended: AttemptEnded) -> None:
-        held = self.held[ended.job]
-        if held.reply.cancelled():
-            self._client_left(held.request)
-        held.out.discard(ended.attempt)
-        if held.leaving:
-            self._stay(held)  # what was let go of it is over; its endpoint may never come to the question
-        endpoint = held.endpoints[ended.attempt]
-        if self.tape:
-            self.tape.attempted(held.request, endpoint, ended.outcome, ended.took_us, held.began_us)
-        held.last_outcome = ended.outcome
-        held.endings.append(f"{endpoint} {ended.outcome.value} {ended.took_us // 1000}ms")
-        never_ran = ended.outcome.never_ran and not (
-            ended.outcome is api.Outcome.FULL and self.config.settings.full_may_have_run
-        )
-        self.keys.ended((ended.job, ended.attempt), never_ran)
-        if ended.outcome is api.Outcome.FULL:
-            held.returned.append(endpoint)
+            group = job_class.group_of(self.table.worker(self.table.destinations[instance_id]))
+            place = idempotency.Place(group, now + job_class.memory_us)
+            self.idempotency_keys.sent(now, attempt, (request.job_class, request.key), place)
+
+    def _cancel(self, action: api.Cancel) -> None:
+        request = self.in_flight.by_number.get(action.job)
+        if request is None or action.attempt >= len(request.endpoints):
+            return
+        if endpoint := self.table.endpoints.get(request.endpoints[action.attempt]):
+            endpoint.tell(CancelAttempt(action.job, action.attempt))
+
+    def _on_attempt_progress(self, message: AttemptProgress) -> None:
+        if message.share is not None:
+            self._decide(api.JobProgress(message.job, message.attempt, message.share))
+            return
+        if request := self.in_flight.by_number.get(message.job):
+            request.started_us = request.started_us or self.clock.now_us()
+            if self.notify_admission:
+                self.notify_admission(ExecutionStarted(request.request))
+        self._decide(api.JobStarted(message.job, message.attempt))
+
+    def _on_attempt_ended(self, ended: AttemptEnded) -> None:
+        request = self.in_flight.by_number[ended.job]
+        if request.reply.cancelled():
+            self._on_client_disconnected(request.request)
+        request.attempts_in_flight.discard(ended.attempt)
+        if request.release_reply:
+            self.handover.keep(request)  # the attempt to release is over; its endpoint may never answer
+        self._record_ending(request, ended)
         if ended.result is not None:
             self._answer(ended.job, protocol.served(ended.result))
-        over = not held.owed
-        self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, over))
-        self._forget(held)
-
-    def _answer(self, job: int, answer: Answer) -> None:
-        held = self.held[job]
-        held.owed = False
-        if held.leaving:
-            self._stay(held)
-        self.metrics.answered(held.request.job_class, answer)
-        if self.tape:
-            self.tape.answered(held.request, answer.status)
-        if answer is protocol.FAILED:
-            name = self.config.classes[held.request.job_class]
-            log.warning(
-                "request_failed",
-                extra={"id": held.request.id, "class": name, "attempts": ", ".join(held.endings)},
+        final = not request.answer_pending
+        self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, final))
+        self.in_flight.remove_if_over(request)
+
+    def _record_ending(self, request: InFlightRequest, ended: AttemptEnded) -> None:
+        instance_id, outcome = request.endpoints[ended.attempt], ended.outcome
+        if self.traffic_recorder:
+            self.traffic_recorder.attempted(
+                request.request, instance_id, outcome, ended.took_us, request.started_us
             )
-        if not held.reply.done():
-            held.reply.set_result(answer)
-        self._forget(held)
-
-    def _client_left(self, request: JobRequest) -> None:
-        held = self.held.get(self.jobs.get(request.id, 0))
-        if held and held.owed and held.request is request:  # not another with the same id
-            held.owed = False
-            if held.leaving:
-                self._stay(held)
-            self._decide(api.ClientGone(held.job))
-            for attempt in held.out:
-                if endpoint := self.endpoints.get(held.endpoints[attempt]):
-                    endpoint.tell(AbandonUnwritten(held.job, attempt))
-            self._forget(held)
-
-    def _forget(self, held: InFlightRequest) -> None:
-        if not held.owed and not held.out and held.job in self.held:
-            del self.held[held.job]
-            del self.jobs[held.request.id]
-
-    def _job_event(self, event: JobEvent) -> None:
-        if event.id in self.moving or not self.holds(event.id):
-            self.elsewhere(event)
-        elif endpoint := self.endpoints.get(event.source):
+        request.last_outcome = outcome
+        request.endings.append(f"{instance_id} {outcome.value} {ended.took_us // 1000}ms")
+        full = outcome is api.Outcome.FULL
+        never_ran = outcome.never_ran and not (full and self.config.settings.full_may_have_run)
+        self.idempotency_keys.ended((ended.job, ended.attempt), never_ran)
+        if full:
+            request.returned_by.append(instance_id)
+
+    def _on_worker_call(self, event: JobEvent) -> None:
+        if event.id in self.handover.in_transit or event.id not in self.in_flight:
+            self.forward_event(event)
+        elif endpoint := self.table.endpoints.get(event.source):
             endpoint.tell(event)
 
-    def _set_timer(self, after_us: int, tag: str) -> None:
-        due = TimerDue(tag)
-        self._timers[due] = self.clock.now_us() + after_us
-        asyncio.get_running_loop().call_later(after_us / 1e6, self.tell, due)
+    def _on_timer(self, timer: TimerDue) -> None:
+        self.timers.fired(timer)
+        self._decide(api.TimerFired(timer.tag))
 
-    # Between two processes of one scheduler
+    # Workers
 
-    def holds(self, request_id: str) -> bool:
-        """Whether an endpoint's call about this request is for this process."""
-        return request_id in self.jobs
-
-    def memory(self) -> Json:
-        """What a successor must know to decide as one with this process."""
-        return {
-            "module": exported_state.export_state(self.balancer),
-            "seen": list(self.seen),
-            "held_out": sorted(self.held_out),
-            "outages": self.outages,
-            "next": self.next_number,
-        }
+    def _check_health(self, action: api.Probe) -> None:
+        instance_id = action.address
+        if self.restrictions.applies_to(self.table.destinations.get(instance_id), instance_id):
+            # A disabled worker gets nothing, and its silence says nothing about it.
+            self.tell(HealthCheckEnded(instance_id, True))
+        elif endpoint := self.table.endpoints.get(instance_id):
+            endpoint.tell(CheckHealth())
+        else:
+            self.tell(HealthCheckEnded(instance_id, False))
 
-    def close_idle(self) -> None:
-        """Leave the workers' connections to the other process."""
-        for endpoint in self.endpoints.values():
+    def _close_idle_connections(self, action: api.CloseIdle) -> None:
+        if endpoint := self.table.endpoints.get(action.address):
             endpoint.tell(CloseIdleConnections())
 
-    def recall(self, told: Json) -> None:
-        """Go on from what a predecessor knows."""
-        self.seen = dict.fromkeys(told["seen"]) | self.seen
-        self.next_number = told["next"] + NUMBERS_APART
-        self.held_out, self.outages = set(told["held_out"]), {k: tuple(v) for k, v in told["outages"].items()}
-        self._tell_anew()
-        exported_state.import_state(self.balancer, told["module"])
-
-    def _release(self, message: ReleaseRequest) -> None:
-        held = self.held.get(self.jobs.get(message.request.id, 0))
-        if held is None or held.request is not message.request or not held.owed or held.leaving:
-            message.reply.set_result(None)
-            return
-        held.leaving = message.reply
-        self.moving[held.request.id] = asyncio.Event()
-        # What endpoints have said of it is before this in the endpoint's mailbox, and its ending before the
-        # answer in ours.
-        endpoint = self.endpoints.get(held.endpoints[-1]) if held.out else None
-        if not held.out:
-            self._gone(held.job, None)
-        elif len(held.out) == 1 and endpoint:
-            endpoint.tell(ReleaseAttempt(held.job, held.request.id))
-        else:
-            self._stay(held)
-
-    def _stay(self, held: InFlightRequest) -> None:
-        if held.leaving and not held.leaving.done():
-            held.leaving.set_result(None)
-        held.leaving = None
-        self.moved(held.request.id)
-
-    def moved(self, request_id: str) -> None:
-        """A request on its way has come to the other process, or stays here."""
-        if moving := self.moving.pop(request_id, None):
-            moving.set()
-
-    def _gone(self, job: int, attempt: ResumeAttempt | None) -> None:
-        held = self.held.get(job)
-        if held is None:
-            return  # it has ended meanwhile
-        leaves = held.leaving and not held.leaving.done() and held.owed
-        if held.leaving is None or not leaves or len(held.out) > (attempt is not None):
-            # Its client has gone meanwhile, or it was answered: what is out ends here.
-            self._stay(held)
-            if attempt:
-                self.endpoints[held.endpoints[-1]].tell(attempt)
-            return
-        module = exported_state.export_job(self.balancer, job)
-        assert module, "a request that is owed an answer is the module's"
-        told: Json = {
-            "job": job,
-            "deadline_us": held.deadline_us,
-            "endpoints": held.endpoints,
-            "endings": held.endings,
-            "returned": held.returned,
-            "attempt": attempt
-            and {
-                "until_us": attempt.until_us,
-                "final": attempt.until_us >= attempt.deadline_us,  # a process of an older version asks for it
-                "sent_us": attempt.sent_us,
-            },
-            "destination": attempt and protocol.write_destination(self.destinations[held.endpoints[-1]]),
-            "module": module,
-            "timers": [
-                [at, due.tag]
-                for due, at in self._timers.items()
-                if exported_state.is_timer_of_job(due.tag, job)
-            ],
-        }
-        held.leaving.set_result(told)
-        del self.held[job]
-        del self.jobs[held.request.id]
-
-    def _adopt(self, message: AdoptRequest) -> None:
-        told, request, now = message.state, message.request, self.clock.now_us()
-        job = told["job"]
-        self.seen[request.id] = None
-        held = InFlightRequest(job, request, told["deadline_us"], message.reply)
-        held.endpoints, held.endings, held.returned = told["endpoints"], told["endings"], told["returned"]
-        self.held[job], self.jobs[request.id] = held, job
-        if attempt := told["attempt"]:
-            address = held.endpoints[-1]
-            held.out = {len(held.endpoints) - 1}
-            if (endpoint := self.endpoints.get(address)) is None:  # it has left the list meanwhile
-                left = protocol.read_destination(told["destination"] | {"lifecycle": "left"})
-                self.destinations[address] = left
-                endpoint = self._open(left)
-            number, until_us = len(held.endpoints) - 1, attempt["until_us"]
-            endpoint.tell(ResumeAttempt(job, number, request, until_us, held.deadline_us, attempt["sent_us"]))
-        for address in held.returned:
-            if endpoint := self.endpoints.get(address):
-                endpoint.tell(RequestReturned(request.id))
-        for at, tag in told["timers"]:
-            self._set_timer(max(0, at - now), tag)
-        self._perform(exported_state.import_job(self.balancer, now, told["module"], message.released_here))
-        message.adopted.set()
-
-    # The destination set
-
-    def _listed(self, listed: EndpointListReceived) -> None:
-        if listed.endpoint_list is None:
-            self._decide(api.WorkersListed(api.ListKind.FAILED))
-            return
-        told = listed.endpoint_list
-        whole = told.reset or listed.cached
-        kind = api.ListKind.CACHED if listed.cached else api.ListKind.FULL if whole else api.ListKind.CHANGES
-        if whole:
-            names = {d.instance_id for d in told.destinations}
-            for gone in [d for d in self.destinations.values() if d.instance_id not in names]:
-                self._update(replace(gone, lifecycle=Lifecycle.LEFT))
-        for destination in told.destinations:
-            self._update(destination)
-        self._decide(api.WorkersListed(kind, [self._worker(d) for d in told.destinations]))
-        if self.list_lease and listed.received_us is not None:
-            self.list_lease.confirmed(listed.received_us, told.generation)
-            self._check_lease()  # only now: what is held must not go out by the list of before
-        if self.list_changed:
-            self.list_changed()
-
-    def _update(self, destination: Destination) -> None:
-        self.destinations[destination.instance_id] = destination
-        if self.tape:
-            self.tape.listed(destination)
-        told = self._effective(destination)
-        if endpoint := self.endpoints.get(destination.instance_id):
-            endpoint.tell(told)
-            return
-        if destination.lifecycle is Lifecycle.LEFT:
-            del self.destinations[destination.instance_id]
-            return
-        self._open(told)
-
-    def _open(self, told: Destination) -> Endpoint:
-        settings = self.config.settings
-        endpoint = Endpoint(
-            told,
-            self.supervisor,
-            self.clock,
-            settings.connect_timeout_us,
-            settings.keepalive_us,
-            self.metrics,
-            self.tell,
-            self.may_send,
-            self.list_lease,
-            self.catch_up,
+    def _on_endpoint_retired(self, message: EndpointRetired) -> None:
+        # What was sent to the endpoint meanwhile is not lost: it retires again once that is over.
+        busy = any(
+            request.endpoints[attempt] == message.instance_id
+            for request in self.in_flight.by_number.values()
+            for attempt in request.attempts_in_flight
         )
-        self.endpoints[told.instance_id] = endpoint
-        endpoint.start()
-        return endpoint
-
-    def _effective(self, d: Destination) -> Destination:
-        """As module and endpoint are to see it: what operators have said goes before the list's words.
-
-        The list is late: a restart during an outage may not be on it yet. Taken for warm, a cold worker would
-        be pushed over.
-        """
-        if d.lifecycle is Lifecycle.ACTIVE and (self._is_out(d, d.instance_id) or not self.vouched):
-            return replace(d, lifecycle=Lifecycle.LEAVING)
-        out_us, back_us = self.outages.get(d.instance_id, (0, 0))
-        return replace(d, started_us=back_us) if back_us and d.started_us < out_us else d
-
-    def _hold_out(self, instance_id: str, out: bool, known: bool) -> Answer:
-        """Leave an endpoint out until it is called back; saying so twice changes nothing."""
-        destination = self.destinations.get(instance_id)
+        if not busy:
+            self.table.retire(message.instance_id)
+
+    def _on_set_worker_disabled(self, message: SetWorkerDisabled) -> None:
+        answer = self._set_worker_disabled(message)
+        if not message.reply.done():
+            message.reply.set_result(answer)
+
+    def _set_worker_disabled(self, message: SetWorkerDisabled) -> Answer:
+        """Disable a worker until it is enabled again; a repeated call changes nothing."""
+        instance_id, restrictions = message.instance_id, self.restrictions
+        destination = self.table.destinations.get(instance_id)
         listed = destination is not None and destination.lifecycle is not Lifecycle.LEFT
-        if not (listed or known or instance_id in self.held_out):
-            return Answer(404, b"no such worker\n")
-        if (instance_id in self.held_out) is out:
+        disabled = instance_id in restrictions.disabled
+        if not (listed or message.listed_elsewhere or disabled):
+            return NO_SUCH_WORKER
+        if disabled is message.disabled:
             return DONE
-        held_out = self.held_out | {instance_id} if out else self.held_out - {instance_id}
-        if not self.state.save(held_out):
-            return Answer(500, b"can't be saved\n")
-        self.held_out, now = held_out, self.clock.now_us()
-        log.info("held_out" if out else "called_back", extra={"endpoint": instance_id})
-        if out:
-            self.outages[instance_id] = (now, 0)
-        else:
-            self.outages[instance_id] = (self.outages.get(instance_id, (now, 0))[0], now)
+        if not restrictions.set_disabled(self.clock.now_us(), instance_id, message.disabled):
+            return NOT_SAVED
         if destination and listed:
-            self._update(destination)
-            # Told as the list of before: changes would be word of discovery, and the module stop asking it.
-            self._decide(api.WorkersListed(api.ListKind.CACHED, [self._worker(d) for d in self.listed()]))
+            self.table.update(destination)
+            self._relist()
         return DONE
 
-    def _is_out(self, d: Destination | None, instance_id: str) -> bool:
-        """Whether operators have said that an endpoint gets nothing, here or at any scheduler."""
-        return instance_id in self.held_out or (
-            self.cordons is not None and d is not None and self.cordons.covers(d)
-        )
-
-    def _cordoned(self, message: CordonsChanged) -> None:
-        """Leave out what is cordoned now, and call back what is no longer: it counts as started just now."""
-        now = self.clock.now_us()
-        before = {d.instance_id: self._is_out(d, d.instance_id) for d in self.listed()}
-        moved, self.cordons = False, message
-        for d in self.listed():
-            name = d.instance_id
-            if (out := self._is_out(d, name)) is before[name]:
-                continue
-            moved = True
-            log.info("cordoned" if out else "uncordoned", extra={"endpoint": name})
-            self.outages[name] = (now, 0) if out else (self.outages.get(name, (now, 0))[0], now)
-        if moved:
-            self._tell_anew()
-        # Endpoints have this in their mailboxes, which the loop empties before it comes to what we call now.
+    def _on_cordons(self, message: CordonsChanged) -> None:
+        """Use other cordons; a worker that is no longer cordoned counts as started just now."""
+        if self.restrictions.set_cordons(self.clock.now_us(), message, self.table.listed()):
+            self._apply_restrictions()
+        # Endpoints have this in their mailboxes, which the loop empties before it runs what is scheduled now.
         asyncio.get_running_loop().call_soon(message.on_applied)
 
-    def _vouch(self, yes: bool) -> None:
-        """This scheduler may be behind on cordons: nothing new goes out while it may; or no longer.
+    def _set_send_lease(self, held: bool) -> None:
+        """Nothing new is sent without the lease, as cordons may have changed since.
 
-        No worker has been away, so none counts as started when it is over.
+        No worker was out of use by this, so none counts as started when it is over.
         """
-        self.vouched = yes
-        log.log(logging.INFO if yes else logging.WARNING, "lease_held" if yes else "lease_lost")
-        self._tell_anew()
-
-    def _tell_anew(self) -> None:
-        """Told as the list of before: changes would be word of discovery, and the module stop asking it."""
-        for d in self.listed():
-            self._update(d)
-        self._decide(api.WorkersListed(api.ListKind.CACHED, [self._worker(d) for d in self.listed()]))
-
-    def _worker(self, d: Destination) -> api.Worker:
-        """The module's view: names become numbers, in the order of the settings, then of their coming."""
-        d = self._effective(d)
-        return api.Worker(
-            address=d.instance_id,
-            zone=_index(self.zones, d.zone),
-            state=_STATES[d.lifecycle],
-            started_us=d.started_us,
-            weight=d.weight,
-            kind=_index(self.machine_types, d.machine_type),
-            cell=d.cell,
-        )
+        self.restrictions.send_lease_held = held
+        log.log(logging.INFO if held else logging.WARNING, "send_lease_held" if held else "send_lease_lost")
+        self._apply_restrictions()
 
-    def _retired(self, instance_id: str) -> None:
-        destination = self.destinations.get(instance_id)
-        # What was told to it meanwhile is not lost: with its ending the endpoint says so again.
-        busy = any(held.endpoints[n] == instance_id for held in self.held.values() for n in held.out)
-        if destination and destination.lifecycle is Lifecycle.LEFT and not busy:
-            del self.destinations[instance_id]
-            endpoint = self.endpoints.pop(instance_id)
-            endpoint.stop()
-            self.supervisor.spawn(endpoint.close(), f"close {endpoint.name}")
+    def _apply_restrictions(self) -> None:
+        self.table.update_all()
+        self._relist()
 
-    def listed(self) -> list[Destination]:
-        """The destination set; one that has left stays with us only until its attempts are over."""
-        return [d for d in self.destinations.values() if d.lifecycle is not Lifecycle.LEFT]
+    def _relist(self) -> None:
+        """As a cached list: changes would count as discovery's, and the module would stop polling it."""
+        self._decide(api.WorkersListed(api.ListKind.CACHED, self.table.workers()))
+
+    # The endpoint list and its lease
+
+    def _on_list(self, message: EndpointListReceived) -> None:
+        received = message.endpoint_list
+        if received is None:
+            self._decide(api.WorkersListed(api.ListKind.FAILED))
+            return
+        complete = received.reset or message.cached
+        kind = api.ListKind.FULL if complete else api.ListKind.CHANGES
+        if message.cached:
+            kind = api.ListKind.CACHED
+        self.table.apply(received, complete)
+        workers = [self.table.worker(destination) for destination in received.destinations]
+        self._decide(api.WorkersListed(kind, workers))
+        if self.list_lease and message.received_us is not None:
+            self.list_lease.confirmed(message.received_us, received.generation)
+            self._check_list_lease()  # only now: queued requests must not be sent by the list of before
+        if self.on_list_changed:
+            self.on_list_changed()
+
+    def _renew_list_lease(
+        self, message: ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged
+    ) -> None:
+        if self.list_lease is None:
+            return
+        match message:
+            case ListConfirmed(version=version, received_us=received_us):
+                self.list_lease.confirmed(received_us, version)
+            case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
+                self.list_lease.unreachable(called_us, as_of_us)
+            case DiscoveryAddressChanged(at_us=at_us):
+                self.list_lease.moved(at_us)
+        self._check_list_lease()
+
+    def _check_list_lease(self) -> None:
+        """Notify the decision module when the lease on the list is lost or held again."""
+        if self.list_lease is None:
+            return
+        now = self.clock.now_us()
+        held = self.list_lease.held(now)
+        if held is self.list_lease_held.is_set():
+            return
+        fields = self.list_lease.fields(now)
+        if held:
+            self.list_lease_held.set()
+            log.info("list_lease_held", extra=fields)
+        else:
+            self.list_lease_held.clear()
+            log.warning("list_lease_lost", extra=fields)
+        self._decide(api.ListLeased(held))
+
+    def _list_fields(self) -> dict[str, object]:
+        return self.list_lease.fields(self.clock.now_us()) if self.list_lease else {}
+
+    # Hand-over to and from another process of this scheduler
+
+    def export_state(self) -> Json:
+        """What a successor must know to decide as one with this process."""
+        return export_dispatcher(self.balancer, self.in_flight, self.restrictions)
+
+    def import_state(self, state: Json) -> None:
+        """Go on from what a predecessor knows."""
+        import_dispatcher(self.in_flight, self.restrictions, state)
+        self._apply_restrictions()
+        import_balancer(self.balancer, state)
+
+    # Figures
 
     def stats(self) -> Answer:
         """The figures as they are now."""
         queued = self.metrics.admission_queued() if self.metrics.admission_queued else 0
-        self.metrics.active = len(self.held) + queued
-        listed = {d.instance_id for d in self.listed()}
+        self.metrics.active = len(self.in_flight) + queued
+        listed = {destination.instance_id: destination for destination in self.table.listed()}
+        restricted = {name for name, d in listed.items() if self.restrictions.applies_to(d, name)}
+        avoided = self.balancer.avoided(self.clock.now_us())
         self.metrics.pool_size = len(listed)
-        out = {d.instance_id for d in self.listed() if self._is_out(d, d.instance_id)}
-        self.metrics.pool_ejected = len(listed & (out | self.balancer.avoided(self.clock.now_us())))
+        self.metrics.pool_ejected = len(listed.keys() & (restricted | avoided))
         return Answer(200, self.metrics.text(self.clock.now_us()).encode())
 
     async def close(self) -> None:
-        for endpoint in self.endpoints.values():
-            await endpoint.close()
-
-
-def _index(names: list[str], name: str) -> int:
-    if name not in names:
-        names.append(name)
-    return names.index(name)
+        """Close all endpoints."""
+        await self.table.close()
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -95,10 +95,11 @@
         self.cordons.on_serving = self._serve
         self.cordons.outdated = self._outdated
         inbound.behind = True
-        dispatcher.may_send = self.cordons.may_send
-        if options.on_lost == "hold":
-            dispatcher.lease, dispatcher.vouched = self.cordons.lease, False
-        dispatcher.list_changed = lambda: self.cordons.tell(ListChanged())
+        dispatcher.use_cordons(
+            self.cordons.may_send,
+            lambda: self.cordons.tell(ListChanged()),
+            self.cordons.lease if options.on_lost == "hold" else None,
+        )
         extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
         log.info("sharing", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost})
 
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -71,7 +71,7 @@
             self.dispatcher.tell,
         )
         self.catch_up = CatchUp(self.clock, self.destinations.unread)
-        self.dispatcher.catch_up = self.destinations.catch_up = self.catch_up
+        self.dispatcher.table.catch_up = self.destinations.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
             from robinhill.net.dispatcher import admission
@@ -79,14 +79,14 @@
             self.admission = admission.AdmissionActor(
                 config, self.supervisor, self.clock, self.metrics, self.dispatcher.tell
             )
-            self.dispatcher.admission = self.admission.tell
+            self.dispatcher.notify_admission = self.admission.tell
         self.recorder: Recorder | None = None
         if config.operator and config.operator.record.folder:
             from robinhill.record import recorder
 
             self.recorder = recorder.Recorder(config.operator.record, config.name)
             tape = TrafficRecorder(self.recorder, self.clock, config.classes)
-            self.dispatcher.tape = tape
+            self.dispatcher.traffic_recorder = self.dispatcher.table.traffic_recorder = tape
             if self.admission:
                 self.admission.tape = tape
             self.metrics.recorder = self.recorder
@@ -130,7 +130,7 @@
         self.succession: Succession | None = None
         if config.socket_fd is not None and config.folder:
             self.succession = Succession(config.folder, self.supervisor, self)
-            self.dispatcher.elsewhere = lambda event: self._spawn_delivery(event)
+            self.dispatcher.forward_event = lambda event: self._spawn_delivery(event)
 
     async def start(self) -> None:
         if self.operators:
@@ -178,14 +178,14 @@
         self.destinations.start()
         await self._list_leased()
         if told and (memory := await succession.ask("memory")):
-            self.dispatcher.recall(memory["decider"])
+            self.dispatcher.import_state(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
                 self.admission.recall(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _list_leased(self) -> None:
         """Wait until there is a list to send by, or we are told to end; no longer than a restart may take."""
-        events = (self.dispatcher.lease_held, self.stopping)
+        events = (self.dispatcher.list_lease_held, self.stopping)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         done, pending = await asyncio.wait(waiting, timeout=LIST_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in pending:
@@ -301,15 +301,15 @@
 
     async def _deliver(self, event: JobEvent) -> None:
         """Bring an endpoint's call to the process that holds its request; returns once that one has it."""
-        if moving := self.dispatcher.moving.get(event.id):
+        if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
         if (
-            not self.dispatcher.holds(event.id)
+            event.id not in self.dispatcher.in_flight
             and self.succession
             and await self.succession.forward(protocol.write_job_event(event))
         ):
             return
-        if self.dispatcher.holds(event.id):  # it may have come here meanwhile
+        if event.id in self.dispatcher.in_flight:  # it may have come here meanwhile
             self.dispatcher.tell(event)
 
     def _spawn_delivery(self, event: JobEvent) -> None:
@@ -348,7 +348,7 @@
                 reply.set_result(protocol.FAILED)
         elif not taken:
             await self._take_back(told, request, reply)
-        self.dispatcher.moved(request.id)
+        self.dispatcher.handover.finish_transit(request.id)
         if taken:
             log.info("handed_over", extra={"id": request.id})
         return taken
@@ -380,7 +380,7 @@
     def memory(self) -> Json:
         admission = self.admission.memory() if self.admission else None
         return {
-            "decider": self.dispatcher.memory(),
+            "decider": self.dispatcher.export_state(),
             "drained": self.inbound.drained,
             HANDED_ADMISSION: admission,
         }
@@ -389,16 +389,16 @@
         """A successor accepts; or the other process has gone, and all is ours again."""
         self.inbound.succeed(yes, self.config.client_sockets(2 if yes else 1))
         if yes:
-            self.dispatcher.close_idle()
+            self.dispatcher.table.close_idle_connections()
 
     async def obey(self, what: str, body: Json) -> bool:
         return (await self._obey(what, body, True)).status == 200
 
     async def take_event(self, body: Json) -> bool:
         event = protocol.job_event(body)
-        if moving := self.dispatcher.moving.get(event.id):
+        if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
-        if not self.dispatcher.holds(event.id):
+        if event.id not in self.dispatcher.in_flight:
             return False
         self.dispatcher.tell(event)
         return True
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -246,6 +246,7 @@
         config = SimpleNamespace(operator=OperatorFile(mesh=mesh), name="s1", folder=None)
         told: list[object] = []
         dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
+        dispatcher.use_cordons = lambda may_send, *_: setattr(dispatcher, "may_send", may_send)
         inbound = SimpleNamespace(behind=False)
         here = Observing(cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound))
         assert inbound.behind, "it takes no clients before it is in step"
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -270,7 +270,7 @@
             here.voters[told["voter"]].signal(signal.SIGSTOP)
             moved = await settled(one, not_voter=told["voter"])
             assert moved["voter"] == told["spare_voter"]
-            assert "event=lease_lost" not in one.log.read_text()
+            assert "event=send_lease_lost" not in one.log.read_text()
             here.voters[told["voter"]].signal(signal.SIGCONT)
             await equal(*here.voters.values(), one, two)
             await settled(two)
@@ -280,7 +280,7 @@
             for voter in lost:
                 voter.signal(signal.SIGSTOP)
             stopped = time.monotonic()
-            await logged(one, "event=lease_lost")
+            await logged(one, "event=send_lease_lost")
             assert time.monotonic() - stopped < bound_s + 1
             assert await here.ask("s1", 2) == set()
             assert not (await status_of(one))["may_act"]
@@ -288,7 +288,7 @@
             assert status == 504 and told["type"] == "NotAccepted" and told["advice"]
             for voter in lost:
                 voter.signal(signal.SIGCONT)
-            await logged(one, "event=lease_held", 2)
+            await logged(one, "event=send_lease_held", 2)
             await settled(one)
             assert await here.ask("s1", 6) == {"w1", "w2"}
 
--- a/tests/test_decider.py
+++ b/tests/test_decider.py
@@ -30,8 +30,8 @@
         for request, reply in zip((first, second), replies, strict=True):
             dispatcher.receive(RequestAccepted(request, clock.now_us(), reply))
         dispatcher.receive(ClientDisconnected(second))
-        (held,) = dispatcher.held.values()
-        assert held.request is first and held.owed and not replies[0].done()
+        (held,) = dispatcher.in_flight.by_number.values()
+        assert held.request is first and held.answer_pending and not replies[0].done()
 
     asyncio.run(repeat())
 
@@ -55,7 +55,7 @@
         dispatcher.receive(AttemptEnded(1, 0, Outcome.COMPLETED, 50_000, "late"))
         assert (
             b"app.active:0|g" in dispatcher.stats().body
-            and not dispatcher.jobs
+            and not dispatcher.in_flight.numbers
             and not dispatcher.balancer.attempts
         )
         await supervisor.close()
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -600,9 +600,9 @@
             await scheduler.start()
             assert scheduler.readiness().status == 200
             call = await discovery.call()  # and it has waited for an answer all the while
-            assert not scheduler.dispatcher.destinations and discovery.calls.empty()
+            assert not scheduler.dispatcher.table.destinations and discovery.calls.empty()
             call.send(HEAD + chunk(told(43, zone="brisbane", machineType="std-8")))
-            while "s-1" not in scheduler.dispatcher.destinations:
+            while "s-1" not in scheduler.dispatcher.table.destinations:
                 await asyncio.sleep(0)
 
     with caplog.at_level(logging.WARNING):
@@ -629,7 +629,7 @@
             call.reset()
             again = await discovery.call()
             again.send(HEAD + chunk(told(43, instanceId="s-2", zone="brisbane", machineType="std-8")))
-            while set(scheduler.dispatcher.destinations) != {"s-2"}:
+            while set(scheduler.dispatcher.table.destinations) != {"s-2"}:
                 await asyncio.sleep(0)
             draining.cancel()
 
@@ -654,11 +654,11 @@
             begun_us = scheduler.clock.now_us()
             starting = asyncio.create_task(scheduler.start())
             call = await discovery.call()
-            while not scheduler.dispatcher.held:
+            while not scheduler.dispatcher.in_flight.by_number:
                 await asyncio.sleep(0)
             assert not starting.done() and scheduler.readiness().status == 503
-            (held,) = scheduler.dispatcher.held.values()
-            assert held.deadline_us <= begun_us + 7_000_000 + 1_000_000 and not held.out
+            (held,) = scheduler.dispatcher.in_flight.by_number.values()
+            assert held.deadline_us <= begun_us + 7_000_000 + 1_000_000 and not held.attempts_in_flight
             call.send(HEAD + chunk(told(42, zone="brisbane", machineType="std-8")))
             await starting
             assert scheduler.readiness().status == 200
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -271,7 +271,7 @@
         attempt = await self.taken()
         assert attempt.id == request_id
         attempt.accept()
-        attempts = [e.attempts for e in scheduler.dispatcher.endpoints.values()]
+        attempts = [e.attempts for e in scheduler.dispatcher.table.endpoints.values()]
         await until(lambda: any(a[request_id].phase is _Phase.ACCEPTED for a in attempts if request_id in a))
         assert await self.event(request_id, "started") == 204
         return client
@@ -445,7 +445,7 @@
             message, fd = await relay.adopt()
             relay.hand(message, fd)
             relay.new.die()
-            await until(lambda: new.dispatcher.holds("j1"))
+            await until(lambda: "j1" in new.dispatcher.in_flight)
             relay.old.answer(message)  # in the place of the dead one, ours goes
             await until(lambda: not old.inbound.owed)
             assert await here.event("j1", "done", "one") == 204
@@ -479,7 +479,7 @@
             assert await client.answer() == (200, "one")
             async with asyncio.timeout(PATIENCE_S):
                 await drain
-            assert not new.dispatcher.held
+            assert not new.dispatcher.in_flight.by_number
 
     asyncio.run(play())
 
@@ -539,7 +539,7 @@
             old = here.scheduler()
             await old.start()
             client = await here.running(old, "j1")
-            source = next(n for n, e in old.dispatcher.endpoints.items() if "j1" in e.attempts)
+            source = next(n for n, e in old.dispatcher.table.endpoints.items() if "j1" in e.attempts)
             relay = await here.relay()
             new = await relay.begin()
             drain = asyncio.create_task(old.drain())
@@ -553,7 +553,7 @@
                 await drain
             await until(lambda: not new.inbound.owed)
             assert await here.event("j1", state, "one", source) == 204
-            await until(lambda: not new.dispatcher.held)
+            await until(lambda: not new.dispatcher.in_flight.by_number)
             assert here.attempts.empty()
 
     asyncio.run(play())
@@ -639,8 +639,8 @@
             message, fd = await relay.adopt()
             relay.hand(message, fd)
             relay.old.say(await relay.new.hear())
-            assert not new.dispatcher.holds("j1") and not new.inbound.answering
-            await until(lambda: old.dispatcher.holds("j1"))
+            assert "j1" not in new.dispatcher.in_flight and not new.inbound.answering
+            await until(lambda: "j1" in old.dispatcher.in_flight)
             assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
             relay.old.die()
             here.schedulers.remove(new)
@@ -662,7 +662,7 @@
             old = here.scheduler()
             await old.start()
             await here.running(old, "j1")
-            endpoint = next(e for e in old.dispatcher.endpoints.values() if "j1" in e.attempts)
+            endpoint = next(e for e in old.dispatcher.table.endpoints.values() if "j1" in e.attempts)
             left = replace(endpoint.destination, lifecycle=Lifecycle.LEFT)
             old.dispatcher.tell(EndpointListReceived(DestinationList(42, False, (left,))))
             await until(lambda: endpoint.destination.lifecycle is Lifecycle.LEFT)
@@ -671,10 +671,10 @@
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
             old.dispatcher.tell(ReleaseRequest(owed.request, reply))
             assert (await here.taken()).id == "j1"
-            await until(lambda: len(old.dispatcher.endpoints) == 1)
+            await until(lambda: len(old.dispatcher.table.endpoints) == 1)
             async with asyncio.timeout(PATIENCE_S):
                 assert await reply is None
-            assert not old.dispatcher.moving and old.dispatcher.holds("j1")
+            assert not old.dispatcher.handover.in_transit and "j1" in old.dispatcher.in_flight
 
     asyncio.run(play())
 
@@ -694,7 +694,7 @@
             await old.start()
             here.listing.clear()
             new = await (await here.relay()).begin()
-            assert new.list_lease.held(new.clock.now_us()) and new.dispatcher.lease_held.is_set()
+            assert new.list_lease.held(new.clock.now_us()) and new.dispatcher.list_lease_held.is_set()
             assert new.list_lease.until_us == old.list_lease.until_us
             assert abs(new.clock.now_us() - old.clock.now_us()) < 10_000
             client = await here.client()
@@ -718,7 +718,7 @@
             assert not new.list_lease.held(new.clock.now_us())
             client = await here.client()
             client.send("j1")
-            await until(lambda: new.dispatcher.held)
+            await until(lambda: new.dispatcher.in_flight.by_number)
             assert here.attempts.empty()
             here.listing.set()
             assert (await here.taken()).id == "j1"
@@ -744,8 +744,8 @@
             assert abs(new.clock.now_us() - old.clock.now_us()) < 1_000_000
             leaving = asyncio.create_task(old.drain())
             relay.hand(*await relay.adopt())
-            await until(lambda: new.dispatcher.held)
-            (held,) = new.dispatcher.held.values()
+            await until(lambda: new.dispatcher.in_flight.by_number)
+            (held,) = new.dispatcher.in_flight.by_number.values()
             left_us = held.deadline_us - new.clock.now_us()
             assert 0 < left_us <= 25_000_000
             leaving.cancel()
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -504,7 +504,7 @@
 
     @property
     def endpoint(self) -> ep.Endpoint:
-        return self.dispatcher.endpoints["s-1"]
+        return self.dispatcher.table.endpoints["s-1"]
 
     def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -555,7 +555,7 @@
         reply.cancel()
         h.dispatcher.tell(ClientDisconnected(request))
         await connects.called_off.wait()
-        await until(lambda: not h.dispatcher.held)
+        await until(lambda: not h.dispatcher.in_flight.by_number)
         assert not h.dispatcher.balancer.attempts and not h.endpoint.attempts
 
     play(house(leave))
@@ -571,7 +571,7 @@
         await peer.head()
         reply.cancel()
         peer.say(SHED)
-        await until(lambda: not h.dispatcher.held)
+        await until(lambda: not h.dispatcher.in_flight.by_number)
         h.dispatcher.receive(ClientDisconnected(request))
         assert not h.dispatcher.balancer.jobs and not h.endpoint.attempts
         assert h.dispatcher.metrics.tries == 1
@@ -584,7 +584,11 @@
         request, reply = job("j1"), asyncio.get_running_loop().create_future()
         reply.cancel()
         h.dispatcher.receive(RequestAccepted(request, h.clock.now_us(), reply))
-        assert not h.dispatcher.held and not h.dispatcher.balancer.jobs and "j1" in h.dispatcher.seen
+        assert (
+            not h.dispatcher.in_flight.by_number
+            and not h.dispatcher.balancer.jobs
+            and "j1" in h.dispatcher.in_flight.recent_ids
+        )
         h.dispatcher.receive(ClientDisconnected(request))
         again = h.take(job("j1"))
         assert again.result() is protocol.CONFLICT
@@ -605,8 +609,8 @@
         assert await told is None
         await until(lambda: "j1" in h.endpoint.attempts)
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "late"))
-        await until(lambda: not h.dispatcher.held)
-        assert not h.dispatcher.balancer.attempts and not h.dispatcher.moving
+        await until(lambda: not h.dispatcher.in_flight.by_number)
+        assert not h.dispatcher.balancer.attempts and not h.dispatcher.handover.in_transit
 
     play(house(leave))
 
@@ -628,7 +632,7 @@
         await until(lambda: "j1" in endpoint.attempts and not new.dispatcher._scheduled)
         new.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         assert (await reply).body == b"result"
-        await until(lambda: not new.dispatcher.endpoints)
+        await until(lambda: not new.dispatcher.table.endpoints)
 
     play(house(cross, 2))
 
@@ -641,7 +645,7 @@
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         h.dispatcher.receive(ReleaseRequest(request, told))
         assert (await told)["attempt"]
-        await until(lambda: not h.dispatcher.endpoints)
+        await until(lambda: not h.dispatcher.table.endpoints)
 
     play(house(let_go))
 
@@ -653,7 +657,7 @@
         reply = await h.accepted(worker, job("j1", "k"))
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         await reply
-        place = h.dispatcher.keys.place(h.clock.now_us(), 1, "k")
+        place = h.dispatcher.idempotency_keys.place(h.clock.now_us(), 1, "k")
         assert place and place.until_us <= h.clock.now_us() + 1_000_000
         h.take(job("j2", "k"))
         await until(lambda: "j2" in h.endpoint.attempts)
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -177,14 +177,14 @@
             assert (await cordon(one))[0] == 200
             for program in others:
                 program.signal(signal.SIGSTOP)
-            await until(one, "event=lease_lost")
+            await until(one, "event=send_lease_lost")
             assert await here.ask("s1", 2) == set()
             assert self_status(await one.call("GET", "/ops/mesh"))["lease"] is False
             status, told = await cordon(one, "c2", "?wait=0.2", target="worker/w1")
             assert status == 504 and told["type"] == "NotAccepted" and told["advice"]
             for program in others:
                 program.signal(signal.SIGCONT)
-            await until(one, "event=lease_held", 2)
+            await until(one, "event=send_lease_held", 2)
             assert await here.ask("s1", 6) == {"w2"}
             # One that is stopped has no lease: the rest need not wait for it longer than the bound.
             others[0].signal(signal.SIGSTOP)
