--- a/robinhill/cordon/__init__.py
+++ b/robinhill/cordon/__init__.py
@@ -1,1 +1,1 @@
-"""Cordons: workers that get nothing new at any scheduler. Decisions only: no input or output."""
+"""Cordons: workers that no scheduler sends anything new to. Decisions only, without input or output."""
--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -1,15 +1,16 @@
-"""Which workers to cordon without an operator, from what several schedulers have seen.
-
-A worker is a suspect if a quorum of observers, and more than half of those that tell of it at all, find that
-it stands out: beyond an absolute limit, and beyond the same limit measured from what is usual. Usual is the
-highest of the observer's own median over workers like it and the medians over fleet, zone, machine type and
-cell: where all are slower, one must be slower still. Where more of such a group than SHARED_SHARE are beyond
-the absolute limit, by half a quorum's word, the cause is what they have in common, and no cordon cures that:
-none of the group is cordoned. An observer that finds more of what it looks at bad than ACCUSER_SHARE is badly
-placed itself and counts for nothing.
-
-Same evidence, same proposals, at every scheduler. One proposes at once, in an order that differs by worker;
-the next ones only if it has not. The budget is applied where proposals are read: see ``budget``.
+"""Which workers to cordon without an operator, by the observations of several schedulers.
+
+A worker is a suspect if a quorum of observers, and more than half of those that observe it at all, find it an
+outlier: beyond an absolute threshold, and beyond the same threshold measured from the baseline. The baseline
+is the highest of the observer's own median over similar workers and of the medians over fleet, zone, machine
+type and cell: where all are slower, a suspect must be slower still. Where more of such a group than
+COMMON_CAUSE_SHARE are beyond the absolute threshold, by half a quorum's observations, the cause is what they
+have in common, and a cordon does not cure that: no worker of the group is proposed. The observations of one
+that finds more workers bad than MAX_ACCUSED_SHARE are discarded: the fault is likely its own.
+
+The same evidence gives the same proposals at every scheduler. One of them proposes at once, in an order that
+differs by worker; the next ones do so only if it has not. The budget is applied where proposals are read, see
+``budget``. No input or output. Times are Unix microseconds.
 """
 
 import math
@@ -19,43 +20,50 @@
 from dataclasses import dataclass
 from hashlib import blake2s
 from statistics import median
+from typing import NamedTuple
 
 from robinhill.cordon import limits
-from robinhill.cordon.budget import CAUSES, Place
+from robinhill.cordon.budget import CAUSES, Location
 from robinhill.cordon.index import targets_of
-from robinhill.cordon.value import AUTOMATIC, Cordons, Reason, is_id
+from robinhill.cordon.value import AUTOMATIC_ID_PREFIX, CordonSet, Reason, is_cordon_id
+
+MULTIPLE_CAUSES = frozenset({"lagging", "slow"})
+"""Causes whose amounts are multiples of what was expected; those of the others are shares."""
 
 
 @dataclass(slots=True, frozen=True)
-class Sight:
-    """What an observer has seen of a worker up to ``at_us`` (Unix time), well or not.
+class Observation:
+    """What an observer measured of a worker up to ``at_us``, be it good or bad.
 
-    ``amount``, by cause: 'silent', 'failing': the share of attempts; 'slow', 'lagging': the time taken as a
-    multiple of what was expected. ``usual`` is the observer's median of the same over workers of this one's
-    zone and machine type (over all, where it knows fewer than four), ``looked`` the number of workers that it
-    looked at. Observers tell of what they have seen a few times, not of a single failure.
+    ``amount`` is by cause: for 'silent' and 'failing' the share of attempts, for 'slow' and 'lagging' the
+    time taken as a multiple of what was expected. ``baseline`` is the observer's median of the same over
+    workers of the same zone and machine type (over all, where it knows fewer than four), ``worker_count`` the
+    number of workers that it observed. A single failure makes no observation.
     """
 
     observer: str
     worker: str
     cause: str
     amount: float
-    usual: float
-    looked: int
+    baseline: float
+    worker_count: int
     at_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Options:
-    """Set alike at all schedulers. ``quorum``: observers that must agree."""
+class DetectionOptions:
+    """Thresholds of detection, to be set alike at all schedulers.
+
+    ``quorum``: how many observers must agree. ``duration_us``: how long a first automatic cordon lasts.
+    """
 
-    quorum: int = limits.QUORUM
+    quorum: int = limits.DEFAULT_QUORUM
     silent_share: float = 0.9
     failing_share: float = 0.3
     lagging_multiple: float = 2.0
     slow_multiple: float = 3.0
-    age_us: int = limits.AGE_US
-    lasts_us: int = limits.AUTOMATIC_US
+    max_observation_age_us: int = limits.MAX_OBSERVATION_AGE_US
+    duration_us: int = limits.AUTOMATIC_DURATION_US
 
     def __post_init__(self) -> None:
         if self.quorum < 2:
@@ -64,11 +72,12 @@
             raise ValueError("shares must be above 0 and at most 1")
         if not (self.lagging_multiple > 1 and self.slow_multiple > 1):
             raise ValueError("multiples must be above 1")
-        if not (self.age_us > 0 and 0 < self.lasts_us <= limits.LONGEST_US):
-            raise ValueError(f"times must be above 0, and a cordon lasts {limits.LONGEST_US} us at most")
+        longest_us = limits.MAX_AUTOMATIC_DURATION_US
+        if not (self.max_observation_age_us > 0 and 0 < self.duration_us <= longest_us):
+            raise ValueError(f"times must be above 0, and a cordon lasts {longest_us} us at most")
 
-    def limit(self, cause: str) -> float:
-        """The amount from which on a worker is bad though nothing else is wrong."""
+    def threshold(self, cause: str) -> float:
+        """Return the amount from which on a worker is bad against a baseline without faults."""
         return {
             "silent": self.silent_share,
             "failing": self.failing_share,
@@ -76,17 +85,17 @@
             "slow": self.slow_multiple,
         }[cause]
 
-    def stands_out(self, cause: str, amount: float, usual: float) -> bool:
-        """Whether an amount is bad where ``usual`` is what others have."""
-        limit = self.limit(cause)
-        if cause in _MULTIPLES:
-            return amount >= limit * max(usual, 1.0)
-        return amount >= limit and amount - usual >= limit / 2
+    def is_outlier(self, cause: str, amount: float, baseline: float) -> bool:
+        """Return whether an amount is bad against the baseline of the other workers."""
+        threshold = self.threshold(cause)
+        if cause in MULTIPLE_CAUSES:
+            return amount >= threshold * max(baseline, 1.0)
+        return amount >= threshold and amount - baseline >= threshold / 2
 
 
 @dataclass(slots=True, frozen=True)
 class Suspect:
-    """A worker that a quorum finds bad; ``since_us`` is when the quorum was complete (Unix time)."""
+    """A worker that a quorum finds bad; ``since_us`` is when the quorum was complete."""
 
     worker: str
     cause: str
@@ -95,183 +104,228 @@
     since_us: int
 
 
-_MULTIPLES = frozenset({"lagging", "slow"})  # the other causes are shares
-Key = tuple[str, str, str]  # observer, worker, cause
+class ObservationKey(NamedTuple):
+    """What a newer observation replaces: the one of the same observer, worker and cause."""
 
+    observer: str
+    worker: str
+    cause: str
 
-def suspects(
+
+@dataclass(slots=True)
+class _WorkerEvidence:
+    """Fresh observations of one worker."""
+
+    observers: set[str]  # all that observe it
+    over_threshold: set[str]  # those that find it beyond the absolute threshold
+    outlying: dict[str, list[Observation]]  # by cause: those that find it an outlier
+
+
+def find_suspects(
     now_us: int,
-    sights: Iterable[Sight],
-    workers: Mapping[str, Place],
-    options: Options,
-    spent_us: Mapping[str, int] | None = None,
-    out: AbstractSet[str] = frozenset(),
+    observations: Iterable[Observation],
+    workers: Mapping[str, Location],
+    options: DetectionOptions,
+    evidence_after_us: Mapping[str, int] | None = None,
+    cordoned: AbstractSet[str] = frozenset(),
 ) -> tuple[Suspect, ...]:
-    """The workers that stand out, by ascending id.
+    """Return the workers that a quorum finds bad, by ascending ID.
 
-    ``spent_us``: up to when a worker's evidence is used up. ``out``: workers that have an automatic reason
-    already, of which new evidence can't come; they count where a group is asked for a common cause.
+    ``evidence_after_us``: by worker, up to when observations of it are used up. ``cordoned``: workers that
+    have an automatic cordon already and so get no new evidence; they count towards a common cause.
     """
-    spent = spent_us or {}
-    # Spent evidence still tells of its observer and of the groups; it is left out where workers are judged.
-    latest = _believed(_latest(now_us, sights, workers, options), options)
-    usual = _usual(latest, workers)
-    told: dict[str, set[str]] = defaultdict(set)  # who tells of a worker at all
-    ill: dict[str, set[str]] = defaultdict(set)  # and finds it beyond the absolute limit
-    bad: dict[str, dict[str, list[Sight]]] = defaultdict(lambda: defaultdict(list))  # by worker and cause
-    for (observer, worker, cause), sight in sorted(latest.items()):
-        if sight.at_us <= spent.get(worker, 0):
-            continue
-        told[worker].add(observer)
-        if options.stands_out(cause, sight.amount, 0.0):
-            ill[worker].add(observer)
-        groups = (usual[cause].get(group, 0.0) for group in _groups(worker, workers))
-        if options.stands_out(cause, sight.amount, max(sight.usual, *groups)):
-            bad[worker][cause].append(sight)
-    shared = _shared(
-        out | {w for w, by in ill.items() if 2 * len(by) >= options.quorum and 2 * len(by) > len(told[w])},
-        workers,
+    # Used-up evidence still counts for its observer and for the groups' baselines.
+    latest = _discard_unreliable(_find_latest(now_us, observations, workers, options), options)
+    evidence = _collect_evidence(latest, workers, options, evidence_after_us or {})
+    unwell = {worker for worker, each in evidence.items() if _is_unwell(each, options)}
+    affected_groups = _find_common_causes(cordoned | unwell, workers)
+    return tuple(
+        suspect
+        for worker, each in sorted(evidence.items())
+        if (suspect := _judge(worker, each, options)) and affected_groups.isdisjoint(_groups(worker, workers))
     )
-    found = []
-    for worker, causes in sorted(bad.items()):
-        observers: dict[str, int] = {}  # each counts once, since its first word
-        for s in sorted((s for seen in causes.values() for s in seen), key=lambda s: s.at_us):
-            observers.setdefault(s.observer, s.at_us)
-        if len(observers) < options.quorum or 2 * len(observers) <= len(told[worker]):
-            continue
-        if not shared.isdisjoint(_groups(worker, workers)):
-            continue
-        cause = max(CAUSES, key=lambda c: (len(causes.get(c, ())), -CAUSES.index(c)))
-        found.append(
-            Suspect(
-                worker=worker,
-                cause=cause,
-                observers=tuple(sorted(observers)),
-                amount=median(s.amount for s in causes[cause]),
-                since_us=sorted(observers.values())[options.quorum - 1],
-            )
-        )
-    return tuple(found)
 
 
 def propose(
     now_us: int,
-    me: str,
+    own_name: str,
     alive: Iterable[str],
-    sights: Iterable[Sight],
-    items: Mapping[str, Cordons],
-    workers: Mapping[str, Place],
-    options: Options | None = None,
+    observations: Iterable[Observation],
+    items: Mapping[str, CordonSet],
+    workers: Mapping[str, Location],
+    options: DetectionOptions | None = None,
 ) -> tuple[tuple[str, Reason], ...]:
-    """What this scheduler is to propose now, as targets and reasons to ``set_``.
+    """Return what this scheduler is to propose now: targets and reasons, for ``value.set_cordon``.
 
     ``items`` are all cordons, by target; ``alive`` the schedulers that may propose. A worker that has an
-    automatic reason, or had one lifted by an operator lately, gets none.
+    automatic cordon, or had one lifted by an operator lately, gets none.
     """
-    options, others = options or Options(), frozenset(alive) - {me}
-    histories = {worker: _history(now_us, items.get(f"worker/{worker}")) for worker in workers}
-    spent = {worker: h.spent_us for worker, h in histories.items()}
-    out = {worker for worker, h in histories.items() if h.stands}
+    options, others = options or DetectionOptions(), frozenset(alive) - {own_name}
+    histories = {worker: _read_history(now_us, items.get(f"worker/{worker}")) for worker in workers}
+    evidence_after_us = {worker: history.evidence_after_us for worker, history in histories.items()}
+    cordoned = {worker for worker, history in histories.items() if history.is_active}
     proposals = []
-    for suspect in suspects(now_us, sights, workers, options, spent, out):
+    for suspect in find_suspects(now_us, observations, workers, options, evidence_after_us, cordoned):
         worker = suspect.worker
-        due_us = suspect.since_us + limits.TURN_US * _turn(worker, me, others)
-        if worker not in out and now_us >= due_us:
-            reason = _reason(now_us, me, suspect, histories[worker].times + 1, options)
+        due_us = suspect.since_us + limits.PROPOSAL_TURN_US * _turn(worker, own_name, others)
+        if worker not in cordoned and now_us >= due_us:
+            reason = _make_reason(now_us, own_name, suspect, histories[worker].times + 1, options)
             proposals.append((f"worker/{worker}", reason))
     return tuple(proposals)
 
 
 @dataclass(slots=True, frozen=True)
 class _History:
-    stands: bool
-    spent_us: int  # evidence up to here is of before the last cordon's end or lift
-    times: int  # in a row, up to now
+    """A worker's automatic cordons up to now; ``times`` counts those in a row that have ended."""
+
+    is_active: bool
+    evidence_after_us: int
+    times: int
 
 
-def _history(now_us: int, value: Cordons | None) -> _History:
+def _read_history(now_us: int, value: CordonSet | None) -> _History:
     if value is None:
         return _History(False, 0, 0)
-    reasons = [e.reason for e in value.entries if e.reason.automatic]
-    ended = [r for r in reasons if r.ended(now_us)]
-    lately = [r.times for r in ended if r.until_us + limits.HELD_LAST_US > now_us]
-    # One that lifted with a clock far ahead must not bar automatic cordons for as long.
-    lifted = value.lifted_us if value.lifted_us <= now_us + limits.CLOCKS_DIFFER_US else 0
-    quiet = lifted + limits.QUIET_US if lifted else 0
-    spent = max([quiet, *(r.until_us for r in ended)])
-    return _History(len(ended) < len(reasons), spent, max(lately, default=0))
-
-
-def _reason(now_us: int, me: str, suspect: Suspect, times: int, options: Options) -> Reason:
-    lasts_us = min(options.lasts_us * 2 ** min(times - 1, 32), limits.LONGEST_US)
-    named = suspect.observers[: limits.MAX_OBSERVERS]
-    cordon_id = f"{AUTOMATIC}{suspect.cause}-{suspect.worker}"
-    if not is_id(cordon_id):
+    reasons = [entry.reason for entry in value.entries if entry.reason.automatic]
+    ended = [reason for reason in reasons if reason.has_ended(now_us)]
+    recent = [reason.times for reason in ended if reason.until_us + limits.REPEAT_WINDOW_US > now_us]
+    # A lift by a clock that is far ahead must not prevent automatic cordons until then.
+    lifted_us = value.lifted_us if value.lifted_us <= now_us + limits.MAX_CLOCK_SKEW_US else 0
+    cooldown_end_us = lifted_us + limits.LIFT_COOLDOWN_US if lifted_us else 0
+    evidence_after_us = max([cooldown_end_us, *(reason.until_us for reason in ended)])
+    return _History(len(ended) < len(reasons), evidence_after_us, max(recent, default=0))
+
+
+def _make_reason(
+    now_us: int, own_name: str, suspect: Suspect, times: int, options: DetectionOptions
+) -> Reason:
+    doubled_us = options.duration_us * 2 ** min(times - 1, 32)
+    cordon_id = f"{AUTOMATIC_ID_PREFIX}{suspect.cause}-{suspect.worker}"
+    if not is_cordon_id(cordon_id):
         digest = blake2s(suspect.worker.encode(), digest_size=8).hexdigest()
-        cordon_id = f"{AUTOMATIC}{suspect.cause}-{digest}"
+        cordon_id = f"{AUTOMATIC_ID_PREFIX}{suspect.cause}-{digest}"
     return Reason(
         id=cordon_id,
         text=f"{suspect.cause} ({suspect.amount:.3g}) as {len(suspect.observers)} schedulers see it",
-        by=me,
+        by=own_name,
         since_us=now_us,
-        until_us=now_us + lasts_us,
+        until_us=now_us + min(doubled_us, limits.MAX_AUTOMATIC_DURATION_US),
         automatic=True,
         cause=suspect.cause,
-        observers=named,
+        observers=suspect.observers[: limits.MAX_OBSERVERS],
         times=times,
     )
 
 
-def _turn(worker: str, me: str, others: AbstractSet[str]) -> int:
-    """This scheduler's place in the worker's own order of schedulers, the late ones together."""
+def _turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
+    """Return this scheduler's place in the worker's own order of schedulers, the late ones together."""
 
     def draw(name: str) -> bytes:
         return blake2s(f"{worker}\0{name}".encode(), digest_size=8).digest()
 
-    mine = draw(me)
-    return min(sum(draw(name) < mine for name in others), limits.TURNS)
+    own = draw(own_name)
+    return min(sum(draw(name) < own for name in others), limits.MAX_PROPOSAL_TURNS)
 
 
-def _latest(
-    now_us: int, sights: Iterable[Sight], workers: Mapping[str, Place], options: Options
-) -> dict[Key, Sight]:
-    """The last word of each observer on each worker, without what is old, from the future or no number."""
-    latest: dict[Key, Sight] = {}
-    for s in sights:
-        if s.worker not in workers or s.cause not in CAUSES:
-            continue
-        if not now_us - options.age_us <= s.at_us <= now_us + limits.CLOCKS_DIFFER_US:
-            continue
-        if not (math.isfinite(s.amount) and math.isfinite(s.usual) and s.amount >= 0 and s.usual >= 0):
+def _find_latest(
+    now_us: int,
+    observations: Iterable[Observation],
+    workers: Mapping[str, Location],
+    options: DetectionOptions,
+) -> dict[ObservationKey, Observation]:
+    """Return the last valid observation by each key."""
+    latest: dict[ObservationKey, Observation] = {}
+    for each in observations:
+        if each.worker not in workers or not _is_valid(now_us, each, options):
             continue
-        key = s.observer, s.worker, s.cause
-        if key not in latest or _order(s) > _order(latest[key]):
-            latest[key] = s
+        key = ObservationKey(each.observer, each.worker, each.cause)
+        if key not in latest or _order(each) > _order(latest[key]):
+            latest[key] = each
     return latest
 
 
-def _order(s: Sight) -> tuple[int, float, float, int]:
-    return s.at_us, s.amount, s.usual, s.looked
+def _is_valid(now_us: int, observation: Observation, options: DetectionOptions) -> bool:
+    oldest_us, latest_us = now_us - options.max_observation_age_us, now_us + limits.MAX_CLOCK_SKEW_US
+    if observation.cause not in CAUSES or not oldest_us <= observation.at_us <= latest_us:
+        return False
+    return all(math.isfinite(n) and n >= 0 for n in (observation.amount, observation.baseline))
 
 
-def _believed(latest: dict[Key, Sight], options: Options) -> dict[Key, Sight]:
-    """Without observers that find too many of the workers bad that they look at, as they themselves say."""
+def _order(observation: Observation) -> tuple[int, float, float, int]:
+    return observation.at_us, observation.amount, observation.baseline, observation.worker_count
+
+
+def _discard_unreliable(
+    latest: dict[ObservationKey, Observation], options: DetectionOptions
+) -> dict[ObservationKey, Observation]:
+    """Leave out observers that find too many of the workers bad that they observe, by their own count."""
     accused: dict[str, set[str]] = defaultdict(set)
-    looked: dict[str, int] = {}
-    for (observer, worker, cause), s in latest.items():
-        looked[observer] = max(looked.get(observer, 0), s.looked)
-        if s.amount >= options.limit(cause):
-            accused[observer].add(worker)
-    doubted = {o for o, found in accused.items() if len(found) > max(1, limits.ACCUSER_SHARE * looked[o])}
-    return {key: s for key, s in latest.items() if key[0] not in doubted}
+    worker_counts: dict[str, int] = {}
+    for key, each in latest.items():
+        worker_counts[key.observer] = max(worker_counts.get(key.observer, 0), each.worker_count)
+        if each.amount >= options.threshold(key.cause):
+            accused[key.observer].add(key.worker)
+    unreliable = {
+        observer
+        for observer, found in accused.items()
+        if len(found) > max(1, limits.MAX_ACCUSED_SHARE * worker_counts[observer])
+    }
+    return {key: each for key, each in latest.items() if key.observer not in unreliable}
+
+
+def _collect_evidence(
+    latest: dict[ObservationKey, Observation],
+    workers: Mapping[str, Location],
+    options: DetectionOptions,
+    evidence_after_us: Mapping[str, int],
+) -> dict[str, _WorkerEvidence]:
+    """Return the evidence on each worker that is not used up."""
+    baselines = _find_baselines(latest, workers)
+    evidence: dict[str, _WorkerEvidence] = {}
+    for key, each in sorted(latest.items()):
+        observer, worker, cause = key
+        if each.at_us <= evidence_after_us.get(worker, 0):
+            continue
+        found = evidence.setdefault(worker, _WorkerEvidence(set(), set(), defaultdict(list)))
+        found.observers.add(observer)
+        if options.is_outlier(cause, each.amount, 0.0):
+            found.over_threshold.add(observer)
+        group_baselines = (baselines[cause].get(group, 0.0) for group in _groups(worker, workers))
+        if options.is_outlier(cause, each.amount, max(each.baseline, *group_baselines)):
+            found.outlying[cause].append(each)
+    return evidence
+
+
+def _is_unwell(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
+    """Return whether half a quorum, and half of its observers, find a worker beyond the threshold."""
+    over, observers = len(evidence.over_threshold), len(evidence.observers)
+    return 2 * over >= options.quorum and 2 * over > observers
+
+
+def _judge(worker: str, evidence: _WorkerEvidence, options: DetectionOptions) -> Suspect | None:
+    """Return a worker as a suspect, None if no quorum finds it an outlier."""
+    observers: dict[str, int] = {}  # each counts once, from its first observation on
+    outlying = [each for observations in evidence.outlying.values() for each in observations]
+    for each in sorted(outlying, key=lambda each: each.at_us):
+        observers.setdefault(each.observer, each.at_us)
+    if len(observers) < options.quorum or 2 * len(observers) <= len(evidence.observers):
+        return None
+    cause = max(CAUSES, key=lambda c: (len(evidence.outlying.get(c, ())), -CAUSES.index(c)))
+    return Suspect(
+        worker=worker,
+        cause=cause,
+        observers=tuple(sorted(observers)),
+        amount=median(each.amount for each in evidence.outlying[cause]),
+        since_us=sorted(observers.values())[options.quorum - 1],
+    )
 
 
-def _groups(worker: str, workers: Mapping[str, Place]) -> Sequence[str]:
-    """The groups that a worker has its lot in common with, the whole fleet as ''."""
+def _groups(worker: str, workers: Mapping[str, Location]) -> Sequence[str]:
+    """Return the groups that a worker may share a cause with, the whole fleet as ''."""
     return "", *targets_of(worker, workers[worker])[1:]
 
 
-def _sizes(workers: Mapping[str, Place]) -> dict[str, int]:
+def _group_sizes(workers: Mapping[str, Location]) -> dict[str, int]:
     sizes: dict[str, int] = defaultdict(int)
     for worker in workers:
         for group in _groups(worker, workers):
@@ -279,36 +333,38 @@
     return sizes
 
 
-def _usual(latest: dict[Key, Sight], workers: Mapping[str, Place]) -> dict[str, dict[str, float]]:
-    """By cause, the median of each group that is large enough; of whom nobody tells counts as well."""
-    told: dict[str, dict[str, list[float]]] = {cause: defaultdict(list) for cause in CAUSES}
-    for (_, worker, cause), s in latest.items():
-        told[cause][worker].append(s.amount)
-    sizes = _sizes(workers)
-    usual: dict[str, dict[str, float]] = {}
-    for cause, amounts in told.items():
-        well = 1.0 if cause in _MULTIPLES else 0.0
-        known: dict[str, list[float]] = defaultdict(list)
-        for worker, seen in amounts.items():
+def _find_baselines(
+    latest: dict[ObservationKey, Observation], workers: Mapping[str, Location]
+) -> dict[str, dict[str, float]]:
+    """Return, by cause, the median of each group that is large enough; unobserved workers count as well."""
+    amounts: dict[str, dict[str, list[float]]] = {cause: defaultdict(list) for cause in CAUSES}
+    for key, each in latest.items():
+        amounts[key.cause][key.worker].append(each.amount)
+    sizes = _group_sizes(workers)
+    baselines: dict[str, dict[str, float]] = {}
+    for cause, by_worker in amounts.items():
+        healthy = 1.0 if cause in MULTIPLE_CAUSES else 0.0
+        medians: dict[str, list[float]] = defaultdict(list)
+        for worker, observed in by_worker.items():
             for group in _groups(worker, workers):
-                known[group].append(median(seen))
-        usual[cause] = {
-            group: median([*values, *[well] * (sizes[group] - len(values))])
-            for group, values in known.items()
-            if sizes[group] >= limits.MIN_GROUP
+                medians[group].append(median(observed))
+        baselines[cause] = {
+            group: median([*values, *[healthy] * (sizes[group] - len(values))])
+            for group, values in medians.items()
+            if sizes[group] >= limits.MIN_GROUP_SIZE
         }
-    return usual
+    return baselines
 
 
-def _shared(ill: AbstractSet[str], workers: Mapping[str, Place]) -> set[str]:
-    """The groups of which so many are ill, or out already, that the cause is theirs in common."""
+def _find_common_causes(unwell: AbstractSet[str], workers: Mapping[str, Location]) -> set[str]:
+    """Return the groups of which so many are unwell or cordoned that the cause is common to them."""
     counts: dict[str, int] = defaultdict(int)
-    for worker in ill:
+    for worker in unwell:
         for group in _groups(worker, workers):
             counts[group] += 1
-    sizes = _sizes(workers)
+    sizes = _group_sizes(workers)
     return {
         group
         for group, n in counts.items()
-        if sizes[group] >= limits.MIN_GROUP and n > max(1, limits.SHARED_SHARE * sizes[group])
+        if sizes[group] >= limits.MIN_GROUP_SIZE and n > max(1, limits.COMMON_CAUSE_SHARE * sizes[group])
     }
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -1,9 +1,9 @@
-"""How many workers automatic cordons may leave out, decided alike at every copy.
+"""How many workers automatic cordons may take out of service, decided alike by every copy.
 
-An automatic reason is a proposal. Every copy ranks all proposals that it holds by the same total order and
-takes them in turn as long as none of the shares is passed; the rest wait. So no copy ever leaves out more
-than the budget, in whatever order the proposals of several schedulers reach it, and copies that hold the same
-proposals and workers take the same. Nobody has to ask before proposing.
+An automatic reason is a proposal. Every copy ranks all proposals by the same total order and admits them in
+turn as long as no share is exceeded; the rest wait. So no copy ever cordons more than the budget, in whatever
+order the proposals of several schedulers reach it, and copies with the same proposals and workers admit the
+same ones. No scheduler has to ask before it proposes.
 """
 
 from collections import Counter
@@ -15,21 +15,24 @@
 from robinhill.cordon import limits
 from robinhill.cordon.value import Entry
 
-CAUSES = ("silent", "failing", "lagging", "slow")  # the worst first; others, of newer peers, come after
+CAUSES = ("silent", "failing", "lagging", "slow")
+"""Causes of automatic cordons, the worst first. Causes that only newer peers know rank after them."""
+
+ROUNDING = 1e-9  # 0.1 * 30 is below 3 as a float
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """Where a listed worker is: names of its zone and machine type, number of its cell."""
+class Location:
+    """Where a listed worker is: the names of its zone and machine type, the number of its cell."""
 
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """Shares of the workers that operators have not cordoned; must be set alike at all schedulers.
+    """Shares of the workers that operators have not cordoned; must be the same at all schedulers.
 
     They are rounded down: with a tenth and nine workers there are no automatic cordons.
     """
@@ -42,36 +45,34 @@
             if not 0 <= share < 1:
                 raise ValueError("a share must be at least 0 and below 1")
 
-    def within(
+    def admit(
         self,
         proposals: Iterable[tuple[str, Entry]],
-        matched: Mapping[str, AbstractSet[str]],
-        workers: Mapping[str, Place],
-        out: AbstractSet[str],
+        matching: Mapping[str, AbstractSet[str]],
+        workers: Mapping[str, Location],
+        operator_cordoned: AbstractSet[str],
     ) -> set[tuple[str, str]]:
-        """The (target, ID) of the proposals that hold; ``out`` are the workers that operators' cordons hold.
+        """Return the (target, ID) of the proposals, given by target, that are within the budget.
 
-        Who was there first goes on: among equal causes an older proposal is not pushed out by a newer one.
+        ``matching`` are the workers of each target. Among equal causes the older proposal goes first, so a
+        newer one never displaces it.
         """
-        free = [place.zone for worker, place in workers.items() if worker not in out]
-        zones = Counter(free)
-        room = floor(self.fleet_share * len(free) + _ROUNDING)
-        zone_room = {zone: floor(self.zone_share * n + _ROUNDING) for zone, n in zones.items()}
+        free = [location.zone for worker, location in workers.items() if worker not in operator_cordoned]
+        fleet_room = floor(self.fleet_share * len(free) + ROUNDING)
+        zone_room = {zone: floor(self.zone_share * n + ROUNDING) for zone, n in Counter(free).items()}
         taken: set[str] = set()
-        good = set()
+        admitted = set()
         for target, entry in sorted(proposals, key=_rank):
-            more = matched.get(target, frozenset()) - out - taken
-            need = Counter(workers[worker].zone for worker in more)
-            if len(more) <= room and all(n <= zone_room[zone] for zone, n in need.items()):
-                good.add((target, entry.reason.id))
-                taken |= more
-                room -= len(more)
-                for zone, n in need.items():
-                    zone_room[zone] -= n
-        return good
-
-
-_ROUNDING = 1e-9  # 0.1 * 30 is below 3 as a float
+            added = matching.get(target, frozenset()) - operator_cordoned - taken
+            added_by_zone = Counter(workers[worker].zone for worker in added)
+            if len(added) > fleet_room or any(n > zone_room[zone] for zone, n in added_by_zone.items()):
+                continue
+            admitted.add((target, entry.reason.id))
+            taken |= added
+            fleet_room -= len(added)
+            for zone, n in added_by_zone.items():
+                zone_room[zone] -= n
+        return admitted
 
 
 def _rank(proposal: tuple[str, Entry]) -> tuple[int, int, str, Entry]:
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -1,18 +1,18 @@
-"""What can go wrong with a cordon, and what an operator can do."""
+"""Errors about cordons, each with what was wrong and what an operator can do."""
 
 from collections.abc import Sequence
 
 from robinhill.errors import RobinhillError
 
-NAMED = 8  # of a long list of names; an error is read on a terminal
+MAX_NAMES_SHOWN = 8  # an error is read on a terminal
 
 
 def name_some(names: Sequence[str], none: str = "none") -> str:
-    """The first few of a list of names, and how many more there are."""
+    """Return the first few of a list of names, and how many more there are."""
     if not names:
         return none
-    rest = f" and {len(names) - NAMED} more" if len(names) > NAMED else ""
-    return ", ".join(names[:NAMED]) + rest
+    rest = f" and {len(names) - MAX_NAMES_SHOWN} more" if len(names) > MAX_NAMES_SHOWN else ""
+    return ", ".join(names[:MAX_NAMES_SHOWN]) + rest
 
 
 class CordonError(RobinhillError):
@@ -22,7 +22,7 @@
 
 
 class CordonMalformed(CordonError):
-    """The call itself is wrong: its ID, target, reason or end. Nothing was changed."""
+    """The call is invalid: its ID, target, reason or end. Nothing was changed."""
 
     code = "CordonMalformed"
     advice = "name a target (worker/ID, zone/NAME, kind/NAME or cell/NUMBER), a reason, an end ahead of now"
@@ -65,7 +65,7 @@
 
 
 class NotAccepted(CordonError):
-    """By its deadline no majority of the schedulers was known to hold a change; it goes on spreading."""
+    """By the deadline no majority of the schedulers was known to hold the change; it goes on spreading."""
 
     code = "NotAccepted"
     advice = "see which schedulers are down or cut off; the list tells when it is accepted"
@@ -76,7 +76,7 @@
 
 
 class BoundNotMet(CordonError):
-    """By the call's deadline some schedulers had not confirmed the change; it holds and goes on spreading."""
+    """By the deadline some schedulers had not confirmed the change; it is accepted and goes on spreading."""
 
     code = "BoundNotMet"
     advice = "those that are named may still act as before: see whether they run, or stop them"
@@ -87,7 +87,7 @@
 
 
 class TooManyCalls(CordonError):
-    """As many changes are being followed as may be. Nothing was changed."""
+    """Too many changes are tracked at once. Nothing was changed."""
 
     code = "TooManyCalls"
     advice = "call without wait=, or wait till calls that are under way have ended"
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -1,153 +1,176 @@
-"""Which listed workers get nothing new, and why: worked out from the cordons of all targets."""
+"""Index of one scheduler's cordons: which listed workers are cordoned, and by which reasons.
+
+Derived from the values of all targets and from the list of workers; it decides which automatic cordons are
+within the budget, and never changes a value.
+"""
 
 from collections.abc import Iterable, Mapping
 from collections.abc import Set as AbstractSet
 from dataclasses import dataclass
 
-from robinhill.cordon.budget import Budget, Place
+from robinhill.cordon.budget import Budget, Location
 from robinhill.cordon.errors import CordonBudgetSpent, name_some
-from robinhill.cordon.value import Cordons, Entry, Reason, reasons
+from robinhill.cordon.value import CordonSet, Entry, Reason, active_entries
 
-NONE: frozenset[str] = frozenset()
+NO_WORKERS: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
-class CordonedNow:
-    """These listed workers, ascending, get nothing new from now on; what runs there ends."""
+class WorkersCordoned:
+    """These listed workers, ascending, get nothing new from now on; their jobs in flight go on."""
 
     workers: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class LiftedNow:
-    """These listed workers, ascending, are back, as if they had started at ``started_us``: cold."""
+class WorkersUncordoned:
+    """These listed workers, ascending, may serve again, in slow start from ``started_us`` on."""
 
     workers: tuple[str, ...]
     started_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """What an update changed, in order. ``next_us``: when an end comes up, so look again then; 0: no end."""
+class IndexUpdate:
+    """What an update changed, in order. ``next_end_us``: when the next cordon ends; 0: none has an end."""
 
-    events: tuple[CordonedNow | LiftedNow, ...]
-    next_us: int
+    events: tuple[WorkersCordoned | WorkersUncordoned, ...]
+    next_end_us: int
 
 
-def targets_of(worker_id: str, place: Place) -> tuple[str, str, str, str]:
-    """The targets whose cordons hold a worker."""
-    return f"worker/{worker_id}", f"zone/{place.zone}", f"kind/{place.kind}", f"cell/{place.cell}"
+def targets_of(worker_id: str, location: Location) -> tuple[str, str, str, str]:
+    """Return the targets whose cordons apply to a worker, its own first."""
+    return (
+        f"worker/{worker_id}",
+        f"zone/{location.zone}",
+        f"kind/{location.machine_type}",
+        f"cell/{location.cell}",
+    )
 
 
 class CordonIndex:
-    """One scheduler's view. Holds as much as there are listed workers and reasons that stand."""
+    """One scheduler's view of all cordons; its size is that of the listed workers and the active reasons."""
 
     def __init__(self, budget: Budget | None = None) -> None:
         self.budget = budget or Budget()
-        self.workers: dict[str, Place] = {}
-        self._matched: dict[str, set[str]] = {}  # listed workers, by target
-        self._standing: dict[str, tuple[Entry, ...]] = {}  # what stands, by target
-        self._good: set[tuple[str, str]] = set()  # the automatic ones in the budget: target and ID
-        self._held: dict[str, tuple[Reason, ...]] = {}
-        self._back: dict[str, int] = {}  # listed workers that were lifted, and when
+        self.workers: dict[str, Location] = {}
+        self._matching: dict[str, set[str]] = {}  # listed workers, by target
+        self._active: dict[str, tuple[Entry, ...]] = {}  # by target
+        self._admitted: set[tuple[str, str]] = set()  # automatic cordons in the budget: target and ID
+        self._reasons: dict[str, tuple[Reason, ...]] = {}  # by cordoned worker
+        self._uncordoned_us: dict[str, int] = {}  # by listed worker: when its last cordon ended
 
     def update(
-        self, now_us: int, items: Iterable[tuple[str, Cordons]], workers: Mapping[str, Place]
-    ) -> Change:
-        """Take in all cordons, by target, and all listed workers.
+        self, now_us: int, items: Iterable[tuple[str, CordonSet]], workers: Mapping[str, Location]
+    ) -> IndexUpdate:
+        """Take over all cordons, by target, and all listed workers.
 
-        A cordon of what is not listed holds once it comes. A worker that leaves the list is not lifted.
+        A cordon applies to workers that are listed later, too. A worker that leaves the list counts as
+        neither cordoned nor uncordoned.
         """
-        before = self._held
+        before = self._reasons
         if self.workers != workers:
-            self.workers = dict(workers)
-            self._matched = {}
-            for worker_id, place in self.workers.items():
-                for target in targets_of(worker_id, place):
-                    self._matched.setdefault(target, set()).add(worker_id)
-        self._standing = {target: found for target, value in items if (found := reasons(value, now_us))}
-        self._good = self._in_budget()
-        named: set[str] = set().union(*(self.matched(target) for target in self._standing))
-        self._held = {w: held for w in sorted(named) if (held := self._reasons_of(w))}
-        cordoned = tuple(sorted(self._held.keys() - before.keys()))
-        lifted = tuple(sorted((before.keys() & self.workers.keys()) - self._held.keys()))
-        back = {w: us for w, us in self._back.items() if w in self.workers and w not in self._held}
-        self._back = back | dict.fromkeys(lifted, now_us)
-        events: list[CordonedNow | LiftedNow] = []
+            self._index_workers(workers)
+        self._active = {
+            target: active for target, value in items if (active := active_entries(value, now_us))
+        }
+        self._admitted = self._admit_automatic()
+        affected: set[str] = set().union(*(self.matching(target) for target in self._active))
+        self._reasons = {w: reasons for w in sorted(affected) if (reasons := self._find_reasons(w))}
+        cordoned = tuple(sorted(self._reasons.keys() - before.keys()))
+        uncordoned = tuple(sorted((before.keys() & self.workers.keys()) - self._reasons.keys()))
+        self._record_uncordoned(uncordoned, now_us)
+        events: list[WorkersCordoned | WorkersUncordoned] = []
         if cordoned:
-            events.append(CordonedNow(cordoned))
-        if lifted:
-            events.append(LiftedNow(lifted, now_us))
-        ends = (e.reason.until_us for found in self._standing.values() for e in found)
-        return Change(tuple(events), min((us for us in ends if us), default=0))
+            events.append(WorkersCordoned(cordoned))
+        if uncordoned:
+            events.append(WorkersUncordoned(uncordoned, now_us))
+        ends = (entry.reason.until_us for entries in self._active.values() for entry in entries)
+        return IndexUpdate(tuple(events), min((us for us in ends if us), default=0))
 
-    def held(self, worker_id: str) -> tuple[Reason, ...]:
-        """The reasons why a listed worker gets nothing new; none if it may."""
-        return self._held.get(worker_id, ())
+    def reasons(self, worker_id: str) -> tuple[Reason, ...]:
+        """Return the reasons why a listed worker is cordoned; none if it is not."""
+        return self._reasons.get(worker_id, ())
 
-    def held_workers(self) -> AbstractSet[str]:
-        """All listed workers that get nothing new."""
-        return self._held.keys()
+    def cordoned_workers(self) -> AbstractSet[str]:
+        """Return all listed workers that are cordoned."""
+        return self._reasons.keys()
 
     def started_us(self, worker_id: str, listed_us: int) -> int:
-        """When a worker started, as the decision module is to see it: one that was lifted is cold."""
-        return max(listed_us, self._back.get(worker_id, 0))
+        """Return from when on a worker's slow start counts: its start, or the end of its last cordon."""
+        return max(listed_us, self._uncordoned_us.get(worker_id, 0))
 
-    def matched(self, target: str) -> AbstractSet[str]:
-        """The listed workers that a target names."""
-        return self._matched.get(target, NONE)
+    def matching(self, target: str) -> AbstractSet[str]:
+        """Return the listed workers of a target."""
+        return self._matching.get(target, NO_WORKERS)
 
-    def standing(self) -> tuple[tuple[str, Entry], ...]:
-        """All that stands, by ascending target and ID, automatic ones over the budget with it."""
-        return tuple((target, entry) for target in sorted(self._standing) for entry in self._standing[target])
+    def active(self) -> tuple[tuple[str, Entry], ...]:
+        """Return all active entries by ascending target and ID, automatic ones over the budget included."""
+        return tuple((target, entry) for target in sorted(self._active) for entry in self._active[target])
 
-    def counts(self, target: str, reason: Reason) -> bool:
-        """Whether a reason that stands holds its workers: not if it is automatic and over the budget."""
-        return not reason.automatic or (target, reason.id) in self._good
+    def is_in_effect(self, target: str, reason: Reason) -> bool:
+        """Return whether an active reason cordons its workers: not if it is automatic and over the budget."""
+        return not reason.automatic or (target, reason.id) in self._admitted
 
     def check_budget(self) -> None:
-        """CordonBudgetSpent if automatic cordons wait for room; for the log and the figures."""
-        over = [target for target, entry in self.standing() if not self.counts(target, entry.reason)]
+        """Raise CordonBudgetSpent if automatic cordons are over the budget."""
+        over = [target for target, entry in self.active() if not self.is_in_effect(target, entry.reason)]
         if over:
             raise CordonBudgetSpent(f"{len(over)} automatic cordons are over the budget: {name_some(over)}")
 
     def warnings(self, target: str) -> tuple[str, ...]:
-        """What an operator should know who cordons a target: what it leaves without any worker."""
-        matched = self.matched(target)
-        if not matched:
-            word = target.partition("/")[0]
-            known = sorted(t.partition("/")[2] for t in self._matched if t.startswith(f"{word}/"))
-            there = "" if word == "worker" else f"; listed are: {name_some(known)}"
-            return (f"no listed worker is of {target}: it holds once one comes{there}",)
-        left = [place for worker, place in self.workers.items() if worker not in self._held.keys() | matched]
+        """Return warnings for an operator who cordons a target: what is left without any worker."""
+        matching = self.matching(target)
+        if not matching:
+            return (self._warn_of_no_match(target),)
+        unavailable = self._reasons.keys() | matching
+        left = [location for worker, location in self.workers.items() if worker not in unavailable]
         if not left:
             return ("no worker is left: nothing new can be placed at all",)
-        mine = [self.workers[worker] for worker in matched]
-        zones = sorted({place.zone for place in mine} - {place.zone for place in left})
-        kinds = sorted({place.kind for place in mine} - {place.kind for place in left})
+        cordoned = [self.workers[worker] for worker in matching]
+        zones = sorted({each.zone for each in cordoned} - {each.zone for each in left})
+        types = sorted({each.machine_type for each in cordoned} - {each.machine_type for each in left})
         return (
             *(f"no worker is left in zone {zone!r}" for zone in zones),
-            *(f"no worker of kind {kind!r} is left: classes that need it can't run" for kind in kinds),
+            *(f"no worker of kind {name!r} is left: classes that need it can't run" for name in types),
         )
 
-    def _in_budget(self) -> set[tuple[str, str]]:
+    def _warn_of_no_match(self, target: str) -> str:
+        scope = target.partition("/")[0]
+        known = sorted(t.partition("/")[2] for t in self._matching if t.startswith(f"{scope}/"))
+        listed = "" if scope == "worker" else f"; listed are: {name_some(known)}"
+        return f"no listed worker is of {target}: it holds once one comes{listed}"
+
+    def _index_workers(self, workers: Mapping[str, Location]) -> None:
+        self.workers = dict(workers)
+        self._matching = {}
+        for worker_id, location in self.workers.items():
+            for target in targets_of(worker_id, location):
+                self._matching.setdefault(target, set()).add(worker_id)
+
+    def _record_uncordoned(self, uncordoned: Iterable[str], now_us: int) -> None:
+        still_listed = {
+            worker: us
+            for worker, us in self._uncordoned_us.items()
+            if worker in self.workers and worker not in self._reasons
+        }
+        self._uncordoned_us = still_listed | dict.fromkeys(uncordoned, now_us)
+
+    def _admit_automatic(self) -> set[tuple[str, str]]:
         proposals: list[tuple[str, Entry]] = []
-        out: set[str] = set()
-        for target, found in self._standing.items():
-            for entry in found:
+        operator_cordoned: set[str] = set()
+        for target, entries in self._active.items():
+            for entry in entries:
                 if entry.reason.automatic:
                     proposals.append((target, entry))
                 else:
-                    out |= self.matched(target)
-        return self.budget.within(proposals, self._matched, self.workers, out)
+                    operator_cordoned |= self.matching(target)
+        return self.budget.admit(proposals, self._matching, self.workers, operator_cordoned)
 
-    def _reasons_of(self, worker_id: str) -> tuple[Reason, ...]:
+    def _find_reasons(self, worker_id: str) -> tuple[Reason, ...]:
         return tuple(
             entry.reason
             for target in targets_of(worker_id, self.workers[worker_id])
-            for entry in self._standing.get(target, ())
-            if self.counts(target, entry.reason)
+            for entry in self._active.get(target, ())
+            if self.is_in_effect(target, entry.reason)
         )
-
-
-__all__ = ["Budget", "Change", "CordonIndex", "CordonedNow", "LiftedNow", "Place", "targets_of"]
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -1,17 +1,19 @@
-"""What a call about cordons may tell, and when: stored, accepted, in force, or who has not confirmed.
-
-A *set* goes received -> stored here -> accepted -> in force. Accepted under ``hold``: a majority of the
-configured schedulers hold it (the mesh counts them); under ``serve``: as soon as it is stored here. In force:
-each scheduler that could still send has confirmed, *after its last send to the target's workers*, that it
-holds it; or its process has ended; or it is known to keep to ``hold`` and the bound is over since a majority
-was known to hold it (docs/mesh.md says why no send can come later; going over to ``serve`` while cut off
-breaks the contract, so the mode is to be the same at all). A *lift* is in force once each has confirmed: a
-scheduler that is cut off goes on leaving the worker out, whatever time passes.
-
-That a scheduler is not heard from (suspect, gone) proves nothing: it may be on the far side of a broken link
-and send. Nor does what a process confirmed bind the next one of the same name, which may have lost its state.
-
-Times are microseconds of this process's monotonic clock, ``mono_us``, never compared with another's.
+"""How far one change of cordons has come: stored, accepted, in force, and who has not confirmed it.
+
+A *set* goes received -> stored here -> accepted -> in force. It is accepted under ``hold`` once a majority of
+the configured schedulers holds it (the mesh counts them), under ``serve`` as soon as it is stored here. It is
+in force once each scheduler that could still send has confirmed, *after its last send to the target's
+workers*, that it holds the change; or its process has ended; or it is known to run under ``hold`` and the
+bound has passed since a majority was known to hold the change (docs/mesh.md explains why no send can come
+later; a scheduler that changes to ``serve`` while cut off breaks that, so all must run in the same mode). A
+*lift* is in force once each scheduler has confirmed it: one that is cut off keeps the worker cordoned,
+however long.
+
+That a scheduler is unreachable (suspect, gone) proves nothing: it may send on the far side of a broken link.
+Nor does a confirmation of one process count for the next process of that name, which may have lost its state.
+
+No input or output. Times are microseconds of this process's monotonic clock (``mono_us``) and are never
+compared with another process's.
 """
 
 from collections.abc import Iterable, Sequence
@@ -23,24 +25,28 @@
 
 
 class Mode(Enum):
-    """What a scheduler does that may be behind: go on, or place nothing new where it can't vouch."""
+    """What a scheduler does without a lease, when it may not know the latest cordons."""
 
     SERVE = "serve"
+    """It goes on sending."""
     HOLD = "hold"
+    """It sends nothing new."""
 
 
-class Standing(Enum):
-    """What is known of a scheduler's process."""
+class ProcessStatus(Enum):
+    """What is known of a scheduler's process. The values are part of operators' answers."""
 
-    UNHEARD = "not heard from since this scheduler started"
+    UNKNOWN = "not heard from since this scheduler started"
     ALIVE = "alive"
     SUSPECT = "suspect"
     GONE = "gone"
-    LEFT = "left"  # its own last word, after its last send: the process has ended
+    """Without a link for some time; it may still run."""
+    LEFT = "left"
+    """It acknowledged its end after its last send."""
 
 
 class PropagationStage(IntEnum):
-    """How far a call has come; it never goes back."""
+    """How far a change has come; a change never returns to an earlier stage."""
 
     RECEIVED = 0
     STORED = 1
@@ -50,188 +56,207 @@
 
 @dataclass(slots=True, frozen=True)
 class Scheduler:
-    """One scheduler as known here. ``mode`` and ``bound_us`` are its own word, None and 0 before it came."""
+    """One scheduler as known here.
+
+    ``mode`` and ``bound_us`` are as it acknowledged them, None and 0 before its first acknowledgement.
+    """
 
     name: str
     incarnation: int = 0
-    standing: Standing = Standing.UNHEARD
+    status: ProcessStatus = ProcessStatus.UNKNOWN
     mode: Mode | None = None
     bound_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Unconfirmed:
-    """A scheduler that may still act as before, and why it is thought so."""
+    """A scheduler that may still act as before the change, and why."""
 
     name: str
     why: str
 
 
 def with_slack(bound_us: int) -> int:
-    """A bound with room for monotonic clocks that run unlike, and for a send that is on its way."""
-    return bound_us + int(bound_us * limits.SLACK_SHARE) + limits.SLACK_US
+    """Return the bound, extended by clock drift and by the time that a send may be on its way."""
+    return bound_us + int(bound_us * limits.CLOCK_DRIFT_SHARE) + limits.SEND_SLACK_US
 
 
 class Propagation:
-    """One call that is followed. ``schedulers`` are all that are configured, this one (``me``) with them.
+    """The propagation of one change to all schedulers.
 
-    ``deadline_us``: until when the caller waits for it to be in force; None: it does not wait.
+    ``schedulers`` are all that are configured, this one (``own_name``) included. ``deadline_us`` is until
+    when the caller waits for the change to be in force, None if it does not wait.
     """
 
     def __init__(
         self,
-        what: str,
-        me: str,
+        description: str,
+        own_name: str,
         mode: Mode,
         schedulers: Iterable[Scheduler],
         *,
-        lifts: bool = False,
+        is_lift: bool = False,
         deadline_us: int | None = None,
     ) -> None:
-        self.what = what
-        self.me = me
+        self.description = description
+        self.own_name = own_name
         self.mode = mode
-        self.lifts = lifts
+        self.is_lift = is_lift
         self.deadline_us = deadline_us
-        self.step = PropagationStage.RECEIVED
-        self.majority_us: int | None = None
+        self.stage = PropagationStage.RECEIVED
+        self.majority_since_us: int | None = None
         self._schedulers = {s.name: s for s in schedulers}
-        if me not in self._schedulers:
-            raise ValueError(f"{me} is not among the schedulers")
-        self._confirmed: dict[str, int] = {}  # the incarnation that confirmed
-
-    def stored(self, mono_us: int) -> None:
-        """It is written here (and on disk, where there is one)."""
-        self.step = max(self.step, PropagationStage.STORED)
-        self.look(mono_us)
-
-    def accepted(self, mono_us: int) -> None:
-        """A majority is known to hold it since now; that stays so, whatever becomes of its members."""
-        if self.majority_us is None:
-            self.majority_us = mono_us
-        self.look(mono_us)
-
-    def confirmed(self, mono_us: int, name: str, incarnation: int) -> None:
-        """A scheduler says: its dispatcher has taken the change in, and sent its last before."""
+        if own_name not in self._schedulers:
+            raise ValueError(f"{own_name} is not among the schedulers")
+        self._confirmed_incarnations: dict[str, int] = {}  # by scheduler: the latest that confirmed
+
+    def mark_stored(self, mono_us: int) -> None:
+        """Record that the change is written here (and on disk, where there is one)."""
+        self.stage = max(self.stage, PropagationStage.STORED)
+        self.advance(mono_us)
+
+    def mark_accepted(self, mono_us: int) -> None:
+        """Record that a majority holds the change. It stays accepted, whatever becomes of the majority."""
+        if self.majority_since_us is None:
+            self.majority_since_us = mono_us
+        self.advance(mono_us)
+
+    def record_confirmation(self, mono_us: int, name: str, incarnation: int) -> None:
+        """Record that a scheduler's dispatcher has applied the change, after its last send without it."""
         if name in self._schedulers:
-            self._confirmed[name] = max(incarnation, self._confirmed.get(name, incarnation))
-        self.look(mono_us)
+            known = self._confirmed_incarnations.get(name, incarnation)
+            self._confirmed_incarnations[name] = max(incarnation, known)
+        self.advance(mono_us)
 
-    def heard(self, mono_us: int, scheduler: Scheduler) -> None:
-        """News of a scheduler. One that is new here has to confirm like all: it will send too."""
+    def update_scheduler(self, mono_us: int, scheduler: Scheduler) -> None:
+        """Record the state of a scheduler. One that was not known has to confirm too, as it will send."""
         known = self._schedulers.get(scheduler.name)
         if known is None or scheduler.incarnation >= known.incarnation:
             self._schedulers[scheduler.name] = scheduler
-        self.look(mono_us)
+        self.advance(mono_us)
 
-    def removed(self, mono_us: int, name: str) -> None:
-        """Operators took a scheduler out of the installation: their word that it runs no more."""
-        if name != self.me:
+    def remove_scheduler(self, mono_us: int, name: str) -> None:
+        """Forget a scheduler that operators removed from the configuration: it no longer runs."""
+        if name != self.own_name:
             self._schedulers.pop(name, None)
-            self._confirmed.pop(name, None)
-        self.look(mono_us)
+            self._confirmed_incarnations.pop(name, None)
+        self.advance(mono_us)
 
-    def look(self, mono_us: int) -> PropagationStage:
-        """Go on as far as what is known allows."""
-        if self.step is PropagationStage.STORED and (self.mode is Mode.SERVE or self.majority_us is not None):
-            self.step = PropagationStage.ACCEPTED
-        if self.step is PropagationStage.ACCEPTED and not self.unconfirmed(mono_us):
-            self.step = PropagationStage.IN_FORCE
-        return self.step
+    def advance(self, mono_us: int) -> PropagationStage:
+        """Advance as far as the known facts allow, and return the stage."""
+        if self.stage is PropagationStage.STORED and self._is_accepted():
+            self.stage = PropagationStage.ACCEPTED
+        if self.stage is PropagationStage.ACCEPTED and not self.unconfirmed(mono_us):
+            self.stage = PropagationStage.IN_FORCE
+        return self.stage
 
     def unconfirmed(self, mono_us: int) -> tuple[Unconfirmed, ...]:
-        """Who may still act as before, ascending; nobody once it is in force."""
-        if self.step is PropagationStage.IN_FORCE:
+        """Return the schedulers that may still act as before, by name; none once in force."""
+        if self.stage is PropagationStage.IN_FORCE:
             return ()
-        waits = (self._why(s, mono_us) for _, s in sorted(self._schedulers.items()))
-        return tuple(u for u in waits if u is not None)
+        found = (self._check_scheduler(s, mono_us) for _, s in sorted(self._schedulers.items()))
+        return tuple(unconfirmed for unconfirmed in found if unconfirmed is not None)
 
-    def next_us(self) -> int | None:
-        """The next time at which the clock alone may change something; None if only news can."""
-        if self.step is PropagationStage.IN_FORCE:
+    def next_deadline_us(self) -> int | None:
+        """Return when the passing of time alone may change something next, None if it can't."""
+        if self.stage is PropagationStage.IN_FORCE:
             return None
-        ends = [] if self.deadline_us is None else [self.deadline_us]
-        if self.majority_us is not None:
-            waits = [self._schedulers[u.name] for u in self.unconfirmed(self.majority_us)]
-            if all(self._leased(s) for s in waits):
-                ends.append(self.majority_us + max((with_slack(s.bound_us) for s in waits), default=0))
-        return min(ends, default=None)
+        deadlines = [] if self.deadline_us is None else [self.deadline_us]
+        if self.majority_since_us is not None:
+            waiting = [self._schedulers[u.name] for u in self.unconfirmed(self.majority_since_us)]
+            if all(self._is_bound_by_lease(s) for s in waiting):
+                longest_us = max((with_slack(s.bound_us) for s in waiting), default=0)
+                deadlines.append(self.majority_since_us + longest_us)
+        return min(deadlines, default=None)
 
     def failure(self, mono_us: int, missing: Sequence[str] = ()) -> CordonError | None:
-        """What a call is told that waits no longer; None: in force. ``missing``: who does not hold it."""
-        if self.look(mono_us) is PropagationStage.IN_FORCE:
+        """Return the error for a caller that no longer waits, None if the change is in force.
+
+        ``missing`` are the schedulers that are not known to hold the change.
+        """
+        if self.advance(mono_us) is PropagationStage.IN_FORCE:
             return None
-        if self.step is PropagationStage.ACCEPTED:
-            return BoundNotMet(self.what, [f"{u.name} ({u.why})" for u in self.unconfirmed(mono_us)])
-        return NotAccepted(self.what, missing)
-
-    def _bound(self, s: Scheduler) -> bool:
-        """Whether a scheduler's process of now, or a later one than is known here, has confirmed."""
-        said = self._confirmed.get(s.name)
-        return said is not None and said >= s.incarnation
-
-    def _leased(self, s: Scheduler) -> bool:
-        """Whether a scheduler stops by itself when it is behind."""
-        return not self.lifts and s.mode is Mode.HOLD and s.bound_us > 0
-
-    def _why(self, s: Scheduler, mono_us: int) -> Unconfirmed | None:
-        """Why a scheduler may still act as before; None if it can't."""
-        if s.standing is Standing.LEFT or self._bound(s):
+        if self.stage is PropagationStage.ACCEPTED:
+            return BoundNotMet(self.description, [f"{u.name} ({u.why})" for u in self.unconfirmed(mono_us)])
+        return NotAccepted(self.description, missing)
+
+    def _is_accepted(self) -> bool:
+        return self.mode is Mode.SERVE or self.majority_since_us is not None
+
+    def _has_confirmed(self, scheduler: Scheduler) -> bool:
+        """Return whether the scheduler's present process, or a later one, has confirmed."""
+        confirmed = self._confirmed_incarnations.get(scheduler.name)
+        return confirmed is not None and confirmed >= scheduler.incarnation
+
+    def _is_bound_by_lease(self, scheduler: Scheduler) -> bool:
+        """Return whether the scheduler stops by itself once its lease has expired."""
+        return not self.is_lift and scheduler.mode is Mode.HOLD and scheduler.bound_us > 0
+
+    def _check_scheduler(self, scheduler: Scheduler, mono_us: int) -> Unconfirmed | None:
+        """Return why a scheduler may still act as before, None if it can't."""
+        status = scheduler.status
+        if status is ProcessStatus.LEFT or self._has_confirmed(scheduler):
             return None
-        if self._leased(s):
-            if self.majority_us is not None and mono_us >= self.majority_us + with_slack(s.bound_us):
+        if self._is_bound_by_lease(scheduler):
+            since_us = self.majority_since_us
+            if since_us is not None and mono_us >= since_us + with_slack(scheduler.bound_us):
                 return None
-            return Unconfirmed(s.name, f"{s.standing.value}, its lease may last")
-        if s.name in self._confirmed:
-            return Unconfirmed(s.name, f"{s.standing.value}, started again since it confirmed")
-        return Unconfirmed(s.name, s.standing.value)
+            return Unconfirmed(scheduler.name, f"{status.value}, its lease may last")
+        if scheduler.name in self._confirmed_incarnations:
+            return Unconfirmed(scheduler.name, f"{status.value}, started again since it confirmed")
+        return Unconfirmed(scheduler.name, status.value)
 
 
 class Propagations:
-    """All calls that are followed: bounded, those in force forgotten first, then those that nobody waits for.
+    """A bounded table of propagations, by key: the dot of a cordon, or a key that the caller chose.
 
-    Each is known by what it wrote (a cordon's dot) or a number that the caller chose.
+    At capacity, propagations that are in force are evicted first, then those that no caller waits for.
     """
 
-    def __init__(self, bound: int = limits.PROMISES) -> None:
-        self.bound = bound
-        self._open: dict[str, Propagation] = {}
-
-    def follow(self, key: str, promise: Propagation) -> None:
-        """TooManyCalls if somebody waits for each that is followed."""
-        if key not in self._open:
-            self.make_room()
-        self._open[key] = promise
-
-    def make_room(self) -> None:
-        """Forget one for the next, if need be; to be called before what it is about is written."""
-        if len(self._open) >= self.bound:
-            done = [k for k, p in self._open.items() if p.step is PropagationStage.IN_FORCE]
-            free = done or [k for k, p in self._open.items() if p.deadline_us is None]
-            if not free:
-                raise TooManyCalls(f"{self.bound} changes are waited for")
-            del self._open[free[0]]
-
-    def waited(self, mono_us: int) -> tuple[str, ...]:
-        """The keys of calls whose wait has ended, in force or not, the oldest first; each is named once."""
+    def __init__(self, capacity: int = limits.MAX_PROPAGATIONS) -> None:
+        self.capacity = capacity
+        self._by_key: dict[str, Propagation] = {}
+
+    def add(self, key: str, propagation: Propagation) -> None:
+        """Add a propagation. Raises TooManyCalls if a caller waits for each one in the table."""
+        if key not in self._by_key:
+            self.reserve()
+        self._by_key[key] = propagation
+
+    def reserve(self) -> None:
+        """Evict one if the table is full; to be called before the change is written. Raises TooManyCalls."""
+        if len(self._by_key) < self.capacity:
+            return
+        in_force = [k for k, p in self._by_key.items() if p.stage is PropagationStage.IN_FORCE]
+        evictable = in_force or [k for k, p in self._by_key.items() if p.deadline_us is None]
+        if not evictable:
+            raise TooManyCalls(f"{self.capacity} changes are waited for")
+        del self._by_key[evictable[0]]
+
+    def end_waits(self, mono_us: int) -> tuple[str, ...]:
+        """End the waits of callers whose change is in force or whose deadline has passed.
+
+        Returns the keys, the oldest first. Each wait ends once.
+        """
         ended = []
-        for key, promise in self._open.items():
-            at = promise.deadline_us
-            if at is not None and (promise.look(mono_us) is PropagationStage.IN_FORCE or mono_us >= at):
-                promise.deadline_us = None
+        for key, propagation in self._by_key.items():
+            deadline_us = propagation.deadline_us
+            if deadline_us is None:
+                continue
+            if propagation.advance(mono_us) is PropagationStage.IN_FORCE or mono_us >= deadline_us:
+                propagation.deadline_us = None
                 ended.append(key)
         return tuple(ended)
 
     def get(self, key: str) -> Propagation | None:
-        return self._open.get(key)
-
-    def drop(self, key: str) -> None:
-        self._open.pop(key, None)
+        """Return the propagation of this key, None if there is none."""
+        return self._by_key.get(key)
 
-    def under_way(self) -> tuple[Propagation, ...]:
-        """Those that can still go on: tell them all news."""
-        return tuple(p for p in self._open.values() if p.step is not PropagationStage.IN_FORCE)
+    def pending(self) -> tuple[Propagation, ...]:
+        """Return the propagations that are not in force yet."""
+        return tuple(p for p in self._by_key.values() if p.stage is not PropagationStage.IN_FORCE)
 
-    def next_us(self) -> int | None:
-        """The next time at which the clock alone may change something."""
-        return min((us for p in self.under_way() if (us := p.next_us()) is not None), default=None)
+    def next_deadline_us(self) -> int | None:
+        """Return when the passing of time alone may change something next, None if it can't."""
+        deadlines = (propagation.next_deadline_us() for propagation in self.pending())
+        return min((us for us in deadlines if us is not None), default=None)
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -1,10 +1,12 @@
-"""How far changes of cordons have come at all schedulers, from what each says of itself (`mesh.notices`).
+"""Tracks how far this process's changes of cordons have come, by the acknowledgements of all schedulers.
 
-A scheduler's word holds digests of the cordons that its dispatcher goes by. Copies only grow: so whoever goes
-by a value that was held here at the change or later goes by the change. Values that were held only elsewhere
-confirm nothing, which is safe; once copies are equal, so are the digests.
+A scheduler's acknowledgement (`mesh.acknowledgements`) carries digests of the cordons that its dispatcher
+goes by. Copies only grow, so a scheduler that goes by a value that was held here at the change or later goes
+by the change. A value that was held only elsewhere confirms nothing, which is safe: once copies are equal, so
+are the digests.
 
-``mono_us``: monotonic microseconds of this process.
+No input or output: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of this
+process's monotonic clock.
 """
 
 from collections import deque
@@ -13,229 +15,251 @@
 
 from robinhill.cordon.propagation import (
     Mode,
+    ProcessStatus,
     Propagation,
     Propagations,
     PropagationStage,
     Scheduler,
-    Standing,
 )
 from robinhill.mesh.acceptance import Acceptance
 from robinhill.mesh.acknowledgements import RECENT, Acknowledgement, Applied
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
-HISTORY = 256  # digests of before that still confirm: as many changes may pass while a scheduler answers
+MAX_DIGESTS = 256  # later digests of a change that still confirm it
 MODES = {mode.value for mode in Mode}
-LOST_US = 5_000_000  # without a link for so long, a scheduler is called gone and not suspect
+GONE_AFTER_US = 5_000_000  # without a link for longer, a scheduler is gone and no longer suspect
 
 
 @dataclass(slots=True, eq=False)
-class Followed:
-    """A change: what was written, and digests since, of each target and of all cordons."""
+class TrackedChange:
+    """A change that was written here, with the digests since then that confirm it.
+
+    ``stamps`` and ``digests`` are by target; ``overall_digests`` are of all cordons.
+    """
 
     key: str
     cordon_id: str
     began_us: int
-    promise: Propagation
-    stamps: dict[str, Stamp]  # by target
+    propagation: Propagation
+    stamps: dict[str, Stamp]
     digests: dict[str, deque[bytes]] = field(default_factory=dict)
-    whole: deque[bytes] = field(default_factory=lambda: deque(maxlen=HISTORY))
+    overall_digests: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_DIGESTS))
 
-    def shows(self, notice: Acknowledgement) -> bool:
-        """Whether a scheduler that says so goes by this change."""
-        recent = dict(notice.recent)
-        return notice.applied in self.whole or all(
+    def is_confirmed_by(self, acknowledgement: Acknowledgement) -> bool:
+        """Return whether the scheduler that wrote the acknowledgement goes by this change."""
+        recent = dict(acknowledgement.recent)
+        return acknowledgement.applied in self.overall_digests or all(
             recent.get(target) in digests for target, digests in self.digests.items()
         )
 
 
 @dataclass(slots=True)
-class Peer:
-    """What is known of another scheduler."""
+class PeerState:
+    """What is known of another scheduler.
+
+    ``link_changed_us`` is when its link last came up or went down, 0 before the first time.
+    """
 
-    notice: Acknowledgement | None = None
+    acknowledgement: Acknowledgement | None = None
     linked: bool = False
-    heard_us: int = 0
+    link_changed_us: int = 0
     incarnation: int = 0
 
     @property
-    def word(self) -> Acknowledgement | None:
-        """Its last word, if it is of its present process."""
-        return self.notice if self.notice and self.notice.incarnation >= self.incarnation else None
+    def current_acknowledgement(self) -> Acknowledgement | None:
+        """Its last acknowledgement, if its present process wrote it."""
+        last = self.acknowledgement
+        return last if last and last.incarnation >= self.incarnation else None
+
 
+class PropagationTracker:
+    """All changes of this process that are tracked, and what is known of the other schedulers.
 
-class Following:
-    """All changes of this process that are under way, and what is known of the other schedulers."""
+    ``applied`` holds the digests of this process's copy; ``recent_targets`` are the targets that changed
+    last, the latest at the end.
+    """
 
-    def __init__(self, me: str, mode: Mode, bound_us: int, quorum: Quorum) -> None:
-        self.me, self.mode, self.bound_us = me, mode, bound_us
+    def __init__(self, own_name: str, mode: Mode, bound_us: int, quorum: Quorum) -> None:
+        self.own_name, self.mode, self.bound_us = own_name, mode, bound_us
         self.quorum = quorum
         self.incarnation = 0  # of this process
-        self.peers: dict[str, Peer] = {}
-        self.applied = Applied()  # what is held here
-        self.recent: dict[str, None] = {}  # targets that changed last, the latest behind
-        self.promises = Propagations()
+        self.peers: dict[str, PeerState] = {}
+        self.applied = Applied()
+        self.recent_targets: dict[str, None] = {}
+        self.propagations = Propagations()
         self.acceptance = Acceptance(quorum)
-        self._open: dict[str, Followed] = {}
+        self._changes: dict[str, TrackedChange] = {}
 
     def reconfigure(self, mono_us: int, names: Iterable[str]) -> None:
-        """These schedulers are configured now."""
-        wanted = set(names) - {self.me}
-        for gone in sorted(self.peers.keys() - wanted):
-            del self.peers[gone]
-            for promise in self.promises.under_way():
-                promise.removed(mono_us, gone)
-        for name in sorted(wanted - self.peers.keys()):
-            self.peers[name] = Peer()
-            self._news(mono_us, name)
+        """Take over a new list of configured schedulers."""
+        configured = set(names) - {self.own_name}
+        for removed in sorted(self.peers.keys() - configured):
+            del self.peers[removed]
+            for propagation in self.propagations.pending():
+                propagation.remove_scheduler(mono_us, removed)
+        for name in sorted(configured - self.peers.keys()):
+            self.peers[name] = PeerState()
+            self._update_propagations(mono_us, name)
         for stamp in self.acceptance.review(mono_us):
-            self._accepted(mono_us, stamp)
+            self._mark_accepted(mono_us, stamp)
 
     # Changes
 
-    def changed(self, target: str, value: bytes) -> None:
-        """A value is held here now."""
+    def record_value(self, target: str, value: bytes) -> None:
+        """Record that a value, encoded, is now held here."""
         digest = self.applied.put(target, value)
-        self.recent.pop(target, None)
-        self.recent[target] = None
-        if len(self.recent) > RECENT:
-            del self.recent[next(iter(self.recent))]
-        for each in self._open.values():
-            if target in each.digests:
-                each.digests[target].append(digest)
-            each.whole.append(self.applied.all)
-
-    def follow(
+        self.recent_targets.pop(target, None)
+        self.recent_targets[target] = None
+        if len(self.recent_targets) > RECENT:
+            del self.recent_targets[next(iter(self.recent_targets))]
+        for change in self._changes.values():
+            if target in change.digests:
+                change.digests[target].append(digest)
+            change.overall_digests.append(self.applied.all)
+
+    def track(
         self,
         mono_us: int,
         key: str,
         cordon_id: str,
         written: Sequence[Record],
         *,
-        lifts: bool,
+        is_lift: bool,
         deadline_us: int | None,
         stored: bool,
-    ) -> Followed:
-        """Follow what was just written here, before `changed` is told of it. TooManyCalls."""
-        what = f"the lift of {cordon_id}" if lifts else cordon_id
-        schedulers = [self.scheduler(mono_us, name) for name in sorted({*self.peers, self.me})]
-        promise = Propagation(what, self.me, self.mode, schedulers, lifts=lifts, deadline_us=deadline_us)
-        self.promises.follow(key, promise)
-        followed = Followed(key, cordon_id, mono_us, promise, {r.key: r.stamp for r in written})
-        followed.digests = {r.key: deque(maxlen=HISTORY) for r in written}
+    ) -> TrackedChange:
+        """Track a change that was just written here; call it before `record_value`. Raises TooManyCalls.
+
+        ``stored`` is whether this process's copy counts as stored, see `mark_all_stored`.
+        """
+        description = f"the lift of {cordon_id}" if is_lift else cordon_id
+        schedulers = [self.scheduler(mono_us, name) for name in sorted({*self.peers, self.own_name})]
+        propagation = Propagation(
+            description, self.own_name, self.mode, schedulers, is_lift=is_lift, deadline_us=deadline_us
+        )
+        self.propagations.add(key, propagation)
+        change = TrackedChange(key, cordon_id, mono_us, propagation, {r.key: r.stamp for r in written})
+        change.digests = {r.key: deque(maxlen=MAX_DIGESTS) for r in written}
         for record in written:
             self.acceptance.follow(mono_us, record.stamp)
-        self._open[key] = followed
-        self._prune()
+        self._changes[key] = change
+        self._forget_evicted()
         if stored:
-            promise.stored(mono_us)
-        return followed
-
-    def _prune(self) -> None:
-        """Forget what nobody asks after any more."""
-        for key in [k for k in self._open if self.promises.get(k) is None]:
-            for stamp in self._open.pop(key).stamps.values():
+            propagation.mark_stored(mono_us)
+        return change
+
+    def get(self, key: str) -> TrackedChange | None:
+        """Return the change of this key, None if it is not tracked."""
+        return self._changes.get(key)
+
+    def pending(self) -> list[TrackedChange]:
+        """Return the changes that are not in force yet."""
+        in_force = PropagationStage.IN_FORCE
+        return [change for change in self._changes.values() if change.propagation.stage is not in_force]
+
+    def mark_all_stored(self, mono_us: int) -> None:
+        """Record that this process counts for majorities: what it holds counts as stored from now on."""
+        for change in self._changes.values():
+            change.propagation.mark_stored(mono_us)
+
+    def missing_holders(self, change: TrackedChange) -> tuple[str, ...]:
+        """Return the schedulers that are not known to hold a change, by name."""
+        missing = {name for stamp in change.stamps.values() for name in self.acceptance.unconfirmed(stamp)}
+        return tuple(sorted(missing))
+
+    def _forget_evicted(self) -> None:
+        """Forget changes whose propagation was evicted."""
+        for key in [k for k in self._changes if self.propagations.get(k) is None]:
+            for stamp in self._changes.pop(key).stamps.values():
                 self.acceptance.forget(stamp)
 
-    def get(self, key: str) -> Followed | None:
-        return self._open.get(key)
-
-    def under_way(self) -> list[Followed]:
-        return [f for f in self._open.values() if f.promise.step is not PropagationStage.IN_FORCE]
-
-    def counts(self, mono_us: int) -> None:
-        """This process counts for majorities from now on: what it has stored is stored in earnest."""
-        for each in self._open.values():
-            each.promise.stored(mono_us)
-
-    def missing(self, followed: Followed) -> tuple[str, ...]:
-        """Who does not hold a change, as far as is known here."""
-        return tuple(
-            sorted({n for stamp in followed.stamps.values() for n in self.acceptance.unconfirmed(stamp)})
-        )
-
-    def _match(self, mono_us: int, name: str, notice: Acknowledgement) -> None:
-        for each in self.under_way():
-            if not each.shows(notice):
+    def _confirm_changes(self, mono_us: int, name: str, acknowledgement: Acknowledgement) -> None:
+        for change in self.pending():
+            if not change.is_confirmed_by(acknowledgement):
                 continue
-            if notice.counts:
-                for stamp in each.stamps.values():
-                    if self.acceptance.confirmed(mono_us, name, notice.incarnation, stamp):
-                        self._accepted(mono_us, stamp)
-            each.promise.confirmed(mono_us, name, notice.incarnation)
-
-    def _accepted(self, mono_us: int, stamp: Stamp) -> None:
-        for each in self.under_way():
-            if stamp in each.stamps.values() and all(
-                self.acceptance.accepted_us(s) is not None for s in each.stamps.values()
-            ):
-                each.promise.accepted(mono_us)
+            if acknowledgement.counts:
+                for stamp in change.stamps.values():
+                    if self.acceptance.confirmed(mono_us, name, acknowledgement.incarnation, stamp):
+                        self._mark_accepted(mono_us, stamp)
+            change.propagation.record_confirmation(mono_us, name, acknowledgement.incarnation)
+
+    def _mark_accepted(self, mono_us: int, stamp: Stamp) -> None:
+        for change in self.pending():
+            stamps = change.stamps.values()
+            if stamp in stamps and all(self.acceptance.accepted_us(s) is not None for s in stamps):
+                change.propagation.mark_accepted(mono_us)
 
     # Schedulers
 
-    def said(self, mono_us: int, name: str, notice: Acknowledgement) -> None:
-        """A scheduler's word on itself, or our own."""
-        if name == self.me:
-            self._match(mono_us, name, notice)
+    def record_acknowledgement(self, mono_us: int, name: str, acknowledgement: Acknowledgement) -> None:
+        """Record the acknowledgement of a scheduler, this one included."""
+        if name == self.own_name:
+            self._confirm_changes(mono_us, name, acknowledgement)
         elif (peer := self.peers.get(name)) is not None:
-            peer.notice = notice
-            self.started(mono_us, name, notice.incarnation)
-            self._news(mono_us, name)
-            if peer.word:
-                self._match(mono_us, name, notice)
-
-    def started(self, mono_us: int, name: str, incarnation: int) -> bool:
-        """A scheduler runs in this start. True if that is news, and not the first of it."""
+            peer.acknowledgement = acknowledgement
+            self.record_start(mono_us, name, acknowledgement.incarnation)
+            self._update_propagations(mono_us, name)
+            if peer.current_acknowledgement:
+                self._confirm_changes(mono_us, name, acknowledgement)
+
+    def record_start(self, mono_us: int, name: str, incarnation: int) -> bool:
+        """Record the incarnation of a peer. Returns whether it is a restart that was not known."""
         peer = self.peers[name]
         if incarnation <= peer.incarnation:
             return False
-        again, peer.incarnation = peer.incarnation > 0, incarnation
+        restarted, peer.incarnation = peer.incarnation > 0, incarnation
         self.acceptance.started(name, incarnation)
-        self._news(mono_us, name)
-        return again
+        self._update_propagations(mono_us, name)
+        return restarted
 
-    def linked(self, mono_us: int, name: str, yes: bool) -> None:
+    def record_link(self, mono_us: int, name: str, linked: bool) -> None:
+        """Record that the link to a peer came up or went down."""
         if (peer := self.peers.get(name)) is not None:
-            peer.linked, peer.heard_us = yes, mono_us
-            self._news(mono_us, name)
-
-    def _news(self, mono_us: int, name: str) -> None:
-        scheduler = self.scheduler(mono_us, name)
-        for promise in self.promises.under_way():
-            promise.heard(mono_us, scheduler)
+            peer.linked, peer.link_changed_us = linked, mono_us
+            self._update_propagations(mono_us, name)
 
     def scheduler(self, mono_us: int, name: str) -> Scheduler:
-        """As promises are to see it."""
-        if name == self.me:
-            return Scheduler(name, self.incarnation, Standing.ALIVE, self.mode, self.bound_us)
+        """Return a configured scheduler in the form that propagations use."""
+        if name == self.own_name:
+            return Scheduler(name, self.incarnation, ProcessStatus.ALIVE, self.mode, self.bound_us)
         peer = self.peers[name]
-        word = peer.word
-        if word and word.left:
-            standing = Standing.LEFT
-        elif peer.linked:
-            standing = Standing.ALIVE
-        elif not peer.heard_us:
-            standing = Standing.UNHEARD if peer.notice is None else Standing.SUSPECT
-        else:
-            standing = Standing.GONE if mono_us - peer.heard_us > LOST_US else Standing.SUSPECT
-        if word is None:
-            return Scheduler(name, peer.incarnation, standing)
-        mode = Mode(word.mode) if word.mode in MODES else None  # a newer version's: promises nothing
-        return Scheduler(name, peer.incarnation, standing, mode, word.bound_us)
-
-    def behind(self, target: str) -> tuple[str, ...]:
-        """Schedulers whose last word does not show that they go by what is held here of a target.
-
-        One whose last word was that its process ends sends nothing more, whatever it went by.
+        status = _status(peer, mono_us)
+        current = peer.current_acknowledgement
+        if current is None:
+            return Scheduler(name, peer.incarnation, status)
+        mode = Mode(current.mode) if current.mode in MODES else None  # of a newer version: without a lease
+        return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
+
+    def lagging_peers(self, target: str) -> tuple[str, ...]:
+        """Return the peers that are not known to go by what is held here of a target, by name.
+
+        A peer that has left sends nothing more, whatever it went by, and does not lag.
         """
-        digest, whole = self.applied.get(target), self.applied.all
-        return tuple(
-            name
-            for name, peer in sorted(self.peers.items())
-            if not (word := peer.word)
-            or (
-                not word.left
-                and word.applied != whole
-                and (digest is None or dict(word.recent).get(target) != digest)
-            )
-        )
+        return tuple(name for name, peer in sorted(self.peers.items()) if self._is_lagging(peer, target))
+
+    def _is_lagging(self, peer: PeerState, target: str) -> bool:
+        current = peer.current_acknowledgement
+        if current is None:
+            return True
+        if current.left or current.applied == self.applied.all:
+            return False
+        digest = self.applied.get(target)
+        return digest is None or dict(current.recent).get(target) != digest
+
+    def _update_propagations(self, mono_us: int, name: str) -> None:
+        scheduler = self.scheduler(mono_us, name)
+        for propagation in self.propagations.pending():
+            propagation.update_scheduler(mono_us, scheduler)
+
+
+def _status(peer: PeerState, mono_us: int) -> ProcessStatus:
+    current = peer.current_acknowledgement
+    if current and current.left:
+        return ProcessStatus.LEFT
+    if peer.linked:
+        return ProcessStatus.ALIVE
+    if not peer.link_changed_us:
+        return ProcessStatus.UNKNOWN if peer.acknowledgement is None else ProcessStatus.SUSPECT
+    gone = mono_us - peer.link_changed_us > GONE_AFTER_US
+    return ProcessStatus.GONE if gone else ProcessStatus.SUSPECT
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -1,11 +1,11 @@
-"""Calls about cordons as operators send them, and answers as they read them: JSON, with times in RFC 3339.
+"""The JSON of operators' calls about cordons: parsing of requests, views of cordons. Times are in RFC 3339.
 
     PUT /ops/cordons/ID     {"target": "zone/a", "reason": "...", "by": "...", "until": TIME}
     DELETE /ops/cordons/ID
     GET /ops/cordons        a ``Listing``
 
 A PUT may have ``for_s`` in place of ``until``, or neither. ``?wait=SECONDS`` of the first two waits until the
-change is in force.
+change is in force. The keys are part of the operators' interface: a field that is renamed keeps its key.
 """
 
 import math
@@ -28,9 +28,9 @@
 )
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation import Propagation, Propagations, PropagationStage
-from robinhill.cordon.value import Reason, check_reason, check_target
+from robinhill.cordon.value import Entry, Reason, check_reason, check_target
 
-STATUS: dict[type[CordonError], int] = {
+HTTP_STATUS: dict[type[CordonError], int] = {
     CordonMalformed: 400,
     CordonUnknown: 404,
     CordonElsewhere: 409,
@@ -39,25 +39,27 @@
     NotAccepted: 503,
     BoundNotMet: 504,
 }
-STATES = {
+STAGE_NAMES = {
     PropagationStage.RECEIVED: "received",
     PropagationStage.STORED: "stored",
     PropagationStage.ACCEPTED: "accepted",
     PropagationStage.IN_FORCE: "in force",
 }
-OVER_BUDGET = "over budget"  # an automatic one that waits for room
-HELD = "held here"  # followed by the scheduler that wrote it, which knows more
+OVER_BUDGET = "over budget"
+"""State of an automatic cordon that exceeds the budget."""
+NOT_TRACKED = "held here"
+"""State of a cordon that another scheduler wrote, and tracks."""
 
 
 class UnconfirmedView(msgspec.Struct, frozen=True):
-    """A scheduler that may still act as before."""
+    """A scheduler that may still act as before a change, and why."""
 
     scheduler: str
     why: str
 
 
 class CordonView(msgspec.Struct, frozen=True):
-    """One cordon. ``workers``: how many listed ones its target names. ``origin``: who wrote it last."""
+    """One cordon. ``workers``: how many listed ones it applies to. ``origin``: who wrote it."""
 
     id: str
     target: str
@@ -75,14 +77,14 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """All cordons that stand, by target and ID; ``held``: the listed workers that get nothing new."""
+    """All active cordons, by target and ID, and the listed workers that are cordoned."""
 
     cordons: tuple[CordonView, ...]
-    held: tuple[str, ...]
+    cordoned_workers: tuple[str, ...] = msgspec.field(name="held")
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """What a PUT or DELETE came to. ``error``: why a wait ended before it was in force, what to do."""
+class ChangeSummary(msgspec.Struct, frozen=True):
+    """The result of a PUT or DELETE. ``error``: why a wait ended before it was in force, what to do."""
 
     id: str
     targets: tuple[str, ...]
@@ -92,7 +94,9 @@
     error: str = ""
 
 
-class _Put(msgspec.Struct, forbid_unknown_fields=True):
+class PutBody(msgspec.Struct, forbid_unknown_fields=True):
+    """The body of a PUT."""
+
     target: str
     reason: str
     by: str = ""
@@ -101,29 +105,33 @@
 
 
 def read_put(cordon_id: str, body: bytes, now_us: int) -> tuple[str, Reason]:
-    """The target and reason of a PUT. CordonMalformed."""
-    if len(body) > limits.MAX_CALL:
-        raise CordonMalformed(f"the body is longer than {limits.MAX_CALL} bytes")
+    """Return the target and reason of a PUT. Raises CordonMalformed."""
+    if len(body) > limits.MAX_BODY_BYTES:
+        raise CordonMalformed(f"the body is longer than {limits.MAX_BODY_BYTES} bytes")
     try:
-        put = _put.decode(body)
+        put = _put_decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as e:
         raise CordonMalformed(f"the body can't be read: {e}") from e
+    reason = Reason(cordon_id, put.reason, put.by, now_us, _read_end_us(put, now_us))
+    check_reason(reason, now_us)
+    return check_target(put.target), reason
+
+
+def _read_end_us(put: PutBody, now_us: int) -> int:
+    """Return when the cordon ends, 0 for no end."""
     if put.until is not None and put.for_s is not None:
         raise CordonMalformed("until and for_s exclude each other")
-    until_us = 0
     if put.until is not None:
-        until_us = max((put.until - _EPOCH) // _MICROSECOND, 1)
-    elif put.for_s is not None:
-        if not (math.isfinite(put.for_s) and 0 < put.for_s * 1e6 <= limits.MAX_END_US):
+        return max((put.until - _EPOCH) // _MICROSECOND, 1)
+    if put.for_s is not None:
+        if not (math.isfinite(put.for_s) and 0 < put.for_s * 1e6 <= limits.MAX_DURATION_US):
             raise CordonMalformed("for_s must be above 0 and at most a year")
-        until_us = now_us + math.ceil(put.for_s * 1e6)
-    reason = Reason(cordon_id, put.reason, put.by, now_us, until_us)
-    check_reason(reason, now_us)
-    return check_target(put.target), reason
+        return now_us + math.ceil(put.for_s * 1e6)
+    return 0
 
 
 def read_wait(text: str) -> int:
-    """Seconds of ``?wait=`` as microseconds; 0 for an empty one. CordonMalformed."""
+    """Return the seconds of ``?wait=`` as microseconds, 0 for an empty text. Raises CordonMalformed."""
     try:
         seconds = float(text or 0)
     except ValueError:
@@ -133,64 +141,78 @@
     return round(seconds * 1e6)
 
 
-def listing(mono_us: int, book: CordonIndex, promises: Propagations) -> Listing:
-    """Everything for a GET."""
-    cordons = []
-    for target, entry in book.standing():
-        reason, promise = entry.reason, promises.get(str(entry.dot))
-        state, unconfirmed = (HELD, ()) if promise is None else _told(mono_us, promise)
-        cordons.append(
-            CordonView(
-                id=reason.id,
-                target=target,
-                reason=reason.text,
-                by=reason.by,
-                since=_time(reason.since_us),
-                until=_time(reason.until_us) if reason.until_us else None,
-                automatic=reason.automatic,
-                cause=reason.cause,
-                observers=reason.observers,
-                workers=len(book.matched(target)),
-                origin=entry.dot.origin,
-                state=state if book.counts(target, reason) else OVER_BUDGET,
-                unconfirmed=unconfirmed,
-            )
-        )
-    return Listing(tuple(cordons), tuple(sorted(book.held_workers())))
-
-
-def answer(
+def list_cordons(mono_us: int, index: CordonIndex, propagations: Propagations) -> Listing:
+    """Return the listing for a GET."""
+    cordons = tuple(
+        _view_cordon(mono_us, target, entry, index, propagations) for target, entry in index.active()
+    )
+    return Listing(cordons, tuple(sorted(index.cordoned_workers())))
+
+
+def _view_cordon(
+    mono_us: int, target: str, entry: Entry, index: CordonIndex, propagations: Propagations
+) -> CordonView:
+    reason, propagation = entry.reason, propagations.get(str(entry.dot))
+    state = NOT_TRACKED
+    unconfirmed: tuple[UnconfirmedView, ...] = ()
+    if propagation is not None:
+        state, unconfirmed = _view_propagation(mono_us, propagation)
+    return CordonView(
+        id=reason.id,
+        target=target,
+        reason=reason.text,
+        by=reason.by,
+        since=_to_datetime(reason.since_us),
+        until=_to_datetime(reason.until_us) if reason.until_us else None,
+        automatic=reason.automatic,
+        cause=reason.cause,
+        observers=reason.observers,
+        workers=len(index.matching(target)),
+        origin=entry.dot.origin,
+        state=state if index.is_in_effect(target, reason) else OVER_BUDGET,
+        unconfirmed=unconfirmed,
+    )
+
+
+def summarize_change(
     mono_us: int,
     cordon_id: str,
     targets: Sequence[str],
-    promise: Propagation,
-    book: CordonIndex,
+    propagation: Propagation,
+    index: CordonIndex,
     *,
     waited: bool,
     missing: Sequence[str] = (),
-) -> tuple[int, Answer]:
-    """Status and body for a PUT or DELETE: 200 in force, 202 not yet; 503, 504 after a wait that failed."""
-    failure = promise.failure(mono_us, missing)
-    state, unconfirmed = _told(mono_us, promise)
-    warned = () if promise.lifts else tuple(w for target in targets for w in book.warnings(target))
-    status = 200 if failure is None else STATUS[type(failure)] if waited else 202
+) -> tuple[int, ChangeSummary]:
+    """Return HTTP status and body for a PUT or DELETE: 200 in force, 202 not yet; 503, 504 after a wait."""
+    failure = propagation.failure(mono_us, missing)
+    state, unconfirmed = _view_propagation(mono_us, propagation)
+    warnings: tuple[str, ...] = ()
+    if not propagation.is_lift:
+        warnings = tuple(warning for target in targets for warning in index.warnings(target))
+    status = 200 if failure is None else HTTP_STATUS[type(failure)] if waited else 202
     error = str(failure) if failure is not None and waited else ""
-    return status, Answer(cordon_id, tuple(targets), state, unconfirmed, warned, error)
+    return status, ChangeSummary(cordon_id, tuple(targets), state, unconfirmed, warnings, error)
+
+
+def view_unconfirmed(mono_us: int, propagation: Propagation) -> tuple[UnconfirmedView, ...]:
+    """Return the schedulers that have not confirmed a change."""
+    return tuple(UnconfirmedView(each.name, each.why) for each in propagation.unconfirmed(mono_us))
 
 
-def _told(mono_us: int, promise: Propagation) -> tuple[str, tuple[UnconfirmedView, ...]]:
-    step = promise.look(mono_us)
-    return STATES[step], tuple(UnconfirmedView(u.name, u.why) for u in promise.unconfirmed(mono_us))
+def _view_propagation(mono_us: int, propagation: Propagation) -> tuple[str, tuple[UnconfirmedView, ...]]:
+    stage = propagation.advance(mono_us)
+    return STAGE_NAMES[stage], view_unconfirmed(mono_us, propagation)
 
 
-def _time(us: int) -> datetime:
-    """Unix microseconds as a time; the last that there is for what lies beyond."""
+def _to_datetime(unix_us: int) -> datetime:
+    """Return Unix microseconds as a datetime; the latest possible one for times beyond it."""
     try:
-        return _EPOCH + timedelta(microseconds=us)
+        return _EPOCH + timedelta(microseconds=unix_us)
     except OverflowError:
         return datetime.max.replace(tzinfo=UTC)
 
 
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _MICROSECOND = timedelta(microseconds=1)
-_put = msgspec.json.Decoder(_Put)
+_put_decoder = msgspec.json.Decoder(PutBody)
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -18,7 +18,7 @@
 from robinhill.cordon.errors import CordonError
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation import Mode, PropagationStage
-from robinhill.cordon.propagation_tracker import Followed, Following
+from robinhill.cordon.propagation_tracker import PropagationTracker, TrackedChange
 from robinhill.errors import RobinhillError
 from robinhill.mesh import acknowledgements
 from robinhill.mesh.acknowledgements import Acknowledgement
@@ -38,7 +38,7 @@
     covers,
     error_body,
     keep_only,
-    place_of,
+    location_of,
 )
 from robinhill.net.dispatcher.dispatcher import Cordoned, Lease
 from robinhill.protocol import Answer, Destination
@@ -75,7 +75,7 @@
 class _Waiter:
     """A call that has not been answered."""
 
-    followed: Followed
+    change: TrackedChange
     step: PropagationStage  # that it waits for
     deadline_us: int
     reply: asyncio.Future[Answer]
@@ -105,12 +105,12 @@
         self.on_serving: Callable[[], None] = lambda: None
         self.serving = False  # this scheduler takes clients
         self.caught_up_us: int | None = None  # how long that took
-        self.book = CordonIndex()
+        self.index = CordonIndex()
         self.targets: frozenset[str] = frozenset()
         mode, bound_us = Mode(options.on_lost), options.bound_ms * 1000
-        self.following = Following(me, mode, bound_us, freshness.quorum)
-        self.following.incarnation = self.incarnation
-        self.following.reconfigure(0, names)
+        self.tracker = PropagationTracker(me, mode, bound_us, freshness.quorum)
+        self.tracker.incarnation = self.incarnation
+        self.tracker.reconfigure(0, names)
         self._waiters: list[_Waiter] = []
         self._answered: set[str] = set()  # who has answered since our start
         self._starts: dict[str, int] = {}  # of others, as we heard of them
@@ -120,7 +120,7 @@
         self._noticed_us = 0
         self._tellings: dict[int, bytes] = {}  # digests as they were when the decider was told
         self._told = 0
-        self._applied = self.following.applied.all  # what endpoints go by
+        self._applied = self.tracker.applied.all  # what endpoints go by
         self._leased = True
         self._next_end_us = 0  # when the next cordon ends
         self._one_list_us: int | None = None  # since when all are known to go by our list
@@ -180,11 +180,11 @@
 
     def greeted(self, name: str, incarnation: int) -> None:
         self._started(name, incarnation)
-        self.following.linked(mono_us(), name, True)
+        self.tracker.record_link(mono_us(), name, True)
 
     def lost(self, name: str) -> None:
         """There is no link to this peer now."""
-        self.following.linked(mono_us(), name, False)
+        self.tracker.record_link(mono_us(), name, False)
 
     def answered(self, name: str, answered: Answered) -> None:
         self._answered.add(name)
@@ -199,7 +199,7 @@
         """All that was ever accepted is here: this scheduler counts for majorities from now on."""
         self.freshness.caught_up = True
         log.info("counts_for_majorities", extra={"why": why, "seconds": self._age_s()})
-        self.following.counts(mono_us())
+        self.tracker.mark_all_stored(mono_us())
         self._write_notice()
         self._check_lease()
         self._review()
@@ -207,7 +207,7 @@
     def _took_in(self, record: Record) -> bool:
         """Whether it is about cordons."""
         if record.kind == value.NAME:
-            self.following.changed(record.key, record.value)
+            self.tracker.record_value(record.key, record.value)
             return True
         if record.kind == acknowledgements.NAME:
             notice = self.replica.value(record.kind, record.key)
@@ -221,20 +221,20 @@
             if notice.incarnation > self.incarnation:
                 self.outdated(notice.incarnation)
             return
-        if name not in self.following.peers:
+        if name not in self.tracker.peers:
             return  # of no scheduler that is configured here
         self._started(name, notice.incarnation)
-        self.following.said(mono_us(), name, notice)
+        self.tracker.record_acknowledgement(mono_us(), name, notice)
         if (self.me, self.incarnation) in notice.starts:
             self.freshness.introduced(mono_us(), name)
         if notice.serving and not self.serving:
             self._maybe_serve()
 
     def _started(self, name: str, incarnation: int) -> None:
-        if name not in self.following.peers or incarnation <= self.following.peers[name].incarnation:
+        if name not in self.tracker.peers or incarnation <= self.tracker.peers[name].incarnation:
             return
         self.freshness.started(name, incarnation)
-        if self.following.started(mono_us(), name, incarnation):
+        if self.tracker.record_start(mono_us(), name, incarnation):
             log.info("peer_started_again", extra={"peer": name, "incarnation": incarnation})
         self._starts.pop(name, None)
         self._starts[name] = incarnation
@@ -246,7 +246,7 @@
     def reconfigure(self, options: MeshOptions, names: Iterable[str]) -> None:
         """Other schedulers are configured now."""
         self.options, self.names = options, tuple(sorted(names))
-        self.following.reconfigure(mono_us(), self.names)
+        self.tracker.reconfigure(mono_us(), self.names)
         for name in self.names:
             notice = self.replica.value(acknowledgements.NAME, name)
             if isinstance(notice, Acknowledgement):
@@ -259,7 +259,7 @@
         if len(self.freshness.quorum.lists) == 1:
             return
         ours = acknowledgements.list_digest(self.names)
-        if not all((w := p.word) and w.names == ours for p in self.following.peers.values()):
+        if not all((w := p.current_acknowledgement) and w.names == ours for p in self.tracker.peers.values()):
             self._one_list_us = None
         elif self._one_list_us is None:
             self._one_list_us = now
@@ -275,8 +275,10 @@
 
     def _maybe_serve(self) -> None:
         """Take clients once what a serving peer knew is here, or what all others did, or time is up."""
-        peers = self.following.peers
-        near = any((word := peers[n].word) and word.serving for n in self._answered if n in peers)
+        peers = self.tracker.peers
+        near = any(
+            (word := peers[n].current_acknowledgement) and word.serving for n in self._answered if n in peers
+        )
         if not (near or self._answered >= peers.keys() or self._age_s() * 1e3 >= self.options.catch_up_ms):
             return
         self.serving = True
@@ -291,21 +293,21 @@
 
     # Cordons
 
-    def _items(self) -> list[tuple[str, value.Cordons]]:
-        return cast(list[tuple[str, value.Cordons]], self.replica.items(value.NAME))
+    def _items(self) -> list[tuple[str, value.CordonSet]]:
+        return cast(list[tuple[str, value.CordonSet]], self.replica.items(value.NAME))
 
-    def _held(self, target: str) -> value.Cordons | None:
-        return cast(value.Cordons | None, self.replica.value(value.NAME, target))
+    def _held(self, target: str) -> value.CordonSet | None:
+        return cast(value.CordonSet | None, self.replica.value(value.NAME, target))
 
     def _update(self) -> None:
         """Work out what is cordoned, and tell the decider, who confirms."""
         self.replica.collect(self.clock.now_us())  # it tells what counts as of the latest time that it heard
-        workers = {d.instance_id: place_of(d) for d in self.listed()}
-        self._next_end_us = self.book.update(self.clock.now_us(), self._items(), workers).next_us
-        self.targets = counted_targets(self.book)
+        workers = {d.instance_id: location_of(d) for d in self.listed()}
+        self._next_end_us = self.index.update(self.clock.now_us(), self._items(), workers).next_end_us
+        self.targets = counted_targets(self.index)
         self._told += 1
         number, targets = self._told, self.targets
-        self._tellings[number] = self.following.applied.all
+        self._tellings[number] = self.tracker.applied.all
         self.dispatcher(Cordoned(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
 
     def _applied_now(self, number: int) -> None:
@@ -322,10 +324,10 @@
             self._starts_due.cancel()
             self._starts_due = None
         self._serial += 1
-        applied = self.following.applied
+        applied = self.tracker.applied
         recent: tuple[tuple[str, bytes], ...] = ()
         if self._applied == applied.all:
-            recent = tuple((t, d) for t in self.following.recent if (d := applied.get(t)))
+            recent = tuple((t, d) for t in self.tracker.recent_targets if (d := applied.get(t)))
         notice = Acknowledgement(
             acknowledgements.VERSION, self.incarnation, self._serial, self.options.on_lost,
             self.options.bound_ms * 1000, self.freshness.caught_up, self.serving, left,
@@ -336,13 +338,13 @@
             self.replica.write(self._noticed_us, acknowledgements.NAME, self.me, notice)
         except StateFull as e:
             log.error("notice_not_written", extra={"why": str(e)})
-        self.following.said(mono_us(), self.me, notice)
+        self.tracker.record_acknowledgement(mono_us(), self.me, notice)
         self.changed()
 
     def renew(self, incarnation: int) -> None:
         """This process goes on under a later incarnation."""
         self.replica.clock.incarnation = incarnation
-        self.following.incarnation = incarnation
+        self.tracker.incarnation = incarnation
         self._write_notice()
 
     def leave(self) -> None:
@@ -363,35 +365,35 @@
                 case _:
                     self._lift(call)
         except RobinhillError as e:
-            status = views.STATUS.get(type(e), 500) if isinstance(e, CordonError) else NOT_STORED
+            status = views.HTTP_STATUS.get(type(e), 500) if isinstance(e, CordonError) else NOT_STORED
             call.reply.set_result(answer(status, error_body(e)))
 
     def _set(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
         target, reason = views.read_put(call.cordon_id, call.body, now_us)
-        value.check_elsewhere(self._items(), reason.id, target, now_us)
+        value.check_id_is_free(self._items(), reason.id, target, now_us)
         self._counter += 1
         dot = value.Dot(self.me, self.incarnation, self._counter)
-        new = value.set_(self._held(target), reason, dot, now_us)
-        self._write(call, str(dot), {target: new}, lifts=False)
+        new = value.set_cordon(self._held(target), reason, dot, now_us)
+        self._write(call, str(dot), {target: new}, is_lift=False)
         log.info("cordon_set", extra={"id": reason.id, "target": target, "by": reason.by, "why": reason.text})
 
     def _lift(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
-        targets = value.find(self._items(), call.cordon_id, now_us)
+        targets = value.find_targets(self._items(), call.cordon_id, now_us)
         self._counter += 1
-        new = {target: value.lift(self._held(target), call.cordon_id, now_us) for target in targets}
-        self._write(call, f"lift {self._counter}", new, lifts=True)
+        new = {target: value.lift_cordon(self._held(target), call.cordon_id, now_us) for target in targets}
+        self._write(call, f"lift {self._counter}", new, is_lift=True)
         log.info("cordon_lifted", extra={"id": call.cordon_id, "targets": ",".join(targets)})
 
-    def _write(self, call: CordonCall, key: str, new: dict[str, value.Cordons], *, lifts: bool) -> None:
+    def _write(self, call: CordonCall, key: str, new: dict[str, value.CordonSet], *, is_lift: bool) -> None:
         """Write and follow a change; the call is answered by `_review`."""
         wait_us = call.wait_us
         now, now_us = mono_us(), self.clock.now_us()
-        self.following.promises.make_room()  # a call that is turned away must not have written anything
+        self.tracker.propagations.reserve()  # a call that is turned away must not have written anything
         records = [self.replica.write(now_us, value.NAME, target, each) for target, each in new.items()]
-        followed = self.following.follow(
-            now, key, call.cordon_id, records, lifts=lifts,
+        change = self.tracker.track(
+            now, key, call.cordon_id, records, is_lift=is_lift,
             deadline_us=None if wait_us is None else now + wait_us,
             stored=self.options.on_lost == "serve" or self.freshness.caught_up,
         )  # fmt: skip
@@ -399,7 +401,7 @@
             self._took_in(record)
         step = PropagationStage.ACCEPTED if wait_us is None else PropagationStage.IN_FORCE
         deadline_us = now + (self.options.bound_ms * 1000 if wait_us is None else wait_us)
-        self._waiters.append(_Waiter(followed, step, deadline_us, call.reply))
+        self._waiters.append(_Waiter(change, step, deadline_us, call.reply))
         self._update()
         self.changed()
         self._review()
@@ -408,51 +410,51 @@
         """Answer calls that have come far enough, or whose time is up."""
         now = mono_us()
         for waiter in list(self._waiters):
-            reached = waiter.followed.promise.look(now) >= waiter.step
+            reached = waiter.change.propagation.advance(now) >= waiter.step
             if waiter.reply.done():
                 self._waiters.remove(waiter)
             elif reached or now >= waiter.deadline_us:
                 self._waiters.remove(waiter)
                 status = 200 if reached else 504 if waiter.step is PropagationStage.IN_FORCE else 202
-                waiter.reply.set_result(answer(status, self._progress(waiter.followed, now, not reached)))
+                waiter.reply.set_result(answer(status, self._progress(waiter.change, now, not reached)))
         self._schedule_look(now)
 
-    def _progress(self, followed: Followed, now: int, failed: bool = False) -> Json:
-        promise = followed.promise
-        step = promise.look(now)
+    def _progress(self, change: TrackedChange, now: int, failed: bool = False) -> Json:
+        propagation = change.propagation
+        step = propagation.advance(now)
         told: Json = {
-            "id": followed.cordon_id,
-            "targets": sorted(followed.stamps),
-            "state": views.STATES[step],
+            "id": change.cordon_id,
+            "targets": sorted(change.stamps),
+            "state": views.STAGE_NAMES[step],
             "accepted": step >= PropagationStage.ACCEPTED,
             "in_force": step is PropagationStage.IN_FORCE,
-            "ms": (now - followed.began_us) / 1000,
-            "unconfirmed": [{"scheduler": u.name, "why": u.why} for u in promise.unconfirmed(now)],
+            "ms": (now - change.began_us) / 1000,
+            "unconfirmed": [{"scheduler": u.name, "why": u.why} for u in propagation.unconfirmed(now)],
         }
-        if not promise.lifts:
-            told["warnings"] = [w for target in sorted(followed.stamps) for w in self.book.warnings(target)]
-        if failed and (error := promise.failure(now, self.following.missing(followed))):
+        if not propagation.is_lift:
+            told["warnings"] = [w for target in sorted(change.stamps) for w in self.index.warnings(target)]
+        if failed and (error := propagation.failure(now, self.tracker.missing_holders(change))):
             told |= error_body(error)
         return told
 
     def _show(self, cordon_id: str) -> Json:
         """One cordon, or all; and how each scheduler stands."""
         now = mono_us()
-        told: Json = msgspec.to_builtins(views.listing(now, self.book, self.following.promises))
+        told: Json = msgspec.to_builtins(views.list_cordons(now, self.index, self.tracker.propagations))
         if cordon_id:
             keep_only(told, cordon_id)
         for cordon in told["cordons"]:
-            cordon["behind"] = self.following.behind(cordon["target"])
+            cordon["behind"] = self.tracker.lagging_peers(cordon["target"])
         return told | {"schedulers": [self._stand(name, now) for name in self.names]}
 
     def _stand(self, name: str, now: int) -> Json:
-        scheduler = self.following.scheduler(now, name)
+        scheduler = self.tracker.scheduler(now, name)
         mine = name == self.me
-        word = None if mine else self.following.peers[name].word
+        word = None if mine else self.tracker.peers[name].current_acknowledgement
         as_of = now if mine else self.freshness.as_of(name)
         return {
             "name": name,
-            "state": scheduler.standing.name.lower(),
+            "state": scheduler.status.name.lower(),
             "incarnation": scheduler.incarnation,
             "on_lost": scheduler.mode.value if scheduler.mode else None,
             "counts": self.freshness.caught_up if mine else bool(word and word.counts),
@@ -484,12 +486,12 @@
         """Lines for operators, without their prefix."""
         now = mono_us()
         age_us = self.freshness.age_us(now)
-        behind = {n for target in self.following.applied.keys() for n in self.following.behind(target)}
+        behind = {n for target in self.tracker.applied.keys() for n in self.tracker.lagging_peers(target)}
         sizes = sorted(self.replica.sizes().items())
         return [
-            f"cordons:{len(self.book.standing())}|g",
-            f"cordoned_workers:{len(self.book.held_workers())}|g",
-            f"cordons_under_way:{len(self.following.under_way())}|g",
+            f"cordons:{len(self.index.active())}|g",
+            f"cordoned_workers:{len(self.index.cordoned_workers())}|g",
+            f"cordons_under_way:{len(self.tracker.pending())}|g",
             f"behind:{len(behind)}|g",
             f"lease:{int(self.freshness.holds_lease(now))}|g",
             f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
@@ -518,12 +520,12 @@
 
     def _refresh(self, now_us: int) -> None:
         """Write anew what stands for longer than its record, and forget digests of what is over."""
-        for target in self.following.applied.keys():
+        for target in self.tracker.applied.keys():
             record = self.replica.record(value.NAME, target)
             if record is None or record.until_us <= now_us:
-                self.following.applied.drop(target)
-            elif (held := self._held(target)) and value.fades(
-                held, record.until_us, now_us, mine=record.stamp.origin == self.me
+                self.tracker.applied.drop(target)
+            elif (held := self._held(target)) and value.needs_renewal(
+                held, record.until_us, now_us, is_last_writer=record.stamp.origin == self.me
             ):
                 self._took_in(self.replica.write(now_us, value.NAME, target, held))
                 self._update()
@@ -531,7 +533,7 @@
 
     def _schedule_look(self, now: int) -> None:
         due = [now + self.options.interval_us // 2, *(w.deadline_us for w in self._waiters)]
-        if (next_us := self.following.promises.next_us()) is not None:
+        if (next_us := self.tracker.propagations.next_deadline_us()) is not None:
             due.append(next_us)
         if self._next_end_us:
             due.append(now + max(0, self._next_end_us - self.clock.now_us()))
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -30,7 +30,7 @@
     counted_targets,
     error_body,
     keep_only,
-    place_of,
+    location_of,
 )
 from robinhill.net.cordons.pending_changes import Change, Changes
 from robinhill.protocol import Answer, Destination
@@ -79,7 +79,7 @@
         self.perform = perform
         self.listed = listed
         self.abandon: Callable[[int], None] = lambda number: None
-        self.book = CordonIndex()
+        self.index = CordonIndex()
         self.changes = Changes()
         self.targets: frozenset[str] = frozenset()
         self.next_end_us = 0
@@ -91,10 +91,10 @@
     def update(self) -> frozenset[str]:
         """Work out the targets that are cordoned now."""
         now_us = self.clock.now_us()
-        workers = {d.instance_id: place_of(d) for d in self.listed()} if self.listed else {}
-        self.next_end_us = self.book.update(now_us, self._items(), workers).next_us
-        self.targets = counted_targets(self.book)
-        self.changes.forget_ended({str(entry.dot) for _, entry in self.book.standing()})
+        workers = {d.instance_id: location_of(d) for d in self.listed()} if self.listed else {}
+        self.next_end_us = self.index.update(now_us, self._items(), workers).next_end_us
+        self.targets = counted_targets(self.index)
+        self.changes.forget_ended({str(entry.dot) for _, entry in self.index.active()})
         return self.targets
 
     def refresh(self) -> None:
@@ -104,7 +104,7 @@
             record = self.replica.record(value.NAME, target)
             assert record is not None
             mine = record.stamp.origin == self.options.name
-            if value.fades(held, record.until_us, now_us, mine=mine):
+            if value.needs_renewal(held, record.until_us, now_us, is_last_writer=mine):
                 try:
                     _, _, actions = self.writer.write(now_us, mono_us(), value.NAME, target, held)
                 except (ChangesFull, StateFull) as e:
@@ -145,10 +145,10 @@
         now_us = self.clock.now_us()
         wait_us = call.wait_us
         target, reason = views.read_put(call.cordon_id, call.body, now_us)
-        value.check_elsewhere(self._items(), reason.id, target, now_us)
+        value.check_id_is_free(self._items(), reason.id, target, now_us)
         self._writes += 1
         dot = value.Dot(self.options.name, self.incarnation, self._writes)
-        new = value.set_(self._held(target), reason, dot, now_us)
+        new = value.set_cordon(self._held(target), reason, dot, now_us)
         change = Change(reason.id, (target,), False, mono_us(), (str(dot),))
         self._write(change, {target: new})
         extra = {"id": reason.id, "target": target, "by": reason.by, "why": reason.text}
@@ -158,14 +158,14 @@
     def _lift(self, call: CordonCall) -> None:
         now_us = self.clock.now_us()
         wait_us = call.wait_us
-        targets = value.find(self._items(), call.cordon_id, now_us)
-        new = {target: value.lift(self._held(target), call.cordon_id, now_us) for target in targets}
+        targets = value.find_targets(self._items(), call.cordon_id, now_us)
+        new = {target: value.lift_cordon(self._held(target), call.cordon_id, now_us) for target in targets}
         change = Change(call.cordon_id, targets, True, mono_us())
         self._write(change, new)
         log.info("cordon_lifted", extra={"id": call.cordon_id, "targets": ",".join(targets)})
         self._wait(change, wait_us, call.reply)
 
-    def _write(self, change: Change, new: Mapping[str, value.Cordons]) -> None:
+    def _write(self, change: Change, new: Mapping[str, value.CordonSet]) -> None:
         for target, held in new.items():
             written = self.writer.write(self.clock.now_us(), mono_us(), value.NAME, target, held)
             number, _, actions = written
@@ -213,14 +213,14 @@
             "unconfirmed": [{"scheduler": n, "why": "it is not known to go by it"} for n in names],
         }
         if not change.lifts and self.listed is not None:
-            told["warnings"] = [w for target in sorted(change.targets) for w in self.book.warnings(target)]
+            told["warnings"] = [w for target in sorted(change.targets) for w in self.index.warnings(target)]
         return told
 
     def _show(self, cordon_id: str) -> Json:
         """One cordon, or all. How far one has come is known where it was set, or once it was asked for."""
         self.update()
-        told: Json = msgspec.to_builtins(views.listing(mono_us(), self.book, Propagations()))
-        dots = {(target, entry.reason.id): entry.dot for target, entry in self.book.standing()}
+        told: Json = msgspec.to_builtins(views.list_cordons(mono_us(), self.index, Propagations()))
+        dots = {(target, entry.reason.id): entry.dot for target, entry in self.index.active()}
         if cordon_id:
             keep_only(told, cordon_id)
         for cordon in told["cordons"]:
@@ -243,11 +243,11 @@
         self._write(change, {target: held})
         return change
 
-    def _items(self) -> list[tuple[str, value.Cordons]]:
-        return cast(list[tuple[str, value.Cordons]], self.replica.items(value.NAME))
+    def _items(self) -> list[tuple[str, value.CordonSet]]:
+        return cast(list[tuple[str, value.CordonSet]], self.replica.items(value.NAME))
 
-    def _held(self, target: str) -> value.Cordons | None:
-        return cast(value.Cordons | None, self.replica.value(value.NAME, target))
+    def _held(self, target: str) -> value.CordonSet | None:
+        return cast(value.CordonSet | None, self.replica.value(value.NAME, target))
 
 
 def _failure(change: Change) -> CordonError:
@@ -259,5 +259,5 @@
 
 def _status(error: RobinhillError) -> int:
     if isinstance(error, CordonError):
-        return views.STATUS.get(type(error), 500)
+        return views.HTTP_STATUS.get(type(error), 500)
     return TOO_MANY if isinstance(error, ChangesFull) else NOT_STORED
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from robinhill.cordon import views
+from robinhill.cordon.budget import Location
 from robinhill.cordon.errors import CordonUnknown
-from robinhill.cordon.index import CordonIndex, Place, targets_of
+from robinhill.cordon.index import CordonIndex, targets_of
 from robinhill.errors import RobinhillError
 from robinhill.protocol import Answer, Destination
 
@@ -34,21 +35,21 @@
         return views.read_wait(self.wait.removesuffix("s")) if self.wait is not None else None
 
 
-def counted_targets(book: CordonIndex) -> frozenset[str]:
+def counted_targets(index: CordonIndex) -> frozenset[str]:
     """The targets that are cordoned now."""
-    return frozenset(target for target, entry in book.standing() if book.counts(target, entry.reason))
+    return frozenset(target for target, entry in index.active() if index.is_in_effect(target, entry.reason))
 
 
-def place_of(destination: Destination) -> Place:
+def location_of(destination: Destination) -> Location:
     """Where a worker stands, as targets name it."""
-    return Place(destination.zone, destination.machine_type, destination.cell)
+    return Location(destination.zone, destination.machine_type, destination.cell)
 
 
 def covers(targets: frozenset[str], destination: Destination) -> bool:
     """Whether a worker is among what is cordoned. Cheap: asked before each send."""
     if not targets:
         return False
-    return not targets.isdisjoint(targets_of(destination.instance_id, place_of(destination)))
+    return not targets.isdisjoint(targets_of(destination.instance_id, location_of(destination)))
 
 
 def keep_only(told: Json, cordon_id: str) -> None:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -277,7 +277,7 @@
             ),
         ),
     ),
-    "cordon.value": cordon.Cordons(
+    "cordon.value": cordon.CordonSet(
         version=1,
         entries=(
             cordon.Entry(
@@ -295,7 +295,7 @@
                 ),
             ),
         ),
-        seen=(cordon.Seen(origin="s1", incarnation=2, ranges=((1, 3),)),),
+        seen=(cordon.SeenDots(origin="s1", incarnation=2, ranges=((1, 3),)),),
         lifted_us=11,
     ),
 }
@@ -568,15 +568,15 @@
         "unconfirmed": views.UnconfirmedView,
         "cordon": views.CordonView,
         "listing": views.Listing,
-        "answer": views.Answer,
-        "put": views._Put,
+        "answer": views.ChangeSummary,
+        "put": views.PutBody,
     }
     return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
 
 
 def cordon_states() -> list[str]:
     """The states of a cordon in operators' answers."""
-    return [*views.STATES.values(), views.OVER_BUDGET, views.HELD]
+    return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
 def operator_file_keys() -> list[str]:
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -251,14 +251,14 @@
         assert inbound.behind, "it takes no clients before it is in step"
         assert dispatcher.may_send(worker)
         reason = value.Reason("c1", "a fan is loud", "ann", here.clock.now_us())
-        cordoned = value.set_(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
+        cordoned = value.set_cordon(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
         now_us, mono_us = here.clock.now_us(), 1
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", cordoned)
         here.driver.perform(actions)
         assert not dispatcher.may_send(worker), "though the decider has not come to its mailbox"
         assert dispatcher.may_send(other)
         assert len(told) == 1
-        lifted = value.lift(cordoned, "c1", now_us)
+        lifted = value.lift_cordon(cordoned, "c1", now_us)
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", lifted)
         here.driver.perform(actions)
         assert dispatcher.may_send(worker)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.counting import allocated_bytes, executed_lines
 from benchmarks.scale.fitting import Growth, Point, growth
 from benchmarks.scale.processes import counter
-from robinhill.cordon.value import Dot, Reason, cordon_kind, set_
+from robinhill.cordon.value import Dot, Reason, cordon_kind, set_cordon
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import StateFull
 from robinhill.mesh.replica import Replica
@@ -169,7 +169,7 @@
 
     def cordon(number: int) -> None:
         reason = Reason(f"c{number}", "a trial", "", now_us, 0)
-        value = set_(None, reason, Dot("s000", 1, number + 1), now_us)
+        value = set_cordon(None, reason, Dot("s000", 1, number + 1), now_us)
         replica.write(now_us, cordon_kind().name, f"worker/w{number}", value)
 
     for number in range(8_192):
