--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -9,11 +9,11 @@
 
 from robinhill import api
 from robinhill.placement import timers
-from robinhill.placement.derived_settings import Derived
-from robinhill.placement.estimates import ClientTries, Estimates, JobTimes
+from robinhill.placement.derived_settings import DerivedSettings
+from robinhill.placement.estimates import ClientRetries, Estimates, JobTimes
 from robinhill.placement.event_dispatch import EventHandler
-from robinhill.placement.job_queue import HeldJobs
-from robinhill.placement.records import Attempt, AttemptKey, Choice, JobRecord, WorkerRecord
+from robinhill.placement.job_queue import JobQueue
+from robinhill.placement.records import Attempt, AttemptKey, JobRecord, PlacementCriteria, WorkerRecord
 
 UNKNOWN_JOB_US = 1_000_000.0  # the design page: 1 job a second where no speed is known
 BACK_OFF = 64.0  # an age counts so much less for a class just turned away: picked only if most others were
@@ -24,11 +24,9 @@
 EJECT_US = 4_000_000  # the longest time out; or half the time in which workers warm up, if longer
 SILENT_FAULTS = 3  # a worker that answers no probe stays out as long as after so many failures
 IN_LINE = 3.0  # own jobs of all nodes at a worker where they wait; below one each, it rests between two
-RETRY_SHARE, MOST_RETRIES = (
-    0.1,
-    10.0,
-)  # retry budget: withdrawals for each completion; withdrawn, some run on
-CHEAP_WASTE = 0.1  # price of waste under which jobs past use are withdrawn: gains at 0.02, loses at 0.2
+# Retry budget: withdrawals for each completion, and at most; withdrawn, some jobs run on.
+RETRY_SHARE, MOST_RETRIES = 0.1, 10.0
+CHEAP_WASTE = 0.1  # price of waste below which jobs past use are withdrawn
 HINT_MARGIN = 1.5  # workers that make the aim with so much of the hinted work go before tight fits
 
 
@@ -38,17 +36,17 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__()
         self.settings = settings
-        self.derived = Derived.of(settings, CALL_US, IN_LINE)
+        self.derived = DerivedSettings.from_settings(settings, CALL_US, IN_LINE)
         self.random = random.Random(seed)
         self.workers: dict[str, WorkerRecord] = {}
         self.jobs: dict[int, JobRecord] = {}
         self.attempts: dict[AttemptKey, Attempt] = {}
-        self.held = HeldJobs()  # they wait for a worker
+        self.held = JobQueue()  # they wait for a worker
         self.no_room: set[int] = set()  # classes for which choices found no worker with room
         self.sends = 0  # own sends
         self.job_times = JobTimes(len(settings.classes))
         self.estimates = Estimates(settings, self.job_times, UNKNOWN_JOB_US)
-        self.client_tries = ClientTries(len(settings.classes), self.derived.tick_us)
+        self.client_retries = ClientRetries(len(settings.classes), self.derived.tick_us)
         self.weighted_rate = 0.0  # rate for which the ages of all workers were last weighted
         self.unbound_factor = 1.0  # how much ages of unbound work count at machines that bound classes want
         self.thin = False  # fewer own jobs than workers in the window, as of the last choice
@@ -63,7 +61,7 @@
         self.estimates.start(now)
         # All nodes asking at once after a common start drown the directory: each has its own moment.
         wait = int(self.random.random() * self.derived.list_spread_us)
-        return [api.SetTimer(wait, timers.LIST)] if self.settings.must_subscribe else []
+        return [api.SetTimer(wait, timers.LIST_POLL)] if self.settings.must_subscribe else []
 
     def avoided(self, now: int) -> set[str]:
         """The workers that get nothing, or come last, for what they did; it changes nothing."""
@@ -83,7 +81,7 @@
             unlisted = event.kind is not api.ListKind.CHANGES and address not in listed
             if unlisted or worker.entry.state is api.WorkerState.GONE:
                 self._shut(self.workers.pop(address))
-        self.estimates.count_ready(self.workers.values())
+        self.estimates.update_usable_workers(self.workers.values())
         self._place_held(now)
 
     def _on_list_leased(self, now: int, event: api.ListLeased) -> None:
@@ -95,7 +93,7 @@
         spread = self.derived.list_spread_us << min(self.list_failures, 6)
         wait = min(self.settings.ask_every_us // 2, spread)
         self.subscribed, self.list_failures = False, self.list_failures + 1
-        self.actions.append(api.SetTimer(int(wait * (0.5 + self.random.random() / 2)), timers.LIST))
+        self.actions.append(api.SetTimer(int(wait * (0.5 + self.random.random() / 2)), timers.LIST_POLL))
 
     def _update_worker(self, now: int, entry: api.Worker, listed: int) -> None:
         worker = self.workers.get(entry.address)
@@ -154,7 +152,7 @@
         job = self.jobs[request.job] = JobRecord(request, klass, client_deadline_us=now + left)
         if now < request.group_until_us:  # an earlier request of its key may have run
             job.may_have_run, job.group, job.group_until_us = True, request.group, request.group_until_us
-        aim = klass.aim_us - self.client_tries.spent_us(request)
+        aim = klass.aim_us - self.client_retries.spent_us(request)
         job.objective_us = now + aim + klass.stretch * hint
         if hint:
             self.job_times.add_hint(hint)
@@ -167,7 +165,7 @@
         job.queue_deadline_us = now + min(left - 1, self._useful_wait(request, aim, expected))
         job.queue_deadline_us = min(job.queue_deadline_us, job.group_until_us or job.queue_deadline_us)
         # In an overload that own waits show, a share is refused at once.
-        if self.shed and self.random.random() * worth < self.shed * self.estimates.mean_worth:
+        if self.shed and self.random.random() * worth < self.shed * self.estimates.mean_priority_weight:
             self._give_up(job, api.RefusalReason.OVERLOAD)
         else:
             self.place(now, job)
@@ -179,7 +177,7 @@
             return max(aim, int(request.time_left_us - expected))
         if request.work_hint_us:
             return aim
-        usual = self.job_times.usual_us[request.job_class]
+        usual = self.job_times.class_baseline_us[request.job_class]
         return aim + int(HOLD * max(0.0, klass.stretch - 1) * usual)
 
     def place(self, now: int, job: JobRecord) -> None:
@@ -197,7 +195,7 @@
     def _give_up(self, job: JobRecord, why: api.RefusalReason, unconfirmed: bool = False) -> None:
         """One final answer; a refusal only where it is true that trying again does no harm."""
         self.jobs.pop(job.request.job, None)
-        self.client_tries.given_up += 1
+        self.client_retries.unretried_answers += 1
         klass = job.klass
         harmless = klass.repeat is api.Repeat.SAFE or klass.dropped_everywhere
         if (job.may_have_run or job.attempts_in_flight) and not harmless:
@@ -211,12 +209,12 @@
 
     def _set_held_timer(self, now: int, until_us: int) -> None:
         """A timer for held jobs: at the first that must be answered, and often enough to see room."""
-        if wait := self.held.timer_us(now, until_us, self.derived.tick_us):
-            self.actions.append(api.SetTimer(wait, timers.HELD))
+        if wait := self.held.next_check_us(now, until_us, self.derived.tick_us):
+            self.actions.append(api.SetTimer(wait, timers.QUEUE_CHECK))
 
     def _place_held(self, now: int) -> None:
         """Give held jobs their worker, the most worth first, or their answer in time."""
-        held = self.held.take()
+        held = self.held.take_all()
         self.no_room.clear()
         usable = self.workers.values() if self.list_leased else ()
         room = held and any(self._takes_jobs(now, worker) for worker in usable)
@@ -234,7 +232,7 @@
         """Age-priced rotation: the lowest x ln q among the eligible; equal costs go to the larger age."""
         # Own jobs come too seldom to learn from: one failure tells, unsafe jobs go where others ended well.
         self.thin = self.estimates.fewer_jobs_than_workers(now)
-        was_sparse, self.sparse = self.sparse, self.estimates.fewer_jobs_out_than_workers(now)
+        was_sparse, self.sparse = self.sparse, self.estimates.fewer_jobs_in_flight_than_workers(now)
         changed = abs(self.estimates.rate - self.weighted_rate) > self.weighted_rate / 5
         if changed or self.sparse != was_sparse:
             # A weight for each worker at each arrival cost more than all else.
@@ -245,12 +243,19 @@
             self._weigh_zones()
             self._weigh_unbound()
         unsafe = job.klass.repeat is api.Repeat.UNSAFE
-        choice = Choice(job, unsafe, HINT_MARGIN * job.request.work_hint_us, self.derived.idle_limit_us)
+        choice = PlacementCriteria(
+            job, unsafe, HINT_MARGIN * job.request.work_hint_us, self.derived.max_idle_us
+        )
         # To a cold worker, were it warm: half its budget, as chance adds to it.
-        pace = self.settings.fall_multiple / 2 * self.estimates.borne(now) / self.estimates.gaps_counted(now)
+        pace = (
+            self.settings.fall_multiple
+            / 2
+            * self.estimates.worker_throughput(now)
+            / self.estimates.counted_gap_share(now)
+        )
         return self._cheapest(now, choice, pace)
 
-    def _cheapest(self, now: int, choice: Choice, cold_pace: float) -> WorkerRecord | None:
+    def _cheapest(self, now: int, choice: PlacementCriteria, cold_pace: float) -> WorkerRecord | None:
         """Each arrival goes over all workers: what most of them need is in the loop itself, without calls."""
         job, klass, sends = choice.job, choice.job.klass, self.sends
         bound = klass.bound
@@ -259,7 +264,7 @@
         for worker in self.workers.values():
             if now < worker.slow_start_until_us and not self._cold_turn(now, worker, cold_pace):
                 continue
-            cost = (sends - worker.last_send) * worker.age_weight * worker.zone.factor
+            cost = (sends - worker.last_send) * worker.age_weight * worker.zone.cost_factor
             if cost > best_cost and not best_rank:
                 continue  # what follows only raises the cost
             if now < worker.ejected_until_us or now < worker.backoff_until_us:
@@ -279,13 +284,13 @@
             self.no_room.add(job.request.job_class)
         return best
 
-    def _full_cost(self, now: int, worker: WorkerRecord, choice: Choice, cost: float) -> float:
+    def _full_cost(self, now: int, worker: WorkerRecord, choice: PlacementCriteria, cost: float) -> float:
         """The cost of an age (below 0), raised by all that speaks against the worker."""
-        idle_limit = choice.idle_limit_us
+        idle_limit = choice.max_idle_us
         if idle_limit < inf and (worker.in_flight or now - worker.connection_used_us > idle_limit):
-            cost = (self.sends - worker.last_send) * worker.age_weight * worker.zone.fresh
+            cost = (self.sends - worker.last_send) * worker.age_weight * worker.zone.new_connection_factor
         if now < worker.slow_start_until_us:
-            cost *= self.estimates.warm_share(now, worker)
+            cost *= self.estimates.slow_start_share(now, worker)
         factor = self.unbound_factor if worker.serves_bound_classes and not choice.job.klass.bound else 1.0
         cost *= (1 - worker.error_share) ** 8 * factor if self.thin else factor
         full = worker.class_backoff_until_us and now < worker.class_backoff_until_us.get(
@@ -296,7 +301,7 @@
             cost /= BACK_OFF
         return cost
 
-    def _rank(self, now: int, worker: WorkerRecord, choice: Choice) -> int:
+    def _rank(self, now: int, worker: WorkerRecord, choice: PlacementCriteria) -> int:
         """Workers of a lower rank go first, whatever they cost."""
         # With a hint, those that make the aim with half as much again go before tight fits.
         hint = choice.padded_hint_us
@@ -317,7 +322,7 @@
         if len(worker.in_flight) < limit:
             return True
         # Lost jobs take no room.
-        silence = self.derived.silence_us or inf
+        silence = self.derived.progress_timeout_us or inf
         heard = (self.attempts[key].last_progress_us or now for key in worker.in_flight)
         return sum(now - at < silence for at in heard) < limit
 
@@ -334,7 +339,7 @@
         """Whether it is time for a job to a cold worker: all nodes' shares add up to half its budget."""
         # In a lull all nodes would come to their turn, and the first burst send all of these at once.
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
-        credit = worker.slow_start_credit + gap * pace * self.estimates.warm_share(now, worker)
+        credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:  # its turn, though cold
             phase = int(len(self.workers) / self.settings.cold_from)
             worker.last_send = min(worker.last_send, self.sends - phase)
@@ -360,8 +365,8 @@
         # Sharper, thin nodes, which learn late, would leave a full zone all together and fill the next.
         power = 2 if self.thin else 8
         for wait, zone in zip(waits, zones.values(), strict=True):
-            zone.factor = (min(waits) / wait) ** power if price else 1.0
-            zone.fresh = zone.factor * (wait / (wait + handshake)) ** 8
+            zone.cost_factor = (min(waits) / wait) ** power if price else 1.0
+            zone.new_connection_factor = zone.cost_factor * (wait / (wait + handshake)) ** 8
 
     def _weigh_unbound(self) -> None:
         """How much ages count for unbound work at machines that bound classes want."""
@@ -383,11 +388,11 @@
         worker.slow_start_credit = 0.0
         job.attempts += 1
         job.attempts_in_flight += 1
-        if self.derived.checks_attempts and self._worth_withdrawing(job):
+        if self.derived.can_cancel_unstarted and self._worth_withdrawing(job):
             # A keyed job has few places to go to: it moves if it waits longer than own jobs there usually do.
             usual_wait = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
             wait = worker.min_start_delay_us + klass.aim_us // 4 + usual_wait
-            self._set_attempt_timer(int(wait), timers.Check.PROGRESS, attempt)
+            self._set_attempt_timer(int(wait), timers.AttemptCheck.PROGRESS, attempt)
         if worker.connection_used_us and now - worker.last_response_us > TRUST_US:
             # A vanished machine leaves its connections open; a new one does not come up: the job never ran.
             self.actions.append(api.CloseIdle(worker.entry.address))
@@ -401,7 +406,7 @@
     def _worth_withdrawing(self, job: JobRecord) -> bool:
         """Whether the price of waste lets jobs past use be withdrawn: some run on all the same."""
         mean, safe = self.job_times.mean_us, job.klass.repeat is api.Repeat.SAFE
-        wasted = self.job_times.class_us[job.request.job_class] if safe else mean
+        wasted = self.job_times.class_mean_us[job.request.job_class] if safe else mean
         return self.settings.waste_price * (wasted or 1.0) < CHEAP_WASTE * (mean or 1.0)
 
     def _withdraw(self, attempt: Attempt) -> None:
@@ -418,8 +423,8 @@
 
     def _attempt_started(self, now: int, attempt: Attempt) -> None:
         worker, delay = attempt.worker, now - attempt.sent_us
-        if usual := self.job_times.usual_us[attempt.job.request.job_class]:
-            self._set_attempt_timer(int(OVERDUE * usual), timers.Check.OVERDUE, attempt)
+        if usual := self.job_times.class_baseline_us[attempt.job.request.job_class]:
+            self._set_attempt_timer(int(OVERDUE * usual), timers.AttemptCheck.OVERDUE, attempt)
         worker.waiting = None
         worker.min_start_delay_us = min(worker.min_start_delay_us or delay, delay)
         self._adapt_limit(now, attempt, delay - worker.min_start_delay_us, delay)
@@ -456,7 +461,7 @@
         job, klass = attempt.job, attempt.job.klass
         if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_worth:
             # It started and did not end: it is at least as long as it ran, and its aim grows with that.
-            ran = now - attempt.last_progress_us + self.job_times.usual_us[job.request.job_class]
+            ran = now - attempt.last_progress_us + self.job_times.class_baseline_us[job.request.job_class]
             until = int(job.objective_us + max(0.0, klass.stretch - 1) * ran)
             job.queue_deadline_us = min(job.client_deadline_us - 1, max(job.queue_deadline_us, until))
         # Where workers shed work that they had begun, unsafe jobs ran twice after a 'full'.
@@ -489,7 +494,7 @@
         if withdrawn_by_client or attempt.sent_us < worker.readmitted_us:
             return  # it tells nothing, or is a job of before the worker was left out
         # A worker that loses answers looked dead: slow, full, shunned, and the others drowned (ledger site).
-        silence = self.derived.silence_us
+        silence = self.derived.progress_timeout_us
         lost = late and attempt.last_progress_us and 0 < silence <= now - attempt.last_progress_us
         full = outcome is api.Outcome.FULL
         if full:
@@ -542,7 +547,7 @@
     def _probe(self, now: int, worker: WorkerRecord) -> None:
         """Nothing came from this worker, not even a refusal: ask it, if jobs there could be moved."""
         listed = self.workers.get(worker.entry.address) is worker
-        if self.derived.probes_workers and listed and worker.in_flight and not worker.health_check_since_us:
+        if self.derived.can_check_health and listed and worker.in_flight and not worker.health_check_since_us:
             worker.health_check_since_us = now
             self.actions.append(api.Probe(worker.entry.address))
 
@@ -573,7 +578,7 @@
         worker.zone.add(now, min(aim, max(0.0, delay_us)), self.settings.cold_us)
         if waited_us >= aim / 4:
             fallen = min(worker.concurrency_limit, others or 0.7 * worker.concurrency_limit)
-            worker.concurrency_limit = max(self.derived.least_limit, fallen)
+            worker.concurrency_limit = max(self.derived.min_concurrency_limit, fallen)
         elif others + 1 >= worker.concurrency_limit - 0.5:
             worker.concurrency_limit = (
                 worker.concurrency_limit + 1.0
@@ -582,15 +587,19 @@
             )
 
     def _on_timer(self, now: int, event: api.TimerFired) -> None:
-        if event.tag == timers.HELD:
+        if event.tag == timers.QUEUE_CHECK:
             self._check_held(now)
-        elif event.tag == timers.LIST:
+        elif event.tag == timers.LIST_POLL:
             if not self.subscribed:
                 self.actions.append(api.Subscribe())
-        elif timer := timers.read(event.tag):
+        elif timer := timers.parse(event.tag):
             attempt = self.attempts.get((timer.job, timer.attempt))
             if attempt is not None and not attempt.cancel_requested:
-                check = self._check_progress if timer.check is timers.Check.PROGRESS else self._check_overdue
+                check = (
+                    self._check_progress
+                    if timer.check is timers.AttemptCheck.PROGRESS
+                    else self._check_overdue
+                )
                 check(now, attempt)
 
     def _check_overdue(self, now: int, attempt: Attempt) -> None:
@@ -617,11 +626,11 @@
             self.retry_budget -= 1
             self._withdraw(attempt)
         elif due < inf:
-            self._set_attempt_timer(int(due - now) + 1, timers.Check.PROGRESS, attempt)
+            self._set_attempt_timer(int(due - now) + 1, timers.AttemptCheck.PROGRESS, attempt)
 
     def _withdrawal_due(self, now: int, attempt: Attempt) -> float:
         """When to withdraw an attempt as things stand; without end: not at all."""
-        job, klass, silence = attempt.job, attempt.job.klass, self.derived.silence_us
+        job, klass, silence = attempt.job, attempt.job.klass, self.derived.progress_timeout_us
         if attempt.worker.waiting is attempt:
             if self.sparse and klass.repeat is api.Repeat.SAFE:
                 return inf  # a second choice knows no more, and what is withdrawn may run on
@@ -631,7 +640,7 @@
             if not klass.late_worth:  # a jam must not be spent on late answers
                 due = (
                     job.objective_us
-                    + (klass.stretch - 1) * self.job_times.class_us[job.request.job_class] / 4
+                    + (klass.stretch - 1) * self.job_times.class_mean_us[job.request.job_class] / 4
                 )
                 return due if self.retry_budget >= 1 else max(due, now + self.derived.tick_us)
         if klass.late_worth and klass.repeat is api.Repeat.SAFE and attempt.last_progress_us and silence:
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -147,7 +147,7 @@
 
     async def _job(self, request: web.BaseRequest) -> web.StreamResponse:
         # After a stall it may have been here since the last moment at which we looked.
-        arrived_us = self.catch_up.arrival_us() if self.catch_up else self.clock.now_us()
+        arrived_us = self.catch_up.earliest_arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
         job = protocol.read_request(
             request.raw_path, request.headers, body, self.config.classes, self.deadlines_us
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from robinhill.net.clock import Clock
-from robinhill.placement.stall_detector import BEAT_US, StallDetector
+from robinhill.placement.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
 
 log = logging.getLogger(__name__)
 
@@ -23,14 +23,14 @@
         """``unread`` tells whether words of discovery wait in the kernel."""
         self.clock = clock
         self.unread = unread
-        self.stalls = StallDetector(clock.now_us())
+        self.stall_detector = StallDetector(clock.now_us())
         self.turns = 0  # of the loop since the stall; 0: there was none, or all is read
         self.quiet_turns = 0  # of these, the last ones in which nothing was unread
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Begin to beat."""
-        self.stalls.beat(self.clock.now_us())
+        self.stall_detector.record_heartbeat(self.clock.now_us())
         self._schedule()
 
     def close(self) -> None:
@@ -38,21 +38,21 @@
         if self._timer:
             self._timer.cancel()
 
-    def reading(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether words of others may be unread that were written while this process stood still."""
-        return self.behind() and self.quiet_turns < READ_TURNS
+        return self.is_catching_up() and self.quiet_turns < READ_TURNS
 
-    def behind(self) -> bool:
+    def is_catching_up(self) -> bool:
         """Whether that is so, or not everything here goes by them yet."""
-        if not self.turns and self._timer and self.stalls.stalled(now := self.clock.now_us()):
-            log.info("stood_still", extra={"for_ms": (now - self.stalls.last_us) // 1000})
+        if not self.turns and self._timer and self.stall_detector.is_stalled(now := self.clock.now_us()):
+            log.info("stood_still", extra={"for_ms": (now - self.stall_detector.last_heartbeat_us) // 1000})
             self.turns, self.quiet_turns = 1, 0
             asyncio.get_running_loop().call_soon(self._turn)
         return self.turns > 0
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         """The latest moment at which what is read now surely was not there yet, or now if all is read."""
-        return self.stalls.last_us if self.behind() else self.clock.now_us()
+        return self.stall_detector.last_heartbeat_us if self.is_catching_up() else self.clock.now_us()
 
     def _turn(self) -> None:
         self.turns += 1
@@ -61,12 +61,14 @@
             asyncio.get_running_loop().call_soon(self._turn)
             return
         self.turns = 0
-        self.stalls.beat(self.clock.now_us())
+        self.stall_detector.record_heartbeat(self.clock.now_us())
 
-    def _beat(self) -> None:
-        if not self.behind():
-            self.stalls.beat(self.clock.now_us())
+    def _record_heartbeat(self) -> None:
+        if not self.is_catching_up():
+            self.stall_detector.record_heartbeat(self.clock.now_us())
         self._schedule()
 
     def _schedule(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(BEAT_US / 1e6, self._beat)
+        self._timer = asyncio.get_running_loop().call_later(
+            HEARTBEAT_INTERVAL_US / 1e6, self._record_heartbeat
+        )
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -20,7 +20,7 @@
     EndpointListReceived,
     ListConfirmed,
 )
-from robinhill.placement.watch_schedule import Pace
+from robinhill.placement.watch_schedule import WatchSchedule
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 
 
 class EndpointListWatcher(Actor[Move]):
-    """One watch at a time, from the start on; ``pace`` alone decides when another is opened.
+    """One watch at a time, from the start on; ``schedule`` alone decides when another is opened.
 
     The module hears of each call that fails and each watch that ends, but for silent ones and agents.
     """
@@ -51,7 +51,7 @@
         self,
         discovery: Address,
         generation: int,
-        pace: Pace,
+        schedule: WatchSchedule,
         clock: Clock,
         supervisor: Supervisor,
         report: Callable[[EndpointListReceived], None],
@@ -62,7 +62,7 @@
         super().__init__("destinations", supervisor)
         self.discovery = discovery
         self.generation: int | None = generation  # the last version seen at this address
-        self.pace = pace
+        self.schedule = schedule
         self.clock = clock
         self.report = report
         self.note = note  # hears of all else that the lease on the list goes by
@@ -73,7 +73,7 @@
 
     def start(self) -> None:
         super().start()
-        self._open(self.pace.started(self.clock.now_us()))
+        self._open(self.schedule.start(self.clock.now_us()))
 
     def receive(self, message: Move) -> None:
         """Leave the old address at once: waiting for its end would cost what is told meanwhile.
@@ -87,7 +87,7 @@
         if self.watch:
             self.watch.cancel()
         self.discovery, self.generation = message.discovery, None
-        self.pace.moved(self.clock.now_us())
+        self.schedule.record_moved(self.clock.now_us())
         self.note(DiscoveryAddressChanged(self.clock.now_us()))
         self._open(0)
 
@@ -97,7 +97,7 @@
     async def _watch(self, wait_us: int) -> None:
         while True:
             await asyncio.sleep(wait_us / 1e6)
-            self.pace.called(self.clock.now_us())
+            self.schedule.record_call(self.clock.now_us())
             self.answered, self._transport = False, None
             silent, why = False, "ended"
             try:
@@ -106,11 +106,11 @@
                 silent, why = True, "silent"
             except Exception as e:  # whatever discovery sends costs this exchange alone
                 why = f"{type(e).__name__}: {e}"
-            wait_us = self.pace.lost(self.clock.now_us(), self.answered)
-            if self.pace.away_us is not None:
-                self.note(DiscoveryUnreachable(self.pace.called_us, self.pace.away_us))
+            wait_us = self.schedule.record_lost(self.clock.now_us(), self.answered)
+            if self.schedule.unreachable_us is not None:
+                self.note(DiscoveryUnreachable(self.schedule.called_us, self.schedule.unreachable_us))
             log.warning("watch_lost", extra={"generation": self.generation, "why": why, "again_us": wait_us})
-            if not (silent or self.pace.pushed):
+            if not (silent or self.schedule.lists_pushed):
                 self.report(EndpointListReceived(None))
 
     async def _read(self) -> None:
@@ -139,11 +139,11 @@
         reader, first = protocol.WatchReader(LONGEST_LIST), True
         while data := await self._in_time(content.readany()):
             for told in reader.feed(data):
-                self.pace.heard(self.clock.now_us())
+                self.schedule.record_received(self.clock.now_us())
                 if told:
                     self._told(told)
                 elif self.generation is not None:  # else it knows nothing of the list that we have
-                    self.note(ListConfirmed(self.generation, self.pace.heard_us))
+                    self.note(ListConfirmed(self.generation, self.schedule.last_received_us))
                 if first and not told:
                     # Nothing has changed: the module hears that its call has been answered.
                     unchanged = protocol.DestinationList(self.generation or 0, False, ())
@@ -155,10 +155,10 @@
         waiting = asyncio.ensure_future(work)
         try:
             while not waiting.done():
-                left_us = self.pace.silent_at() - self.clock.now_us()
+                left_us = self.schedule.silent_at_us() - self.clock.now_us()
                 await asyncio.wait([waiting], timeout=max(0, left_us) / 1e6)
                 # Where this process itself stood still, a word may be here that was not read in time.
-                stood_still = self.catch_up is not None and self.catch_up.behind()
+                stood_still = self.catch_up is not None and self.catch_up.is_catching_up()
                 if not waiting.done() and left_us <= 0 and not stood_still:
                     raise _SilentError
             return waiting.result()
@@ -169,7 +169,7 @@
 
     def _told(self, told: protocol.DestinationList) -> None:
         self.generation = told.generation
-        self.report(EndpointListReceived(told, received_us=self.pace.heard_us))
+        self.report(EndpointListReceived(told, received_us=self.schedule.last_received_us))
         log.info(
             "destinations",
             extra={"generation": told.generation, "reset": told.reset, "count": len(told.destinations)},
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -122,7 +122,7 @@
         self.jobs: dict[str, int] = {}  # the wire's ids are text, the module's numbers
         # Ids of late. An endpoint knows a request in the form it got first, and turns away any other.
         self.seen: dict[str, None] = {}
-        self.keys = idempotency.Keys()
+        self.keys = idempotency.IdempotencyKeys()
         self.next_number = 1
         self._timers: dict[TimerDue, int] = {}  # that are set, and when they are due
         # Requests on their way to another process: what is said of one waits until it is there, or stays.
@@ -135,7 +135,7 @@
         self.destinations: dict[str, Destination] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.state = DisabledWorkerStore(config.folder)
-        self.held_out = self.state.held_out()  # endpoints that operators want left out
+        self.held_out = self.state.load()  # endpoints that operators want left out
         # Since when, and until when, operators had an endpoint out; the file tells no times.
         self.outages = {instance_id: (clock.now_us(), 0) for instance_id in self.held_out}
         self.cordons: CordonsChanged | None = None  # as told last
@@ -153,7 +153,7 @@
         """Begin with a predecessor's list, or with that of the configuration."""
         now = self.clock.now_us()
         self._perform(self.balancer.start(now))
-        if self.list_lease is None or self.list_lease.held(now):
+        if self.list_lease is None or self.list_lease.is_valid(now):
             self.lease_held.set()
         else:
             self._decide(api.ListLeased(False))
@@ -162,7 +162,7 @@
 
     def ready(self) -> bool:
         """After a stall discovery's words go first, whatever came before them."""
-        if self.catch_up and self.catch_up.reading():
+        if self.catch_up and self.catch_up.has_unread_input():
             self._reading = True
             return False
         if self._reading:
@@ -225,11 +225,11 @@
             return
         match message:
             case ListConfirmed(version=version, received_us=received_us):
-                self.list_lease.confirmed(received_us, version)
+                self.list_lease.renew(received_us, version)
             case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
-                self.list_lease.unreachable(called_us, as_of_us)
+                self.list_lease.record_unreachable(called_us, as_of_us)
             case DiscoveryAddressChanged(at_us=at_us):
-                self.list_lease.moved(at_us)
+                self.list_lease.record_moved(at_us)
         self._check_lease()
 
     def _check_lease(self) -> None:
@@ -237,10 +237,10 @@
         if self.list_lease is None:
             return
         now = self.clock.now_us()
-        held = self.list_lease.held(now)
+        held = self.list_lease.is_valid(now)
         if held is self.lease_held.is_set():
             return
-        told = self.list_lease.fields(now)
+        told = self.list_lease.log_fields(now)
         if held:
             self.lease_held.set()
             log.info("list_lease_held", extra=told)
@@ -250,7 +250,7 @@
         self._decide(api.ListLeased(held))
 
     def _list_fields(self) -> dict[str, object]:
-        return self.list_lease.fields(self.clock.now_us()) if self.list_lease else {}
+        return self.list_lease.log_fields(self.clock.now_us()) if self.list_lease else {}
 
     def _decide(self, event: api.Event) -> None:
         self._perform(self.balancer.handle(self.clock.now_us(), event))
@@ -308,7 +308,9 @@
         tenant = self.tenants.get(request.tenant, len(self.tenants))  # one that is not named has no share
         repeat = request.client_repeat
         asked = api.Request(job, request.job_class, left_us, tenant, request.cost_us, repeat)
-        if request.key and (place := self.keys.place(taken.arrived_us, request.job_class, request.key)):
+        if request.key and (
+            place := self.keys.dedup_window(taken.arrived_us, request.job_class, request.key)
+        ):
             asked.group, asked.group_until_us = place.group, place.until_us
         self._decide(api.Arrived(asked))
 
@@ -358,8 +360,8 @@
         if request.key and klass.repeat is api.Repeat.KEYED and address in self.destinations:
             now = self.clock.now_us()
             group = klass.group_of(self._worker(self.destinations[address]))
-            place = idempotency.Place(group, now + klass.memory_us)
-            self.keys.sent(now, attempt, (request.job_class, request.key), place)
+            place = idempotency.DedupWindow(group, now + klass.memory_us)
+            self.keys.record_send(now, attempt, (request.job_class, request.key), place)
 
     def _cancel(self, job: int, attempt: int) -> None:
         held = self.held.get(job)
@@ -385,7 +387,7 @@
         never_ran = ended.outcome.never_ran and not (
             ended.outcome is api.Outcome.FULL and self.config.settings.full_may_have_run
         )
-        self.keys.ended((ended.job, ended.attempt), never_ran)
+        self.keys.record_end((ended.job, ended.attempt), never_ran)
         if ended.outcome is api.Outcome.FULL:
             held.returned.append(endpoint)
         if ended.result is not None:
@@ -575,7 +577,7 @@
             self._update(destination)
         self._decide(api.WorkersListed(kind, [self._worker(d) for d in told.destinations]))
         if self.list_lease and listed.received_us is not None:
-            self.list_lease.confirmed(listed.received_us, told.generation)
+            self.list_lease.renew(listed.received_us, told.generation)
             self._check_lease()  # only now: what is held must not go out by the list of before
         if self.list_changed:
             self.list_changed()
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -17,7 +17,7 @@
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
 
-    def held_out(self) -> set[str]:
+    def load(self) -> set[str]:
         """The ids as last saved; a file that can't be read holds none, and says so in the log."""
         if not self.folder:
             return set()
@@ -30,13 +30,13 @@
             return set()
         return {x for x in ids if isinstance(x, str)} if isinstance(ids, list) else set()
 
-    def save(self, held_out: set[str]) -> bool:
+    def save(self, instance_ids: set[str]) -> bool:
         """Whether they are on file now: all of them or, after an error, those of before."""
         if not self.folder:
             return True
         temporary = self.folder / f"{FILE}.{os.getpid()}"
         try:
-            temporary.write_bytes(orjson.dumps(sorted(held_out)))
+            temporary.write_bytes(orjson.dumps(sorted(instance_ids)))
             temporary.replace(self.folder / FILE)
         except OSError as e:
             log.error("state_not_saved", extra={"file": FILE, "why": str(e)})
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -58,13 +58,13 @@
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.metrics = Metrics(config.classes)
-        pace = watch_schedule.by_settings(config.settings, random.Random(config.seed))
-        self.list_lease = ListLease.by_settings(config.settings, config.known.generation)
+        schedule = watch_schedule.from_settings(config.settings, random.Random(config.seed))
+        self.list_lease = ListLease.from_settings(config.settings, config.known.generation)
         self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
         self.destinations = EndpointListWatcher(
             config.discovery,
             config.known.generation,
-            pace,
+            schedule,
             self.clock,
             self.supervisor,
             self.dispatcher.tell,
@@ -158,7 +158,7 @@
             await self.succession.begin()
         self.started.set()
         told = {"scheduler": self.config.name, "listen": self.config.listen}
-        log.info("started", extra=told | self.list_lease.fields(self.clock.now_us()))
+        log.info("started", extra=told | self.list_lease.log_fields(self.clock.now_us()))
 
     async def _take_over(self, succession: Succession) -> None:
         """Learn what the predecessor knows, and hear discovery ourselves, before we accept."""
@@ -171,7 +171,7 @@
             self.destinations.generation = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
-            self.list_lease.handed_over(known.generation, confirmed_us, until_us)
+            self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
         else:
             self.dispatcher.start()
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -281,7 +281,7 @@
             raise _NotWrittenError(Outcome.TIMEOUT)
         if attempt.over or attempt.withdrawn:
             raise _NotWrittenError(Outcome.CANCELLED)
-        if self.list_lease and not self.list_lease.held(now):
+        if self.list_lease and not self.list_lease.is_valid(now):
             raise _NotWrittenError(Outcome.CONNECT_FAILED)  # the module takes it for no news of the worker
         # A repeat that comes behind its window would be a second effect.
         if not self.open or now >= attempt.write_until_us:
@@ -289,7 +289,7 @@
 
     async def caught_up(self) -> None:
         """Until this process goes by what was written to it while it stood still."""
-        while self.catch_up and self.catch_up.behind():
+        while self.catch_up and self.catch_up.is_catching_up():
             await asyncio.sleep(0)
 
     def time_left(self, attempt: _Attempt) -> str:
@@ -307,7 +307,7 @@
                 "endpoint": self.destination.instance_id,
                 "attempt": attempt.number,
             }
-            log.debug("attempt_sent", extra=told | self.list_lease.fields(self.clock.now_us()))
+            log.debug("attempt_sent", extra=told | self.list_lease.log_fields(self.clock.now_us()))
 
     def _new_session(self) -> aiohttp.ClientSession:
         session = aiohttp.ClientSession(
--- a/robinhill/placement/event_dispatch.py
+++ b/robinhill/placement/event_dispatch.py
@@ -33,7 +33,7 @@
         self._handlers[type(event)](now, event)
         return self.actions
 
-    def _set_attempt_timer(self, wait_us: int, check: timers.Check, attempt: Attempt) -> None:
+    def _set_attempt_timer(self, wait_us: int, check: timers.AttemptCheck, attempt: Attempt) -> None:
         self.actions.append(api.SetTimer(wait_us, timers.AttemptTimer(check, *attempt.key).tag))
 
     @abstractmethod
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -12,7 +12,7 @@
 from robinhill.logic import UNKNOWN_JOB_US, Balancer
 from robinhill.placement import timers
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
-from robinhill.placement.statistics import Mean, Weighed
+from robinhill.placement.statistics import DecayingMean, ZoneWait
 
 Json = dict[str, Any]
 Keys = Mapping[str, str]
@@ -26,17 +26,22 @@
     "unbound_factor": "spare",
 }
 ESTIMATES: Keys = {
-    "rate_us": "rate_us",
-    "began_us": "began_us",
+    "rate_updated_us": "rate_us",
+    "started_us": "began_us",
     "rate": "rate",
-    "mean_worth": "worth",
+    "mean_priority_weight": "worth",
     "requested_us": "asked_us",
     "unbound_us": "free_us",
 }
-TRIES: Keys = {"longest_left_us": "full_us", "given_up": "given_up"}
-TIMES: Keys = {"mean_us": "mean_us", "class_us": "class_us", "usual_us": "usual_us", "hint_us": "hint_us"}
+CLIENT_RETRIES: Keys = {"max_time_left_us": "full_us", "unretried_answers": "given_up"}
+TIMES: Keys = {
+    "mean_us": "mean_us",
+    "class_mean_us": "class_us",
+    "class_baseline_us": "usual_us",
+    "mean_hint_us": "hint_us",
+}
 MEAN: Keys = {"value": "value", "count": "count", "at_us": "at_us"}
-ZONE: Keys = {**MEAN, "factor": "factor", "fresh": "fresh"}
+ZONE: Keys = {**MEAN, "cost_factor": "factor", "new_connection_factor": "fresh"}
 WORKER: Keys = {
     "rank": "rank",
     "job_time_us": "time_us",
@@ -142,7 +147,7 @@
         "own": _export(balancer, LEARNED)
         | _export(estimates, ESTIMATES)
         | _export(estimates.jobs, TIMES)
-        | _export(balancer.client_tries, TRIES),
+        | _export(balancer.client_retries, CLIENT_RETRIES),
         "unit": _export(estimates.weighted_time, MEAN),
         "kinds": [(number, _export(mean, MEAN)) for number, mean in estimates.kinds.items()],
         "zones": [(number, _export(mean, ZONE)) for number, mean in estimates.zones.items()],
@@ -159,13 +164,13 @@
         (balancer, LEARNED),
         (estimates, ESTIMATES),
         (estimates.jobs, TIMES),
-        (balancer.client_tries, TRIES),
+        (balancer.client_retries, CLIENT_RETRIES),
     ):
         _import(record, keys, state["own"])
     balancer.weighted_rate = 0.0  # so that this version computes its own age weights at the first choice
     _import(estimates.weighted_time, MEAN, state["unit"])
     for number, values in state["kinds"]:
-        _import(estimates.kinds.setdefault(number, Mean()), MEAN, values)
+        _import(estimates.kinds.setdefault(number, DecayingMean()), MEAN, values)
     for number, values in state["zones"]:
         _import(estimates.zone(number), ZONE, values)
     estimates.unit_times.update(state["quick"])
@@ -209,7 +214,7 @@
 
 def is_timer_of_job(tag: str, number: int) -> bool:
     """Whether a timer is about an attempt of this job."""
-    timer = timers.read(tag)
+    timer = timers.parse(tag)
     return timer is not None and timer.job == number
 
 
@@ -263,7 +268,7 @@
 def _removed_worker(address: str) -> WorkerRecord:
     """A record for a worker that is no longer on the endpoint list."""
     entry = api.Worker(address, state=api.WorkerState.GONE)
-    return WorkerRecord(entry, 0.0, Weighed(), UNKNOWN_JOB_US, ejected_until_us=inf)
+    return WorkerRecord(entry, 0.0, ZoneWait(), UNKNOWN_JOB_US, ejected_until_us=inf)
 
 
 def _export(record: object, keys: Keys) -> Json:
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -9,7 +9,7 @@
     return job.order, job.request.job
 
 
-class HeldJobs:
+class JobQueue:
     """Jobs of the lowest ``order`` first; those that came first where it is equal."""
 
     def __init__(self) -> None:
@@ -24,12 +24,12 @@
         """The order of some has changed."""
         self.jobs.sort(key=_place)
 
-    def take(self) -> list[JobRecord]:
-        """All of them; none is held from now on."""
+    def take_all(self) -> list[JobRecord]:
+        """All of them; none is queued from now on."""
         jobs, self.jobs = self.jobs, []
         return jobs
 
-    def timer_us(self, now: int, until_us: int, tick_us: int) -> int:
+    def next_check_us(self, now: int, until_us: int, tick_us: int) -> int:
         """How long to the timer still to be set, to look by ``until_us`` and every ``tick_us``; or 0."""
         due = max(now + 1, min(until_us, now + tick_us))
         if now < self._timer_us <= due:
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from robinhill import api
-from robinhill.placement.statistics import Mean, Weighed
+from robinhill.placement.statistics import DecayingMean, ZoneWait
 
 AttemptKey = tuple[int, int]  # number of the job, number of its attempt
 
@@ -18,10 +18,10 @@
 
     entry: api.Worker
     rank: float  # random: breaks ties, and spreads workers that are new at the same time
-    zone: Weighed  # how long own jobs wait in its zone
+    zone: ZoneWait  # how long own jobs wait in its zone
     job_time_us: float  # time from send to completion, leaning on the worker's kind; its inverse is the speed
     last_send: int = 0  # number of the own send that went here last; far back if none did
-    own_time: Mean = field(default_factory=Mean)  # the same, of own jobs here alone
+    own_time: DecayingMean = field(default_factory=DecayingMean)  # the same, of own jobs here alone
     age_weight: float = -1.0  # ln q (over the job time): what each own send since the last one here adds
     slow_start_until_us: int = 0  # at most
     ejected_until_us: float = 0  # gets nothing before: ejected, or not ready at all (without end)
@@ -117,10 +117,10 @@
 
 
 @dataclass(slots=True)
-class Choice:
+class PlacementCriteria:
     """What the choice of a worker for one job looks at, whichever worker it is."""
 
     job: JobRecord
     unsafe: bool  # the class must not run twice
     padded_hint_us: float  # hinted work with its margin
-    idle_limit_us: float  # a connection idle for longer may be closed; without end: new ones cost nothing
+    max_idle_us: float  # a connection idle for longer may be closed; without end: new ones cost nothing
--- a/robinhill/placement/stall_detector.py
+++ b/robinhill/placement/stall_detector.py
@@ -9,21 +9,21 @@
 
 from dataclasses import dataclass
 
-BEAT_US = 100_000
+HEARTBEAT_INTERVAL_US = 100_000
 # With a beat's length less than the half second that drains leave. Shorter delays are covered by that.
-STALL_US = 200_000
+MAX_HEARTBEAT_DELAY_US = 200_000
 
 
 @dataclass(slots=True)
 class StallDetector:
     """Compares the clock with the last beat."""
 
-    last_us: int
+    last_heartbeat_us: int
 
-    def stalled(self, now_us: int) -> bool:
+    def is_stalled(self, now_us: int) -> bool:
         """Whether the next beat is late by so much that this process stood still."""
-        return now_us - self.last_us > BEAT_US + STALL_US
+        return now_us - self.last_heartbeat_us > HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US
 
-    def beat(self, now_us: int) -> None:
+    def record_heartbeat(self, now_us: int) -> None:
         """The process is at work, and has read what waited for it."""
-        self.last_us = now_us
+        self.last_heartbeat_us = now_us
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass
 from math import exp
 
-PRIOR = 2.0  # samples after which a mean counts as much as what it leans on
+PRIOR_WEIGHT = 2.0  # samples after which a mean counts as much as what it leans on
 
 
 @dataclass(slots=True, eq=False)
-class Mean:
+class DecayingMean:
     """A mean over a window (us), leaning on a prior the more the fewer and older its samples."""
 
     value: float = 0.0
@@ -19,23 +19,23 @@
         self.at_us = now
         self.value += (value - self.value) / self.count
 
-    def lean(self, prior: float) -> float:
-        return (self.count * self.value + PRIOR * prior) / (self.count + PRIOR)
+    def with_prior(self, prior: float) -> float:
+        return (self.count * self.value + PRIOR_WEIGHT * prior) / (self.count + PRIOR_WEIGHT)
 
 
 @dataclass(slots=True, eq=False)
-class Weighed(Mean):
+class ZoneWait(DecayingMean):
     """A mean that also says how much other things count: ``factor`` as a rule, ``fresh`` where all is new."""
 
-    factor: float = 1.0
-    fresh: float = 1.0
+    cost_factor: float = 1.0
+    new_connection_factor: float = 1.0
 
 
-def low(before: float, sample: float) -> float:
+def follow_low_quantile(before: float, sample: float) -> float:
     """Follow a low quantile: quickly down, slowly up."""
     return before + (0.05 if sample > before else 0.3) * min(sample - before, 1.0)
 
 
-def follow(mean: float, sample: float) -> float:
+def smooth(mean: float, sample: float) -> float:
     """Smooth over some 32 samples; the first one counts whole (a mean of 0 has none)."""
     return mean + ((sample - mean) / 32 if mean else sample)
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-HELD = "held"  # look at the held jobs
-LIST = "list"  # ask for the list of workers
+QUEUE_CHECK = "held"  # look at the held jobs
+LIST_POLL = "list"  # ask for the list of workers
 
 
-class Check(Enum):
+class AttemptCheck(Enum):
     """What is to be looked at of an attempt."""
 
     PROGRESS = "look"  # whether it has started, or goes on
@@ -21,7 +21,7 @@
 class AttemptTimer:
     """A timer about one attempt."""
 
-    check: Check
+    check: AttemptCheck
     job: int
     attempt: int
 
@@ -31,9 +31,9 @@
         return f"{self.check.value} {self.job} {self.attempt}"
 
 
-def read(tag: str) -> AttemptTimer | None:
+def parse(tag: str) -> AttemptTimer | None:
     """The timer of this tag; None for one that is about no attempt, as far as this version knows."""
     match tag.split():
-        case [Check.PROGRESS.value | Check.OVERDUE.value as word, job, attempt]:
-            return AttemptTimer(Check(word), int(job), int(attempt))
+        case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as word, job, attempt]:
+            return AttemptTimer(AttemptCheck(word), int(job), int(attempt))
     return None
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -402,7 +402,7 @@
 
 def load_disabled_workers(folder: Path) -> set[str]:
     """Those workers as the last process left them."""
-    return DisabledWorkerStore(folder).held_out()
+    return DisabledWorkerStore(folder).load()
 
 
 def recorded() -> list[Any]:
@@ -470,7 +470,10 @@
 
 def timer_tags() -> list[str]:
     """The tags of timers, which go along with the jobs that they are about."""
-    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.Check] + [timers.HELD, timers.LIST]
+    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.AttemptCheck] + [
+        timers.QUEUE_CHECK,
+        timers.LIST_POLL,
+    ]
 
 
 def exported_admission() -> Json:
--- a/tests/test_destinations.py
+++ b/tests/test_destinations.py
@@ -14,7 +14,7 @@
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
 from robinhill.net.dispatcher.messages import EndpointListReceived
 from robinhill.placement import watch_schedule
-from robinhill.placement.watch_schedule import Pace
+from robinhill.placement.watch_schedule import WatchSchedule
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 Handler = Callable[[asyncio.StreamWriter], Awaitable[None]]
@@ -52,21 +52,21 @@
 @pytest.mark.parametrize("fleet_size", [1, 6, 200])
 def test_after_silence_the_next_call_comes_within_what_counts_as_told(fleet_size: int) -> None:
     for seed in range(20):
-        pace = Pace(False, random.Random(seed), fleet_size)
-        pace.called(0)
-        pace.heard(10_000_000)  # and right after it the watch falls silent
-        now = pace.silent_at()
-        first = now + pace.lost(now)
+        schedule = WatchSchedule(False, random.Random(seed), fleet_size)
+        schedule.record_call(0)
+        schedule.record_received(10_000_000)  # and right after it the watch falls silent
+        now = schedule.silent_at_us()
+        first = now + schedule.record_lost(now)
         assert (
-            first <= 10_000_000 + watch_schedule.TOLD_US // 2
+            first <= 10_000_000 + watch_schedule.LIST_CHANGE_BOUND_US // 2
         )  # the other half is for the wait at discovery
         now, calls = first, 0
         while now <= 16_000_000:
-            pace.called(now)
+            schedule.record_call(now)
             now, calls = now + 20_000, calls + 1  # refused at once
-            wait = pace.lost(now)
+            wait = schedule.record_lost(now)
             # whenever discovery is back, a call begins within half of what then counts as told
-            assert wait <= watch_schedule.TOLD_US // 2
+            assert wait <= watch_schedule.LIST_CHANGE_BOUND_US // 2
             now += wait
         assert calls >= 3
 
@@ -92,9 +92,9 @@
         self.server = await asyncio.start_server(self, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.supervisor = Supervisor()
-        pace = Pace(pushed, random.Random(1), 1)
+        schedule = WatchSchedule(pushed, random.Random(1), 1)
         actor = EndpointListWatcher(
-            Address("127.0.0.1", port), 41, pace, Clock(), self.supervisor, self.reports.append
+            Address("127.0.0.1", port), 41, schedule, Clock(), self.supervisor, self.reports.append
         )
         actor.start()
         return actor
@@ -132,7 +132,11 @@
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same decisions, sooner."""
-    for name, value in {"WORD_US": 100_000, "CALL_US": 100_000, "AGAIN_US": 10_000}.items():
+    for name, value in {
+        "WATCH_SILENCE_TIMEOUT_US": 100_000,
+        "CALL_TIMEOUT_US": 100_000,
+        "MIN_SPREAD_US": 10_000,
+    }.items():
         monkeypatch.setattr(watch_schedule, name, value)
 
 
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -27,7 +27,7 @@
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
 from robinhill.net.dispatcher.messages import DiscoveryAddressChanged, EndpointListReceived, ListConfirmed
 from robinhill.placement import watch_schedule
-from robinhill.placement.watch_schedule import Pace
+from robinhill.placement.watch_schedule import WatchSchedule
 
 from .conftest import MS, S, settings
 from .test_config import GIVEN
@@ -37,7 +37,12 @@
 QUEUE_US = 2 * S  # discovery fails calls that wait longer
 Ending = Literal["start", "reset", "silent"]
 Failure = Literal["refused", "never comes up", "never answered", "503"]
-LASTS_US = {"refused": MS, "never comes up": S, "never answered": watch_schedule.CALL_US, "503": 5 * MS}
+LASTS_US = {
+    "refused": MS,
+    "never comes up": S,
+    "never answered": watch_schedule.CALL_TIMEOUT_US,
+    "503": 5 * MS,
+}
 
 
 @dataclass(slots=True)
@@ -53,24 +58,26 @@
 
     def play(self, ending: Ending, seed: int) -> None:
         chance, queue = random.Random(seed), list[tuple[int, int, str, int]]()
-        paces = [Pace(False, random.Random(seed * 1000 + i), self.size) for i in range(self.size)]
+        schedules = [
+            WatchSchedule(False, random.Random(seed * 1000 + i), self.size) for i in range(self.size)
+        ]
         waiting, busy = deque[tuple[int, int]](), False
 
         def put(at_us: int, what: str, number: int = -1) -> None:
             heapq.heappush(queue, (at_us, len(queue), what, number))
 
-        for number, pace in enumerate(paces):
+        for number, schedule in enumerate(schedules):
             if ending == "start":
-                put(pace.started(0), "call", number)
+                put(schedule.start(0), "call", number)
                 continue
-            pace.called(-100 * S)
-            pace.heard(-chance.randrange(2 * S))
-            ended = 0 if ending == "reset" else pace.silent_at()
-            put(ended + pace.lost(ended), "call", number)
+            schedule.record_call(-100 * S)
+            schedule.record_received(-chance.randrange(2 * S))
+            ended = 0 if ending == "reset" else schedule.silent_at_us()
+            put(ended + schedule.record_lost(ended), "call", number)
         while queue:
             now, _, what, number = heapq.heappop(queue)
             if what == "call":
-                paces[number].called(now)
+                schedules[number].record_call(now)
                 if now < self.back_us:
                     put(now + LASTS_US[self.failure], "failed", number)
                     continue
@@ -80,9 +87,9 @@
                     busy = True
                     put(now, "next")
             elif what == "failed":
-                put(now + paces[number].lost(now), "call", number)
+                put(now + schedules[number].record_lost(now), "call", number)
             elif what == "answered":
-                paces[number].heard(now)
+                schedules[number].record_received(now)
                 self.listed[number] = now
             else:
                 while waiting and now - waiting[0][0] > QUEUE_US:
@@ -110,7 +117,7 @@
         fleet = Fleet(size, service_us)
         fleet.play(ending, seed)
         assert len(fleet.listed) == size
-        assert max(fleet.listed.values()) <= watch_schedule.TOLD_US
+        assert max(fleet.listed.values()) <= watch_schedule.LIST_CHANGE_BOUND_US
         if size > 6:
             assert fleet.most_calls(50 * MS) <= size // 10 + 4
             assert fleet.most_calls(S) <= size * 0.85
@@ -124,7 +131,7 @@
     for seed in range(3):
         fleet = Fleet(size, service_us, 8 * S, failure)
         fleet.play("reset", seed)
-        assert max(fleet.listed.values()) <= 8 * S + watch_schedule.TOLD_US
+        assert max(fleet.listed.values()) <= 8 * S + watch_schedule.LIST_CHANGE_BOUND_US
         if size > 6:
             assert fleet.most_calls(50 * MS) <= size // 10 + 4
             assert fleet.most_calls(S) <= size * 0.7
@@ -141,23 +148,23 @@
     for ask_every_us in (2 * S, 4 * S, 10 * S):
         given = settings(must_subscribe=True, ask_every_us=ask_every_us, fleet_size=200)
         for seed in range(20):
-            pace = watch_schedule.by_settings(given, random.Random(seed))
-            assert pace.started(0) <= min(ask_every_us, watch_schedule.TOLD_US) // 2
+            schedule = watch_schedule.from_settings(given, random.Random(seed))
+            assert schedule.start(0) <= min(ask_every_us, watch_schedule.LIST_CHANGE_BOUND_US) // 2
 
 
 @pytest.mark.parametrize("fleet_size", [1, 200])
 def test_no_wait_for_a_call_is_longer_than_half_of_what_counts_as_told(fleet_size: int) -> None:
     chance = random.Random(7)
-    pace, now = Pace(False, random.Random(1), fleet_size), 0
-    now += pace.started(now)
+    schedule, now = WatchSchedule(False, random.Random(1), fleet_size), 0
+    now += schedule.start(now)
     for _ in range(5_000):
-        pace.called(now)
+        schedule.record_call(now)
         now += chance.choice([1, 20 * MS, S, 2 * S, 3 * S])
         if chance.random() < 0.2:
-            pace.heard(now)
-            now += chance.choice([0, S, watch_schedule.WORD_US])
-        wait = pace.lost(now)
-        assert 0 <= wait <= watch_schedule.TOLD_US // 2
+            schedule.record_received(now)
+            now += chance.choice([0, S, watch_schedule.WATCH_SILENCE_TIMEOUT_US])
+        wait = schedule.record_lost(now)
+        assert 0 <= wait <= watch_schedule.LIST_CHANGE_BOUND_US // 2
         now += wait
 
 
@@ -245,13 +252,13 @@
 class Watching:
     """The actor on its own, what it reports, and the discoveries that it may be sent to."""
 
-    def __init__(self, *, pushed: bool = False, pace: Pace | None = None) -> None:
+    def __init__(self, *, pushed: bool = False, schedule: WatchSchedule | None = None) -> None:
         self.reports: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
         self.supervisor = Supervisor()
         self.discoveries = [Discovery(), Discovery()]
-        pace = pace or Pace(pushed, random.Random(1), 1)
+        schedule = schedule or WatchSchedule(pushed, random.Random(1), 1)
         self.actor = EndpointListWatcher(
-            self.discoveries[0].address, 41, pace, Clock(), self.supervisor, self.reports.put_nowait
+            self.discoveries[0].address, 41, schedule, Clock(), self.supervisor, self.reports.put_nowait
         )
 
     async def failed(self) -> None:
@@ -266,8 +273,8 @@
 
 
 @contextlib.asynccontextmanager
-async def watching(*, pushed: bool = False, pace: Pace | None = None) -> AsyncIterator[Watching]:
-    here = Watching(pushed=pushed, pace=pace)
+async def watching(*, pushed: bool = False, schedule: WatchSchedule | None = None) -> AsyncIterator[Watching]:
+    here = Watching(pushed=pushed, schedule=schedule)
     try:
         async with asyncio.timeout(10):
             yield here
@@ -426,7 +433,7 @@
 
 
 def test_the_late_answer_to_a_call_that_was_given_up_is_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_schedule, "CALL_US", 100 * MS)
+    monkeypatch.setattr(watch_schedule, "CALL_TIMEOUT_US", 100 * MS)
 
     async def play() -> None:
         async with watching() as here:
@@ -446,26 +453,26 @@
 # SIGHUP in the middle of it
 
 
-def slow() -> Pace:
+def slow() -> WatchSchedule:
     """As in a fleet of 200 that is unlucky: each wait takes seconds."""
-    return Pace(False, Latest(), 200)
+    return WatchSchedule(False, Latest(), 200)
 
 
 @pytest.mark.parametrize("moment", ["first wait", "back-off", "call", "watch"])
 def test_after_a_reload_the_new_address_is_asked_at_once_for_its_whole_list(moment: str) -> None:
     async def play() -> None:
-        pace = None if moment in ("call", "watch") else slow()
-        async with watching(pace=pace) as here:
+        schedule = None if moment in ("call", "watch") else slow()
+        async with watching(schedule=schedule) as here:
             old, new = here.discoveries
             await new.listen()
             if moment == "back-off":
-                assert pace
-                pace.fleet_size = 1  # the first waits are short
+                assert schedule
+                schedule.fleet_size = 1  # the first waits are short
             here.actor.start()
             if moment == "back-off":
-                assert pace
+                assert schedule
                 await here.failed()
-                pace.fleet_size, pace.tries = 200, 3
+                schedule.fleet_size, schedule.failed_calls = 200, 3
                 await here.failed()  # and now it waits for seconds
             if moment in ("call", "watch"):
                 await old.listen()
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -694,7 +694,7 @@
             await old.start()
             here.listing.clear()
             new = await (await here.relay()).begin()
-            assert new.list_lease.held(new.clock.now_us()) and new.dispatcher.lease_held.is_set()
+            assert new.list_lease.is_valid(new.clock.now_us()) and new.dispatcher.lease_held.is_set()
             assert new.list_lease.until_us == old.list_lease.until_us
             assert abs(new.clock.now_us() - old.clock.now_us()) < 10_000
             client = await here.client()
@@ -715,7 +715,7 @@
             await old.start()
             here.listing.clear()
             new = await (await here.relay()).begin(untold=LEASE)
-            assert not new.list_lease.held(new.clock.now_us())
+            assert not new.list_lease.is_valid(new.clock.now_us())
             client = await here.client()
             client.send("j1")
             await until(lambda: new.dispatcher.held)
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -653,7 +653,7 @@
         reply = await h.accepted(worker, job("j1", "k"))
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         await reply
-        place = h.dispatcher.keys.place(h.clock.now_us(), 1, "k")
+        place = h.dispatcher.keys.dedup_window(h.clock.now_us(), 1, "k")
         assert place and place.until_us <= h.clock.now_us() + 1_000_000
         h.take(job("j2", "k"))
         await until(lambda: "j2" in h.endpoint.attempts)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -3,10 +3,10 @@
 import pytest
 
 from robinhill import api
-from robinhill.placement.derived_settings import Derived
-from robinhill.placement.estimates import ClientTries, Estimates, JobTimes
+from robinhill.placement.derived_settings import DerivedSettings
+from robinhill.placement.estimates import ClientRetries, Estimates, JobTimes
 from robinhill.placement.records import WorkerRecord
-from robinhill.placement.statistics import Weighed, follow
+from robinhill.placement.statistics import ZoneWait, smooth
 
 from .conftest import MS, S, settings
 
@@ -18,7 +18,7 @@
 
 
 def test_smoothing_starts_with_the_first_sample() -> None:
-    assert follow(0.0, 8.0) == 8.0 and follow(8.0, 40.0) == 9.0
+    assert smooth(0.0, 8.0) == 8.0 and smooth(8.0, 40.0) == 9.0
 
 
 def test_a_hint_scales_the_mean_and_without_one_the_class_counts() -> None:
@@ -29,11 +29,11 @@
     assert times.expected_us(0, 0) == 100.0 and times.expected_us(0, 25) == 50.0
     assert times.expected_us(1, 0) == 100.0, "a class without samples takes the mean of all"
     times.add(0, 10_000, 400.0)
-    assert times.usual_us[0] == pytest.approx(100 + 300 / 32 / 1024)
+    assert times.class_baseline_us[0] == pytest.approx(100 + 300 / 32 / 1024)
 
 
 def test_one_huge_job_counts_as_four() -> None:
-    learned, worker = estimates(), WorkerRecord(api.Worker("w"), 0.0, Weighed(), S)
+    learned, worker = estimates(), WorkerRecord(api.Worker("w"), 0.0, ZoneWait(), S)
     request = api.Request(1, 0, S)
     learned.add_completion(MS, worker, request, 100 * MS)
     learned.add_completion(2 * MS, worker, request, 100 * S)
@@ -42,9 +42,9 @@
 
 def test_a_cold_worker_is_warm_for_sure_by_the_time_left() -> None:
     learned = estimates()  # warm after 9 s, from 0.3 on
-    worker = WorkerRecord(api.Worker("w"), 0.0, Weighed(), S, slow_start_until_us=9 * S)
-    assert learned.warm_share(0, worker) == pytest.approx(0.3)
-    assert learned.warm_share(9 * S, worker) == pytest.approx(1.0)
+    worker = WorkerRecord(api.Worker("w"), 0.0, ZoneWait(), S, slow_start_until_us=9 * S)
+    assert learned.slow_start_share(0, worker) == pytest.approx(0.3)
+    assert learned.slow_start_share(9 * S, worker) == pytest.approx(1.0)
 
 
 def test_the_rate_is_that_of_the_window_and_never_falls_to_nothing() -> None:
@@ -57,22 +57,24 @@
 
 
 def test_a_try_with_less_time_is_a_further_one_only_while_one_was_given_up() -> None:
-    tries = ClientTries(1, least_us=10 * MS)
+    tries = ClientRetries(1, min_spent_us=10 * MS)
     assert tries.spent_us(api.Request(1, 0, S)) == 0
     assert tries.spent_us(api.Request(2, 0, S - 5 * MS)) == 5 * MS
     assert tries.spent_us(api.Request(3, 0, S - 300 * MS)) == 0, "the first of a client that waits for less"
-    tries.given_up = 1
-    assert tries.spent_us(api.Request(4, 0, S - 300 * MS)) == 300 * MS and tries.given_up == 0
+    tries.unretried_answers = 1
+    assert tries.spent_us(api.Request(4, 0, S - 300 * MS)) == 300 * MS and tries.unretried_answers == 0
     assert tries.spent_us(api.Request(5, 0, S - 300 * MS, client_repeat=True)) == 300 * MS
 
 
 def test_bounds_follow_from_the_settings() -> None:
-    few = Derived.of(
+    few = DerivedSettings.from_settings(
         settings(fleet_size=2, keepalive_us=S, handshake_price=0.1, progress_us=100), 50 * MS, 3.0
     )
-    assert (few.tick_us, few.least_limit, few.silence_us) == (26 * MS, 1.0, 150)
-    assert few.idle_limit_us == S - 26 * MS and not few.checks_attempts and not few.probes_workers
-    many = Derived.of(settings(fleet_size=200, tells_start=True, probes=True), 50 * MS, 3.0)
-    assert many.least_limit == 0.2 and many.idle_limit_us == float("inf")
-    assert many.checks_attempts and many.probes_workers
+    assert (few.tick_us, few.min_concurrency_limit, few.progress_timeout_us) == (26 * MS, 1.0, 150)
+    assert few.max_idle_us == S - 26 * MS and not few.can_cancel_unstarted and not few.can_check_health
+    many = DerivedSettings.from_settings(
+        settings(fleet_size=200, tells_start=True, probes=True), 50 * MS, 3.0
+    )
+    assert many.min_concurrency_limit == 0.2 and many.max_idle_us == float("inf")
+    assert many.can_cancel_unstarted and many.can_check_health
     assert (few.list_spread_us, many.list_spread_us) == (100 * MS, 5 * S)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -15,15 +15,15 @@
 
 def test_a_list_of_the_configuration_has_no_age_until_discovery_confirms_it() -> None:
     lease = ListLease(version=41)
-    assert lease.fields(5 * S) == {"list_origin": "configuration", "list_version": 41, "list_age_ms": -1}
-    lease.confirmed(5 * S, 43)
-    assert lease.fields(7 * S) == {"list_origin": "discovery", "list_version": 43, "list_age_ms": 2_000}
+    assert lease.log_fields(5 * S) == {"list_origin": "configuration", "list_version": 41, "list_age_ms": -1}
+    lease.renew(5 * S, 43)
+    assert lease.log_fields(7 * S) == {"list_origin": "discovery", "list_version": 43, "list_age_ms": 2_000}
 
 
 def test_figures_tell_the_lists_version_and_age_and_each_reason() -> None:
     metrics = Metrics(("lookup",))
     metrics.list_lease = ListLease()
-    metrics.list_lease.confirmed(S, 43)
+    metrics.list_lease.renew(S, 43)
     metrics.sends[ListOrigin.DISCOVERY] += 2
     metrics.refusals["no_worker"] += 1
     metrics.retries["full"] += 1
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -19,7 +19,7 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
-from robinhill.placement.watch_schedule import TOLD_US
+from robinhill.placement.watch_schedule import LIST_CHANGE_BOUND_US
 
 LOAD = [Tenant("one", 60.0)]
 KINDS = (JobKind("member-lookup", 10, 200, 2.5, 8_000),)
@@ -129,7 +129,7 @@
             here.discovery.answering.clear()
             await asyncio.sleep(0.1)  # the end of the watch is written
             leave(here)
-            await asyncio.sleep(TOLD_US / 1e6 + 0.6)  # with the half second that drains leave
+            await asyncio.sleep(LIST_CHANGE_BOUND_US / 1e6 + 0.6)  # with the half second that drains leave
             since = time.monotonic()
             here.program.signal(signal.SIGCONT)
             await play(here, 1.0)
@@ -175,7 +175,7 @@
             here.discovery.cut_watches()
             await asyncio.sleep(0.1)  # the end of the watch is written
             leave(here)
-            await asyncio.sleep(TOLD_US / 1e6)
+            await asyncio.sleep(LIST_CHANGE_BOUND_US / 1e6)
             told = time.monotonic()
             answers = await play(here, 1.0)
             assert sent_to_left(here, told) == 0 and set(answers) == {503}
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -6,9 +6,14 @@
 
 from robinhill import api
 from robinhill.placement import watch_schedule
-from robinhill.placement.list_lease import MOVED_US, ListLease, ListOrigin
-from robinhill.placement.stall_detector import BEAT_US, STALL_US, StallDetector
-from robinhill.placement.watch_schedule import AGAIN_US, CALL_US, TOLD_US, Pace
+from robinhill.placement.list_lease import DISCOVERY_MOVE_BOUND_US, ListLease, ListOrigin
+from robinhill.placement.stall_detector import HEARTBEAT_INTERVAL_US, MAX_HEARTBEAT_DELAY_US, StallDetector
+from robinhill.placement.watch_schedule import (
+    CALL_TIMEOUT_US,
+    LIST_CHANGE_BOUND_US,
+    MIN_SPREAD_US,
+    WatchSchedule,
+)
 
 from .conftest import MS, Node, S, only, sent_to, settings
 
@@ -18,129 +23,135 @@
 def lease() -> ListLease:
     """One that discovery renewed at HEARD."""
     made = ListLease()
-    made.confirmed(HEARD, 41)
+    made.renew(HEARD, 41)
     return made
 
 
 def test_a_configured_list_is_never_leased_however_new_the_process_is() -> None:
     made = ListLease(version=41)
-    assert not made.held(0) and not made.held(HEARD)
-    made.unreachable(HEARD, HEARD)  # an outage at the start says nothing of what came before it
-    assert not made.held(HEARD)
-    made.confirmed(HEARD, 41)
-    assert made.held(HEARD) and made.origin is ListOrigin.DISCOVERY
+    assert not made.is_valid(0) and not made.is_valid(HEARD)
+    made.record_unreachable(HEARD, HEARD)  # an outage at the start says nothing of what came before it
+    assert not made.is_valid(HEARD)
+    made.renew(HEARD, 41)
+    assert made.is_valid(HEARD) and made.origin is ListOrigin.DISCOVERY
 
 
 def test_the_lease_ends_when_what_was_missed_counts_as_told() -> None:
-    assert lease().held(HEARD + TOLD_US - 1) and not lease().held(HEARD + TOLD_US)
+    assert lease().is_valid(HEARD + LIST_CHANGE_BOUND_US - 1) and not lease().is_valid(
+        HEARD + LIST_CHANGE_BOUND_US
+    )
 
 
 def test_the_lease_lasts_from_one_word_of_a_watch_to_the_next_however_often_schedulers_ask() -> None:
     for ask_every_us in (S, 2 * S, 4 * S, 10 * S):
-        made = ListLease.by_settings(settings(must_subscribe=True, ask_every_us=ask_every_us), 41)
-        assert not made.held(HEARD)
-        made.confirmed(HEARD, 41)
-        assert made.held(HEARD + watch_schedule.WORD_US) and not made.held(HEARD + TOLD_US)
+        made = ListLease.from_settings(settings(must_subscribe=True, ask_every_us=ask_every_us), 41)
+        assert not made.is_valid(HEARD)
+        made.renew(HEARD, 41)
+        assert made.is_valid(HEARD + watch_schedule.WATCH_SILENCE_TIMEOUT_US) and not made.is_valid(
+            HEARD + LIST_CHANGE_BOUND_US
+        )
 
 
 def test_a_handed_over_list_is_as_old_as_it_was_there() -> None:
     made = ListLease()
-    made.handed_over(41, 198 * S, 204 * S)
+    made.inherit(41, 198 * S, 204 * S)
     assert made.age_us(200 * S) == 2 * S
-    assert made.held(204 * S - 1) and not made.held(204 * S)
-    made.handed_over(41, None, 0)  # by a process that had none from discovery, or of old
-    assert not made.held(200 * S)
+    assert made.is_valid(204 * S - 1) and not made.is_valid(204 * S)
+    made.inherit(41, None, 0)  # by a process that had none from discovery, or of old
+    assert not made.is_valid(200 * S)
 
 
 def test_an_outage_lengthens_the_lease_of_who_was_up_to_date_and_of_nobody_else() -> None:
     made = lease()
-    made.unreachable(HEARD + 5 * S, HEARD + 5 * S)
-    assert made.held(HEARD + 11 * S - 1) and not made.held(HEARD + 11 * S)
+    made.record_unreachable(HEARD + 5 * S, HEARD + 5 * S)
+    assert made.is_valid(HEARD + 11 * S - 1) and not made.is_valid(HEARD + 11 * S)
     late = lease()
-    late.unreachable(HEARD + TOLD_US, HEARD + TOLD_US)
-    assert not late.held(HEARD + TOLD_US)
+    late.record_unreachable(HEARD + LIST_CHANGE_BOUND_US, HEARD + LIST_CHANGE_BOUND_US)
+    assert not late.is_valid(HEARD + LIST_CHANGE_BOUND_US)
 
 
 def test_orders_to_move_in_a_row_lengthen_nothing() -> None:
     made = lease()
     for second in range(1, 10):
-        made.moved(HEARD + second * S)
-    assert made.held(HEARD + S + MOVED_US - 1) and not made.held(HEARD + S + MOVED_US)
+        made.record_moved(HEARD + second * S)
+    assert made.is_valid(HEARD + S + DISCOVERY_MOVE_BOUND_US - 1) and not made.is_valid(
+        HEARD + S + DISCOVERY_MOVE_BOUND_US
+    )
 
 
 def test_a_last_word_of_the_address_before_does_not_undo_a_move() -> None:
     made = lease()
-    made.moved(HEARD + S)
-    made.confirmed(HEARD + S - 1, 42)
-    assert not made.held(HEARD + S + MOVED_US)
-    made.confirmed(HEARD + 2 * S, 7)  # the new one's
-    assert made.held(HEARD + 2 * S + TOLD_US - 1)
+    made.record_moved(HEARD + S)
+    made.renew(HEARD + S - 1, 42)
+    assert not made.is_valid(HEARD + S + DISCOVERY_MOVE_BOUND_US)
+    made.renew(HEARD + 2 * S, 7)  # the new one's
+    assert made.is_valid(HEARD + 2 * S + LIST_CHANGE_BOUND_US - 1)
 
 
 def test_orders_to_move_while_no_address_can_be_reached_end_nothing() -> None:
     made, now = lease(), HEARD
     for _ in range(5):
         now += 3 * S
-        made.moved(now)
-        made.unreachable(now, now)
-        assert made.held(now)
-    made.moved(now + 3 * S)
-    assert not made.held(now + MOVED_US)
+        made.record_moved(now)
+        made.record_unreachable(now, now)
+        assert made.is_valid(now)
+    made.record_moved(now + 3 * S)
+    assert not made.is_valid(now + DISCOVERY_MOVE_BOUND_US)
 
 
-# With the pace of calls, through outages
+# With the schedule of calls, through outages
 
 
 @pytest.mark.parametrize(
     "lasts_us",
-    [MS, S, 2 * S, 3 * S, CALL_US],
+    [MS, S, 2 * S, 3 * S, CALL_TIMEOUT_US],
     ids=["refused", "never comes up", "503 after 2 s", "503 after 3 s", "never answered"],
 )
 @pytest.mark.parametrize("fleet_size", [1, 6, 200])
 def test_a_process_that_was_up_to_date_serves_through_an_outage(lasts_us: int, fleet_size: int) -> None:
     """Two minutes without discovery: the lease lapses shortly, while the first call may be answered."""
     for seed in range(5):
-        pace, made = Pace(False, random.Random(seed), fleet_size), lease()
-        pace.called(HEARD - S)
-        pace.heard(HEARD)
+        schedule, made = WatchSchedule(False, random.Random(seed), fleet_size), lease()
+        schedule.record_call(HEARD - S)
+        schedule.record_received(HEARD)
         now = HEARD + S  # the watch ends
-        now += pace.lost(now)
+        now += schedule.record_lost(now)
         lapses: list[int] = []
         while now < HEARD + 120 * S:
-            pace.called(now)
+            schedule.record_call(now)
             now += lasts_us
             lapses += [lapsed] if (lapsed := now - made.until_us) > 0 else []
-            wait_us = pace.lost(now, answered=False)
-            assert pace.away_us is not None
-            made.unreachable(pace.called_us, pace.away_us)
-            assert made.held(now)
+            wait_us = schedule.record_lost(now, answered=False)
+            assert schedule.unreachable_us is not None
+            made.record_unreachable(schedule.called_us, schedule.unreachable_us)
+            assert made.is_valid(now)
             now += wait_us
         assert len(lapses) <= 2 and max(lapses, default=0) <= 750 * MS
 
 
 def test_where_discovery_answers_and_no_whole_word_comes_the_lease_ends() -> None:
     """It can be reached: a change that it had counts, though nobody here has heard of it."""
-    pace, made = Pace(False, random.Random(1), 200), lease()
-    pace.called(HEARD - S)
-    pace.heard(HEARD)
+    schedule, made = WatchSchedule(False, random.Random(1), 200), lease()
+    schedule.record_call(HEARD - S)
+    schedule.record_received(HEARD)
     now = HEARD + S
     while now < HEARD + 20 * S:
-        now += pace.lost(now, answered=True)
-        assert pace.away_us is None
-        pace.called(now)
-        now += CALL_US
-    assert not made.held(HEARD + TOLD_US)
+        now += schedule.record_lost(now, answered=True)
+        assert schedule.unreachable_us is None
+        schedule.record_call(now)
+        now += CALL_TIMEOUT_US
+    assert not made.is_valid(HEARD + LIST_CHANGE_BOUND_US)
 
 
 def test_an_agent_that_is_silent_or_refuses_has_learned_nothing() -> None:
-    pace = Pace(True, random.Random(1), 200)
-    pace.called(HEARD)
-    pace.lost(HEARD + MS, answered=False)
-    assert pace.away_us == HEARD
-    pace.called(HEARD + S)
-    pace.lost(HEARD + S + CALL_US, answered=True)
-    assert pace.away_us == HEARD + S + CALL_US - watch_schedule.UNANSWERED_US
-    assert pace.away_us + TOLD_US >= HEARD + S + 2 * CALL_US + AGAIN_US
+    schedule = WatchSchedule(True, random.Random(1), 200)
+    schedule.record_call(HEARD)
+    schedule.record_lost(HEARD + MS, answered=False)
+    assert schedule.unreachable_us == HEARD
+    schedule.record_call(HEARD + S)
+    schedule.record_lost(HEARD + S + CALL_TIMEOUT_US, answered=True)
+    assert schedule.unreachable_us == HEARD + S + CALL_TIMEOUT_US - watch_schedule.UNANSWERED_CALL_OUTAGE_US
+    assert schedule.unreachable_us + LIST_CHANGE_BOUND_US >= HEARD + S + 2 * CALL_TIMEOUT_US + MIN_SPREAD_US
 
 
 # The module without the lease
@@ -190,9 +201,11 @@
 
 
 def test_a_beat_that_is_late_by_more_than_drains_allow_is_a_stall() -> None:
-    stalls = StallDetector(HEARD)
-    assert not stalls.stalled(HEARD + BEAT_US + STALL_US)
-    assert stalls.stalled(HEARD + BEAT_US + STALL_US + 1)
-    stalls.beat(HEARD + S)
-    assert not stalls.stalled(HEARD + S + BEAT_US)
-    assert BEAT_US + STALL_US + 150 * MS < 500 * MS  # what is not noticed is within the grace of drains
+    stall_detector = StallDetector(HEARD)
+    assert not stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US)
+    assert stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 1)
+    stall_detector.record_heartbeat(HEARD + S)
+    assert not stall_detector.is_stalled(HEARD + S + HEARTBEAT_INTERVAL_US)
+    assert (
+        HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 150 * MS < 500 * MS
+    )  # what is not noticed is within the grace of drains
--- a/tests/test_means.py
+++ b/tests/test_means.py
@@ -2,22 +2,24 @@
 
 import pytest
 
-from robinhill.placement.statistics import Mean, Weighed, low
+from robinhill.placement.statistics import DecayingMean, ZoneWait, follow_low_quantile
 
 
 def test_a_mean_forgets_over_its_window_and_leans_on_its_prior_while_it_knows_little() -> None:
-    mean = Mean()
-    assert mean.lean(7.0) == 7.0
+    mean = DecayingMean()
+    assert mean.with_prior(7.0) == 7.0
     mean.add(0, 4.0, 1000)
-    assert mean.value == 4.0 and mean.lean(7.0) == pytest.approx(6.0)
+    assert mean.value == 4.0 and mean.with_prior(7.0) == pytest.approx(6.0)
     for at in range(10):
         mean.add(at, 4.0, 1000)
-    assert 4.0 < mean.lean(7.0) < 4.6
+    assert 4.0 < mean.with_prior(7.0) < 4.6
     mean.add(50_000, 10.0, 1000)  # long after: what was before counts for nothing
     assert mean.value == pytest.approx(10.0) and mean.count == pytest.approx(1.0)
-    assert Weighed().factor == Weighed().fresh == 1.0
+    assert ZoneWait().cost_factor == ZoneWait().new_connection_factor == 1.0
 
 
 def test_a_low_quantile_goes_down_quickly_and_up_slowly() -> None:
-    assert low(1.0, 0.0) == pytest.approx(0.7) and low(1.0, 2.0) == pytest.approx(1.05)
-    assert low(1.0, 100.0) == pytest.approx(1.05), "one huge sample counts as one"
+    assert follow_low_quantile(1.0, 0.0) == pytest.approx(0.7) and follow_low_quantile(
+        1.0, 2.0
+    ) == pytest.approx(1.05)
+    assert follow_low_quantile(1.0, 100.0) == pytest.approx(1.05), "one huge sample counts as one"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from robinhill import api
-from robinhill.placement.idempotency import KEPT, Keys, Place
+from robinhill.placement.idempotency import MAX_KEYS, DedupWindow, IdempotencyKeys
 
 from .conftest import MS, Node, S, klass, only, sent_to, settings
 from .fleet import START, play
@@ -160,16 +160,18 @@
 
 
 def test_keys_are_bound_by_the_first_attempt_that_may_have_run() -> None:
-    known, name = Keys(), (2, "k")
-    known.sent(0, (1, 0), name, Place(3, 100))
-    known.sent(10, (1, 1), name, Place(4, 110))  # a later one does not stretch the window
-    assert known.place(99, *name) == Place(3, 100) and known.place(100, *name) is None
-    known.sent(200, (2, 0), name, Place(4, 300))
-    known.ended((2, 0), never_ran=True)
-    assert known.place(201, *name) is None and known.place(201, 1, "k") is None
-    for number in range(KEPT + 1):
-        known.sent(0, (number, 0), (0, str(number)), Place(1, 1000))
-    assert known.place(1, 0, "0") is None and known.place(1, 0, str(KEPT)) == Place(1, 1000)
+    known, name = IdempotencyKeys(), (2, "k")
+    known.record_send(0, (1, 0), name, DedupWindow(3, 100))
+    known.record_send(10, (1, 1), name, DedupWindow(4, 110))  # a later one does not stretch the window
+    assert known.dedup_window(99, *name) == DedupWindow(3, 100) and known.dedup_window(100, *name) is None
+    known.record_send(200, (2, 0), name, DedupWindow(4, 300))
+    known.record_end((2, 0), never_ran=True)
+    assert known.dedup_window(201, *name) is None and known.dedup_window(201, 1, "k") is None
+    for number in range(MAX_KEYS + 1):
+        known.record_send(0, (number, 0), (0, str(number)), DedupWindow(1, 1000))
+    assert known.dedup_window(1, 0, "0") is None and known.dedup_window(1, 0, str(MAX_KEYS)) == DedupWindow(
+        1, 1000
+    )
 
 
 # 'Full' is no proof
@@ -324,7 +326,7 @@
     assert only(node.do(api.TimerFired("held"), 2 * S), api.Refuse)
     node.listed(api.ListKind.CHANGES, api.Worker("w0"))
     assert only(node.ask(left_us=2 * S), api.Refuse)
-    node.balancer.client_tries.given_up = 0
+    node.balancer.client_retries.unretried_answers = 0
     assert only(node.ask(left_us=2 * S, client_repeat=True), api.Refuse)  # it says so itself
 
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -6,15 +6,17 @@
 
 
 def test_tags_are_read_back_and_stay_as_older_versions_write_them() -> None:
-    progress = timers.AttemptTimer(timers.Check.PROGRESS, 12, 0)
-    overdue = timers.AttemptTimer(timers.Check.OVERDUE, 12, 3)
+    progress = timers.AttemptTimer(timers.AttemptCheck.PROGRESS, 12, 0)
+    overdue = timers.AttemptTimer(timers.AttemptCheck.OVERDUE, 12, 3)
     assert (progress.tag, overdue.tag) == ("look 12 0", "overdue 12 3")
-    assert timers.read(progress.tag) == progress and timers.read(overdue.tag) == overdue
+    assert timers.parse(progress.tag) == progress and timers.parse(overdue.tag) == overdue
 
 
-@pytest.mark.parametrize("tag", [timers.HELD, timers.LIST, "", "look", "look 1", "later 1 2", "look 1 2 3"])
+@pytest.mark.parametrize(
+    "tag", [timers.QUEUE_CHECK, timers.LIST_POLL, "", "look", "look 1", "later 1 2", "look 1 2 3"]
+)
 def test_a_tag_that_is_about_no_attempt_is_left_alone(tag: str) -> None:
-    assert timers.read(tag) is None and not exported_state.is_timer_of_job(tag, 1)
+    assert timers.parse(tag) is None and not exported_state.is_timer_of_job(tag, 1)
 
 
 def test_a_timer_goes_with_its_job_alone() -> None:
