--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -20,7 +20,8 @@
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
-from robinhill.net.dispatcher.dispatcher import Adopt, Dispatcher, HoldOut, Release, Taken
+from robinhill.net.dispatcher.dispatcher import Dispatcher
+from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.handover.succession import Succession
@@ -31,7 +32,7 @@
 from robinhill.protocol import DONE, Answer, JobEvent, JobRequest
 
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
-    from robinhill.net.control_group.observing_scheduler import Observing
+    from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
     from robinhill.net.peers.sharing import Sharing
     from robinhill.record.recorder import Recorder
@@ -57,13 +58,13 @@
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.metrics = Metrics(config.classes)
-        pace = watch_schedule.by_settings(config.settings, random.Random(config.seed))
-        self.list_lease = ListLease.by_settings(config.settings, config.known.generation)
+        schedule = watch_schedule.from_settings(config.settings, random.Random(config.seed))
+        self.list_lease = ListLease.from_settings(config.settings, config.known.generation)
         self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
         self.destinations = EndpointListWatcher(
             config.discovery,
             config.known.generation,
-            pace,
+            schedule,
             self.clock,
             self.supervisor,
             self.dispatcher.tell,
@@ -100,11 +101,11 @@
             self.admission.find if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
-        self.sharing: Sharing | Observing | None = None
+        self.sharing: Sharing | ObservingScheduler | None = None
         if config.operator and config.operator.mesh.voters:
             from robinhill.net.control_group import observing_scheduler
 
-            self.sharing = observing_scheduler.Observing(
+            self.sharing = observing_scheduler.ObservingScheduler(
                 config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
@@ -157,7 +158,7 @@
             await self.succession.begin()
         self.started.set()
         told = {"scheduler": self.config.name, "listen": self.config.listen}
-        log.info("started", extra=told | self.list_lease.fields(self.clock.now_us()))
+        log.info("started", extra=told | self.list_lease.log_fields(self.clock.now_us()))
 
     async def _take_over(self, succession: Succession) -> None:
         """Learn what the predecessor knows, and hear discovery ourselves, before we accept."""
@@ -170,7 +171,7 @@
             self.destinations.generation = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
-            self.list_lease.handed_over(known.generation, confirmed_us, until_us)
+            self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
         else:
             self.dispatcher.start()
@@ -290,7 +291,7 @@
     async def _obey(self, what: str, body: Json, known: bool) -> Answer:
         if what == "hold_out":
             reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            self.dispatcher.tell(HoldOut(body["id"], body["out"], reply, known))
+            self.dispatcher.tell(SetWorkerDisabled(body["id"], body["out"], reply, known))
             return await reply
         log.info("drain_started" if body["start"] else "drain_stopped")
         self.inbound.drain(body["start"])
@@ -324,7 +325,7 @@
             if "waiting" in at_admission:
                 return {HANDED_ADMISSION: at_admission}
         reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
-        self.dispatcher.tell(Release(request, reply))
+        self.dispatcher.tell(ReleaseRequest(request, reply))
         told = await reply
         return told and told | {HANDED_ADMISSION: at_admission}
 
@@ -358,7 +359,9 @@
             self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
-        self.dispatcher.tell(Adopt(request, told | {"timers": []}, reply, done, own=True))  # ours are set
+        self.dispatcher.tell(
+            AdoptRequest(request, told | {"timers": []}, reply, done, released_here=True)
+        )  # ours are set
         await done.wait()
 
     def hello(self) -> Json:
@@ -411,11 +414,11 @@
             self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
             if not self.admission:  # it has waited long enough
-                self.dispatcher.tell(Taken(request, waiting["arrived_us"], reply))
+                self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
             await self.inbound.adopt(request, reply, fd)
             return True
         done = asyncio.Event()
-        self.dispatcher.tell(Adopt(request, body, reply, done))
+        self.dispatcher.tell(AdoptRequest(request, body, reply, done))
         await done.wait()
         await self.inbound.adopt(request, reply, fd)
         return True
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -22,7 +22,7 @@
 from robinhill import config as configuration
 from robinhill.net import scheduler
 from robinhill.net.clients import connections
-from robinhill.net.dispatcher.dispatcher import Listed, Release
+from robinhill.net.dispatcher.messages import EndpointListReceived, ReleaseRequest
 from robinhill.net.scheduler import Scheduler
 from robinhill.net.workers.endpoint import _Phase
 from robinhill.protocol import DestinationList, JobEvent, JobState, Lifecycle
@@ -634,14 +634,14 @@
             relay = await here.relay()
             new = await relay.begin()
             new.inbound.leaving = True
-            limits = [worker.limit for worker in old.dispatcher.balancer.workers.values()]
+            limits = [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()]
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             relay.hand(message, fd)
             relay.old.say(await relay.new.hear())
             assert not new.dispatcher.holds("j1") and not new.inbound.answering
             await until(lambda: old.dispatcher.holds("j1"))
-            assert [worker.limit for worker in old.dispatcher.balancer.workers.values()] == limits
+            assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
             relay.old.die()
             here.schedulers.remove(new)
             await new.close()  # nothing else is at the address
@@ -664,12 +664,12 @@
             await here.running(old, "j1")
             endpoint = next(e for e in old.dispatcher.endpoints.values() if "j1" in e.attempts)
             left = replace(endpoint.destination, lifecycle=Lifecycle.LEFT)
-            old.dispatcher.tell(Listed(DestinationList(42, False, (left,))))
+            old.dispatcher.tell(EndpointListReceived(DestinationList(42, False, (left,))))
             await until(lambda: endpoint.destination.lifecycle is Lifecycle.LEFT)
             (owed,) = old.inbound.answering.values()
             reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
-            old.dispatcher.tell(Release(owed.request, reply))
+            old.dispatcher.tell(ReleaseRequest(owed.request, reply))
             assert (await here.taken()).id == "j1"
             await until(lambda: len(old.dispatcher.endpoints) == 1)
             async with asyncio.timeout(PATIENCE_S):
@@ -694,7 +694,7 @@
             await old.start()
             here.listing.clear()
             new = await (await here.relay()).begin()
-            assert new.list_lease.held(new.clock.now_us()) and new.dispatcher.lease_held.is_set()
+            assert new.list_lease.is_valid(new.clock.now_us()) and new.dispatcher.lease_held.is_set()
             assert new.list_lease.until_us == old.list_lease.until_us
             assert abs(new.clock.now_us() - old.clock.now_us()) < 10_000
             client = await here.client()
@@ -715,7 +715,7 @@
             await old.start()
             here.listing.clear()
             new = await (await here.relay()).begin(untold=LEASE)
-            assert not new.list_lease.held(new.clock.now_us())
+            assert not new.list_lease.is_valid(new.clock.now_us())
             client = await here.client()
             client.send("j1")
             await until(lambda: new.dispatcher.held)
