--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -89,7 +89,7 @@
         self.send_lease: Callable[[], bool] | None = None  # whether the cordons allow sending; None: always
         self.balancer = Balancer(config.settings, config.seed)
         self.in_flight = InFlightRequests()
-        self.idempotency_keys = idempotency.Keys()
+        self.idempotency_keys = idempotency.IdempotencyKeys()
         self.restrictions = WorkerRestrictions(DisabledWorkerStore(config.folder), clock.now_us())
         self.table = EndpointTable(
             config, supervisor, clock, metrics, self.restrictions, self.tell, list_lease
@@ -163,7 +163,7 @@
         """Begin with a predecessor's list, or with that of the configuration."""
         now = self.clock.now_us()
         self._perform(self.balancer.start(now))
-        if self.list_lease is None or self.list_lease.held(now):
+        if self.list_lease is None or self.list_lease.is_valid(now):
             self.list_lease_held.set()
         else:
             self._decide(api.ListLeased(False))
@@ -172,7 +172,7 @@
 
     def ready(self) -> bool:
         """After a stall, discovery's messages are handled first, whatever came before them."""
-        if self.table.catch_up and self.table.catch_up.reading():
+        if self.table.catch_up and self.table.catch_up.has_unread_input():
             self._reading_backlog = True
             return False
         if self._reading_backlog:
@@ -221,9 +221,9 @@
             request.client_repeat,
         )
         if request.key:
-            place = self.idempotency_keys.place(message.arrived_us, request.job_class, request.key)
-            if place:
-                arrival.group, arrival.group_until_us = place.group, place.until_us
+            window = self.idempotency_keys.dedup_window(message.arrived_us, request.job_class, request.key)
+            if window:
+                arrival.group, arrival.group_until_us = window.group, window.until_us
         self._decide(api.Arrived(arrival))
 
     def _refuse(self, action: api.Refuse) -> None:
@@ -315,8 +315,8 @@
         if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
             group = job_class.group_of(self.table.worker(self.table.destinations[instance_id]))
-            place = idempotency.Place(group, now + job_class.memory_us)
-            self.idempotency_keys.sent(now, attempt, (request.job_class, request.key), place)
+            window = idempotency.DedupWindow(group, now + job_class.memory_us)
+            self.idempotency_keys.record_send(now, attempt, (request.job_class, request.key), window)
 
     def _cancel(self, action: api.Cancel) -> None:
         request = self.in_flight.by_number.get(action.job)
@@ -359,7 +359,7 @@
         request.endings.append(f"{instance_id} {outcome.value} {ended.took_us // 1000}ms")
         full = outcome is api.Outcome.FULL
         never_ran = outcome.never_ran and not (full and self.config.settings.full_may_have_run)
-        self.idempotency_keys.ended((ended.job, ended.attempt), never_ran)
+        self.idempotency_keys.record_end((ended.job, ended.attempt), never_ran)
         if full:
             request.returned_by.append(instance_id)
 
@@ -460,7 +460,7 @@
         workers = [self.table.worker(destination) for destination in received.destinations]
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
-            self.list_lease.confirmed(message.received_us, received.generation)
+            self.list_lease.renew(message.received_us, received.generation)
             self._check_list_lease()  # only now: queued requests must not be sent by the list of before
         if self.on_list_changed:
             self.on_list_changed()
@@ -472,11 +472,11 @@
             return
         match message:
             case ListConfirmed(version=version, received_us=received_us):
-                self.list_lease.confirmed(received_us, version)
+                self.list_lease.renew(received_us, version)
             case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
-                self.list_lease.unreachable(called_us, as_of_us)
+                self.list_lease.record_unreachable(called_us, as_of_us)
             case DiscoveryAddressChanged(at_us=at_us):
-                self.list_lease.moved(at_us)
+                self.list_lease.record_moved(at_us)
         self._check_list_lease()
 
     def _check_list_lease(self) -> None:
@@ -484,10 +484,10 @@
         if self.list_lease is None:
             return
         now = self.clock.now_us()
-        held = self.list_lease.held(now)
+        held = self.list_lease.is_valid(now)
         if held is self.list_lease_held.is_set():
             return
-        fields = self.list_lease.fields(now)
+        fields = self.list_lease.log_fields(now)
         if held:
             self.list_lease_held.set()
             log.info("list_lease_held", extra=fields)
@@ -497,7 +497,7 @@
         self._decide(api.ListLeased(held))
 
     def _list_fields(self) -> dict[str, object]:
-        return self.list_lease.fields(self.clock.now_us()) if self.list_lease else {}
+        return self.list_lease.log_fields(self.clock.now_us()) if self.list_lease else {}
 
     # Hand-over to and from another process of this scheduler
 
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -27,7 +27,7 @@
 
     def __init__(self, store: DisabledWorkerStore, now_us: int) -> None:
         self.store = store
-        self.disabled = store.held_out()
+        self.disabled = store.load()
         # The file holds no times: a worker disabled by an earlier process counts from the start on.
         self.out_of_use = {instance_id: OutOfUse(now_us) for instance_id in self.disabled}
         self.cordons: CordonsChanged | None = None  # the last that came
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -22,7 +22,7 @@
 from robinhill.net.control_group import link
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.link import PATH, ControlLink
-from robinhill.net.control_group.observing_scheduler import Observing
+from robinhill.net.control_group.observing_scheduler import ObservingScheduler
 from robinhill.net.cordons import pending_changes
 from robinhill.net.cordons.pending_changes import Change, Changes
 from robinhill.protocol import Destination, Lifecycle
@@ -248,18 +248,20 @@
         dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
         dispatcher.use_cordons = lambda may_send, *_: setattr(dispatcher, "may_send", may_send)
         inbound = SimpleNamespace(behind=False)
-        here = Observing(cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound))
+        here = ObservingScheduler(
+            cast(Any, config), Supervisor(), Clock(), cast(Any, dispatcher), cast(Any, inbound)
+        )
         assert inbound.behind, "it takes no clients before it is in step"
         assert dispatcher.may_send(worker)
         reason = value.Reason("c1", "a fan is loud", "ann", here.clock.now_us())
-        cordoned = value.set_(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
+        cordoned = value.set_cordon(None, reason, value.Dot("s1", 1, 1), here.clock.now_us())
         now_us, mono_us = here.clock.now_us(), 1
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", cordoned)
         here.driver.perform(actions)
         assert not dispatcher.may_send(worker), "though the decider has not come to its mailbox"
         assert dispatcher.may_send(other)
         assert len(told) == 1
-        lifted = value.lift(cordoned, "c1", now_us)
+        lifted = value.lift_cordon(cordoned, "c1", now_us)
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", lifted)
         here.driver.perform(actions)
         assert dispatcher.may_send(worker)
