--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -65,7 +65,7 @@
 
     def avoided(self, now: int) -> set[str]:
         """The workers that get nothing, or come last, for what they did; it changes nothing."""
-        return {address for address, worker in self.workers.items() if worker.avoided(now)}
+        return {address for address, worker in self.workers.items() if worker.is_avoided(now)}
 
     def _on_list(self, now: int, event: api.WorkersListed) -> None:
         if event.kind is api.ListKind.FAILED:
@@ -130,12 +130,12 @@
         )
         away = worker.entry.zone != self.settings.zone and self.settings.cross_zone_price
         phased = now < worker.slow_start_until_us or self.settings.handshake_price or away
-        worker.last_send = self.sends - 1 - (int(worker.rank * turn) if phased else 1000 * (turn + 1))
+        worker.last_send = self.sends - 1 - (int(worker.tie_breaker * turn) if phased else 1000 * (turn + 1))
 
     def _take_back(self, now: int, worker: WorkerRecord, turn: int) -> None:
         """Back after it was left out: what befell it or own jobs there before tells nothing now."""
         worker.readmit(now)
-        worker.last_send = self.sends - 1 - int(worker.rank * turn)
+        worker.last_send = self.sends - 1 - int(worker.tie_breaker * turn)
 
     def _shut(self, worker: WorkerRecord) -> None:
         """Nothing more goes to a worker that drains or left; its connections close as they fall idle."""
@@ -277,7 +277,7 @@
             cost = self._full_cost(now, worker, choice, cost)
             rank = self._rank(now, worker, choice)
             if rank < best_rank or (rank == best_rank and cost <= best_cost):
-                key = (rank, cost, worker.last_send, worker.rank)
+                key = (rank, cost, worker.last_send, worker.tie_breaker)
                 if key < best_key and self._fits(now, worker, job):
                     best, best_key, best_rank, best_cost = worker, key, rank, cost
         if no_room:
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -1,4 +1,4 @@
-"""Times and bounds worked out once from the settings, for the decision module."""
+"""Times and bounds that the decision module computes once from its settings."""
 
 from dataclasses import dataclass
 from math import inf
@@ -10,24 +10,26 @@
 class DerivedSettings:
     """What follows from the settings alone; times in microseconds."""
 
-    list_spread_us: int  # first calls for the list are spread over so long
-    tick_us: int  # held jobs are looked at at least so often; shorter differences of time count for nothing
-    min_concurrency_limit: float  # the lowest limit of a worker
-    progress_timeout_us: (
-        int  # an attempt not heard of for so long after its start is lost; 0: progress is not told
-    )
-    max_idle_us: float  # a connection idle for longer may be closed; without end: new ones cost nothing
-    can_cancel_unstarted: bool  # attempts that do not start can be seen and cancelled
-    can_check_health: bool  # workers may be probed, and their jobs moved
+    list_spread_us: int  # window over which first polls for the endpoint list are spread
+    tick_us: int  # longest time between checks of the queue; shorter differences of time are ignored
+    min_concurrency_limit: float  # of a worker
+    progress_timeout_us: int  # an attempt without progress for so long is lost; 0: progress is not reported
+    max_idle_us: float  # a connection idle for longer may be closed; infinite: new ones cost nothing
+    can_cancel_unstarted: bool  # attempts that have not started are known and can be cancelled
+    can_check_health: bool  # workers answer health checks, and their jobs can be cancelled
 
     @classmethod
-    def from_settings(cls, settings: api.Settings, call_us: int, in_line: float) -> "DerivedSettings":
-        """``call_us``: a call's time at the directory; ``in_line``: own jobs of all nodes that may wait."""
+    def from_settings(
+        cls, settings: api.Settings, list_poll_us: int, fleet_jobs_in_line: float
+    ) -> "DerivedSettings":
+        """``list_poll_us``: cost of a poll at discovery; ``fleet_jobs_in_line``: jobs of all schedulers that
+        may wait at one worker.
+        """
         tick_us = min(c.aim_us for c in settings.classes) // 4 + 1000
         return cls(
-            list_spread_us=min(settings.ask_every_us // 2, call_us * settings.fleet_size),
+            list_spread_us=min(settings.ask_every_us // 2, list_poll_us * settings.fleet_size),
             tick_us=tick_us,
-            min_concurrency_limit=min(1.0, max(0.2, in_line / settings.fleet_size)),
+            min_concurrency_limit=min(1.0, max(0.2, fleet_jobs_in_line / settings.fleet_size)),
             progress_timeout_us=settings.progress_us * 3 // 2,
             max_idle_us=settings.keepalive_us - tick_us if settings.handshake_price else inf,
             can_cancel_unstarted=settings.tells_start and settings.cancelling,
--- a/robinhill/placement/event_dispatch.py
+++ b/robinhill/placement/event_dispatch.py
@@ -1,4 +1,4 @@
-"""Events to their handlers, and the actions that come of each; for the decision module."""
+"""Dispatch of the decision module's events to their handlers. It decides nothing itself."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class EventHandler(ABC):
-    """Takes events one at a time; each handler appends to ``actions`` what is to be done."""
+    """Handles one event at a time; handlers append to ``actions`` what the caller is to carry out."""
 
     def __init__(self) -> None:
         self.actions: list[api.Action] = []
@@ -28,12 +28,13 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; return what is to be done, in order."""
+        """Handle one event; return the actions to be carried out, in order."""
         self.actions = []
         self._handlers[type(event)](now, event)
         return self.actions
 
     def _set_attempt_timer(self, wait_us: int, check: timers.AttemptCheck, attempt: Attempt) -> None:
+        """Set a timer for a check of this attempt in ``wait_us``."""
         self.actions.append(api.SetTimer(wait_us, timers.AttemptTimer(check, *attempt.key).tag))
 
     @abstractmethod
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -11,8 +11,8 @@
 from robinhill import api
 from robinhill.logic import UNKNOWN_JOB_US, Balancer
 from robinhill.placement import timers
-from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
-from robinhill.placement.statistics import DecayingMean, ZoneWait
+from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord, ZoneWait
+from robinhill.placement.statistics import DecayingMean
 
 Json = dict[str, Any]
 Keys = Mapping[str, str]
@@ -43,7 +43,7 @@
 MEAN: Keys = {"value": "value", "count": "count", "at_us": "at_us"}
 ZONE: Keys = {**MEAN, "cost_factor": "factor", "new_connection_factor": "fresh"}
 WORKER: Keys = {
-    "rank": "rank",
+    "tie_breaker": "rank",
     "job_time_us": "time_us",
     "last_send": "last",
     "age_weight": "lnq",
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -1,38 +1,41 @@
-"""The jobs that wait for a worker, in order, and the timer at which they are looked at."""
+"""The jobs that wait for a worker, in order of priority, and the time of the next check of them."""
 
 from bisect import insort
 
 from robinhill.placement.records import JobRecord
 
 
-def _place(job: JobRecord) -> tuple[float, int]:
+def _sort_key(job: JobRecord) -> tuple[float, int]:
     return job.order, job.request.job
 
 
 class JobQueue:
-    """Jobs of the lowest ``order`` first; those that came first where it is equal."""
+    """Jobs of the lowest ``order`` first, then those that arrived first."""
 
     def __init__(self) -> None:
         self.jobs: list[JobRecord] = []
-        self._timer_us = 0  # when they are looked at next
+        self._next_check_us = 0
 
     def add(self, job: JobRecord) -> None:
-        """Hold a job."""
-        insort(self.jobs, job, key=_place)
+        """Insert a job at its place."""
+        insort(self.jobs, job, key=_sort_key)
 
     def sort(self) -> None:
-        """The order of some has changed."""
-        self.jobs.sort(key=_place)
+        """Restore the order after ``order`` of some jobs has changed."""
+        self.jobs.sort(key=_sort_key)
 
     def take_all(self) -> list[JobRecord]:
-        """All of them; none is queued from now on."""
+        """Empty the queue; return its jobs in order."""
         jobs, self.jobs = self.jobs, []
         return jobs
 
     def next_check_us(self, now: int, until_us: int, tick_us: int) -> int:
-        """How long to the timer still to be set, to look by ``until_us`` and every ``tick_us``; or 0."""
+        """How long to the next check if a timer must be set for it, else 0.
+
+        Checks are due by ``until_us`` and after each ``tick_us``, whichever is sooner.
+        """
         due = max(now + 1, min(until_us, now + tick_us))
-        if now < self._timer_us <= due:
+        if now < self._next_check_us <= due:
             return 0
-        self._timer_us = due
+        self._next_check_us = due
         return due - now
--- a/robinhill/placement/stall_detector.py
+++ b/robinhill/placement/stall_detector.py
@@ -1,8 +1,7 @@
-"""Whether this process stood still: stopped, swapped out or held up in its loop. No input or output.
+"""Whether this process was paused: stopped, swapped out or blocked in its event loop. No input or output.
 
-A process beats a few times a second. Where a beat is late by more than a moment, words of others may lie
-unread that were written meanwhile, and requests may wait that were handed in meanwhile: what the process
-believes is as old as its last beat, not as its first look at the clock since.
+A process records a heartbeat a few times a second. When one is late, messages that were written meanwhile may
+still be unread, so what the process knows is as old as its last heartbeat.
 
 Times are microseconds of a clock that counts real time.
 """
@@ -10,20 +9,19 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_US = 100_000
-# With a beat's length less than the half second that drains leave. Shorter delays are covered by that.
-MAX_HEARTBEAT_DELAY_US = 200_000
+MAX_HEARTBEAT_DELAY_US = 200_000  # with the interval, less than the 0.5 s of grace that drains leave
 
 
 @dataclass(slots=True)
 class StallDetector:
-    """Compares the clock with the last beat."""
+    """Compares the clock with the last heartbeat."""
 
     last_heartbeat_us: int
 
     def is_stalled(self, now_us: int) -> bool:
-        """Whether the next beat is late by so much that this process stood still."""
+        """Whether the next heartbeat is so late that this process was paused."""
         return now_us - self.last_heartbeat_us > HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US
 
     def record_heartbeat(self, now_us: int) -> None:
-        """The process is at work, and has read what waited for it."""
+        """The process runs, and has read all messages that were waiting."""
         self.last_heartbeat_us = now_us
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -1,41 +1,39 @@
-"""Statistics that the decision module keeps, of no meaning of their own: decaying means and low quantiles."""
+"""Decaying means and low quantiles: arithmetic alone, with no knowledge of jobs or workers."""
 
 from dataclasses import dataclass
 from math import exp
 
-PRIOR_WEIGHT = 2.0  # samples after which a mean counts as much as what it leans on
+PRIOR_WEIGHT = 2.0  # in samples
+SMOOTHING_SAMPLES = 32
+QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3  # step towards a sample above, and below
+MAX_QUANTILE_STEP = 1.0  # of the difference that a step counts, so that one huge sample counts as one
 
 
 @dataclass(slots=True, eq=False)
 class DecayingMean:
-    """A mean over a window (us), leaning on a prior the more the fewer and older its samples."""
+    """A mean whose samples lose weight exponentially with their age."""
 
     value: float = 0.0
-    count: float = 0.0  # samples, as far as they still weigh
-    at_us: int = 0
+    count: float = 0.0  # samples, each by the weight that it has left
+    at_us: int = 0  # when the last sample was added
 
     def add(self, now: int, value: float, window_us: int) -> None:
+        """Add a sample; those before have decayed by the time since, in units of ``window_us``."""
         self.count = 1.0 + self.count * exp((self.at_us - now) / window_us)
         self.at_us = now
         self.value += (value - self.value) / self.count
 
     def with_prior(self, prior: float) -> float:
+        """The mean as if ``PRIOR_WEIGHT`` further samples had the value ``prior``."""
         return (self.count * self.value + PRIOR_WEIGHT * prior) / (self.count + PRIOR_WEIGHT)
 
 
-@dataclass(slots=True, eq=False)
-class ZoneWait(DecayingMean):
-    """A mean that also says how much other things count: ``factor`` as a rule, ``fresh`` where all is new."""
-
-    cost_factor: float = 1.0
-    new_connection_factor: float = 1.0
-
-
 def follow_low_quantile(before: float, sample: float) -> float:
-    """Follow a low quantile: quickly down, slowly up."""
-    return before + (0.05 if sample > before else 0.3) * min(sample - before, 1.0)
+    """Move an estimate of a low quantile towards a sample: down quickly, up slowly."""
+    step = QUANTILE_RISE if sample > before else QUANTILE_FALL
+    return before + step * min(sample - before, MAX_QUANTILE_STEP)
 
 
 def smooth(mean: float, sample: float) -> float:
-    """Smooth over some 32 samples; the first one counts whole (a mean of 0 has none)."""
-    return mean + ((sample - mean) / 32 if mean else sample)
+    """Smooth exponentially over ``SMOOTHING_SAMPLES``; a mean of 0 has no samples and takes the first."""
+    return mean + ((sample - mean) / SMOOTHING_SAMPLES if mean else sample)
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -1,25 +1,25 @@
-"""The timers that the decision module asks for, as tags and back.
+"""The timers that the decision module sets, as tags and parsed back.
 
-Tags go from process to process with the jobs they are about: their words stay as older versions know them.
+Tags go along when a job is handed over to another process, so their text never changes between versions.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-QUEUE_CHECK = "held"  # look at the held jobs
-LIST_POLL = "list"  # ask for the list of workers
+QUEUE_CHECK = "held"  # check the jobs in the queue
+LIST_POLL = "list"  # poll discovery for the endpoint list
 
 
 class AttemptCheck(Enum):
-    """What is to be looked at of an attempt."""
+    """What is checked of an attempt."""
 
     PROGRESS = "look"  # whether it has started, or goes on
-    OVERDUE = "overdue"  # whether its worker has ended any job since it started
+    OVERDUE = "overdue"  # whether its worker has completed any job since it started
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptTimer:
-    """A timer about one attempt."""
+    """A timer for a check of one attempt."""
 
     check: AttemptCheck
     job: int
@@ -32,8 +32,8 @@
 
 
 def parse(tag: str) -> AttemptTimer | None:
-    """The timer of this tag; None for one that is about no attempt, as far as this version knows."""
+    """The attempt's timer of this tag; None for a tag of another kind or of an unknown version."""
     match tag.split():
-        case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as word, job, attempt]:
-            return AttemptTimer(AttemptCheck(word), int(job), int(attempt))
+        case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as check, job, attempt]:
+            return AttemptTimer(AttemptCheck(check), int(job), int(attempt))
     return None
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -5,8 +5,8 @@
 from robinhill import api
 from robinhill.placement.derived_settings import DerivedSettings
 from robinhill.placement.estimates import ClientRetries, Estimates, JobTimes
-from robinhill.placement.records import WorkerRecord
-from robinhill.placement.statistics import ZoneWait, smooth
+from robinhill.placement.records import WorkerRecord, ZoneWait
+from robinhill.placement.statistics import smooth
 
 from .conftest import MS, S, settings
 
--- a/tests/test_means.py
+++ b/tests/test_means.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from robinhill.placement.statistics import DecayingMean, ZoneWait, follow_low_quantile
+from robinhill.placement.records import ZoneWait
+from robinhill.placement.statistics import DecayingMean, follow_low_quantile
 
 
 def test_a_mean_forgets_over_its_window_and_leans_on_its_prior_while_it_knows_little() -> None:
