--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -47,7 +47,7 @@
         budget: int,
         supervisor: Supervisor,
         max_body: int,
-        on_close: Callable[[CloseReason], None] = lambda reason: None,
+        on_close: Callable[[CloseReason], None] = lambda _reason: None,
     ) -> None:
         """``on_close`` is called with the reason whenever this side closes a connection."""
         super().__init__(
@@ -72,6 +72,7 @@
         self._socket: socket.socket | None = None
 
     def __call__(self) -> Connection:
+        """A protocol for a new transport, as asyncio asks for one."""
         return Connection(self, self._loop, **self._kwargs)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -183,7 +184,8 @@
                 # once with a traceback for each connection of its backlog.
                 log.error("accept_failed", extra={"why": str(e), "open": len(self.open)})
                 self._free_capacity()
-                return self._pause()
+                self._pause()
+                return
             self._connecting += 1
             self.supervisor.spawn(self._admit(sock), "admit")
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -90,10 +90,11 @@
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
         inbound.catching_up = True
-        dispatcher.may_send = self.may_send
-        if self._requires_lease:
-            dispatcher.lease, dispatcher.vouched = self.lease, False
-        dispatcher.list_changed = lambda: self.driver.tell(Run(self._update))
+        dispatcher.use_cordons(
+            self.may_send,
+            lambda: self.driver.tell(Run(self._update)),
+            self.lease if self._requires_lease else None,
+        )
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
         log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
@@ -173,8 +174,8 @@
             f"lease:{int(not standing.stale)}|g",
             f"majority_age_ms:{-1 if standing.age_us is None else standing.age_us // 1000}|g",
             f"moves:{self.observer.moves}|c",
-            f"cordons:{len(self.cordons.book.standing())}|g",
-            f"cordoned_workers:{len(self.cordons.book.held_workers())}|g",
+            f"cordons:{len(self.cordons.index.active())}|g",
+            f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
             f"opened:{traffic.opened}|c",
             f"lost:{traffic.lost}|c",
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -1,27 +1,27 @@
-"""The timers that the decision module asks for, as tags and back.
+"""The timers that the decision module sets, as tags and parsed back.
 
-Tags go from process to process with the jobs they are about: their words stay as older versions know them.
+Tags go along when a job is handed over to another process, so their text never changes between versions.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-HELD = "held"  # look at the held jobs
-LIST = "list"  # ask for the list of workers
+QUEUE_CHECK = "held"  # check the jobs in the queue
+LIST_POLL = "list"  # poll discovery for the endpoint list
 
 
-class Check(Enum):
-    """What is to be looked at of an attempt."""
+class AttemptCheck(Enum):
+    """What is checked of an attempt."""
 
     PROGRESS = "look"  # whether it has started, or goes on
-    OVERDUE = "overdue"  # whether its worker has ended any job since it started
+    OVERDUE = "overdue"  # whether its worker has completed any job since it started
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptTimer:
-    """A timer about one attempt."""
+    """A timer for a check of one attempt."""
 
-    check: Check
+    check: AttemptCheck
     job: int
     attempt: int
 
@@ -31,9 +31,9 @@
         return f"{self.check.value} {self.job} {self.attempt}"
 
 
-def read(tag: str) -> AttemptTimer | None:
-    """The timer of this tag; None for one that is about no attempt, as far as this version knows."""
+def parse(tag: str) -> AttemptTimer | None:
+    """The attempt's timer of this tag; None for a tag of another kind or of an unknown version."""
     match tag.split():
-        case [Check.PROGRESS.value | Check.OVERDUE.value as word, job, attempt]:
-            return AttemptTimer(Check(word), int(job), int(attempt))
+        case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as check, job, attempt]:
+            return AttemptTimer(AttemptCheck(check), int(job), int(attempt))
     return None
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -277,7 +277,7 @@
             ),
         ),
     ),
-    "cordon.value": cordon.Cordons(
+    "cordon.value": cordon.CordonSet(
         version=1,
         entries=(
             cordon.Entry(
@@ -295,7 +295,7 @@
                 ),
             ),
         ),
-        seen=(cordon.Seen(origin="s1", incarnation=2, ranges=((1, 3),)),),
+        seen=(cordon.SeenDots(origin="s1", incarnation=2, ranges=((1, 3),)),),
         lifted_us=11,
     ),
 }
@@ -402,7 +402,7 @@
 
 def load_disabled_workers(folder: Path) -> set[str]:
     """Those workers as the last process left them."""
-    return DisabledWorkerStore(folder).held_out()
+    return DisabledWorkerStore(folder).load()
 
 
 def recorded() -> list[Any]:
@@ -470,7 +470,10 @@
 
 def timer_tags() -> list[str]:
     """The tags of timers, which go along with the jobs that they are about."""
-    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.Check] + [timers.HELD, timers.LIST]
+    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.AttemptCheck] + [
+        timers.QUEUE_CHECK,
+        timers.LIST_POLL,
+    ]
 
 
 def exported_admission() -> Json:
@@ -568,15 +571,15 @@
         "unconfirmed": views.UnconfirmedView,
         "cordon": views.CordonView,
         "listing": views.Listing,
-        "answer": views.Answer,
-        "put": views._Put,
+        "answer": views.ChangeSummary,
+        "put": views.PutBody,
     }
     return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
 
 
 def cordon_states() -> list[str]:
     """The states of a cordon in operators' answers."""
-    return [*views.STATES.values(), views.OVER_BUDGET, views.HELD]
+    return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
 def operator_file_keys() -> list[str]:
