--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -25,7 +25,7 @@
     RecordsReceived,
 )
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.connections import bind
+from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.peers.peer_link import PATH, PeerLink
 
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -95,11 +95,12 @@
         self.cordons.changed = self.peers.wake
         self.cordons.on_serving = self._serve
         self.cordons.outdated = self._outdated
-        inbound.behind = True
-        dispatcher.may_send = self.cordons.may_send
-        if options.on_lost == "hold":
-            dispatcher.lease, dispatcher.vouched = self.cordons.lease, False
-        dispatcher.list_changed = lambda: self.cordons.tell(ListChanged())
+        inbound.catching_up = True
+        dispatcher.use_cordons(
+            self.cordons.may_send,
+            lambda: self.cordons.tell(ListChanged()),
+            self.cordons.lease if options.on_lost == "hold" else None,
+        )
         extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
         log.info("sharing", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost})
 
@@ -137,7 +138,7 @@
             self.replica.collect(self.clock.now_us())
 
     def _serve(self) -> None:
-        self.inbound.behind = False
+        self.inbound.catching_up = False
 
     # From peers, for all who have to know
 
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -278,7 +278,7 @@
             ),
         ),
     ),
-    "cordon.value": cordon.Cordons(
+    "cordon.value": cordon.CordonSet(
         version=1,
         entries=(
             cordon.Entry(
@@ -296,7 +296,7 @@
                 ),
             ),
         ),
-        seen=(cordon.Seen(origin="s1", incarnation=2, ranges=((1, 3),)),),
+        seen=(cordon.SeenDots(origin="s1", incarnation=2, ranges=((1, 3),)),),
         lifted_us=11,
     ),
 }
@@ -403,7 +403,7 @@
 
 def load_disabled_workers(folder: Path) -> set[str]:
     """Those workers as the last process left them."""
-    return DisabledWorkerStore(folder).held_out()
+    return DisabledWorkerStore(folder).load()
 
 
 def recorded() -> list[Any]:
@@ -445,33 +445,36 @@
 
 def exported_state() -> Json:
     """What a driven decision module knows, as its successor gets it."""
-    return _as_json(memory.learned(_driven().balancer))
+    return _as_json(memory.export_state(_driven().balancer))
 
 
 def reexported_state(state: Json) -> Json:
     """The same, told to a fresh module and exported by it."""
     node = Node(3, tells_start=True)
-    memory.recall(node.balancer, state)
-    return _as_json(memory.learned(node.balancer))
+    memory.import_state(node.balancer, state)
+    return _as_json(memory.export_state(node.balancer))
 
 
 def handed_over_jobs() -> list[Json]:
     """The jobs that the driven module still has, as a successor gets them."""
     balancer = _driven().balancer
-    return [_as_json(memory.release(balancer, number)) for number in sorted(balancer.jobs)]
+    return [_as_json(memory.export_job(balancer, number)) for number in sorted(balancer.jobs)]
 
 
 def handed_over_again(jobs: list[Json]) -> list[Json]:
     """The same, taken by a fresh module and handed over by it."""
     node = Node(3, tells_start=True)
     for job in jobs:
-        memory.resume(node.balancer, node.now, job)
-    return [_as_json(memory.release(node.balancer, number)) for number in sorted(node.balancer.jobs)]
+        memory.import_job(node.balancer, node.now, job)
+    return [_as_json(memory.export_job(node.balancer, number)) for number in sorted(node.balancer.jobs)]
 
 
 def timer_tags() -> list[str]:
     """The tags of timers, which go along with the jobs that they are about."""
-    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.Check] + [timers.HELD, timers.LIST]
+    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.AttemptCheck] + [
+        timers.QUEUE_CHECK,
+        timers.LIST_POLL,
+    ]
 
 
 def exported_admission() -> Json:
@@ -569,15 +572,15 @@
         "unconfirmed": views.UnconfirmedView,
         "cordon": views.CordonView,
         "listing": views.Listing,
-        "answer": views.Answer,
-        "put": views._Put,
+        "answer": views.ChangeSummary,
+        "put": views.PutBody,
     }
     return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
 
 
 def cordon_states() -> list[str]:
     """The states of a cordon in operators' answers."""
-    return [*views.STATES.values(), views.OVER_BUDGET, views.HELD]
+    return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
 def operator_file_keys() -> list[str]:
--- a/tests/test_destinations.py
+++ b/tests/test_list_watcher.py
@@ -12,9 +12,9 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
-from robinhill.net.dispatcher.dispatcher import Listed
+from robinhill.net.dispatcher.messages import EndpointListReceived
 from robinhill.placement import watch_schedule
-from robinhill.placement.watch_schedule import Pace
+from robinhill.placement.watch_schedule import WatchSchedule
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 Handler = Callable[[asyncio.StreamWriter], Awaitable[None]]
@@ -52,21 +52,21 @@
 @pytest.mark.parametrize("fleet_size", [1, 6, 200])
 def test_after_silence_the_next_call_comes_within_what_counts_as_told(fleet_size: int) -> None:
     for seed in range(20):
-        pace = Pace(False, random.Random(seed), fleet_size)
-        pace.called(0)
-        pace.heard(10_000_000)  # and right after it the watch falls silent
-        now = pace.silent_at()
-        first = now + pace.lost(now)
+        schedule = WatchSchedule(False, random.Random(seed), fleet_size)
+        schedule.record_call(0)
+        schedule.record_received(10_000_000)  # and right after it the watch falls silent
+        now = schedule.silent_at_us()
+        first = now + schedule.record_lost(now)
         assert (
-            first <= 10_000_000 + watch_schedule.TOLD_US // 2
+            first <= 10_000_000 + watch_schedule.LIST_CHANGE_BOUND_US // 2
         )  # the other half is for the wait at discovery
         now, calls = first, 0
         while now <= 16_000_000:
-            pace.called(now)
+            schedule.record_call(now)
             now, calls = now + 20_000, calls + 1  # refused at once
-            wait = pace.lost(now)
+            wait = schedule.record_lost(now)
             # whenever discovery is back, a call begins within half of what then counts as told
-            assert wait <= watch_schedule.TOLD_US // 2
+            assert wait <= watch_schedule.LIST_CHANGE_BOUND_US // 2
             now += wait
         assert calls >= 3
 
@@ -77,7 +77,7 @@
     def __init__(self, *scripts: Handler) -> None:
         self.scripts = list(scripts)
         self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.reports: list[Listed] = []
+        self.reports: list[EndpointListReceived] = []
 
     async def __call__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls.put_nowait((await reader.readuntil(b"\r\n")).decode())
@@ -92,9 +92,9 @@
         self.server = await asyncio.start_server(self, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.supervisor = Supervisor()
-        pace = Pace(pushed, random.Random(1), 1)
+        schedule = WatchSchedule(pushed, random.Random(1), 1)
         actor = EndpointListWatcher(
-            Address("127.0.0.1", port), 41, pace, Clock(), self.supervisor, self.reports.append
+            Address("127.0.0.1", port), 41, schedule, Clock(), self.supervisor, self.reports.append
         )
         actor.start()
         return actor
@@ -132,7 +132,11 @@
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same decisions, sooner."""
-    for name, value in {"WORD_US": 100_000, "CALL_US": 100_000, "AGAIN_US": 10_000}.items():
+    for name, value in {
+        "WATCH_SILENCE_TIMEOUT_US": 100_000,
+        "CALL_TIMEOUT_US": 100_000,
+        "MIN_SPREAD_US": 10_000,
+    }.items():
         monkeypatch.setattr(watch_schedule, name, value)
 
 
@@ -144,7 +148,7 @@
         assert "after=41" in await discovery.call()
         after = 41 if script is _says_nothing else 43
         assert f"after={after}" in await discovery.call()
-        assert None not in [r.list for r in discovery.reports]  # a failed call would wait its turn
+        assert None not in [r.endpoint_list for r in discovery.reports]  # a failed call would wait its turn
         await discovery.stop()
 
     asyncio.run(play())
@@ -156,7 +160,7 @@
         await discovery.start()
         assert "after=41" in await discovery.call()
         assert "after=43" in await discovery.call()
-        assert [r.list and r.list.generation for r in discovery.reports] == [43, None]
+        assert [r.endpoint_list and r.endpoint_list.generation for r in discovery.reports] == [43, None]
         await discovery.stop()
 
     asyncio.run(play())
@@ -168,7 +172,7 @@
         actor = await discovery.start(pushed=True)
         for after in (41, 43, 43, 43):
             assert f"after={after}" in await discovery.call()
-        assert None not in [r.list for r in discovery.reports]
+        assert None not in [r.endpoint_list for r in discovery.reports]
         actor.tell(Move(Address("127.0.0.1", 9)))
         await discovery.stop()
 
