--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,7 +36,7 @@
 from robinhill.net.peers.peer_connections import STRANGERS, Peers
 from robinhill.net.peers.peer_link import PATH
 from robinhill.net.peers.sharing import Sharing
-from robinhill.protocol import Answer, Destination, Lifecycle
+from robinhill.protocol import Answer, Lifecycle, ListedEndpoint
 
 Result = TypeVar("Result")
 UNIX_EPOCH_S = 1_700_000_000
@@ -201,7 +201,7 @@
 
     def use_cordons(
         self,
-        may_send: Callable[[Destination], bool],
+        may_send: Callable[[ListedEndpoint], bool],
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
@@ -211,8 +211,8 @@
         if isinstance(message, CordonsChanged):
             asyncio.get_running_loop().call_soon(message.on_applied)
 
-    def listed(self) -> list[Destination]:
-        return [Destination("w0", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0)]
+    def listed(self) -> list[ListedEndpoint]:
+        return [ListedEndpoint("w0", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0)]
 
 
 @dataclass(slots=True, frozen=True)
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.fitting import Point, print_ladder
 from benchmarks.scale.nodes import ADDRESS_PORT, Node, worker, workers
 from robinhill import api
-from robinhill.protocol import WatchReader
+from robinhill.protocol import WatchEventReader
 
 WORKERS = (100, 300, 1_000, 3_000, 10_000)
 CHANGED = 10
@@ -74,7 +74,7 @@
 def read_us(worker_count: int) -> float:
     """Microseconds of reading a whole list."""
     data = written(worker_count)
-    return microseconds(lambda: list(WatchReader(LONGEST_BYTES).feed(data)))
+    return microseconds(lambda: list(WatchEventReader(LONGEST_BYTES).feed(data)))
 
 
 LADDERS = (
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -15,7 +15,7 @@
 from robinhill.net.clock import Clock
 from robinhill.net.metrics import Metrics
 from robinhill.net.workers.endpoint import Endpoint
-from robinhill.protocol import Destination, Lifecycle
+from robinhill.protocol import Lifecycle, ListedEndpoint
 
 WORKERS = (100, 300, 1_000, 3_000, 10_000)
 JOBS = (100, 300, 1_000)
@@ -48,7 +48,7 @@
 
     def make() -> None:
         for number in range(worker_count):
-            destination = Destination(
+            destination = ListedEndpoint(
                 f"worker-{number:05}", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0
             )
             endpoint = Endpoint(
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -78,7 +78,7 @@
     seed: int
     sockets: int
     folder: Path | None  # $TMPDIR, for what outlives the process
-    known: protocol.DestinationList
+    known: protocol.EndpointList
     settings: api.Settings
     classes: tuple[str, ...]
     zones: tuple[str, ...]
@@ -291,11 +291,11 @@
     return Path(path) if path else None
 
 
-def _known(value: object) -> protocol.DestinationList:
+def _known(value: object) -> protocol.EndpointList:
     if value is None:
-        return protocol.DestinationList(0, True, ())
+        return protocol.EndpointList(0, True, ())
     try:
-        return protocol.read_destinations(value)
+        return protocol.decode_endpoint_list(value)
     except (protocol.MalformedError, OverflowError) as e:
         raise ConfigError("known", str(e)) from e
 
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -83,7 +83,7 @@
         self.none_pending = asyncio.Event()
         self.none_pending.set()
         self._listener = Listener(
-            self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY, self._record_close
+            self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY_BYTES, self._record_close
         )
 
     def _record_close(self, why: CloseReason) -> None:
@@ -115,7 +115,7 @@
         if request.method != "POST":
             return reject(request, 405, "jobs come by POST")
         if path == JOB_EVENTS:
-            event = protocol.read_job_event(await request.read())
+            event = protocol.decode_job_event(await request.read())
             connection = connection_of(request)
             connection.begin_answer(serves=True)
             connection.carries_callbacks = True
@@ -151,7 +151,7 @@
         # After a stall it may have arrived at any time since the loop last ran.
         arrived_us = self.catch_up.earliest_arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
-        job = protocol.read_request(
+        job = protocol.decode_request(
             request.raw_path, request.headers, body, self.config.classes, self.deadlines_us
         )
         caller = (
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -34,7 +34,7 @@
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.snapshot_store import SnapshotStore
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -121,7 +121,7 @@
 
     # Before a send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
         if self._stopped or covers(self.cordons.targets, worker):
             return False
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -276,7 +276,7 @@
         self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
 
     async def _forget(self, body: bytes) -> Answer:
-        return self._voter.forget(protocol.read_instance_id(body))
+        return self._voter.forget(protocol.decode_instance_id(body))
 
 
 async def _no_workers(instance_id: str, out: bool) -> Answer:
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -42,7 +42,7 @@
     location_of,
 )
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
         supervisor: Supervisor,
         clock: Clock,
         dispatcher: Callable[[CordonsChanged | SendLeaseChanged], None],
-        listed: Callable[[], list[Destination]],
+        listed: Callable[[], list[ListedEndpoint]],
     ) -> None:
         super().__init__("cordons", supervisor)
         self.options, self.me, self.names = options, me, tuple(sorted(names))
@@ -156,7 +156,7 @@
 
     # What is asked before a send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
         return not covers(self.targets, worker) and self.lease()
 
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -34,7 +34,7 @@
     location_of,
 )
 from robinhill.net.cordons.pending_changes import Change, Changes
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
         clock: Clock,
         writer: Writer,
         perform: Callable[[Iterable[Action]], None],
-        listed: Callable[[], list[Destination]] | None = None,
+        listed: Callable[[], list[ListedEndpoint]] | None = None,
     ) -> None:
         self.options = options
         self.incarnation = incarnation
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -11,7 +11,7 @@
 from robinhill.cordon.errors import CordonUnknown
 from robinhill.cordon.index import CordonIndex, targets_of
 from robinhill.errors import RobinhillError
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 Json = dict[str, Any]
 
@@ -40,12 +40,12 @@
     return frozenset(target for target, entry in index.active() if index.is_in_effect(target, entry.reason))
 
 
-def location_of(destination: Destination) -> Location:
+def location_of(destination: ListedEndpoint) -> Location:
     """Where a worker stands, as targets name it."""
     return Location(destination.zone, destination.machine_type, destination.cell)
 
 
-def covers(targets: frozenset[str], destination: Destination) -> bool:
+def covers(targets: frozenset[str], destination: ListedEndpoint) -> bool:
     """Whether a worker is among what is cordoned. Cheap: asked before each send."""
     if not targets:
         return False
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -136,7 +136,7 @@
         return unread_bytes(self._transport) > 0
 
     async def _listen(self, content: aiohttp.StreamReader) -> None:
-        reader, first = protocol.WatchReader(LONGEST_LIST), True
+        reader, first = protocol.WatchEventReader(LONGEST_LIST), True
         while data := await self._in_time(content.readany()):
             for told in reader.feed(data):
                 self.schedule.record_received(self.clock.now_us())
@@ -146,7 +146,7 @@
                     self.note(ListConfirmed(self.generation, self.schedule.last_received_us))
                 if first and not told:
                     # Nothing has changed: the module hears that its call has been answered.
-                    unchanged = protocol.DestinationList(self.generation or 0, False, ())
+                    unchanged = protocol.EndpointList(self.generation or 0, False, ())
                     self.report(EndpointListReceived(unchanged))
                 first = False
 
@@ -167,7 +167,7 @@
                 waiting.cancel()
                 await asyncio.gather(waiting, return_exceptions=True)
 
-    def _told(self, told: protocol.DestinationList) -> None:
+    def _told(self, told: protocol.EndpointList) -> None:
         self.generation = told.generation
         self.report(EndpointListReceived(told, received_us=self.schedule.last_received_us))
         log.info(
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -238,7 +238,9 @@
         assert entry, "a refusal is of a request that waits here"
         request, reply = entry.taken.request, entry.taken.reply
         self.metrics.refusals["admission"] += 1
-        answer = protocol.excess(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
+        answer = (
+            protocol.quota_exceeded(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
+        )
         self.metrics.answered(request.job_class, answer)
         if self.tape:
             self.tape.answered(request, answer.status)
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -59,7 +59,7 @@
 )
 from robinhill.placement import idempotency
 from robinhill.placement.list_lease import ListLease
-from robinhill.protocol import DONE, Answer, Destination, DestinationList, JobEvent, JobRequest, Lifecycle
+from robinhill.protocol import DONE, Answer, EndpointList, JobEvent, JobRequest, Lifecycle, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -141,7 +141,7 @@
 
     def use_cordons(
         self,
-        may_send: Callable[[Destination], bool],
+        may_send: Callable[[ListedEndpoint], bool],
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
@@ -155,11 +155,11 @@
         if send_lease:
             self.send_lease, self.restrictions.send_lease_held = send_lease, False
 
-    def listed(self) -> list[Destination]:
+    def listed(self) -> list[ListedEndpoint]:
         """The workers on the endpoint list."""
         return self.table.listed()
 
-    def start(self, known: DestinationList | None = None) -> None:
+    def start(self, known: EndpointList | None = None) -> None:
         """Begin with a predecessor's list, or with that of the configuration."""
         now = self.clock.now_us()
         self._perform(self.balancer.start(now))
@@ -408,7 +408,7 @@
         """Disable a worker until it is enabled again; a repeated call changes nothing."""
         instance_id, restrictions = message.instance_id, self.restrictions
         destination = self.table.destinations.get(instance_id)
-        listed = destination is not None and destination.lifecycle is not Lifecycle.LEFT
+        listed = destination is not None and destination.lifecycle is not Lifecycle.REMOVED
         disabled = instance_id in restrictions.disabled
         if not (listed or message.listed_elsewhere or disabled):
             return NO_SUCH_WORKER
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -18,12 +18,12 @@
 from robinhill.net.workers.endpoint import Endpoint
 from robinhill.net.workers.messages import CloseIdleConnections, EndpointReport
 from robinhill.placement.list_lease import ListLease
-from robinhill.protocol import Destination, DestinationList, Lifecycle
+from robinhill.protocol import EndpointList, Lifecycle, ListedEndpoint
 
 _WORKER_STATES = {
     Lifecycle.ACTIVE: api.WorkerState.READY,
-    Lifecycle.LEAVING: api.WorkerState.DRAINING,
-    Lifecycle.LEFT: api.WorkerState.GONE,
+    Lifecycle.DRAINING: api.WorkerState.DRAINING,
+    Lifecycle.REMOVED: api.WorkerState.GONE,
 }
 
 
@@ -47,23 +47,23 @@
         self.restrictions = restrictions
         self.report = report
         self.list_lease = list_lease
-        self.destinations: dict[str, Destination] = {}
+        self.destinations: dict[str, ListedEndpoint] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not detected
-        self.may_send: Callable[[Destination], bool] | None = None  # called right before each write
+        self.may_send: Callable[[ListedEndpoint], bool] | None = None  # called right before each write
         self.traffic_recorder: TrafficRecorder | None = None
         self._zones = list(config.zones)
         self._machine_types = list(config.machine_types)
 
-    def listed(self) -> list[Destination]:
+    def listed(self) -> list[ListedEndpoint]:
         """The workers on the list; a removed one stays in the table until its attempts are over."""
-        return [d for d in self.destinations.values() if d.lifecycle is not Lifecycle.LEFT]
+        return [d for d in self.destinations.values() if d.lifecycle is not Lifecycle.REMOVED]
 
     def workers(self) -> list[api.Worker]:
         """The listed workers as the decision module sees them."""
         return [self.worker(destination) for destination in self.listed()]
 
-    def worker(self, destination: Destination) -> api.Worker:
+    def worker(self, destination: ListedEndpoint) -> api.Worker:
         """A worker as the decision module sees it: names are numbers, by settings and first appearance."""
         destination = self.restrictions.effective(destination)
         return api.Worker(
@@ -76,16 +76,16 @@
             cell=destination.cell,
         )
 
-    def apply(self, received: DestinationList, complete: bool) -> None:
+    def apply(self, received: EndpointList, complete: bool) -> None:
         """Take a complete list, which removes whom it does not name, or changes to the one in use."""
         if complete:
             names = {destination.instance_id for destination in received.destinations}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
-                self.update(replace(removed, lifecycle=Lifecycle.LEFT))
+                self.update(replace(removed, lifecycle=Lifecycle.REMOVED))
         for destination in received.destinations:
             self.update(destination)
 
-    def update(self, destination: Destination) -> None:
+    def update(self, destination: ListedEndpoint) -> None:
         """Notify a worker's endpoint of its entry on the list, or open one."""
         instance_id = destination.instance_id
         self.destinations[instance_id] = destination
@@ -94,7 +94,7 @@
         effective = self.restrictions.effective(destination)
         if endpoint := self.endpoints.get(instance_id):
             endpoint.tell(effective)
-        elif destination.lifecycle is Lifecycle.LEFT:
+        elif destination.lifecycle is Lifecycle.REMOVED:
             del self.destinations[instance_id]
         else:
             self._open(effective)
@@ -104,12 +104,12 @@
         for destination in self.listed():
             self.update(destination)
 
-    def open_removed(self, destination: Destination) -> Endpoint:
+    def open_removed(self, destination: ListedEndpoint) -> Endpoint:
         """An endpoint for what a worker still has that is no longer listed."""
         self.destinations[destination.instance_id] = destination
         return self._open(destination)
 
-    def _open(self, destination: Destination) -> Endpoint:
+    def _open(self, destination: ListedEndpoint) -> Endpoint:
         endpoint = Endpoint(
             destination,
             self.supervisor,
@@ -129,7 +129,7 @@
     def retire(self, instance_id: str) -> None:
         """Close the endpoint of a worker that has been removed, unless it is listed again."""
         destination = self.destinations.get(instance_id)
-        if destination and destination.lifecycle is Lifecycle.LEFT:
+        if destination and destination.lifecycle is Lifecycle.REMOVED:
             del self.destinations[instance_id]
             endpoint = self.endpoints.pop(instance_id)
             endpoint.stop()
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from robinhill.net.workers.messages import EndpointReport
-from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobRequest
+from robinhill.protocol import Answer, EndpointList, JobEvent, JobRequest, ListedEndpoint
 
 if TYPE_CHECKING:  # admission control is loaded only where it is configured
     from robinhill.admission.callers import Caller
@@ -62,7 +62,7 @@
 class EndpointListReceived:
     """An endpoint list, changes to it, or None if a call to discovery failed."""
 
-    endpoint_list: DestinationList | None
+    endpoint_list: EndpointList | None
     cached: bool = False
     received_us: int | None = None  # when its last byte was read; None: it does not renew the list's lease
 
@@ -107,7 +107,7 @@
 class CordonsChanged:
     """Workers that ``covers`` accepts get nothing new; ``on_applied`` is called once endpoints comply."""
 
-    covers: Callable[[Destination], bool]
+    covers: Callable[[ListedEndpoint], bool]
     on_applied: Callable[[], None]
 
 
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -101,7 +101,7 @@
             "returned": request.returned_by,
             "attempt": attempt and _export_attempt(attempt),
             "destination": attempt
-            and protocol.write_destination(self.table.destinations[request.endpoints[-1]]),
+            and protocol.encode_listed_endpoint(self.table.destinations[request.endpoints[-1]]),
             "module": exported_job,
             "timers": [[due_us, tag] for due_us, tag in self.timers.of_job(request.job)],
         }
@@ -130,7 +130,7 @@
         request.attempts_in_flight = {number}
         endpoint = self.table.endpoints.get(instance_id)
         if endpoint is None:  # it has been removed from the list meanwhile
-            removed = protocol.read_destination(destination | {"lifecycle": "left"})
+            removed = protocol.decode_listed_endpoint(destination | {"lifecycle": "left"})
             endpoint = self.table.open_removed(removed)
         until_us, sent_us = attempt["until_us"], attempt["sent_us"]
         endpoint.tell(
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -4,7 +4,7 @@
 
 from robinhill.api import Outcome
 from robinhill.net.clock import Clock
-from robinhill.protocol import Destination, JobRequest
+from robinhill.protocol import JobRequest, ListedEndpoint
 from robinhill.record.records import Answered, Arrived, Attempted, Listed
 
 if TYPE_CHECKING:  # its compressor is loaded where something is recorded, and only there
@@ -49,7 +49,7 @@
         """A final answer, whoever gave it."""
         self.recorder.note(Answered(self.clock.now_us(), self.recorder.hash(request.id), status))
 
-    def listed(self, d: Destination) -> None:
+    def listed(self, d: ListedEndpoint) -> None:
         """An entry of the destination set, as discovery told it."""
         self.recorder.note(
             Listed(
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -9,7 +9,7 @@
 
 from robinhill.net.dispatcher.messages import CordonsChanged
 from robinhill.net.operators.disabled_workers import DisabledWorkerStore
-from robinhill.protocol import Destination, Lifecycle
+from robinhill.protocol import Lifecycle, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -33,13 +33,13 @@
         self.cordons: CordonsChanged | None = None  # the last that came
         self.send_lease_held = True  # as endpoints and decision module were notified
 
-    def applies_to(self, destination: Destination | None, instance_id: str) -> bool:
+    def applies_to(self, destination: ListedEndpoint | None, instance_id: str) -> bool:
         """Whether operators have ordered that a worker gets nothing, here or at any scheduler."""
         return instance_id in self.disabled or (
             self.cordons is not None and destination is not None and self.cordons.covers(destination)
         )
 
-    def effective(self, destination: Destination) -> Destination:
+    def effective(self, destination: ListedEndpoint) -> ListedEndpoint:
         """The worker as endpoints and decision module are to see it: restrictions override the list.
 
         The list is late: a restart while the worker was out of use may not be on it yet, and a cold worker
@@ -48,7 +48,7 @@
         if destination.lifecycle is Lifecycle.ACTIVE and (
             self.applies_to(destination, destination.instance_id) or not self.send_lease_held
         ):
-            return replace(destination, lifecycle=Lifecycle.LEAVING)
+            return replace(destination, lifecycle=Lifecycle.DRAINING)
         outage = self.out_of_use.get(destination.instance_id)
         if outage and outage.until_us and destination.started_us < outage.since_us:
             return replace(destination, started_us=outage.until_us)
@@ -64,7 +64,7 @@
         self._note_use(now_us, instance_id, not disabled)
         return True
 
-    def set_cordons(self, now_us: int, cordons: CordonsChanged, listed: list[Destination]) -> bool:
+    def set_cordons(self, now_us: int, cordons: CordonsChanged, listed: list[ListedEndpoint]) -> bool:
         """Use other cordons from now on; whether that changes anything for a listed worker."""
         before = {d.instance_id: self.applies_to(d, d.instance_id) for d in listed}
         self.cordons = cordons
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -116,7 +116,7 @@
         return self.calls.admission()
 
     async def _worker(self, body: bytes, out: bool) -> Answer:
-        return await self.calls.hold_out(protocol.read_instance_id(body), out)
+        return await self.calls.hold_out(protocol.decode_instance_id(body), out)
 
 
 async def _at_once(answer: Answer) -> Answer:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -167,7 +167,7 @@
         if told and "clock_anchor_ns" in told:  # an older version does not tell
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
-            known = protocol.read_destinations(told["known"])
+            known = protocol.decode_endpoint_list(told["known"])
             self.destinations.generation = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
@@ -306,7 +306,7 @@
         if (
             event.id not in self.dispatcher.in_flight
             and self.succession
-            and await self.succession.forward(protocol.write_job_event(event))
+            and await self.succession.forward(protocol.encode_job_event(event))
         ):
             return
         if event.id in self.dispatcher.in_flight:  # it may have come here meanwhile
@@ -334,7 +334,7 @@
     ) -> bool:
         """Whether the successor has a request now; else it is ours again, or answered."""
         taken, sent = False, False
-        body = told | {"request": protocol.write_handed(request)}
+        body = told | {"request": protocol.encode_handed_over_request(request)}
         try:
             if self.succession and (successor := self.succession.successor):
                 taken = (await successor.ask("adopt", body, fd)).get("taken", True)
@@ -367,7 +367,7 @@
     def hello(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.set_budget(self.config.client_sockets(2))
-        known = [protocol.write_destination(d) for d in self.dispatcher.listed()]
+        known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
         generation = self.destinations.generation or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
@@ -395,7 +395,7 @@
         return (await self._obey(what, body, True)).status == 200
 
     async def take_event(self, body: Json) -> bool:
-        event = protocol.job_event(body)
+        event = protocol.decode_job_event_object(body)
         if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
         if event.id not in self.dispatcher.in_flight:
@@ -407,7 +407,7 @@
         if self.inbound.shutting_down:
             os.close(fd)
             return False
-        request = protocol.read_handed(body["request"])
+        request = protocol.decode_handed_over_request(body["request"])
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -39,7 +39,7 @@
     StartAttempt,
 )
 from robinhill.placement.list_lease import ListLease
-from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.protocol import JobEvent, JobRequest, JobState, Lifecycle, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -106,7 +106,7 @@
     | ReleaseAttempt
     | ResumeAttempt
     | RequestReturned
-    | Destination
+    | ListedEndpoint
     | JobEvent
     | CheckHealth
     | CloseIdleConnections
@@ -238,14 +238,14 @@
 
     def __init__(
         self,
-        destination: Destination,
+        destination: ListedEndpoint,
         supervisor: Supervisor,
         clock: Clock,
         connect_timeout_us: int,
         keepalive_us: int,
         metrics: Metrics,
         report: Callable[[EndpointReport], None],
-        may_send: Callable[[Destination], bool] | None = None,
+        may_send: Callable[[ListedEndpoint], bool] | None = None,
         list_lease: ListLease | None = None,
         catch_up: CatchUp | None = None,
     ) -> None:
@@ -294,7 +294,7 @@
 
     def time_left(self, attempt: _Attempt) -> str:
         """What an attempt tells its worker: how long this scheduler will wait from now on."""
-        return messages.write_timeout(attempt.until_us - self.clock.now_us())
+        return messages.format_timeout(attempt.until_us - self.clock.now_us())
 
     def note_send(self, attempt: _Attempt) -> None:
         """Count and log by which list an attempt goes out."""
@@ -338,7 +338,7 @@
                 self._resume(message)
             case RequestReturned(request_id=request_id):
                 self._heard(request_id, JobState.RETURNED)
-            case Destination():
+            case ListedEndpoint():
                 moved = message.host_port != self.destination.host_port
                 self.destination = message
                 if moved:
@@ -346,7 +346,7 @@
                 self._retire()
             case CheckHealth():
                 # One that has left may be told to close at any moment, and its connections with it.
-                if self.destination.lifecycle is Lifecycle.LEFT:
+                if self.destination.lifecycle is Lifecycle.REMOVED:
                     self.report(HealthCheckEnded(self.destination.instance_id, False))
                 else:
                     self._call(self._probe(), f"probe {self.name}")
@@ -559,7 +559,7 @@
         timeout = aiohttp.ClientTimeout(total=self.connect_timeout_s)
         try:
             async with self.session.delete(
-                self._url(messages.cancel_target(wire_id)), timeout=timeout
+                self._url(messages.cancellation_target(wire_id)), timeout=timeout
             ) as response:
                 await _read_rest(response)
                 if response.status < 500:
@@ -599,7 +599,7 @@
         self.supervisor.spawn(_close_after(old, carried), f"close {self.name}")
 
     def _retire(self) -> None:
-        if self.destination.lifecycle is Lifecycle.LEFT and not self.attempts and not self.calls:
+        if self.destination.lifecycle is Lifecycle.REMOVED and not self.attempts and not self.calls:
             self.report(EndpointRetired(self.destination.instance_id))
 
     async def close(self) -> None:
@@ -608,10 +608,10 @@
 
 async def _read_rest(response: ClientResponse) -> None:
     """Nobody needs the body of an answer; one that is longer than any may be ends its connection."""
-    left = messages.MAX_BODY
+    left = messages.MAX_BODY_BYTES
     async for data in response.content.iter_any():
         if (left := left - len(data)) < 0:
-            raise aiohttp.ClientPayloadError(f"a body of more than {messages.MAX_BODY} bytes")
+            raise aiohttp.ClientPayloadError(f"a body of more than {messages.MAX_BODY_BYTES} bytes")
 
 
 async def _close_after(session: aiohttp.ClientSession, carried: list[asyncio.Task[Any]]) -> None:
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -1,4 +1,8 @@
-"""The platform's messages as small typed values: each is decoded once and encoded once, here."""
+"""The platform's messages as typed values: each is decoded once and encoded once, here, without I/O.
+
+The protocol's own header, path and field names appear in this module alone; everywhere else the values carry
+the field's terms. What is not as the protocol says raises `MalformedError`.
+"""
 
 import math
 import re
@@ -12,7 +16,7 @@
 from multidict import MultiMapping
 from yarl import URL
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MAX_COST_US = 3_600_000_000  # an hour; sums of absurd guesses must stay sums
 
 REQUEST_ID = "X-Request-ID"
@@ -43,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobRequest:
-    """A client's request as it came; ``target`` is path and query, ``cost_us`` a guess (0: none)."""
+    """A client's request as received; ``target`` is path and query, ``cost_us`` an estimate (0: none)."""
 
     id: str
     job_class: int
@@ -54,11 +58,11 @@
     headers: tuple[tuple[str, str], ...]
     tenant: str = ""
     cost_us: int = 0
-    key: str = ""  # two requests of one key are one effect; "" where the client gives none
+    key: str = ""  # the idempotency key; empty where the client gives none
 
 
 def check_framing(headers: MultiMapping[str]) -> None:
-    """Refuse a request whose end two readers may see at different places: another may hide in its body."""
+    """Reject a request whose end two parsers may see at different places (request smuggling)."""
     lengths, codings = headers.getall("Content-Length", []), headers.getall("Transfer-Encoding", [])
     if len(lengths) + len(codings) > 1:
         raise MalformedError("Content-Length or Transfer-Encoding, once")
@@ -67,14 +71,14 @@
         raise MalformedError("Content-Length must be digits, Transfer-Encoding chunked")
 
 
-def read_request(
+def decode_request(
     target: str,
     headers: MultiMapping[str],
     body: bytes,
     classes: tuple[str, ...],
     deadlines_us: tuple[int, ...],
 ) -> JobRequest:
-    """Decode a client's request; without a time-out it has its class's."""
+    """Decode a client's request; without a time-out it gets the deadline of its class."""
     for key in ONCE:
         if len(headers.getall(key, [])) > 1:
             raise MalformedError(f"{key} must stand once")
@@ -88,26 +92,26 @@
     if name not in classes or name != first:
         raise MalformedError(f"{CLASS} and path must name one class of this deployment: {name[:64]!r}")
     job_class = classes.index(name)
-    left = read_timeout(headers[TIMEOUT]) if TIMEOUT in headers else deadlines_us[job_class]
-    # The module measures each try against the longest time-out seen: one absurd one would make all later
-    # requests look hopelessly late.
+    left = parse_timeout(headers[TIMEOUT]) if TIMEOUT in headers else deadlines_us[job_class]
+    # The decision module compares each request with the longest time-out seen: one absurd value would make
+    # all later ones look late.
     left = min(left, deadlines_us[job_class])
     passed = tuple((key, headers[key]) for key in PASSED_ON if key in headers)
     if not all(value.isprintable() for _, value in passed):
-        # Bytes that are not UTF-8: the client library would drop them without a word and pass on the rest.
+        # Bytes that are not UTF-8: the client library would silently drop them and forward the rest.
         raise MalformedError("a header holds what is not printable text")
     return JobRequest(
         wire_id, job_class, left, headers.get(RETRIED) == "1", target, body, passed,
-        headers.get(TENANT, ""), read_cost(headers.get(COST, "")), headers.get(KEY, ""),
+        headers.get(TENANT, ""), parse_cost(headers.get(COST, "")), headers.get(KEY, ""),
     )  # fmt: skip
 
 
-def read_cost(text: str) -> int:
-    """A guess at the work in microseconds. It is rough by its nature: one that is no number is none."""
+def parse_cost(text: str) -> int:
+    """An estimate of the work in microseconds; 0 where the text is no number."""
     return min(int(float(text)), MAX_COST_US) if _COST_FORM.fullmatch(text) else 0
 
 
-def read_timeout(text: str) -> int:
+def parse_timeout(text: str) -> int:
     """``480m`` (milliseconds) or ``480000u`` (microseconds) as microseconds."""
     if not (form := _TIMEOUT_FORM.fullmatch(text.strip())):
         raise MalformedError(f"{TIMEOUT} must be a number and m or u, is {text[:32]!r}")
@@ -116,8 +120,8 @@
     return left_us
 
 
-def write_handed(request: JobRequest) -> dict[str, object]:
-    """Encode a request for another process of this scheduler; its body is any bytes."""
+def encode_handed_over_request(request: JobRequest) -> dict[str, object]:
+    """Encode a request for another process of this scheduler; the body may hold any bytes."""
     return {
         "id": request.id,
         "job_class": request.job_class,
@@ -132,17 +136,19 @@
     }
 
 
-def read_handed(data: dict[str, Any]) -> JobRequest:
-    """Decode such a request."""
+def decode_handed_over_request(data: dict[str, Any]) -> JobRequest:
+    """Decode a request that another process has handed over."""
     headers = tuple((key, value) for key, value in data["headers"])
     return JobRequest(**(data | {"body": data["body"].encode("latin-1"), "headers": headers}))
 
 
-def cancel_target(wire_id: str) -> str:
+def cancellation_target(wire_id: str) -> str:
+    """The path that cancels a job at a worker."""
     return f"/jobs/{quote(wire_id, safe='')}"
 
 
-def write_timeout(left_us: int) -> str:
+def format_timeout(left_us: int) -> str:
+    """Microseconds as the value of a time-out header, at least 1."""
     return f"{max(1, left_us)}u"
 
 
@@ -153,29 +159,30 @@
     status: int
     body: bytes
     retry_after_us: int = 0
-    close: bool = False  # its connection ends behind it
+    close: bool = False  # its connection closes after it
 
     def headers(self) -> dict[str, str]:
+        """The headers beside those of every response."""
         return {"Retry-After": f"{self.retry_after_us / 1e6:.3f}"} if self.retry_after_us else {}
 
 
 def served(result: str) -> Answer:
-    """An endpoint's result for the client."""
+    """A worker's result for the client."""
     return Answer(200, result.encode())
 
 
 def fail_fast(retry_after_us: int = 0) -> Answer:
-    """Refused: trying again does no harm."""
+    """Rejected without effect: a retry is safe."""
     return Answer(503, b"refused, safe to try again\n", retry_after_us)
 
 
-def excess(retry_after_us: int = 0) -> Answer:
-    """Refused for what its own tenant sends; trying again does no harm."""
+def quota_exceeded(retry_after_us: int = 0) -> Answer:
+    """Rejected since its tenant's quota is used up; a retry is safe."""
     return Answer(429, b"refused, your share is used up; safe to try again later\n", retry_after_us)
 
 
 def metrics(values: dict[str, Any]) -> Answer:
-    """Figures for operators as an object."""
+    """Metrics for operators as a JSON object."""
     return Answer(200, orjson.dumps(values, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
 
 
@@ -185,7 +192,7 @@
 
 
 class JobState(Enum):
-    """What an endpoint says of a job."""
+    """What a worker reports of a job."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -197,7 +204,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobEvent:
-    """An endpoint's call about a job; ``source`` is the endpoint's identity."""
+    """A worker's callback about a job; ``source`` is the worker's id, ``share`` the part done (0 to 1)."""
 
     id: str
     source: str
@@ -206,12 +213,13 @@
     result: str = ""
 
 
-def read_job_event(body: bytes) -> JobEvent:
-    """Decode one call to /v1/job-events."""
-    return job_event(_load(body))
+def decode_job_event(body: bytes) -> JobEvent:
+    """Decode the body of a call to /v1/job-events."""
+    return decode_job_event_object(_load(body))
 
 
-def job_event(data: dict[str, object]) -> JobEvent:
+def decode_job_event_object(data: dict[str, object]) -> JobEvent:
+    """Decode such a callback from its JSON object."""
     wire_id, source, result = data.get("id"), data.get("from"), data.get("result", "")
     if not (isinstance(wire_id, str) and isinstance(source, str)):
         raise MalformedError("id and from must be text")
@@ -225,8 +233,8 @@
     return JobEvent(wire_id, source, state, share, result if isinstance(result, str) else "")
 
 
-def write_job_event(event: JobEvent) -> dict[str, Any]:
-    """Encode such a call for another process of this scheduler, which gets it as an object."""
+def encode_job_event(event: JobEvent) -> dict[str, Any]:
+    """Encode a callback for another process of this scheduler, as a JSON object."""
     return {
         "id": event.id,
         "from": event.source,
@@ -237,16 +245,16 @@
 
 
 class Lifecycle(Enum):
-    """Where an endpoint stands on discovery's list."""
+    """The state of a worker on discovery's endpoint list."""
 
     ACTIVE = "active"
-    LEAVING = "leaving"
-    LEFT = "left"
+    DRAINING = "leaving"
+    REMOVED = "left"
 
 
 @dataclass(slots=True, frozen=True)
-class Destination:
-    """One entry of the destination set; ``instance_id`` is its identity, ``host_port`` may move."""
+class ListedEndpoint:
+    """One entry of the endpoint list; ``instance_id`` is its identity, ``host_port`` may change."""
 
     instance_id: str
     host_port: str
@@ -258,8 +266,8 @@
     started_us: int
 
 
-def read_instance_id(body: bytes) -> str:
-    """Decode the body of an operator's call: an endpoint's identity, and perhaps blanks round it."""
+def decode_instance_id(body: bytes) -> str:
+    """Decode the body of an operator's call: a worker's id, perhaps with white space round it."""
     text = body.decode(errors="replace").strip()
     if not _INSTANCE_FORM.fullmatch(text):
         raise MalformedError("the body must be a worker's id")
@@ -267,63 +275,63 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DestinationList:
-    """The destination set at a version: whole after a ``reset``, else what changed."""
+class EndpointList:
+    """The endpoint list at a version: complete with ``reset``, else changes to the version before."""
 
     generation: int
     reset: bool
-    destinations: tuple[Destination, ...]
+    destinations: tuple[ListedEndpoint, ...]
 
 
-class WatchReader:
-    """Cuts what a watch sends into its words: lists, which may be indented over many lines, and empty lines.
+class WatchEventReader:
+    """Splits the stream of a watch into watch events: lists, which may span many lines, and empty lines.
 
-    Where it is torn says nothing: a word is whole once the line that closes its outermost bracket has ended.
-    ``limit``: bytes that a word may have; longer ones raise MalformedError.
+    Reads may end anywhere: an event is complete with the line that closes its outermost bracket. ``limit``:
+    the largest event in bytes; a larger one raises MalformedError.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._line = bytearray()  # since the last line break
-        self._value = bytearray()  # whole lines of a value that has not ended
+        self._value = bytearray()  # complete lines of an incomplete event
         self._depth = 0
 
-    def feed(self, data: bytes) -> Iterator[DestinationList | None]:
-        """Lists that are whole now, in order; None for each empty line between them."""
+    def feed(self, data: bytes) -> Iterator[EndpointList | None]:
+        """The lists that are complete now, in order; None for each empty line between them."""
         *lines, rest = data.split(b"\n")
         for line in lines:
             self._line += line
-            whole, self._line = bytes(self._line), bytearray()
-            if not self._value and not whole.strip():
+            complete, self._line = bytes(self._line), bytearray()
+            if not self._value and not complete.strip():
                 yield None
                 continue
-            self._add(whole)
+            self._add(complete)
             if self._depth <= 0:
                 value, self._value, self._depth = bytes(self._value), bytearray(), 0
-                yield read_destinations(_load(value))
+                yield decode_endpoint_list(_load(value))
         self._line += rest
         if len(self._line) + len(self._value) > self.limit:
             raise MalformedError(f"a list of more than {self.limit} bytes")
 
     def _add(self, line: bytes) -> None:
         self._value += line + b"\n"
-        # Brackets count outside of text alone, which can't go on behind a line's end.
+        # Brackets inside strings don't count, and no string spans a line break.
         for token in _JSON_TOKEN.findall(line):
             self._depth += (token in b"{[") - (token in b"}]")
 
 
-def read_destinations(data: object) -> DestinationList:
-    """Decode discovery's list."""
+def decode_endpoint_list(data: object) -> EndpointList:
+    """Decode discovery's endpoint list."""
     if not isinstance(data, dict):
         raise MalformedError("must be an object")
     generation, reset, instances = data.get("generation"), data.get("reset", False), data.get("instances", [])
     if type(generation) is not int or type(reset) is not bool or not isinstance(instances, list):
         raise MalformedError("generation must be a whole number, reset true or false, instances a list")
-    return DestinationList(generation, reset, tuple(read_destination(x) for x in instances))
+    return EndpointList(generation, reset, tuple(decode_listed_endpoint(x) for x in instances))
 
 
-def write_destination(d: Destination) -> dict[str, object]:
-    """Encode an entry as discovery does, for another process of this scheduler."""
+def encode_listed_endpoint(d: ListedEndpoint) -> dict[str, object]:
+    """Encode an entry in discovery's form, for another process of this scheduler."""
     return {
         "instanceId": d.instance_id,
         "hostPort": d.host_port,
@@ -336,7 +344,8 @@
     }
 
 
-def read_destination(data: object) -> Destination:
+def decode_listed_endpoint(data: object) -> ListedEndpoint:
+    """Decode one entry of the endpoint list."""
     if not isinstance(data, dict):
         raise MalformedError("instances must hold objects")
     texts = [data.get(key) for key in ("instanceId", "hostPort", "zone", "machineType")]
@@ -351,7 +360,7 @@
         raise MalformedError(f"unknown lifecycle {str(data.get('lifecycle'))[:32]!r}") from None
     started_us = int(_number(data.get("startedAtMs", 0), "startedAtMs") * 1000)
     cell, weight = int(_number(data.get("cell", 0), "cell")), _number(data.get("weight", 1.0), "weight")
-    return Destination(instance_id, host_port, zone, machine_type, cell, lifecycle, weight, started_us)
+    return ListedEndpoint(instance_id, host_port, zone, machine_type, cell, lifecycle, weight, started_us)
 
 
 def _is_host_port(text: str) -> bool:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -41,7 +41,7 @@
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.placement import exported_state as memory
 from robinhill.placement import timers
-from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.protocol import JobEvent, JobRequest, JobState, Lifecycle, ListedEndpoint
 from robinhill.record import records as recording
 from robinhill.record.frames import frame as recording_frame
 from robinhill.record.frames import header as recording_header
@@ -506,27 +506,27 @@
         id="id1", job_class=2, time_left_us=3, client_repeat=True, target="/target4", body=b"body\xff",
         headers=(("key5", "value6"),), tenant="tenant7", cost_us=8, key="key9",
     )  # fmt: skip
-    written = _as_json(messages.write_handed(request))
-    assert messages.read_handed(written) == request
+    written = _as_json(messages.encode_handed_over_request(request))
+    assert messages.decode_handed_over_request(written) == request
     return written
 
 
 def worker_event() -> Json:
     """A worker's call about a job as it goes from process to process."""
     event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
-    written = _as_json(messages.write_job_event(event))
-    assert messages.job_event(written) == event
+    written = _as_json(messages.encode_job_event(event))
+    assert messages.decode_job_event_object(written) == event
     return written
 
 
 def listed_worker() -> Json:
     """An entry of the endpoint list as it goes from process to process."""
-    entry = Destination(
+    entry = ListedEndpoint(
         instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
         lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
     )  # fmt: skip
-    written = _as_json(messages.write_destination(entry))
-    assert messages.read_destination(written) == entry
+    written = _as_json(messages.encode_listed_endpoint(entry))
+    assert messages.decode_listed_endpoint(written) == entry
     return written
 
 
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -25,7 +25,7 @@
 from robinhill.net.control_group.observing_scheduler import ObservingScheduler
 from robinhill.net.cordons import pending_changes
 from robinhill.net.cordons.pending_changes import Change, Changes
-from robinhill.protocol import Destination, Lifecycle
+from robinhill.protocol import Lifecycle, ListedEndpoint
 
 DEADLINE_S = 10.0
 
@@ -240,8 +240,8 @@
 
 def test_a_cordon_stops_sends_from_the_moment_it_is_taken_in_and_all_stop_once_it_has_left() -> None:
     async def play() -> None:
-        worker = Destination("w0", "127.0.0.1:1", "north", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
-        other = Destination("w1", "127.0.0.1:1", "south", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
+        worker = ListedEndpoint("w0", "127.0.0.1:1", "north", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
+        other = ListedEndpoint("w1", "127.0.0.1:1", "south", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
         mesh = MeshOptions(voters={"v1": VoterPlace(free_address(), "east", "a")})
         config = SimpleNamespace(operator=OperatorFile(mesh=mesh), name="s1", folder=None)
         told: list[object] = []
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -23,7 +23,7 @@
 from robinhill.net.dispatcher.messages import ClientDisconnected, RequestAccepted
 from robinhill.net.metrics import Metrics
 from robinhill.net.scheduler import Scheduler
-from robinhill.protocol import Answer, DestinationList, JobEvent, JobRequest
+from robinhill.protocol import Answer, EndpointList, JobEvent, JobRequest
 
 from .conftest import settings
 from .test_exchanges import Connection as Peer
@@ -183,7 +183,7 @@
 def inbound(report: Callable[[RequestAccepted | ClientDisconnected], None], sockets: int = 64) -> Inbound:
     """The client side by itself; who reads what it reports answers for the decider."""
     nowhere = Address("127.0.0.1", 1)
-    known = DestinationList(0, True, ())
+    known = EndpointList(0, True, ())
     config = Config("n1", nowhere, nowhere, None, None, 7, sockets, None, known, settings(), ("x",), (), ())
 
     async def deliver(event: JobEvent) -> None:
@@ -436,7 +436,7 @@
     """The whole program in this process, with neither workers nor discovery."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = Address(*free.getsockname())
-    known = DestinationList(0, True, ())
+    known = EndpointList(0, True, ())
     chosen = settings(must_subscribe=True)
     nowhere = Address("127.0.0.1", 1)
     made = Scheduler(Config("n1", listen, nowhere, None, None, 7, 64, None, known, chosen, ("x",), (), ()))
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -25,7 +25,7 @@
 from robinhill.net.dispatcher.messages import EndpointListReceived, ReleaseRequest
 from robinhill.net.scheduler import Scheduler
 from robinhill.net.workers.endpoint import _Phase
-from robinhill.protocol import DestinationList, JobEvent, JobState, Lifecycle
+from robinhill.protocol import EndpointList, JobEvent, JobState, Lifecycle
 
 from .test_exchanges import SETTINGS, merge
 
@@ -663,9 +663,9 @@
             await old.start()
             await here.running(old, "j1")
             endpoint = next(e for e in old.dispatcher.table.endpoints.values() if "j1" in e.attempts)
-            left = replace(endpoint.destination, lifecycle=Lifecycle.LEFT)
-            old.dispatcher.tell(EndpointListReceived(DestinationList(42, False, (left,))))
-            await until(lambda: endpoint.destination.lifecycle is Lifecycle.LEFT)
+            left = replace(endpoint.destination, lifecycle=Lifecycle.REMOVED)
+            old.dispatcher.tell(EndpointListReceived(EndpointList(42, False, (left,))))
+            await until(lambda: endpoint.destination.lifecycle is Lifecycle.REMOVED)
             (owed,) = old.inbound.pending.values()
             reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -32,7 +32,7 @@
 from robinhill.net.metrics import Metrics
 from robinhill.net.workers import endpoint as ep
 from robinhill.net.workers.messages import AttemptEnded, CancelAttempt, EndpointReport, StartAttempt
-from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
+from robinhill.protocol import Answer, EndpointList, JobEvent, JobState, Lifecycle, ListedEndpoint
 
 from .test_config import ENTRY, GIVEN
 
@@ -102,8 +102,8 @@
             peer.sock.close()
         self.sock.close()
 
-    def destination(self, lifecycle: Lifecycle = Lifecycle.ACTIVE) -> Destination:
-        return Destination("s-1", self.host_port, "a", "b", 0, lifecycle, 1.0, 0)
+    def destination(self, lifecycle: Lifecycle = Lifecycle.ACTIVE) -> ListedEndpoint:
+        return ListedEndpoint("s-1", self.host_port, "a", "b", 0, lifecycle, 1.0, 0)
 
 
 class HeldConnects:
@@ -485,7 +485,7 @@
     """A decider with one worker; more than one for a scheduler that is being replaced."""
 
     def __init__(self, folder: Path, worker: Worker, repeat: str) -> None:
-        listed = protocol.write_destination(worker.destination())
+        listed = protocol.encode_listed_endpoint(worker.destination())
         klass = {"name": "x", "aim-us": 300_000, "hard-limit-us": LEFT_US, "repeat": repeat}
         given = json.loads(json.dumps(GIVEN)) | {
             "known": {"generation": 1, "reset": True, "instances": [ENTRY | listed]}
@@ -521,7 +521,7 @@
 
     def listed(self, worker: Worker, lifecycle: Lifecycle) -> None:
         self.dispatcher.receive(
-            EndpointListReceived(DestinationList(2, False, (worker.destination(lifecycle),)))
+            EndpointListReceived(EndpointList(2, False, (worker.destination(lifecycle),)))
         )
 
 
@@ -626,7 +626,7 @@
         old.dispatcher.receive(ReleaseRequest(request, told))
         memory = await told
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        new.listed(worker, Lifecycle.LEFT)
+        new.listed(worker, Lifecycle.REMOVED)
         new.dispatcher.receive(AdoptRequest(request, memory, reply, asyncio.Event()))
         endpoint = new.endpoint
         await until(lambda: "j1" in endpoint.attempts and not new.dispatcher._scheduled)
@@ -641,7 +641,7 @@
     async def let_go(worker: Worker, h: House) -> None:
         request = job("j1")
         await h.accepted(worker, request)
-        h.listed(worker, Lifecycle.LEFT)
+        h.listed(worker, Lifecycle.REMOVED)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         h.dispatcher.receive(ReleaseRequest(request, told))
         assert (await told)["attempt"]
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -9,7 +9,7 @@
 from robinhill.net.metrics import Metrics
 from robinhill.net.workers.endpoint import Endpoint
 from robinhill.net.workers.messages import CheckHealth, EndpointReport, HealthCheckEnded
-from robinhill.protocol import Destination, Lifecycle
+from robinhill.protocol import Lifecycle, ListedEndpoint
 
 
 @pytest.mark.parametrize(
@@ -33,7 +33,7 @@
         server = await asyncio.start_server(worker, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         told: asyncio.Future[EndpointReport] = asyncio.get_running_loop().create_future()
-        destination = Destination("s-1", f"{host}:{port}", "a", "b", 0, Lifecycle.ACTIVE, 1.0, 0)
+        destination = ListedEndpoint("s-1", f"{host}:{port}", "a", "b", 0, Lifecycle.ACTIVE, 1.0, 0)
         supervisor, metrics = Supervisor(), Metrics(())
         endpoint = Endpoint(destination, supervisor, Clock(), 5_000_000, 15_000_000, metrics, told.set_result)
         endpoint.start()
--- a/tests/test_list_watcher.py
+++ b/tests/test_list_watcher.py
@@ -37,13 +37,13 @@
         lists = [orjson.dumps(orjson.loads(x), option=orjson.OPT_INDENT_2) for x in lists]
     text = b"\n" + lists[0] + b"\n\n" + lists[1] + b"\n"
     for cut in range(len(text)):
-        reader = protocol.WatchReader(10_000)
+        reader = protocol.WatchEventReader(10_000)
         words = [*reader.feed(text[:cut]), *reader.feed(text[cut:])]
         assert [w and w.generation for w in words] == [None, 7, None, 8], cut
 
 
 def test_a_list_without_end_is_refused() -> None:
-    reader = protocol.WatchReader(1_000)
+    reader = protocol.WatchEventReader(1_000)
     with pytest.raises(protocol.MalformedError):
         for _ in range(100):
             list(reader.feed(b'{"instances": [\n' + b" " * 20))
