--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -56,7 +56,7 @@
 def holding(held_jobs: int) -> Node:
     """A node whose few workers are all taken, with so many jobs held."""
     node = Node(FEW_WORKERS, settings(LONG_US, 2 * LONG_US))
-    while len(node.balancer.held.jobs) < held_jobs:
+    while len(node.balancer.queue.jobs) < held_jobs:
         node.arrive()
     return node
 
--- /dev/null
+++ b/robinhill/placement/decision_state.py
@@ -0,0 +1,44 @@
+"""What the parts of the decision module share: settings, records, estimates and the actions of an event.
+
+It holds state and decides nothing. Times are whole microseconds of the caller's clock.
+"""
+
+import random
+
+from robinhill import api
+from robinhill.placement import timers
+from robinhill.placement.derived_settings import DerivedSettings
+from robinhill.placement.estimates import Estimates, JobTimes
+from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
+
+UNKNOWN_JOB_US = 1_000_000.0  # a job's time where nothing is known
+LIST_POLL_US = 50_000  # a poll's time at discovery: first polls of all schedulers are spread by it
+FLEET_JOBS_IN_LINE = 3.0  # jobs of all schedulers that may wait at one worker
+
+
+class DecisionState:
+    """State of one ``Balancer`` that more than one of its parts reads or changes."""
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        self.settings = settings
+        self.derived = DerivedSettings.from_settings(settings, LIST_POLL_US, FLEET_JOBS_IN_LINE)
+        self.random = random.Random(seed)
+        self.workers: dict[str, WorkerRecord] = {}
+        self.jobs: dict[int, JobRecord] = {}
+        self.attempts: dict[AttemptKey, Attempt] = {}
+        self.job_times = JobTimes(len(settings.classes))
+        self.estimates = Estimates(settings, self.job_times, UNKNOWN_JOB_US)
+        self.actions: list[api.Action] = []
+        self.sends = 0  # own sends so far
+        self.list_leased = True  # without the lease on the endpoint list jobs stay in the queue
+        self.few_arrivals = False  # fewer own jobs than workers in the window, as of the last choice
+        self.few_in_flight = False  # fewer own jobs in flight than workers, as of the last choice
+
+    def set_attempt_timer(self, wait_us: int, check: timers.AttemptCheck, attempt: Attempt) -> None:
+        """Set a timer for a check of this attempt in ``wait_us``."""
+        self.actions.append(api.SetTimer(wait_us, timers.AttemptTimer(check, *attempt.key).tag))
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt; its end is reported later."""
+        attempt.cancel_requested = True
+        self.actions.append(api.Cancel(*attempt.key))
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -9,8 +9,9 @@
 from typing import Any, TypedDict
 
 from robinhill import api
-from robinhill.logic import UNKNOWN_JOB_US, Balancer
+from robinhill.logic import Balancer
 from robinhill.placement import timers
+from robinhill.placement.decision_state import UNKNOWN_JOB_US
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord, ZoneWait
 from robinhill.placement.statistics import DecayingMean
 
@@ -18,13 +19,11 @@
 Keys = Mapping[str, str]
 
 # Key of the format by attribute. A renamed attribute keeps its key.
-LEARNED: Keys = {
-    "sends": "sends",
-    "weighted_rate": "priced_rate",
-    "retry_budget": "budget",
-    "shed": "shed",
-    "unbound_factor": "spare",
-}
+SENDS: Keys = {"sends": "sends"}
+WEIGHTED_RATE: Keys = {"weighted_rate": "priced_rate"}
+RETRY_BUDGET: Keys = {"budget": "budget"}
+SHED_SHARE: Keys = {"shed_share": "shed"}
+UNBOUND_FACTOR: Keys = {"unbound_factor": "spare"}
 ESTIMATES: Keys = {
     "rate_updated_us": "rate_us",
     "started_us": "began_us",
@@ -143,11 +142,11 @@
 def export_state(balancer: Balancer) -> ExportedState:
     """What the module has learned of workers and of jobs in general."""
     estimates = balancer.estimates
+    own: Json = {}
+    for record, keys in _learned_records(balancer):
+        own |= _export(record, keys)
     return {
-        "own": _export(balancer, LEARNED)
-        | _export(estimates, ESTIMATES)
-        | _export(estimates.jobs, TIMES)
-        | _export(balancer.client_retries, CLIENT_RETRIES),
+        "own": own,
         "unit": _export(estimates.weighted_time, MEAN),
         "kinds": [(number, _export(mean, MEAN)) for number, mean in estimates.kinds.items()],
         "zones": [(number, _export(mean, ZONE)) for number, mean in estimates.zones.items()],
@@ -160,14 +159,11 @@
 def import_state(balancer: Balancer, state: Mapping[str, Any]) -> None:
     """Go on from an ``ExportedState`` of any version. The endpoint list must be known by then."""
     estimates = balancer.estimates
-    for record, keys in (
-        (balancer, LEARNED),
-        (estimates, ESTIMATES),
-        (estimates.jobs, TIMES),
-        (balancer.client_retries, CLIENT_RETRIES),
-    ):
+    for record, keys in _learned_records(balancer):
         _import(record, keys, state["own"])
-    balancer.weighted_rate = 0.0  # so that this version computes its own age weights at the first choice
+    balancer.weights.weighted_rate = (
+        0.0  # so that this version computes its own age weights at the first choice
+    )
     _import(estimates.weighted_time, MEAN, state["unit"])
     for number, values in state["kinds"]:
         _import(estimates.kinds.setdefault(number, DecayingMean()), MEAN, values)
@@ -206,10 +202,10 @@
     balancer.jobs[request.job] = job
     for flight in exported["flights"]:
         _import_attempt(balancer, now, job, flight, own)
-    balancer.actions = []
+    actions = balancer.state.actions = []
     if not exported["flights"]:
         balancer.place(now, job)
-    return balancer.actions
+    return actions
 
 
 def is_timer_of_job(tag: str, number: int) -> bool:
@@ -218,6 +214,20 @@
     return timer is not None and timer.job == number
 
 
+def _learned_records(balancer: Balancer) -> list[tuple[object, Keys]]:
+    """Who has learned what, in the order of the format's keys."""
+    return [
+        (balancer.state, SENDS),
+        (balancer.weights, WEIGHTED_RATE),
+        (balancer.retries, RETRY_BUDGET),
+        (balancer.overload, SHED_SHARE),
+        (balancer.weights, UNBOUND_FACTOR),
+        (balancer.estimates, ESTIMATES),
+        (balancer.job_times, TIMES),
+        (balancer.client_retries, CLIENT_RETRIES),
+    ]
+
+
 def _export_worker(worker: WorkerRecord) -> ExportedWorker:
     return {
         "values": _export(worker, WORKER),
--- /dev/null
+++ b/robinhill/placement/outcomes.py
@@ -0,0 +1,89 @@
+"""What the outcome of an attempt shows about its worker: speed, capacity, and whether it is an outlier.
+
+Estimates, limits and ejections are kept elsewhere: this module only says which of them an outcome concerns.
+"""
+
+from math import inf
+
+from robinhill import api
+from robinhill.placement.age_weights import AgeWeights
+from robinhill.placement.decision_state import DecisionState
+from robinhill.placement.outliers import OutlierDetector
+from robinhill.placement.overload import Overload
+from robinhill.placement.records import Attempt
+from robinhill.placement.retries import Retries
+
+
+class OutcomeEvaluator:
+    """Passes each outcome on to those whom it concerns."""
+
+    def __init__(
+        self,
+        state: DecisionState,
+        weights: AgeWeights,
+        overload: Overload,
+        outliers: OutlierDetector,
+        retries: Retries,
+    ) -> None:
+        self.state = state
+        self.weights = weights
+        self.overload = overload
+        self.outliers = outliers
+        self.retries = retries
+
+    def evaluate(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
+        """Count an attempt that has ended."""
+        state, worker = self.state, attempt.worker
+        if not state.list_leased and outcome is api.Outcome.CONNECT_FAILED:
+            return  # it was not written for want of the lease
+        connect_timeout_us = state.settings.connect_timeout_us
+        if outcome in api.ANSWERED:
+            worker.last_response_us = now
+        elif worker.last_response_us < attempt.sent_us and took_us >= connect_timeout_us * 3 // 4:
+            self.outliers.check_health(now, worker)
+        if outcome is api.Outcome.COMPLETED:
+            self._completed(now, attempt, took_us)
+        elif not _proves_nothing(attempt, outcome):
+            self._failed(now, attempt, outcome, took_us)
+
+    def _completed(self, now: int, attempt: Attempt, took_us: int) -> None:
+        state, worker = self.state, attempt.worker
+        request, klass = attempt.job.request, attempt.job.klass
+        worker.add_success(now)
+        self.retries.add_completion()
+        if worker.ejected_until_us < inf:
+            state.estimates.served.add(now, took_us, state.settings.cold_us)
+        state.estimates.add_completion(now, worker, request, took_us)
+        self.weights.update_worker(worker)
+        if not state.settings.tells_start:
+            waited_us = state.estimates.infer_wait(worker, request, took_us)
+            objective_us = klass.aim_us + klass.stretch * request.work_hint_us
+            late = request.work_hint_us and took_us > objective_us
+            self.overload.adapt(now, attempt, inf if late else waited_us, waited_us)
+
+    def _failed(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
+        state, worker = self.state, attempt.worker
+        late = outcome is api.Outcome.TIMEOUT or attempt.cancel_requested
+        # A lost answer must not make its worker look slow or full: the others would get its load.
+        timeout_us = state.derived.progress_timeout_us
+        lost = late and attempt.last_progress_us and 0 < timeout_us <= now - attempt.last_progress_us
+        full = outcome is api.Outcome.FULL
+        if full:
+            job_class = attempt.job.request.job_class
+            worker.class_backoff_until_us[job_class] = now + state.settings.cold_us
+        elif not lost:
+            slow_us = took_us if outcome is api.Outcome.TIMEOUT else 2 * worker.job_time_us
+            state.estimates.add_job_time(now, worker, slow_us)
+            self.weights.update_worker(worker)
+        if full or (late and not lost):
+            waited_us = took_us if attempt.cancel_requested else inf
+            self.overload.adapt(now, attempt, waited_us, waited_us)
+        else:
+            self.outliers.record_failure(now, attempt, outcome)
+
+
+def _proves_nothing(attempt: Attempt, outcome: api.Outcome) -> bool:
+    """Whether it was the client's doing, or a job from before the worker was readmitted."""
+    cancelled = outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
+    by_client = cancelled and not attempt.cancel_requested
+    return by_client or attempt.sent_us < attempt.worker.readmitted_us
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -123,13 +123,3 @@
     group: int  # of workers that drop a repeat, as of the send
     cancel_requested: bool = False
     last_progress_us: int = 0  # when its start or progress was last reported
-
-
-@dataclass(slots=True)
-class PlacementCriteria:
-    """What the choice of a worker for one job needs of that job and the settings."""
-
-    job: JobRecord
-    unsafe: bool  # the job must not run twice
-    padded_hint_us: float  # hinted work with its margin
-    max_idle_us: float  # a connection idle for longer may be closed; infinite: new ones cost nothing
--- /dev/null
+++ b/robinhill/placement/worker_choice.py
@@ -0,0 +1,149 @@
+"""The choice of the worker for a job: the age-priced rotation of docs/design.md.
+
+The eligible worker of the lowest rank gets the job, among these the one of the lowest cost x * ln(q): x is
+the number of own sends since it last got one, and factors raise the cost for what speaks against the worker.
+"""
+
+from dataclasses import dataclass
+from math import inf
+
+from robinhill import api
+from robinhill.placement.age_weights import AgeWeights
+from robinhill.placement.decision_state import DecisionState
+from robinhill.placement.records import JobRecord, WorkerRecord
+from robinhill.placement.slow_start import SlowStart
+
+BACKOFF_DIVISOR = 64.0  # of an age's cost at a worker that rejected the class: chosen if most others did too
+HINT_MARGIN = 1.5  # workers that meet the objective with so much of the hinted work go before tight fits
+ERROR_POWER = 8
+MAX_PROVEN_ERROR_SHARE = 0.1  # a worker with more is not proven for jobs that must not run twice
+TIGHT_FIT_RANK = 2
+
+
+@dataclass(slots=True)
+class _Criteria:
+    """What the choice of a worker for one job needs of job and settings, read once for all workers."""
+
+    job: JobRecord
+    job_class: int
+    unsafe: bool  # the job must not run twice
+    padded_hint_us: float  # hinted work with its margin
+    sends: int
+    few_arrivals: bool
+    unbound_factor: float  # of the cost of workers that serve bound classes
+    max_idle_us: float  # a connection idle for longer may be closed; infinite: new ones cost nothing
+
+
+class WorkerChoice:
+    """Chooses workers; it changes nothing but slow-start credits and the weights that are due."""
+
+    def __init__(self, state: DecisionState, weights: AgeWeights, slow_start: SlowStart) -> None:
+        self.state = state
+        self.weights = weights
+        self.slow_start = slow_start
+        self.settings, self.estimates = state.settings, state.estimates
+        self.saturated_classes: set[int] = set()  # those for which no worker had capacity
+
+    def choose(self, now: int, job: JobRecord) -> WorkerRecord | None:
+        """The worker for a job; None if none can take it now. Equal costs go to the larger age."""
+        self.weights.update_for_choice(now)
+        state, klass = self.state, job.klass
+        criteria = _Criteria(
+            job=job,
+            job_class=job.request.job_class,
+            unsafe=klass.repeat is api.Repeat.UNSAFE,
+            padded_hint_us=HINT_MARGIN * job.request.work_hint_us,
+            sends=state.sends,
+            few_arrivals=state.few_arrivals,
+            unbound_factor=1.0 if klass.bound else self.weights.unbound_factor,
+            max_idle_us=state.derived.max_idle_us,
+        )
+        return self._cheapest(now, criteria)
+
+    def _cheapest(self, now: int, criteria: _Criteria) -> WorkerRecord | None:
+        """Each job compares all workers: what most of them need is in the loop itself, without calls."""
+        job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
+        bound, pace = klass.bound, self.slow_start.pace(now)
+        in_slow_start_allows, has_capacity = self.slow_start.allows, self.has_capacity
+        best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
+        saturated = True
+        for worker in self.state.workers.values():
+            if now < worker.slow_start_until_us and not in_slow_start_allows(now, worker, pace):
+                continue
+            cost = (sends - worker.last_send) * worker.age_weight * worker.zone.cost_factor
+            if cost > best_cost and not best_rank:
+                continue  # what follows only raises the cost
+            if now < worker.ejected_until_us or now < worker.backoff_until_us:
+                continue
+            if bound and not klass.open_to(worker.entry):
+                continue
+            if worker.in_flight and not has_capacity(now, worker):
+                continue
+            saturated = False
+            cost = self._full_cost(now, worker, criteria, cost)
+            rank = self._rank(now, worker, criteria)
+            if rank < best_rank or (rank == best_rank and cost <= best_cost):
+                key = (rank, cost, worker.last_send, worker.tie_breaker)
+                if key < best_key and self._fits(now, worker, job):
+                    best, best_key, best_rank, best_cost = worker, key, rank, cost
+        if saturated:
+            self.saturated_classes.add(criteria.job_class)
+        return best
+
+    def _full_cost(self, now: int, worker: WorkerRecord, criteria: _Criteria, cost: float) -> float:
+        """The cost of an age (below 0), raised by all that speaks against the worker."""
+        max_idle_us = criteria.max_idle_us
+        if max_idle_us < inf and (worker.in_flight or now - worker.connection_used_us > max_idle_us):
+            age = criteria.sends - worker.last_send
+            cost = age * worker.age_weight * worker.zone.new_connection_factor
+        if now < worker.slow_start_until_us:
+            cost *= self.estimates.slow_start_share(now, worker)
+        factor = criteria.unbound_factor if worker.serves_bound_classes else 1.0
+        cost *= (1 - worker.error_share) ** ERROR_POWER * factor if criteria.few_arrivals else factor
+        backoffs = worker.class_backoff_until_us
+        rejected = backoffs and now < backoffs.get(criteria.job_class, 0)
+        # A worker back from an ejection is tried by jobs that may run twice.
+        if rejected or now < worker.suspected_until_us or (worker.consecutive_ejections and criteria.unsafe):
+            cost /= BACKOFF_DIVISOR
+        return cost
+
+    def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
+        """Workers of a lower rank go first, whatever they cost."""
+        hint_us = criteria.padded_hint_us
+        tight = hint_us > 0 and now + worker.unit_time * hint_us > criteria.job.objective_us
+        rank = TIGHT_FIT_RANK if tight else 0
+        # Where starts are not reported, a worker with an own job in flight is less surely ready.
+        if worker.in_flight and not self.settings.tells_start:
+            rank += 1
+        if criteria.few_arrivals and criteria.unsafe:
+            proven = worker.last_completion_us or now < worker.slow_start_until_us
+            rank += worker.error_share > MAX_PROVEN_ERROR_SHARE or not proven
+        return rank
+
+    def is_available(self, now: int, worker: WorkerRecord) -> bool:
+        """Whether a worker takes jobs now, of some class at least."""
+        ready = now >= worker.ejected_until_us and now >= worker.backoff_until_us
+        return ready and (not worker.in_flight or self.has_capacity(now, worker))
+
+    def has_capacity(self, now: int, worker: WorkerRecord) -> bool:
+        """Whether own jobs show capacity here; load reports and health checks play no part."""
+        if worker.waiting:
+            return False  # an own job waits: the worker is full, frozen or gone
+        limit = 1 if worker.consecutive_ejections else worker.concurrency_limit
+        if len(worker.in_flight) < limit:
+            return True
+        # Lost attempts take no capacity.
+        timeout_us = self.state.derived.progress_timeout_us or inf
+        attempts = self.state.attempts
+        progress_us = (attempts[key].last_progress_us or now for key in worker.in_flight)
+        return sum(now - at < timeout_us for at in progress_us) < limit
+
+    @staticmethod
+    def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
+        """Whether the job may run here: in time as far as a hint shows, and with no second effect."""
+        klass, hint_us = job.klass, job.request.work_hint_us
+        if hint_us and not klass.late_worth and now + worker.unit_time * hint_us > job.objective_us:
+            return False  # at its quickest it would miss the objective
+        if not job.may_have_run or klass.repeat is api.Repeat.SAFE:
+            return True
+        return klass.group_of(worker.entry) == job.group and now < job.group_until_us
--- /dev/null
+++ b/robinhill/placement/worker_list.py
@@ -0,0 +1,103 @@
+"""The endpoint list in the decision module: which workers there are, and when to poll for the list.
+
+It owns the records of workers as far as the list determines them.
+"""
+
+from math import inf
+
+from robinhill import api
+from robinhill.placement import timers
+from robinhill.placement.age_weights import AgeWeights
+from robinhill.placement.decision_state import UNKNOWN_JOB_US, DecisionState
+from robinhill.placement.records import WorkerRecord
+from robinhill.placement.slow_start import SlowStart
+
+MAX_POLL_BACKOFF_DOUBLINGS = 6
+
+
+class WorkerList:
+    """Keeps the workers' records in step with the list."""
+
+    def __init__(self, state: DecisionState, weights: AgeWeights, slow_start: SlowStart) -> None:
+        self.state = state
+        self.weights = weights
+        self.slow_start = slow_start
+        self._subscribed = False
+        self._failed_polls = 0  # in a row
+
+    def schedule_first_poll(self) -> None:
+        """Poll at a random moment: all schedulers at once, after a common start, would overload discovery."""
+        state = self.state
+        wait_us = int(state.random.random() * state.derived.list_spread_us)
+        if state.settings.must_subscribe:
+            state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
+
+    def poll(self) -> None:
+        """Subscribe to the list, unless it is."""
+        if not self._subscribed:
+            self.state.actions.append(api.Subscribe())
+
+    def schedule_retry(self) -> None:
+        """Poll again with backoff, well inside the time after which a change counts as notified."""
+        state = self.state
+        spread_us = state.derived.list_spread_us << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS)
+        wait_us = min(state.settings.ask_every_us // 2, spread_us)
+        self._subscribed, self._failed_polls = False, self._failed_polls + 1
+        wait_us = int(wait_us * (0.5 + state.random.random() / 2))
+        state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
+
+    def apply(self, now: int, event: api.WorkersListed) -> None:
+        """Take a list or changes to it."""
+        state = self.state
+        self._subscribed = self._subscribed or event.kind is not api.ListKind.CACHED
+        self._failed_polls = 0
+        listed = {entry.address for entry in event.workers}
+        for entry in event.workers:
+            self._update_worker(now, entry, len(listed))
+        self.weights.update_factors()
+        for address, worker in list(state.workers.items()):
+            unlisted = event.kind is not api.ListKind.CHANGES and address not in listed
+            if unlisted or worker.entry.state is api.WorkerState.GONE:
+                self.close(state.workers.pop(address))
+        state.estimates.update_usable_workers(state.workers.values())
+
+    def _update_worker(self, now: int, entry: api.Worker, listed: int) -> None:
+        state = self.state
+        worker = state.workers.get(entry.address)
+        if worker and (worker.entry.kind, worker.entry.zone) != (entry.kind, entry.zone):
+            self.close(worker)  # the same address is another machine now
+            worker = None
+        restarted = worker is None or entry.started_us > worker.entry.started_us
+        if worker is None:
+            zone = state.estimates.zone(entry.zone)
+            worker = WorkerRecord(entry, state.random.random(), zone, UNKNOWN_JOB_US)
+            state.workers[entry.address] = worker
+        worker.entry = entry
+        turn = max(listed, len(state.workers))
+        if restarted:
+            self.slow_start.begin(now, worker, turn)
+        if entry.state is not api.WorkerState.READY:
+            self.close(worker)
+        elif worker.ejected_until_us == inf:
+            worker.readmit(now)
+            worker.last_send = state.sends - 1 - int(worker.tie_breaker * turn)
+        elif restarted:
+            worker.ejected_until_us = 0
+        worker.serves_bound_classes = any(
+            klass.bound and klass.open_to(entry) for klass in state.settings.classes
+        )
+        self.weights.update_worker(worker)
+
+    def close(self, worker: WorkerRecord) -> None:
+        """Send nothing to a worker that drains or was removed; close its connections as they fall idle."""
+        worker.ejected_until_us = inf
+        if worker.connection_used_us and self.state.settings.close_within_us is not None:
+            worker.connection_used_us = 0
+            self.state.actions.append(api.CloseIdle(worker.entry.address))
+
+    def connection_fell_idle(self, now: int, worker: WorkerRecord) -> None:
+        """An attempt has ended: its connection stays open, unless the worker is closed."""
+        listed = self.state.workers.get(worker.entry.address, worker)
+        listed.connection_used_us = now
+        if listed.ejected_until_us == inf:
+            self.close(listed)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -165,7 +165,7 @@
         for send in only(node.ask(10 * MS, job_class=1), api.Send):
             started(node, send.job, MS)
             node.end(send.job)
-    assert node.balancer.shed == 0
+    assert node.balancer.overload.shed_share == 0
 
 
 def test_a_worker_never_met_leans_on_its_kind() -> None:
@@ -175,7 +175,7 @@
         where = sent_to(node.ask(10 * MS))
         node.end(node.jobs, took_us=(50 if int(where[1:]) % 2 else 200) * MS)
     for worker in node.balancer.workers.values():
-        node.balancer._weigh_age(worker)
+        node.balancer.weights.update_worker(worker)
     fast = [x for x in node.balancer.workers.values() if x.entry.kind == 1]
     slow = [x for x in node.balancer.workers.values() if x.entry.kind == 0]
     assert max(x.job_time_us for x in fast) < min(x.job_time_us for x in slow)
@@ -292,14 +292,14 @@
     for _ in range(200):
         node.ask()
     calls = 0
-    pick = node.balancer._pick_worker
+    pick = node.balancer.choice.choose
 
     def counted(now: int, job: object) -> object:
         nonlocal calls
         calls += 1
         return pick(now, job)  # type: ignore[arg-type]
 
-    node.balancer._pick_worker = counted  # type: ignore[method-assign, assignment]
+    node.balancer.choice.choose = counted  # type: ignore[method-assign, assignment]
     node.do(api.TimerFired("held"), MS)
     assert calls <= 2
 
@@ -366,10 +366,14 @@
         started(node, node.jobs)
         node.end(node.jobs)
     worker = node.balancer.workers[sent_to(node.ask(MS))]
-    before, shed = worker.job_time_us, node.balancer.shed
+    before, shed = worker.job_time_us, node.balancer.overload.shed_share
     started(node, node.jobs)
     node.end(node.jobs, O.TIMEOUT, 5 * S, after_us=5 * S)
-    assert worker.job_time_us == before and node.balancer.shed == shed and not worker.consecutive_ejections
+    assert (
+        worker.job_time_us == before
+        and node.balancer.overload.shed_share == shed
+        and not worker.consecutive_ejections
+    )
 
 
 def test_a_slow_worker_that_tells_progress_is_no_lost_answer() -> None:
@@ -400,7 +404,7 @@
     for i in range(400):
         for send in only(node.ask(20 * MS), api.Send):
             node.end(send.job, took_us=(100 if i < 100 else 1000) * MS)
-    assert node.balancer.shed > 0.5
+    assert node.balancer.overload.shed_share > 0.5
 
 
 def test_open_connections_go_first_where_new_ones_have_a_price() -> None:
@@ -464,7 +468,7 @@
 def test_a_class_turned_away_everywhere_is_still_sent() -> None:
     node = Node(2, tells_start=True)
     for _ in range(3):
-        node.balancer.shed = 0.0
+        node.balancer.overload.shed_share = 0.0
         assert only(node.ask(10 * MS), api.Send)
         for attempt in range(4):
             node.end(node.jobs, O.FULL, MS, attempt=attempt)
@@ -642,7 +646,7 @@
         started(node, node.jobs)
         node.end(node.jobs)
     (timer,) = only(node.ask(200 * MS), api.SetTimer)
-    assert node.balancer.sparse
+    assert node.balancer.state.few_in_flight
     assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel)
     assert not only(node.do(api.TimerFired(timer.tag), 2 * S), api.Cancel), "past its aim neither"
 
@@ -654,5 +658,5 @@
         started(node, node.jobs)
         node.end(node.jobs, took_us=300 * MS)
     (timer,) = only(node.ask(), api.SetTimer)
-    assert not node.balancer.sparse
+    assert not node.balancer.state.few_in_flight
     assert only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel) == [api.Cancel(node.jobs, 0)]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -170,7 +170,7 @@
 def test_a_side_that_fails_is_the_result_and_no_mean_is_made() -> None:
     class Crashing(Balancer):
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
-            if self.sends > 40:
+            if self.state.sends > 40:
                 raise RuntimeError("lost its way")
             return super().handle(now, event)
 
@@ -179,7 +179,7 @@
 
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
             actions = super().handle(now, event)
-            return actions + [a for a in actions if isinstance(a, api.Send) and self.sends % 50 == 0]
+            return actions + [a for a in actions if isinstance(a, api.Send) and self.state.sends % 50 == 0]
 
     class Sided(Version, frozen=True):
         def side(self) -> Side:
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -38,7 +38,7 @@
         where = sent_to(node.ask(200 * MS))
         node.do(api.JobStarted(node.jobs, 0), MS)
         node.end(node.jobs, took_us=(300 if int(where[1:]) % 2 else 900) * MS, after_us=5 * MS)
-    assert node.balancer.sparse
+    assert node.balancer.state.few_in_flight
     fast, slow = (
         [w for w in node.balancer.workers.values() if w.entry.kind == kind and w.own_time.count > 1]
         for kind in (1, 0)
