--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -171,6 +171,6 @@
         self.generation = told.generation
         self.report(EndpointListReceived(told, received_us=self.schedule.last_received_us))
         log.info(
-            "destinations",
+            "endpoint_list_received",
             extra={"generation": told.generation, "reset": told.reset, "count": len(told.destinations)},
         )
--- /dev/null
+++ b/robinhill/net/handover/handover_socket.py
@@ -0,0 +1,91 @@
+"""The Unix socket at which the next process of a scheduler finds this one. It reads and writes no messages.
+
+The socket's file is in the scheduler's state folder. The process that serves owns the name: the file is
+replaced by a rename, so at no moment is there none, or one that only an exited process had.
+"""
+
+import asyncio
+import contextlib
+import logging
+import os
+import socket
+from collections.abc import Callable
+from pathlib import Path
+
+log = logging.getLogger(__name__)
+
+SOCKET_NAME = "robinhill.sock"
+MAX_PATH_BYTES = 100  # of a Unix socket; the system allows 107
+CONNECT_TIMEOUT_S = 1.0
+
+
+class HandoverSocket:
+    """Connects to the predecessor's socket, and publishes one for a successor."""
+
+    def __init__(self, folder: Path, on_connection: Callable[[socket.socket], None]) -> None:
+        self.folder = folder
+        self._on_connection = on_connection
+        self._listener: socket.socket | None = None
+        self._directory = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+
+    @property
+    def is_published(self) -> bool:
+        """Whether a successor can connect to this process."""
+        return self._listener is not None
+
+    def connect(self) -> socket.socket | None:
+        """A connection to the predecessor; None if there is none, or it does not accept in time."""
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        sock.settimeout(CONNECT_TIMEOUT_S)
+        try:
+            sock.connect(self._path(SOCKET_NAME))
+        except OSError as e:
+            log.info("predecessor_not_found", extra={"why": str(e)})
+            sock.close()
+            return None
+        return sock
+
+    def publish(self) -> None:
+        """Listen under a name of our own and rename it to the common one; a failure is logged."""
+        own_name = f"{SOCKET_NAME}.{os.getpid()}"
+        with contextlib.suppress(FileNotFoundError):
+            (self.folder / own_name).unlink()
+        self.withdraw()
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        sock.setblocking(False)
+        try:
+            sock.bind(self._path(own_name))
+            sock.listen(1)
+            (self.folder / own_name).replace(self.folder / SOCKET_NAME)
+        except OSError as e:
+            log.error("handover_unavailable", extra={"why": str(e)})
+            sock.close()
+            return
+        self._listener = sock
+        asyncio.get_running_loop().add_reader(sock, self._accept)
+
+    def withdraw(self) -> None:
+        """Stop listening; the file stays, as it may be a successor's by now."""
+        if self._listener:
+            asyncio.get_running_loop().remove_reader(self._listener)
+            self._listener.close()
+            self._listener = None
+
+    def close(self) -> None:
+        """Stop listening for good and release the folder."""
+        self.withdraw()
+        os.close(self._directory)
+
+    def _path(self, name: str) -> str:
+        path = str(self.folder / name)
+        if len(path.encode()) <= MAX_PATH_BYTES:
+            return path
+        return f"/proc/self/fd/{self._directory}/{name}"
+
+    def _accept(self) -> None:
+        assert self._listener
+        try:
+            sock, _ = self._listener.accept()
+        except OSError:
+            return
+        self._on_connection(sock)
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -1,4 +1,8 @@
-"""A link between two processes of one scheduler: a Unix socket, a JSON object a line, asks and answers."""
+"""A link between two processes of one scheduler: questions and answers, a JSON object each, on a Unix socket.
+
+A question may carry a file descriptor. This module owns the form of the messages and knows nothing of their
+content.
+"""
 
 import array
 import asyncio
@@ -8,6 +12,7 @@
 import socket
 from collections import deque
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from itertools import count
 from typing import Any
 
@@ -19,108 +24,161 @@
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
+
+# What handling a message of another version may raise.
 MALFORMED = (ValueError, KeyError, TypeError, AttributeError, IndexError, MalformedError)
-RETRY_S = 0.005  # a socket whose buffer is full is tried again so much later
-MOST_FDS = 16
+SEND_RETRY_S = 0.005  # until a full socket buffer is tried again
+MAX_READ_BYTES = 1 << 18
+MAX_FDS_PER_READ = 16
+NO_QUESTION = 0  # number of a message that is no question; questions begin with 1
 
 
 class LinkLostError(Exception):
-    """The other process has gone. What was not ``sent`` whole has never come to it."""
+    """The other process has exited. Unless ``sent``, it has not received the whole question."""
 
     def __init__(self, sent: bool) -> None:
         super().__init__(sent)
         self.sent = sent
 
 
-class Link:
-    """One side. ``serve`` answers what the other asks; a descriptor that came with it must be taken by it."""
+@dataclass(slots=True, frozen=True)
+class Question:
+    """A question of the other process; a descriptor comes along if ``has_fd``."""
+
+    number: int
+    name: str
+    has_fd: bool
+    body: Json
+
+    def encode(self) -> bytes:
+        """The question as a line."""
+        message = {"ask": self.number, "what": self.name, "fd": self.has_fd, "body": self.body}
+        return orjson.dumps(message) + b"\n"
+
+
+@dataclass(slots=True, frozen=True)
+class Answer:
+    """The answer to the question of this number."""
+
+    number: int
+    body: Json
+
+    def encode(self) -> bytes:
+        """The answer as a line."""
+        return orjson.dumps({"answer": self.number, "body": self.body}) + b"\n"
+
+
+def decode(line: bytes | bytearray) -> Question | Answer:
+    """The message of a line; raises one of ``MALFORMED``."""
+    message = orjson.loads(line)
+    if "ask" in message:
+        return Question(message["ask"], message["what"], message["fd"], message["body"])
+    return Answer(message["answer"], message["body"])
+
+
+@dataclass(slots=True, frozen=True)
+class _Outgoing:
+    data: bytes
+    fd: int | None = None  # closed once it is sent
+    question: int = NO_QUESTION
+
+
+class ProcessLink:
+    """One end of a link.
+
+    ``answer`` is called with each question of the other process; it owns a descriptor that came with it.
+    """
 
     def __init__(
         self,
         sock: socket.socket,
         supervisor: Supervisor,
-        serve: Callable[["Link", str, Json, int | None], Awaitable[Json]],
+        answer: Callable[["ProcessLink", str, Json, int | None], Awaitable[Json]],
     ) -> None:
         sock.setblocking(False)
         self.sock = sock
         self.supervisor = supervisor
-        self.serve = serve
+        self.answer = answer
         self.lost = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._numbers = count(1)
-        self._asked: dict[int, asyncio.Future[Json]] = {}
-        self._sent: set[int] = set()  # of these, those that the other may have heard
-        self._outbox: asyncio.Queue[tuple[bytes, int | None, int]] = asyncio.Queue()
+        self._pending: dict[int, asyncio.Future[Json]] = {}  # answers by number of the question
+        self._sent: set[int] = set()  # pending questions that the other process may have received
+        self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
         self._buffer = bytearray()
-        self._fds: deque[int] = deque()
+        self._fds: deque[int] = deque()  # received ones whose question has not been read yet
         self._loop.add_reader(sock, self._read)
         self._writer = supervisor.spawn(self._write(), "link")
 
-    async def ask(self, what: str, body: Json | None = None, fd: int | None = None) -> Json:
-        """The other's answer. Asks arrive in order; a descriptor given here is closed once it is sent."""
+    async def ask(self, question: str, body: Json | None = None, fd: int | None = None) -> Json:
+        """The other process's answer; raises ``LinkLostError``.
+
+        Questions arrive in order. ``fd`` is closed here once it is sent, or when it can't be.
+        """
         if self.lost.is_set():
             if fd is not None:
                 os.close(fd)
             raise LinkLostError(False)
         number = next(self._numbers)
         answer: asyncio.Future[Json] = self._loop.create_future()
-        self._asked[number] = answer
-        self._put({"ask": number, "what": what, "fd": fd is not None, "body": body or {}}, fd, number)
+        self._pending[number] = answer
+        data = Question(number, question, fd is not None, body or {}).encode()
+        self._outbox.put_nowait(_Outgoing(data, fd, number))
         try:
             return await answer
         finally:
-            self._asked.pop(number, None)
+            self._pending.pop(number, None)
             self._sent.discard(number)
 
     def close(self) -> None:
+        """End the link: pending questions raise, descriptors that were not passed on are closed."""
         if self.lost.is_set():
             return
         self.lost.set()
         self._loop.remove_reader(self.sock)
         self._writer.cancel()
         self.sock.close()
-        for number, answer in self._asked.items():
+        for number, answer in self._pending.items():
             if not answer.done():
                 answer.set_exception(LinkLostError(number in self._sent))
         for fd in self._fds:
             os.close(fd)
         while not self._outbox.empty():
-            _, unsent, _ = self._outbox.get_nowait()
-            if unsent is not None:
-                os.close(unsent)
-
-    def _put(self, message: Json, fd: int | None = None, number: int = 0) -> None:
-        self._outbox.put_nowait((orjson.dumps(message) + b"\n", fd, number))
+            unsent = self._outbox.get_nowait()
+            if unsent.fd is not None:
+                os.close(unsent.fd)
 
     async def _write(self) -> None:
         while True:
-            data, fd, number = await self._outbox.get()
+            outgoing = await self._outbox.get()
+            data = outgoing.data
             try:
-                if fd is not None:
-                    data = data[await self._send_with(data, fd) :]
-                if number in self._asked:
-                    self._sent.add(number)  # its last byte may go out from here on
+                if outgoing.fd is not None:
+                    data = data[await self._send_with_fd(data, outgoing.fd) :]
+                if outgoing.question in self._pending:
+                    self._sent.add(outgoing.question)  # its last byte may be sent from here on
                 await self._loop.sock_sendall(self.sock, data)
             except OSError as e:
-                # Only the other's end can be the reason. What it said before that is still to be read, and a
-                # descriptor that came with it is ours alone now: the reader closes the link behind it.
-                log.debug("link_broke", extra={"why": str(e)})
-                self._sent.discard(number)
+                # The other process has exited. What it wrote before is still to be read, with descriptors
+                # that nobody else has now: the reader closes the link after it.
+                log.debug("process_link_broken", extra={"why": str(e)})
+                self._sent.discard(outgoing.question)
                 return
 
-    async def _send_with(self, data: bytes, fd: int) -> int:
+    async def _send_with_fd(self, data: bytes, fd: int) -> int:
+        """Send the descriptor and as much of the data as fits; return how many bytes. Closes ``fd``."""
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))]
         try:
             while True:
                 with contextlib.suppress(BlockingIOError, InterruptedError):
                     return self.sock.sendmsg([data], rights)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(SEND_RETRY_S)
         finally:
             os.close(fd)
 
     def _read(self) -> None:
         try:
-            data, fds, _, _ = socket.recv_fds(self.sock, 1 << 18, MOST_FDS)
+            data, fds, _, _ = socket.recv_fds(self.sock, MAX_READ_BYTES, MAX_FDS_PER_READ)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -134,26 +192,27 @@
         self._buffer = rest
         try:
             for line in lines:
-                self._receive(orjson.loads(line))
+                self._receive(decode(line))
         except MALFORMED as e:
-            self._refuse(e)
+            self._close_malformed(e)
 
-    def _refuse(self, error: Exception) -> None:
-        """The other process speaks otherwise: we go on as if it had gone, and it must not take us with it."""
-        log.error("link_malformed", exc_info=error)
-        self.close()
-
-    def _receive(self, message: Json) -> None:
-        if "ask" in message:
-            fd = self._fds.popleft() if message["fd"] else None
-            self.supervisor.spawn(self._answer(message, fd), f"link {message['what']}")
-        elif (answer := self._asked.get(message["answer"])) and not answer.done():
-            answer.set_result(message["body"])
+    def _receive(self, message: Question | Answer) -> None:
+        if isinstance(message, Question):
+            fd = self._fds.popleft() if message.has_fd else None
+            self.supervisor.spawn(self._answer(message, fd), f"link {message.name}")
+        elif (pending := self._pending.get(message.number)) and not pending.done():
+            pending.set_result(message.body)
 
-    async def _answer(self, message: Json, fd: int | None) -> None:
+    async def _answer(self, question: Question, fd: int | None) -> None:
         try:
-            body = await self.serve(self, message["what"], message["body"], fd)
+            body = await self.answer(self, question.name, question.body, fd)
         except MALFORMED as e:
-            return self._refuse(e)
+            self._close_malformed(e)
+            return
         if not self.lost.is_set():
-            self._put({"answer": message["ask"], "body": body})
+            self._outbox.put_nowait(_Outgoing(Answer(question.number, body).encode()))
+
+    def _close_malformed(self, error: Exception) -> None:
+        """The other process is of a version that this one does not understand: go on as if it had exited."""
+        log.error("process_link_malformed", exc_info=error)
+        self.close()
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -23,8 +23,8 @@
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
+from robinhill.net.handover.handover import Handover, QuestionName
 from robinhill.net.handover.process_link import LinkLostError
-from robinhill.net.handover.succession import Succession
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.server import Calls, Operators
 from robinhill.placement import watch_schedule
@@ -127,9 +127,9 @@
             self.operators = Operators(config.ops, config.ops_sockets - 1, self.supervisor, calls)
         self.started = asyncio.Event()  # it is ready to serve
         self.stopping = asyncio.Event()  # it is told to end
-        self.succession: Succession | None = None
+        self.handover: Handover | None = None
         if config.socket_fd is not None and config.folder:
-            self.succession = Succession(config.folder, self.supervisor, self)
+            self.handover = Handover(config.folder, self.supervisor, self)
             self.dispatcher.forward_event = lambda event: self._spawn_delivery(event)
 
     async def start(self) -> None:
@@ -138,8 +138,8 @@
         self.catch_up.start()
         fd = self.config.socket_fd
         sock = bind(self.config.listen, "GW_LISTEN") if fd is None else inherit(fd)
-        if self.succession and self.succession.find():
-            await self._take_over(self.succession)
+        if self.handover and self.handover.connect_predecessor():
+            await self._take_over(self.handover)
         else:
             self.dispatcher.start()
             self.destinations.start()
@@ -154,16 +154,16 @@
         if self.inbound.awaiting_list:
             await self._list_leased()
             self.inbound.awaiting_list = False
-        if self.succession:
-            await self.succession.begin()
+        if self.handover:
+            await self.handover.start_serving()
         self.started.set()
         told = {"scheduler": self.config.name, "listen": self.config.listen}
         log.info("started", extra=told | self.list_lease.log_fields(self.clock.now_us()))
 
-    async def _take_over(self, succession: Succession) -> None:
+    async def _take_over(self, handover: Handover) -> None:
         """Learn what the predecessor knows, and hear discovery ourselves, before we accept."""
         self.inbound.succeed(False, self.config.client_sockets(2))
-        told = await succession.ask("hello")
+        told = await handover.ask_predecessor(QuestionName.ENDPOINT_LIST)
         if told and "clock_anchor_ns" in told:  # an older version does not tell
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
@@ -177,7 +177,7 @@
             self.dispatcher.start()
         self.destinations.start()
         await self._list_leased()
-        if told and (memory := await succession.ask("memory")):
+        if told and (memory := await handover.ask_predecessor(QuestionName.STATE)):
             self.dispatcher.import_state(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
                 self.admission.recall(memory[HANDED_ADMISSION])
@@ -284,7 +284,7 @@
         except TimeoutError:
             return STARTING
         answer = await self._obey(what, body, False)
-        if answer.status == 200 and self.succession and not await self.succession.tell_all(what, body):
+        if answer.status == 200 and self.handover and not await self.handover.relay_operator_call(what, body):
             return Answer(500, b"the other process of this scheduler has not said yes\n")
         return answer
 
@@ -305,8 +305,8 @@
             await moving.wait()
         if (
             event.id not in self.dispatcher.in_flight
-            and self.succession
-            and await self.succession.forward(protocol.write_job_event(event))
+            and self.handover
+            and await self.handover.forward_worker_event(protocol.write_job_event(event))
         ):
             return
         if event.id in self.dispatcher.in_flight:  # it may have come here meanwhile
@@ -336,8 +336,8 @@
         taken, sent = False, False
         body = told | {"request": protocol.write_handed(request)}
         try:
-            if self.succession and (successor := self.succession.successor):
-                taken = (await successor.ask("adopt", body, fd)).get("taken", True)
+            if self.handover and (successor := self.handover.successor):
+                taken = (await successor.ask(QuestionName.ADOPT_REQUEST, body, fd)).get("taken", True)
             else:
                 os.close(fd)  # it has gone since the request was let go
         except LinkLostError as e:
@@ -364,7 +364,7 @@
         )  # ours are set
         await done.wait()
 
-    def hello(self) -> Json:
+    def export_endpoint_list(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.share(self.config.client_sockets(2))
         known = [protocol.write_destination(d) for d in self.dispatcher.listed()]
@@ -377,7 +377,7 @@
             "known": {"generation": generation, "reset": True, "instances": known},
         }
 
-    def memory(self) -> Json:
+    def export_state(self) -> Json:
         admission = self.admission.memory() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
@@ -385,16 +385,16 @@
             HANDED_ADMISSION: admission,
         }
 
-    def succeeded(self, yes: bool) -> None:
+    def set_succeeded(self, succeeded: bool) -> None:
         """A successor accepts; or the other process has gone, and all is ours again."""
-        self.inbound.succeed(yes, self.config.client_sockets(2 if yes else 1))
-        if yes:
+        self.inbound.succeed(succeeded, self.config.client_sockets(2 if succeeded else 1))
+        if succeeded:
             self.dispatcher.table.close_idle_connections()
 
-    async def obey(self, what: str, body: Json) -> bool:
-        return (await self._obey(what, body, True)).status == 200
+    async def apply_operator_call(self, call: str, body: Json) -> bool:
+        return (await self._obey(call, body, True)).status == 200
 
-    async def take_event(self, body: Json) -> bool:
+    async def take_worker_event(self, body: Json) -> bool:
         event = protocol.job_event(body)
         if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
@@ -403,7 +403,7 @@
         self.dispatcher.tell(event)
         return True
 
-    async def adopt(self, body: Json, fd: int) -> bool:
+    async def adopt_request(self, body: Json, fd: int) -> bool:
         if self.inbound.leaving:
             os.close(fd)
             return False
@@ -430,8 +430,8 @@
         self.catch_up.close()
         if self.sharing:
             await self.sharing.close()
-        if self.succession:
-            self.succession.close()
+        if self.handover:
+            self.handover.close()
         await self.supervisor.close()
         await self.dispatcher.close()
         if self.recorder:
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -420,7 +420,7 @@
                 relay.new.say(await relay.old.hear())
             relay.new.die()
             await relay.start
-            await until(lambda: relay.scheduler.succession and not relay.scheduler.succession.predecessor)
+            await until(lambda: relay.scheduler.handover and not relay.scheduler.handover.predecessor)
             assert relay.scheduler.inbound._listener.budget == relay.scheduler.config.client_sockets()
             here.schedulers.remove(old)
             await old.close()  # nothing else is at the address
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -9,10 +9,10 @@
 import pytest
 
 from robinhill.net.actor import Supervisor
-from robinhill.net.handover.process_link import Link, LinkLostError
+from robinhill.net.handover.process_link import LinkLostError, ProcessLink
 
 
-async def serve(link: Link, what: str, body: dict[str, Any], fd: int | None) -> dict[str, Any]:
+async def serve(link: ProcessLink, what: str, body: dict[str, Any], fd: int | None) -> dict[str, Any]:
     return {"said": body["words"], "fd": fd is not None and os.read(fd, 4).decode()}
 
 
@@ -21,7 +21,7 @@
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
-        link = Link(here, supervisor, serve)
+        link = ProcessLink(here, supervisor, serve)
         there.sendall(line)
         async with asyncio.timeout(10):
             await link.lost.wait()
@@ -38,7 +38,7 @@
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
-        mine, other = Link(here, supervisor, serve), Link(there, supervisor, serve)
+        mine, other = ProcessLink(here, supervisor, serve), ProcessLink(there, supervisor, serve)
         reader, writer = os.pipe()
         os.write(writer, b"pipe")
         long = "x" * 1_000_000
@@ -65,13 +65,13 @@
         supervisor = Supervisor()
         heard: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
-        async def take(link: Link, what: str, body: dict[str, Any], fd: int | None) -> dict[str, Any]:
+        async def take(link: ProcessLink, what: str, body: dict[str, Any], fd: int | None) -> dict[str, Any]:
             assert fd is not None
             heard.set_result(os.read(fd, 4).decode())
             os.close(fd)
             return {}
 
-        mine = Link(here, supervisor, take)
+        mine = ProcessLink(here, supervisor, take)
         reader, writer = os.pipe()
         os.write(writer, b"pipe")
         ask = asyncio.create_task(mine.ask("a"))
@@ -98,7 +98,7 @@
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
-        mine = Link(here, supervisor, serve)
+        mine = ProcessLink(here, supervisor, serve)
         there.setblocking(False)
         ask = asyncio.create_task(mine.ask("a"))
         async with asyncio.timeout(10):
