--- a/robinhill/logs.py
+++ b/robinhill/logs.py
@@ -11,7 +11,7 @@
 from structlog.stdlib import ExtraAdder, ProcessorFormatter
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-LINES_A_SECOND = 20
+DEFAULT_LINES_PER_SECOND = 20
 FIRST_KEYS = ("time", "level", "logger", "event")
 
 
@@ -20,11 +20,11 @@
 
     format: Literal["keyvalue", "json"] = "keyvalue"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines_a_second: int = LINES_A_SECOND
+    lines_a_second: int = DEFAULT_LINES_PER_SECOND
 
 
 def _head(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """When, how grave, and whose line it is; the trace of an error as one value."""
+    """Add time, level and logger; the trace of an error as one value."""
     record: logging.LogRecord = event["_record"]
     moment = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
     event["time"] = f"{moment}.{int(record.msecs):03d}Z"
@@ -35,7 +35,7 @@
 
 
 def _texts(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Every value as text: what a line shows must not hang on a renderer's idea of true, none and empty."""
+    """Turn every value into text, so that renderers agree on booleans, None and empty values."""
     for key, value in event.items():
         event[key] = f"{value:.6g}" if isinstance(value, float) else str(value)
     return event
@@ -57,27 +57,28 @@
 
 
 class Throttle(logging.Filter):
-    """Lets so many lines of an event through in a second, and tells in the next how many it kept back.
+    """Passes so many lines of one event a second; the next line says in ``kept_back`` how many were dropped.
 
-    A flood of bad requests must not spend on its log what job events and timers need. Errors always pass.
+    So a flood of bad requests can't spend the processor on its log lines. Errors always pass.
     """
 
     def __init__(self, lines_a_second: int) -> None:
         super().__init__()
         self.lines_a_second = lines_a_second
-        self._seen: dict[str, tuple[int, int, int]] = {}  # second, lines let through in it, lines kept back
+        self._seen: dict[str, tuple[int, int, int]] = {}  # second, lines passed in it, lines dropped
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the line passes."""
         if record.levelno >= logging.ERROR:
             return True
-        second, passed, kept = self._seen.get(record.msg, (0, 0, 0))
+        second, passed, dropped = self._seen.get(record.msg, (0, 0, 0))
         if int(record.created) != second:
             second, passed = int(record.created), 0
         if passed >= self.lines_a_second:
-            self._seen[record.msg] = (second, passed, kept + 1)
+            self._seen[record.msg] = (second, passed, dropped + 1)
             return False
-        if kept:
-            record.kept_back = kept
+        if dropped:
+            record.kept_back = dropped
         self._seen[record.msg] = (second, passed + 1, 0)
         return True
 
--- a/robinhill/net/actor.py
+++ b/robinhill/net/actor.py
@@ -1,4 +1,7 @@
-"""Actors with mailboxes, and the supervisor that notices when one of them dies."""
+"""Actors with mailboxes, and the supervisor that ends the program when one of them dies.
+
+An actor owns its state: other actors only put messages into its mailbox. Every task is the supervisor's.
+"""
 
 import asyncio
 import logging
@@ -17,7 +20,7 @@
 
 
 class Supervisor:
-    """Owns all tasks. One that ends in an error is logged and fails the whole program."""
+    """Owns all tasks. One that ends in an error is logged and ends the program."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -43,7 +46,7 @@
             self.failed.set_exception(ActorDiedError(name))
 
     async def unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Wait for this work; an actor's or task's death meanwhile cancels it and raises ActorDiedError."""
+        """Run this to its end; raises ActorDiedError, and cancels it, if an actor or task dies meanwhile."""
         task = asyncio.get_running_loop().create_task(work)
         await asyncio.wait([task, self.failed], return_when=asyncio.FIRST_COMPLETED)
         if self.failed.done():
@@ -52,7 +55,7 @@
         await task
 
     async def close(self) -> None:
-        """Cancel what still runs and wait for its end."""
+        """Cancel all tasks and wait for their end."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -62,8 +65,8 @@
 class Actor(Generic[Message]):
     """Handles the messages of its mailbox one after another; nothing else touches its state.
 
-    The mailbox is emptied by a call of the event loop's and not by a task that waits on a queue: waking such
-    a task costs several times as much as handling a message, and a request passes ten mailboxes.
+    The mailbox is drained by a callback of the event loop and not by a task that waits on a queue: waking a
+    task costs several times as much as handling a message, and a request passes ten mailboxes.
     """
 
     def __init__(self, name: str, supervisor: Supervisor) -> None:
@@ -72,17 +75,19 @@
         self._mailbox: deque[Message] = deque()
         self._loop = asyncio.get_running_loop()
         self._alive = False
-        self._scheduled = False  # the loop will empty the mailbox
-        # Messages are handled in a context of the actor's own. In that of whoever told the first of them, all
-        # that it spawns would pass for the teller's work: cancels were taken for another job's attempt.
+        self._scheduled = False  # the loop will drain the mailbox
+        # Messages are handled in the actor's own context: in the sender's, context variables of one job's
+        # attempt would leak into tasks that the actor spawns for others.
         self._context = Context()
 
     def start(self) -> None:
+        """Handle messages from now on, those already in the mailbox first."""
         self._alive = True
         if self._mailbox:
             self._schedule()
 
     def stop(self) -> None:
+        """Handle no further messages."""
         self._alive = False
 
     def tell(self, message: Message) -> None:
@@ -93,9 +98,9 @@
 
     def _schedule(self) -> None:
         self._scheduled = True
-        self._loop.call_soon(self._empty, context=self._context)
+        self._loop.call_soon(self._drain, context=self._context)
 
-    def _empty(self) -> None:
+    def _drain(self) -> None:
         self._scheduled = False
         try:
             if not self.ready():
@@ -103,13 +108,14 @@
                 return
             while self._mailbox and self._alive:
                 self.receive(self._mailbox.popleft())
-        except Exception as error:  # whatever it is, the program must not go on without this actor
+        except Exception as error:  # the program must not go on without this actor
             self._alive = False
             self.supervisor.fail(self.name, error)
 
     def ready(self) -> bool:
-        """Whether messages may be handled now; else the mailbox is looked at again in the next turn."""
+        """Whether messages may be handled now; else the loop tries again in its next iteration."""
         return True
 
     def receive(self, message: Message) -> None:
+        """Handle one message."""
         raise NotImplementedError
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -165,7 +165,7 @@
             refusal = protocol.fail_fast(
                 min(SHUTDOWN_RETRY_AFTER_US, settings.max_retry_after_us) * settings.retry_after
             )
-            self.metrics.refusals["leaving"] += 1
+            self.metrics.rejections["leaving"] += 1
             log.debug("request_refused", extra={"id": job.id, "why": "leaving"})
             self.metrics.answered(job.job_class, refusal)
             return self._respond(refusal)
--- a/robinhill/net/clock.py
+++ b/robinhill/net/clock.py
@@ -1,4 +1,4 @@
-"""One clock for all that the module is told."""
+"""The clocks of a process: Unix time that never steps back, and a monotonic clock that counts sleep."""
 
 import time
 
@@ -6,9 +6,8 @@
 class Clock:
     """Unix time in microseconds: anchored to the system's clock once, then advanced by the monotonic one.
 
-    The module's clock must never step back, and discovery's ``startedAtMs`` is Unix time; on two scales a
-    worker that has just started would look warm, or warm ones cold. ``offset_us``: the host's clock is wrong
-    by so much, for tests of just that.
+    The decision module's clock must never step back, and workers' start times on the endpoint list are Unix
+    time. ``offset_us``: an error of the host's clock, for tests.
     """
 
     def __init__(self, offset_us: int = 0) -> None:
@@ -16,20 +15,21 @@
 
     @property
     def anchor_ns(self) -> int:
-        """What is added to the monotonic clock."""
+        """Nanoseconds that are added to the monotonic clock."""
         return self._anchor
 
     def follow(self, anchor_ns: int) -> None:
-        """Go by another process's anchor on this machine.
+        """Take over the anchor of another process on this host.
 
-        Moments that it hands over are on its scale; the host's clock may have been stepped since its start.
+        Times that it hands over are on its scale; the host's clock may have been stepped since its start.
         """
         self._anchor = anchor_ns
 
     def now_us(self) -> int:
+        """Unix time in microseconds."""
         return (self._anchor + time.monotonic_ns()) // 1000
 
 
 def mono_us() -> int:
-    """A clock that also goes on while the host sleeps, where there is one."""
+    """Monotonic microseconds, counting sleep of the host where the system has such a clock."""
     return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) // 1000
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -237,7 +237,7 @@
         entry = self._forget(refusal.number)
         assert entry, "a refusal is of a request that waits here"
         request, reply = entry.taken.request, entry.taken.reply
-        self.metrics.refusals["admission"] += 1
+        self.metrics.rejections["admission"] += 1
         answer = (
             protocol.quota_exceeded(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
         )
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -227,7 +227,7 @@
         self._decide(api.Arrived(arrival))
 
     def _refuse(self, action: api.Refuse) -> None:
-        self.metrics.refusals[action.why.value] += 1
+        self.metrics.rejections[action.why.value] += 1
         if log.isEnabledFor(logging.DEBUG):
             request = self.in_flight.by_number[action.job]
             fields = {
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -1,4 +1,7 @@
-"""The figures that operators read: counted in one object, and rendered from it alone."""
+"""The metrics that operators read: counted in one object, and rendered from it alone.
+
+Names and types of the rendered metrics are a surface that dashboards rely on (docs/operations.md).
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -25,37 +28,37 @@
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.classes = classes
-        self.ended: Counter[tuple[str, str]] = Counter()
-        self.tries = 0  # attempts written whole to endpoints
-        self.sends: Counter[ListOrigin] = Counter()  # attempts begun on a connection, by the list's origin
-        self.refusals: Counter[str] = Counter()  # by reason
-        self.retries: Counter[str] = Counter()  # further attempts, by what became of the one before
-        self.closes: Counter[str] = Counter()  # connections that this process ended, by side and reason
+        self.responses: Counter[tuple[str, str]] = Counter()  # final answers, by class and outcome
+        self.attempts_sent = 0  # written completely to workers
+        self.sends: Counter[ListOrigin] = Counter()  # attempts started on a connection, by the list's origin
+        self.rejections: Counter[str] = Counter()  # by reason
+        self.retries: Counter[str] = Counter()  # by the outcome of the attempt before
+        self.closes: Counter[str] = Counter()  # connections that this process closed, by side and reason
         self.list_lease: ListLease | None = None  # of the list in use
-        self.active = 0  # requests taken and not yet ended; where the client has left, by the attempt's end
+        self.active = 0  # requests in flight; after a disconnect, until the attempt has ended
         self.pool_size = 0
         self.pool_ejected = 0
-        self.recorder: Recorder | None = None  # where what passes is recorded
-        self.admission_queued: Callable[[], int] | None = None  # requests that wait there; None: no admission
+        self.recorder: Recorder | None = None  # where traffic is recorded
+        self.admission_queued: Callable[[], int] | None = None  # requests queued there; None: no admission
 
     def answered(self, job_class: int, answer: Answer) -> None:
-        """A request has got its final answer, whoever worded it."""
-        self.ended[self.classes[job_class], _outcome(answer)] += 1
+        """Count a request's final answer."""
+        self.responses[self.classes[job_class], _outcome(answer)] += 1
 
     def text(self, now_us: int = 0) -> str:
-        """One ``name:value|type`` a line: c for counts, g for gauges; ``now_us``: for the age of the list."""
+        """One ``name:value|type`` a line: c for counters, g for gauges; ``now_us`` gives the list's age."""
         lines = [
-            f"{PREFIX}.responses.{name}.{outcome}:{self.ended[name, outcome]}|c"
+            f"{PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
             for name in self.classes
             for outcome in OUTCOMES
         ]
-        lines.append(f"{PREFIX}.tries:{self.tries}|c")
+        lines.append(f"{PREFIX}.tries:{self.attempts_sent}|c")
         lines.append(f"{PREFIX}.active:{self.active}|g")
         lines.append(f"{PREFIX}.pool_size:{self.pool_size}|g")
         lines.append(f"{PREFIX}.pool_ejected:{self.pool_ejected}|g")
         lines += [f"{PREFIX}.sends.{origin.value}:{self.sends[origin]}|c" for origin in ListOrigin]
         for name, counts in (
-            ("refusals", self.refusals),
+            ("refusals", self.rejections),
             ("retries", self.retries),
             ("closes", self.closes),
         ):
@@ -66,7 +69,7 @@
         if self.admission_queued:
             queued = self.admission_queued()
             lines.append(f"{PREFIX}.admission.queued:{queued}|g")
-            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # its old name, for dashboards that ask for it
+            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # its former name
         if self.recorder:
             lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
             lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -230,7 +230,7 @@
         if current := _current.get():
             endpoint, attempt = current
             attempt.whole = True
-            endpoint.metrics.tries += 1
+            endpoint.metrics.attempts_sent += 1
 
 
 class Endpoint(Actor[EndpointMessage]):
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -574,7 +574,7 @@
         await until(lambda: not h.dispatcher.in_flight.by_number)
         h.dispatcher.receive(ClientDisconnected(request))
         assert not h.dispatcher.balancer.jobs and not h.endpoint.attempts
-        assert h.dispatcher.metrics.tries == 1
+        assert h.dispatcher.metrics.attempts_sent == 1
 
     play(house(end))
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -25,7 +25,7 @@
     metrics.list_lease = ListLease()
     metrics.list_lease.renew(S, 43)
     metrics.sends[ListOrigin.DISCOVERY] += 2
-    metrics.refusals["no_worker"] += 1
+    metrics.rejections["no_worker"] += 1
     metrics.retries["full"] += 1
     metrics.closes["client.late"] += 1
     lines = metrics.text(3 * S).splitlines()
