--- a/robinhill/emulator/site.py
+++ b/robinhill/emulator/site.py
@@ -83,19 +83,33 @@
         return sum(k.work_ms * k.share for k in self.kinds) / sum(k.share for k in self.kinds)
 
 
-_given: set[int] = set()  # ports that free_address has given out; nothing may listen there yet
+_reserved: dict[int, socket.socket] = {}  # ports given out by this process, each with its reservation
 
 
 def free_address() -> str:
     """A loopback address that nothing listens on, and that no outgoing connection gets as its own end.
 
-    The same is never given twice: with 37 processes two of them got one port, as neither listened yet.
+    The same is never given twice, by any process of this host that asks here: whoever gets a port listens on
+    it only later, so each process holds an abstract Unix socket of the port's name until it ends. Raises
+    OSError where no port is free.
     """
     for port in random.sample(PORTS, 64):
-        if port in _given:
+        if port in _reserved or (reservation := _reserve(port)) is None:
             continue
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind((LOOPBACK, port))
-            _given.add(port)
+            _reserved[port] = reservation
             return f"{LOOPBACK}:{port}"
+        reservation.close()
     raise OSError("no free port was found")
+
+
+def _reserve(port: int) -> socket.socket | None:
+    """A socket that stands for this port among all processes of the host; None if another one holds it."""
+    reservation = socket.socket(socket.AF_UNIX)
+    try:
+        reservation.bind(f"\0robinhill-port-{port}")
+    except OSError:
+        reservation.close()
+        return None
+    return reservation
