--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -1,9 +1,9 @@
-"""What the program is told at its start: the one place that reads it, checks it and gives defaults.
+"""The configuration: the one place that reads environment and files, checks them and gives defaults.
 
 ``GW_CONFIG`` names a JSON file; ``GW_NAME``, ``GW_LISTEN``, ``GW_DISCOVERY`` and ``GW_OPS`` go before its
 ``name``, ``listen``, ``discovery`` and ``ops``, but on a reload the discovery of the file wins: the
 environment cannot change under a running program. ``GW_OPERATOR`` names the operators' own file, which the
-platform knows nothing of. Whatever is wrong ends in a ConfigError that names the faulty key.
+platform knows nothing of. Whatever is wrong raises a ConfigError that names the faulty key.
 """
 
 import logging
@@ -31,26 +31,26 @@
 T = TypeVar("T")
 RENAMED_KEYS = {"door": "admission"}  # keys of the operators' file as they were, and as they are
 DEFAULT_SOCKETS = 1024
-OWN_SOCKETS = 16  # log, event loop, listener, two watches of discovery, the file on a reload; a few spare
+OWN_SOCKETS = 16  # log, event loop, listener, two watches of discovery, the file of a reload, some spare
 OPS_SOCKETS = 32
 MIN_CLIENTS = 8
-# Numbers of the settings: those that must be there, and those that may. Of classes, for each.
-NEEDED = (
+# Keys of the settings that hold numbers, as dotted paths: required and optional; then those of each class.
+REQUIRED_NUMBERS = (
     "fleet-size", "policy-limits.most-tries", "guarantees.drain-grace-us", "guarantees.cold-from",
     "guarantees.cold-us", "guarantees.fall-multiple", "guarantees.tip-after-us",
 )  # fmt: skip
-OPTIONAL = (
+OPTIONAL_NUMBERS = (
     "zone", "over-share-worth", "guarantees.ask-every-us", "guarantees.let-go-in-us",
     "policy-limits.connect-timeout-us",
     "policy-limits.keepalive-us", "policy-limits.max-retry-after-us", "prices.cross-zone", "prices.waste",
     "prices.handshake", "specifics.progress-us",
 )  # fmt: skip
-CLASS_NEEDED = ("aim-us", "hard-limit-us")
-CLASS_OPTIONAL = ("worth", "late-worth", "aim-stretch", "memory-span-us")
-TENANT_OPTIONAL = ("quota-per-s",)
-# Whole ones, beside all times (``-us``): what is written as a float becomes the nearest whole number.
-WHOLE = ("fleet-size", "zone", "most-tries")
-MOST = 2**53  # of them, as JSON holds no more exactly; 285 years as microseconds
+REQUIRED_CLASS_NUMBERS = ("aim-us", "hard-limit-us")
+OPTIONAL_CLASS_NUMBERS = ("worth", "late-worth", "aim-stretch", "memory-span-us")
+OPTIONAL_TENANT_NUMBERS = ("quota-per-s",)
+# Integers, beside all times (``-us``): a float becomes the nearest integer.
+INTEGERS = ("fleet-size", "zone", "most-tries")
+MAX_INTEGER = 2**53  # JSON holds no larger one exactly; 285 years in microseconds
 FLAGS = (
     "policy-limits.parallel-tries", "policy-limits.cancelling", "policy-limits.probes",
     "policy-limits.retry-after", "specifics.tells-start", "guarantees.late-shedding",
@@ -68,53 +68,52 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that one scheduler is told; names of classes, zones and machine types in the settings' order."""
+    """A scheduler's configuration; names of classes, zones and machine types in the settings' order."""
 
     name: str
     listen: Address
     discovery: Address
     socket_fd: int | None  # the clients' listening socket, where the platform holds it
-    ops: Address | None  # the operators' address; without one they have no side
+    ops: Address | None  # the operators' address; None: no listener for them
     seed: int
     sockets: int
-    folder: Path | None  # $TMPDIR, for what outlives the process
+    folder: Path | None  # $TMPDIR, for state that outlives the process
     known: protocol.EndpointList
     settings: api.Settings
     classes: tuple[str, ...]
     zones: tuple[str, ...]
     machine_types: tuple[str, ...]
     tenants: tuple[str, ...] = ()
-    operator: OperatorFile | None = None  # None: no such file is named
-    clock_offset_us: int = 0  # the host's clock is taken to be wrong by so much, in tests
+    operator: OperatorFile | None = None  # None: no file is named
+    clock_offset_us: int = 0  # an error of the host's clock, for tests
 
     def client_sockets(self, processes: int = 1) -> int:
-        """Connections that clients and call-backs may have: half of the descriptors that are not our own.
+        """Connections for clients and callbacks: half of the descriptors beyond the program's own.
 
-        While two processes live, each has half of all.
-
-        Each attempt has a connection and belongs to a client's request, so endpoints need no more than these.
+        During a hand-over each of the two ``processes`` has half of all. The other half is for workers: each
+        attempt has one connection and belongs to one client's request.
         """
         return max(MIN_CLIENTS, (self.sockets // processes - OWN_SOCKETS - self.ops_sockets) // 2)
 
     @property
     def ops_sockets(self) -> int:
-        """Connections that operators may have, with the listener: clients must not be able to take these."""
+        """Descriptors reserved for operators' connections and their listener."""
         return min(OPS_SOCKETS, self.sockets // 8) if self.ops else 0
 
 
 @dataclass(slots=True, frozen=True)
 class VoterConfig:
-    """All that one voter of the control group is told."""
+    """The configuration of one voter of the control group."""
 
     name: str
-    ops: Address | None  # the operators' address; without one they have no side
-    folder: Path | None  # $TMPDIR, for what outlives the process
+    ops: Address | None  # the operators' address; None: no listener for them
+    folder: Path | None  # $TMPDIR, for state that outlives the process
     operator: OperatorFile
-    clock_offset_us: int = 0  # the host's clock is taken to be wrong by so much, in tests
+    clock_offset_us: int = 0  # an error of the host's clock, for tests
 
 
 def load_voter(env: Mapping[str, str] = os.environ) -> VoterConfig:
-    """Read what a voter is told: the operators' file, and its own name. Raises ConfigError."""
+    """Read a voter's configuration: the operators' file and its own name. Raises ConfigError."""
     ops = env.get("GW_OPS")
     operator = read_operator(_text(env.get("GW_OPERATOR"), "GW_OPERATOR"))
     if not operator.mesh.voters:
@@ -129,7 +128,10 @@
 
 
 def load(env: Mapping[str, str] = os.environ, *, again: bool = False) -> Config:
-    """Read the configuration that the environment names; ``again`` in a program that runs already."""
+    """Read the configuration that the environment names; raises ConfigError.
+
+    With ``again``, in a running program, the file's address of discovery goes before the environment's.
+    """
     document = _document(env)
     discovery = document.get("discovery")
     if not (again and discovery is not None):
@@ -160,7 +162,7 @@
 
 
 def _operator(env: Mapping[str, str]) -> OperatorFile | None:
-    """The operators' file, with the folder that the command line names for a recording."""
+    """The operators' file, with the recording folder of the command line."""
     operator = read_operator(env["GW_OPERATOR"]) if env.get("GW_OPERATOR") else None
     if folder := env.get("GW_RECORD"):
         given = operator or OperatorFile()
@@ -171,7 +173,7 @@
 def read_operator(path: str) -> OperatorFile:
     """The operators' file, checked; a ConfigError names the file and the path of the faulty key.
 
-    Keys that were renamed are read under their old name too, with a warning in the log.
+    Deprecated keys are read too, with a warning in the log.
     """
     try:
         document = msgspec.json.decode(Path(path).read_bytes(), type=dict[str, msgspec.Raw])
@@ -193,7 +195,7 @@
 
 
 def with_current_keys(document: Mapping[str, T], path: str) -> dict[str, T]:
-    """The document with renamed keys under their current name; each old one is warned of in the log.
+    """The document with deprecated keys under their current names; each is logged as a warning.
 
     Raises ConfigError where a key is there under both names.
     """
@@ -201,15 +203,14 @@
         if old not in document:
             continue
         if current in document:
-            raise ConfigError(
-                f"{path}: {old}", f"is the old name of {current}, which is there too; remove {old}"
-            )
+            what = f"is the old name of {current}, which is there too; remove {old}"
+            raise ConfigError(f"{path}: {old}", what)
         log.warning("deprecated_key", extra={"file": path, "key": old, "write": current})
     return {RENAMED_KEYS.get(key, key): value for key, value in document.items()}
 
 
 def _as_written(key: str, document: Mapping[str, object]) -> str:
-    """A key's path as the operator wrote it, who may have used an old name."""
+    """A key's path as written in the file, which may have a deprecated name."""
     for old, current in RENAMED_KEYS.items():
         if old in document and (key == current or key.startswith(f"{current}.")):
             return old + key.removeprefix(current)
@@ -252,7 +253,7 @@
 
 
 def _socket_fd(text: str | None) -> int | None:
-    """A descriptor that we have inherited, if it is a listening socket."""
+    """The inherited descriptor, checked to be a listening socket."""
     if not text:
         return None
     key = "GW_SOCKET_FD"
@@ -301,9 +302,7 @@
 
 
 def _names(values: object, key: str) -> tuple[str, ...]:
-    if not isinstance(values, list):
-        raise ConfigError(key, "must be a list")
-    return tuple(_text(v, key) for v in values)
+    return tuple(_text(value, key) for value in _list(values, key))
 
 
 def _number(value: object, key: str) -> float:
@@ -312,8 +311,17 @@
     return value
 
 
-def _find(options: object, start: str, path: str) -> tuple[dict[str, Any], str, str]:
-    """The object that holds what ``path`` names, its key there, and its name as the operator knows it."""
+@dataclass(slots=True, frozen=True)
+class _Location:
+    """A key in its section of the settings, and its full name for errors."""
+
+    section: dict[str, Any]
+    key: str
+    name: str
+
+
+def _find(options: object, start: str, path: str) -> _Location:
+    """Where a dotted path leads, for checks that name the full key."""
     *sections, last = path.split(".")
     value, key = options, start
     for part in sections:
@@ -322,75 +330,80 @@
         value, key = value.get(part, {}), f"{key}.{part}"
     if not isinstance(value, dict):
         raise ConfigError(key, "must be an object")
-    return value, last, f"{key}.{last}"
+    return _Location(value, last, f"{key}.{last}")
 
 
 def _check_numbers(options: object, start: str, needed: tuple[str, ...], optional: tuple[str, ...]) -> None:
     for path in (*needed, *optional):
-        holder, last, key = _find(options, start, path)
-        if last not in holder and path in optional:
+        found = _find(options, start, path)
+        if found.key not in found.section and path in optional:
             continue
-        number = _number(holder.get(last), key)
-        if last in WHOLE or last.endswith("-us"):
-            if abs(number) > MOST:
-                raise ConfigError(key, f"must be at most {MOST}, is {number!r}")
-            holder[last] = round(number)
+        number = _number(found.section.get(found.key), found.name)
+        if found.key in INTEGERS or found.key.endswith("-us"):
+            if abs(number) > MAX_INTEGER:
+                raise ConfigError(found.name, f"must be at most {MAX_INTEGER}, is {number!r}")
+            found.section[found.key] = round(number)
 
 
 def _check_flags(options: object, start: str, flags: tuple[str, ...]) -> None:
     for path in flags:
-        holder, last, key = _find(options, start, path)
-        if not isinstance(holder.get(last, False), bool):
-            raise ConfigError(key, f"must be true or false, is {holder[last]!r}")
+        found = _find(options, start, path)
+        if not isinstance(found.section.get(found.key, False), bool):
+            raise ConfigError(found.name, f"must be true or false, is {found.section[found.key]!r}")
 
 
 def _check_class(job_class: object, key: str) -> None:
-    _check_numbers(job_class, key, CLASS_NEEDED, CLASS_OPTIONAL)
+    _check_numbers(job_class, key, REQUIRED_CLASS_NUMBERS, OPTIONAL_CLASS_NUMBERS)
     _check_flags(job_class, key, ("stream",))
     assert isinstance(job_class, dict)
     _text(job_class.get("name"), f"{key}.name")
-    for name, words, default in (("repeat", REPEATS, None), ("dedup-scope", SCOPES, "cell")):
-        if (word := job_class.get(name, default)) not in list(words):
-            raise ConfigError(f"{key}.{name}", f"must be one of {', '.join(words)}, is {word!r}")
+    for name, allowed, default in (("repeat", REPEATS, None), ("dedup-scope", SCOPES, "cell")):
+        if (value := job_class.get(name, default)) not in list(allowed):
+            raise ConfigError(f"{key}.{name}", f"must be one of {', '.join(allowed)}, is {value!r}")
 
 
 def _without_nulls(value: object) -> object:
-    """A key whose value is null counts as missing: the module would take it for a value."""
+    """Drop keys whose value is null: they count as missing."""
     if isinstance(value, dict):
         return {k: _without_nulls(v) for k, v in value.items() if v is not None}
     return [_without_nulls(v) for v in value] if isinstance(value, list) else value
 
 
 def _settings(options: dict[str, Any]) -> api.Settings:
-    """The module's settings; its own words for what is out of range name the key."""
+    """The decision module's settings; its own error for a value out of range names the key."""
     classes = options.get("classes")
     if not isinstance(classes, list) or not classes:
         raise ConfigError("settings.classes", "must be a list of at least one class")
-    _check_numbers(options, "settings", NEEDED, OPTIONAL)
+    _check_numbers(options, "settings", REQUIRED_NUMBERS, OPTIONAL_NUMBERS)
     _check_flags(options, "settings", FLAGS)
-    names: set[str] = set()
-    for number, job_class in enumerate(classes):
-        key = f"settings.classes[{number}]"
-        _check_class(job_class, key)
-        if job_class["name"] in names:
-            raise ConfigError(f"{key}.name", f"two classes are called {job_class['name']!r}")
-        names.add(job_class["name"])
+    _check_classes(classes)
     if options.get("policy-limits", {}).get("connect-timeout-us", 1) <= 0:
         # The client library takes 0 for no limit at all.
         raise ConfigError("settings.policy-limits.connect-timeout-us", "must be above 0")
-    stretches, key = options.get("specifics", {}).get("class-stretch", []), "settings.specifics.class-stretch"
-    if not isinstance(stretches, list):
-        raise ConfigError(key, "must be a list")
-    for number, stretch in enumerate(stretches):
-        _number(stretch, f"{key}[{number}]")
-    tenants = options.get("tenants", [])
-    if not isinstance(tenants, list):
-        raise ConfigError("settings.tenants", "must be a list")
-    for number, tenant in enumerate(tenants):
-        _check_numbers(tenant, f"settings.tenants[{number}]", (), TENANT_OPTIONAL)
+    stretches = options.get("specifics", {}).get("class-stretch", [])
+    for number, stretch in enumerate(_list(stretches, "settings.specifics.class-stretch")):
+        _number(stretch, f"settings.specifics.class-stretch[{number}]")
+    for number, tenant in enumerate(_list(options.get("tenants", []), "settings.tenants")):
+        _check_numbers(tenant, f"settings.tenants[{number}]", (), OPTIONAL_TENANT_NUMBERS)
     try:
         return read_settings(options)
     except KeyError as e:
         raise ConfigError("settings", f"{e.args[0]} is missing or has no such value") from e
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError) as e:
         raise ConfigError("settings", str(e)) from e
+
+
+def _check_classes(classes: list[Any]) -> None:
+    names: set[str] = set()
+    for number, job_class in enumerate(classes):
+        key = f"settings.classes[{number}]"
+        _check_class(job_class, key)
+        if job_class["name"] in names:
+            raise ConfigError(f"{key}.name", f"two classes are called {job_class['name']!r}")
+        names.add(job_class["name"])
+
+
+def _list(value: object, key: str) -> list[Any]:
+    if not isinstance(value, list):
+        raise ConfigError(key, "must be a list")
+    return value
