--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -31,7 +31,7 @@
     Scheduler,
     State,
 )
-from robinhill.control.lease import ObserverLease
+from robinhill.control.lease import ObserverLease, SentHeartbeat
 from robinhill.mesh.acceptance import Acceptance
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.quorum import Quorum
@@ -110,12 +110,12 @@
     def clone(self) -> "Observer":
         other = copy(self)
         other.lease = copy(self.lease)
-        other.lease._written = copy(self.lease._written)
+        other.lease._in_flight = copy(self.lease._in_flight)
         return other
 
     def seal(self) -> "Observer":
         lease = self.lease
-        at_lease = lease.as_of_us, lease._number, tuple(lease._written), lease._counts
+        at_lease = lease.as_of_us, lease._last_number, tuple(lease._in_flight), lease._counting
         self.mark = hash((at_lease, self.voter, self.synced, self.holds, self.up, self.down))
         return self
 
@@ -162,7 +162,7 @@
     def _observer(self, voter: int) -> Observer:
         lease = self.wrong.lease(BOUND_US)
         if voter != NOWHERE:
-            lease.in_step()
+            lease.start_counting()
         return Observer(lease, voter).seal()
 
     def _voter(self, name: str, starts: list[int], counts: bool, names: frozenset[str]) -> Scheduler:
@@ -194,7 +194,7 @@
             return True
         if state.accepted_us is None or state.now_us - state.accepted_us <= BOUND_US:
             return False
-        return any(not one.holds and one.lease.holds(state.now_us) for one in state.observers)
+        return any(not one.holds and one.lease.is_valid(state.now_us) for one in state.observers)
 
     def _harmless(self, state: State) -> bool:
         assert isinstance(state, ControlState)
@@ -236,7 +236,7 @@
 
     def _beat(self, state: ControlState, at: int) -> ControlState:
         observer = state.observers[at].clone()
-        number = observer.lease.wrote(state.now_us)
+        number = observer.lease.heartbeat_sent(state.now_us)
         observer.up = (*observer.up, Word("beat", number=number))
         following = self._with_observer(state, f"observer {at} beats", at, observer)
         following.extra = state.extra._replace(beats=state.extra.beats - 1)
@@ -252,11 +252,11 @@
 
     def _move(self, state: ControlState, at: int, voter: int) -> ControlState:
         observer = state.observers[at].clone()
-        observer.lease.moved()
+        observer.lease.reset()
         observer.voter, observer.synced = voter, False
         observer.up, observer.down = (Word("join"),), ()
         if self.wrong.unsynced:
-            observer.lease._counts = True
+            observer.lease._counting = True
             observer.up = ()
         following = self._with_observer(state, f"observer {at} moves to {self.names[voter]}", at, observer)
         following.extra = state.extra._replace(moves=state.extra.moves - 1)
@@ -296,11 +296,11 @@
         if word.what == "sync":
             observer.holds = word.holds if self.wrong.replaces else observer.holds or word.holds
             observer.synced = True
-            observer.lease.in_step()
+            observer.lease.start_counting()
             observer.up = (*observer.up, Word("offer", observer.holds))
         else:
             observer.holds |= word.holds
-            observer.lease.answered(word.number, word.age_us)
+            observer.lease.reply_received(word.number, word.age_us)
         following = self._with_observer(state, f"observer {at} reads {word.what}", at, observer)
         following.went_back |= held and not observer.holds
         if as_of_us is not None:
@@ -400,7 +400,7 @@
 def _unlinked(observer: Observer) -> Observer:
     """Its voter has crashed."""
     observer = observer.clone()
-    observer.lease.moved()
+    observer.lease.reset()
     observer.voter, observer.synced, observer.up, observer.down = NOWHERE, False, (), ()
     return observer.seal()
 
@@ -414,35 +414,35 @@
 
     now_us = 0
 
-    def answered(self, number: int, age_us: int) -> bool:
-        if all(number != one for one, _ in self._written):
+    def reply_received(self, number: int, age_us: int) -> bool:
+        if all(number != one for one, _ in self._in_flight):
             return False
-        self._written = deque((one, max(at, self.now_us)) for one, at in self._written)
-        return super().answered(number, age_us)
+        self._in_flight = deque(SentHeartbeat(one, max(at, self.now_us)) for one, at in self._in_flight)
+        return super().reply_received(number, age_us)
 
 
 class AnyNumber(ObserverLease):
     """Wrong: an answer is taken for that to the latest heartbeat."""
 
-    def answered(self, number: int, age_us: int) -> bool:
-        if not self._written:
+    def reply_received(self, number: int, age_us: int) -> bool:
+        if not self._in_flight:
             return False
-        return super().answered(self._written[-1][0], age_us)
+        return super().reply_received(self._in_flight[-1][0], age_us)
 
 
 class AgeUnread(ObserverLease):
     """Wrong: what a voter knows of the majority is taken for as fresh as the voter itself."""
 
-    def answered(self, number: int, age_us: int) -> bool:
-        return super().answered(number, min(age_us, 0))
+    def reply_received(self, number: int, age_us: int) -> bool:
+        return super().reply_received(number, min(age_us, 0))
 
 
 class MomentBack(ObserverLease):
     """Wrong: the moment follows the last answer, also where another voter knew more."""
 
-    def answered(self, number: int, age_us: int) -> bool:
+    def reply_received(self, number: int, age_us: int) -> bool:
         before, self.as_of_us = self.as_of_us, None
-        if super().answered(number, age_us):
+        if super().reply_received(number, age_us):
             return True
         self.as_of_us = before
         return False
--- a/robinhill/control/__init__.py
+++ b/robinhill/control/__init__.py
@@ -1,1 +1,6 @@
-"""The control group: a few voters hold what schedulers share, any number of schedulers observe. No I/O."""
+"""The control group's state machines: voters replicate shared state, schedulers observe them. No I/O.
+
+A voter (`voter`) is one replica of the state; a majority of voters accepts each change. A scheduler is an
+observer (`observer`): it has a read replica, a lease that says how fresh it is, and no vote. Sockets, clocks
+and disk are in `robinhill.net.control_group`.
+"""
--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -1,17 +1,17 @@
-"""What the state machines of the control group ask of their caller, which has the sockets and the clock."""
+"""What the state machines of the control group ask of their caller, which owns the sockets and the clock."""
 
 from dataclasses import dataclass
 
-from robinhill.mesh.errors import MeshError
+from robinhill.control.record_merging import RejectedRecord
 from robinhill.mesh.records import Record
 
 Link = int
-"""A connection: a number that the caller chooses and never uses twice in a process."""
+"""Identifies a connection: a number that the caller chooses and never reuses within a process."""
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Write these bytes as one message; messages of a link stay in order."""
+    """Write ``data`` as one message; messages of a link stay in order."""
 
     link: Link
     data: bytes
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Connect:
-    """Open a connection to a voter; answer by ``linked`` or ``failed``."""
+    """Open a connection to a voter; report the result by ``linked`` or ``failed``."""
 
     voter: str
 
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """Close a connection, once what was sent is written. ``unlinked`` is not called for it."""
+    """Close a connection once its queued messages are written. ``unlinked`` is not called for it."""
 
     link: Link
     why: str
@@ -34,34 +34,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """The copy holds these records now. An observer goes by them before it carries out the next action, which
-    may confirm them; a voter saves its copy within a second or two. ``declined``: records that were refused
-    or taken with a warning, to be logged."""
+    """The replica has stored ``records``.
+
+    An observer applies them before it carries out the next action, which may confirm them; a voter saves its
+    replica within a second or two. ``rejected`` is for the log.
+    """
 
     records: tuple[Record, ...]
-    declined: tuple[tuple[Record, MeshError], ...] = ()
+    rejected: tuple[RejectedRecord, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """The lease began or ended. ``age_us``: as of how long ago a majority is known; None: never yet."""
+    """The lease began or expired. ``age_us``: age of the newest known majority state; None: never known."""
 
     held: bool
     age_us: int | None
 
 
+@dataclass(slots=True, frozen=True)
+class LaggingObservers:
+    """Observers and voters that are not known to have applied a change: their number, and some names."""
+
+    count: int
+    names: tuple[str, ...]
+
+
+NONE_LAGGING = LaggingObservers(0, ())
+
+
 @dataclass(slots=True, frozen=True)
 class Progressed:
-    """News of a change that is followed, by the number that ``write`` or ``offer`` returned.
+    """A tracked change has progressed; ``number`` is what ``write`` returned for it.
 
-    ``behind``: how many observers and voters are not known to go by it; ``names``: some of them.
+    ``accepted``: it can't be forgotten any more; ``in_force``: no scheduler can act without it.
     """
 
     number: int
     accepted: bool
     in_force: bool
-    behind: int
-    names: tuple[str, ...]
+    lagging: LaggingObservers
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VotersSettled:
-    """All voters go by the newest list; only that one counts now."""
+    """All voters use the newest list of voters; the lists before it no longer count."""
 
 
 Action = Send | Connect | Disconnect | Apply | LeaseChanged | Progressed | CaughtUp | VotersSettled
--- /dev/null
+++ b/robinhill/control/change_coordinator.py
@@ -0,0 +1,161 @@
+"""Changes under way at a voter: barriers to other voters, their statuses, and progress to whoever wrote.
+
+Joins the `CommitTracker` (are our changes in force?) and `ObserverProgress` (which of our observers lag
+behind changes, ours and other voters'?). Owns who asked for each change; stores no record.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from robinhill.control import messages as wire
+from robinhill.control.actions import Link, Progressed
+from robinhill.control.commit_tracker import CommitTracker
+from robinhill.control.observer_progress import BarrierId, ObserverProgress
+from robinhill.control.observer_sessions import ObserverSessions
+from robinhill.control.outbox import VoterOutbox
+from robinhill.control.voter_links import VoterLinks
+
+STATUS_INTERVAL_US = 50_000
+"""Least time between two statuses of a barrier, unless no observer lags any more."""
+
+
+@dataclass(slots=True, frozen=True)
+class Requester:
+    """Who asked for a change: an observer by its link, with its own number of the change; None: our
+    caller."""
+
+    link: Link | None
+    number: int
+
+
+OUR_CALLER = Requester(None, 0)
+
+
+class ChangeCoordinator:
+    """All changes under way at one voter. ``counts``: whether this voter counts for majorities."""
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        commit_tracker: CommitTracker,
+        observer_progress: ObserverProgress,
+        voter_links: VoterLinks,
+        sessions: ObserverSessions,
+        outbox: VoterOutbox,
+        counts: Callable[[], bool],
+    ) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self.commit_tracker = commit_tracker
+        self.observer_progress = observer_progress
+        self._voter_links = voter_links
+        self._sessions = sessions
+        self._outbox = outbox
+        self._counts = counts
+        self._requesters: dict[int, Requester] = {}
+        self._last_change = 0
+        self._status_sent_us: dict[BarrierId, int] = {}
+
+    def track(self, mono_us: int, requester: Requester, position: int, *, urgent: bool, hold: bool) -> int:
+        """Track a change that was stored at ``position``. Returns its number."""
+        self._last_change += 1
+        self._requesters[self._last_change] = requester
+        self.commit_tracker.track(mono_us, self._last_change, position, urgent=urgent, hold=hold)
+        return self._last_change
+
+    def report_untracked(self, link: Link, number: int, why: str) -> None:
+        """Tell an observer that its change is not tracked here; it spreads all the same."""
+        progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
+        self._outbox.send_to_observer(link, progress)
+
+    def handle_barrier(self, mono_us: int, origin: str, barrier: wire.Barrier) -> None:
+        """Another voter asks which of our observers lag behind what we have stored now."""
+        position = self._sessions.log.head(barrier.urgent)
+        self.observer_progress.track(
+            mono_us,
+            BarrierId(origin, barrier.number),
+            position,
+            urgent=barrier.urgent,
+            hold=barrier.hold,
+        )
+
+    def end_barrier(self, origin: str, end: wire.BarrierEnd) -> None:
+        """Another voter needs no further status of its barrier."""
+        self.observer_progress.untrack(BarrierId(origin, end.number))
+
+    def voter_unlinked(self, name: str) -> None:
+        """The link to a voter has ended: its barriers are sent again once it is back."""
+        self.commit_tracker.voter_unlinked(name)
+        self.observer_progress.untrack_matching(lambda barrier: barrier.origin == name)
+
+    def resend_statuses(self) -> None:
+        """Our statuses mean something else from now on: send them all again."""
+        self.observer_progress.dirty.update(self.observer_progress.tracked)
+
+    def send_barriers(self, link: Link, voter: str, written: int) -> None:
+        """Send the barriers that are due to a voter to which changes up to ``written`` are sent."""
+        for batch in self.commit_tracker.batches_to_query(voter, written):
+            self._outbox.send_to_voter(link, wire.Barrier(batch.number, batch.urgent, batch.hold))
+
+    def advance(self, mono_us: int) -> None:
+        """Seal batches, send statuses, and report progress."""
+        self._seal_batches(mono_us)
+        self._send_due_statuses(mono_us)
+        self._report_progress(mono_us)
+
+    def _seal_batches(self, mono_us: int) -> None:
+        for batch in self.commit_tracker.seal_due_batches(mono_us):
+            barrier = BarrierId(self.name, batch.number)
+            self.observer_progress.track(
+                mono_us, barrier, batch.position, urgent=batch.urgent, hold=batch.hold
+            )
+
+    def _send_due_statuses(self, mono_us: int) -> None:
+        """Send the statuses that have changed: at once where no observer lags any more, else at intervals."""
+        tracked, dirty = self.observer_progress.tracked, self.observer_progress.dirty
+        for barrier in sorted(dirty):
+            last_us = self._status_sent_us.get(barrier, mono_us - STATUS_INTERVAL_US)
+            if tracked[barrier].waiting and mono_us < last_us + STATUS_INTERVAL_US:
+                continue
+            dirty.discard(barrier)
+            self._status_sent_us[barrier] = mono_us
+            self._send_status(mono_us, barrier)
+        if len(self._status_sent_us) > 2 * len(tracked):
+            self._status_sent_us = {one: at for one, at in self._status_sent_us.items() if one in tracked}
+
+    def _send_status(self, mono_us: int, barrier: BarrierId) -> None:
+        tracked = self.observer_progress.tracked[barrier]
+        if barrier.origin == self.name:
+            self.commit_tracker.record_own_status(mono_us, barrier.number, tracked, self._counts())
+            return
+        link = self._voter_links.link_of.get(barrier.origin)
+        if link is None:
+            return
+        lagging = tracked.lagging()
+        count, names, counts = lagging.count, lagging.names, self._counts()
+        if barrier.origin in self._voter_links.incomplete:
+            count, counts = count + 1, False
+            names = (f"voter {self.name}, which refused a record", *names)
+        incarnations = self._voter_links.known_incarnations()
+        status = wire.BarrierStatus(barrier.number, self.incarnation, counts, incarnations, count, names)
+        self._outbox.send_to_voter(link, status)
+
+    def _report_progress(self, mono_us: int) -> None:
+        for progressed in self.commit_tracker.collect_progress(mono_us):
+            self._notify(self._requesters[progressed.number], progressed)
+        for batch in self.commit_tracker.take_ended():
+            self.observer_progress.untrack(BarrierId(self.name, batch.number))
+            self._voter_links.send_to_all(wire.BarrierEnd(batch.number))
+            for change in batch.changes:
+                del self._requesters[change]
+
+    def _notify(self, requester: Requester, progressed: Progressed) -> None:
+        if requester.link is None:
+            self._outbox.add(progressed)
+        elif requester.link in self._sessions.by_link:
+            lagging = progressed.lagging
+            progress = wire.Progress(
+                requester.number, progressed.accepted, progressed.in_force, lagging.count, lagging.names
+            )
+            self._outbox.send_to_observer(requester.link, progress)
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -1,7 +1,8 @@
-"""What a voter sends to one observer: ranges that differ, changes, and answers to heartbeats behind them.
+"""What a voter sends to one observer: ranges that differ, changes, and heartbeat replies after them.
 
-Bounded by messages that have not been confirmed: a slow observer's cursor stays behind, and later it gets the
-newest value of each record. An answer is written once all that was known at its heartbeat is.
+The send window is bounded in messages that the observer has not confirmed: the cursor of a slow observer
+stays behind, and later it gets the newest value of each record. A heartbeat is replied to once all is sent
+that was known when it was read.
 """
 
 from dataclasses import dataclass
@@ -13,15 +14,18 @@
 from robinhill.mesh.records import Record
 
 MAX_UNCONFIRMED_MESSAGES = 8
-"""Messages with records that may be unconfirmed: with `BYTES_AT_MOST` some 256 KB for each observer."""
+"""The send window: with `SOFT_MAX_MESSAGE_BYTES` some 256 KB by observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Digests as of a time that is further from ours are answered by ours, and differ."""
+"""Digests as of a time further from ours are compared with digests as of our time, and so differ."""
 
+DIGEST_BYTES = 8
 
-@dataclass(slots=True)
+
+@dataclass(slots=True, frozen=True)
 class _PendingReply:
-    """An answer that is due once changes up to ``position`` are sent."""
+    """A heartbeat's reply, due once all changes up to ``position`` and urgent ones up to ``urgent`` are
+    sent."""
 
     number: int
     age_us: int
@@ -30,139 +34,141 @@
 
 
 class ChangeFeed:
-    """One link's cursor. ``in_step``: all that the voter held at some moment is sent."""
+    """The cursor of one observer's link. ``synchronized``: all that the voter had at some moment is sent."""
 
     def __init__(self, log: ChangeLog) -> None:
         self.log = log
-        self.in_step = False
+        self.synchronized = False
         self.sent = 0
         self._cursor = 0
         self._urgent_cursor = 0
-        self._received = 0
-        self._ranges: list[int] = []
-        self._index = 0
-        self._rest: list[Record] | None = None  # what is left of range `_index`
-        self._compared: int | None = None  # the position to tell once all ranges are sent
+        self._confirmed = 0
+        self._differing_ranges: list[int] = []
+        self._current_range = 0
+        self._unsent_records: list[Record] | None = None  # of the current range
+        self._compared_position: int | None = None  # of the comparison under way
         self._pending_reply: _PendingReply | None = None
 
     @property
     def comparing(self) -> bool:
-        """Whether ranges are still to be sent."""
-        return self._compared is not None
+        """Whether a comparison is under way."""
+        return self._compared_position is not None
 
     @property
-    def quiet(self) -> bool:
+    def idle(self) -> bool:
         """Whether all changes are sent and confirmed."""
         sent = self._cursor >= self.log.bulk_head and self._urgent_cursor >= self.log.urgent_head
-        return sent and self._received == self.sent
+        return sent and self._confirmed == self.sent
 
     def resume(self, position: int) -> None:
-        """The observer holds all of this voter's changes up to ``position``."""
-        self.in_step = True
+        """The observer has all changes of this voter up to ``position``."""
+        self.synchronized = True
         self._cursor = self._urgent_cursor = position
 
     def compare(self, now_us: int, digests: Digests) -> None:
-        """Send what differs. Raises JoinRefused for digests of another number of ranges."""
-        if len(digests.digests) != RANGES * 8:
+        """Begin to send the ranges that differ. Raises JoinRefused for a wrong number of digests."""
+        if len(digests.digests) != RANGES * DIGEST_BYTES:
             raise JoinRefused("digests of 256 ranges were awaited")
-        if self.in_step and not self.quiet:
-            self._compared = 0
+        if self.synchronized and not self.idle:
+            self._compared_position = 0
             return
         near = abs(digests.at_us - now_us) <= MAX_CLOCK_DIFFERENCE_US
         ours = self.log.replica.ranges(digests.at_us if near else now_us)
-        theirs = digests.digests
-        self._ranges = [
-            index
-            for index in range(RANGES)
-            if int.from_bytes(theirs[8 * index : 8 * index + 8], "big") != ours[index]
+        theirs = [
+            int.from_bytes(digests.digests[start : start + DIGEST_BYTES], "big")
+            for start in range(0, RANGES * DIGEST_BYTES, DIGEST_BYTES)
         ]
-        self._rest = None
-        self._compared = self.log.replica.head
-        if not self.in_step:
-            self._cursor = self._urgent_cursor = self._compared
+        self._differing_ranges = [index for index in range(RANGES) if theirs[index] != ours[index]]
+        self._unsent_records = None
+        self._compared_position = self.log.replica.head
+        if not self.synchronized:
+            self._cursor = self._urgent_cursor = self._compared_position
 
     def heartbeat(self, number: int, age_us: int | None) -> None:
-        """A heartbeat was read when a majority was known ``age_us`` before; None: none was."""
-        if self._pending_reply is None:  # else that answer is on its way, and the next heartbeat asks again
+        """A heartbeat was read. ``age_us``: age of the majority's state that the voter knows; None: of
+        none."""
+        if self._pending_reply is None:  # else the observer's next heartbeat is replied to
             position, urgent = self.log.replica.head, self.log.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
-    def received(self, count: int) -> None:
-        """So many messages with records have come."""
-        self._received = max(self._received, min(count, self.sent))
+    def confirm(self, count: int) -> None:
+        """The observer has received ``count`` messages with records on this link."""
+        self._confirmed = max(self._confirmed, min(count, self.sent))
 
     def draw(self) -> tuple[list[bytes], bool]:
-        """Messages that may be sent now, and whether an answer to a heartbeat is among them."""
-        found: list[bytes] = []
+        """Messages that may be sent now, and whether a heartbeat reply is among them."""
+        messages: list[bytes] = []
         while (data := self._draw_records()) is not None:
-            found.append(data)
-        answer = self._answer()
-        if answer is not None:
-            found.append(answer)
-        return found, answer is not None
+            messages.append(data)
+        reply = self._draw_reply()
+        if reply is not None:
+            messages.append(reply)
+        return messages, reply is not None
 
     def _draw_records(self) -> bytes | None:
-        if self.sent - self._received >= MAX_UNCONFIRMED_MESSAGES:
+        if self.sent - self._confirmed >= MAX_UNCONFIRMED_MESSAGES:
             return None
-        if self.in_step:
-            data = self._changes() or self._compare_next()
-        else:
-            data = self._compare_next()
+        changes = self._draw_changes() if self.synchronized else None
+        data = changes or self._draw_comparison()
         if data is not None:
             self.sent += 1
         return data
 
-    def _changes(self) -> bytes | None:
+    def _draw_changes(self) -> bytes | None:
         while self._urgent_cursor < self.log.urgent_head:
-            batch = self.log.after(self._urgent_cursor, True)
-            self._urgent_cursor = batch.cursor
-            if batch.data is not None:
-                return batch.data
+            changes = self.log.after(self._urgent_cursor, True)
+            self._urgent_cursor = changes.cursor
+            if changes.data is not None:
+                return changes.data
         while self._cursor < self.log.replica.head:
-            batch = self.log.after(self._cursor, False)
-            self._cursor = batch.cursor
-            if batch.data is not None:
-                return batch.data
+            changes = self.log.after(self._cursor, False)
+            self._cursor = changes.cursor
+            if changes.data is not None:
+                return changes.data
         return None
 
-    def _compare_next(self) -> bytes | None:
-        if self._compared is None:
+    def _draw_comparison(self) -> bytes | None:
+        if self._compared_position is None:
             return None
-        if parts := self._range_parts():
+        if parts := self._draw_range_parts():
             return write(RangeRecords(tuple(parts)))
-        data = write(Compared(self._compared))
-        self._compared = None
-        self.in_step = True
+        data = write(Compared(self._compared_position))
+        self._compared_position = None
+        self.synchronized = True
         return data
 
-    def _range_parts(self) -> list[RangePart]:
+    def _draw_range_parts(self) -> list[RangePart]:
+        """Parts of ranges that differ, up to the size of one message."""
         parts: list[RangePart] = []
-        size = count = 0
-        while (
-            size < SOFT_MAX_MESSAGE_BYTES
-            and count < MAX_RECORDS_PER_MESSAGE
-            and (self._rest is not None or self._ranges)
-        ):
-            if self._rest is None:
-                self._index = self._ranges.pop()
-                self._rest = self.log.replica.in_range(self._index)
-            taken: list[Record] = []
-            while self._rest and size < SOFT_MAX_MESSAGE_BYTES:
-                record = self._rest.pop()
-                taken.append(record)
-                size += len(record.key) + len(record.value)
-            count += len(taken)
-            last = not self._rest
-            parts.append(RangePart(self._index, tuple(taken), last))
-            if last:
-                self._rest = None
+        size_bytes = count = 0
+        while size_bytes < SOFT_MAX_MESSAGE_BYTES and count < MAX_RECORDS_PER_MESSAGE:
+            if self._unsent_records is None and not self._differing_ranges:
+                break
+            part = self._draw_range_part(SOFT_MAX_MESSAGE_BYTES - size_bytes)
+            size_bytes += sum(len(record.key) + len(record.value) for record in part.records)
+            count += len(part.records)
+            parts.append(part)
         return parts
 
-    def _answer(self) -> bytes | None:
-        owed = self._pending_reply
-        if owed is None or not self.in_step:
+    def _draw_range_part(self, capacity_bytes: int) -> RangePart:
+        if self._unsent_records is None:
+            self._current_range = self._differing_ranges.pop()
+            self._unsent_records = self.log.replica.in_range(self._current_range)
+        drawn: list[Record] = []
+        while self._unsent_records and capacity_bytes > 0:
+            record = self._unsent_records.pop()
+            drawn.append(record)
+            capacity_bytes -= len(record.key) + len(record.value)
+        last = not self._unsent_records
+        if last:
+            self._unsent_records = None
+        return RangePart(self._current_range, tuple(drawn), last)
+
+    def _draw_reply(self) -> bytes | None:
+        pending = self._pending_reply
+        if pending is None or not self.synchronized:
             return None
-        if self._cursor < owed.position or self._urgent_cursor < owed.urgent:
+        if self._cursor < pending.position or self._urgent_cursor < pending.urgent:
             return None
         self._pending_reply = None
-        return write(HeartbeatReply(owed.number, owed.age_us, self._cursor))
+        return write(HeartbeatReply(pending.number, pending.age_us, self._cursor))
--- a/robinhill/control/errors.py
+++ b/robinhill/control/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong with the control group, and what an operator can do."""
+"""Errors of the control group. Each has a stable ``code`` and advice for an operator."""
 
 from robinhill.mesh.errors import MeshError
 
 
 class VotersMalformed(MeshError):
-    """The operators' file is wrong about voters. ``key``: which key; ``str`` says what to do about it."""
+    """The operators' file is wrong about voters. ``key`` names the faulty key."""
 
     code = "VotersMalformed"
     advice = "mend the key that is named in the operators' file, the same on all hosts, and start again"
@@ -15,21 +15,21 @@
 
 
 class VotersNotOneAtATime(MeshError):
-    """More than one voter was added or removed at once, or the change before has not settled."""
+    """More than one voter was added or removed at once, or the previous change has not settled."""
 
     code = "VotersNotOneAtATime"
     advice = "add or remove one voter, reload all voters, and go on once the change has settled"
 
 
 class JoinRefused(MeshError):
-    """An observer or voter was turned away, or sent what can't be read."""
+    """An observer or voter was rejected, or sent a malformed or unexpected message."""
 
     code = "JoinRefused"
     advice = "give all voters and schedulers the same installation, mesh.bound_ms and mesh.on_lost"
 
 
 class ChangesFull(MeshError):
-    """More changes are followed than a voter or scheduler keeps."""
+    """Too many changes are tracked, and none of them is accepted yet."""
 
     code = "ChangesFull"
     advice = "wait until changes that are under way are in force, then ask again"
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -1,10 +1,13 @@
-"""What passes over links of the control group: MessagePack arrays with a tag, on ordered links.
+"""Messages on links of the control group: MessagePack arrays with a tag, on ordered links.
 
-Two kinds of links: between two voters (`MeshData` wraps the frames of `robinhill.mesh.session`), and from an
-observer to a voter. A position is a number of a change in one start of one voter; it means nothing elsewhere.
-Times are microseconds; ``at_us`` is Unix time.
+There are two kinds of links: between two voters (`MeshData` carries the frames of `robinhill.mesh.session`),
+and from an observer to a voter. A position is the number of a change in one incarnation of one voter and
+means nothing elsewhere. Times are microseconds; ``at_us`` is Unix time. The order of fields and the tags are
+the protocol and never change.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
 from robinhill.control.errors import JoinRefused
@@ -12,38 +15,54 @@
 
 PROTOCOL = 1
 GOODBYE = 1 << 62
-"""Stands for the number of a join after which this start of an observer makes no other."""
+"""Number of a join that is later than any other of the same incarnation: the observer has left."""
 
 MAX_MESSAGE_BYTES = 1 << 20
-"""Bytes of a message; a reader closes a link that sends more."""
+"""A reader closes a link that sends more."""
 
 MAX_LAGGING_NAMES = 16
-"""Names of those behind that a message tells; the count is always whole."""
+"""Names of lagging observers in a message; the count is always complete."""
+
+
+class VoterIncarnation(NamedTuple):
+    """A process of a voter."""
+
+    name: str
+    incarnation: int
+
+
+class ObserverJoin(NamedTuple):
+    """The join of an observer's process to a voter; joins of one incarnation are numbered in order."""
+
+    name: str
+    incarnation: int
+    number: int
 
 
 # Between voters
 
 
 class MeshData(msgspec.Struct, frozen=True, array_like=True, tag="mesh"):
-    """Frames of the session between two voters: records, pings, digests."""
+    """Frames of the replication session between two voters: records, pings, digests."""
 
     data: bytes
 
 
 class VoterStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """A voter's word on itself. ``counts``: it counts for majorities. ``voters``: digest of the list that it
-    goes by. ``starts``: the starts of voters that it knows of, its own among them."""
+    """The sender's own state. ``counts``: it counts for majorities. ``voters``: digest of the list of voters
+    that it uses. ``incarnations``: of the voters that it knows, its own among them."""
 
     incarnation: int
     counts: bool
     voters: bytes
-    starts: tuple[tuple[str, int], ...]
+    incarnations: tuple[VoterIncarnation, ...]
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="barrier"):
-    """Tell how far your observers are with all that you hold now. Sent behind the changes that it is about,
-    on an ordered link. ``urgent``: only changes of urgent kinds matter. ``hold``: whoever has no lease any
-    more need not be waited for."""
+    """Asks how many observers of the receiver have not applied all that it has stored when it reads this.
+
+    Sent after the changes that it covers, on an ordered link. ``urgent``: only changes of urgent kinds
+    matter. ``hold``: an observer whose lease has expired need not be waited for."""
 
     number: int
     urgent: bool
@@ -51,48 +70,50 @@
 
 
 class BarrierStatus(msgspec.Struct, frozen=True, array_like=True, tag="behind"):
-    """The writer holds what the barrier is about; ``behind`` of its observers may not go by it yet.
+    """The sender has stored the changes of a barrier; ``lagging_count`` of its observers may not have applied
+    them yet.
 
-    ``counts``: it counted for majorities when it wrote this, and had refused no record. ``starts``: as in
-    `VoterStatus`, told here too since a confirmation counts only together with them.
+    ``counts``: the sender counted for majorities and had rejected no record. ``incarnations``: as in
+    `VoterStatus`, since a confirmation counts only together with them.
     """
 
     number: int
     incarnation: int
     counts: bool
-    starts: tuple[tuple[str, int], ...]
-    behind: int
-    names: tuple[str, ...]
+    incarnations: tuple[VoterIncarnation, ...]
+    lagging_count: int
+    lagging_names: tuple[str, ...]
 
 
 class BarrierEnd(msgspec.Struct, frozen=True, array_like=True, tag="unbar"):
-    """Nothing more need be told of this barrier."""
+    """No further status of this barrier is needed."""
 
     number: int
 
 
 class Moved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """These observers (name, start, number of its join) are in step with the writer, or have said goodbye:
-    whoever had them by an earlier join need not wait for them."""
+    """These observers are synchronized with the sender, or have left: a voter that knows them by an earlier
+    join need not wait for them."""
 
-    observers: tuple[tuple[str, int, int], ...]
+    observers: tuple[ObserverJoin, ...]
 
 
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
-    """The writer waits for these observers, which went from it without a goodbye: whoever knows better
-    answers with `Moved`. So a word on a move that was lost, or overtook the join before, does no lasting
-    harm."""
+    """The sender waits for these observers, which disconnected without a goodbye. A voter that knows a later
+    join replies with `Moved`: so a `Moved` that was lost, or overtook the join, does no lasting harm."""
 
-    observers: tuple[tuple[str, int, int], ...]
+    observers: tuple[ObserverJoin, ...]
 
 
 # From an observer
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag="join"):
-    """First on a link. ``voter``, ``voter_incarnation``, ``position``: up to where the observer holds all
-    changes of which voter; position -1: of none. ``spare``: nothing is to be sent but answers. ``number``
-    counts the joins of this start of the observer, so that voters know which of two is the later."""
+    """The first message on a link.
+
+    ``voter``, ``voter_incarnation``, ``position``: the observer has all changes of that voter up to the
+    position; position -1: of no voter. ``spare``: only heartbeat replies are wanted. ``number`` counts the
+    joins of this incarnation of the observer, so that voters know which of two is the later."""
 
     protocol: int
     installation: str
@@ -108,30 +129,32 @@
 
 
 class Digests(msgspec.Struct, frozen=True, array_like=True, tag="digests"):
-    """Digests of all ranges of the observer's copy, 8 bytes each, as of ``at_us``."""
+    """Digests of all ranges of the observer's replica, 8 bytes each, as of ``at_us``."""
 
     at_us: int
     digests: bytes
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
-    """Records that the observer holds and the voter may lack. ``number`` 0: found by digests; else a change
-    of the observer's own, of which the voter tells progress."""
+    """Records of the observer that the voter may lack. ``number`` 0: found by a comparison; else a change
+    that the observer wrote, whose `Progress` it wants."""
 
     number: int
     records: tuple[Record, ...]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Answer once all that you know now is written. ``number`` 0: answer at once, no lease rests on it."""
+    """Asks for a `HeartbeatReply` once all is sent that the voter knows when it reads this. ``number`` 0:
+    reply at once, no lease depends on it."""
 
     number: int
 
 
 class Applied(msgspec.Struct, frozen=True, array_like=True, tag="applied"):
-    """The observer goes by all changes up to ``position``, and by all urgent ones up to ``urgent``.
+    """The observer has applied all changes up to ``position``, and all urgent ones up to ``urgent``.
 
-    ``received``: how many `RangeRecords`, `Compared` and `Changes` came on this link; it makes room for more.
+    ``received``: number of `RangeRecords`, `Compared` and `Changes` received on this link; it opens the
+    voter's send window.
     """
 
     received: int
@@ -140,14 +163,14 @@
 
 
 class Goodbye(msgspec.Struct, frozen=True, array_like=True, tag="goodbye"):
-    """The observer has sent its last: nobody need wait for it any more."""
+    """The observer has sent its last job: no change needs to wait for it any more."""
 
 
 # To an observer
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """The voter's answer to a join. ``resumed``: changes follow from the position that the join named."""
+    """Accepts a join. ``resumed``: changes follow from the position that the join named."""
 
     voter: str
     incarnation: int
@@ -155,11 +178,11 @@
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag="compare"):
-    """There is room for a comparison now: send digests."""
+    """The voter has capacity for a comparison now: send digests."""
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
-    """Records of one range that differed; ``last``: all of it has been sent."""
+    """Records of one range that differed; ``last``: the range is complete."""
 
     index: int
     records: tuple[Record, ...]
@@ -167,14 +190,14 @@
 
 
 class RangeRecords(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """A piece of what the voter holds in ranges that differed."""
+    """Some of the voter's records in ranges that differed."""
 
     parts: tuple[RangePart, ...]
 
 
 class Compared(msgspec.Struct, frozen=True, array_like=True, tag="compared"):
-    """All ranges that differed are sent; together with what the observer held they are all that the voter
-    held at ``position``; 0: nothing was compared as changes were on their way."""
+    """All ranges that differed are sent: with them the observer has all that the voter had at ``position``.
+    0: nothing was compared, as changes were in flight."""
 
     position: int
 
@@ -188,8 +211,9 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """When it read heartbeat ``number``, the voter knew what a majority of voters knew ``age_us`` before; -1
-    where it knew no majority. All that it knew then is in the changes up to ``position``, sent before."""
+    """When the voter read heartbeat ``number``, it knew what a majority of voters knew ``age_us`` before; -1:
+    it knew no majority. All that it knew then is in the changes up to ``position``, which were sent
+    before."""
 
     number: int
     age_us: int
@@ -197,18 +221,18 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """How far a change that was offered has come. ``behind``: observers and voters that are not known to go
-    by it; ``names``: some of them."""
+    """Progress of an offered change. ``lagging_count``: observers and voters that are not known to have
+    applied it; ``lagging_names``: some of them."""
 
     number: int
     accepted: bool
     in_force: bool
-    behind: int
-    names: tuple[str, ...]
+    lagging_count: int
+    lagging_names: tuple[str, ...]
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """The link ends; ``why`` is for the operator."""
+    """The voter rejects the observer and closes the link; ``why`` is for the operator."""
 
     why: str
 
@@ -223,12 +247,12 @@
 
 
 def write(message: AnyMessage) -> bytes:
-    """A message as bytes."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def read(data: bytes) -> AnyMessage:
-    """The message in these bytes. Raises JoinRefused for what is none."""
+    """Decode a message. Raises JoinRefused for one that is malformed or too large."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise JoinRefused(f"a message has {len(data)} bytes, at most {MAX_MESSAGE_BYTES} may come")
     try:
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -1,9 +1,10 @@
-"""A voter's links from observers: joins, comparisons, feeds, heartbeats, goodbyes.
+"""A voter's links from observers: joins, comparisons, change feeds, heartbeats and goodbyes.
 
-All times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
+Knows nothing of other voters: the caller sends them what `take_moved` returns. Times are microseconds,
+``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
 from robinhill.control import messages as wire
@@ -13,27 +14,30 @@
 from robinhill.control.errors import JoinRefused
 from robinhill.control.observer_progress import ObserverProgress
 from robinhill.control.options import ControlOptions
-from robinhill.control.outbox import Outbox
+from robinhill.control.outbox import VoterOutbox
 from robinhill.cordon.propagation import Mode
 
 MAX_COMPARISONS = 64
-"""Observers that are brought in step at the same time; others wait their turn."""
+"""Observers that may be synchronized at the same time; others are queued."""
 
 
 @dataclass(slots=True)
 class ObserverSession:
-    """A link from an observer. A spare one has no feed."""
+    """A link from an observer.
+
+    ``feed`` is None on a spare link. ``comparing``: it was granted a comparison, one of `MAX_COMPARISONS`.
+    """
 
     name: str
     incarnation: int
     join: int
     last_received_us: int
     feed: ChangeFeed | None = None
-    granted: bool = False  # it was asked for digests, and holds one of `COMPARISONS_AT_ONCE`
+    comparing: bool = False
 
 
 class ObserverSessions:
-    """The observers of one voter. ``age_us``: as of how long ago the voter knows a majority."""
+    """The observers of one voter. ``age_us``: age of the majority's state that the voter knows."""
 
     def __init__(
         self,
@@ -42,50 +46,52 @@
         log: ChangeLog,
         observer_progress: ObserverProgress,
         age_us: Callable[[int], int | None],
-        outbox: Outbox,
+        outbox: VoterOutbox,
     ) -> None:
         self.options = options
         self.incarnation = incarnation
         self.log = log
         self.observer_progress = observer_progress
         self._age_us = age_us
-        self.links: dict[Link, ObserverSession] = {}
-        self.moved: dict[str, tuple[int, int]] = {}  # what other voters must be told of
+        self._by_link: dict[Link, ObserverSession] = {}
+        self._moved: dict[str, wire.ObserverJoin] = {}  # since the last `take_moved`
         self._outbox = outbox
-        self._waiting: dict[Link, None] = {}  # for a comparison
+        self._comparison_queue: dict[Link, None] = {}
         self._comparing: set[Link] = set()
 
-    # What came
+    @property
+    def by_link(self) -> Mapping[Link, ObserverSession]:
+        """All sessions, spare ones among them."""
+        return self._by_link
+
+    # Messages
 
-    def first(self, now_us: int, mono_us: int, link: Link, join: wire.Join) -> None:
+    def open(self, mono_us: int, link: Link, join: wire.Join) -> None:
         """A link begins with a join. Raises JoinRefused."""
         self._check(join)
-        self.links[link] = ObserverSession(join.name, join.incarnation, join.number, mono_us)
+        self._by_link[link] = ObserverSession(join.name, join.incarnation, join.number, mono_us)
         self._join(mono_us, link, join)
 
     def received(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        """Any other message but offers. Raises JoinRefused for what observers don't send."""
-        observer = self.links[link]
-        feed = observer.feed if self._is_current(link, observer) else None
+        """Handle any later message but an offer. Raises JoinRefused for one that observers don't send."""
+        session = self._by_link[link]
+        feed = session.feed if self._is_current(link, session) else None
         match message:
             case wire.Join():
                 self._check(message)
                 self._join(mono_us, link, message)
             case wire.Heartbeat():
-                self._heartbeat(mono_us, link, observer, message.number)
+                self._handle_heartbeat(mono_us, link, session, message.number)
             case wire.Goodbye():
-                self._goodbye(link, observer)
+                self._handle_goodbye(link, session)
             case wire.Applied() if feed is not None:
-                feed.received(message.received)
-                if self.observer_progress.applied(mono_us, observer.name, message.position, message.urgent):
-                    self.moved[observer.name] = observer.incarnation, observer.join
-                self._draw(mono_us, link, observer)
+                self._handle_applied(mono_us, link, session, feed, message)
             case wire.Digests() if feed is not None:
-                self._compare(now_us, mono_us, link, observer, feed, message)
+                self._handle_digests(now_us, mono_us, link, session, feed, message)
             case wire.Applied() | wire.Digests():
-                return  # on a link that was given up meanwhile
+                return  # the observer has joined by another link meanwhile
             case _:
-                raise JoinRefused(f"{observer.name} sent {type(message).__name__}, which observers don't")
+                raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't")
 
     def _check(self, join: wire.Join) -> None:
         options = self.options
@@ -99,8 +105,8 @@
             raise JoinRefused(f"{join.name} is the name of a voter")
 
     def _join(self, mono_us: int, link: Link, join: wire.Join) -> None:
-        observer = self.links[link]
-        observer.join = join.number
+        session = self._by_link[link]
+        session.join = join.number
         if join.spare:
             self._outbox.send_to_observer(link, wire.Welcome(self.options.name, self.incarnation, False))
             return
@@ -109,135 +115,144 @@
             self.drop(known.link, f"{join.name} has connected anew")
         if self.observer_progress.joined(mono_us, join.name, join.incarnation, join.number, link) is None:
             raise JoinRefused(f"a later start of {join.name} has joined")
-        observer.feed = ChangeFeed(self.log)
+        session.feed = ChangeFeed(self.log)
         resumed = self._may_resume(join)
         self._outbox.send_to_observer(link, wire.Welcome(self.options.name, self.incarnation, resumed))
         if resumed:
-            observer.feed.resume(join.position)
+            session.feed.resume(join.position)
             return
         self.observer_progress.reset_position(join.name)
-        self._waiting[link] = None
-        self._grant()
+        self._comparison_queue[link] = None
+        self._grant_comparisons()
 
     def _may_resume(self, join: wire.Join) -> bool:
-        """Whether the observer holds all changes of this start of ours up to a position."""
+        """Whether the observer has all changes of this incarnation of ours up to a position."""
         ours = join.voter == self.options.name and join.voter_incarnation == self.incarnation
         return ours and 0 <= join.position <= self.log.replica.head
 
-    def _grant(self) -> None:
-        """Ask those who wait, as many as may be brought in step at once, for their digests."""
-        while self._waiting and len(self._comparing) < MAX_COMPARISONS:
-            link = next(iter(self._waiting))
-            del self._waiting[link]
+    def _grant_comparisons(self) -> None:
+        """Request digests from queued observers, as many as may be synchronized at once."""
+        while self._comparison_queue and len(self._comparing) < MAX_COMPARISONS:
+            link = next(iter(self._comparison_queue))
+            del self._comparison_queue[link]
             self._comparing.add(link)
-            self.links[link].granted = True
+            self._by_link[link].comparing = True
             self._outbox.send_to_observer(link, wire.Compare())
 
-    def _compare(
+    def _handle_applied(
+        self, mono_us: int, link: Link, session: ObserverSession, feed: ChangeFeed, applied: wire.Applied
+    ) -> None:
+        feed.confirm(applied.received)
+        if self.observer_progress.applied(mono_us, session.name, applied.position, applied.urgent):
+            self._note_moved(session, session.join)
+        self._send_changes(mono_us, link, session)
+
+    def _handle_digests(
         self,
         now_us: int,
         mono_us: int,
         link: Link,
-        observer: ObserverSession,
+        session: ObserverSession,
         feed: ChangeFeed,
         digests: wire.Digests,
     ) -> None:
-        if not feed.in_step and not observer.granted:
+        if not feed.synchronized and not session.comparing:
             return
         self._outbox.metrics.comparisons += 1
         feed.compare(now_us, digests)
-        self._draw(mono_us, link, observer)
+        self._send_changes(mono_us, link, session)
 
-    def _heartbeat(self, mono_us: int, link: Link, observer: ObserverSession, number: int) -> None:
+    def _handle_heartbeat(self, mono_us: int, link: Link, session: ObserverSession, number: int) -> None:
         age_us = self._age_us(mono_us)
-        if observer.feed is None or not number:  # it renews nothing by it, and asks whether we are there
+        if session.feed is None or not number:  # no lease depends on it
             reply = wire.HeartbeatReply(number, -1 if age_us is None else age_us, 0)
             self._outbox.send_to_observer(link, reply)
             return
-        observer.feed.heartbeat(number, age_us)
-        self._draw(mono_us, link, observer)
+        session.feed.heartbeat(number, age_us)
+        self._send_changes(mono_us, link, session)
 
-    def _goodbye(self, link: Link, observer: ObserverSession) -> None:
-        self.observer_progress.record_goodbye(observer.name, observer.incarnation)
-        self.moved[observer.name] = observer.incarnation, wire.GOODBYE
-        self.lost(link)
+    def _handle_goodbye(self, link: Link, session: ObserverSession) -> None:
+        self.observer_progress.record_goodbye(session.name, session.incarnation)
+        self._note_moved(session, wire.GOODBYE)
+        self.closed(link)
         self._outbox.disconnect(link, "it said goodbye")
 
-    # What follows
+    # Changes
 
     def flush(self, mono_us: int) -> None:
         """Send all observers what has changed."""
-        for link, observer in self.links.items():
-            self._draw(mono_us, link, observer)
+        for link, session in self._by_link.items():
+            self._send_changes(mono_us, link, session)
 
     def take_moved(self) -> wire.Moved | None:
-        """Who is in step here, or said goodbye, since the last call."""
-        if not self.moved:
+        """Observers that were synchronized here, or have left, since the last call; None if there are
+        none."""
+        if not self._moved:
             return None
-        found = wire.Moved(tuple((name, *start) for name, start in sorted(self.moved.items())))
-        self.moved.clear()
-        return found
+        moved = wire.Moved(tuple(sorted(self._moved.values())))
+        self._moved.clear()
+        return moved
+
+    def _note_moved(self, session: ObserverSession, join: int) -> None:
+        self._moved[session.name] = wire.ObserverJoin(session.name, session.incarnation, join)
 
-    def _draw(self, mono_us: int, link: Link, observer: ObserverSession) -> None:
-        feed = observer.feed
-        if feed is None or not self._is_current(link, observer):
+    def _send_changes(self, mono_us: int, link: Link, session: ObserverSession) -> None:
+        feed = session.feed
+        if feed is None or not self._is_current(link, session):
             return
-        found, answered = feed.draw()
-        for data in found:
-            self._outbox.send_encoded_to_observer(link, data)
-        if answered:
-            self.observer_progress.heartbeat_answered(mono_us, observer.name)
-        if observer.granted and feed.in_step:
-            observer.granted = False
+        encoded, heartbeat_answered = feed.draw()
+        self._outbox.send_encoded_to_observer(link, encoded)
+        if heartbeat_answered:
+            self.observer_progress.heartbeat_answered(mono_us, session.name)
+        if session.comparing and feed.synchronized:
+            session.comparing = False
             self._comparing.discard(link)
-            self._grant()
+            self._grant_comparisons()
 
-    def _is_current(self, link: Link, observer: ObserverSession) -> bool:
-        """Whether an observer still has this voter by this link: else nothing may be answered to it."""
-        observed = self.observer_progress.observers.get(observer.name)
-        return observed is not None and observed.link == link
+    def _is_current(self, link: Link, session: ObserverSession) -> bool:
+        """Whether this is the observer's newest link that is no spare one; others get no changes."""
+        observer = self.observer_progress.observers.get(session.name)
+        return observer is not None and observer.link == link
 
     # Links that end
 
-    def moved_elsewhere(self, name: str, incarnation: int, join: int) -> None:
-        """Another voter answers for an observer now; whatever link it still has here is an old one."""
-        observed = self.observer_progress.observers.get(name)
-        if (
-            self.observer_progress.moved_away(name, incarnation, join)
-            and observed is not None
-            and observed.link is not None
-        ):
-            self.drop(observed.link, f"{name} has another voter now")
-
-    def forget(self, name: str) -> None:
-        """An operator says that a scheduler runs no more."""
-        observed = self.observer_progress.observers.get(name)
-        if observed is not None and observed.link is not None:
-            self.drop(observed.link, f"an operator says that {name} runs no more")
+    def moved_away(self, join: wire.ObserverJoin) -> None:
+        """An observer is synchronized with another voter; a link that it still has here is outdated."""
+        observer = self.observer_progress.observers.get(join.name)
+        known = self.observer_progress.moved_away(join.name, join.incarnation, join.number)
+        if known and observer is not None and observer.link is not None:
+            self.drop(observer.link, f"{join.name} has another voter now")
+
+    def remove(self, name: str) -> None:
+        """An operator reports that a scheduler no longer runs."""
+        observer = self.observer_progress.observers.get(name)
+        if observer is not None and observer.link is not None:
+            self.drop(observer.link, f"an operator says that {name} runs no more")
         self.observer_progress.remove(name)
 
     def drop(self, link: Link, why: str) -> None:
-        """End a link."""
-        self.lost(link)
+        """Close a link; ``why`` is for the log."""
+        self.closed(link)
         self._outbox.disconnect(link, why)
 
-    def lost(self, link: Link) -> None:
+    def closed(self, link: Link) -> None:
         """A link has ended."""
-        observer = self.links.pop(link, None)
-        if observer is None:
+        session = self._by_link.pop(link, None)
+        if session is None:
             return
-        if observer.feed is not None:
-            self.observer_progress.link_lost(observer.name, link)
-        self._waiting.pop(link, None)
+        if session.feed is not None:
+            self.observer_progress.link_lost(session.name, link)
+        self._comparison_queue.pop(link, None)
         self._comparing.discard(link)
-        self._grant()
+        self._grant_comparisons()
 
-    def silent(self, mono_us: int) -> list[Link]:
-        """Links on which nothing came for longer than the bound."""
-        patience_us = self.options.bound_us
-        return [link for link, one in self.links.items() if mono_us - one.last_received_us > patience_us]
+    def silent_links(self, mono_us: int) -> list[Link]:
+        """Links on which nothing was received for longer than the bound."""
+        timeout_us = self.options.bound_us
+        return [link for link, one in self._by_link.items() if mono_us - one.last_received_us > timeout_us]
 
-    def review(self, mono_us: int) -> None:
-        """Forget those that went, where no kind serves: once their leases are over they can do no harm."""
+    def expire_departed(self, mono_us: int) -> None:
+        """Forget disconnected observers whose leases have expired, where no kind of record serves without
+        one."""
         if self.options.on_lost is Mode.HOLD and Mode.SERVE not in self.options.on_lost_by_kind.values():
             self.observer_progress.remove_expired(mono_us)
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -1,6 +1,7 @@
-"""Actions that a voter's parts collect during one call, and what they wrote in bytes."""
+"""Actions that the parts of one state machine collect during a call, in their order."""
 
-from dataclasses import dataclass, field
+from collections.abc import Sequence
+from dataclasses import dataclass
 
 from robinhill.control import messages as wire
 from robinhill.control.actions import Action, Disconnect, Link, Send
@@ -8,7 +9,7 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """Counts since the start, for operators."""
+    """A voter's counters since its start."""
 
     bytes_to_voters: int = 0
     bytes_to_observers: int = 0
@@ -16,37 +17,49 @@
     refused: int = 0
 
 
-@dataclass(slots=True)
 class Outbox:
-    """Actions in their order."""
+    """The actions of an observer."""
 
-    metrics: Metrics = field(default_factory=Metrics)
-    _actions: list[Action] = field(default_factory=list)
+    def __init__(self) -> None:
+        self._actions: list[Action] = []
 
     def add(self, action: Action) -> None:
-        """Something else than a message."""
+        """Append any action."""
         self._actions.append(action)
 
-    def send_to_voter(self, link: Link, message: wire.VoterMessage) -> None:
-        """A message to another voter."""
-        data = wire.write(message)
-        self.metrics.bytes_to_voters += len(data)
-        self._actions.append(Send(link, data))
-
-    def send_to_observer(self, link: Link, message: wire.ToObserver) -> None:
-        """A message to an observer."""
-        self.send_encoded_to_observer(link, wire.write(message))
-
-    def send_encoded_to_observer(self, link: Link, data: bytes) -> None:
-        """A message to an observer that is encoded already."""
-        self.metrics.bytes_to_observers += len(data)
-        self._actions.append(Send(link, data))
+    def send(self, link: Link, message: wire.AnyMessage) -> None:
+        """Encode and send a message."""
+        self._actions.append(Send(link, wire.write(message)))
 
     def disconnect(self, link: Link, why: str) -> None:
-        """Close a connection."""
+        """Close a connection; ``why`` is for the log."""
         self._actions.append(Disconnect(link, why))
 
     def take(self) -> list[Action]:
-        """All that was collected since the last call."""
+        """Remove and return all actions since the last call."""
         actions, self._actions = self._actions, []
         return actions
+
+
+class VoterOutbox(Outbox):
+    """The actions of a voter, with counts of the bytes that it sends."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.metrics = Metrics()
+
+    def send_to_voter(self, link: Link, message: wire.VoterMessage) -> None:
+        """Send a message to another voter."""
+        data = wire.write(message)
+        self.metrics.bytes_to_voters += len(data)
+        self._actions.append(Send(link, data))
+
+    def send_to_observer(self, link: Link, message: wire.ToObserver) -> None:
+        """Send a message to an observer."""
+        self.send_encoded_to_observer(link, [wire.write(message)])
+
+    def send_encoded_to_observer(self, link: Link, encoded: Sequence[bytes]) -> None:
+        """Send messages to an observer that are encoded already."""
+        for data in encoded:
+            self.metrics.bytes_to_observers += len(data)
+            self._actions.append(Send(link, data))
--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -1,37 +1,45 @@
-"""Taking records of another copy: what changed here, and what was declined with why."""
+"""Merging of received records into a replica, and the records that it rejected or bounded."""
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
+from robinhill.mesh.clocks import StampAhead
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
-Declined = tuple[Record, MeshError]
+
+@dataclass(slots=True, frozen=True)
+class RejectedRecord:
+    """A record that a replica rejected, or stored with a warning. ``error`` says why."""
+
+    record: Record
+    error: MeshError
+
+    @property
+    def stored_with_warning(self) -> Record | None:
+        """The record as it was stored in spite of the error; None: it was rejected."""
+        return self.error.held if isinstance(self.error, StampAhead) else None
 
 
 def merge_records(
     replica: Replica, now_us: int, records: Iterable[Record]
-) -> tuple[list[Record], list[Declined]]:
-    """Merge records; those that this copy holds anew, and those that it refused or took with a warning."""
+) -> tuple[list[Record], list[RejectedRecord]]:
+    """Merge ``records``. Returns those that changed the replica, and those that it rejected or bounded."""
     changed: list[Record] = []
-    declined: list[Declined] = []
+    rejected: list[RejectedRecord] = []
     for record in records:
         try:
-            outcome = replica.take(now_us, record)
+            stored = replica.take(now_us, record)
         except MeshError as e:
-            declined.append((record, e))
-            outcome = accepted_with_warning(e)
-        if outcome is not None:
-            changed.append(outcome)
-    return changed, declined
-
-
-def accepted_with_warning(error: MeshError) -> Record | None:
-    """The record that is held all the same, as it was from the future a little; None: it was refused."""
-    held = getattr(error, "held", None)
-    return held if isinstance(held, Record) else None
+            rejection = RejectedRecord(record, e)
+            rejected.append(rejection)
+            stored = rejection.stored_with_warning
+        if stored is not None:
+            changed.append(stored)
+    return changed, rejected
 
 
-def refused(declined: Iterable[Declined]) -> bool:
-    """Whether any record was not taken at all: who refused one does not hold what the sender holds."""
-    return any(accepted_with_warning(error) is None for _, error in declined)
+def any_rejected(rejected: Iterable[RejectedRecord]) -> bool:
+    """Whether a record was not stored at all: this replica then lacks something that the sender has."""
+    return any(rejection.stored_with_warning is None for rejection in rejected)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -1,27 +1,32 @@
-"""A voter of the control group as a state machine: what came in, what is to be done. No I/O.
+"""A voter of the control group as a state machine: it handles messages and time, and returns actions. No I/O.
 
-Voters replicate records among themselves by the sessions of the mesh (`peers`), each linked to each; only
-voters count for majorities. Observers join one voter each and get a feed of changes (`audience`). A change
-that a voter is told of is followed until it is in force everywhere (`following`, `tally`).
+Voters replicate records among themselves, each linked to each (`voter_links`); only voters count for
+majorities. Each observer joins one voter and is fed its changes (`observer_sessions`). A change that was
+written here is tracked until it is in force at all schedulers (`change_coordinator`).
 
 All times are microseconds: ``now_us`` Unix time that never steps back, ``mono_us`` this process's monotonic
-clock. After each call carry out the actions in their order; call `tick` at `next_us` at the latest.
+clock. After each call carry out the returned actions in order; call `tick` at `next_us` at the latest.
 """
 
 from collections.abc import Collection, Iterable
-from dataclasses import dataclass
 from random import Random
 
 from robinhill.control import messages as wire
-from robinhill.control.actions import Action, Apply, CaughtUp, Link, Progressed, VotersSettled
+from robinhill.control.actions import Action, Apply, CaughtUp, Link, VotersSettled
+from robinhill.control.change_coordinator import (
+    OUR_CALLER,
+    STATUS_INTERVAL_US,
+    ChangeCoordinator,
+    Requester,
+)
 from robinhill.control.changelog import ChangeLog
 from robinhill.control.commit_tracker import CommitTracker
 from robinhill.control.errors import ChangesFull, JoinRefused, VotersNotOneAtATime
-from robinhill.control.observer_progress import Key, ObserverProgress
+from robinhill.control.observer_progress import ObserverProgress
 from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.control.options import ControlOptions
-from robinhill.control.outbox import Metrics, Outbox
-from robinhill.control.record_merging import merge_records, refused
+from robinhill.control.outbox import Metrics, VoterOutbox
+from robinhill.control.record_merging import RejectedRecord, any_rejected, merge_records
 from robinhill.control.voter_links import VoterLink, VoterLinks
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.errors import MeshError
@@ -31,24 +36,14 @@
 from robinhill.mesh.session import Answered, Event, Greeted, Learned
 
 FLUSH_INTERVAL_US = 5_000
-"""From one round of messages with changes to the next; the first goes at once."""
-
-STATUS_INTERVAL_US = 50_000
-"""From one word on who is behind to the next, unless nobody is any more."""
+"""Least time between two rounds of changes to observers; the first is sent at once."""
 
 COLLECT_INTERVAL_US = 1_000_000
-
-
-@dataclass(slots=True)
-class _Requester:
-    """Who asked for a change: an observer's link and its number there, or our caller."""
-
-    link: Link | None
-    number: int
+"""Between two collections of expired records and silent links."""
 
 
 class Voter:
-    """``replica`` may hold what was read from disk. ``rng`` jitters reconnections."""
+    """One voter. ``replica`` may hold what was read from disk. ``rng`` jitters reconnections."""
 
     def __init__(
         self,
@@ -68,38 +63,45 @@
         self.freshness.started(self.name, incarnation)
         self.commit_tracker = CommitTracker(self.name, incarnation, options.bound_us, self.freshness.quorum)
         self.observer_progress = ObserverProgress(mono_us, options.bound_us)
-        self._outbox = Outbox()
+        self._outbox = VoterOutbox()
         self._voter_links = VoterLinks(
-            options, incarnation, replica, self.freshness, rng, self._outbox, self._brought_by_another
+            options, incarnation, replica, self.freshness, rng, self._outbox, self._is_sent_by_another
         )
         self._sessions = ObserverSessions(
             options, incarnation, self.log, self.observer_progress, self.age_us, self._outbox
         )
-        self._pending: dict[Link, int] = {}  # accepted, nothing has come yet; since when
-        self._requesters: dict[int, _Requester] = {}
-        self._last_change = 0
-        self._status_sent_us: dict[Key, int] = {}
+        self._changes = ChangeCoordinator(
+            self.name,
+            incarnation,
+            self.commit_tracker,
+            self.observer_progress,
+            self._voter_links,
+            self._sessions,
+            self._outbox,
+            lambda: self.counts,
+        )
+        self._pending_links: dict[Link, int] = {}  # without a message yet; accepted at
         self._flushed_us = mono_us - FLUSH_INTERVAL_US
-        self._unflushed = False
+        self._flush_pending = False
         self._collect_us = mono_us + COLLECT_INTERVAL_US
-        self._review_us = mono_us
+        self._expire_waits_us = mono_us
 
     # Links
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
         """The first call."""
         if len(self._voter_links.names) == 1:
-            self._catch_up()
+            self._start_counting()
         return self.tick(now_us, mono_us)
 
     def accepted(self, mono_us: int, link: Link) -> None:
-        """Somebody has connected; its first message tells who it is."""
-        self._pending[link] = mono_us
+        """A connection was accepted; its first message identifies the other side."""
+        self._pending_links[link] = mono_us
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
         """A connection that `Connect` asked for is open."""
         self._voter_links.dialed(mono_us, link, voter)
-        return self._done(now_us, mono_us)
+        return self._finish(now_us, mono_us)
 
     def failed(self, mono_us: int, voter: str) -> None:
         """A connection that `Connect` asked for could not be opened."""
@@ -107,37 +109,36 @@
 
     def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
         """A connection was lost, or closed by the other side."""
-        self._lost(mono_us, link)
-        return self._done(now_us, mono_us)
+        self._closed(mono_us, link)
+        return self._finish(now_us, mono_us)
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """A message came. Who sends what can't be read or does not belong here is refused."""
+        """A message was received. A link with a malformed or unexpected one is rejected."""
         head = self.replica.head
         try:
             self._dispatch(now_us, mono_us, link, wire.read(data))
         except MeshError as e:
-            self._refuse(mono_us, link, str(e))
-        return self._done(
-            now_us, mono_us, sessions=link in self._voter_links.links or self.replica.head != head
-        )
+            self._reject(mono_us, link, str(e))
+        pump = link in self._voter_links.by_link or self.replica.head != head
+        return self._finish(now_us, mono_us, pump=pump)
 
     # Changes
 
     def write(
         self, now_us: int, mono_us: int, kind: str, key: str, value: object
     ) -> tuple[int, Record, list[Action]]:
-        """Write a record here and follow it. Returns the number by which `Progressed` tells of it.
+        """Write a record and track the change. Returns its number in `Progressed`.
 
         Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
         """
         self.commit_tracker.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
-        self._record_changes([record])
-        number = self._track_change(mono_us, [record], _Requester(None, 0))
-        return number, record, self._done(now_us, mono_us)
+        self._note_changes([record])
+        number = self._track(mono_us, [record], OUR_CALLER)
+        return number, record, self._finish(now_us, mono_us)
 
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
-        """Go by another list of voters, which differs by one. Raises VotersNotOneAtATime."""
+        """Use another list of voters, which differs by one. Raises VotersNotOneAtATime."""
         changed = frozenset(options.voters) ^ frozenset(self.options.voters)
         if len(changed) > 1:
             raise VotersNotOneAtATime(f"{', '.join(sorted(changed))} would be added or removed at once")
@@ -147,53 +148,56 @@
         if changed:
             self._voter_links.reconfigure(options)
             self.commit_tracker.reconfigured(mono_us)
-            for link in list(self._voter_links.links):
+            for link in list(self._voter_links.by_link):
                 self._drop(mono_us, link, "the list of voters has changed")
-        return self._done(now_us, mono_us)
+        return self._finish(now_us, mono_us)
 
-    def vouch(self, now_us: int, mono_us: int) -> list[Action]:
-        """An operator says that nothing is in force that is not known here."""
-        self._catch_up()
-        return self._done(now_us, mono_us)
+    def confirm_complete(self, now_us: int, mono_us: int) -> list[Action]:
+        """An operator confirms that nothing is in force that this voter does not know: it counts."""
+        self._start_counting()
+        return self._finish(now_us, mono_us)
 
-    def forget(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
-        """An operator says that a scheduler runs no more."""
-        self._sessions.forget(observer)
-        return self._done(now_us, mono_us)
+    def remove_observer(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
+        """An operator reports that a scheduler no longer runs: no change waits for it."""
+        self._sessions.remove(observer)
+        return self._finish(now_us, mono_us)
 
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Time has gone on."""
+        """Time has passed."""
         if mono_us >= self._collect_us:
             self._collect_us = mono_us + COLLECT_INTERVAL_US
-            if self.replica.collect(now_us):
-                self.log.collected()
-            self._drop_silent(mono_us)
-            self._sessions.review(mono_us)
-            if departed := self.observer_progress.departed_to_query(mono_us):
-                self._voter_links.to_all(wire.Departed(departed))
+            self._collect(now_us, mono_us)
         self._voter_links.connect(mono_us)
-        if self._voter_links.settles(mono_us):
+        if self._voter_links.settle(mono_us):
             self.commit_tracker.reconfigured(mono_us)
             self._outbox.add(VotersSettled())
-        return self._done(now_us, mono_us)
+        return self._finish(now_us, mono_us)
 
     def next_us(self, mono_us: int) -> int:
         """When `tick` is due at the latest (monotonic)."""
         times = [self._collect_us, *self._voter_links.next_us()]
-        if self._unflushed:
+        if self._flush_pending:
             times.append(self._flushed_us + FLUSH_INTERVAL_US)
-        if (following_us := self.commit_tracker.next_us()) is not None:
-            times.append(following_us)
+        if (commit_us := self.commit_tracker.next_us()) is not None:
+            times.append(commit_us)
         if self.observer_progress.dirty:
             times.append(mono_us + STATUS_INTERVAL_US)
         return max(mono_us + 1, min(times))
 
-    # Figures
+    def _collect(self, now_us: int, mono_us: int) -> None:
+        if self.replica.collect(now_us):
+            self.log.collected()
+        self._drop_silent_links(mono_us)
+        self._sessions.expire_departed(mono_us)
+        if departed := self.observer_progress.departed_to_query(mono_us):
+            self._voter_links.send_to_all(wire.Departed(departed))
+
+    # Status
 
     def age_us(self, mono_us: int) -> int | None:
-        """As of how long ago a majority of voters is known; None if none is."""
+        """Age of the majority's state that this voter knows; None if it knows none."""
         return self._voter_links.ages.age_us(mono_us)
 
     @property
@@ -204,49 +208,49 @@
     @property
     def linked_voters(self) -> tuple[str, ...]:
         """Voters with a link that is up, ascending."""
-        return tuple(sorted(self._voter_links.by_name))
+        return tuple(sorted(self._voter_links.link_of))
 
     @property
     def linked_observers(self) -> int:
-        """Observers that have this voter, those in step and those that are brought in step."""
-        return sum(one.feed is not None for one in self._sessions.links.values())
+        """Observers that have joined this voter, synchronized or not; spare links are not counted."""
+        return sum(one.feed is not None for one in self._sessions.by_link.values())
 
     @property
     def metrics(self) -> Metrics:
         """Counts since the start."""
         return self._outbox.metrics
 
-    # What came
+    # Messages
 
     def _dispatch(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        if link in self._pending:
-            self._first(now_us, mono_us, link, message)
-        elif link in self._voter_links.links:
-            self._from_voter(now_us, mono_us, link, message)
-        elif link in self._sessions.links:
-            self._sessions.links[link].last_received_us = mono_us
+        if link in self._pending_links:
+            self._handle_first(now_us, mono_us, link, message)
+        elif link in self._voter_links.by_link:
+            self._handle_from_voter(now_us, mono_us, link, message)
+        elif link in self._sessions.by_link:
+            self._sessions.by_link[link].last_received_us = mono_us
             if isinstance(message, wire.Offer):
                 self._handle_offer(now_us, mono_us, link, message)
             else:
                 self._sessions.received(now_us, mono_us, link, message)
 
-    def _first(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        del self._pending[link]
+    def _handle_first(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
+        del self._pending_links[link]
         if isinstance(message, wire.Join):
-            self._sessions.first(now_us, mono_us, link, message)
+            self._sessions.open(mono_us, link, message)
         elif isinstance(message, wire.MeshData):
-            self._voter_links.answered(mono_us, link)
-            self._from_voter(now_us, mono_us, link, message)
+            self._voter_links.accepted(mono_us, link)
+            self._handle_from_voter(now_us, mono_us, link, message)
         else:
             raise JoinRefused(f"a link began with {type(message).__name__}")
 
-    def _from_voter(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        voter = self._voter_links.links[link]
+    def _handle_from_voter(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
+        voter = self._voter_links.by_link[link]
         voter.last_received_us = mono_us
         if isinstance(message, wire.MeshData):
             for event in voter.session.receive(now_us, mono_us, message.data):
                 self._handle_session_event(mono_us, link, event)
-        elif voter.name is not None:  # else it speaks before it has greeted, and nothing can be placed
+        elif voter.name is not None:  # before the greeting it is not known whose message it is
             self._handle_voter_message(mono_us, voter, voter.name, message)
 
     def _handle_voter_message(
@@ -255,212 +259,143 @@
         match message:
             case wire.VoterStatus():
                 voter.status = message
-                self._record_incarnations(message.starts)
-            case wire.Barrier(number=number, urgent=urgent, hold=hold):
-                self.observer_progress.track(
-                    mono_us, (name, number), self.log.head(urgent), urgent=urgent, hold=hold
-                )
+                self._record_incarnations(message.incarnations)
+            case wire.Barrier():
+                self._changes.handle_barrier(mono_us, name, message)
             case wire.BarrierStatus():
-                self._record_incarnations(message.starts)
+                self._record_incarnations(message.incarnations)
                 self.commit_tracker.record_status(mono_us, name, message)
             case wire.BarrierEnd():
-                self.observer_progress.untrack((name, message.number))
+                self._changes.end_barrier(name, message)
             case wire.Moved():
-                for observer in message.observers:
-                    self._sessions.moved_elsewhere(*observer)
+                for join in message.observers:
+                    self._sessions.moved_away(join)
             case wire.Departed():
-                if (
-                    known := self.observer_progress.newer_joins(message.observers)
-                ) and name in self._voter_links.by_name:
-                    self._outbox.send_to_voter(self._voter_links.by_name[name], wire.Moved(known))
+                newer = self.observer_progress.newer_joins(message.observers)
+                if newer and name in self._voter_links.link_of:
+                    self._outbox.send_to_voter(self._voter_links.link_of[name], wire.Moved(newer))
             case _:
                 raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
 
     def _handle_session_event(self, mono_us: int, link: Link, event: Event) -> None:
-        voter = self._voter_links.links[link]
+        voter = self._voter_links.by_link[link]
         match event:
             case Greeted(hello=hello):
-                self._greeted(mono_us, link, hello.name, hello.incarnation)
+                self._handle_greeting(mono_us, link, wire.VoterIncarnation(hello.name, hello.incarnation))
             case Learned(records=records, declined=declined):
-                self._record_changes(records, declined)
-                if voter.name is not None and refused(declined):
-                    self._voter_links.refusals.refused(voter.name, voter.session)
+                rejected = [RejectedRecord(record, error) for record, error in declined]
+                self._note_changes(records, rejected)
+                if voter.name is not None and any_rejected(rejected):
+                    self._voter_links.incomplete.record_rejected(voter.name, voter.session)
             case Answered():
-                if not self.counts and not self._voter_links.refusals and self.freshness.may_catch_up():
-                    self._catch_up()
-                if voter.name is not None and self._voter_links.refusals.recovered(voter.name, voter.session):
-                    self.observer_progress.dirty.update(self.observer_progress.tracked)
-
-    def _greeted(self, mono_us: int, link: Link, name: str, incarnation: int) -> None:
-        if (before := self._voter_links.by_name.get(name)) is not None:
-            self._drop(mono_us, before, f"{name} has connected anew")
-        self._voter_links.greeted(link, name)
-        self._record_incarnations([(name, incarnation)])
-        if observers := self.observer_progress.synchronized_observers():
-            moved = tuple((one.name, one.incarnation, one.join) for one in observers)
-            self._outbox.send_to_voter(link, wire.Moved(moved))
-
-    def _record_incarnations(self, starts: Iterable[tuple[str, int]]) -> None:
-        for name, incarnation in self._voter_links.started(starts):
+                self._handle_session_answer(voter)
+
+    def _handle_greeting(self, mono_us: int, link: Link, voter: wire.VoterIncarnation) -> None:
+        if (earlier := self._voter_links.link_of.get(voter.name)) is not None:
+            self._drop(mono_us, earlier, f"{voter.name} has connected anew")
+        self._voter_links.greeted(link, voter.name)
+        self._record_incarnations([voter])
+        if joins := self.observer_progress.synchronized_joins():
+            self._outbox.send_to_voter(link, wire.Moved(joins))
+
+    def _handle_session_answer(self, voter: VoterLink) -> None:
+        incomplete = self._voter_links.incomplete
+        if not self.counts and not incomplete and self.freshness.may_catch_up():
+            self._start_counting()
+        if voter.name is not None and incomplete.recovered(voter.name, voter.session):
+            self._changes.resend_statuses()
+
+    def _record_incarnations(self, incarnations: Iterable[wire.VoterIncarnation]) -> None:
+        for name, incarnation in self._voter_links.record_incarnations(incarnations):
             self.commit_tracker.voter_restarted(name, incarnation)
 
     def _handle_offer(self, now_us: int, mono_us: int, link: Link, offer: wire.Offer) -> None:
-        changed, declined = merge_records(self.replica, now_us, offer.records)
-        self._record_changes(changed, declined)
+        changed, rejected = merge_records(self.replica, now_us, offer.records)
+        self._note_changes(changed, rejected)
         if not offer.number:
             return
         try:
             self.commit_tracker.ensure_capacity()
-        except ChangesFull as e:  # it spreads all the same; only nobody can say how far it is
-            self._report_untracked(link, offer.number, e.what)
+        except ChangesFull as e:
+            self._changes.report_untracked(link, offer.number, e.what)
             return
-        if refused(declined):
-            self._report_untracked(link, offer.number, declined[0][1].what)
+        if any_rejected(rejected):
+            self._changes.report_untracked(link, offer.number, rejected[0].error.what)
             return
-        self._track_change(mono_us, offer.records, _Requester(link, offer.number))
+        self._track(mono_us, offer.records, Requester(link, offer.number))
 
-    def _report_untracked(self, link: Link, number: int, why: str) -> None:
-        progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
-        self._outbox.send_to_observer(link, progress)
+    # Changes and their consequences
 
-    def _record_changes(
-        self, records: Iterable[Record], declined: Iterable[tuple[Record, MeshError]] = ()
-    ) -> None:
-        changed, refused = tuple(records), tuple(declined)
-        if changed:
-            self.log.note(changed)
-            self._unflushed = True
-        if changed or refused:
-            self._outbox.add(Apply(changed, refused))
+    def _note_changes(self, records: Iterable[Record], rejected: Iterable[RejectedRecord] = ()) -> None:
+        applied = Apply(tuple(records), tuple(rejected))
+        if applied.records:
+            self.log.note(applied.records)
+            self._flush_pending = True
+        if applied.records or applied.rejected:
+            self._outbox.add(applied)
 
-    def _track_change(self, mono_us: int, records: Iterable[Record], request: _Requester) -> int:
-        """Follow a change of these records: by the slowest and strictest of their kinds."""
+    def _track(self, mono_us: int, records: Iterable[Record], requester: Requester) -> int:
+        """Track a change of these records, by the least urgent and strictest of their kinds."""
         kinds = {record.kind for record in records}
         urgent = kinds <= self.log.urgent_kinds
         hold = any(self.options.mode_of(kind) is Mode.HOLD for kind in kinds)
-        self._last_change += 1
-        self._requesters[self._last_change] = request
-        self.commit_tracker.track(mono_us, self._last_change, self.log.head(urgent), urgent=urgent, hold=hold)
-        return self._last_change
+        return self._changes.track(mono_us, requester, self.log.head(urgent), urgent=urgent, hold=hold)
 
-    def _catch_up(self) -> None:
+    def _start_counting(self) -> None:
         if self.counts:
             return
         self.freshness.caught_up = True
         self._outbox.add(CaughtUp())
-        self.observer_progress.dirty.update(self.observer_progress.tracked)
+        self._changes.resend_statuses()
 
-    # What follows
+    def _is_sent_by_another(self, origin: str) -> bool:
+        """Whether a voter other than this one sends the changes of an origin to all voters."""
+        observer = self.observer_progress.observers.get(origin)
+        ours = observer is not None and observer.link is not None
+        return origin != self.name and not ours
 
-    def _done(self, now_us: int, mono_us: int, *, sessions: bool = True) -> list[Action]:
-        """What follows from all that was taken in; ``sessions``: other voters may be concerned."""
-        if mono_us >= self._review_us:
-            self._review_us = mono_us + STATUS_INTERVAL_US
+    def _finish(self, now_us: int, mono_us: int, *, pump: bool = True) -> list[Action]:
+        """Everything that follows from a call; ``pump``: other voters may be concerned."""
+        if mono_us >= self._expire_waits_us:
+            self._expire_waits_us = mono_us + STATUS_INTERVAL_US
             self.observer_progress.expire_waits(mono_us)
-        self._seal(mono_us)
-        self._send_due_statuses(mono_us)
-        self._notify_progress(mono_us)
-        if sessions:
-            self._pump(now_us, mono_us)
+        self._changes.advance(mono_us)
+        if pump:
+            # Barriers follow the changes that they cover.
+            for link, voter, name in self._voter_links.pump(now_us, mono_us):
+                self._changes.send_barriers(link, name, voter.written)
         self._flush(mono_us)
         if (moved := self._sessions.take_moved()) is not None:
-            self._voter_links.to_all(moved)
+            self._voter_links.send_to_all(moved)
         return self._outbox.take()
 
-    def _pump(self, now_us: int, mono_us: int) -> None:
-        """Let sessions write; send barriers behind the changes that they are about."""
-        for link, voter, name in self._voter_links.pump(now_us, mono_us):
-            for group in self.commit_tracker.batches_to_query(name, voter.written):
-                self._outbox.send_to_voter(link, wire.Barrier(group.number, group.urgent, group.hold))
-
-    def _seal(self, mono_us: int) -> None:
-        for group in self.commit_tracker.seal_due_batches(mono_us):
-            key = self.name, group.number
-            self.observer_progress.track(mono_us, key, group.position, urgent=group.urgent, hold=group.hold)
-
-    def _send_due_statuses(self, mono_us: int) -> None:
-        """Tell who is behind a mark: at once where nobody is any more, else not too often."""
-        for key in sorted(self.observer_progress.dirty):
-            waiting = self.observer_progress.tracked[key].waiting
-            if (
-                waiting
-                and mono_us < self._status_sent_us.get(key, mono_us - STATUS_INTERVAL_US) + STATUS_INTERVAL_US
-            ):
-                continue
-            self.observer_progress.dirty.discard(key)
-            self._status_sent_us[key] = mono_us
-            self._send_status(mono_us, *key)
-        if len(self._status_sent_us) > 2 * len(self.observer_progress.tracked):
-            self._status_sent_us = {
-                key: at for key, at in self._status_sent_us.items() if key in self.observer_progress.tracked
-            }
-
-    def _send_status(self, mono_us: int, origin: str, number: int) -> None:
-        mark = self.observer_progress.tracked[origin, number]
-        if origin == self.name:
-            self.commit_tracker.record_own_status(mono_us, number, mark, self.counts)
-            return
-        link = self._voter_links.by_name.get(origin)
-        if link is None:
-            return
-        behind, names = len(mark.waiting), sorted(mark.waiting)[: wire.MAX_LAGGING_NAMES]
-        counts = self.counts
-        if origin in self._voter_links.refusals:
-            behind, names, counts = behind + 1, [f"voter {self.name}, which refused a record", *names], False
-        starts = self._voter_links.known_incarnations()
-        status = wire.BarrierStatus(number, self.incarnation, counts, starts, behind, tuple(names))
-        self._outbox.send_to_voter(link, status)
-
-    def _notify_progress(self, mono_us: int) -> None:
-        for news in self.commit_tracker.collect_progress(mono_us):
-            self._notify_requester(news, self._requesters[news.number])
-        for group in self.commit_tracker.take_ended():
-            self.observer_progress.untrack((self.name, group.number))
-            self._voter_links.to_all(wire.BarrierEnd(group.number))
-            for change in group.changes:
-                del self._requesters[change]
-
-    def _notify_requester(self, news: Progressed, request: _Requester) -> None:
-        if request.link is None:
-            self._outbox.add(news)
-        elif request.link in self._sessions.links:
-            progress = wire.Progress(request.number, news.accepted, news.in_force, news.behind, news.names)
-            self._outbox.send_to_observer(request.link, progress)
-
     def _flush(self, mono_us: int) -> None:
-        """Changes go to observers in rounds: at once, but no more often than every few milliseconds."""
-        if self._unflushed and mono_us >= self._flushed_us + FLUSH_INTERVAL_US:
-            self._unflushed = False
+        if self._flush_pending and mono_us >= self._flushed_us + FLUSH_INTERVAL_US:
+            self._flush_pending = False
             self._flushed_us = mono_us
             self._sessions.flush(mono_us)
 
-    def _brought_by_another(self, origin: str) -> bool:
-        """Whether another voter than we brings what a process wrote to all."""
-        observed = self.observer_progress.observers.get(origin)
-        ours = observed is not None and observed.link is not None
-        return origin != self.name and not ours
-
     # Links that end
 
-    def _refuse(self, mono_us: int, link: Link, why: str) -> None:
+    def _reject(self, mono_us: int, link: Link, why: str) -> None:
         self.metrics.refused += 1
-        if link not in self._voter_links.links:
+        if link not in self._voter_links.by_link:
             self._outbox.send_to_observer(link, wire.Refused(why))
         self._drop(mono_us, link, why)
 
     def _drop(self, mono_us: int, link: Link, why: str) -> None:
-        self._lost(mono_us, link)
+        self._closed(mono_us, link)
         self._outbox.disconnect(link, why)
 
-    def _lost(self, mono_us: int, link: Link) -> None:
-        self._pending.pop(link, None)
-        self._sessions.lost(link)
-        if (name := self._voter_links.lost(mono_us, link)) is not None:
-            self.commit_tracker.voter_unlinked(name)
-            self.observer_progress.untrack_matching(lambda key: key[0] == name)
-
-    def _drop_silent(self, mono_us: int) -> None:
-        """Links on which nothing came for longer than a lease lasts."""
-        silent = [link for link, at in self._pending.items() if mono_us - at > self.options.bound_us]
-        for link in (*silent, *self._voter_links.silent(mono_us), *self._sessions.silent(mono_us)):
+    def _closed(self, mono_us: int, link: Link) -> None:
+        self._pending_links.pop(link, None)
+        self._sessions.closed(link)
+        if (name := self._voter_links.closed(mono_us, link)) is not None:
+            self._changes.voter_unlinked(name)
+
+    def _drop_silent_links(self, mono_us: int) -> None:
+        """Close links on which nothing was received for longer than the bound."""
+        pending = [link for link, at in self._pending_links.items() if mono_us - at > self.options.bound_us]
+        voters, observers = self._voter_links.silent_links(mono_us), self._sessions.silent_links(mono_us)
+        for link in (*pending, *voters, *observers):
             self._drop(mono_us, link, "nothing came for longer than the bound")
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -1,17 +1,19 @@
-"""A voter's links to the other voters: who dials whom, sessions, starts, and which list each goes by.
+"""A voter's links to the other voters: dialing, replication sessions, incarnations, and lists of voters.
 
-All times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
+Knows nothing of changes and observers. Times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix
+time.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from random import Random
+from typing import NamedTuple
 
 from robinhill.control import messages as wire
 from robinhill.control.actions import Connect, Link
 from robinhill.control.backoff import Backoff
 from robinhill.control.options import ControlOptions
-from robinhill.control.outbox import Outbox
+from robinhill.control.outbox import VoterOutbox
 from robinhill.cordon.propagation import with_slack
 from robinhill.mesh.acknowledgements import list_digest
 from robinhill.mesh.freshness import Freshness
@@ -21,84 +23,99 @@
 
 @dataclass(slots=True)
 class VoterLink:
-    """A link to another voter. ``name`` is None until it has greeted; ``dialed``: whom we connected to;
-    ``told``: our last word on ourselves."""
+    """A link to another voter.
+
+    ``dialed``: the voter that we connected to; None where it connected. ``name`` is None until it has
+    greeted. ``status``: its last; ``sent_status``: our last to it.
+    """
 
     session: Session
     last_received_us: int
     dialed: str | None = None
     name: str | None = None
     status: wire.VoterStatus | None = None
-    told: wire.VoterStatus | None = None
+    sent_status: wire.VoterStatus | None = None
 
     @property
     def written(self) -> int:
-        """All our changes up to this one are written to the voter, which reads them before what we write
-        next, as links are ordered; 0 while it is not yet known what else it lacks."""
+        """The position up to which all our changes are sent to the voter, ahead of whatever is sent next; 0
+        while it is not yet known what else it lacks."""
         comparison = self.session.comparison
         return self.session.cursor if comparison.rounds and not comparison.owed else 0
 
 
+class _RequiredRounds(NamedTuple):
+    """Comparisons of a session after which a voter is complete again."""
+
+    session: Session
+    rounds: int
+
+
 class IncompleteVoters:
-    """Voters that sent a record which could not be taken: of those we don't know all that they knew.
+    """Voters that sent a record which was rejected here: we don't have all that they know.
 
-    As long as there is one, what we know of other voters is of no use to anybody else. It ends once a
+    While there is one, what we know of other voters is of no use to anybody else. A voter is removed once a
     comparison that began later finds no difference.
     """
 
     def __init__(self) -> None:
-        self._rounds: dict[str, tuple[Session, int]] = {}  # after how many rounds of a session
+        self._required: dict[str, _RequiredRounds] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._rounds)
+        return bool(self._required)
 
     def __contains__(self, voter: str) -> bool:
-        return voter in self._rounds
+        return voter in self._required
 
-    def refused(self, voter: str, session: Session) -> None:
-        """A record that this voter sent was refused."""
-        self._rounds[voter] = session, session.comparison.rounds + 2  # one may be under way
+    def record_rejected(self, voter: str, session: Session) -> None:
+        """A record that this voter sent was rejected."""
+        # The next comparison to end may have begun before.
+        self._required[voter] = _RequiredRounds(session, session.comparison.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
-        """Whether we hold all that this voter holds by now. True once."""
-        if voter not in self._rounds:
+        """Whether we have all that this voter has by now. True once."""
+        if voter not in self._required:
             return False
-        before, needed = self._rounds[voter]
+        required = self._required[voter]
         comparison = session.comparison
-        if comparison.rounds < (needed if before is session else 1) or comparison.differing:
+        rounds = required.rounds if required.session is session else 1
+        if comparison.rounds < rounds or comparison.differing:
             return False
-        del self._rounds[voter]
+        del self._required[voter]
         return True
 
 
 class ReportableAges:
-    """What sessions tell of `Freshness`: only of ourselves while something was refused."""
+    """What sessions report of `Freshness`: while a voter is incomplete here, only about ourselves."""
 
-    def __init__(self, freshness: Freshness, refusals: IncompleteVoters) -> None:
+    def __init__(self, freshness: Freshness, incomplete: IncompleteVoters) -> None:
         self.pinged = freshness.pinged
         self.answered = freshness.answered
         self._freshness = freshness
-        self._refusals = refusals
+        self._incomplete = incomplete
 
     def ages(self, mono_us: int) -> Mapping[str, int]:
-        """How old our knowledge is of each voter that counts."""
-        return self._ours(self._freshness.ages(mono_us))
+        """Age of our knowledge of each voter that counts, in microseconds."""
+        return self._reportable(self._freshness.ages(mono_us))
 
     def starting_ages(self, mono_us: int) -> Mapping[str, int]:
-        """The same of those that do not count yet."""
-        return self._ours(self._freshness.starting_ages(mono_us))
+        """The same of voters that do not count yet."""
+        return self._reportable(self._freshness.starting_ages(mono_us))
 
     def age_us(self, mono_us: int) -> int | None:
-        """As of how long ago we know a majority, for observers."""
-        return None if self._refusals else self._freshness.age_us(mono_us)
+        """Age of the majority's state that we know, for observers; None: of none."""
+        return None if self._incomplete else self._freshness.age_us(mono_us)
 
-    def _ours(self, ages: Mapping[str, int]) -> Mapping[str, int]:
+    def _reportable(self, ages: Mapping[str, int]) -> Mapping[str, int]:
         me = self._freshness.me
-        return {name: age for name, age in ages.items() if name == me} if self._refusals else ages
+        return {name: age for name, age in ages.items() if name == me} if self._incomplete else ages
 
 
 class VoterLinks:
-    """The other voters. ``brings``: whether another voter than we brings what a process wrote to all."""
+    """The other voters.
+
+    ``sent_by_another``: whether a voter other than this one sends the changes of an origin to all voters.
+    """
 
     def __init__(
         self,
@@ -107,32 +124,32 @@
         replica: Replica,
         freshness: Freshness,
         rng: Random,
-        outbox: Outbox,
-        brings: Callable[[str], bool],
+        outbox: VoterOutbox,
+        sent_by_another: Callable[[str], bool],
     ) -> None:
         self.options = options
         self.incarnation = incarnation
         self.replica = replica
         self.freshness = freshness
-        self.links: dict[Link, VoterLink] = {}
-        self.by_name: dict[str, Link] = {}
-        self.starts = {options.name: incarnation}
-        self.refusals = IncompleteVoters()
-        self.ages = ReportableAges(freshness, self.refusals)
+        self.by_link: dict[Link, VoterLink] = {}
+        self.link_of: dict[str, Link] = {}
+        self.incomplete = IncompleteVoters()
+        self.ages = ReportableAges(freshness, self.incomplete)
+        self._incarnations = {options.name: wire.VoterIncarnation(options.name, incarnation)}
         self._outbox = outbox
-        self._brings = brings
+        self._sent_by_another = sent_by_another
         self._backoff = Backoff(rng)
-        self._agreed_us: int | None = None  # since when all go by the newest list
+        self._agreed_since_us: int | None = None  # since when all voters use the newest list
 
     @property
     def names(self) -> frozenset[str]:
-        """All voters of all lists that hold, ourselves among them."""
+        """The voters of all lists that count, this one among them."""
         return self.freshness.quorum.names
 
     # Links
 
     def connect(self, mono_us: int) -> None:
-        """Dial voters that it is time to dial."""
+        """Dial the voters that are due."""
         self._backoff.expire(mono_us)
         for name in self._to_dial():
             if mono_us >= self._backoff.due_us(name):
@@ -145,107 +162,114 @@
             self._backoff.connected(name)
             self._outbox.disconnect(link, f"{name} is no voter any more")
             return
-        self.links[link] = VoterLink(self._session(opens=True), mono_us, name)
+        self.by_link[link] = VoterLink(self._session(opens=True), mono_us, name)
 
-    def answered(self, mono_us: int, link: Link) -> None:
+    def accepted(self, mono_us: int, link: Link) -> None:
         """A voter has connected to us."""
-        self.links[link] = VoterLink(self._session(opens=False), mono_us)
+        self.by_link[link] = VoterLink(self._session(opens=False), mono_us)
 
     def failed(self, mono_us: int, name: str) -> None:
         """A connection that we asked for could not be opened."""
         self._backoff.failed(mono_us, name)
 
-    def greeted(self, link: Link, name: str) -> Link | None:
-        """The other side is this voter. Returns its link of before, if there is one, which must end."""
-        before = self.by_name.get(name)
-        voter = self.links[link]
+    def greeted(self, link: Link, name: str) -> None:
+        """The other side of a link is this voter. Its earlier link must have ended before."""
+        voter = self.by_link[link]
         voter.name = name
-        self.by_name[name] = link
+        self.link_of[name] = link
         self._backoff.connected(voter.dialed or name)
-        return before if before != link else None
 
-    def lost(self, mono_us: int, link: Link) -> str | None:
-        """A link has ended. Returns whose it was, where that voter has no other."""
-        voter = self.links.pop(link, None)
+    def closed(self, mono_us: int, link: Link) -> str | None:
+        """A link has ended. Returns the voter's name where it has no other."""
+        voter = self.by_link.pop(link, None)
         if voter is None:
             return None
         if voter.dialed is not None:
             self._backoff.failed(mono_us, voter.dialed)
-        if voter.name is None or self.by_name.get(voter.name) != link:
+        if voter.name is None or self.link_of.get(voter.name) != link:
             return None
-        del self.by_name[voter.name]
+        del self.link_of[voter.name]
         return voter.name
 
-    def silent(self, mono_us: int) -> list[Link]:
-        """Links on which nothing came for longer than the bound."""
-        patience_us = self.options.bound_us
-        return [link for link, one in self.links.items() if mono_us - one.last_received_us > patience_us]
+    def silent_links(self, mono_us: int) -> list[Link]:
+        """Links on which nothing was received for longer than the bound."""
+        timeout_us = self.options.bound_us
+        return [link for link, one in self.by_link.items() if mono_us - one.last_received_us > timeout_us]
 
     def next_us(self) -> Iterator[int]:
-        """When something is due though nothing comes before."""
-        yield from (one.session.next_us() for one in self.links.values())
+        """When something is due though nothing is received before."""
+        yield from (one.session.next_us() for one in self.by_link.values())
         yield from (self._backoff.due_us(name) for name in self._to_dial())
 
     # Messages
 
     def pump(self, now_us: int, mono_us: int) -> Iterator[tuple[Link, VoterLink, str]]:
-        """Let sessions write what they have, then our word on ourselves; each voter that has greeted."""
+        """Send what sessions have to send, then our status where it has changed.
+
+        Yields each link whose voter has greeted, with the voter's name.
+        """
         status = self._status()
-        for link, voter in self.links.items():
+        for link, voter in self.by_link.items():
             while (data := voter.session.draw(now_us, mono_us)) is not None:
                 self._outbox.send_to_voter(link, wire.MeshData(data))
             if voter.name is None:
                 continue
-            if voter.told != status:
-                voter.told = status
+            if voter.sent_status != status:
+                voter.sent_status = status
                 self._outbox.send_to_voter(link, status)
             yield link, voter, voter.name
 
-    def to_all(self, message: wire.VoterMessage) -> None:
-        """Send a message to each voter that is linked."""
-        for link in self.by_name.values():
+    def send_to_all(self, message: wire.VoterMessage) -> None:
+        """Send a message to each voter that has greeted."""
+        for link in self.link_of.values():
             self._outbox.send_to_voter(link, message)
 
-    # Starts and lists
+    # Incarnations and lists of voters
 
-    def started(self, starts: Iterable[tuple[str, int]]) -> list[tuple[str, int]]:
-        """Somebody knows of these starts of voters. Returns those that are news here."""
-        news = [(name, at) for name, at in starts if name in self.names and at > self.starts.get(name, 0)]
-        for name, incarnation in news:
-            self.starts[name] = incarnation
-            self.freshness.started(name, incarnation)
-        return news
+    def record_incarnations(
+        self, incarnations: Iterable[wire.VoterIncarnation]
+    ) -> list[wire.VoterIncarnation]:
+        """Record incarnations that another process knows. Returns those that are newer than known here."""
+        newer = [one for one in incarnations if one.name in self.names and self._is_newer(one)]
+        for one in newer:
+            self._incarnations[one.name] = one
+            self.freshness.started(one.name, one.incarnation)
+        return newer
 
-    def known_incarnations(self) -> tuple[tuple[str, int], ...]:
-        """The starts that we know of."""
-        return tuple(sorted(self.starts.items()))
+    def known_incarnations(self) -> tuple[wire.VoterIncarnation, ...]:
+        """The newest incarnation of each voter that is known here, by name."""
+        return tuple(sorted(self._incarnations.values()))
 
     def reconfigure(self, options: ControlOptions) -> None:
-        """Go by another list from now on, and by those before until `settles`."""
+        """Use another list of voters, beside those before until `settle`."""
         self.options = options
         self.freshness.reconfigure(options.voters)
-        self._agreed_us = None
+        self._agreed_since_us = None
 
-    def settles(self, mono_us: int) -> bool:
-        """Once all have gone by the newest list for longer than any lease lasts, only that one counts. True
-        if that begins now."""
+    def settle(self, mono_us: int) -> bool:
+        """Drop all lists but the newest once all voters have used it for longer than a lease lasts. Returns
+        whether they were dropped now."""
         lists = self.freshness.quorum.lists
         if len(lists) == 1:
             return False
         digest = list_digest(lists[-1])
-        if not all(self._goes_by(name, digest) for name in lists[-1] - {self.options.name}):
-            self._agreed_us = None
+        if not all(self._uses_list(name, digest) for name in lists[-1] - {self.options.name}):
+            self._agreed_since_us = None
             return False
-        if self._agreed_us is None:
-            self._agreed_us = mono_us
-        if mono_us < self._agreed_us + with_slack(self.options.bound_us):
+        if self._agreed_since_us is None:
+            self._agreed_since_us = mono_us
+        if mono_us < self._agreed_since_us + with_slack(self.options.bound_us):
             return False
         self.freshness.settled()
         return True
 
-    def _goes_by(self, name: str, digest: bytes) -> bool:
-        link = self.by_name.get(name)
-        status = self.links[link].status if link is not None else None
+    def _is_newer(self, one: wire.VoterIncarnation) -> bool:
+        known = self._incarnations.get(one.name)
+        return one.incarnation > (known.incarnation if known is not None else 0)
+
+    def _uses_list(self, name: str, digest: bytes) -> bool:
+        link = self.link_of.get(name)
+        status = self.by_link[link].status if link is not None else None
         return status is not None and status.voters == digest
 
     def _status(self) -> wire.VoterStatus:
@@ -256,10 +280,10 @@
         options = self.options
         identity = Identity(options.installation, options.name, self.incarnation, tuple(sorted(self.names)))
         session = Session(identity, self.replica, self.ages, opens, options.ping_us)
-        session.direct = self._brings
+        session.direct = self._sent_by_another
         return session
 
     def _to_dial(self) -> list[str]:
         """Voters that we connect to: of two the one with the smaller name does."""
-        linking = self.by_name.keys() | self._backoff.connecting
+        linking = self.link_of.keys() | self._backoff.connecting
         return [name for name in self.options.voters if name > self.options.name and name not in linking]
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -27,7 +27,7 @@
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import restore_records
+from robinhill.net.control_group.recovery import log_rejected, restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
@@ -128,7 +128,7 @@
 
     def lease(self) -> bool:
         """Whether a majority of voters is known as of no longer ago than the bound."""
-        return self.observer.holds_lease(mono_us())
+        return self.observer.has_lease(mono_us())
 
     # Operators
 
@@ -142,8 +142,8 @@
     def status(self) -> Answer:
         """How this copy stands, for operators and for whoever compares copies."""
         now = mono_us()
-        standing = self.observer.standing(CORDON, now)
-        in_step = self.observer.in_step
+        status = self.observer.status(CORDON, now)
+        in_step = self.observer.synchronized
         fields = {
             "name": self.name,
             "role": "observer",
@@ -153,9 +153,9 @@
             "spare_voter": self.observer.spare_voter,
             "in_step": in_step,
             "on_lost": self.mesh.on_lost,
-            "lease": not standing.stale,
-            "may_act": standing.may_act,
-            "majority_known_ms_ago": None if standing.age_us is None else standing.age_us / 1000,
+            "lease": not status.stale,
+            "may_act": status.may_act,
+            "majority_known_ms_ago": None if status.age_us is None else status.age_us / 1000,
         }
         return Answer(200, msgspec.json.encode({k: v for k, v in fields.items() if v is not None}) + b"\n")
 
@@ -165,14 +165,14 @@
 
     def metrics(self) -> bytes:
         """Lines for operators."""
-        standing = self.observer.standing(CORDON, mono_us())
+        status = self.observer.status(CORDON, mono_us())
         traffic = self.driver.traffic
         lines = [
             f"links:{len(self.driver.links)}|g",
-            f"in_step:{int(self.observer.in_step)}|g",
-            f"lease:{int(not standing.stale)}|g",
-            f"majority_age_ms:{-1 if standing.age_us is None else standing.age_us // 1000}|g",
-            f"moves:{self.observer.moves}|c",
+            f"in_step:{int(self.observer.synchronized)}|g",
+            f"lease:{int(not status.stale)}|g",
+            f"majority_age_ms:{-1 if status.age_us is None else status.age_us // 1000}|g",
+            f"moves:{self.observer.primary_changes}|c",
             f"cordons:{len(self.cordons.book.standing())}|g",
             f"cordoned_workers:{len(self.cordons.book.held_workers())}|g",
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
@@ -210,10 +210,8 @@
 
     def _act(self, action: Action) -> None:
         match action:
-            case Apply(records=records, declined=declined):
-                for record, error in declined:
-                    extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-                    log.warning("record_declined", extra=extra)
+            case Apply(records=records, rejected=rejected):
+                log_rejected(rejected)
                 if any(record.kind == CORDON for record in records):
                     self._update()
             case LeaseChanged(held=held, age_us=age_us):
@@ -249,7 +247,7 @@
 
     def _after_observer_call(self) -> None:
         """After each call of the observer."""
-        if self.observer.in_step and not self.serving:
+        if self.observer.synchronized and not self.serving:
             self._serve()
         voters = self.observer.voter, self.observer.spare_voter
         if voters != self._reported_voters:
@@ -263,7 +261,7 @@
         self.serving = True
         self.inbound.behind = False
         seconds = (mono_us() - self._began_us) / 1e6
-        if self.observer.in_step:
+        if self.observer.synchronized:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
         else:
             log.warning("not_caught_up", extra={"seconds": seconds, "voter": "none"})
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -1,9 +1,10 @@
-"""What a member of the control group finds on its disk when it starts."""
+"""The records of a member of the control group that are restored at its start, and those that are
+rejected."""
 
 import logging
 from collections.abc import Iterable
 
-from robinhill.mesh.errors import MeshError
+from robinhill.control.record_merging import RejectedRecord, merge_records
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.snapshot import SnapshotHeader
@@ -12,15 +13,19 @@
 
 
 def restore_records(replica: Replica, header: SnapshotHeader, records: Iterable[Record], now_us: int) -> None:
-    """Take what the last process left, unless it may have been forgotten by all others since."""
-    taken = 0
-    for record in records:
-        try:
-            replica.take(now_us, record)
-            taken += 1
-        except MeshError as e:
-            log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": str(e)})
+    """Merge the records of a snapshot, unless it is so old that other processes may have dropped them
+    since."""
+    found = list(records)
+    _, rejected = merge_records(replica, now_us, found)
+    log_rejected(rejected)
     away_us = max(0, now_us - header.saved_us)
     if replica.stale(now_us, away_us):
         replica.clear(away_us)
-    log.info("recalled", extra={"records": taken, "age_s": away_us / 1e6})
+    log.info("recalled", extra={"records": len(found) - len(rejected), "age_s": away_us / 1e6})
+
+
+def log_rejected(rejected: Iterable[RejectedRecord]) -> None:
+    """Log records that the replica rejected, or stored with a warning."""
+    for rejection in rejected:
+        record, why = rejection.record, str(rejection.error)
+        log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": why})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -27,7 +27,7 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import restore_records
+from robinhill.net.control_group.recovery import log_rejected, restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
@@ -181,7 +181,7 @@
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this voter does not know."""
         log.warning("vouched", extra={"voter": self.config.name})
-        self.driver.tell(Run(lambda: self.driver.perform(self.voter.vouch(self.clock.now_us(), mono_us()))))
+        self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"it counts for majorities\n")
 
     def forget(self, scheduler: str) -> Answer:
@@ -218,10 +218,8 @@
 
     def _act(self, action: Action) -> None:
         match action:
-            case Apply(declined=declined):
-                for record, error in declined:
-                    extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-                    log.warning("record_declined", extra=extra)
+            case Apply(rejected=rejected):
+                log_rejected(rejected)
             case Progressed():
                 self.cordons.progressed(action)
             case CaughtUp():
@@ -239,8 +237,14 @@
         self.driver.perform(actions)
         log.info("voters_reconfigured", extra={"voters": len(options.voters)})
 
+    def _confirm_complete(self) -> None:
+        self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
+
+    def _confirm_complete(self) -> None:
+        self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
+
     def _forget(self, scheduler: str) -> None:
-        self.driver.perform(self.voter.forget(self.clock.now_us(), mono_us(), scheduler))
+        self.driver.perform(self.voter.remove_observer(self.clock.now_us(), mono_us(), scheduler))
 
     async def _refresh(self) -> None:
         while True:
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -46,12 +46,12 @@
     @property
     def behind(self) -> int:
         """How many voters and schedulers are not known to go by it."""
-        return max((news.behind for news in self._news()), default=0)
+        return max((news.lagging.count for news in self._news()), default=0)
 
     @property
     def names_behind(self) -> tuple[str, ...]:
         """Some of them, ascending."""
-        return tuple(sorted({name for news in self._news() for name in news.names}))
+        return tuple(sorted({name for news in self._news() for name in news.lagging.names}))
 
     def _news(self) -> Iterable[Progressed]:
         return (news for news in self.numbers.values() if news is not None)
--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -431,7 +431,7 @@
             change.accepted_us = self.at_us
         if news.in_force and change.in_force_us is None:
             change.in_force_us = self.at_us
-        change.behind, change.names = news.behind, news.names
+        change.behind, change.names = news.lagging.count, news.lagging.names
 
     def _check(self) -> None:
         if self.checking:
@@ -444,7 +444,7 @@
             self._check_monotone(process)
             machine = process.machine
             assert isinstance(machine, Observer)
-            if not machine.holds_lease(process.mono_us(self.at_us)):
+            if not machine.has_lease(process.mono_us(self.at_us)):
                 continue
             process.unknown += self.changes[process.checked :]
             process.checked = len(self.changes)
@@ -484,7 +484,7 @@
     def leased(self) -> bool:
         """Whether all observers hold their lease."""
         return all(
-            one.machine.holds_lease(one.mono_us(self.at_us))
+            one.machine.has_lease(one.mono_us(self.at_us))
             for one in self.observers()
             if isinstance(one.machine, Observer)
         )
@@ -493,7 +493,7 @@
         """Whether all observers are in step and have a spare link, where there is more than one voter."""
         spare = len(self.voters()) > 1
         return all(
-            one.machine.in_step and (one.machine.spare_voter is not None or not spare)
+            one.machine.synchronized and (one.machine.spare_voter is not None or not spare)
             for one in self.observers()
             if isinstance(one.machine, Observer)
         )
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -58,15 +58,23 @@
 SAMPLES: dict[str, msgspec.Struct] = {
     "control.mesh": control.MeshData(data=b"data1"),
     "control.status": control.VoterStatus(
-        incarnation=1, counts=True, voters=b"voters2", starts=(("starts3", 4),)
+        incarnation=1,
+        counts=True,
+        voters=b"voters2",
+        incarnations=(control.VoterIncarnation("starts3", 4),),
     ),
     "control.barrier": control.Barrier(number=1, urgent=True, hold=True),
     "control.behind": control.BarrierStatus(
-        number=1, incarnation=2, counts=True, starts=(("starts3", 4),), behind=5, names=("names6",)
+        number=1,
+        incarnation=2,
+        counts=True,
+        incarnations=(control.VoterIncarnation("starts3", 4),),
+        lagging_count=5,
+        lagging_names=("names6",),
     ),
     "control.unbar": control.BarrierEnd(number=1),
-    "control.moved": control.Moved(observers=(("observers1", 2, 3),)),
-    "control.departed": control.Departed(observers=(("observers1", 2, 3),)),
+    "control.moved": control.Moved(observers=(control.ObserverJoin("observers1", 2, 3),)),
+    "control.departed": control.Departed(observers=(control.ObserverJoin("observers1", 2, 3),)),
     "control.join": control.Join(
         protocol=1,
         installation="installation2",
@@ -143,7 +151,9 @@
         ),
     ),
     "control.reply": control.HeartbeatReply(number=1, age_us=2, position=3),
-    "control.progress": control.Progress(number=1, accepted=True, in_force=True, behind=2, names=("names3",)),
+    "control.progress": control.Progress(
+        number=1, accepted=True, in_force=True, lagging_count=2, lagging_names=("names3",)
+    ),
     "control.refused": control.Refused(why="why1"),
     "shared.Stamp": shared.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
     "shared.Record": shared.Record(
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -13,7 +13,16 @@
 
 from robinhill.config import OperatorFile
 from robinhill.config_types import Address
-from robinhill.control.actions import Action, Apply, Connect, Disconnect, Link, Progressed, Send
+from robinhill.control.actions import (
+    Action,
+    Apply,
+    Connect,
+    Disconnect,
+    LaggingObservers,
+    Link,
+    Progressed,
+    Send,
+)
 from robinhill.cordon import value
 from robinhill.emulator.site import free_address
 from robinhill.mesh.options import MeshOptions, VoterPlace
@@ -279,7 +288,7 @@
 
 
 def news(number: int, accepted: bool, in_force: bool, behind: int = 0, *names: str) -> Progressed:
-    return Progressed(number, accepted, in_force, behind, names)
+    return Progressed(number, accepted, in_force, LaggingObservers(behind, names))
 
 
 def test_a_change_of_several_targets_has_come_as_far_as_the_last_of_them() -> None:
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -5,11 +5,12 @@
 
 import pytest
 
+from robinhill.control.actions import LaggingObservers
 from robinhill.control.commit_tracker import ChangeBatch, CommitTracker
 from robinhill.control.lease import ObserverLease
-from robinhill.control.observer import Observer
-from robinhill.control.observer_progress import ObserverProgress, TrackedPosition
+from robinhill.control.observer_progress import BarrierId, ObserverProgress, TrackedPosition
 from robinhill.control.observer_sessions import ObserverSessions
+from robinhill.control.replica_sync import ReplicaSync
 from robinhill.cordon.propagation import Mode, with_slack
 from tests.control_network import CORDON, NOTE, Network
 
@@ -147,7 +148,7 @@
     original = ObserverProgress.track
 
     def planted(
-        self: ObserverProgress, mono_us: int, key: tuple[str, int], position: int, **more: bool
+        self: ObserverProgress, mono_us: int, key: BarrierId, position: int, **more: bool
     ) -> TrackedPosition:
         found = original(self, mono_us, key, position, **more)
         found.waiting -= {name for name, one in self.observers.items() if one.link is None}
@@ -167,40 +168,40 @@
 
 
 def without_silent_voters(monkeypatch: pytest.MonkeyPatch) -> None:
-    def planted(self: CommitTracker, batch: ChangeBatch) -> tuple[int, tuple[str, ...]]:
-        return sum(count for count, _ in batch.lagging.values()), ()
+    def planted(self: CommitTracker, batch: ChangeBatch) -> LaggingObservers:
+        return LaggingObservers(sum(one.count for one in batch.lagging.values()), ())
 
     monkeypatch.setattr(CommitTracker, "_lagging", planted)
 
 
 def moved_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
-    grant = ObserverSessions._grant
+    grant = ObserverSessions._grant_comparisons
 
     def planted(self: ObserverSessions) -> None:
-        for link in self._waiting:
-            observer = self.links[link]
-            self.moved[observer.name] = observer.incarnation, observer.join
+        for link in self._comparison_queue:
+            observer = self._by_link[link]
+            self._note_moved(observer, observer.join)
         grant(self)
 
-    monkeypatch.setattr(ObserverSessions, "_grant", planted)
+    monkeypatch.setattr(ObserverSessions, "_grant_comparisons", planted)
 
 
 def lease_lasts_twice_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
     def planted(self: ObserverLease, mono_us: int) -> bool:
         return self.as_of_us is not None and mono_us - self.as_of_us <= 2 * self.bound_us
 
-    monkeypatch.setattr(ObserverLease, "holds", planted)
+    monkeypatch.setattr(ObserverLease, "is_valid", planted)
 
 
 def copy_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    send = Observer._send_digests
+    send = ReplicaSync.send_digests
 
-    def planted(self: Observer, now_us: int, link: int) -> None:
-        if not self._in_step:
+    def planted(self: ReplicaSync, now_us: int, link: int) -> None:
+        if not self.synchronized:
             self.replica.clear()
         send(self, now_us, link)
 
-    monkeypatch.setattr(Observer, "_send_digests", planted)
+    monkeypatch.setattr(ReplicaSync, "send_digests", planted)
 
 
 Plant = Callable[[pytest.MonkeyPatch], None]
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -49,7 +49,7 @@
     head = rig.replica.head
     first = rig.draw()
     assert len(first) == MAX_UNCONFIRMED_MESSAGES and all(isinstance(one, Changes) for one in first)
-    rig.feed.received(MAX_UNCONFIRMED_MESSAGES)
+    rig.feed.confirm(MAX_UNCONFIRMED_MESSAGES)
     *rest, answer = rig.draw()
     assert isinstance(rest[-1], Changes) and rest[-1].position == head
     assert answer == HeartbeatReply(7, 500, head)
@@ -62,7 +62,7 @@
     for value in range(2, 1_000):
         rig.write(NOTE, "again", value)
         assert rig.draw() == []
-    rig.feed.received(MAX_UNCONFIRMED_MESSAGES)
+    rig.feed.confirm(MAX_UNCONFIRMED_MESSAGES)
     (message,) = rig.draw()
     assert isinstance(message, Changes) and len(message.records) == 1
 
@@ -80,7 +80,7 @@
         if not drawn:
             break
         found += drawn
-        rig.feed.received(rig.feed.sent)
+        rig.feed.confirm(rig.feed.sent)
     ranges = [one for one in found if isinstance(one, RangeRecords)]
     keys = {record.key for one in ranges for part in one.parts for record in part.records}
     assert len(keys) >= 3_000 and found[: len(ranges)] == ranges
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -99,7 +99,7 @@
     for end in connection.ends:
         network._send_end(connection, end)
     network.run(SECOND)
-    assert network.observer("s0000").moves == 2 and network.leased()
+    assert network.observer("s0000").primary_changes == 2 and network.leased()
     assert network.voter("v00").metrics.comparisons == compared
 
 
@@ -115,7 +115,7 @@
     assert change.accepted_us is not None and change.in_force_us is None
     assert (change.behind, change.names) == (1, ("s0002",))
     in_force(network, change, network.bound_us + SECOND)
-    assert not network.observer("s0002").holds_lease(network.mono_us("s0002"))
+    assert not network.observer("s0002").has_lease(network.mono_us("s0002"))
     assert network.broken == []
 
 
@@ -139,7 +139,9 @@
     network.run(4 * SECOND)
     assert change.names == ("s0002",)
     for voter in network.keys.voters:
-        network.call(voter, lambda machine, now_us, mono_us: machine.forget(now_us, mono_us, "s0002"))
+        network.call(
+            voter, lambda machine, now_us, mono_us: machine.remove_observer(now_us, mono_us, "s0002")
+        )
     network.run(SECOND)
     assert change.in_force_us is not None
 
@@ -195,12 +197,12 @@
     outside = [one for one in network.observers() if one.place.region != "r2"]
     for process in inside:
         observer, mono_us = network.observer(process.name), network.mono_us(process.name)
-        assert not observer.standing(CORDON, mono_us).may_act
-        standing = observer.standing(NOTE, mono_us)
-        assert standing.may_act and standing.stale and 4 * SECOND < (standing.age_us or 0) < 10 * SECOND
+        assert not observer.status(CORDON, mono_us).may_act
+        status = observer.status(NOTE, mono_us)
+        assert status.may_act and status.stale and 4 * SECOND < (status.age_us or 0) < 10 * SECOND
         assert not network.knows(process, change)
     for process in outside:
-        assert network.observer(process.name).holds_lease(network.mono_us(process.name))
+        assert network.observer(process.name).has_lease(network.mono_us(process.name))
     network.heal()
     took_us = network.run_until(lambda: network.leased() and network.know_all(change), 4 * SECOND)
     assert took_us < 4 * SECOND and network.broken == []
@@ -330,7 +332,7 @@
     network.run(SECOND // 2)
     assert network.changes[-1].names == ("s0001",)
     network.run(network.bound_us + SECOND)
-    assert not network.observer("s0001").holds_lease(network.mono_us("s0001"))
+    assert not network.observer("s0001").has_lease(network.mono_us("s0001"))
     assert all(change.in_force_us is not None for change in network.changes) and network.broken == []
 
 
@@ -364,7 +366,7 @@
 
 def test_changes_that_wait_for_a_killed_scheduler_do_not_stop_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("robinhill.control.commit_tracker.MAX_BATCHES", 4)
-    monkeypatch.setattr("robinhill.control.observer.MAX_PENDING_OFFERS", 4)
+    monkeypatch.setattr("robinhill.control.pending_offers.MAX_PENDING_OFFERS", 4)
     network = running(3, 3, on_lost=Mode.SERVE)
     network.crash("s0002")
     for i in range(10):
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -1,6 +1,6 @@
 """Whom a voter waits for."""
 
-from robinhill.control.observer_progress import MAX_DEPARTED, UNKNOWN_OBSERVERS, ObserverProgress
+from robinhill.control.observer_progress import MAX_DEPARTED, UNKNOWN_OBSERVERS, BarrierId, ObserverProgress
 from robinhill.cordon.propagation import with_slack
 
 BOUND = 1_000_000
@@ -16,7 +16,7 @@
 
 
 def waiting(found: ObserverProgress, hold: bool = True) -> set[str]:
-    return found.track(LATER, ("v", 1), 6, urgent=False, hold=hold).waiting
+    return found.track(LATER, BarrierId("v", 1), 6, urgent=False, hold=hold).waiting
 
 
 def test_observers_are_waited_for_until_they_confirm() -> None:
@@ -32,7 +32,7 @@
 
 def test_urgent_changes_have_a_position_of_their_own() -> None:
     found = observer_progress("a")
-    left = found.track(LATER, ("v", 1), 6, urgent=True, hold=True).waiting
+    left = found.track(LATER, BarrierId("v", 1), 6, urgent=True, hold=True).waiting
     found.applied(LATER, "a", 5, 6)
     assert not left
 
@@ -77,7 +77,7 @@
 
 def test_observers_of_an_earlier_start_are_waited_for() -> None:
     found = ObserverProgress(0, BOUND)
-    left = found.track(1, ("v", 1), 6, urgent=False, hold=False).waiting
+    left = found.track(1, BarrierId("v", 1), 6, urgent=False, hold=False).waiting
     assert left == {UNKNOWN_OBSERVERS}
     found.expire_waits(LATER)
     assert not left
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -58,7 +58,7 @@
     "sends though it can't know": (
         "n4",
         "import robinhill.control.lease as l\n"
-        "l.ObserverLease.holds = lambda self, now: self.as_of_us is not None",
+        "l.ObserverLease.is_valid = lambda self, now: self.as_of_us is not None",
         "a voter and a scheduler are cut off",
         "past the bound",
     ),
@@ -72,7 +72,7 @@
     "says in force at once": (
         "n1",
         "import robinhill.control.commit_tracker as t\n"
-        "t.CommitTracker._lagging = lambda self, batch: (0, ())",
+        "t.CommitTracker._lagging = lambda self, batch: t.NONE_LAGGING",
         "a scheduler is far away",
         "after it was in force",
     ),
@@ -80,7 +80,7 @@
         "n1",
         "import robinhill.control.voter as v; start = v.Voter.start\n"
         "def counts(self, now, mono):\n"
-        "    return [*start(self, now, mono), *self.vouch(now, mono)]\n"
+        "    return [*start(self, now, mono), *self.confirm_complete(now, mono)]\n"
         "v.Voter.start = counts",
         "a voter loses its memory",
         "past the bound",
