--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,7 +36,7 @@
 from robinhill.net.peers.peer_connections import STRANGERS, Peers
 from robinhill.net.peers.peer_link import PATH
 from robinhill.net.peers.sharing import Sharing
-from robinhill.protocol import Answer, Destination, Lifecycle
+from robinhill.protocol import Answer, Lifecycle, ListedEndpoint
 
 Result = TypeVar("Result")
 UNIX_EPOCH_S = 1_700_000_000
@@ -199,18 +199,20 @@
 class _Applying:
     """Stands for the decider: what it is told about cordons it has carried out at the next turn."""
 
-    def __init__(self) -> None:
-        self.lease: Callable[[], bool] | None = None
-        self.vouched = True
-        self.may_send: Callable[[Destination], bool] | None = None
-        self.list_changed: Callable[[], None] | None = None
+    def use_cordons(
+        self,
+        may_send: Callable[[ListedEndpoint], bool],
+        on_list_changed: Callable[[], None],
+        send_lease: Callable[[], bool] | None = None,
+    ) -> None:
+        pass  # nothing is sent and no list comes here
 
     def tell(self, message: CordonsChanged | SendLeaseChanged) -> None:
         if isinstance(message, CordonsChanged):
             asyncio.get_running_loop().call_soon(message.on_applied)
 
-    def listed(self) -> list[Destination]:
-        return [Destination("w0", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0)]
+    def listed(self) -> list[ListedEndpoint]:
+        return [ListedEndpoint("w0", "127.0.0.1:9", "north", "std", 0, Lifecycle.ACTIVE, 1.0, 0)]
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -19,7 +19,7 @@
     @property
     def stored_with_warning(self) -> Record | None:
         """The record as it was stored in spite of the error; None: it was rejected."""
-        return self.error.held if isinstance(self.error, StampAhead) else None
+        return self.error.stored if isinstance(self.error, StampAhead) else None
 
 
 def merge_records(
@@ -30,7 +30,7 @@
     rejected: list[RejectedRecord] = []
     for record in records:
         try:
-            stored = replica.take(now_us, record)
+            stored = replica.merge(now_us, record)
         except MeshError as e:
             rejection = RejectedRecord(record, e)
             rejected.append(rejection)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -33,7 +33,7 @@
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Event, Greeted, Learned
+from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
 
 FLUSH_INTERVAL_US = 5_000
 """Least time between two rounds of changes to observers; the first is sent at once."""
@@ -280,14 +280,14 @@
     def _handle_session_event(self, mono_us: int, link: Link, event: Event) -> None:
         voter = self._voter_links.by_link[link]
         match event:
-            case Greeted(hello=hello):
+            case HelloReceived(hello=hello):
                 self._handle_greeting(mono_us, link, wire.VoterIncarnation(hello.name, hello.incarnation))
-            case Learned(records=records, declined=declined):
-                rejected = [RejectedRecord(record, error) for record, error in declined]
+            case RecordsReceived(records=records, rejected=received):
+                rejected = [RejectedRecord(record, error) for record, error in received]
                 self._note_changes(records, rejected)
                 if voter.name is not None and any_rejected(rejected):
                     self._voter_links.incomplete.record_rejected(voter.name, voter.session)
-            case Answered():
+            case PingAnswered():
                 self._handle_session_answer(voter)
 
     def _handle_greeting(self, mono_us: int, link: Link, voter: wire.VoterIncarnation) -> None:
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -40,8 +40,8 @@
     def written(self) -> int:
         """The position up to which all our changes are sent to the voter, ahead of whatever is sent next; 0
         while it is not yet known what else it lacks."""
-        comparison = self.session.comparison
-        return self.session.cursor if comparison.rounds and not comparison.owed else 0
+        anti_entropy = self.session.anti_entropy
+        return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
 
 
 class _RequiredRounds(NamedTuple):
@@ -70,16 +70,16 @@
     def record_rejected(self, voter: str, session: Session) -> None:
         """A record that this voter sent was rejected."""
         # The next comparison to end may have begun before.
-        self._required[voter] = _RequiredRounds(session, session.comparison.rounds + 2)
+        self._required[voter] = _RequiredRounds(session, session.anti_entropy.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
         """Whether we have all that this voter has by now. True once."""
         if voter not in self._required:
             return False
         required = self._required[voter]
-        comparison = session.comparison
+        anti_entropy = session.anti_entropy
         rounds = required.rounds if required.session is session else 1
-        if comparison.rounds < rounds or comparison.differing:
+        if anti_entropy.rounds < rounds or anti_entropy.differing:
             return False
         del self._required[voter]
         return True
@@ -280,7 +280,7 @@
         options = self.options
         identity = Identity(options.installation, options.name, self.incarnation, tuple(sorted(self.names)))
         session = Session(identity, self.replica, self.ages, opens, options.ping_us)
-        session.direct = self._sent_by_another
+        session.sender.receives_directly = self._sent_by_another
         return session
 
     def _to_dial(self) -> list[str]:
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -34,7 +34,7 @@
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.snapshot_store import SnapshotStore
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -89,11 +89,12 @@
         self._reported_voters: tuple[str | None, str | None] = (None, None)
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
-        inbound.behind = True
-        dispatcher.may_send = self.may_send
-        if self._requires_lease:
-            dispatcher.lease, dispatcher.vouched = self.lease, False
-        dispatcher.list_changed = lambda: self.driver.tell(Run(self._update))
+        inbound.catching_up = True
+        dispatcher.use_cordons(
+            self.may_send,
+            lambda: self.driver.tell(Run(self._update)),
+            self.lease if self._requires_lease else None,
+        )
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
         log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
@@ -120,7 +121,7 @@
 
     # Before a send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
         if self._stopped or covers(self.cordons.targets, worker):
             return False
@@ -173,8 +174,8 @@
             f"lease:{int(not status.stale)}|g",
             f"majority_age_ms:{-1 if status.age_us is None else status.age_us // 1000}|g",
             f"moves:{self.observer.primary_changes}|c",
-            f"cordons:{len(self.cordons.book.standing())}|g",
-            f"cordoned_workers:{len(self.cordons.book.held_workers())}|g",
+            f"cordons:{len(self.cordons.index.active())}|g",
+            f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
             f"opened:{traffic.opened}|c",
             f"lost:{traffic.lost}|c",
@@ -259,7 +260,7 @@
         if self.serving:
             return
         self.serving = True
-        self.inbound.behind = False
+        self.inbound.catching_up = False
         seconds = (mono_us() - self._began_us) / 1e6
         if self.observer.synchronized:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -240,9 +240,6 @@
     def _confirm_complete(self) -> None:
         self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
 
-    def _confirm_complete(self) -> None:
-        self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
-
     def _forget(self, scheduler: str) -> None:
         self.driver.perform(self.voter.remove_observer(self.clock.now_us(), mono_us(), scheduler))
 
@@ -255,7 +252,7 @@
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
     def _persistent_records(self) -> Iterable[Record]:
-        return self.replica.snapshot(lasting=True)
+        return self.replica.snapshot(persistent_only=True)
 
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
@@ -280,7 +277,7 @@
         self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
 
     async def _forget(self, body: bytes) -> Answer:
-        return self._voter.forget(protocol.read_instance_id(body))
+        return self._voter.forget(protocol.decode_instance_id(body))
 
 
 async def _no_workers(instance_id: str, out: bool) -> Answer:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -15,8 +15,8 @@
 from robinhill.config import Config, OperatorFile
 from robinhill.config_types import ConfigError
 from robinhill.net.actor import Supervisor
-from robinhill.net.clients.connections import bind, inherit
 from robinhill.net.clients.inbound import Inbound
+from robinhill.net.clients.listener import bind, inherit
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
@@ -58,20 +58,20 @@
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.metrics = Metrics(config.classes)
-        pace = watch_schedule.by_settings(config.settings, random.Random(config.seed))
-        self.list_lease = ListLease.by_settings(config.settings, config.known.generation)
+        schedule = watch_schedule.from_settings(config.settings, random.Random(config.seed))
+        self.list_lease = ListLease.from_settings(config.settings, config.known.generation)
         self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
         self.destinations = EndpointListWatcher(
             config.discovery,
             config.known.generation,
-            pace,
+            schedule,
             self.clock,
             self.supervisor,
             self.dispatcher.tell,
             self.dispatcher.tell,
         )
         self.catch_up = CatchUp(self.clock, self.destinations.unread)
-        self.dispatcher.catch_up = self.destinations.catch_up = self.catch_up
+        self.dispatcher.table.catch_up = self.destinations.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
             from robinhill.net.dispatcher import admission
@@ -79,14 +79,14 @@
             self.admission = admission.AdmissionActor(
                 config, self.supervisor, self.clock, self.metrics, self.dispatcher.tell
             )
-            self.dispatcher.admission = self.admission.tell
+            self.dispatcher.notify_admission = self.admission.tell
         self.recorder: Recorder | None = None
         if config.operator and config.operator.record.folder:
             from robinhill.record import recorder
 
             self.recorder = recorder.Recorder(config.operator.record, config.name)
             tape = TrafficRecorder(self.recorder, self.clock, config.classes)
-            self.dispatcher.tape = tape
+            self.dispatcher.traffic_recorder = self.dispatcher.table.traffic_recorder = tape
             if self.admission:
                 self.admission.tape = tape
             self.metrics.recorder = self.recorder
@@ -130,7 +130,7 @@
         self.succession: Succession | None = None
         if config.socket_fd is not None and config.folder:
             self.succession = Succession(config.folder, self.supervisor, self)
-            self.dispatcher.elsewhere = lambda event: self._spawn_delivery(event)
+            self.dispatcher.forward_event = lambda event: self._spawn_delivery(event)
 
     async def start(self) -> None:
         if self.operators:
@@ -143,7 +143,7 @@
         else:
             self.dispatcher.start()
             self.destinations.start()
-            self.inbound.awaiting_list = True
+            self.inbound.awaiting_endpoint_list = True
         if self.sharing:
             self.sharing.start()
         if self.admission:
@@ -151,41 +151,41 @@
         # Who comes before the list is held: the kernel takes connections from the bind on, and with most
         # schedulers restarting there is nobody else to go to. The front is told to wait.
         self.inbound.start(sock)
-        if self.inbound.awaiting_list:
+        if self.inbound.awaiting_endpoint_list:
             await self._list_leased()
-            self.inbound.awaiting_list = False
+            self.inbound.awaiting_endpoint_list = False
         if self.succession:
             await self.succession.begin()
         self.started.set()
         told = {"scheduler": self.config.name, "listen": self.config.listen}
-        log.info("started", extra=told | self.list_lease.fields(self.clock.now_us()))
+        log.info("started", extra=told | self.list_lease.log_fields(self.clock.now_us()))
 
     async def _take_over(self, succession: Succession) -> None:
         """Learn what the predecessor knows, and hear discovery ourselves, before we accept."""
-        self.inbound.succeed(False, self.config.client_sockets(2))
+        self.inbound.set_superseded(False, self.config.client_sockets(2))
         told = await succession.ask("hello")
         if told and "clock_anchor_ns" in told:  # an older version does not tell
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
-            known = protocol.read_destinations(told["known"])
+            known = protocol.decode_endpoint_list(told["known"])
             self.destinations.generation = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
-            self.list_lease.handed_over(known.generation, confirmed_us, until_us)
+            self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
         else:
             self.dispatcher.start()
         self.destinations.start()
         await self._list_leased()
         if told and (memory := await succession.ask("memory")):
-            self.dispatcher.recall(memory["decider"])
+            self.dispatcher.import_state(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
                 self.admission.recall(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _list_leased(self) -> None:
         """Wait until there is a list to send by, or we are told to end; no longer than a restart may take."""
-        events = (self.dispatcher.lease_held, self.stopping)
+        events = (self.dispatcher.list_lease_held, self.stopping)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         done, pending = await asyncio.wait(waiting, timeout=LIST_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in pending:
@@ -230,28 +230,28 @@
         The listener stays up: endpoints call back at the clients' address. Where a successor has it, that one
         also takes what is owed. `close` answers what is half here then.
         """
-        log.info("draining", extra={"owed": self.inbound.owed})
-        self.inbound.leaving = True
+        log.info("draining", extra={"owed": self.inbound.pending_count})
+        self.inbound.shutting_down = True
         if await self._leave_to_successor():
             return
         await asyncio.sleep(TAKE_ON_S)
         self.inbound.closed_to_new = True
-        log.info("refusing", extra={"owed": self.inbound.owed})
-        while self.inbound.owed:
+        log.info("refusing", extra={"owed": self.inbound.pending_count})
+        while self.inbound.pending_count:
             if await self._leave_to_successor():  # it has come only now
                 return
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HAND_OVER_S):
-                    await self.inbound.none_owed.wait()
+                    await self.inbound.none_pending.wait()
 
     async def _leave_to_successor(self) -> bool:
         """Whether there was one until all was settled."""
-        if self.admission and self.inbound.succeeded:
+        if self.admission and self.inbound.superseded:
             self.admission.shut(True)
-        while self.inbound.succeeded:
+        while self.inbound.superseded:
             await self.inbound.hand_over(self._release, self._send_over)
             if self.inbound.settled:
-                return self.inbound.succeeded
+                return self.inbound.superseded
             await asyncio.sleep(HAND_OVER_S)
         if self.admission:
             self.admission.shut(False)
@@ -301,15 +301,15 @@
 
     async def _deliver(self, event: JobEvent) -> None:
         """Bring an endpoint's call to the process that holds its request; returns once that one has it."""
-        if moving := self.dispatcher.moving.get(event.id):
+        if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
         if (
-            not self.dispatcher.holds(event.id)
+            event.id not in self.dispatcher.in_flight
             and self.succession
-            and await self.succession.forward(protocol.write_job_event(event))
+            and await self.succession.forward(protocol.encode_job_event(event))
         ):
             return
-        if self.dispatcher.holds(event.id):  # it may have come here meanwhile
+        if event.id in self.dispatcher.in_flight:  # it may have come here meanwhile
             self.dispatcher.tell(event)
 
     def _spawn_delivery(self, event: JobEvent) -> None:
@@ -334,7 +334,7 @@
     ) -> bool:
         """Whether the successor has a request now; else it is ours again, or answered."""
         taken, sent = False, False
-        body = told | {"request": protocol.write_handed(request)}
+        body = told | {"request": protocol.encode_handed_over_request(request)}
         try:
             if self.succession and (successor := self.succession.successor):
                 taken = (await successor.ask("adopt", body, fd)).get("taken", True)
@@ -348,7 +348,7 @@
                 reply.set_result(protocol.FAILED)
         elif not taken:
             await self._take_back(told, request, reply)
-        self.dispatcher.moved(request.id)
+        self.dispatcher.handover.finish_transit(request.id)
         if taken:
             log.info("handed_over", extra={"id": request.id})
         return taken
@@ -366,8 +366,8 @@
 
     def hello(self) -> Json:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
-        self.inbound.share(self.config.client_sockets(2))
-        known = [protocol.write_destination(d) for d in self.dispatcher.listed()]
+        self.inbound.set_budget(self.config.client_sockets(2))
+        known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
         generation = self.destinations.generation or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
@@ -380,34 +380,34 @@
     def memory(self) -> Json:
         admission = self.admission.memory() if self.admission else None
         return {
-            "decider": self.dispatcher.memory(),
-            "drained": self.inbound.drained,
+            "decider": self.dispatcher.export_state(),
+            "drained": self.inbound.drained_by_operators,
             HANDED_ADMISSION: admission,
         }
 
     def succeeded(self, yes: bool) -> None:
         """A successor accepts; or the other process has gone, and all is ours again."""
-        self.inbound.succeed(yes, self.config.client_sockets(2 if yes else 1))
+        self.inbound.set_superseded(yes, self.config.client_sockets(2 if yes else 1))
         if yes:
-            self.dispatcher.close_idle()
+            self.dispatcher.table.close_idle_connections()
 
     async def obey(self, what: str, body: Json) -> bool:
         return (await self._obey(what, body, True)).status == 200
 
     async def take_event(self, body: Json) -> bool:
-        event = protocol.job_event(body)
-        if moving := self.dispatcher.moving.get(event.id):
+        event = protocol.decode_job_event_object(body)
+        if moving := self.dispatcher.handover.in_transit.get(event.id):
             await moving.wait()
-        if not self.dispatcher.holds(event.id):
+        if event.id not in self.dispatcher.in_flight:
             return False
         self.dispatcher.tell(event)
         return True
 
     async def adopt(self, body: Json, fd: int) -> bool:
-        if self.inbound.leaving:
+        if self.inbound.shutting_down:
             os.close(fd)
             return False
-        request = protocol.read_handed(body["request"])
+        request = protocol.decode_handed_over_request(body["request"])
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -41,7 +41,7 @@
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.placement import exported_state as memory
 from robinhill.placement import timers
-from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.protocol import JobEvent, JobRequest, JobState, Lifecycle, ListedEndpoint
 from robinhill.record import records as recording
 from robinhill.record.frames import frame as recording_frame
 from robinhill.record.frames import header as recording_header
@@ -183,18 +183,19 @@
                 value=b"value9",
             ),
         ),
-        instead=(10,),
+        replaces=(10,),
     ),
     "frames.ping": frames.Ping(number=1, pushed=2, low=3),
     "frames.pong": frames.Pong(number=1, pushed=2, low=3, ages_ms=(4,), starting_ms=((5, 6),)),
-    "frames.again": frames.Again(numbers=(1,)),
-    "frames.ranges": frames.Ranges(round=1, at_us=2, answers=True, digests=b"digests3"),
-    "frames.Part": frames.Part(index=1, part=2, parts=3, heads=(("heads4", "heads5", b"heads6"),)),
-    "frames.heads": frames.Heads(
-        round=1, parts=(frames.Part(index=2, part=3, parts=4, heads=(("heads5", "heads6", b"heads7"),)),)
+    "frames.again": frames.PushResendRequest(numbers=(1,)),
+    "frames.ranges": frames.RangeDigests(round=1, at_us=2, answers=True, digests=b"digests3"),
+    "frames.Part": frames.RangePart(index=1, part=2, parts=3, versions=(("heads4", "heads5", b"heads6"),)),
+    "frames.heads": frames.RecordVersions(
+        round=1,
+        parts=(frames.RangePart(index=2, part=3, parts=4, versions=(("heads5", "heads6", b"heads7"),)),),
     ),
-    "frames.redo": frames.Redo(round=1, indices=(2,)),
-    "frames.aside": frames.Aside(words=b"words1"),
+    "frames.redo": frames.VersionsResendRequest(round=1, indices=(2,)),
+    "frames.aside": frames.MemberMessage(payload=b"words1"),
     "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
@@ -238,7 +239,7 @@
         rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
     ),
     "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
-    "kinds.Sighting": record_kinds.Sighting(
+    "kinds.Sighting": record_kinds.Observation(
         observer="observer1", what="what2", at_us=3, about="about4", amount=5
     ),
     "kinds.Outcome": record_kinds.Outcome(
@@ -287,7 +288,7 @@
             ),
         ),
     ),
-    "cordon.value": cordon.Cordons(
+    "cordon.value": cordon.CordonSet(
         version=1,
         entries=(
             cordon.Entry(
@@ -305,7 +306,7 @@
                 ),
             ),
         ),
-        seen=(cordon.Seen(origin="s1", incarnation=2, ranges=((1, 3),)),),
+        seen=(cordon.SeenDots(origin="s1", incarnation=2, ranges=((1, 3),)),),
         lifted_us=11,
     ),
 }
@@ -327,18 +328,18 @@
     if name.startswith("control."):
         return control.write(control.read(data))
     if name.startswith("frames."):
-        return frames.write(frames.read(data))
+        return frames.encode_message(frames.decode_message(data))
     raise KeyError(name)
 
 
-_REQUESTS = record_kinds.requests(record_kinds.LONGEST_WINDOW_US)
+_REQUESTS = record_kinds.request_kind(record_kinds.MAX_RETRY_WINDOW_US)
 
 VALUES: Mapping[str, Callable[[bytes], bytes]] = {
     "cordon": lambda data: cordon.encode(cordon.decode(data)),
     "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
-    "drain": lambda data: record_kinds.DRAIN.encode(record_kinds.DRAIN.decode(data)),
-    "evidence": lambda data: record_kinds.SEEN.encode(record_kinds.SEEN.decode(data)),
+    "drain": lambda data: record_kinds.DRAIN_KIND.encode(record_kinds.DRAIN_KIND.decode(data)),
+    "evidence": lambda data: record_kinds.EVIDENCE_KIND.encode(record_kinds.EVIDENCE_KIND.decode(data)),
     "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
 }
 """Values of records by the name of their kind, read and written again."""
@@ -353,14 +354,14 @@
     """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
     record = SAMPLES["shared.Record"]
     assert isinstance(record, shared.Record)
-    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN))
+    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN_KIND))
     stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
-    replica.take(
+    replica.merge(
         2_000_000, shared.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain)
     )
     return {
-        "record": frames.check(record).hex(),
+        "record": frames.record_digest(record).hex(),
         "parts": acknowledgements.digest(b"a", b"bc").hex(),
         "names": acknowledgements.list_digest(["s2", "s1"]).hex(),
         "replica": replica.digest(2_000_000).hex(),
@@ -412,7 +413,7 @@
 
 def load_disabled_workers(folder: Path) -> set[str]:
     """Those workers as the last process left them."""
-    return DisabledWorkerStore(folder).held_out()
+    return DisabledWorkerStore(folder).load()
 
 
 def recorded() -> list[Any]:
@@ -480,7 +481,10 @@
 
 def timer_tags() -> list[str]:
     """The tags of timers, which go along with the jobs that they are about."""
-    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.Check] + [timers.HELD, timers.LIST]
+    return [timers.AttemptTimer(check, 5, 2).tag for check in timers.AttemptCheck] + [
+        timers.QUEUE_CHECK,
+        timers.LIST_POLL,
+    ]
 
 
 def exported_admission() -> Json:
@@ -513,27 +517,27 @@
         id="id1", job_class=2, time_left_us=3, client_repeat=True, target="/target4", body=b"body\xff",
         headers=(("key5", "value6"),), tenant="tenant7", cost_us=8, key="key9",
     )  # fmt: skip
-    written = _as_json(messages.write_handed(request))
-    assert messages.read_handed(written) == request
+    written = _as_json(messages.encode_handed_over_request(request))
+    assert messages.decode_handed_over_request(written) == request
     return written
 
 
 def worker_event() -> Json:
     """A worker's call about a job as it goes from process to process."""
     event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
-    written = _as_json(messages.write_job_event(event))
-    assert messages.job_event(written) == event
+    written = _as_json(messages.encode_job_event(event))
+    assert messages.decode_job_event_object(written) == event
     return written
 
 
 def listed_worker() -> Json:
     """An entry of the endpoint list as it goes from process to process."""
-    entry = Destination(
+    entry = ListedEndpoint(
         instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
         lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
     )  # fmt: skip
-    written = _as_json(messages.write_destination(entry))
-    assert messages.read_destination(written) == entry
+    written = _as_json(messages.encode_listed_endpoint(entry))
+    assert messages.decode_listed_endpoint(written) == entry
     return written
 
 
@@ -578,15 +582,15 @@
         "unconfirmed": views.UnconfirmedView,
         "cordon": views.CordonView,
         "listing": views.Listing,
-        "answer": views.Answer,
-        "put": views._Put,
+        "answer": views.ChangeSummary,
+        "put": views.PutBody,
     }
     return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
 
 
 def cordon_states() -> list[str]:
     """The states of a cordon in operators' answers."""
-    return [*views.STATES.values(), views.OVER_BUDGET, views.HELD]
+    return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
 def operator_file_keys() -> list[str]:
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -32,7 +32,7 @@
 from robinhill.net.metrics import Metrics
 from robinhill.net.workers import endpoint as ep
 from robinhill.net.workers.messages import AttemptEnded, CancelAttempt, EndpointReport, StartAttempt
-from robinhill.protocol import Answer, Destination, DestinationList, JobEvent, JobState, Lifecycle
+from robinhill.protocol import Answer, EndpointList, JobEvent, JobState, Lifecycle, ListedEndpoint
 
 from .test_config import ENTRY, GIVEN
 
@@ -102,8 +102,8 @@
             peer.sock.close()
         self.sock.close()
 
-    def destination(self, lifecycle: Lifecycle = Lifecycle.ACTIVE) -> Destination:
-        return Destination("s-1", self.host_port, "a", "b", 0, lifecycle, 1.0, 0)
+    def destination(self, lifecycle: Lifecycle = Lifecycle.ACTIVE) -> ListedEndpoint:
+        return ListedEndpoint("s-1", self.host_port, "a", "b", 0, lifecycle, 1.0, 0)
 
 
 class HeldConnects:
@@ -485,7 +485,7 @@
     """A decider with one worker; more than one for a scheduler that is being replaced."""
 
     def __init__(self, folder: Path, worker: Worker, repeat: str) -> None:
-        listed = protocol.write_destination(worker.destination())
+        listed = protocol.encode_listed_endpoint(worker.destination())
         klass = {"name": "x", "aim-us": 300_000, "hard-limit-us": LEFT_US, "repeat": repeat}
         given = json.loads(json.dumps(GIVEN)) | {
             "known": {"generation": 1, "reset": True, "instances": [ENTRY | listed]}
@@ -504,7 +504,7 @@
 
     @property
     def endpoint(self) -> ep.Endpoint:
-        return self.dispatcher.endpoints["s-1"]
+        return self.dispatcher.table.endpoints["s-1"]
 
     def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -521,7 +521,7 @@
 
     def listed(self, worker: Worker, lifecycle: Lifecycle) -> None:
         self.dispatcher.receive(
-            EndpointListReceived(DestinationList(2, False, (worker.destination(lifecycle),)))
+            EndpointListReceived(EndpointList(2, False, (worker.destination(lifecycle),)))
         )
 
 
@@ -555,7 +555,7 @@
         reply.cancel()
         h.dispatcher.tell(ClientDisconnected(request))
         await connects.called_off.wait()
-        await until(lambda: not h.dispatcher.held)
+        await until(lambda: not h.dispatcher.in_flight.by_number)
         assert not h.dispatcher.balancer.attempts and not h.endpoint.attempts
 
     play(house(leave))
@@ -571,7 +571,7 @@
         await peer.head()
         reply.cancel()
         peer.say(SHED)
-        await until(lambda: not h.dispatcher.held)
+        await until(lambda: not h.dispatcher.in_flight.by_number)
         h.dispatcher.receive(ClientDisconnected(request))
         assert not h.dispatcher.balancer.jobs and not h.endpoint.attempts
         assert h.dispatcher.metrics.tries == 1
@@ -584,7 +584,11 @@
         request, reply = job("j1"), asyncio.get_running_loop().create_future()
         reply.cancel()
         h.dispatcher.receive(RequestAccepted(request, h.clock.now_us(), reply))
-        assert not h.dispatcher.held and not h.dispatcher.balancer.jobs and "j1" in h.dispatcher.seen
+        assert (
+            not h.dispatcher.in_flight.by_number
+            and not h.dispatcher.balancer.jobs
+            and "j1" in h.dispatcher.in_flight.recent_ids
+        )
         h.dispatcher.receive(ClientDisconnected(request))
         again = h.take(job("j1"))
         assert again.result() is protocol.CONFLICT
@@ -605,8 +609,8 @@
         assert await told is None
         await until(lambda: "j1" in h.endpoint.attempts)
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "late"))
-        await until(lambda: not h.dispatcher.held)
-        assert not h.dispatcher.balancer.attempts and not h.dispatcher.moving
+        await until(lambda: not h.dispatcher.in_flight.by_number)
+        assert not h.dispatcher.balancer.attempts and not h.dispatcher.handover.in_transit
 
     play(house(leave))
 
@@ -622,13 +626,13 @@
         old.dispatcher.receive(ReleaseRequest(request, told))
         memory = await told
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        new.listed(worker, Lifecycle.LEFT)
+        new.listed(worker, Lifecycle.REMOVED)
         new.dispatcher.receive(AdoptRequest(request, memory, reply, asyncio.Event()))
         endpoint = new.endpoint
         await until(lambda: "j1" in endpoint.attempts and not new.dispatcher._scheduled)
         new.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         assert (await reply).body == b"result"
-        await until(lambda: not new.dispatcher.endpoints)
+        await until(lambda: not new.dispatcher.table.endpoints)
 
     play(house(cross, 2))
 
@@ -637,11 +641,11 @@
     async def let_go(worker: Worker, h: House) -> None:
         request = job("j1")
         await h.accepted(worker, request)
-        h.listed(worker, Lifecycle.LEFT)
+        h.listed(worker, Lifecycle.REMOVED)
         told: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         h.dispatcher.receive(ReleaseRequest(request, told))
         assert (await told)["attempt"]
-        await until(lambda: not h.dispatcher.endpoints)
+        await until(lambda: not h.dispatcher.table.endpoints)
 
     play(house(let_go))
 
@@ -653,7 +657,7 @@
         reply = await h.accepted(worker, job("j1", "k"))
         h.dispatcher.tell(JobEvent("j1", "s-1", JobState.DONE, 0.0, "result"))
         await reply
-        place = h.dispatcher.keys.place(h.clock.now_us(), 1, "k")
+        place = h.dispatcher.idempotency_keys.dedup_window(h.clock.now_us(), 1, "k")
         assert place and place.until_us <= h.clock.now_us() + 1_000_000
         h.take(job("j2", "k"))
         await until(lambda: "j2" in h.endpoint.attempts)
