--- a/benchmarks/mesh_members.py
+++ b/benchmarks/mesh_members.py
@@ -1,4 +1,4 @@
-"""Members in simulated time: false alarms on bad links, how soon a crash is known to all, cuts and flapping.
+"""Failure detector in simulated time: false alarms on bad links, time to detect a crash, cuts and flapping.
 
 .venv/bin/python -m benchmarks.mesh_members [--members 200] [--seconds 600] [--seeds 5]
 """
@@ -13,18 +13,17 @@
 from dataclasses import dataclass, field
 
 from robinhill.mesh import overlay
-from robinhill.mesh.failure_detector import (
-    Act,
-    Answer,
-    Became,
-    CheckDirect,
-    CheckThrough,
-    Members,
-    MemberState,
-    Message,
-    Options,
-    WasAway,
+from robinhill.mesh.failure_detector import FailureDetector
+from robinhill.mesh.failure_detector_actions import (
+    Action,
+    MemberStateChanged,
+    ProcessPaused,
+    SendAck,
+    SendPing,
+    SendPingRequest,
 )
+from robinhill.mesh.failure_detector_options import FailureDetectorOptions
+from robinhill.mesh.swim_messages import MemberState, Message
 
 TICK_US = 100_000
 SECOND_US = 1_000_000
@@ -39,13 +38,13 @@
     seed: int
     loss: float = 0.2
     delay_us: int = 100_000
-    options: Options | None = None
+    options: FailureDetectorOptions | None = None
     cut: Callable[[str, str], bool] = lambda _writer, _reader: False
 
-    members: dict[str, Members] = field(default_factory=dict)
+    members: dict[str, FailureDetector] = field(default_factory=dict)
     now_us: int = 0
-    became: list[tuple[int, str, str, MemberState]] = field(default_factory=list)
-    away: list[tuple[str, int]] = field(default_factory=list)
+    changes: list[tuple[int, str, str, MemberState]] = field(default_factory=list)
+    paused: list[tuple[str, int]] = field(default_factory=list)
     sent: Counter[str] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
@@ -66,7 +65,7 @@
         def through(peer: str) -> list[str]:
             return overlay.common(name, peer, self.names) if self.size <= 20 else []
 
-        self.members[name] = Members(name, incarnation, peers, seed, self.options, through)
+        self.members[name] = FailureDetector(name, incarnation, peers, seed, self.options, through)
         if fresh:
             self._put(self.now_us + self.rng.randrange(TICK_US), name, None)
 
@@ -97,25 +96,25 @@
                 self.carry(name, member.handle(at_us, message))
         self.now_us = end_us
 
-    def carry(self, name: str, acts: list[Act]) -> None:
-        for act in acts:
-            match act:
-                case CheckDirect(peer, message) | Answer(peer, message):
+    def carry(self, name: str, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case SendPing(peer, message) | SendAck(peer, message):
                     self._send(name, peer, message)
-                case CheckThrough(_, via, message):
+                case SendPingRequest(_, via, message):
                     self._send(name, via, message)
-                case Became(peer, state):
-                    self.became.append((self.now_us, name, peer, state))
-                case WasAway(us):
-                    self.away.append((name, us))
+                case MemberStateChanged(peer, state):
+                    self.changes.append((self.now_us, name, peer, state))
+                case ProcessPaused(us):
+                    self.paused.append((name, us))
 
-    def think(self, peer: str, state: MemberState) -> int:
+    def regard(self, peer: str, state: MemberState) -> int:
         """How many others think this of a peer."""
         return sum(one.state(peer) is state for name, one in self.members.items() if name != peer)
 
     def agreed(self) -> bool:
         """Whether all think of all that they are alive who are."""
-        return all(self.think(name, MemberState.ALIVE) == len(self.members) - 1 for name in self.members)
+        return all(self.regard(name, MemberState.ALIVE) == len(self.members) - 1 for name in self.members)
 
     def until(self, done: Callable[[], bool], limit_us: int) -> int | None:
         """How long it takes until something is so, looked at ten times a second; None past the limit."""
@@ -126,10 +125,10 @@
             self.run(TICK_US)
         return self.now_us - began_us
 
-    def gone(self, since_us: int = 0) -> list[tuple[int, str, str]]:
+    def dead(self, since_us: int = 0) -> list[tuple[int, str, str]]:
         """Who was called gone by whom, and when."""
         return [
-            (at, by, of) for at, by, of, state in self.became if state is MemberState.GONE and at >= since_us
+            (at, by, of) for at, by, of, state in self.changes if state is MemberState.DEAD and at >= since_us
         ]
 
     def _send(self, writer: str, reader: str, message: Message) -> None:
@@ -157,18 +156,18 @@
         fleet = Fleet(told.members, seed)
         joined = fleet.until(fleet.agreed, 120 * SECOND_US)
         fleet.run(told.seconds * SECOND_US)
-        gone = len(fleet.gone())
-        suspected = sum(state is MemberState.SUSPECT for *_, state in fleet.became)
-        false += gone
+        dead = len(fleet.dead())
+        suspected = sum(state is MemberState.SUSPECT for *_, state in fleet.changes)
+        false += dead
         each = fleet.sent.total() / told.members / (fleet.now_us / SECOND_US)
         crashed = fleet.names[seed]
         fleet.crash(crashed)
         others = told.members - 1
-        one = fleet.until(lambda: fleet.think(crashed, MemberState.GONE) > others / 2, 120 * SECOND_US)  # noqa: B023
-        rest = fleet.until(lambda: fleet.think(crashed, MemberState.GONE) == others, 120 * SECOND_US)  # noqa: B023
+        one = fleet.until(lambda: fleet.regard(crashed, MemberState.DEAD) > others / 2, 120 * SECOND_US)  # noqa: B023
+        rest = fleet.until(lambda: fleet.regard(crashed, MemberState.DEAD) == others, 120 * SECOND_US)  # noqa: B023
         took = time.perf_counter() - began
         print(
-            f"seed {seed}: joined after {joined} us; false gone {gone}, suspicions {suspected} at all;"
+            f"seed {seed}: joined after {joined} us; false gone {dead}, suspicions {suspected} at all;"
             f" {each:.1f} messages a second each; crash known to half after {one} us,"
             f" to the rest {rest} us later; took {took:.0f} s",
             flush=True,
--- /dev/null
+++ b/robinhill/mesh/member_table.py
@@ -0,0 +1,229 @@
+"""The states of all members as this scheduler knows them, and the gossip that spreads them.
+
+Owns the rules by which updates win (SWIM's incarnations, suspicion and refutation) and when a suspicion ends.
+Sends nothing and pings nobody; see ``failure_detector`` for that. Sources are named there.
+"""
+
+import heapq
+import math
+import random
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from robinhill.mesh.failure_detector_actions import Action, DuplicateName, MemberStateChanged
+from robinhill.mesh.failure_detector_options import FailureDetectorOptions
+from robinhill.mesh.swim_messages import MemberState, MemberUpdate
+
+MAX_REPORTERS = 8  # remembered for each suspect
+MIN_MEMBERS_FOR_SUSPICION = 10  # fewer count as so many: a shorter suspicion gains nothing
+MIN_GOSSIP_SENDS = 3
+
+
+@dataclass(slots=True)
+class Member:
+    """What is known of a member. ``incarnation`` is 0 before anything was received from or about it.
+
+    ``last_received_us``: when something was last received from itself. ``suspected_us``: when it became
+    suspect. ``verified``: whether we pinged it ourselves since. ``reporters``: who suspects it.
+    """
+
+    state: MemberState = MemberState.DEAD
+    incarnation: int = 0
+    refutations: int = 0
+    last_received_us: int | None = None
+    suspected_us: int = 0
+    verified: bool = False
+    reporters: list[str] = field(default_factory=list)
+
+    def received_within(self, mono_us: int, us: int) -> bool:
+        """Whether something was received from the member itself in the last ``us``."""
+        return self.last_received_us is not None and mono_us - self.last_received_us < us
+
+
+class MemberTable:
+    """All configured peers of ``me`` with their states, our own incarnation, and updates to gossip.
+
+    State changes are appended to ``actions``.
+    """
+
+    def __init__(
+        self,
+        me: str,
+        incarnation: int,
+        options: FailureDetectorOptions,
+        rng: random.Random,
+        actions: list[Action],
+    ) -> None:
+        self.me = me
+        self.incarnation = incarnation
+        self.refutations = 0
+        self.leaving = False
+        self.options = options
+        self.members: dict[str, Member] = {}
+        self.suspects: dict[str, None] = {}  # in the order in which they became so
+        self.suspicion_us = 0
+        self._rng = rng
+        self._actions = actions
+        self._gossip: dict[str, int] = {me: 0}  # whose state is spread: how often it was sent
+        self._max_gossip_sends = MIN_GOSSIP_SENDS
+
+    def reload(self, names: Iterable[str]) -> list[str]:
+        """Use a new list of peers; those that stay keep their state. The new ones, sorted."""
+        others = sorted(set(names) - {self.me})
+        new = [name for name in others if name not in self.members]
+        self.members = {name: self.members.get(name) or Member() for name in others}
+        self._gossip = {
+            name: sent for name, sent in self._gossip.items() if name in self.members or name == self.me
+        }
+        self.suspects = {name: None for name in self.suspects if name in self.members}
+        sends = math.ceil(self.options.gossip_factor * math.log2(len(others) + 2))
+        self._max_gossip_sends = max(MIN_GOSSIP_SENDS, sends)
+        size = max(MIN_MEMBERS_FOR_SUSPICION, len(others) + 1)
+        self.suspicion_us = round(self.options.suspicion_periods * math.log10(size) * self.options.period_us)
+        return new
+
+    # Changes
+
+    def received_from(self, mono_us: int, peer: str, incarnation: int) -> None:
+        """Something was received from a peer itself in this incarnation of it."""
+        member = self.members[peer]
+        if incarnation < member.incarnation:
+            return  # from before its last start
+        if incarnation > member.incarnation:
+            member.incarnation, member.refutations = incarnation, 0
+            self.change(peer, MemberState.ALIVE)
+        member.last_received_us = mono_us
+        member.verified = False  # a member that stays suspect is pinged once more before it is dead
+
+    def change(self, name: str, state: MemberState) -> None:
+        """Set a member's state and spread it; reported only if it differs."""
+        member = self.members[name]
+        if member.state is not state:
+            member.state = state
+            self._actions.append(MemberStateChanged(name, state))
+        member.verified = False
+        if state is MemberState.SUSPECT:
+            self.suspects[name] = None
+        else:
+            self.suspects.pop(name, None)
+            member.reporters = []
+        self._gossip[name] = 0
+
+    def suspect(self, mono_us: int, name: str, reporter: str) -> None:
+        """A member becomes suspect, by a report of ``reporter`` (empty where unknown)."""
+        member = self.members[name]
+        member.suspected_us = mono_us
+        member.reporters = [reporter] if reporter else []
+        self.change(name, MemberState.SUSPECT)
+
+    def add_reporter(self, name: str, reporter: str) -> None:
+        """Another member suspects ``name`` independently, which shortens its suspicion."""
+        reporters = self.members[name].reporters
+        if reporter and reporter not in reporters and len(reporters) < MAX_REPORTERS:
+            reporters.append(reporter)
+            if len(reporters) <= self.options.max_reporters + 1:
+                self._gossip[name] = 0
+
+    def suspicion_ends_us(self, member: Member) -> int:
+        """When a suspect is dead unless it refutes. What it sends itself counts more than reports on it."""
+        reported = min(1.0, max(0, len(member.reporters) - 1) / self.options.max_reporters)
+        factor = 1.0 - (1.0 - self.options.min_suspicion_factor) * reported
+        since_us = max(member.suspected_us, member.last_received_us or member.suspected_us)
+        return since_us + round(self.suspicion_us * factor)
+
+    def postpone(self, us: int) -> None:
+        """This process was paused for so long: suspicions end so much later."""
+        for member in self.members.values():
+            member.suspected_us += us
+
+    # Gossip
+
+    @property
+    def has_gossip(self) -> bool:
+        """Whether there are updates to spread."""
+        return bool(self._gossip)
+
+    def leave(self) -> None:
+        """This scheduler shuts down: spread that it has left."""
+        self.leaving = True
+        self._gossip[self.me] = 0
+
+    def gossip(self, reader: str | None = None) -> tuple[MemberUpdate, ...]:
+        """The updates for the next message, the least sent first.
+
+        ``reader``: who it goes to; always informed first of its own state unless that is alive.
+        """
+        chosen = heapq.nsmallest(
+            self.options.max_updates, self._gossip, key=lambda name: (self._gossip[name], name)
+        )
+        for name in chosen:
+            self._gossip[name] += 1
+            if self._gossip[name] >= self._max_gossip_sends:
+                del self._gossip[name]
+        if reader is not None and self._must_refute(reader):
+            chosen = [reader, *(name for name in chosen if name != reader)]
+        return tuple(self.update_of(name) for name in chosen)
+
+    def all_updates(self) -> tuple[MemberUpdate, ...]:
+        """Updates on every known member, for a peer that has just started: some 6 KB at 200 members."""
+        known = [name for name, member in self.members.items() if member.incarnation]
+        return tuple(self.update_of(name) for name in [self.me, *known])
+
+    def update_of(self, name: str) -> MemberUpdate:
+        """The present state of a member, or of this scheduler itself."""
+        if name == self.me:
+            state = MemberState.LEFT if self.leaving else MemberState.ALIVE
+            return MemberUpdate(name, state, self.incarnation, self.refutations)
+        member = self.members[name]
+        reporter = ""
+        if member.state is MemberState.SUSPECT:
+            # Reporters take turns, so that all of them become known.
+            reporter = self._rng.choice(member.reporters) if member.reporters else self.me
+        return MemberUpdate(name, member.state, member.incarnation, member.refutations, reporter)
+
+    def apply(self, mono_us: int, updates: Iterable[MemberUpdate]) -> None:
+        """Merge the updates of another member; malformed ones and those on unknown names are ignored."""
+        for update in updates:
+            if not update.is_valid:
+                continue
+            if update.name == self.me:
+                self._apply_to_self(update)
+            elif update.name in self.members:
+                self._apply_to_other(mono_us, update)
+
+    def _must_refute(self, name: str) -> bool:
+        member = self.members.get(name)
+        return member is not None and member.incarnation > 0 and member.state is not MemberState.ALIVE
+
+    def _apply_to_self(self, update: MemberUpdate) -> None:
+        if update.incarnation > self.incarnation:
+            self._actions.append(DuplicateName(update.incarnation))
+            return
+        disputed = update.state != MemberState.ALIVE
+        if not self.leaving and update.version >= (self.incarnation, self.refutations):
+            # A count above ours should not occur; adopting it keeps us able to refute.
+            self.refutations = update.refutations + disputed
+        if disputed:
+            # Also if it was refuted before: the sender has missed that.
+            self._gossip[self.me] = 0
+
+    def _apply_to_other(self, mono_us: int, update: MemberUpdate) -> None:
+        name, member = update.name, self.members[update.name]
+        state = MemberState(update.state)
+        same_incarnation = update.incarnation == member.incarnation
+        if state is MemberState.DEAD and same_incarnation:
+            if member.received_within(mono_us, self.options.recent_us):
+                state = MemberState.SUSPECT  # we received from it just now: let it refute
+        known, reported = (member.incarnation, member.refutations), update.version
+        if reported == known and state is MemberState.SUSPECT is member.state:
+            self.add_reporter(name, update.reporter)
+        if member.state is MemberState.LEFT and same_incarnation:
+            return  # reported by itself, so it is final
+        if reported < known or (reported == known and state <= member.state):
+            if state is not MemberState.LEFT or update.incarnation < member.incarnation:
+                return
+        member.incarnation, member.refutations = max(known, reported)
+        if state is MemberState.SUSPECT:
+            self.suspect(mono_us, name, update.reporter)
+        else:
+            self.change(name, state)
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -32,7 +32,7 @@
 from robinhill.cordon import views
 from robinhill.errors import RobinhillError
 from robinhill.gang import share as gang
-from robinhill.mesh import acknowledgements, failure_detector, frames, record_kinds, snapshot
+from robinhill.mesh import acknowledgements, frames, record_kinds, snapshot, swim_messages
 from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
 from robinhill.net.cordons import operator_calls
@@ -200,33 +200,43 @@
         recent=(("recent7", b"recent8"),),
         starts=(("starts9", 10),),
     ),
-    "members.Rumour": failure_detector.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
-    "members.check": failure_detector.Check(
+    "members.Rumour": swim_messages.MemberUpdate(
+        name="name1", state=2, incarnation=3, refutations=4, reporter="by5"
+    ),
+    "members.check": swim_messages.Ping(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.check-for": failure_detector.CheckFor(
+    "members.check-for": swim_messages.PingRequest(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.checked": failure_detector.Checked(
+    "members.checked": swim_messages.Ack(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
         target_incarnation=5,
-        rumours=(failure_detector.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name6", state=7, incarnation=8, refutations=9, reporter="by10"),
+        ),
     ),
-    "members.word": failure_detector.Word(
+    "members.word": swim_messages.Gossip(
         sender="sender1",
         incarnation=2,
-        rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name3", state=4, incarnation=5, refutations=6, reporter="by7"),
+        ),
     ),
     "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
     "kinds.Sighting": record_kinds.Observation(
