--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -27,8 +27,8 @@
   fleet, or the one after all went down together. Nothing is left to be heard then.
 
 Not covered, as nothing between processes can: a process that is stopped between its look at the lease and its
-write. So look last, and after a stop look again (`failure_detector_actions.ProcessPaused`). ``mono_us`` must go on while the host
-sleeps (CLOCK_BOOTTIME, where there is one).
+write. So look last, and after a stop look again (`failure_detector_actions.ProcessPaused`). ``mono_us`` must
+go on while the host sleeps (CLOCK_BOOTTIME, where there is one).
 """
 
 from collections import deque
