--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -267,7 +267,7 @@
             self._schedule_tick()
             return
         self._failures.pop(link.voter, None)
-        log.info("control_linked", extra={"voter": link.voter, "address": link.address})
+        log.info("control_link_opened", extra={"voter": link.voter, "address": link.address})
         self.perform(self.machine.linked(now_us, now_mono_us, link.number, link.voter))
 
     def _closed(self, now_us: int, now_mono_us: int, link: ControlLink, why: str) -> None:
@@ -275,7 +275,7 @@
             return
         self.traffic.lost += 1
         level = logging.DEBUG if link.voter is None else logging.WARNING
-        log.log(level, "control_lost", extra={"voter": link.voter, "address": link.address, "why": why})
+        log.log(level, "control_link_lost", extra={"voter": link.voter, "address": link.address, "why": why})
         self.perform(self.machine.unlinked(now_us, now_mono_us, link.number))
 
     def _failed(self, now_mono_us: int, voter: str, why: str) -> None:
@@ -299,7 +299,7 @@
             link.close(why)
             level = logging.INFO if link.voter is None else logging.WARNING
             extra = {"voter": link.voter, "address": link.address, "why": why}
-            log.log(level, "control_disconnected", extra=extra)
+            log.log(level, "control_link_closed", extra=extra)
 
     # Time
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -96,9 +96,9 @@
             self.lease if self._requires_lease else None,
         )
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
-        log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
+        log.info("observer_started", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
-            log.warning("voters_questionable", extra={"why": warning})
+            log.warning("voters_warning", extra={"why": warning})
 
     def start(self) -> None:
         """Connect to voters; the inbound side is ready once in step with one, or `catch_up_ms` later."""
@@ -242,9 +242,9 @@
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
         if held:
-            log.info("control_fresh", extra=extra)
+            log.info("control_lease_acquired", extra=extra)
         else:
-            log.warning("control_stale", extra=extra)
+            log.warning("control_lease_expired", extra=extra)
 
     def _after_observer_call(self) -> None:
         """After each call of the observer."""
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -21,11 +21,11 @@
     away_us = max(0, now_us - header.saved_us)
     if replica.stale(now_us, away_us):
         replica.clear(away_us)
-    log.info("recalled", extra={"records": len(found) - len(rejected), "age_s": away_us / 1e6})
+    log.info("snapshot_restored", extra={"records": len(found) - len(rejected), "age_s": away_us / 1e6})
 
 
 def log_rejected(rejected: Iterable[RejectedRecord]) -> None:
     """Log records that the replica rejected, or stored with a warning."""
     for rejection in rejected:
         record, why = rejection.record, str(rejection.error)
-        log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": why})
+        log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": why})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -99,7 +99,7 @@
     async def start(self) -> None:
         """Raises ConfigError where an address can't be listened on."""
         for warning in self.options.warnings:
-            log.warning("voters_questionable", extra={"why": warning})
+            log.warning("voters_warning", extra={"why": warning})
         # The next start must be a later one, also if this one ends before its first save.
         await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
@@ -180,13 +180,13 @@
 
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this voter does not know."""
-        log.warning("vouched", extra={"voter": self.config.name})
+        log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"it counts for majorities\n")
 
     def forget(self, scheduler: str) -> Answer:
         """An operator says that a scheduler runs no more: changes don't wait for it."""
-        log.warning("scheduler_forgotten", extra={"scheduler": scheduler})
+        log.warning("scheduler_removed", extra={"scheduler": scheduler})
         self.driver.tell(Run(lambda: self._forget(scheduler)))
         return Answer(200, b"this voter waits for it no more; ask each voter\n")
 
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -174,7 +174,7 @@
     def learned(self, learned: RecordsReceived) -> None:
         for record, error in learned.rejected:
             extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-            log.warning("record_declined", extra=extra)
+            log.warning("record_rejected", extra=extra)
         if sum([self._took_in(record) for record in learned.records]):
             self._update()
         self._review()
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -113,11 +113,11 @@
             try:
                 self.replica.merge(now_us, record)
             except MeshError as e:
-                log.warning("record_declined", extra={"kind": record.kind, "key": record.key, "why": str(e)})
+                log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": str(e)})
         away_us = max(0, now_us - owner.saved_us)
         if self.replica.stale(now_us, away_us):
             self.replica.clear(away_us)
-        log.info("recalled", extra={"records": len(records), "age_s": away_us / 1e6})
+        log.info("snapshot_restored", extra={"records": len(records), "age_s": away_us / 1e6})
 
     def start(self) -> None:
         self.cordons.start()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -215,14 +215,14 @@
             # Under `serve` work goes on by what was known, and its age is told.
             for name in ("v2", "v3"):
                 here.voters[name].signal(signal.SIGSTOP)
-            await logged(one, "event=control_stale")
+            await logged(one, "event=control_lease_expired")
             told = await status_of(one)
             assert told["may_act"] and not told["lease"] and told["majority_known_ms_ago"] > BOUND_MS
             assert await here.ask("s1", 12) == {"w0", "w2"}
             assert "app.control.lease:0|g" in (await one.call("GET", "/ops/stats"))[1]
             for name in ("v2", "v3"):
                 here.voters[name].signal(signal.SIGCONT)
-            await logged(one, "event=control_fresh", 2)
+            await logged(one, "event=control_lease_acquired", 2)
 
     asyncio.run(play())
 
@@ -249,7 +249,7 @@
             (second.folder / "mesh.state").unlink()
             await second.start()
             await until(lambda: has(second, "/ops/mesh", counts=True))
-            assert "event=recalled" not in second.log.read_text()
+            assert "event=snapshot_restored" not in second.log.read_text()
             await settled(one)
             await equal(*here.voters.values(), one)
             status, told = await lift(second, "c2")
@@ -397,7 +397,7 @@
 
             for name in ("v2", "v3"):
                 here.voters[name].signal(signal.SIGSTOP)
-            await logged(one, "event=control_stale")
+            await logged(one, "event=control_lease_expired")
             assert (await status_of(one))["may_act"], "cordons serve, whatever other kinds do"
             assert await here.ask("s1", 12) == {"w0", "w1", "w2"}
 
@@ -439,7 +439,7 @@
         site, discovery = Site((QUICK,)), Discovery([], Journal())
         voter = voter_program(tmp_path, site, discovery, {"mesh": {"voters": voters}}, "v1")
         await voter.start()
-        assert "event=voters_questionable" in voter.log.read_text()
+        assert "event=voters_warning" in voter.log.read_text()
         again = voter_program(tmp_path, site, discovery, {"mesh": {"voters": voters}}, "v1")
         again.number = 1
         with pytest.raises(RuntimeError, match=r"mesh\.voters\.v1\.address: can't listen on"):
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -158,7 +158,7 @@
             assert (await again.call("GET", "/ops/readiness"))[0] == 503
             await until(again, "event=not_caught_up")
             assert (await again.call("GET", "/ops/readiness"))[0] == 200
-            assert "event=recalled" in again.log.read_text()
+            assert "event=snapshot_restored" in again.log.read_text()
             assert await here.ask("s2", 12) == {"w1", "w2"}
             (folder / "mesh.state").write_bytes(b"torn")
             assert await again.stop() == 0
