--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -22,7 +22,7 @@
     Scheduler,
 )
 from robinhill.mesh.acceptance import Acceptance
-from robinhill.mesh.acknowledgements import RECENT, Acknowledgement, Applied
+from robinhill.mesh.acknowledgements import MAX_RECENT_CHANGES, Acknowledgement, AppliedDigests
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
@@ -48,8 +48,8 @@
 
     def is_confirmed_by(self, acknowledgement: Acknowledgement) -> bool:
         """Return whether the scheduler that wrote the acknowledgement goes by this change."""
-        recent = dict(acknowledgement.recent)
-        return acknowledgement.applied in self.overall_digests or all(
+        recent = dict(acknowledgement.recent_digests)
+        return acknowledgement.applied_digest in self.overall_digests or all(
             recent.get(target) in digests for target, digests in self.digests.items()
         )
 
@@ -85,7 +85,7 @@
         self.quorum = quorum
         self.incarnation = 0  # of this process
         self.peers: dict[str, PeerState] = {}
-        self.applied = Applied()
+        self.applied = AppliedDigests()
         self.recent_targets: dict[str, None] = {}
         self.propagations = Propagations()
         self.acceptance = Acceptance(quorum)
@@ -111,12 +111,12 @@
         digest = self.applied.put(target, value)
         self.recent_targets.pop(target, None)
         self.recent_targets[target] = None
-        if len(self.recent_targets) > RECENT:
+        if len(self.recent_targets) > MAX_RECENT_CHANGES:
             del self.recent_targets[next(iter(self.recent_targets))]
         for change in self._changes.values():
             if target in change.digests:
                 change.digests[target].append(digest)
-            change.overall_digests.append(self.applied.all)
+            change.overall_digests.append(self.applied.combined)
 
     def track(
         self,
@@ -178,7 +178,7 @@
         for change in self.pending():
             if not change.is_confirmed_by(acknowledgement):
                 continue
-            if acknowledgement.counts:
+            if acknowledgement.caught_up:
                 for stamp in change.stamps.values():
                     if self.acceptance.confirmed(mono_us, name, acknowledgement.incarnation, stamp):
                         self._mark_accepted(mono_us, stamp)
@@ -242,7 +242,7 @@
         current = peer.current_acknowledgement
         if current is None:
             return True
-        if current.left or current.applied == self.applied.all:
+        if current.left or current.applied_digest == self.applied.combined:
             return False
         digest = self.applied.get(target)
         return digest is None or dict(current.recent).get(target) != digest
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -121,7 +121,7 @@
         self._noticed_us = 0
         self._tellings: dict[int, bytes] = {}  # digests as they were when the decider was told
         self._told = 0
-        self._applied = self.tracker.applied.all  # what endpoints go by
+        self._applied = self.tracker.applied.combined  # what endpoints go by
         self._leased = True
         self._next_end_us = 0  # when the next cordon ends
         self._one_list_us: int | None = None  # since when all are known to go by our list
@@ -226,7 +226,7 @@
             return  # of no scheduler that is configured here
         self._started(name, notice.incarnation)
         self.tracker.record_acknowledgement(mono_us(), name, notice)
-        if (self.me, self.incarnation) in notice.starts:
+        if (self.me, self.incarnation) in notice.incarnations:
             self.freshness.introduced(mono_us(), name)
         if notice.serving and not self.serving:
             self._maybe_serve()
@@ -239,7 +239,7 @@
             log.info("peer_started_again", extra={"peer": name, "incarnation": incarnation})
         self._starts.pop(name, None)
         self._starts[name] = incarnation
-        if len(self._starts) > acknowledgements.RECENT:
+        if len(self._starts) > acknowledgements.MAX_RECENT_CHANGES:
             del self._starts[next(iter(self._starts))]
         if self._alive and self._starts_due is None:
             self._starts_due = asyncio.get_running_loop().call_later(STARTS_S, self._write_notice)
@@ -260,7 +260,9 @@
         if len(self.freshness.quorum.lists) == 1:
             return
         ours = acknowledgements.list_digest(self.names)
-        if not all((w := p.current_acknowledgement) and w.names == ours for p in self.tracker.peers.values()):
+        if not all(
+            (w := p.current_acknowledgement) and w.names_digest == ours for p in self.tracker.peers.values()
+        ):
             self._one_list_us = None
         elif self._one_list_us is None:
             self._one_list_us = now
@@ -308,7 +310,7 @@
         self.targets = counted_targets(self.index)
         self._told += 1
         number, targets = self._told, self.targets
-        self._tellings[number] = self.tracker.applied.all
+        self._tellings[number] = self.tracker.applied.combined
         self.dispatcher(CordonsChanged(lambda d: covers(targets, d), lambda: self.tell(AppliedNow(number))))
 
     def _applied_now(self, number: int) -> None:
@@ -327,7 +329,7 @@
         self._serial += 1
         applied = self.tracker.applied
         recent: tuple[tuple[str, bytes], ...] = ()
-        if self._applied == applied.all:
+        if self._applied == applied.combined:
             recent = tuple((t, d) for t in self.tracker.recent_targets if (d := applied.get(t)))
         notice = Acknowledgement(
             acknowledgements.VERSION, self.incarnation, self._serial, self.options.on_lost,
@@ -458,8 +460,8 @@
             "state": scheduler.status.name.lower(),
             "incarnation": scheduler.incarnation,
             "on_lost": scheduler.mode.value if scheduler.mode else None,
-            "counts": self.freshness.caught_up if mine else bool(word and word.counts),
-            "same_list": mine or bool(word and word.names == acknowledgements.list_digest(self.names)),
+            "counts": self.freshness.caught_up if mine else bool(word and word.caught_up),
+            "same_list": mine or bool(word and word.names_digest == acknowledgements.list_digest(self.names)),
             "known_ms_ago": None if as_of is None else (now - as_of) / 1000,
         }
 
@@ -511,7 +513,7 @@
             self._maybe_serve()
         if self._next_end_us and now_us >= self._next_end_us:
             self._update()
-        if now_us - self._noticed_us > acknowledgements.AGAIN_US:
+        if now_us - self._noticed_us > acknowledgements.REWRITE_INTERVAL_US:
             self._write_notice()
         self._settle_list(now)
         if now >= self._fades_us:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -189,16 +189,16 @@
     "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
-        serial=2,
+        sequence=2,
         mode="mode3",
         bound_us=4,
-        counts=True,
+        caught_up=True,
         serving=True,
         left=True,
-        names=b"names5",
-        applied=b"applied6",
-        recent=(("recent7", b"recent8"),),
-        starts=(("starts9", 10),),
+        names_digest=b"names5",
+        applied_digest=b"applied6",
+        recent_digests=(("recent7", b"recent8"),),
+        incarnations=(("starts9", 10),),
     ),
     "members.Rumour": swim_messages.MemberUpdate(
         name="name1", state=2, incarnation=3, refutations=4, reporter="by5"
