--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -245,7 +245,7 @@
         if current.left or current.applied_digest == self.applied.combined:
             return False
         digest = self.applied.get(target)
-        return digest is None or dict(current.recent).get(target) != digest
+        return digest is None or dict(current.recent_digests).get(target) != digest
 
     def _update_propagations(self, mono_us: int, name: str) -> None:
         scheduler = self.scheduler(mono_us, name)
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -534,7 +534,7 @@
         tracker.record_start(0, name, 7)
         tracker.record_acknowledgement(0, name, word)
     assert tracker.lagging_peers("worker/w1") == ("b", "c")
-    tracker.record_acknowledgement(1, "b", msgspec.structs.replace(word, serial=2, left=True))
+    tracker.record_acknowledgement(1, "b", msgspec.structs.replace(word, sequence=2, left=True))
     tracker.record_link(2, "c", False)
     assert tracker.lagging_peers("worker/w1") == ("c",)
 
