--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -27,7 +27,7 @@
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import restore_records
+from robinhill.net.control_group.recovery import log_rejected, restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
@@ -99,7 +99,7 @@
     async def start(self) -> None:
         """Raises ConfigError where an address can't be listened on."""
         for warning in self.options.warnings:
-            log.warning("voters_questionable", extra={"why": warning})
+            log.warning("voters_warning", extra={"why": warning})
         # The next start must be a later one, also if this one ends before its first save.
         await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
@@ -180,13 +180,13 @@
 
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this voter does not know."""
-        log.warning("vouched", extra={"voter": self.config.name})
-        self.driver.tell(Run(lambda: self.driver.perform(self.voter.vouch(self.clock.now_us(), mono_us()))))
+        log.warning("voter_confirmed", extra={"voter": self.config.name})
+        self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"it counts for majorities\n")
 
     def forget(self, scheduler: str) -> Answer:
         """An operator says that a scheduler runs no more: changes don't wait for it."""
-        log.warning("scheduler_forgotten", extra={"scheduler": scheduler})
+        log.warning("scheduler_removed", extra={"scheduler": scheduler})
         self.driver.tell(Run(lambda: self._forget(scheduler)))
         return Answer(200, b"this voter waits for it no more; ask each voter\n")
 
@@ -218,10 +218,8 @@
 
     def _act(self, action: Action) -> None:
         match action:
-            case Apply(declined=declined):
-                for record, error in declined:
-                    extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-                    log.warning("record_declined", extra=extra)
+            case Apply(rejected=rejected):
+                log_rejected(rejected)
             case Progressed():
                 self.cordons.progressed(action)
             case CaughtUp():
@@ -239,8 +237,11 @@
         self.driver.perform(actions)
         log.info("voters_reconfigured", extra={"voters": len(options.voters)})
 
+    def _confirm_complete(self) -> None:
+        self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
+
     def _forget(self, scheduler: str) -> None:
-        self.driver.perform(self.voter.forget(self.clock.now_us(), mono_us(), scheduler))
+        self.driver.perform(self.voter.remove_observer(self.clock.now_us(), mono_us(), scheduler))
 
     async def _refresh(self) -> None:
         while True:
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -32,7 +32,7 @@
 from robinhill.cordon import views
 from robinhill.errors import RobinhillError
 from robinhill.gang import share as gang
-from robinhill.mesh import acknowledgements, failure_detector, frames, record_kinds, snapshot
+from robinhill.mesh import acknowledgements, frames, record_kinds, snapshot, swim_messages
 from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
 from robinhill.net.cordons import operator_calls
@@ -58,15 +58,23 @@
 SAMPLES: dict[str, msgspec.Struct] = {
     "control.mesh": control.MeshData(data=b"data1"),
     "control.status": control.VoterStatus(
-        incarnation=1, counts=True, voters=b"voters2", starts=(("starts3", 4),)
+        incarnation=1,
+        counts=True,
+        voters=b"voters2",
+        incarnations=(control.VoterIncarnation("starts3", 4),),
     ),
     "control.barrier": control.Barrier(number=1, urgent=True, hold=True),
     "control.behind": control.BarrierStatus(
-        number=1, incarnation=2, counts=True, starts=(("starts3", 4),), behind=5, names=("names6",)
+        number=1,
+        incarnation=2,
+        counts=True,
+        incarnations=(control.VoterIncarnation("starts3", 4),),
+        lagging_count=5,
+        lagging_names=("names6",),
     ),
     "control.unbar": control.BarrierEnd(number=1),
-    "control.moved": control.Moved(observers=(("observers1", 2, 3),)),
-    "control.departed": control.Departed(observers=(("observers1", 2, 3),)),
+    "control.moved": control.Moved(observers=(control.ObserverJoin("observers1", 2, 3),)),
+    "control.departed": control.Departed(observers=(control.ObserverJoin("observers1", 2, 3),)),
     "control.join": control.Join(
         protocol=1,
         installation="installation2",
@@ -143,7 +151,9 @@
         ),
     ),
     "control.reply": control.HeartbeatReply(number=1, age_us=2, position=3),
-    "control.progress": control.Progress(number=1, accepted=True, in_force=True, behind=2, names=("names3",)),
+    "control.progress": control.Progress(
+        number=1, accepted=True, in_force=True, lagging_count=2, lagging_names=("names3",)
+    ),
     "control.refused": control.Refused(why="why1"),
     "shared.Stamp": shared.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
     "shared.Record": shared.Record(
@@ -189,44 +199,54 @@
     "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
-        serial=2,
+        sequence=2,
         mode="mode3",
         bound_us=4,
-        counts=True,
+        caught_up=True,
         serving=True,
         left=True,
-        names=b"names5",
-        applied=b"applied6",
-        recent=(("recent7", b"recent8"),),
-        starts=(("starts9", 10),),
+        names_digest=b"names5",
+        applied_digest=b"applied6",
+        recent_digests=(("recent7", b"recent8"),),
+        incarnations=(("starts9", 10),),
+    ),
+    "members.Rumour": swim_messages.MemberUpdate(
+        name="name1", state=2, incarnation=3, refutations=4, reporter="by5"
     ),
-    "members.Rumour": failure_detector.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
-    "members.check": failure_detector.Check(
+    "members.check": swim_messages.Ping(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.check-for": failure_detector.CheckFor(
+    "members.check-for": swim_messages.PingRequest(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.checked": failure_detector.Checked(
+    "members.checked": swim_messages.Ack(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
         target_incarnation=5,
-        rumours=(failure_detector.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name6", state=7, incarnation=8, refutations=9, reporter="by10"),
+        ),
     ),
-    "members.word": failure_detector.Word(
+    "members.word": swim_messages.Gossip(
         sender="sender1",
         incarnation=2,
-        rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name3", state=4, incarnation=5, refutations=6, reporter="by7"),
+        ),
     ),
     "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
     "kinds.Sighting": record_kinds.Observation(
