--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -27,14 +27,14 @@
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import restore_records
+from robinhill.net.control_group.recovery import log_rejected, restore_records
 from robinhill.net.cordons.group_member import Cordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.snapshot_store import SnapshotStore
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -89,16 +89,16 @@
         self._reported_voters: tuple[str | None, str | None] = (None, None)
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
-        inbound.behind = True
+        inbound.catching_up = True
         dispatcher.use_cordons(
             self.may_send,
             lambda: self.driver.tell(Run(self._update)),
             self.lease if self._requires_lease else None,
         )
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
-        log.info("observing", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
+        log.info("observer_started", extra=extra | {"bound_ms": mesh.bound_ms, "on_lost": mesh.on_lost})
         for warning in self.options.warnings:
-            log.warning("voters_questionable", extra={"why": warning})
+            log.warning("voters_warning", extra={"why": warning})
 
     def start(self) -> None:
         """Connect to voters; the inbound side is ready once in step with one, or `catch_up_ms` later."""
@@ -121,7 +121,7 @@
 
     # Before a send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
         if self._stopped or covers(self.cordons.targets, worker):
             return False
@@ -129,7 +129,7 @@
 
     def lease(self) -> bool:
         """Whether a majority of voters is known as of no longer ago than the bound."""
-        return self.observer.holds_lease(mono_us())
+        return self.observer.has_lease(mono_us())
 
     # Operators
 
@@ -143,8 +143,8 @@
     def status(self) -> Answer:
         """How this copy stands, for operators and for whoever compares copies."""
         now = mono_us()
-        standing = self.observer.standing(CORDON, now)
-        in_step = self.observer.in_step
+        status = self.observer.status(CORDON, now)
+        in_step = self.observer.synchronized
         fields = {
             "name": self.name,
             "role": "observer",
@@ -154,9 +154,9 @@
             "spare_voter": self.observer.spare_voter,
             "in_step": in_step,
             "on_lost": self.mesh.on_lost,
-            "lease": not standing.stale,
-            "may_act": standing.may_act,
-            "majority_known_ms_ago": None if standing.age_us is None else standing.age_us / 1000,
+            "lease": not status.stale,
+            "may_act": status.may_act,
+            "majority_known_ms_ago": None if status.age_us is None else status.age_us / 1000,
         }
         return Answer(200, msgspec.json.encode({k: v for k, v in fields.items() if v is not None}) + b"\n")
 
@@ -166,14 +166,14 @@
 
     def metrics(self) -> bytes:
         """Lines for operators."""
-        standing = self.observer.standing(CORDON, mono_us())
+        status = self.observer.status(CORDON, mono_us())
         traffic = self.driver.traffic
         lines = [
             f"links:{len(self.driver.links)}|g",
-            f"in_step:{int(self.observer.in_step)}|g",
-            f"lease:{int(not standing.stale)}|g",
-            f"majority_age_ms:{-1 if standing.age_us is None else standing.age_us // 1000}|g",
-            f"moves:{self.observer.moves}|c",
+            f"in_step:{int(self.observer.synchronized)}|g",
+            f"lease:{int(not status.stale)}|g",
+            f"majority_age_ms:{-1 if status.age_us is None else status.age_us // 1000}|g",
+            f"moves:{self.observer.primary_changes}|c",
             f"cordons:{len(self.cordons.index.active())}|g",
             f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
@@ -211,10 +211,8 @@
 
     def _act(self, action: Action) -> None:
         match action:
-            case Apply(records=records, declined=declined):
-                for record, error in declined:
-                    extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-                    log.warning("record_declined", extra=extra)
+            case Apply(records=records, rejected=rejected):
+                log_rejected(rejected)
                 if any(record.kind == CORDON for record in records):
                     self._update()
             case LeaseChanged(held=held, age_us=age_us):
@@ -244,13 +242,13 @@
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
         if held:
-            log.info("control_fresh", extra=extra)
+            log.info("control_lease_acquired", extra=extra)
         else:
-            log.warning("control_stale", extra=extra)
+            log.warning("control_lease_expired", extra=extra)
 
     def _after_observer_call(self) -> None:
         """After each call of the observer."""
-        if self.observer.in_step and not self.serving:
+        if self.observer.synchronized and not self.serving:
             self._serve()
         voters = self.observer.voter, self.observer.spare_voter
         if voters != self._reported_voters:
@@ -262,9 +260,9 @@
         if self.serving:
             return
         self.serving = True
-        self.inbound.behind = False
+        self.inbound.catching_up = False
         seconds = (mono_us() - self._began_us) / 1e6
-        if self.observer.in_step:
+        if self.observer.synchronized:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
         else:
             log.warning("not_caught_up", extra={"seconds": seconds, "voter": "none"})
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -42,7 +42,7 @@
     def export_state(self) -> Json:
         """What a successor must know to decide as this process would."""
 
-    def set_succeeded(self, succeeded: bool) -> None:
+    def set_superseded(self, superseded: bool) -> None:
         """A successor serves in place of this process; or the other process has exited."""
 
     async def apply_operator_call(self, call: str, body: Json) -> bool:
@@ -111,7 +111,7 @@
         await link.lost.wait()
         log.info("predecessor_exited")
         self.predecessor = None
-        self.delegate.set_succeeded(self._successor_serves)
+        self.delegate.set_superseded(self._successor_serves)
 
     # As the old process
 
@@ -127,14 +127,14 @@
         await link.lost.wait()
         log.warning("successor_exited")
         self.successor, self._successor_serves = None, False
-        self.delegate.set_succeeded(False)
+        self.delegate.set_superseded(False)
         if not self._socket.is_published:
             self._socket.publish()
 
     def _successor_started(self) -> None:
         log.info("successor_serving")
         self._successor_serves = True
-        self.delegate.set_succeeded(True)
+        self.delegate.set_superseded(True)
         self._socket.withdraw()  # its name is the successor's now
 
     # As either
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -32,7 +32,7 @@
 from robinhill.cordon import views
 from robinhill.errors import RobinhillError
 from robinhill.gang import share as gang
-from robinhill.mesh import acknowledgements, failure_detector, frames, record_kinds, snapshot
+from robinhill.mesh import acknowledgements, frames, record_kinds, snapshot, swim_messages
 from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
 from robinhill.net.cordons import operator_calls
@@ -41,7 +41,7 @@
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.placement import exported_state as memory
 from robinhill.placement import timers
-from robinhill.protocol import Destination, JobEvent, JobRequest, JobState, Lifecycle
+from robinhill.protocol import JobEvent, JobRequest, JobState, Lifecycle, ListedEndpoint
 from robinhill.record import records as recording
 from robinhill.record.frames import frame as recording_frame
 from robinhill.record.frames import header as recording_header
@@ -58,15 +58,23 @@
 SAMPLES: dict[str, msgspec.Struct] = {
     "control.mesh": control.MeshData(data=b"data1"),
     "control.status": control.VoterStatus(
-        incarnation=1, counts=True, voters=b"voters2", starts=(("starts3", 4),)
+        incarnation=1,
+        counts=True,
+        voters=b"voters2",
+        incarnations=(control.VoterIncarnation("starts3", 4),),
     ),
     "control.barrier": control.Barrier(number=1, urgent=True, hold=True),
     "control.behind": control.BarrierStatus(
-        number=1, incarnation=2, counts=True, starts=(("starts3", 4),), behind=5, names=("names6",)
+        number=1,
+        incarnation=2,
+        counts=True,
+        incarnations=(control.VoterIncarnation("starts3", 4),),
+        lagging_count=5,
+        lagging_names=("names6",),
     ),
     "control.unbar": control.BarrierEnd(number=1),
-    "control.moved": control.Moved(observers=(("observers1", 2, 3),)),
-    "control.departed": control.Departed(observers=(("observers1", 2, 3),)),
+    "control.moved": control.Moved(observers=(control.ObserverJoin("observers1", 2, 3),)),
+    "control.departed": control.Departed(observers=(control.ObserverJoin("observers1", 2, 3),)),
     "control.join": control.Join(
         protocol=1,
         installation="installation2",
@@ -143,7 +151,9 @@
         ),
     ),
     "control.reply": control.HeartbeatReply(number=1, age_us=2, position=3),
-    "control.progress": control.Progress(number=1, accepted=True, in_force=True, behind=2, names=("names3",)),
+    "control.progress": control.Progress(
+        number=1, accepted=True, in_force=True, lagging_count=2, lagging_names=("names3",)
+    ),
     "control.refused": control.Refused(why="why1"),
     "shared.Stamp": shared.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
     "shared.Record": shared.Record(
@@ -173,62 +183,73 @@
                 value=b"value9",
             ),
         ),
-        instead=(10,),
+        replaces=(10,),
     ),
     "frames.ping": frames.Ping(number=1, pushed=2, low=3),
     "frames.pong": frames.Pong(number=1, pushed=2, low=3, ages_ms=(4,), starting_ms=((5, 6),)),
-    "frames.again": frames.Again(numbers=(1,)),
-    "frames.ranges": frames.Ranges(round=1, at_us=2, answers=True, digests=b"digests3"),
-    "frames.Part": frames.Part(index=1, part=2, parts=3, heads=(("heads4", "heads5", b"heads6"),)),
-    "frames.heads": frames.Heads(
-        round=1, parts=(frames.Part(index=2, part=3, parts=4, heads=(("heads5", "heads6", b"heads7"),)),)
+    "frames.again": frames.PushResendRequest(numbers=(1,)),
+    "frames.ranges": frames.RangeDigests(round=1, at_us=2, answers=True, digests=b"digests3"),
+    "frames.Part": frames.RangePart(index=1, part=2, parts=3, versions=(("heads4", "heads5", b"heads6"),)),
+    "frames.heads": frames.RecordVersions(
+        round=1,
+        parts=(frames.RangePart(index=2, part=3, parts=4, versions=(("heads5", "heads6", b"heads7"),)),),
     ),
-    "frames.redo": frames.Redo(round=1, indices=(2,)),
-    "frames.aside": frames.Aside(words=b"words1"),
+    "frames.redo": frames.VersionsResendRequest(round=1, indices=(2,)),
+    "frames.aside": frames.MemberMessage(payload=b"words1"),
     "notices.Notice": acknowledgements.Acknowledgement(
         version=1,
         incarnation=1,
-        serial=2,
+        sequence=2,
         mode="mode3",
         bound_us=4,
-        counts=True,
+        caught_up=True,
         serving=True,
         left=True,
-        names=b"names5",
-        applied=b"applied6",
-        recent=(("recent7", b"recent8"),),
-        starts=(("starts9", 10),),
+        names_digest=b"names5",
+        applied_digest=b"applied6",
+        recent_digests=(("recent7", b"recent8"),),
+        incarnations=(("starts9", 10),),
+    ),
+    "members.Rumour": swim_messages.MemberUpdate(
+        name="name1", state=2, incarnation=3, refutations=4, reporter="by5"
     ),
-    "members.Rumour": failure_detector.Rumour(name="name1", state=2, incarnation=3, count=4, by="by5"),
-    "members.check": failure_detector.Check(
+    "members.check": swim_messages.Ping(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.check-for": failure_detector.CheckFor(
+    "members.check-for": swim_messages.PingRequest(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
-        rumours=(failure_detector.Rumour(name="name5", state=6, incarnation=7, count=8, by="by9"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name5", state=6, incarnation=7, refutations=8, reporter="by9"),
+        ),
     ),
-    "members.checked": failure_detector.Checked(
+    "members.checked": swim_messages.Ack(
         sender="sender1",
         incarnation=2,
         number=3,
         target="target4",
         target_incarnation=5,
-        rumours=(failure_detector.Rumour(name="name6", state=7, incarnation=8, count=9, by="by10"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name6", state=7, incarnation=8, refutations=9, reporter="by10"),
+        ),
     ),
-    "members.word": failure_detector.Word(
+    "members.word": swim_messages.Gossip(
         sender="sender1",
         incarnation=2,
-        rumours=(failure_detector.Rumour(name="name3", state=4, incarnation=5, count=6, by="by7"),),
+        updates=(
+            swim_messages.MemberUpdate(name="name3", state=4, incarnation=5, refutations=6, reporter="by7"),
+        ),
     ),
     "kinds.Drain": record_kinds.Drain(at_us=1, by="by2", draining=True, reason="reason3"),
-    "kinds.Sighting": record_kinds.Sighting(
+    "kinds.Sighting": record_kinds.Observation(
         observer="observer1", what="what2", at_us=3, about="about4", amount=5
     ),
     "kinds.Outcome": record_kinds.Outcome(
@@ -317,18 +338,18 @@
     if name.startswith("control."):
         return control.write(control.read(data))
     if name.startswith("frames."):
-        return frames.write(frames.read(data))
+        return frames.encode_message(frames.decode_message(data))
     raise KeyError(name)
 
 
-_REQUESTS = record_kinds.requests(record_kinds.LONGEST_WINDOW_US)
+_REQUESTS = record_kinds.request_kind(record_kinds.MAX_RETRY_WINDOW_US)
 
 VALUES: Mapping[str, Callable[[bytes], bytes]] = {
     "cordon": lambda data: cordon.encode(cordon.decode(data)),
     "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
-    "drain": lambda data: record_kinds.DRAIN.encode(record_kinds.DRAIN.decode(data)),
-    "evidence": lambda data: record_kinds.SEEN.encode(record_kinds.SEEN.decode(data)),
+    "drain": lambda data: record_kinds.DRAIN_KIND.encode(record_kinds.DRAIN_KIND.decode(data)),
+    "evidence": lambda data: record_kinds.EVIDENCE_KIND.encode(record_kinds.EVIDENCE_KIND.decode(data)),
     "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
 }
 """Values of records by the name of their kind, read and written again."""
@@ -343,14 +364,14 @@
     """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
     record = SAMPLES["shared.Record"]
     assert isinstance(record, shared.Record)
-    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN))
+    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN_KIND))
     stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
-    replica.take(
+    replica.merge(
         2_000_000, shared.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain)
     )
     return {
-        "record": frames.check(record).hex(),
+        "record": frames.record_digest(record).hex(),
         "parts": acknowledgements.digest(b"a", b"bc").hex(),
         "names": acknowledgements.list_digest(["s2", "s1"]).hex(),
         "replica": replica.digest(2_000_000).hex(),
@@ -506,27 +527,27 @@
         id="id1", job_class=2, time_left_us=3, client_repeat=True, target="/target4", body=b"body\xff",
         headers=(("key5", "value6"),), tenant="tenant7", cost_us=8, key="key9",
     )  # fmt: skip
-    written = _as_json(messages.write_handed(request))
-    assert messages.read_handed(written) == request
+    written = _as_json(messages.encode_handed_over_request(request))
+    assert messages.decode_handed_over_request(written) == request
     return written
 
 
 def worker_event() -> Json:
     """A worker's call about a job as it goes from process to process."""
     event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
-    written = _as_json(messages.write_job_event(event))
-    assert messages.job_event(written) == event
+    written = _as_json(messages.encode_job_event(event))
+    assert messages.decode_job_event_object(written) == event
     return written
 
 
 def listed_worker() -> Json:
     """An entry of the endpoint list as it goes from process to process."""
-    entry = Destination(
+    entry = ListedEndpoint(
         instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
         lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
     )  # fmt: skip
-    written = _as_json(messages.write_destination(entry))
-    assert messages.read_destination(written) == entry
+    written = _as_json(messages.encode_listed_endpoint(entry))
+    assert messages.decode_listed_endpoint(written) == entry
     return written
 
 
