--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -31,10 +31,10 @@
 
 AHEAD_US = 5_000_000  # hosts that keep time by NTP differ by far less; what is beyond it is a fault to report
 FAR_US = 24 * 3_600_000_000
-LONGEST_LIFETIME_US = 31 * 24 * 3_600_000_000  # of any kind, so that ends of unknown kinds can be judged too
+MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # of any kind, so that ends of unknown kinds can be judged too
 LAST_US = 2**53 - 1  # any time beyond it (the year 2255) is damage, and JSON readers would round it
-MOST_COUNT = 2**32 - 1  # of writes within one microsecond
-FEWEST_CLOCKS = 3  # of two that differ nobody can say which is wrong
+MAX_COUNT = 2**32 - 1  # of writes within one microsecond
+MIN_CLOCKS = 3  # of two that differ nobody can say which is wrong
 
 
 class StampAhead(FutureStamp):
@@ -76,12 +76,12 @@
 
 
 def _next(wall_us: int, count: int) -> tuple[int, int]:
-    return (wall_us, count + 1) if count < MOST_COUNT else (wall_us + 1, 0)
+    return (wall_us, count + 1) if count < MAX_COUNT else (wall_us + 1, 0)
 
 
 def ahead_us(now_us: int, record: Record) -> int:
     """How far a record is in the future, by its stamp or by an end that no kind could give it now."""
-    return max(record.stamp.wall_us, record.until_us - LONGEST_LIFETIME_US) - now_us
+    return max(record.stamp.wall_us, record.until_us - MAX_LIFETIME_US) - now_us
 
 
 def next_incarnation(now_us: int, before: int = 0) -> int:
@@ -96,7 +96,7 @@
     and where the median is within half of ``AHEAD_US``: small differences do no harm, steps might.
     """
     known = sorted([0, *offsets_us])
-    if len(known) < FEWEST_CLOCKS:
+    if len(known) < MIN_CLOCKS:
         return 0
     median = (known[len(known) // 2] + known[(len(known) - 1) // 2]) // 2
     return median if abs(median) > AHEAD_US // 2 else 0
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -14,9 +14,10 @@
 from robinhill.mesh import snapshot as rest
 from robinhill.mesh.clocks import AHEAD_US, FAR_US, HybridClock, StampAhead, agreed_offset_us
 from robinhill.mesh.errors import ForeignState, StateFull
+from robinhill.mesh.expiry_index import SPAN_US
 from robinhill.mesh.merging import merged
 from robinhill.mesh.records import Kind, Record, Stamp
-from robinhill.mesh.replica import SPAN_US, Replica
+from robinhill.mesh.replica import Replica
 
 S = 1_000_000
 DAY = 24 * 3600 * S
@@ -143,7 +144,7 @@
         exchange(self.copies, self.now)
         assert len({copy.digest(self.now) for copy in self.copies}) == 1
         for copy in self.copies:
-            sums = digests.Sums()
+            sums = digests.RangeSums()
             for record in held(copy):
                 if -(-record.until_us // SPAN_US) * SPAN_US > self.now:
                     sums.change(digests.range_of(*record.name), 0, digests.hash_of(record))
@@ -281,7 +282,7 @@
 
 
 def test_full_kinds_keep_the_same_records_in_every_order_or_refuse(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replica, "UNKNOWN_RECORDS", 2)
+    monkeypatch.setattr(replica, "MAX_UNKNOWN_RECORDS", 2)
     source = Replica("s", 1, [marks("few", DAY), marks("new", DAY)])
     written = [source.write(NOW + i, kind, str(i), ((i,), ())) for i in range(4) for kind in ("few", "new")]
     held_by = copies(3)
@@ -305,7 +306,7 @@
     assert tight.write(NOW + S, "m", "0", ((2,), ())), "what is held may still change"
     assert tight.merge(NOW + 20 * S, third), "what is over makes room"
     with pytest.raises(StateFull):
-        tight.write(NOW + S, "m", "0", (tuple(range(replica.LARGEST_WRITE)), ()))
+        tight.write(NOW + S, "m", "0", (tuple(range(replica.MAX_WRITTEN_VALUE_BYTES)), ()))
     assert tight.value("m", "0") == ((1, 2), ())
 
 
@@ -313,7 +314,7 @@
 def test_a_flood_of_large_records_is_bounded_in_bytes(known: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     source, tight = Replica("s", 1, [marks("m", DAY)]), Replica("t", 1, [marks("m", DAY)] if known else ())
     flood = [source.write(NOW + i, "m", str(i), (tuple(range(90)), ())) for i in range(4)]
-    monkeypatch.setattr(replica, "MOST_BYTES", 150)
+    monkeypatch.setattr(replica, "MAX_KIND_BYTES", 150)
     assert tight.merge(NOW, flood[0])
     if known:
         with pytest.raises(StateFull):
@@ -327,7 +328,7 @@
     copy = copies(1)[0]
     for i in range(1_000):
         copy.write(NOW + i, "long", str(i % 3), ((i % 5,), ()))
-    assert len(copy._log) <= 2 * 3 + 64
+    assert len(copy._log._entries) <= 2 * 3 + 64
     first, cursor = copy.since(0, 2)
     assert [r.key for r in first] == ["1", "2"] and copy.since(cursor, 9)[0] == [copy.record("long", "0")]
     assert copy.since(copy.head, 9) == ([], copy.head)
