--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -19,7 +19,6 @@
 from robinhill.cordon.errors import (
     BoundNotMet,
     CordonElsewhere,
-    CordonError,
     CordonMalformed,
     CordonsFull,
     CordonUnknown,
@@ -29,8 +28,9 @@
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation import Propagation, Propagations, PropagationStage
 from robinhill.cordon.value import Entry, Reason, check_reason, check_target
+from robinhill.errors import RobinhillError
 
-HTTP_STATUS: dict[type[CordonError], int] = {
+HTTP_STATUS: dict[type[RobinhillError], int] = {
     CordonMalformed: 400,
     CordonUnknown: 404,
     CordonElsewhere: 409,
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -28,7 +28,7 @@
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.recovery import restore_records
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall, covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
@@ -72,7 +72,7 @@
         self.driver = Driver(
             self.observer, supervisor, clock, self._address_of, self._act, self._after_observer_call
         )
-        self.cordons = Cordons(
+        self.cordons = GroupCordons(
             self.options,
             self.incarnation,
             self.replica,
@@ -176,7 +176,7 @@
             f"moves:{self.observer.moves}|c",
             f"cordons:{len(self.cordons.index.active())}|g",
             f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
-            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             f"opened:{traffic.opened}|c",
             f"lost:{traffic.lost}|c",
             f"messages_in:{traffic.messages_in}|c",
@@ -220,7 +220,7 @@
             case LeaseChanged(held=held, age_us=age_us):
                 self._lease_changed(held, age_us)
             case Progressed():
-                self.cordons.progressed(action)
+                self.cordons.record_progress(action)
 
     def _update(self) -> None:
         """Go by the cordons as they are now: at once before each write, and in the decider.
@@ -267,7 +267,7 @@
         if self.observer.in_step:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
         else:
-            log.warning("not_caught_up", extra={"seconds": seconds, "voter": "none"})
+            log.warning("catch_up_timed_out", extra={"seconds": seconds, "voter": "none"})
 
     # Disk
 
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -28,7 +28,7 @@
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.recovery import restore_records
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
 from robinhill.net.operators.server import Calls, Operators
@@ -76,7 +76,7 @@
             self._act,
             accepted=self.voter.accepted,
         )
-        self.cordons = Cordons(
+        self.cordons = GroupCordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
         self.operators: Operators | None = None
@@ -199,7 +199,7 @@
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
             f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
-            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             f"comparisons:{counted.comparisons}|c",
             f"refused:{counted.refused}|c",
             f"opened:{traffic.opened}|c",
@@ -223,7 +223,7 @@
                     extra = {"kind": record.kind, "key": record.key, "why": str(error)}
                     log.warning("record_declined", extra=extra)
             case Progressed():
-                self.cordons.progressed(action)
+                self.cordons.record_progress(action)
             case CaughtUp():
                 log.info("counts_for_majorities", extra={"voter": self.config.name})
             case VotersSettled():
@@ -245,7 +245,7 @@
     async def _refresh(self) -> None:
         while True:
             await asyncio.sleep(REFRESH_INTERVAL_S)
-            self.driver.tell(Run(self.cordons.refresh))
+            self.driver.tell(Run(self.cordons.renew_records))
 
     def _snapshot_header(self) -> SnapshotHeader:
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
--- /dev/null
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -0,0 +1,97 @@
+"""Writes this scheduler's own acknowledgement, by which the other schedulers know what it goes by.
+
+It owns the acknowledgement's serial number and the starts of peers that it passes on. It decides nothing
+about the other schedulers' acknowledgements.
+"""
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from robinhill.cordon.propagation_tracker import PropagationTracker
+from robinhill.mesh import acknowledgements
+from robinhill.mesh.acknowledgements import Acknowledgement
+from robinhill.mesh.errors import StateFull
+from robinhill.mesh.freshness import Freshness
+from robinhill.mesh.replica import Replica
+from robinhill.net.clock import Clock
+from robinhill.net.cordons.fleet import Fleet
+
+log = logging.getLogger(__name__)
+
+STARTS_DELAY_S = 0.05  # starts of peers that come together are passed on in one acknowledgement
+
+
+class AcknowledgementWriter:
+    """Writes the record of this scheduler's name; ``written_us``: when it last did, Unix time."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        replica: Replica,
+        freshness: Freshness,
+        tracker: PropagationTracker,
+        clock: Clock,
+    ) -> None:
+        self.fleet = fleet
+        self.replica = replica
+        self.freshness = freshness
+        self.tracker = tracker
+        self.clock = clock
+        self.written_us = 0
+        self._serial = 0
+        self._peer_starts: dict[str, int] = {}  # incarnations by name, the latest at the end
+        self._timer: asyncio.TimerHandle | None = None
+
+    def record_start(self, name: str, incarnation: int) -> None:
+        """Pass on the start of a peer with the next acknowledgements."""
+        self._peer_starts.pop(name, None)
+        self._peer_starts[name] = incarnation
+        if len(self._peer_starts) > acknowledgements.RECENT:
+            del self._peer_starts[next(iter(self._peer_starts))]
+
+    def schedule(self, write: Callable[[], None]) -> None:
+        """Call ``write`` shortly, unless that is scheduled already."""
+        if self._timer is None:
+            self._timer = asyncio.get_running_loop().call_later(STARTS_DELAY_S, write)
+
+    def write(self, mono_us: int, applied_digest: bytes, *, serving: bool, left: bool = False) -> None:
+        """Write the acknowledgement of what this scheduler goes by, as given by the digest.
+
+        ``serving``: it takes clients. ``left``: it sends nothing more.
+        """
+        self.stop()
+        self._serial += 1
+        acknowledgement = Acknowledgement(
+            version=acknowledgements.VERSION,
+            incarnation=self.replica.clock.incarnation,
+            serial=self._serial,
+            mode=self.fleet.options.on_lost,
+            bound_us=self.fleet.bound_us,
+            counts=self.freshness.caught_up,
+            serving=serving,
+            left=left,
+            names=acknowledgements.list_digest(self.fleet.names),
+            applied=applied_digest,
+            recent=self._recent_digests(applied_digest),
+            starts=tuple(self._peer_starts.items()),
+        )
+        self.written_us = self.clock.now_us()
+        try:
+            self.replica.write(self.written_us, acknowledgements.NAME, self.fleet.own_name, acknowledgement)
+        except StateFull as e:
+            log.error("acknowledgement_not_written", extra={"why": str(e)})
+        self.tracker.record_acknowledgement(mono_us, self.fleet.own_name, acknowledgement)
+
+    def stop(self) -> None:
+        """Cancel what is scheduled."""
+        if self._timer:
+            self._timer.cancel()
+            self._timer = None
+
+    def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
+        """Return the digests of the targets that changed last, none while later changes are not applied."""
+        applied = self.tracker.applied
+        if applied_digest != applied.all:
+            return ()
+        return tuple((t, digest) for t in self.tracker.recent_targets if (digest := applied.get(t)))
--- /dev/null
+++ b/robinhill/net/cordons/catch_up.py
@@ -0,0 +1,60 @@
+"""When a scheduler that has started may take clients: once it is likely to know what is cordoned.
+
+Not to be confused with counting for majorities, which `Freshness.may_catch_up` decides.
+"""
+
+import logging
+
+from robinhill.cordon.propagation_tracker import PropagationTracker
+from robinhill.net.cordons.fleet import Fleet
+
+log = logging.getLogger(__name__)
+
+
+class CatchUp:
+    """``serving``: this scheduler takes clients; ``duration_us``: how long it took until then."""
+
+    def __init__(self, fleet: Fleet, tracker: PropagationTracker, began_us: int) -> None:
+        self.fleet = fleet
+        self.tracker = tracker
+        self.serving = False
+        self.duration_us: int | None = None
+        self._answered: set[str] = set()  # peers whose state was received since the start
+        self._began_us = began_us
+
+    def start(self, mono_us: int) -> None:
+        """Begin: time runs from now on."""
+        self._began_us = mono_us
+
+    def age_s(self, mono_us: int) -> float:
+        """Return the seconds since the start."""
+        return (mono_us - self._began_us) / 1e6
+
+    def record_answer(self, name: str) -> None:
+        """Record that all that a peer knew is here."""
+        self._answered.add(name)
+
+    def try_to_serve(self, mono_us: int) -> bool:
+        """Begin to serve once a serving peer or all peers have answered, or time is up.
+
+        Returns whether it begins.
+        """
+        age_s = self.age_s(mono_us)
+        complete = self._is_complete()
+        if self.serving or not (complete or age_s * 1e3 >= self.fleet.options.catch_up_ms):
+            return False
+        self.serving = True
+        self.duration_us = int(age_s * 1e6)
+        extra = {"seconds": age_s, "peers": ",".join(sorted(self._answered)) or "none"}
+        if complete:
+            log.info("caught_up", extra=extra)
+        else:
+            log.warning("catch_up_timed_out", extra=extra)
+        return True
+
+    def _is_complete(self) -> bool:
+        peers = self.tracker.peers
+        if self._answered >= peers.keys():
+            return True
+        answered = (peers[name].current_acknowledgement for name in self._answered if name in peers)
+        return any(acknowledgement and acknowledgement.serving for acknowledgement in answered)
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -1,6 +1,8 @@
-"""Changes of cordons that were asked for at this process, and how far each has come. No sockets.
+"""Changes of cordons that were asked for at a member of the control group, and how far each has come.
 
-A change is *accepted* once it can't be forgotten, and *in force* once no scheduler can act without it.
+A change is *accepted* once it can't be forgotten, and *in force* once no scheduler can act without it. It is
+written as one record for each of its targets; each record's number is that of its progress reports.
+No sockets.
 """
 
 from collections.abc import Collection, Iterable
@@ -8,99 +10,104 @@
 
 from robinhill.control.actions import Progressed
 
-MAX_UNDER_WAY = 512
-"""Changes that are followed at once; the oldest beyond it are followed no more, but hold all the same."""
+MAX_PENDING_RECORDS = 512
+"""Tracked at once; beyond it the oldest that no caller waits for are abandoned, and take effect all the
+same."""
 
 STORED, ACCEPTED, IN_FORCE = "stored", "accepted", "in force"
 
 
 @dataclass(slots=True, eq=False)
-class Change:
-    """What one call has written: a record for each target. ``began_us``: monotonic."""
+class PendingChange:
+    """A change that one call has written.
+
+    ``began_us``: monotonic. ``dots``: of the reasons that it set. ``waiters``: how many callers wait for it.
+    ``progress``: the last report of each record, by number; None before the first.
+    """
 
     cordon_id: str
     targets: tuple[str, ...]
-    lifts: bool
+    is_lift: bool
     began_us: int
     dots: tuple[str, ...] = ()
-    waiting: int = 0
-    numbers: dict[int, Progressed | None] = field(default_factory=dict)
+    waiters: int = 0
+    progress: dict[int, Progressed | None] = field(default_factory=dict)
 
     @property
     def accepted(self) -> bool:
-        """Whether all of it is."""
-        return all(news is not None and (news.accepted or news.in_force) for news in self.numbers.values())
+        """Whether all its records are accepted."""
+        return all(last is not None and (last.accepted or last.in_force) for last in self.progress.values())
 
     @property
     def in_force(self) -> bool:
-        """Whether all of it is."""
-        return all(news is not None and news.in_force for news in self.numbers.values())
+        """Whether all its records are in force."""
+        return all(last is not None and last.in_force for last in self.progress.values())
 
     @property
     def state(self) -> str:
-        """How far it has come, in the words of the operators' calls."""
+        """How far it has come, as operators' answers name it."""
         if self.in_force:
             return IN_FORCE
         return ACCEPTED if self.accepted else STORED
 
     @property
-    def behind(self) -> int:
+    def lagging_count(self) -> int:
         """How many voters and schedulers are not known to go by it."""
-        return max((news.behind for news in self._news()), default=0)
+        return max((last.behind for last in self._reports()), default=0)
 
     @property
-    def names_behind(self) -> tuple[str, ...]:
-        """Some of them, ascending."""
-        return tuple(sorted({name for news in self._news() for name in news.names}))
+    def lagging_names(self) -> tuple[str, ...]:
+        """Some of those that are not known to go by it, ascending."""
+        return tuple(sorted({name for last in self._reports() for name in last.names}))
 
-    def _news(self) -> Iterable[Progressed]:
-        return (news for news in self.numbers.values() if news is not None)
+    def _reports(self) -> Iterable[Progressed]:
+        return (last for last in self.progress.values() if last is not None)
 
 
-class Changes:
-    """All changes of this process that are followed, or whose cordon stands."""
+class PendingChanges:
+    """All changes of this process that are tracked, or whose cordon is active."""
 
     def __init__(self) -> None:
-        self._by_number: dict[int, Change] = {}
-        self._by_dot: dict[str, Change] = {}
+        self._by_number: dict[int, PendingChange] = {}
+        self._by_dot: dict[str, PendingChange] = {}
 
-    def follow(self, change: Change, number: int) -> None:
-        """Progress under this number is this change's."""
-        change.numbers[number] = None
+    def track(self, change: PendingChange, number: int) -> None:
+        """Track one record of a change by its number."""
+        change.progress[number] = None
         self._by_number[number] = change
         for dot in change.dots:
             self._by_dot[dot] = change
 
-    def progressed(self, news: Progressed) -> Change | None:
-        """Take in news; whose they are."""
-        change = self._by_number.get(news.number)
+    def record_progress(self, report: Progressed) -> PendingChange | None:
+        """Record a progress report. Returns its change, None if that is not tracked."""
+        change = self._by_number.get(report.number)
         if change is None:
             return None
-        change.numbers[news.number] = news
-        if news.in_force:
-            del self._by_number[news.number]
+        change.progress[report.number] = report
+        if report.in_force:
+            del self._by_number[report.number]
         return change
 
-    def of_dot(self, dot: str) -> Change | None:
-        """The change that wrote a reason, where it was this process."""
+    def find_by_dot(self, dot: str) -> PendingChange | None:
+        """Return the change that set the reason with this dot, None if it is not known here."""
         return self._by_dot.get(dot)
 
-    def under_way(self) -> int:
-        """How many are not in force yet."""
+    def pending_count(self) -> int:
+        """Return how many changes are not in force yet."""
         return len({id(change) for change in self._by_number.values()})
 
-    def abandoned(self) -> list[int]:
-        """Numbers that are followed no more, as there are too many and nobody waits for them."""
-        excess = len(self._by_number) - MAX_UNDER_WAY
+    def abandon_excess(self) -> list[int]:
+        """Stop tracking the oldest records above the limit that no caller waits for; return their numbers."""
+        excess = len(self._by_number) - MAX_PENDING_RECORDS
         if excess <= 0:
             return []
-        idle = [number for number, change in self._by_number.items() if not change.waiting][:excess]
+        idle = [number for number, change in self._by_number.items() if not change.waiters][:excess]
         for number in idle:
             del self._by_number[number]
         return idle
 
-    def forget_ended(self, standing: Collection[str]) -> None:
-        """Forget changes that are over: their reason does not stand and nothing of them is under way."""
+    def forget_ended(self, active_dots: Collection[str]) -> None:
+        """Forget changes that are in force and whose reason is no longer active."""
         for dot, change in list(self._by_dot.items()):
-            if dot not in standing and change.in_force:
+            if dot not in active_dots and change.in_force:
                 del self._by_dot[dot]
--- /dev/null
+++ b/robinhill/net/cordons/replies.py
@@ -0,0 +1,112 @@
+"""The bodies of answers to operators about cordons, as JSON.
+
+Field names and their order are part of the operators' interface; a field that is UNSET is left out. Views of
+single cordons are in `robinhill.cordon.views`.
+"""
+
+import msgspec
+from msgspec import UNSET, UnsetType
+
+from robinhill.cordon.propagation import ProcessStatus
+from robinhill.cordon.views import CordonView, UnconfirmedView
+from robinhill.errors import RobinhillError
+from robinhill.protocol import Answer
+
+PROCESS_STATUS_NAMES = {
+    ProcessStatus.UNKNOWN: "unheard",
+    ProcessStatus.ALIVE: "alive",
+    ProcessStatus.SUSPECT: "suspect",
+    ProcessStatus.GONE: "gone",
+    ProcessStatus.LEFT: "left",
+}
+
+
+class ErrorReply(msgspec.Struct, frozen=True):
+    """Why a call failed, and what the operator can do."""
+
+    error: str
+    advice: str | UnsetType = UNSET
+    type: str | UnsetType = UNSET
+
+
+class ChangeReply(msgspec.Struct, frozen=True):
+    """How far a change has come.
+
+    ``ms``: time since the call. ``lagging_count``: at a member of the control group, how many of its members
+    are not known to go by the change. ``error``, ``advice`` and ``type``: of a call that waited in vain.
+    """
+
+    id: str
+    targets: tuple[str, ...]
+    state: str
+    accepted: bool
+    in_force: bool
+    ms: float
+    lagging_count: int | UnsetType = msgspec.field(name="behind", default=UNSET)
+    unconfirmed: tuple[UnconfirmedView, ...] = ()
+    warnings: tuple[str, ...] | UnsetType = UNSET
+    error: str | UnsetType = UNSET
+    advice: str | UnsetType = UNSET
+    type: str | UnsetType = UNSET
+
+    def with_error(self, error: RobinhillError) -> "ChangeReply":
+        """Return the same reply with an error."""
+        return msgspec.structs.replace(self, error=error.what, advice=error.advice, type=error.code)
+
+
+class CordonReply(CordonView, frozen=True):
+    """One cordon, and the schedulers that are not known to go by it."""
+
+    lagging: tuple[str, ...] = msgspec.field(name="behind", default=())
+
+
+class SchedulerReply(msgspec.Struct, frozen=True):
+    """How one scheduler stands, as known here. ``known_ms_ago``: age of that knowledge, None for never."""
+
+    name: str
+    state: str
+    incarnation: int
+    on_lost: str | None
+    counts: bool
+    same_list: bool
+    known_ms_ago: float | None
+
+
+class ListingReply(msgspec.Struct, frozen=True):
+    """Active cordons, the listed workers that are cordoned, and all schedulers."""
+
+    cordons: tuple[CordonReply, ...]
+    cordoned_workers: tuple[str, ...] = msgspec.field(name="held")
+    schedulers: tuple[SchedulerReply, ...] = ()
+
+
+class StatusReply(msgspec.Struct, frozen=True):
+    """How a scheduler's copy of the shared state stands. Ages are None where nothing was known yet."""
+
+    name: str
+    incarnation: int
+    digest: str | None
+    counts: bool
+    on_lost: str
+    lease: bool
+    majority_known_ms_ago: float | None
+    schedulers: tuple[SchedulerReply, ...]
+
+
+Reply = ErrorReply | ChangeReply | ListingReply
+
+
+def make_cordon_reply(view: CordonView, lagging: tuple[str, ...], state: str | None = None) -> CordonReply:
+    """Return a view with the schedulers that lag; ``state`` replaces the view's where it is given."""
+    reply = CordonReply(**msgspec.structs.asdict(view), lagging=lagging)
+    return reply if state is None else msgspec.structs.replace(reply, state=state)
+
+
+def make_error_reply(error: RobinhillError) -> ErrorReply:
+    """Return the body for an error."""
+    return ErrorReply(error.what, error.advice, error.code)
+
+
+def make_answer(status: int, body: Reply) -> Answer:
+    """Return an HTTP answer: one line of JSON."""
+    return Answer(status, msgspec.json.encode(body) + b"\n")
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -47,7 +47,7 @@
 
     def greeted(self, name: str, incarnation: int, told_us: int) -> None: ...
 
-    def answered(self, name: str, answered: Answered) -> None: ...
+    def answered(self, name: str) -> None: ...
 
     def lost(self, name: str) -> None: ...
 
@@ -264,7 +264,7 @@
                     link.proven = True
                     extra = {"peer": link.name, "dialled": link.dialled, "links": len(self.links)}
                     log.info("peer_linked", extra=extra)
-                self.hearer.answered(link.name, event)
+                self.hearer.answered(link.name)
             case Told(words=words):
                 self.told(link.name, words)
 
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -23,12 +23,13 @@
 from robinhill.mesh.record_kinds import DRAIN, LONGEST_WINDOW_US, SEEN, requests
 from robinhill.mesh.records import Kind
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Answered, Identity, Learned
+from robinhill.mesh.session import Identity, Learned
 from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.inbound import Inbound
 from robinhill.net.clock import Clock
-from robinhill.net.cordons.actor import Cordons, ListChanged
+from robinhill.net.cordons.actor import CordonActor, WorkerListChanged
+from robinhill.net.cordons.fleet import Fleet
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import PREFIX
@@ -78,10 +79,15 @@
         self.replica = Replica(self.name, incarnation, _kinds())
         self._recall(owner, records)
         self.freshness = Freshness(self.name, names, options.bound_ms * 1000)
-        self.cordons = Cordons(
-            options, self.name, names, self.replica, self.freshness, supervisor, self.clock, dispatcher.tell,
+        self.cordons = CordonActor(
+            Fleet(self.name, names, options),
+            self.replica,
+            self.freshness,
+            supervisor,
+            self.clock,
+            dispatcher.tell,
             dispatcher.listed,
-        )  # fmt: skip
+        )
         # Decisions never draw from this: it spreads dialling in time.
         rng = random.Random(f"{self.name} {incarnation}")
         configured = self._configured(options)
@@ -90,15 +96,15 @@
         )
         self._offsets: dict[str, int] = {}  # of others' clocks, against our own
         self._renewed_s = -RENEW_S
-        self.peers.alive = self.cordons.alive
-        self.cordons.changed = self.peers.wake
+        self.peers.alive = self.cordons.reachable
+        self.cordons.on_change = self.peers.wake
         self.cordons.on_serving = self._serve
-        self.cordons.outdated = self._outdated
+        self.cordons.on_newer_incarnation = self._outdated
         inbound.behind = True
         dispatcher.use_cordons(
             self.cordons.may_send,
-            lambda: self.cordons.tell(ListChanged()),
-            self.cordons.lease if options.on_lost == "hold" else None,
+            lambda: self.cordons.tell(WorkerListChanged()),
+            self.cordons.holds_lease if options.on_lost == "hold" else None,
         )
         extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
         log.info("sharing", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost})
@@ -142,7 +148,7 @@
     # From peers, for all who have to know
 
     def learned(self, learned: Learned) -> None:
-        self.cordons.learned(learned)
+        self.cordons.receive_records(learned)
 
     def greeted(self, name: str, incarnation: int, told_us: int) -> None:
         offset_us = told_us - self.clock.own.now_us()
@@ -153,13 +159,13 @@
         if agreed_us != self.clock.offset_us:
             self.clock.offset_us = agreed_us
             log.warning("clock_corrected", extra={"by_s": agreed_us / 1e6})
-        self.cordons.greeted(name, incarnation)
+        self.cordons.record_greeting(name, incarnation)
 
-    def answered(self, name: str, answered: Answered) -> None:
-        self.cordons.answered(name, answered)
+    def answered(self, name: str) -> None:
+        self.cordons.record_answer(name)
 
     def lost(self, name: str) -> None:
-        self.cordons.lost(name)
+        self.cordons.record_lost_link(name)
 
     def _outdated(self, incarnation: int) -> None:
         """Peers know a later start of our name: this host's clock was set back, or the name is used twice."""
@@ -181,7 +187,7 @@
 
     def status(self) -> Answer:
         """How this scheduler and its copy stand."""
-        told = self.cordons.status() | {
+        told = msgspec.to_builtins(self.cordons.status()) | {
             "links": sorted(self.peers.links),
             "refused": self.peers.refusals,
             "clock_corrected_ms": self.clock.offset_us / 1000,
@@ -190,7 +196,7 @@
 
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this scheduler does not know."""
-        self.cordons.vouch("an operator said so")
+        self.cordons.confirm_complete("an operator said so")
         return Answer(200, b"it counts for majorities\n")
 
     def metrics(self) -> bytes:
