--- a/robinhill/control/record_merging.py
+++ b/robinhill/control/record_merging.py
@@ -17,7 +17,7 @@
     declined: list[Declined] = []
     for record in records:
         try:
-            outcome = replica.take(now_us, record)
+            outcome = replica.merge(now_us, record)
         except MeshError as e:
             declined.append((record, e))
             outcome = accepted_with_warning(e)
@@ -28,7 +28,7 @@
 
 def accepted_with_warning(error: MeshError) -> Record | None:
     """The record that is held all the same, as it was from the future a little; None: it was refused."""
-    held = getattr(error, "held", None)
+    held = getattr(error, "stored", None)
     return held if isinstance(held, Record) else None
 
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -34,7 +34,7 @@
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.snapshot_store import SnapshotStore
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
         self._reported_voters: tuple[str | None, str | None] = (None, None)
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._end_timer: asyncio.TimerHandle | None = None
-        inbound.behind = True
+        inbound.catching_up = True
         dispatcher.use_cordons(
             self.may_send,
             lambda: self.driver.tell(Run(self._update)),
@@ -121,7 +121,7 @@
 
     # Before a send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Whether a worker may get something new at this moment; for the last check before a write."""
         if self._stopped or covers(self.cordons.targets, worker):
             return False
@@ -262,7 +262,7 @@
         if self.serving:
             return
         self.serving = True
-        self.inbound.behind = False
+        self.inbound.catching_up = False
         seconds = (mono_us() - self._began_us) / 1e6
         if self.observer.in_step:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -251,7 +251,7 @@
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
     def _persistent_records(self) -> Iterable[Record]:
-        return self.replica.snapshot(lasting=True)
+        return self.replica.snapshot(persistent_only=True)
 
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
@@ -276,7 +276,7 @@
         self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
 
     async def _forget(self, body: bytes) -> Answer:
-        return self._voter.forget(protocol.read_instance_id(body))
+        return self._voter.forget(protocol.decode_instance_id(body))
 
 
 async def _no_workers(instance_id: str, out: bool) -> Answer:
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -24,7 +24,7 @@
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
-from robinhill.mesh.session import Learned
+from robinhill.mesh.session_events import RecordsReceived
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.cordons.acknowledgement_writer import AcknowledgementWriter
@@ -37,7 +37,7 @@
 from robinhill.net.cordons.peer_list_transition import PeerListTransition
 from robinhill.net.cordons.replies import StatusReply
 from robinhill.net.cordons.status_report import StatusReport
-from robinhill.protocol import Destination
+from robinhill.protocol import ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -82,7 +82,7 @@
         supervisor: Supervisor,
         clock: Clock,
         notify_dispatcher: Callable[[DispatcherMessage], None],
-        listed_workers: Callable[[], list[Destination]],
+        listed_workers: Callable[[], list[ListedEndpoint]],
     ) -> None:
         super().__init__("cordons", supervisor)
         self.fleet, self.replica, self.freshness, self.clock = fleet, replica, freshness, clock
@@ -153,7 +153,7 @@
 
     # Before each send
 
-    def may_send(self, worker: Destination) -> bool:
+    def may_send(self, worker: ListedEndpoint) -> bool:
         """Return whether a worker may get something new at this moment; for the last check before a write."""
         return not covers(self._notifier.targets, worker) and self.holds_lease()
 
@@ -163,12 +163,12 @@
 
     # From peers, at once
 
-    def receive_records(self, learned: Learned) -> None:
+    def receive_records(self, received: RecordsReceived) -> None:
         """Apply records that were received from a peer and are in the replica now."""
-        for record, error in learned.declined:
+        for record, error in received.rejected:
             extra = {"kind": record.kind, "key": record.key, "why": str(error)}
             log.warning("record_declined", extra=extra)
-        if sum([self._apply(record) for record in learned.records]):
+        if sum([self._apply(record) for record in received.records]):
             self._update()
         self._review()
 
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -35,7 +35,7 @@
 )
 from robinhill.net.cordons.pending_changes import PendingChange, PendingChanges
 from robinhill.net.cordons.replies import ChangeReply, CordonReply, ListingReply, make_cordon_reply
-from robinhill.protocol import Destination
+from robinhill.protocol import ListedEndpoint
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
         clock: Clock,
         writer: Writer,
         perform: Callable[[Iterable[Action]], None],
-        listed_workers: Callable[[], list[Destination]] | None = None,
+        listed_workers: Callable[[], list[ListedEndpoint]] | None = None,
     ) -> None:
         self.options = options
         self.clock = clock
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -14,7 +14,7 @@
 from robinhill.cordon.views import CordonView
 from robinhill.errors import RobinhillError
 from robinhill.net.cordons.replies import ListingReply, make_answer, make_error_reply
-from robinhill.protocol import Answer, Destination
+from robinhill.protocol import Answer, ListedEndpoint
 
 HTTP_SERVER_ERROR = 500
 HTTP_INSUFFICIENT_STORAGE = 507
@@ -78,16 +78,16 @@
     return frozenset(target for target, entry in index.active() if index.is_in_effect(target, entry.reason))
 
 
-def location_of(destination: Destination) -> Location:
+def location_of(endpoint: ListedEndpoint) -> Location:
     """Return where a worker is."""
-    return Location(destination.zone, destination.machine_type, destination.cell)
+    return Location(endpoint.zone, endpoint.machine_type, endpoint.cell)
 
 
-def covers(targets: frozenset[str], destination: Destination) -> bool:
+def covers(targets: frozenset[str], endpoint: ListedEndpoint) -> bool:
     """Return whether targets apply to a worker. Cheap enough to be asked before each send."""
     if not targets:
         return False
-    return not targets.isdisjoint(targets_of(destination.instance_id, location_of(destination)))
+    return not targets.isdisjoint(targets_of(endpoint.instance_id, location_of(endpoint)))
 
 
 def change_warnings(index: CordonIndex, targets: Sequence[str]) -> tuple[str, ...]:
