--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -61,7 +61,7 @@
 
 
 class SchedulerReply(msgspec.Struct, frozen=True):
-    """How one scheduler stands, as known here. ``known_ms_ago``: age of that knowledge, None for never."""
+    """How one scheduler stands, as known here; ``knowledge_age_ms`` is None if it was never known."""
 
     name: str
     state: str
@@ -69,7 +69,7 @@
     on_lost: str | None
     counts: bool
     same_list: bool
-    known_ms_ago: float | None
+    knowledge_age_ms: float | None = msgspec.field(name="known_ms_ago")
 
 
 class ListingReply(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
     counts: bool
     on_lost: str
     lease: bool
-    majority_known_ms_ago: float | None
+    majority_age_ms: float | None = msgspec.field(name="majority_known_ms_ago")
     schedulers: tuple[SchedulerReply, ...]
 
 
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -39,7 +39,7 @@
             counts=self.freshness.caught_up,
             on_lost=self.fleet.options.on_lost,
             lease=self.freshness.holds_lease(mono_us),
-            majority_known_ms_ago=None if age_us is None else age_us / 1000,
+            majority_age_ms=None if age_us is None else age_us / 1000,
             schedulers=self.schedulers(mono_us),
         )
 
@@ -83,5 +83,5 @@
             on_lost=scheduler.mode.value if scheduler.mode else None,
             counts=counts,
             same_list=same_list,
-            known_ms_ago=None if as_of_us is None else (mono_us - as_of_us) / 1000,
+            knowledge_age_ms=None if as_of_us is None else (mono_us - as_of_us) / 1000,
         )
