--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -53,12 +53,12 @@
     @property
     def lagging_count(self) -> int:
         """How many voters and schedulers are not known to go by it."""
-        return max((last.behind for last in self._reports()), default=0)
+        return max((last.lagging.count for last in self._reports()), default=0)
 
     @property
     def lagging_names(self) -> tuple[str, ...]:
         """Some of those that are not known to go by it, ascending."""
-        return tuple(sorted({name for last in self._reports() for name in last.names}))
+        return tuple(sorted({name for last in self._reports() for name in last.lagging.names}))
 
     def _reports(self) -> Iterable[Progressed]:
         return (last for last in self.progress.values() if last is not None)
