--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -1,6 +1,6 @@
 """Writes this scheduler's own acknowledgement, by which the other schedulers know what it goes by.
 
-It owns the acknowledgement's serial number and the starts of peers that it passes on. It decides nothing
+It owns the acknowledgement's sequence number and the starts of peers that it passes on. It decides nothing
 about the other schedulers' acknowledgements.
 """
 
@@ -39,7 +39,7 @@
         self.tracker = tracker
         self.clock = clock
         self.written_us = 0
-        self._serial = 0
+        self._sequence = 0
         self._peer_starts: dict[str, int] = {}  # incarnations by name, the latest at the end
         self._timer: asyncio.TimerHandle | None = None
 
@@ -47,7 +47,7 @@
         """Pass on the start of a peer with the next acknowledgements."""
         self._peer_starts.pop(name, None)
         self._peer_starts[name] = incarnation
-        if len(self._peer_starts) > acknowledgements.RECENT:
+        if len(self._peer_starts) > acknowledgements.MAX_RECENT_CHANGES:
             del self._peer_starts[next(iter(self._peer_starts))]
 
     def schedule(self, write: Callable[[], None]) -> None:
@@ -61,20 +61,20 @@
         ``serving``: it takes clients. ``left``: it sends nothing more.
         """
         self.stop()
-        self._serial += 1
+        self._sequence += 1
         acknowledgement = Acknowledgement(
             version=acknowledgements.VERSION,
             incarnation=self.replica.clock.incarnation,
-            serial=self._serial,
+            sequence=self._sequence,
             mode=self.fleet.options.on_lost,
             bound_us=self.fleet.bound_us,
-            counts=self.freshness.caught_up,
+            caught_up=self.freshness.caught_up,
             serving=serving,
             left=left,
-            names=acknowledgements.list_digest(self.fleet.names),
-            applied=applied_digest,
-            recent=self._recent_digests(applied_digest),
-            starts=tuple(self._peer_starts.items()),
+            names_digest=acknowledgements.list_digest(self.fleet.names),
+            applied_digest=applied_digest,
+            recent_digests=self._recent_digests(applied_digest),
+            incarnations=tuple(self._peer_starts.items()),
         )
         self.written_us = self.clock.now_us()
         try:
@@ -92,6 +92,6 @@
     def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
         """Return the digests of the targets that changed last, none while later changes are not applied."""
         applied = self.tracker.applied
-        if applied_digest != applied.all:
+        if applied_digest != applied.combined:
             return ()
         return tuple((t, digest) for t in self.tracker.recent_targets if (digest := applied.get(t)))
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -102,7 +102,7 @@
         )
         self._writer = AcknowledgementWriter(fleet, replica, freshness, self.tracker, clock)
         self._notifier = DispatcherNotifier(
-            notify_dispatcher, lambda number: self.tell(CordonsApplied(number)), self.tracker.applied.all
+            notify_dispatcher, lambda number: self.tell(CordonsApplied(number)), self.tracker.applied.combined
         )
         self._catch_up = CatchUp(fleet, self.tracker, mono_us())
         self._transition = PeerListTransition(fleet, freshness, self.tracker)
@@ -167,7 +167,7 @@
         """Apply records that were received from a peer and are in the replica now."""
         for record, error in received.rejected:
             extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-            log.warning("record_declined", extra=extra)
+            log.warning("record_rejected", extra=extra)
         if sum([self._apply(record) for record in received.records]):
             self._update()
         self._review()
@@ -269,7 +269,7 @@
             return
         self._record_start(name, acknowledgement.incarnation)
         self.tracker.record_acknowledgement(mono_us(), name, acknowledgement)
-        if (self.fleet.own_name, self.incarnation) in acknowledgement.starts:
+        if (self.fleet.own_name, self.incarnation) in acknowledgement.incarnations:
             self.freshness.introduced(mono_us(), name)
         if acknowledgement.serving and not self.serving:
             self._try_to_serve(mono_us())
@@ -290,7 +290,7 @@
         self.replica.collect(self.clock.now_us())
         workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
         self._next_end_us = self.index.update(self.clock.now_us(), self._records.items(), workers).next_end_us
-        self._notifier.notify_cordons(cordoned_targets(self.index), self.tracker.applied.all)
+        self._notifier.notify_cordons(cordoned_targets(self.index), self.tracker.applied.combined)
 
     def _record_applied(self, number: int) -> None:
         # A later change was notified under a later number, and is acknowledged with that one.
@@ -318,7 +318,7 @@
             self._try_to_serve(now_us)
         if self._next_end_us and unix_us >= self._next_end_us:
             self._update()
-        if unix_us - self._writer.written_us > acknowledgements.AGAIN_US:
+        if unix_us - self._writer.written_us > acknowledgements.REWRITE_INTERVAL_US:
             self._write_acknowledgement()
         self._transition.review(now_us)
         if now_us >= self._renewal_due_us:
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -39,4 +39,4 @@
     def _all_agree(self) -> bool:
         digest = acknowledgements.list_digest(self.fleet.names)
         current = (peer.current_acknowledgement for peer in self.tracker.peers.values())
-        return all(acknowledgement and acknowledgement.names == digest for acknowledgement in current)
+        return all(acknowledgement and acknowledgement.names_digest == digest for acknowledgement in current)
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -72,8 +72,8 @@
         else:
             current = self.tracker.peers[name].current_acknowledgement
             own_list = acknowledgements.list_digest(self.fleet.names)
-            counts = bool(current and current.counts)
-            same_list = bool(current and current.names == own_list)
+            counts = bool(current and current.caught_up)
+            same_list = bool(current and current.names_digest == own_list)
             as_of_us = self.freshness.as_of(name)
         scheduler = self.tracker.scheduler(mono_us, name)
         return SchedulerReply(
