--- a/robinhill/model/recorded.py
+++ b/robinhill/model/recorded.py
@@ -53,9 +53,9 @@
             a.kind,
             tenants.setdefault(a.tenant, len(tenants)),
             float(ran.get(a.id, usual[a.kind])),
-            a.left_us,
+            a.time_left_us,
         )
-        for n, a in enumerate(a for a in arrivals if not a.again)
+        for n, a in enumerate(a for a in arrivals if not a.is_client_retry)
     ]
     trace = mend(asked)
     unserved = sum(a.id not in ran for a in arrivals)
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -22,7 +22,7 @@
     def arrived(self, request: JobRequest, at_us: int, tenant: str) -> None:
         """A request was taken; without admission control nobody knows of its tenant."""
         number = self.recorder.hash(tenant) if tenant else 0
-        self.recorder.note(
+        self.recorder.add(
             Arrived(
                 at_us,
                 self.recorder.hash(request.id),
@@ -41,17 +41,17 @@
         now = self.clock.now_us()
         # The ending has come by another mailbox since: it did not run longer than it was out.
         ran = min(took_us, now - began_us) if began_us else -1
-        self.recorder.note(
+        self.recorder.add(
             Attempted(now, self.recorder.hash(request.id), endpoint, outcome.value, took_us, ran)
         )
 
     def answered(self, request: JobRequest, status: int) -> None:
         """A final answer, whoever gave it."""
-        self.recorder.note(Answered(self.clock.now_us(), self.recorder.hash(request.id), status))
+        self.recorder.add(Answered(self.clock.now_us(), self.recorder.hash(request.id), status))
 
     def listed(self, d: ListedEndpoint) -> None:
         """An entry of the destination set, as discovery told it."""
-        self.recorder.note(
+        self.recorder.add(
             Listed(
                 self.clock.now_us(), d.instance_id, d.zone, d.machine_type, d.lifecycle.value, d.started_us
             )
--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -1,7 +1,7 @@
-"""The format of a recording: a header, then frames that each stand alone.
+"""The format of a recording: a header, then frames that are independent of each other.
 
 A frame is its length, its checksum and a compressed list of records. A file that ends in the middle of one,
-as a kill leaves it, is read up to the last whole frame; a damaged frame ends the reading there too, as its
+as a kill leaves it, is read up to the last complete frame; a damaged frame ends the reading there too, as its
 length can't be trusted.
 """
 
@@ -20,31 +20,30 @@
 VERSION = 1
 _HEAD = struct.Struct("<20sI")
 _FRAME = struct.Struct("<II")
-LONGEST = 16 << 20  # of a frame, compressed: anything longer is damage
-MOST_RECORDS = 64 << 20  # of a frame, unpacked: a small frame must not fill the memory
-LEVEL = 3
+MAX_FRAME_BYTES = 16 << 20  # compressed; anything longer is damage
+MAX_UNPACKED_BYTES = 64 << 20  # of a frame, so that a small one can't fill the memory
+COMPRESSION_LEVEL = 3
 SUFFIX = ".rec"
 
 
 class RecordingError(ValueError):
-    """A file is no recording that this version can read; says which and why."""
+    """A file is no recording that this version can read; the message names it and says why."""
 
 
 def header() -> bytes:
+    """The first bytes of a recording."""
     return _HEAD.pack(MAGIC, VERSION)
 
 
 def frame(records: list[Record]) -> bytes:
     """Records as one frame."""
-    packed = zstandard.ZstdCompressor(level=LEVEL).compress(encode(records))
+    packed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(encode(records))
     return _FRAME.pack(len(packed), crc32(packed)) + packed
 
 
 @dataclass(slots=True)
 class Reading:
-    """What a file holds; ``lost`` are the bytes behind the last whole frame, ``why`` they could not be
-    read.
-    """
+    """The content of a file; ``lost``: bytes after the last complete frame, ``why`` they can't be read."""
 
     records: list[Record]
     lost: int = 0
@@ -52,7 +51,7 @@
 
 
 def read(path: Path) -> Reading:
-    """The records of one file. Raises RecordingError where it is none, or of another version."""
+    """The records of one file. Raises RecordingError for another kind of file or another version."""
     try:
         data = path.read_bytes()
     except OSError as e:
@@ -83,7 +82,7 @@
             raise RecordingError("ends within a frame's head")
         length, checksum = _FRAME.unpack_from(data, at)
         start, end = at + _FRAME.size, at + _FRAME.size + length
-        if length > LONGEST:
+        if length > MAX_FRAME_BYTES:
             raise RecordingError(f"a frame of {length} bytes at byte {at} is damaged")
         if end > len(data):
             raise RecordingError("ends within a frame")
@@ -91,19 +90,19 @@
         if crc32(packed) != checksum:
             raise RecordingError(f"the frame at byte {at} is damaged")
         try:
-            yield end, decode(unpack.decompress(packed, max_output_size=MOST_RECORDS))
+            yield end, decode(unpack.decompress(packed, max_output_size=MAX_UNPACKED_BYTES))
         except (zstandard.ZstdError, msgspec.DecodeError) as e:
             raise RecordingError(f"the frame at byte {at} can't be unpacked: {e}") from e
         at = end
 
 
 def files(path: Path) -> list[Path]:
-    """The files of a recording in the order in which they were written: a folder's, or the one file."""
+    """The files of a recording in the order of writing: those of a folder, or the one file."""
     return sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
 
 
 def read_all(path: Path) -> tuple[list[Record], list[str]]:
-    """All records of a folder or file, and what was lost where."""
+    """All records of a folder or file, and a note on each file with unreadable bytes."""
     found = files(path)
     if not found:
         raise RecordingError(f"{path}: holds no recording")
--- a/robinhill/record/recorder.py
+++ b/robinhill/record/recorder.py
@@ -15,16 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-EVERY_S = 0.5  # a kill loses what came in this time
+FLUSH_INTERVAL_S = 0.5  # a kill loses the records of this time
 FRAME_RECORDS = 4_096
-MOST_WAITING = 50_000  # some 10 MB; beyond it records are dropped and counted
-MB = 1_000_000
+MAX_QUEUED_RECORDS = 50_000  # some 10 MB; beyond that, records are dropped and counted
+BYTES_PER_MB = 1_000_000
 
 
 class Recorder:
-    """Takes records from the event loop and writes them in frames. What can't be kept is counted, never
-    silent.
-    """
+    """Takes records from the event loop and writes them in frames; counts those that it has to drop."""
 
     def __init__(self, options: RecordOptions, name: str) -> None:
         assert options.folder
@@ -34,8 +32,8 @@
         self.written = 0
         self.dropped = 0
         self._secret = secrets.token_bytes(16)
-        self._waiting: deque[Record] = deque()
-        self._dropped_recorded = 0  # of those dropped, how many stand in the recording
+        self._queue: deque[Record] = deque()
+        self._dropped_recorded = 0  # of those dropped, how many the recording tells of
         self._failing = False
         self._stop = threading.Event()
         self._file: Path | None = None
@@ -44,40 +42,41 @@
         self._thread = threading.Thread(target=self._run, name="recorder", daemon=True)
 
     def start(self) -> None:
+        """Start the writer's thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Write what waits, and end."""
+        """Write all queued records and end the thread; blocks until it has ended."""
         self._stop.set()
         self._thread.join()
 
     def hash(self, text: str) -> int:
-        """An id as a recording holds it: alike within a process, and told to nobody."""
+        """An id as a keyed hash, stable within a process; the key is in no recording."""
         digest = blake2b(text.encode(errors="surrogateescape"), digest_size=8, key=self._secret).digest()
         return int.from_bytes(digest) >> 1
 
-    def note(self, record: Record) -> None:
-        """Keep a record; never waits."""
-        if len(self._waiting) >= MOST_WAITING:
+    def add(self, record: Record) -> None:
+        """Queue a record; never blocks."""
+        if len(self._queue) >= MAX_QUEUED_RECORDS:
             self.dropped += 1
         else:
-            self._waiting.append(record)
+            self._queue.append(record)
 
     # In the thread
 
     def _run(self) -> None:
-        while not self._stop.wait(EVERY_S):
+        while not self._stop.wait(FLUSH_INTERVAL_S):
             self._write_all()
         self._write_all()
 
     def _write_all(self) -> None:
-        while self._waiting or self.dropped > self._dropped_recorded:
+        while self._queue or self.dropped > self._dropped_recorded:
             records: list[Record] = []
             if self.dropped > self._dropped_recorded:
                 records.append(Dropped(time.time_ns() // 1000, self.dropped - self._dropped_recorded))
             dropped = self.dropped
-            while self._waiting and len(records) < FRAME_RECORDS:
-                records.append(self._waiting.popleft())
+            while self._queue and len(records) < FRAME_RECORDS:
+                records.append(self._queue.popleft())
             try:
                 self._write(frame(records))
             except OSError as e:
@@ -90,8 +89,8 @@
             self.written += sum(not isinstance(r, Dropped) for r in records)
 
     def _write(self, data: bytes) -> None:
-        """Append a frame; to the next file where this one is full."""
-        if self._file is None or self._size + len(data) > self.options.file_mb * MB:
+        """Append a frame, to a new file where this one is full."""
+        if self._file is None or self._size + len(data) > self.options.file_mb * BYTES_PER_MB:
             self._begin()
         assert self._file
         with self._file.open("ab") as file:
@@ -111,9 +110,9 @@
         """Remove the oldest files of this scheduler beyond the bound on disk."""
         own_files = sorted(self.folder.glob(f"*-{self.name}-*{SUFFIX}"))
         sizes = {path: path.stat().st_size for path in own_files}
-        room = (self.options.total_mb - self.options.file_mb) * MB
+        capacity = (self.options.total_mb - self.options.file_mb) * BYTES_PER_MB
         for path in own_files[:-1]:
-            if sum(sizes.values()) <= room:
+            if sum(sizes.values()) <= capacity:
                 break
             with contextlib.suppress(OSError):
                 path.unlink()
--- a/robinhill/record/records.py
+++ b/robinhill/record/records.py
@@ -1,19 +1,19 @@
-"""What a recording holds: no bodies, ids and tenants as keyed hashes. Times are Unix microseconds."""
+"""The records of a recording: no bodies; ids and tenants as keyed hashes. Times are Unix microseconds."""
 
 import msgspec
 from msgspec import Struct
 
 
 class Arrived(Struct, frozen=True, tag="a", array_like=True):
-    """A request was taken."""
+    """A request was accepted."""
 
     at_us: int
     id: int
     kind: str
     tenant: int
     size: int  # of its body, in bytes
-    left_us: int
-    again: bool
+    time_left_us: int
+    is_client_retry: bool
 
 
 class Attempted(Struct, frozen=True, tag="t", array_like=True):
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -258,7 +258,9 @@
     "snapshot.Owner": snapshot.SnapshotHeader(
         installation="installation1", origin="origin2", incarnation=3, saved_us=4
     ),
-    "recording.a": recording.Arrived(at_us=1, id=2, kind="kind3", tenant=4, size=5, left_us=6, again=True),
+    "recording.a": recording.Arrived(
+        at_us=1, id=2, kind="kind3", tenant=4, size=5, time_left_us=6, is_client_retry=True
+    ),
     "recording.t": recording.Attempted(
         at_us=1, id=2, worker="worker3", outcome="outcome4", took_us=5, ran_us=6
     ),
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -76,7 +76,7 @@
     monkeypatch.setattr(module, "FRAME_RECORDS", 50)
     made = Recorder(RecordOptions(str(tmp_path), file_mb=0.002, total_mb=0.01), "n1")
     for number in range(5_000):
-        made.note(Arrived(number, made.hash(str(number)), "x", made.hash(str(-number)), 1, 2, False))
+        made.add(Arrived(number, made.hash(str(number)), "x", made.hash(str(-number)), 1, 2, False))
     made.start()
     made.close()
     files = sorted(tmp_path.glob("*.rec"))
@@ -89,10 +89,10 @@
 def test_what_can_not_be_kept_is_counted_in_the_recording(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "MOST_WAITING", 10)
+    monkeypatch.setattr(module, "MAX_QUEUED_RECORDS", 10)
     made = Recorder(RecordOptions(str(tmp_path)), "n1")
     for number in range(25):
-        made.note(arrived(number))
+        made.add(arrived(number))
     assert made.dropped == 15
     made.start()
     made.close()
@@ -103,7 +103,7 @@
 def test_a_folder_that_can_not_be_written_stops_nothing(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     made = Recorder(RecordOptions(str(tmp_path / "file" / "folder")), "n1")
-    made.note(arrived(1))
+    made.add(arrived(1))
     made.start()
     made.close()
     assert made.dropped == 1 and made.written == 0
