--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -28,7 +28,7 @@
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.recovery import log_rejected, restore_records
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
 from robinhill.net.operators.server import Calls, Operators
@@ -76,7 +76,7 @@
             self._act,
             accepted=self.voter.accepted,
         )
-        self.cordons = Cordons(
+        self.cordons = GroupCordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
         self.operators: Operators | None = None
@@ -99,7 +99,7 @@
     async def start(self) -> None:
         """Raises ConfigError where an address can't be listened on."""
         for warning in self.options.warnings:
-            log.warning("voters_questionable", extra={"why": warning})
+            log.warning("voters_warning", extra={"why": warning})
         # The next start must be a later one, also if this one ends before its first save.
         await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
@@ -180,13 +180,13 @@
 
     def vouch(self) -> Answer:
         """An operator says that nothing is in force that this voter does not know."""
-        log.warning("vouched", extra={"voter": self.config.name})
+        log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"it counts for majorities\n")
 
     def forget(self, scheduler: str) -> Answer:
         """An operator says that a scheduler runs no more: changes don't wait for it."""
-        log.warning("scheduler_forgotten", extra={"scheduler": scheduler})
+        log.warning("scheduler_removed", extra={"scheduler": scheduler})
         self.driver.tell(Run(lambda: self._forget(scheduler)))
         return Answer(200, b"this voter waits for it no more; ask each voter\n")
 
@@ -199,7 +199,7 @@
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
             f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
-            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             f"comparisons:{counted.comparisons}|c",
             f"refused:{counted.refused}|c",
             f"opened:{traffic.opened}|c",
@@ -221,7 +221,7 @@
             case Apply(rejected=rejected):
                 log_rejected(rejected)
             case Progressed():
-                self.cordons.progressed(action)
+                self.cordons.record_progress(action)
             case CaughtUp():
                 log.info("counts_for_majorities", extra={"voter": self.config.name})
             case VotersSettled():
@@ -246,7 +246,7 @@
     async def _refresh(self) -> None:
         while True:
             await asyncio.sleep(REFRESH_INTERVAL_S)
-            self.driver.tell(Run(self.cordons.refresh))
+            self.driver.tell(Run(self.cordons.renew_records))
 
     def _snapshot_header(self) -> SnapshotHeader:
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
