--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -35,7 +35,7 @@
 from robinhill.mesh import acknowledgements, frames, record_kinds, snapshot, swim_messages
 from robinhill.mesh import records as shared
 from robinhill.mesh.replica import Replica
-from robinhill.net.cordons import operator_calls
+from robinhill.net.cordons import replies
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.disabled_workers import DisabledWorkerStore
 from robinhill.net.peers.snapshot_store import SnapshotStore
@@ -258,7 +258,9 @@
     "snapshot.Owner": snapshot.SnapshotHeader(
         installation="installation1", origin="origin2", incarnation=3, saved_us=4
     ),
-    "recording.a": recording.Arrived(at_us=1, id=2, kind="kind3", tenant=4, size=5, left_us=6, again=True),
+    "recording.a": recording.Arrived(
+        at_us=1, id=2, kind="kind3", tenant=4, size=5, time_left_us=6, is_client_retry=True
+    ),
     "recording.t": recording.Attempted(
         at_us=1, id=2, worker="worker3", outcome="outcome4", took_us=5, ran_us=6
     ),
@@ -575,7 +577,7 @@
 def _type_of(error: type[RobinhillError]) -> str:
     raised = error.__new__(error)
     raised.what = "what"
-    body = operator_calls.error_body(raised)
+    body = msgspec.to_builtins(replies.make_error_reply(raised))
     assert set(body) == {"error", "advice", "type"}
     return str(body["type"])
 
