--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -54,7 +54,7 @@
 
     def greeted(self, name: str, incarnation: int, told_us: int) -> None: ...
 
-    def answered(self, name: str, answered: PingAnswered) -> None: ...
+    def answered(self, name: str) -> None: ...
 
     def lost(self, name: str) -> None: ...
 
@@ -273,7 +273,7 @@
                     link.proven = True
                     extra = {"peer": link.name, "dialled": link.dialled, "links": len(self.links)}
                     log.info("peer_linked", extra=extra)
-                self.hearer.answered(link.name, event)
+                self.hearer.answered(link.name)
             case MemberMessageReceived(payload=payload):
                 self.told(link.name, payload)
 
