--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -119,7 +119,10 @@
 SETTINGS = api.Settings(
     classes=tuple(
         api.JobClass(
-            aim_us=k.aim_ms * 1000, deadline_us=k.deadline_ms * 1000, worth=k.worth, stretch=k.stretch
+            latency_objective_us=k.aim_ms * 1000,
+            deadline_us=k.deadline_ms * 1000,
+            priority_weight=k.worth,
+            stretch=k.stretch,
         )
         for k in Site().kinds
     ),
--- a/benchmarks/scale/nodes.py
+++ b/benchmarks/scale/nodes.py
@@ -8,9 +8,9 @@
 ADDRESS_PORT = 9_000
 
 
-def settings(aim_us: int = 100_000, deadline_us: int = 5 * SECOND_US) -> api.Settings:
+def settings(latency_objective_us: int = 100_000, deadline_us: int = 5 * SECOND_US) -> api.Settings:
     """One class of jobs that may be repeated; workers tell when a job starts."""
-    job_class = api.JobClass(aim_us, deadline_us, stretch=2.0, repeat=api.Repeat.SAFE)
+    job_class = api.JobClass(latency_objective_us, deadline_us, stretch=2.0, repeat=api.Repeat.SAFE)
     return api.Settings(
         (job_class,), fleet_size=200, max_attempts=4, cancelling=True, tells_start=True, cold_from=0.3
     )
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -117,7 +117,10 @@
     def _order(self) -> list[int]:
         """Classes, the most worth for a worker's time first; of equal ones the more urgent."""
         classes = self.s.classes
-        return sorted(range(len(classes)), key=lambda c: (-classes[c].worth, classes[c].aim_us, c))
+        return sorted(
+            range(len(classes)),
+            key=lambda c: (-classes[c].priority_weight, classes[c].latency_objective_us, c),
+        )
 
     # Settings
 
@@ -332,7 +335,7 @@
         # A client's further try has spent part of its time: how much shows against a first try's.
         self._full_us[ask.job_class] = full = max(self._full_us[ask.job_class], left)
         patience = self._patience(klass, mean if known else 0.0) - (full - left)
-        if klass.late_worth:
+        if klass.late_priority_weight:
             patience = max(patience, int(left - cost))
         until = ask.arrived_us + min(left - 1, patience)
         queue = account.queue if account and account.established else self._shortest(caller.tenant)
@@ -342,7 +345,7 @@
         )  # fmt: skip
 
     def _patience(self, klass: JobClass, usual_us: float) -> int:
-        return klass.aim_us + int(HOLD * max(0.0, klass.stretch - 1) * usual_us)
+        return klass.latency_objective_us + int(HOLD * max(0.0, klass.stretch - 1) * usual_us)
 
     def _shortest(self, tenant: int) -> Queue:
         """The shortest queue of a stranger's hand: the hand comes from its hash, a card at a time."""
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -102,7 +102,7 @@
         for number, job_class in enumerate(self.classes):
             self._rivals.append([
                 n for n, other in enumerate(self.classes)
-                if self._of[n] is self._of[number] and other.worth >= job_class.worth
+                if self._of[n] is self._of[number] and other.priority_weight >= job_class.priority_weight
             ])  # fmt: skip
 
     def of(self, job_class: int) -> Window:
--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -64,19 +64,28 @@
     FAILED = 3
 
 
+class SettingError(ValueError):
+    """A field of the settings is out of range: ``name`` is the field, ``what`` the values it may have."""
+
+    def __init__(self, name: str, what: str) -> None:
+        super().__init__(f"{name}: {what}")
+        self.name = name
+        self.what = what
+
+
 def _require(good: bool, name: str, what: str) -> None:
     if not good:
-        raise ValueError(f"{name}: {what}")
+        raise SettingError(name, what)
 
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
     """One class of job; with ``kinds`` or ``zones`` it may go to workers of these alone."""
 
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
     stretch: float = 0.0
     repeat: Repeat = Repeat.UNSAFE
     scope: Scope = Scope.ALL
@@ -86,9 +95,9 @@
     stream: bool = False
 
     def __post_init__(self) -> None:
-        _require(self.aim_us >= 0, "aim_us", "must not be negative")
+        _require(self.latency_objective_us >= 0, "latency_objective_us", "must not be negative")
         _require(self.deadline_us > 0, "deadline_us", "must be above 0")
-        _require(self.worth >= 0, "worth", "must not be negative")
+        _require(self.priority_weight >= 0, "priority_weight", "must not be negative")
         _require(self.stretch >= 0, "stretch", "must not be negative")
         _require(self.memory_us >= 0, "memory_us", "must not be negative")
         _require(isinstance(self.repeat, Repeat), "repeat", "must be a Repeat")
@@ -129,7 +138,7 @@
     fleet_size: int = 1
     zone: int = 0
     quotas_per_s: tuple[float, ...] = ()
-    over_quota_worth: float = 1.0
+    over_quota_priority_weight: float = 1.0
     value_by_work: bool = False
     must_subscribe: bool = False
     ask_every_us: int = 10_000_000
@@ -162,8 +171,8 @@
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         for name in ("cold_us", "tip_after_us", "ask_every_us"):
             _require(getattr(self, name) > 0, name, "must be above 0")
-        for name in ("drain_grace_us", "connect_timeout_us", "max_retry_after_us", "over_quota_worth",
-                     "progress_us", "handshake_price", "keepalive_us"):  # fmt: skip
+        for name in ("drain_grace_us", "connect_timeout_us", "max_retry_after_us", "progress_us",
+                     "over_quota_priority_weight", "handshake_price", "keepalive_us"):  # fmt: skip
             _require(getattr(self, name) >= 0, name, "must not be negative")
         _require(isinstance(self.full_may_have_run, bool), "full_may_have_run", "must be true or false")
         close = self.close_within_us
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -41,7 +41,7 @@
         return f"{path}: operators' file\n{text}"
     read = config.load({"GW_CONFIG": path})
     classes = ", ".join(
-        f"{name} (aim {c.aim_us // 1000} ms, {c.repeat.value})"
+        f"{name} (aim {c.latency_objective_us // 1000} ms, {c.repeat.value})"
         for name, c in zip(read.classes, read.settings.classes, strict=True)
     )
     lines = [
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -96,14 +96,14 @@
         job = self.jobs[request.job] = JobRecord(request, klass, client_deadline_us=now + left_us)
         if now < request.group_until_us:  # an earlier request of its key may have run
             job.may_have_run, job.group, job.group_until_us = True, request.group, request.group_until_us
-        objective_us = klass.aim_us - self.client_retries.spent_us(request)
+        objective_us = klass.latency_objective_us - self.client_retries.spent_us(request)
         job.objective_us = now + objective_us + klass.stretch * hint_us
         if hint_us:
             self.job_times.add_hint(hint_us)
         expected_us = self.job_times.expected_us(request.job_class, hint_us) or UNKNOWN_JOB_US
         if hint_us and self.job_times.mean_us:
             objective_us += int(max(0.0, klass.stretch * hint_us - expected_us))
-        priority_weight = klass.worth / (1.0 if self.settings.value_by_work else expected_us)
+        priority_weight = klass.priority_weight / (1.0 if self.settings.value_by_work else expected_us)
         self.estimates.add_work(expected_us, priority_weight, klass.bound)
         job.order, job.latest_start_us = -priority_weight, int(now + objective_us)
         job.queue_deadline_us = now + min(left_us - 1, self._useful_wait_us(job, objective_us, expected_us))
@@ -116,7 +116,7 @@
     def _useful_wait_us(self, job: JobRecord, objective_us: int, expected_us: float) -> int:
         """How long a job is worth queueing: while it can meet its objective, or its end if late counts."""
         klass, request = job.klass, job.request
-        if klass.late_worth:
+        if klass.late_priority_weight:
             return max(objective_us, int(request.time_left_us - expected_us))
         if request.work_hint_us:
             return objective_us
@@ -221,7 +221,7 @@
             state.actions.append(api.CloseIdle(worker.entry.address))
         worker.connection_used_us = now
         timeout_us = 0
-        if hint_us and not klass.late_worth:
+        if hint_us and not klass.late_priority_weight:
             # With a hint it is known when an answer turns worthless: its place serves another then.
             overrun_us = ATTEMPT_OVERRUN_SHARE * klass.stretch * hint_us
             timeout_us = max(1, int(job.objective_us + overrun_us) - now)
@@ -240,7 +240,7 @@
         if self.settings.retry_after and not unconfirmed:
             # Late attempts worth nothing are spared by the longest wait, others come back after a job's time.
             retry_after_us = self.settings.max_retry_after_us
-            if klass.late_worth:
+            if klass.late_priority_weight:
                 retry_after_us = min(retry_after_us, int(self.job_times.mean_us))
         self.state.actions.append(api.Refuse(job.request.job, retry_after_us, why))
 
--- a/robinhill/model/wire.py
+++ b/robinhill/model/wire.py
@@ -26,16 +26,24 @@
     """The module's settings as the start message's options."""
     classes = [
         {
-            "name": f"class-{n}", "aim-us": c.aim_us, "hard-limit-us": c.deadline_us, "worth": c.worth,
-            "late-worth": c.late_worth, "repeat": _REPEATS[c.repeat], "dedup-scope": _SCOPES[c.scope],
-            "memory-span-us": c.memory_us, "stream": c.stream, "aim-stretch": c.stretch,
+            "name": f"class-{n}",
+            "aim-us": c.latency_objective_us,
+            "hard-limit-us": c.deadline_us,
+            "worth": c.priority_weight,
+            "late-worth": c.late_priority_weight,
+            "repeat": _REPEATS[c.repeat],
+            "dedup-scope": _SCOPES[c.scope],
+            "memory-span-us": c.memory_us,
+            "stream": c.stream,
+            "aim-stretch": c.stretch,
         }
         for n, c in enumerate(s.classes)
-    ]  # fmt: skip
+    ]
     return {
         "classes": classes, "fleet-size": s.fleet_size, "zone": s.zone,
         "discovery": "subscribe" if s.must_subscribe else "automatic",
-        "value-by": "work" if s.value_by_work else "request", "over-share-worth": s.over_quota_worth,
+        "value-by": "work" if s.value_by_work else "request",
+        "over-share-worth": s.over_quota_priority_weight,
         "guarantees": {
             "ask-every-us": s.ask_every_us, "drain-grace-us": s.drain_grace_us, "cold-from": s.cold_from,
             "cold-us": s.cold_us, "fall-multiple": s.fall_multiple, "tip-after-us": s.tip_after_us,
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -129,7 +129,8 @@
         f = self.d.fleet
         classes = tuple(
             api.JobClass(
-                aim_us=int(k.aim_ms * 1000), deadline_us=int(k.deadline_ms * 1000), worth=k.worth,
+                latency_objective_us=int(k.aim_ms * 1000), deadline_us=int(k.deadline_ms * 1000),
+                priority_weight=k.worth,
                 stretch=k.stretch, repeat=REPEATS[k.repeat],
             )
             for k in self.d.traffic.kinds
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -25,7 +25,7 @@
         """``list_poll_us``: cost of a poll at discovery; ``fleet_jobs_in_line``: jobs of all schedulers that
         may wait at one worker.
         """
-        tick_us = min(c.aim_us for c in settings.classes) // 4 + 1000
+        tick_us = min(c.latency_objective_us for c in settings.classes) // 4 + 1000
         return cls(
             list_spread_us=min(settings.ask_every_us // 2, list_poll_us * settings.fleet_size),
             tick_us=tick_us,
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -57,7 +57,7 @@
         self.weights.update_worker(worker)
         if not state.settings.tells_start:
             waited_us = state.estimates.infer_wait(worker, request, took_us)
-            objective_us = klass.aim_us + klass.stretch * request.work_hint_us
+            objective_us = klass.latency_objective_us + klass.stretch * request.work_hint_us
             late = request.work_hint_us and took_us > objective_us
             self.overload.adapt(now, attempt, inf if late else waited_us, waited_us)
 
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -28,7 +28,7 @@
         worker.add_failure(outcome is api.Outcome.ERROR)
         unreachable = outcome is api.Outcome.CONNECT_FAILED
         if unreachable and state.few_arrivals:  # else a lost zone would be tried worker by worker
-            worker.zone.add(now, attempt.job.klass.aim_us, state.settings.cold_us)
+            worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.cold_us)
         broken = unreachable or outcome is api.Outcome.RESET
         is_outlier = broken or worker.failure_share > MAX_FAILURE_SHARE or worker.consecutive_ejections
         if is_outlier and now >= worker.ejected_until_us:
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -31,7 +31,7 @@
 
     def adapt(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
         """Count an own job's wait; ``delay_us``: with the network's part."""
-        worker, objective_us = attempt.worker, attempt.job.klass.aim_us
+        worker, objective_us = attempt.worker, attempt.job.klass.latency_objective_us
         step = ((waited_us > objective_us) - 0.5) * SHED_STEP
         self.shed_share = min(MAX_SHED_SHARE, max(0.0, self.shed_share + step))
         worker.zone.add(now, min(objective_us, max(0.0, delay_us)), self.state.settings.cold_us)
@@ -64,5 +64,5 @@
         if now <= job.latest_start_us:
             return False
         job.latest_start_us = job.client_deadline_us
-        job.order *= job.klass.late_worth or 1.0
+        job.order *= job.klass.late_priority_weight or 1.0
         return True
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -35,7 +35,7 @@
             return
         # A keyed job has few workers to go to: it moves if it waits longer than own jobs there usually do.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
-        wait_us = worker.min_start_delay_us + klass.aim_us // 4 + usual_wait_us
+        wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
 
     def schedule_overdue_check(self, attempt: Attempt) -> None:
@@ -68,10 +68,10 @@
                 return inf  # another choice would know no more, and what is cancelled may run on
             if self._moves(now, attempt):
                 return now
-            if not klass.late_worth:  # an overload must not be spent on late answers
+            if not klass.late_priority_weight:  # an overload must not be spent on late answers
                 return self._late_cancel_us(now, job)
         timeout_us = state.derived.progress_timeout_us
-        repeatable = klass.late_worth and klass.repeat is api.Repeat.SAFE
+        repeatable = klass.late_priority_weight and klass.repeat is api.Repeat.SAFE
         if repeatable and attempt.last_progress_us and timeout_us:
             return attempt.last_progress_us + timeout_us
         return inf
@@ -103,7 +103,7 @@
     def record_failed_attempt(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
         """Note what a failed attempt means for its job: how long it may wait, and whether it may have run."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
-        if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_worth:
+        if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_priority_weight:
             # It is at least as long as it ran, and its objective grows with that.
             usual_us = state.job_times.class_baseline_us[job.request.job_class]
             ran_us = now - attempt.last_progress_us + usual_us
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -142,7 +142,7 @@
     def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
         """Whether the job may run here: in time as far as a hint shows, and with no second effect."""
         klass, hint_us = job.klass, job.request.work_hint_us
-        if hint_us and not klass.late_worth and now + worker.unit_time * hint_us > job.objective_us:
+        if hint_us and not klass.late_priority_weight and now + worker.unit_time * hint_us > job.objective_us:
             return False  # at its quickest it would miss the objective
         if not job.may_have_run or klass.repeat is api.Repeat.SAFE:
             return True
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -8,6 +8,12 @@
 
 REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
 SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+# Names in errors of the fields that are called otherwise by the settings' keys.
+ERROR_NAMES = {
+    "latency_objective_us": "aim_us",
+    "priority_weight": "worth",
+    "over_quota_priority_weight": "over_quota_worth",
+}
 
 
 def read_places(names: Json, setting: str, needed: int = -1) -> frozenset[int] | None:
@@ -21,15 +27,25 @@
 
 
 def read_settings(options: dict[str, Json]) -> api.Settings:
-    """Translate the start message's options; unknown keys are skipped."""
+    """Translate the start message's options; unknown keys are skipped.
+
+    Raises ValueError for a value out of range, under the name that operators know it by.
+    """
+    try:
+        return _read_settings(options)
+    except api.SettingError as e:
+        raise ValueError(f"{ERROR_NAMES.get(e.name, e.name)}: {e.what}") from e
+
+
+def _read_settings(options: dict[str, Json]) -> api.Settings:
     limits, rules, specifics = options["policy-limits"], options["guarantees"], options.get("specifics", {})
     stretches, kinds = specifics.get("class-stretch", []), specifics.get("class-kind", [])
     classes = tuple(
         api.JobClass(
-            aim_us=c["aim-us"],
+            latency_objective_us=c["aim-us"],
             deadline_us=c["hard-limit-us"],
-            worth=c.get("worth", 1.0),
-            late_worth=c.get("late-worth", 0.0),
+            priority_weight=c.get("worth", 1.0),
+            late_priority_weight=c.get("late-worth", 0.0),
             stretch=stretches[i] if i < len(stretches) else c.get("aim-stretch", 0.0),
             repeat=REPEATS[c["repeat"]],
             scope=SCOPES[c.get("dedup-scope", "cell")],
@@ -46,7 +62,7 @@
         fleet_size=options["fleet-size"],
         zone=options.get("zone", 0),
         quotas_per_s=tuple(t.get("quota-per-s", 0.0) for t in options.get("tenants", [])),
-        over_quota_worth=options.get("over-share-worth", 1.0),
+        over_quota_priority_weight=options.get("over-share-worth", 1.0),
         value_by_work=options.get("value-by") == "work",
         must_subscribe=options.get("discovery") == "subscribe",
         ask_every_us=rules.get("ask-every-us") or 10_000_000,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 def klass(**changes: Any) -> api.JobClass:
     values: dict[str, Any] = {
-        "aim_us": 100 * MS,
+        "latency_objective_us": 100 * MS,
         "deadline_us": 5 * S,
         "repeat": api.Repeat.SAFE,
         "memory_us": 2 * S,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,8 +19,8 @@
 
 LOOKUP, RENEWAL = 0, 1
 CLASSES = (
-    klass(aim_us=100 * MS, deadline_us=2 * S),
-    klass(aim_us=400 * MS, deadline_us=5 * S, worth=8.0, repeat=api.Repeat.UNSAFE),
+    klass(latency_objective_us=100 * MS, deadline_us=2 * S),
+    klass(latency_objective_us=400 * MS, deadline_us=5 * S, priority_weight=8.0, repeat=api.Repeat.UNSAFE),
 )
 
 
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -17,8 +17,8 @@
 from .conftest import settings as node_settings
 
 CLASSES = (
-    klass(aim_us=100 * MS, deadline_us=2 * S),
-    klass(aim_us=400 * MS, deadline_us=5 * S, worth=8.0, repeat=api.Repeat.UNSAFE),
+    klass(latency_objective_us=100 * MS, deadline_us=2 * S),
+    klass(latency_objective_us=400 * MS, deadline_us=5 * S, priority_weight=8.0, repeat=api.Repeat.UNSAFE),
 )
 SETTINGS = node_settings(classes=CLASSES, retry_after=True, max_retry_after_us=10 * S, tells_start=True)
 TENANTS = ("a", "b", "c", "d", "e")
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -47,7 +47,7 @@
         self.rate, self.length = load * workers * slots / job_s, even(job_s)
         aim_us = max(100 * MS, int(3 * job_s * S))
         self.changes: dict[str, Any] = {"cold_us": 6 * S, "tip_after_us": 1 * S, **changes}
-        self.changes["classes"] = (klass(aim_us=aim_us, deadline_us=20 * S),)
+        self.changes["classes"] = (klass(latency_objective_us=aim_us, deadline_us=20 * S),)
 
     def play(self, cold: list[str], at_s: float, left: int = 0, **how: Any) -> tuple[float, float]:
         """The fullest of all windows of the workers that start cold at that moment, and their mean use."""
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -20,6 +20,7 @@
 from robinhill.config_types import ConfigError
 from robinhill.logic import Balancer
 from robinhill.net.scheduler import Scheduler
+from robinhill.settings import read_settings
 
 from .test_exchanges import ROOT, SETTINGS, merge
 
@@ -276,6 +277,22 @@
     assert refused.value.key == key
 
 
+@pytest.mark.parametrize(
+    "changes, error",
+    [
+        ({"classes": [{"worth": -1}]}, "worth: must not be negative"),
+        ({"classes": [{"aim-us": -1}]}, "aim_us: must not be negative"),
+        ({"over-share-worth": -1}, "over_quota_worth: must not be negative"),
+    ],
+)
+def test_a_value_out_of_range_is_named_as_operators_know_it(changes: dict[str, Any], error: str) -> None:
+    settings = copy.deepcopy(SETTINGS)
+    settings["classes"][0] |= changes.get("classes", [{}])[0]
+    settings |= {key: value for key, value in changes.items() if key != "classes"}
+    with pytest.raises(ValueError, match=f"^{error}$"):
+        read_settings(settings)
+
+
 def test_a_known_list_beyond_all_times_is_refused(tmp_path: Path) -> None:
     entry = ENTRY | {"lifecycle": "active", "startedAtMs": 1e306}
     path = tmp_path / "config.json"
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -33,7 +33,7 @@
 
 
 def test_the_most_worth_for_its_work_is_served_first() -> None:
-    node = Node(1, classes=(klass(worth=1.0), klass(worth=9.0)))
+    node = Node(1, classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)))
     node.ask()
     node.ask(MS, job_class=0)
     node.ask(MS, job_class=1)
@@ -152,7 +152,12 @@
 
 def test_waits_over_the_aim_shed_the_least_worth_first() -> None:
     """Everything was queued and late in overload, nothing refused (incidents if560c8, if420f9)."""
-    node = Node(40, classes=(klass(worth=1.0), klass(worth=9.0)), tells_start=True, waste_price=0.2)
+    node = Node(
+        40,
+        classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)),
+        tells_start=True,
+        waste_price=0.2,
+    )
     refused = [0, 0]
     for i in range(400):
         actions = node.ask(10 * MS, job_class=i % 2)
@@ -211,7 +216,7 @@
 
 
 def test_no_withdrawal_where_late_answers_have_worth_or_cancelling_is_barred() -> None:
-    for changes in ({"cancelling": False}, {"classes": (klass(late_worth=0.5),)}):
+    for changes in ({"cancelling": False}, {"classes": (klass(late_priority_weight=0.5),)}):
         node = Node(2, tells_start=True, **changes)
         node.ask()
         assert not only(node.ask(2 * S), api.Cancel)
@@ -387,7 +392,7 @@
 
 def test_a_safe_job_whose_answer_is_lost_is_sent_again() -> None:
     """Nothing came after the start: 8 % of the answers never arrived (ledger site, big-1)."""
-    node = Node(2, tells_start=True, progress_us=S, classes=(klass(late_worth=0.5),))
+    node = Node(2, tells_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
     started(node, 1, MS)
@@ -423,7 +428,7 @@
 
 def test_a_late_job_with_late_worth_is_held_only_while_it_can_be_served() -> None:
     """Held until the client gave up, when nobody could serve it any more."""
-    node = Node(1, classes=(klass(late_worth=0.5),), tells_start=True)
+    node = Node(1, classes=(klass(late_priority_weight=0.5),), tells_start=True)
     for _ in range(3):
         node.ask(MS)
         started(node, node.jobs)
@@ -476,7 +481,9 @@
 
 def test_the_advice_when_to_come_back_follows_what_a_late_answer_is_worth() -> None:
     for late, advice in ((0.0, 2 * S), (0.5, 50 * MS)):
-        node = Node(1, classes=(klass(late_worth=late),), retry_after=True, max_retry_after_us=2 * S)
+        node = Node(
+            1, classes=(klass(late_priority_weight=late),), retry_after=True, max_retry_after_us=2 * S
+        )
         node.ask()
         node.end(1)
         assert only(node.ask(left_us=0), api.Refuse) == [api.Refuse(2, advice)]
@@ -538,7 +545,7 @@
     repeat: api.Repeat, alive: bool, moved: bool
 ) -> None:
     """It was waited for until the client's limit (days with vanished workers)."""
-    classes = (klass(aim_us=3 * S, repeat=repeat),)
+    classes = (klass(latency_objective_us=3 * S, repeat=repeat),)
     node = Node(1, classes=classes, tells_start=True, probes=True, connect_timeout_us=200 * MS)
     node.ask()
     started(node, 1, MS)
@@ -628,7 +635,10 @@
 def test_of_held_jobs_those_that_are_late_go_last() -> None:
     """Answers that were late already took the places of others that could be in time (Kalevi, overload)."""
     for late_worth, first in ((0.2, 3), (0.9, 2)):
-        classes = (klass(worth=3.0, late_worth=late_worth), klass(worth=2.0, late_worth=0.5))
+        classes = (
+            klass(priority_weight=3.0, late_priority_weight=late_worth),
+            klass(priority_weight=2.0, late_priority_weight=0.5),
+        )
         node = Node(1, tells_start=True, classes=classes, value_by_work=True)
         node.ask()
         node.ask(MS, job_class=0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,8 +13,8 @@
 O = api.Outcome  # noqa: E741
 WORKERS = [api.Worker(f"w{i}") for i in range(60)]
 BAD = {f"w{i}" for i in range(7)}
-SAFE = klass(aim_us=S, deadline_us=20 * S)
-UNSAFE = klass(aim_us=S, deadline_us=20 * S, repeat=api.Repeat.UNSAFE)
+SAFE = klass(latency_objective_us=S, deadline_us=20 * S)
+UNSAFE = klass(latency_objective_us=S, deadline_us=20 * S, repeat=api.Repeat.UNSAFE)
 
 
 def half_fail(worker: str, at_us: int, chance: random.Random) -> tuple[O, int]:
@@ -71,7 +71,7 @@
     the eighth power: none crossed, then nine in ten did, and the other zone was as full (join+vast)."""
     workers = [api.Worker(f"w{i}", zone=int(i < 21)) for i in range(60)]
     zones = [int(node < 24) for node in range(40)]
-    one = klass(aim_us=S, deadline_us=20 * S)
+    one = klass(latency_objective_us=S, deadline_us=20 * S)
     sent = play(
         40, workers, 120, 40, always_end_well, slots=8, zones=zones,
         classes=(one,), cancelling=False, cross_zone_price=0.1,
@@ -92,7 +92,7 @@
     workers = [api.Worker(f"w{i}", zone=int(i < 30)) for i in range(60)]
     zones = [int(node < 20) for node in range(40)]
     sent = play(
-        40, workers, 80, 30, lost, zones=zones, classes=(klass(aim_us=S, deadline_us=20 * S),),
+        40, workers, 80, 30, lost, zones=zones, classes=(klass(latency_objective_us=S, deadline_us=20 * S),),
         cross_zone_price=0.1,
     )  # fmt: skip
     served = Counter(s.at_us // (5 * S) for s in sent if s.outcome is O.COMPLETED and zones[s.node])
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -111,8 +111,8 @@
     repeats = [rng.choice(list(api.Repeat)) for _ in range(3)]
     classes = tuple(
         klass(repeat=r, scope=rng.choice(list(api.Scope)), memory_us=rng.choice([100 * MS, 2 * S]),
-              kinds=k, zones=rng.choice([None, None, frozenset({0})]), late_worth=rng.choice([0.0, 0.0, 0.5]),
-              deadline_us=S)
+              kinds=k, zones=rng.choice([None, None, frozenset({0})]),
+              late_priority_weight=rng.choice([0.0, 0.0, 0.5]), deadline_us=S)
         for r, k in zip(repeats, [None, None, frozenset({1})], strict=True)
     )  # fmt: skip
     config = settings(classes=classes, tells_start=rng.random() < 0.5, max_attempts=3, must_subscribe=True,
