--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -214,7 +214,7 @@
     from robinhill.commands import cordons
 
     names = ("ops", "cordon_id", "target", "reason", "by", "for_s", "wait_s")
-    context.exit(cordons.guarded(cordons.set_, *(options[name] for name in names)))
+    context.exit(cordons.run_command(cordons.set_cordon, *(options[name] for name in names)))
 
 
 @cordon.command("lift")
@@ -226,7 +226,7 @@
     """Lift a cordon: other reasons for the same workers stay in force."""
     from robinhill.commands import cordons
 
-    context.exit(cordons.guarded(cordons.lift, ops, cordon_id, wait_s))
+    context.exit(cordons.run_command(cordons.lift_cordon, ops, cordon_id, wait_s))
 
 
 @cordon.command("list")
@@ -237,7 +237,7 @@
     """List what is cordoned, why, and which schedulers have not confirmed."""
     from robinhill.commands import cordons
 
-    context.exit(cordons.guarded(cordons.list_, ops, as_json))
+    context.exit(cordons.run_command(cordons.list_cordons, ops, as_json))
 
 
 @cordon.command("wait")
@@ -249,7 +249,7 @@
     """Wait until every scheduler goes by a cordon."""
     from robinhill.commands import cordons
 
-    context.exit(cordons.guarded(cordons.wait, ops, cordon_id, wait_s))
+    context.exit(cordons.run_command(cordons.wait_until_in_force, ops, cordon_id, wait_s))
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -1,63 +1,61 @@
-"""`robinhill cordon set | lift | list | wait`: calls at one scheduler about workers at all schedulers."""
+"""`robinhill cordon set | lift | list | wait`: calls at one scheduler, for workers at all schedulers.
+
+Each command returns its exit code. The scheduler checks a call; this module sends it and prints the reply.
+"""
 
 import getpass
 import http.client
 import json
 import sys
 import time
+from collections.abc import Callable, Sequence
 from typing import Any
 from urllib.parse import quote
 
 import click
 
 Json = dict[str, Any]
-SPARE_S = 10.0  # past what a call itself waits for
-POLL_S = 0.1
-NOT_DONE = 1  # exit code: refused, or not in force in time
+CORDONS_PATH = "/ops/cordons"
+RESPONSE_MARGIN_S = 10.0  # beyond the time that a call itself waits
+POLL_INTERVAL_S = 0.1
+EXIT_FAILED = 1  # the call was rejected, or the change was not in force in time
 
 
-class Failed(Exception):
-    """A call was answered with a no, or not at all."""
+class CallFailed(Exception):
+    """A call was rejected or not answered; its text is for the operator."""
 
 
-def call(ops: str, method: str, path: str, body: Json | None = None, wait_s: float | None = None) -> Json:
-    """One call's JSON. Raises Failed with the scheduler's words and its advice."""
+def call_scheduler(
+    ops: str, method: str, path: str, body: Json | None = None, wait_s: float | None = None
+) -> Json:
+    """Make one call at ``ops`` (host:port), and return the JSON of its reply. Raises CallFailed."""
     host, _, port = ops.rpartition(":")
     if not (host and port.isdigit()):
-        raise Failed(f"--ops must be host:port of a scheduler's operators' side, is {ops!r}")
+        raise CallFailed(f"--ops must be host:port of a scheduler's operators' side, is {ops!r}")
     query = f"?wait={wait_s:g}" if wait_s is not None else ""
-    connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=(wait_s or 0) + SPARE_S)
+    timeout_s = (wait_s or 0) + RESPONSE_MARGIN_S
+    connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=timeout_s)
     try:
         connection.request(method, path + query, json.dumps(body) if body is not None else None)
-        answer = connection.getresponse()
-        text = answer.read().decode(errors="replace")
+        response = connection.getresponse()
+        text = response.read().decode(errors="replace")
     except OSError as e:
-        raise Failed(f"no answer from {ops}: {e}") from e
+        raise CallFailed(f"no answer from {ops}: {e}") from e
     finally:
         connection.close()
-    try:
-        told = json.loads(text)
-    except ValueError:
-        told = {"error": text.strip() or f"answered {answer.status}"}
-    if answer.status == 404 and not told.get("type"):
-        raise Failed(f"the scheduler at {ops} shares nothing: its operators' file names no peers")
-    if answer.status >= 400:
-        raise Failed("; ".join(str(told[key]) for key in ("error", "advice") if told.get(key)))
-    assert isinstance(told, dict)
-    return told
+    return _read_reply(ops, response.status, text)
 
 
-def guarded(what: Any, *arguments: Any) -> int:
-    """The exit code; what failed goes to standard error."""
+def run_command(command: Callable[..., int], *arguments: Any) -> int:
+    """Run a command and return its exit code; a failure is printed to standard error."""
     try:
-        done: int = what(*arguments)
-        return done
-    except Failed as e:
+        return command(*arguments)
+    except CallFailed as e:
         print(f"robinhill: {e}", file=sys.stderr)
-        return NOT_DONE
+        return EXIT_FAILED
 
 
-def set_(
+def set_cordon(
     ops: str,
     cordon_id: str,
     target: str,
@@ -66,60 +64,89 @@
     for_s: float | None,
     wait_s: float | None,
 ) -> int:
-    body: Json = {"target": target, "reason": reason, "by": by or _user()}
+    """Set a cordon, for ``for_s`` seconds where given, and wait up to ``wait_s`` until it is in force."""
+    body: Json = {"target": target, "reason": reason, "by": by or _user_name()}
     if for_s is not None:
         body["for_s"] = for_s
-    return _show_change(call(ops, "PUT", f"/ops/cordons/{quote(cordon_id, safe='')}", body, wait_s))
+    return _print_change(call_scheduler(ops, "PUT", _path_of(cordon_id), body, wait_s))
 
 
-def lift(ops: str, cordon_id: str, wait_s: float | None) -> int:
-    return _show_change(call(ops, "DELETE", f"/ops/cordons/{quote(cordon_id, safe='')}", None, wait_s))
+def lift_cordon(ops: str, cordon_id: str, wait_s: float | None) -> int:
+    """Lift a cordon, and wait up to ``wait_s`` until that is in force."""
+    return _print_change(call_scheduler(ops, "DELETE", _path_of(cordon_id), None, wait_s))
 
 
-def list_(ops: str, as_json: bool) -> int:
-    told = call(ops, "GET", "/ops/cordons")
+def list_cordons(ops: str, as_json: bool) -> int:
+    """Print all cordons, and schedulers that are not well."""
+    listing = call_scheduler(ops, "GET", CORDONS_PATH)
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(listing, indent=2))
         return 0
-    for c in told["cordons"]:
-        until = f", until {c['until']}" if c["until"] else ""
-        click.echo(f"{c['id']}  {c['target']} ({c['workers']} workers)  {c['state']}")
-        click.echo(f"    {c['reason']} (by {c['by'] or 'nobody named'} since {c['since']}{until})")
-        if c["behind"]:
-            click.echo(f"    not confirmed by {', '.join(c['behind'])}")
-    if not told["cordons"]:
+    for cordon in listing["cordons"]:
+        _print_cordon(cordon)
+    if not listing["cordons"]:
         click.echo("nothing is cordoned")
-    bad = [s for s in told["schedulers"] if s["state"] != "alive" or not s["same_list"]]
-    for s in bad:
-        click.echo(
-            f"scheduler {s['name']}: {s['state']}{'' if s['same_list'] else ', has another list of peers'}"
-        )
+    _print_faulty_schedulers(listing["schedulers"])
     return 0
 
 
-def wait(ops: str, cordon_id: str, wait_s: float) -> int:
-    """Until all schedulers go by a cordon that is there already."""
-    deadline = time.monotonic() + wait_s
+def wait_until_in_force(ops: str, cordon_id: str, wait_s: float) -> int:
+    """Wait until all schedulers go by a cordon that is set already. Raises CallFailed after ``wait_s``."""
+    deadline_s = time.monotonic() + wait_s
     while True:
-        (cordon,) = call(ops, "GET", f"/ops/cordons/{quote(cordon_id, safe='')}")["cordons"][:1]
+        (cordon,) = call_scheduler(ops, "GET", _path_of(cordon_id))["cordons"][:1]
         if cordon["state"] == "in force" or not cordon["behind"]:
             click.echo(f"{cordon_id} is in force")
             return 0
-        if time.monotonic() >= deadline:
-            raise Failed(f"{cordon_id} is not in force; not confirmed by {', '.join(cordon['behind'])}")
-        time.sleep(POLL_S)
+        if time.monotonic() >= deadline_s:
+            raise CallFailed(f"{cordon_id} is not in force; not confirmed by {', '.join(cordon['behind'])}")
+        time.sleep(POLL_INTERVAL_S)
 
 
-def _show_change(told: Json) -> int:
-    click.echo(f"{told['id']} ({', '.join(told['targets'])}): {told['state']} after {told['ms']:.1f} ms")
-    for warning in told.get("warnings", ()):
+def _path_of(cordon_id: str) -> str:
+    return f"{CORDONS_PATH}/{quote(cordon_id, safe='')}"
+
+
+def _read_reply(ops: str, status: int, text: str) -> Json:
+    try:
+        reply = json.loads(text)
+    except ValueError:
+        reply = {"error": text.strip() or f"answered {status}"}
+    if status == 404 and not reply.get("type"):
+        raise CallFailed(f"the scheduler at {ops} shares nothing: its operators' file names no peers")
+    if status >= 400:
+        raise CallFailed("; ".join(str(reply[key]) for key in ("error", "advice") if reply.get(key)))
+    assert isinstance(reply, dict)
+    return reply
+
+
+def _print_change(reply: Json) -> int:
+    click.echo(f"{reply['id']} ({', '.join(reply['targets'])}): {reply['state']} after {reply['ms']:.1f} ms")
+    for warning in reply.get("warnings", ()):
         click.echo(f"    mind: {warning}")
-    for u in told["unconfirmed"]:
-        click.echo(f"    not confirmed by {u['scheduler']}: {u['why']}")
+    for unconfirmed in reply["unconfirmed"]:
+        click.echo(f"    not confirmed by {unconfirmed['scheduler']}: {unconfirmed['why']}")
     return 0
 
 
-def _user() -> str:
+def _print_cordon(cordon: Json) -> None:
+    until = f", until {cordon['until']}" if cordon["until"] else ""
+    click.echo(f"{cordon['id']}  {cordon['target']} ({cordon['workers']} workers)  {cordon['state']}")
+    by = cordon["by"] or "nobody named"
+    click.echo(f"    {cordon['reason']} (by {by} since {cordon['since']}{until})")
+    if cordon["behind"]:
+        click.echo(f"    not confirmed by {', '.join(cordon['behind'])}")
+
+
+def _print_faulty_schedulers(schedulers: Sequence[Json]) -> None:
+    for scheduler in schedulers:
+        if scheduler["state"] == "alive" and scheduler["same_list"]:
+            continue
+        other_list = "" if scheduler["same_list"] else ", has another list of peers"
+        click.echo(f"scheduler {scheduler['name']}: {scheduler['state']}{other_list}")
+
+
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
