--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -31,7 +31,7 @@
 from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
-from robinhill.net.operators.server import Calls, Operators
+from robinhill.net.operators.server import OperatorCalls, OperatorServer
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
@@ -79,7 +79,7 @@
         self.cordons = GroupCordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
-        self.operators: Operators | None = None
+        self.operators: OperatorServer | None = None
         if config.ops:
             self.operators = VoterOperatorServer(config.ops, self.supervisor, self)
 
@@ -258,23 +258,23 @@
         return address_of(self.options, voter)
 
 
-class VoterOperatorServer(Operators):
+class VoterOperatorServer(OperatorServer):
     """The operators' side of a voter; `PUT /ops/mesh/forget` names a scheduler that runs no more."""
 
     def __init__(self, address: Address, supervisor: Supervisor, voter: VoterProcess) -> None:
-        calls = Calls(
+        calls = OperatorCalls(
             readiness=voter.readiness,
             stats=voter.metrics,
             admission=lambda: NOT_SERVED,
-            hold_out=_no_workers,
+            disable_worker=_no_workers,
             drain=_no_clients,
             cordons=voter.call,
             mesh=voter.status,
-            vouch=voter.vouch,
+            confirm_complete=voter.vouch,
         )
         super().__init__(address, MAX_OPERATOR_CALLS, supervisor, calls)
         self._voter = voter
-        self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
+        self.add_route("/ops/mesh/forget", "PUT", self._forget)
 
     async def _forget(self, body: bytes) -> Answer:
         return self._voter.forget(protocol.decode_instance_id(body))
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -1,4 +1,4 @@
-"""What outlives the process: the held-out endpoints, in a file of $TMPDIR."""
+"""The workers that operators have disabled, in a file of $TMPDIR that outlives the process."""
 
 import logging
 import os
@@ -8,37 +8,37 @@
 
 log = logging.getLogger(__name__)
 
-FILE = "held-out.json"
+FILE_NAME = "held-out.json"
 
 
 class DisabledWorkerStore:
-    """Without a folder nothing is kept."""
+    """Stores the IDs of disabled workers; without a folder it stores nothing."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
 
     def load(self) -> set[str]:
-        """The ids as last saved; a file that can't be read holds none, and says so in the log."""
+        """Return the IDs as last saved; none, with a log line, if the file can't be read."""
         if not self.folder:
             return set()
         try:
-            ids = orjson.loads((self.folder / FILE).read_bytes())
+            ids = orjson.loads((self.folder / FILE_NAME).read_bytes())
         except FileNotFoundError:
             return set()
         except (OSError, orjson.JSONDecodeError) as e:
-            log.error("state_unreadable", extra={"file": FILE, "why": str(e)})
+            log.error("state_unreadable", extra={"file": FILE_NAME, "why": str(e)})
             return set()
         return {x for x in ids if isinstance(x, str)} if isinstance(ids, list) else set()
 
     def save(self, instance_ids: set[str]) -> bool:
-        """Whether they are on file now: all of them or, after an error, those of before."""
+        """Save the IDs, all or none. Returns whether they are saved; a failure is logged."""
         if not self.folder:
             return True
-        temporary = self.folder / f"{FILE}.{os.getpid()}"
+        temporary = self.folder / f"{FILE_NAME}.{os.getpid()}"
         try:
             temporary.write_bytes(orjson.dumps(sorted(instance_ids)))
-            temporary.replace(self.folder / FILE)
+            temporary.replace(self.folder / FILE_NAME)
         except OSError as e:
-            log.error("state_not_saved", extra={"file": FILE, "why": str(e)})
+            log.error("state_not_saved", extra={"file": FILE_NAME, "why": str(e)})
             return False
         return True
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -1,4 +1,8 @@
-"""The operators' side: a listener of its own, one call to a connection, 2xx for yes and 4xx or 5xx for no."""
+"""The operators' server: a listener of its own, one call per connection.
+
+It owns the paths and methods of operators' calls, and passes each call on; what a call does is up to the
+functions in `OperatorCalls`. A status of 2xx means yes, 4xx and 5xx mean no.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -15,109 +19,124 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CALL = 1024  # an id, with room for blanks round it
-MAX_CORDON_CALL = 4096  # a target, a reason and who asks, in JSON
-CORDONS = "/ops/cordons"
-OLD_ADMISSION = "/ops/door"  # the call's name before it was /ops/admission
+MAX_BODY_BYTES = 1024  # an ID, and blanks around it
+MAX_CORDON_BODY_BYTES = 4096  # a target, a reason and the operator's name, in JSON
+CLOSE_TIMEOUT_S = 1.0
+CORDONS_PATH = "/ops/cordons"
+ADMISSION_PATH = "/ops/admission"
+DEPRECATED_ADMISSION_PATH = "/ops/door"
+
+BodyHandler = Callable[[bytes], Awaitable[Answer]]
+CordonHandler = Callable[[str, str, bytes, str | None], Awaitable[Answer]]
+"""Takes a call's method, the cordon's ID ('' for all), the body, and the query's ``wait``."""
 
 
 @dataclass(slots=True, frozen=True)
-class Calls:
-    """What operators can ask for; those with an id, of an endpoint, or with whether to drain."""
+class OperatorCalls:
+    """What operators can call.
+
+    ``disable_worker`` takes a worker's ID and whether it is disabled or enabled again, ``drain`` whether
+    draining starts or stops. The last three are None where schedulers share nothing; ``confirm_complete`` is
+    the operator's confirmation that this process knows all that is in force.
+    """
 
     readiness: Callable[[], Answer]
     stats: Callable[[], Answer]
     admission: Callable[[], Answer]
-    hold_out: Callable[[str, bool], Awaitable[Answer]]
+    disable_worker: Callable[[str, bool], Awaitable[Answer]]
     drain: Callable[[bool], Awaitable[Answer]]
-    # Where schedulers share: a call's method, the cordon's id ("": all), body, and for how long it waits.
-    cordons: Callable[[str, str, bytes, str | None], Awaitable[Answer]] | None = None
+    cordons: CordonHandler | None = None
     mesh: Callable[[], Answer] | None = None
-    vouch: Callable[[], Answer] | None = None
+    confirm_complete: Callable[[], Answer] | None = None
+
+
+@dataclass(slots=True, frozen=True)
+class Route:
+    """The method and the handler of a path."""
 
+    method: str
+    handle: BodyHandler
 
-class Operators:
-    """Serves the operators' address, with descriptors that clients can't take."""
 
-    def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: Calls) -> None:
+class OperatorServer:
+    """Serves the operators' address, with a budget of descriptors that clients can't use up."""
+
+    def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: OperatorCalls) -> None:
         self.address = address
         self.calls = calls
-        most = MAX_CORDON_CALL if calls.cordons else MAX_CALL
-        self.listener = Listener(self._handle, budget, supervisor, most)
-        self._routes: dict[str, tuple[str, Callable[[bytes], Awaitable[Answer]]]] = {
-            "/ops/readiness": ("GET", self._readiness),
-            "/ops/stats": ("GET", self._stats),
-            "/ops/admission": ("GET", self._admission),
-            OLD_ADMISSION: ("GET", self._admission_by_old_name),
-            "/ops/workers/down": ("PUT", lambda body: self._worker(body, True)),
-            "/ops/workers/up": ("PUT", lambda body: self._worker(body, False)),
-            "/ops/drain/start": ("PUT", lambda body: calls.drain(True)),
-            "/ops/drain/stop": ("PUT", lambda body: calls.drain(False)),
-        }
-        if calls.mesh and calls.vouch:
-            mesh, vouch = calls.mesh, calls.vouch
-            self._routes["/ops/mesh"] = ("GET", lambda body: _at_once(mesh()))
-            self._routes["/ops/mesh/vouch"] = ("PUT", lambda body: _at_once(vouch()))
+        max_body_bytes = MAX_CORDON_BODY_BYTES if calls.cordons else MAX_BODY_BYTES
+        self.listener = Listener(self._handle, budget, supervisor, max_body_bytes)
+        self._routes: dict[str, Route] = {}
+        self.add_route("/ops/readiness", "GET", lambda _body: _completed(calls.readiness()))
+        self.add_route("/ops/stats", "GET", lambda _body: _completed(calls.stats()))
+        self.add_route(ADMISSION_PATH, "GET", lambda _body: _completed(calls.admission()))
+        self.add_route(DEPRECATED_ADMISSION_PATH, "GET", self._handle_deprecated_admission)
+        self.add_route("/ops/workers/down", "PUT", lambda body: self._disable_worker(body, True))
+        self.add_route("/ops/workers/up", "PUT", lambda body: self._disable_worker(body, False))
+        self.add_route("/ops/drain/start", "PUT", lambda _body: calls.drain(True))
+        self.add_route("/ops/drain/stop", "PUT", lambda _body: calls.drain(False))
+        if calls.mesh and calls.confirm_complete:
+            mesh, confirm_complete = calls.mesh, calls.confirm_complete
+            self.add_route("/ops/mesh", "GET", lambda _body: _completed(mesh()))
+            self.add_route("/ops/mesh/vouch", "PUT", lambda _body: _completed(confirm_complete()))
+
+    def add_route(self, path: str, method: str, handle: BodyHandler) -> None:
+        """Serve a path; ``handle`` takes the body."""
+        self._routes[path] = Route(method, handle)
 
     def start(self) -> None:
+        """Listen. Raises ConfigError if the address can't be bound."""
         self.listener.listen(bind(self.address, "GW_OPS"))
 
     async def close(self) -> None:
+        """Stop listening, and give connections a moment to end."""
         self.listener.close()
-        await self.listener.shutdown(1.0)
+        await self.listener.shutdown(CLOSE_TIMEOUT_S)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.rel_url.raw_path
-        if self.calls.cordons and (path == CORDONS or path.startswith(CORDONS + "/")):
-            return await self._cordons(request, self.calls.cordons)
+        if self.calls.cordons and (path == CORDONS_PATH or path.startswith(CORDONS_PATH + "/")):
+            return await self._handle_cordons(request, self.calls.cordons)
         if (route := self._routes.get(path)) is None:
             return reject(request, 404, "no such call")
-        method, call = route
-        if request.method != method:
-            response = reject(request, 405, f"the method is {method}")
-            response.headers["Allow"] = method
-            return response
+        if request.method != route.method:
+            return _reject_method(request, f"the method is {route.method}", route.method)
         body = await request.read()
-        if len(body) > MAX_CALL:
-            return reject(request, 413, f"a body holds at most {MAX_CALL} bytes")
+        if len(body) > MAX_BODY_BYTES:
+            return reject(request, 413, f"a body holds at most {MAX_BODY_BYTES} bytes")
         connection_of(request).begin_answer(serves=True)
-        answer = await call(body)
+        answer = await route.handle(body)
         response = web.Response(status=answer.status, body=answer.body)
         response.force_close()
         return response
 
-    async def _cordons(
-        self, request: web.BaseRequest, call: Callable[[str, str, bytes, str | None], Awaitable[Answer]]
-    ) -> web.StreamResponse:
-        cordon_id = request.rel_url.path.removeprefix(CORDONS).removeprefix("/")
+    async def _handle_cordons(self, request: web.BaseRequest, handle: CordonHandler) -> web.StreamResponse:
+        cordon_id = request.rel_url.path.removeprefix(CORDONS_PATH).removeprefix("/")
         methods = ("GET", "PUT", "DELETE") if cordon_id else ("GET",)
         if request.method not in methods:
-            response: web.StreamResponse = reject(request, 405, f"the methods are {', '.join(methods)}")
-            response.headers["Allow"] = ", ".join(methods)
-            return response
+            allowed = ", ".join(methods)
+            return _reject_method(request, f"the methods are {allowed}", allowed)
         body = await request.read()
         connection_of(request).begin_answer(serves=True)
-        answer = await call(request.method, cordon_id, body, request.rel_url.query.get("wait"))
+        answer = await handle(request.method, cordon_id, body, request.rel_url.query.get("wait"))
         response = web.Response(status=answer.status, body=answer.body, content_type="application/json")
         response.force_close()
         return response
 
-    async def _readiness(self, body: bytes) -> Answer:
-        return self.calls.readiness()
-
-    async def _stats(self, body: bytes) -> Answer:
-        return self.calls.stats()
-
-    async def _admission(self, body: bytes) -> Answer:
+    async def _handle_deprecated_admission(self, _body: bytes) -> Answer:
+        extra = {"call": DEPRECATED_ADMISSION_PATH, "write": ADMISSION_PATH}
+        log.warning("deprecated_call", extra=extra)
         return self.calls.admission()
 
-    async def _admission_by_old_name(self, body: bytes) -> Answer:
-        log.warning("deprecated_call", extra={"call": OLD_ADMISSION, "write": "/ops/admission"})
-        return self.calls.admission()
+    async def _disable_worker(self, body: bytes, disabled: bool) -> Answer:
+        return await self.calls.disable_worker(protocol.decode_instance_id(body), disabled)
+
 
-    async def _worker(self, body: bytes, out: bool) -> Answer:
-        return await self.calls.hold_out(protocol.decode_instance_id(body), out)
+def _reject_method(request: web.BaseRequest, why: str, allowed: str) -> web.StreamResponse:
+    response = reject(request, 405, why)
+    response.headers["Allow"] = allowed
+    return response
 
 
-async def _at_once(answer: Answer) -> Answer:
+async def _completed(answer: Answer) -> Answer:
     return answer
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -26,7 +26,7 @@
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.handover.succession import Succession
 from robinhill.net.metrics import Metrics
-from robinhill.net.operators.server import Calls, Operators
+from robinhill.net.operators.server import OperatorCalls, OperatorServer
 from robinhill.placement import watch_schedule
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import DONE, Answer, JobEvent, JobRequest
@@ -112,9 +112,9 @@
             from robinhill.net.peers import sharing
 
             self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.dispatcher, self.inbound)
-        self.operators: Operators | None = None
+        self.operators: OperatorServer | None = None
         if config.ops:
-            calls = Calls(
+            calls = OperatorCalls(
                 self.readiness,
                 self.stats,
                 self.admission.stats if self.admission else lambda: NO_ADMISSION,
@@ -124,7 +124,7 @@
                 self.sharing.status if self.sharing else None,
                 self.sharing.vouch if self.sharing else None,
             )
-            self.operators = Operators(config.ops, config.ops_sockets - 1, self.supervisor, calls)
+            self.operators = OperatorServer(config.ops, config.ops_sockets - 1, self.supervisor, calls)
         self.started = asyncio.Event()  # it is ready to serve
         self.stopping = asyncio.Event()  # it is told to end
         self.succession: Succession | None = None
