--- a/robinhill/net/control_group/__init__.py
+++ b/robinhill/net/control_group/__init__.py
@@ -1,1 +1,4 @@
-"""The control group's state machines on sockets: voters as processes, schedulers that observe them."""
+"""The control group's members on sockets: voters as processes, and schedulers that observe them.
+
+The state machines are in `robinhill.control`; the modules here own sockets, clocks and disk.
+"""
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -1,85 +1,94 @@
-"""The actor that gives a state machine of the control group its sockets and its clock.
+"""The actor that drives a state machine of the control group: feeds it messages and time, performs its
+actions.
 
-All that comes goes through one mailbox, so the machine is never called from two places at once, and what a
-message brings is acted on before the next one is read.
+All events pass one mailbox, so the machine is never called concurrently, and the actions of one message are
+performed before the next one is handled.
 """
 
 import asyncio
-import contextlib
 import logging
 import time
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from itertools import count
 from typing import Protocol
 
-import aiohttp
-from aiohttp import web
-
 from robinhill.config_types import Address
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
-from robinhill.control.messages import MAX_MESSAGE_BYTES
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
-from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, PATH, ControlLink, Socket
+from robinhill.net.control_group.connections import PROCESS_ENDS, Connections
+from robinhill.net.control_group.link import ControlLink
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT_S = 1.0
-"""For a connection and its upgrade."""
-
-MAX_ACCEPTED_CONNECTIONS = 4_096
-"""Connections that a voter accepts; the descriptors of the process bound them too."""
+MAX_CONNECTIONS = 4_096
+"""Past this none is accepted; the descriptors of the process bound them too."""
 
 MIN_TICK_US = 1_000
 REPORT_INTERVAL_S = 60.0
+"""Least time between two reports that a voter is unreachable."""
+
 FAILURES_TO_REPORT = 3
+"""Consecutive failures from which on a voter counts as unreachable."""
 
 
 class StateMachine(Protocol):
     """What voters and observers have in common. Times: microseconds, Unix and monotonic."""
 
-    def start(self, now_us: int, mono_us: int) -> list[Action]: ...
+    def start(self, now_us: int, mono_us: int) -> list[Action]:
+        """The first call."""
+        ...
 
-    def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]: ...
+    def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
+        """A connection that `Connect` asked for is open."""
+        ...
 
-    def failed(self, mono_us: int, voter: str) -> None: ...
+    def failed(self, mono_us: int, voter: str) -> None:
+        """A connection that `Connect` asked for could not be opened."""
+        ...
 
-    def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]: ...
+    def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
+        """A message was received."""
+        ...
 
-    def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]: ...
+    def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
+        """A connection was lost, or closed by the other side."""
+        ...
 
-    def tick(self, now_us: int, mono_us: int) -> list[Action]: ...
+    def tick(self, now_us: int, mono_us: int) -> list[Action]:
+        """Time has passed."""
+        ...
 
-    def next_us(self, mono_us: int) -> int: ...
+    def next_us(self, mono_us: int) -> int:
+        """When `tick` is due at the latest."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
-class Opened:
-    """A websocket is there, either way."""
+class LinkOpened:
+    """A websocket is open, dialed or accepted."""
 
     link: ControlLink
 
 
 @dataclass(slots=True, frozen=True)
-class Received:
-    """A message has come."""
+class MessageReceived:
+    """A message was received."""
 
     link: ControlLink
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Closed:
-    """A connection is gone."""
+class LinkClosed:
+    """A connection has ended."""
 
     link: ControlLink
     why: str
 
 
 @dataclass(slots=True, frozen=True)
-class Failed:
+class ConnectFailed:
     """A connection could not be opened."""
 
     voter: str
@@ -88,22 +97,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has gone on."""
+    """The machine's `tick` is due."""
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Something that uses the machine is to be done: an operator's call, a reload."""
+    """Call ``work``, which uses the machine: an operator's call, a reload."""
 
     work: Callable[[], None]
 
 
-ToDriver = Opened | Received | Closed | Failed | Tick | Run
+ToDriver = LinkOpened | MessageReceived | LinkClosed | ConnectFailed | Tick | Run
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Counts since the start, for operators."""
+    """Counters since the start."""
 
     opened: int = 0
     lost: int = 0
@@ -113,10 +122,41 @@
     bytes_out: int = 0
 
 
+class UnreachableVoters:
+    """Consecutive failures to connect to each voter, reported from time to time."""
+
+    def __init__(self) -> None:
+        self._failures: dict[str, int] = {}
+        self._last_reported_s: dict[str, float] = {}
+
+    def connected(self, voter: str) -> None:
+        """The voter can be reached."""
+        self._failures.pop(voter, None)
+
+    def failed(self, voter: str, why: str) -> None:
+        """The voter could not be connected to; ``why`` is for the log."""
+        self._failures[voter] = self._failures.get(voter, 0) + 1
+        now_s = time.monotonic()
+        recently = now_s - self._last_reported_s.get(voter, -REPORT_INTERVAL_S) < REPORT_INTERVAL_S
+        if self._failures[voter] >= FAILURES_TO_REPORT and not recently:
+            self._last_reported_s[voter] = now_s
+            log.warning("voter_unreachable", extra={"voter": voter, "why": why})
+
+
+def _ignore() -> None:
+    """Where nothing follows the actions of a call."""
+
+
+def _ignore_accepted(_mono_us: int, _link: Link) -> None:
+    """For machines that only dial."""
+
+
 class Driver(Actor[ToDriver]):
-    """``address_of``: where a voter is; ``act``: carries out what is not about connections, at once;
-    ``after``: called when the actions of one call are carried out; ``accepted``: the machine's, if it takes
-    links from others.
+    """Drives one state machine.
+
+    ``address_of``: where a voter listens; ``act``: performs the actions that are not about connections;
+    ``after``: called once the actions of one call are performed; ``accepted``: the machine's, if it accepts
+    connections.
     """
 
     def __init__(
@@ -126,48 +166,73 @@
         clock: Clock,
         address_of: Callable[[str], Address],
         act: Callable[[Action], None],
-        after: Callable[[], None] = lambda: None,
-        accepted: Callable[[int, Link], None] = lambda mono_us, link: None,
+        after: Callable[[], None] = _ignore,
+        accepted: Callable[[int, Link], None] = _ignore_accepted,
     ) -> None:
         super().__init__("control", supervisor)
         self.machine = machine
         self.clock = clock
-        self.address_of = address_of
-        self.act = act
-        self.after = after
-        self.accepted = accepted
         self.links: dict[Link, ControlLink] = {}
         self.traffic = Traffic()
-        self._numbers = count(1)
-        self._connecting: set[asyncio.Task[None]] = set()
-        self._failures: dict[str, int] = {}  # in a row, by voter
-        self._last_reported_s: dict[str, float] = {}
-        self._client: aiohttp.ClientSession | None = None
-        self._runner: web.ServerRunner | None = None
+        self._act = act
+        self._after = after
+        self._accepted = accepted
+        self._connections = Connections(self, supervisor, address_of)
+        self._unreachable = UnreachableVoters()
         self._timer: asyncio.TimerHandle | None = None
         self._due_us = 0
         self._stopping = False
 
     def start(self) -> None:
+        """Start the machine."""
         super().start()
-        self._client = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, force_close=True),
-            cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
-        )
+        self._connections.start()
         self.perform(self.machine.start(self.clock.now_us(), mono_us()))
 
     async def listen(self, address: Address, key: str) -> None:
         """Accept connections. Raises ConfigError, which names ``key``."""
-        sock = bind(address, key)
-        self._runner = web.ServerRunner(web.Server(self._accept, access_log=None), shutdown_timeout=0.2)
-        await self._runner.setup()
-        await web.SockSite(self._runner, sock).start()
+        await self._connections.listen(address, key)
+
+    async def close(self) -> None:
+        """End all links once what is queued is written, as far as the other sides read it at once."""
+        self._stopping = True
+        self._connections.stop()
+        self.stop()
+        if self._timer:
+            self._timer.cancel()
+        for link in self.links.values():
+            link.close(PROCESS_ENDS)
+        await self._connections.close()
+
+    # What connections report, into the mailbox
+
+    def may_accept(self) -> bool:
+        """Whether there is capacity for another connection."""
+        return len(self.links) < MAX_CONNECTIONS
+
+    def on_opened(self, link: ControlLink) -> None:
+        """A connection is open, dialed or accepted."""
+        self.tell(LinkOpened(link))
+
+    def on_message(self, link: ControlLink, data: bytes) -> None:
+        """A message was received."""
+        self.tell(MessageReceived(link, data))
+
+    def on_closed(self, link: ControlLink, why: str) -> None:
+        """A connection has ended."""
+        self.tell(LinkClosed(link, why))
+
+    def on_connect_failed(self, voter: str, why: str) -> None:
+        """A voter could not be connected to."""
+        self.tell(ConnectFailed(voter, why))
+
+    # Messages of the mailbox
 
     def receive(self, message: ToDriver) -> None:
+        """Handle one message."""
         now_us, now_mono_us = self.clock.now_us(), mono_us()
         match message:
-            case Received(link=link, data=data):
+            case MessageReceived(link=link, data=data):
                 if link.number not in self.links:
                     return
                 self.traffic.messages_in += 1
@@ -176,101 +241,29 @@
             case Tick():
                 self._due_us = 0
                 self.perform(self.machine.tick(now_us, now_mono_us))
-            case Opened(link=link):
-                self._opened(now_us, now_mono_us, link)
-            case Closed(link=link, why=why):
-                self._closed(now_us, now_mono_us, link, why)
-            case Failed(voter=voter, why=why):
-                self._failed(now_mono_us, voter, why)
+            case LinkOpened(link=link):
+                self._handle_opened(now_us, now_mono_us, link)
+            case LinkClosed(link=link, why=why):
+                self._handle_closed(now_us, now_mono_us, link, why)
+            case ConnectFailed(voter=voter, why=why):
+                self.machine.failed(now_mono_us, voter)
+                self._schedule_tick()
+                self._unreachable.failed(voter, why)
             case Run(work=work):
                 work()
 
-    def perform(self, actions: Iterable[Action]) -> None:
-        """Carry out what the machine asks for, in order."""
-        for action in actions:
-            match action:
-                case Send(link=number, data=data):
-                    self._send(number, data)
-                case Connect(voter=voter):
-                    self._connect(voter)
-                case Disconnect(link=number, why=why):
-                    self._disconnect(number, why)
-                case _:
-                    self.act(action)
-        self.after()
-        self._schedule_tick()
-
-    async def close(self) -> None:
-        """End all links, once what is queued is written as far as the other sides read it at once."""
-        self._stopping = True
-        self.stop()
-        if self._timer:
-            self._timer.cancel()
-        for link in self.links.values():
-            link.close("this process ends")
-        if self._connecting:
-            await asyncio.wait(self._connecting, timeout=CLOSE_TIMEOUT_S)
-        for task in list(self._connecting):
-            task.cancel()
-        if self._runner:
-            with contextlib.suppress(Exception):
-                await self._runner.cleanup()
-        if self._client:
-            await self._client.close()
-
-    # Connections
-
-    async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
-        if request.path != PATH:
-            return web.Response(status=404)
-        if self._stopping or len(self.links) >= MAX_ACCEPTED_CONNECTIONS:
-            return web.Response(status=503)
-        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE_BYTES + 1, compress=False, timeout=0.2)
-        await socket.prepare(request)
-        await self._run(socket, str(request.remote), None)
-        return socket
-
-    async def _run(self, socket: Socket, address: str, voter: str | None) -> None:
-        link = ControlLink(next(self._numbers), socket, address, voter)
-        self.tell(Opened(link))
-        why = "this process ends"
-        try:
-            why = await link.run(lambda link, data: self.tell(Received(link, data)))
-        finally:
-            self.tell(Closed(link, why))
-
-    def _connect(self, voter: str) -> None:
-        if self._stopping:
-            return
-        task = self.supervisor.spawn(self._dial(voter), f"connect to {voter}")
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
-
-    async def _dial(self, voter: str) -> None:
-        assert self._client
-        address = self.address_of(voter)
-        try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES + 1, compress=0
-                )
-        except (OSError, aiohttp.ClientError, TimeoutError) as e:
-            self.tell(Failed(voter, f"{type(e).__name__} {e}".strip()))
-            return
-        await self._run(socket, str(address), voter)
-
-    def _opened(self, now_us: int, now_mono_us: int, link: ControlLink) -> None:
+    def _handle_opened(self, now_us: int, now_mono_us: int, link: ControlLink) -> None:
         self.links[link.number] = link
         self.traffic.opened += 1
         if link.voter is None:
-            self.accepted(now_mono_us, link.number)
+            self._accepted(now_mono_us, link.number)
             self._schedule_tick()
             return
-        self._failures.pop(link.voter, None)
+        self._unreachable.connected(link.voter)
         log.info("control_link_opened", extra={"voter": link.voter, "address": link.address})
         self.perform(self.machine.linked(now_us, now_mono_us, link.number, link.voter))
 
-    def _closed(self, now_us: int, now_mono_us: int, link: ControlLink, why: str) -> None:
+    def _handle_closed(self, now_us: int, now_mono_us: int, link: ControlLink, why: str) -> None:
         if self.links.pop(link.number, None) is None:
             return
         self.traffic.lost += 1
@@ -278,15 +271,22 @@
         log.log(level, "control_link_lost", extra={"voter": link.voter, "address": link.address, "why": why})
         self.perform(self.machine.unlinked(now_us, now_mono_us, link.number))
 
-    def _failed(self, now_mono_us: int, voter: str, why: str) -> None:
-        self.machine.failed(now_mono_us, voter)
+    # Actions of the machine
+
+    def perform(self, actions: Iterable[Action]) -> None:
+        """Perform the actions of one call of the machine, in order."""
+        for action in actions:
+            match action:
+                case Send(link=number, data=data):
+                    self._send(number, data)
+                case Connect(voter=voter):
+                    self._connections.dial(voter)
+                case Disconnect(link=number, why=why):
+                    self._disconnect(number, why)
+                case _:
+                    self._act(action)
+        self._after()
         self._schedule_tick()
-        self._failures[voter] = self._failures.get(voter, 0) + 1
-        now_s = time.monotonic()
-        recently = now_s - self._last_reported_s.get(voter, -REPORT_INTERVAL_S) < REPORT_INTERVAL_S
-        if self._failures[voter] >= FAILURES_TO_REPORT and not recently:
-            self._last_reported_s[voter] = now_s
-            log.warning("voter_unreachable", extra={"voter": voter, "why": why})
 
     def _send(self, number: Link, data: bytes) -> None:
         if link := self.links.get(number):
--- a/robinhill/net/control_group/link.py
+++ b/robinhill/net/control_group/link.py
@@ -1,4 +1,4 @@
-"""One connection of the control group: a websocket, with what is still to be written in a queue."""
+"""One connection of the control group: a websocket with a queue of messages to write. Knows no protocol."""
 
 import asyncio
 import contextlib
@@ -10,19 +10,21 @@
 
 PATH = "/v1/control"
 CLOSE_TIMEOUT_S = 0.5
-"""For what is still to be written, and for the other side's goodbye."""
+"""For the queued messages, and for the other side's close frame."""
 
 MAX_QUEUED_BYTES = 16 << 20
-"""Past this, the other side reads too slowly to be kept. The protocol keeps far below it."""
+"""Past this the other side reads too slowly and the link is closed; the protocol's send window is far
+smaller."""
 
 MAX_REASON_BYTES = 120
-"""A websocket's close frame holds no more."""
+"""What fits into a websocket's close frame."""
 
 Socket = aiohttp.ClientWebSocketResponse | web.WebSocketResponse
 
 
 class ControlLink:
-    """Both ends alike. ``voter``: whom we connected to; None where the other side connected."""
+    """One end of a connection. ``voter``: the voter that was dialed; None where the connection was
+    accepted."""
 
     def __init__(self, number: int, socket: Socket, address: str, voter: str | None) -> None:
         self.number = number
@@ -36,7 +38,7 @@
         self._overflow = asyncio.Event()
 
     def send(self, data: bytes) -> None:
-        """Write a message behind those that are queued. Never waits."""
+        """Queue a message. Never waits."""
         if self.closed_because is not None:
             return
         self._queue.append(data)
@@ -46,13 +48,13 @@
         self._changed.set()
 
     def close(self, why: str) -> None:
-        """Close it once what is queued is written; `run` returns then."""
+        """Close the connection once the queue is written; `run` returns then."""
         if self.closed_because is None:
             self.closed_because = why
             self._changed.set()
 
     async def run(self, received: Callable[["ControlLink", bytes], None]) -> str:
-        """Until either side closes it or it breaks; why, in a few words."""
+        """Read and write until either side closes the connection or it breaks. Returns why, for the log."""
         reading = asyncio.ensure_future(self._read(received))
         writing = asyncio.ensure_future(self._write())
         overflow = asyncio.ensure_future(self._overflow.wait())
@@ -100,7 +102,7 @@
 
 
 def _failure(*tasks: "asyncio.Future[None]") -> str | None:
-    """What broke a link; anything else than a broken connection is raised."""
+    """The error that broke a connection; an error of another kind is raised."""
     for task in tasks:
         if task.cancelled() or (error := task.exception()) is None:
             continue
--- /dev/null
+++ b/robinhill/net/control_group/operator_support.py
@@ -0,0 +1,56 @@
+"""What voters and observing schedulers share on their operators' side: reloads, statuses, figures, calls."""
+
+import asyncio
+import logging
+from collections.abc import Iterable, Mapping, Sequence
+
+import msgspec
+
+from robinhill.mesh.options import MeshOptions
+from robinhill.net.control_group.driver import Driver, Run, Traffic
+from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.operator_calls import CordonCall
+from robinhill.net.metrics import PREFIX
+from robinhill.protocol import Answer
+
+log = logging.getLogger(__name__)
+
+
+def needs_restart(old: MeshOptions, new: MeshOptions, keys: Sequence[str]) -> bool:
+    """Whether a reload changes one of these keys, which only a restart can change. Logs their names."""
+    changed = [f"mesh.{key}" for key in keys if getattr(new, key) != getattr(old, key)]
+    if changed:
+        log.warning("reload_needs_restart", extra={"keys": ",".join(changed)})
+    return bool(changed)
+
+
+def status_answer(fields: Mapping[str, object]) -> Answer:
+    """A status as JSON, without the fields that are None."""
+    known = {key: value for key, value in fields.items() if value is not None}
+    return Answer(200, msgspec.json.encode(known) + b"\n")
+
+
+def traffic_figures(traffic: Traffic) -> list[str]:
+    """Figures on connections that all members have."""
+    return [
+        f"opened:{traffic.opened}|c",
+        f"lost:{traffic.lost}|c",
+        f"messages_in:{traffic.messages_in}|c",
+        f"messages_out:{traffic.messages_out}|c",
+        f"bytes_in:{traffic.bytes_in}|c",
+    ]
+
+
+def figure_lines(figures: Iterable[str]) -> bytes:
+    """Figures of the control group, one a line."""
+    return "".join(f"{PREFIX}.control.{figure}\n" for figure in figures).encode()
+
+
+async def call_cordons(
+    driver: Driver, cordons: Cordons, method: str, cordon_id: str, body: bytes, wait: str | None
+) -> Answer:
+    """Carry out an operator's call about cordons in the driver's mailbox, and wait for its answer."""
+    reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    call = CordonCall(method, cordon_id, body, wait, reply)
+    driver.tell(Run(lambda: cordons.call(call)))
+    return await reply
--- /dev/null
+++ b/robinhill/net/control_group/voter_operators.py
@@ -0,0 +1,59 @@
+"""The operators' side of a voter: the calls of a scheduler that make sense here, and one of its own."""
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+from robinhill import protocol
+from robinhill.config_types import Address
+from robinhill.net.actor import Supervisor
+from robinhill.net.operators.server import Calls, Operators
+from robinhill.protocol import Answer
+
+MAX_OPERATOR_CALLS = 32
+"""Calls that are handled at once."""
+
+REMOVE_SCHEDULER_PATH = "/ops/mesh/forget"
+
+NOT_SERVED = Answer(404, b"this is a voter: it has no clients and no workers\n")
+
+
+@dataclass(slots=True, frozen=True)
+class VoterCalls:
+    """What operators can ask of a voter. ``cordons``: method, cordon id, body, and how long to wait."""
+
+    readiness: Callable[[], Answer]
+    metrics: Callable[[], Answer]
+    status: Callable[[], Answer]
+    confirm_complete: Callable[[], Answer]
+    remove_scheduler: Callable[[str], Answer]
+    cordons: Callable[[str, str, bytes, str | None], Awaitable[Answer]]
+
+
+class VoterOperatorServer(Operators):
+    """Serves the operators' address; calls about clients and workers are answered by 404."""
+
+    def __init__(self, address: Address, supervisor: Supervisor, voter_calls: VoterCalls) -> None:
+        calls = Calls(
+            readiness=voter_calls.readiness,
+            stats=voter_calls.metrics,
+            admission=lambda: NOT_SERVED,
+            hold_out=_no_workers,
+            drain=_no_clients,
+            cordons=voter_calls.cordons,
+            mesh=voter_calls.status,
+            vouch=voter_calls.confirm_complete,
+        )
+        super().__init__(address, MAX_OPERATOR_CALLS, supervisor, calls)
+        self._remove_scheduler = voter_calls.remove_scheduler
+        self._routes[REMOVE_SCHEDULER_PATH] = ("PUT", self._handle_remove)
+
+    async def _handle_remove(self, body: bytes) -> Answer:
+        return self._remove_scheduler(protocol.decode_instance_id(body))
+
+
+async def _no_workers(_instance_id: str, _disable: bool) -> Answer:
+    return NOT_SERVED
+
+
+async def _no_clients(_start: bool) -> Answer:
+    return NOT_SERVED
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -1,4 +1,7 @@
-"""A voter of the control group as a process: no clients, no workers; links, disk and operators' calls."""
+"""A voter of the control group as a process: its state machine, links, disk, signals and operators' side.
+
+It has no clients and no workers.
+"""
 
 import asyncio
 import logging
@@ -7,64 +10,58 @@
 import signal
 from collections.abc import Iterable, Mapping
 
-import msgspec
-
 from robinhill import config as configuration
-from robinhill import logs, protocol
+from robinhill import logs
 from robinhill.config import VoterConfig
 from robinhill.config_types import Address, ConfigError
 from robinhill.control.actions import Action, Apply, CaughtUp, Progressed, VotersSettled
 from robinhill.control.errors import VotersNotOneAtATime
 from robinhill.control.operator_options import address_of, options_of_voter
 from robinhill.control.options import ControlOptions
-from robinhill.control.record_kinds import URGENT_KINDS, kinds
+from robinhill.control.record_kinds import URGENT_KINDS
 from robinhill.control.voter import Voter
-from robinhill.mesh.clocks import next_incarnation
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
-from robinhill.mesh.replica import Replica
 from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.recovery import log_rejected, restore_records
+from robinhill.net.control_group.operator_support import (
+    call_cordons,
+    figure_lines,
+    needs_restart,
+    status_answer,
+    traffic_figures,
+)
+from robinhill.net.control_group.recovery import log_rejected, recover
+from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
 from robinhill.net.cordons.group_member import Cordons
-from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.metrics import PREFIX
-from robinhill.net.operators.server import Calls, Operators
-from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
 
-MAX_OPERATOR_CALLS = 32
 REFRESH_INTERVAL_S = 3_600.0
-"""How often cordons that stand for longer than their record are looked for."""
+"""How often cordons that are in force for longer than their records live are written again."""
 
 RESTART_KEYS = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
 """Keys of `mesh` that a reload does not change."""
 
-NOT_SERVED = Answer(404, b"this is a voter: it has no clients and no workers\n")
-
 
 class VoterProcess:
-    """Owns the voter, its links, its disk and its operators' side."""
+    """One voter. ``env``: the environment, read again at a reload."""
 
     def __init__(self, config: VoterConfig, env: Mapping[str, str] = os.environ) -> None:
         self.config = config
-        self.env = env  # for a reload
+        self.env = env
         self.mesh: MeshOptions = config.operator.mesh
         self.options = options_of_voter(self.mesh, config.name)
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
-        self.snapshot_store = SnapshotStore(
-            config.folder if self.mesh.folder else None, self.mesh.installation, config.name
-        )
-        header, records = self.snapshot_store.load()
-        self.incarnation = next_incarnation(self.clock.now_us(), header.incarnation if header else 0)
-        self.replica = Replica(config.name, self.incarnation, kinds())
-        if header:
-            restore_records(self.replica, header, records, self.clock.now_us())
+        folder = config.folder if self.mesh.folder else None
+        recovery = recover(folder, self.mesh.installation, config.name, self.clock.now_us())
+        self.snapshot_store = recovery.store
+        self.incarnation = recovery.incarnation
+        self.replica = recovery.replica
         # Decisions never draw from this: it spreads connecting in time.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
@@ -79,12 +76,23 @@
         self.cordons = Cordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
-        self.operators: Operators | None = None
-        if config.ops:
-            self.operators = VoterOperatorServer(config.ops, self.supervisor, self)
+        self.operators = self._new_operator_server(config.ops) if config.ops else None
+
+    def _new_operator_server(self, address: Address) -> VoterOperatorServer:
+        calls = VoterCalls(
+            readiness=self.readiness,
+            metrics=self.metrics,
+            status=self.status,
+            confirm_complete=self.confirm_complete,
+            remove_scheduler=self.remove_scheduler,
+            cordons=self.call,
+        )
+        return VoterOperatorServer(address, self.supervisor, calls)
+
+    # Start, reload, end
 
     async def run(self) -> None:
-        """Vote until SIGTERM or SIGINT; reload on SIGHUP. An actor's death raises its error."""
+        """Vote until SIGTERM or SIGINT; reload on SIGHUP. Raises ActorDiedError after an actor's death."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -97,10 +105,10 @@
             await self.close()
 
     async def start(self) -> None:
-        """Raises ConfigError where an address can't be listened on."""
+        """Listen and connect. Raises ConfigError where an address can't be bound."""
         for warning in self.options.warnings:
             log.warning("voters_warning", extra={"why": warning})
-        # The next start must be a later one, also if this one ends before its first save.
+        # The next process must have a later incarnation, also if this one ends before its first save.
         await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
         await self.driver.listen(self._address_of(name), f"mesh.voters.{name}.address")
@@ -116,7 +124,7 @@
         log.info("started", extra=extra | {"listen": self._address_of(name)})
 
     def reload(self) -> None:
-        """Take the file's new voters; a faulty file, or more than one change, changes nothing."""
+        """Use the file's new voters; a faulty file, or more than one change, changes nothing."""
         try:
             new = configuration.load_voter(self.env)
             options = options_of_voter(new.operator.mesh, self.config.name)
@@ -126,13 +134,8 @@
         if new.operator.log != self.config.operator.log:
             logs.configure(new.operator.log)
         mesh = new.operator.mesh
-        restart_keys = [key for key in RESTART_KEYS if getattr(mesh, key) != getattr(self.mesh, key)]
-        if restart_keys:
-            log.warning(
-                "reload_needs_restart", extra={"keys": ",".join(f"mesh.{key}" for key in restart_keys)}
-            )
-            return
-        self.driver.tell(Run(lambda: self._change_voters(mesh, options)))
+        if not needs_restart(self.mesh, mesh, RESTART_KEYS):
+            self.driver.tell(Run(lambda: self._change_voters(mesh, options)))
 
     async def close(self) -> None:
         """Save, and end all links."""
@@ -150,51 +153,48 @@
 
     async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
         """An operator's call about cordons."""
-        reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        call = CordonCall(method, cordon_id, body, wait, reply)
-        self.driver.tell(Run(lambda: self.cordons.call(call)))
-        return await reply
+        return await call_cordons(self.driver, self.cordons, method, cordon_id, body, wait)
 
     def readiness(self) -> Answer:
         """Ready once it counts for majorities."""
         return Answer(200, b"ready\n") if self.voter.counts else Answer(503, b"does not count yet\n")
 
     def status(self) -> Answer:
-        """How this copy stands, for operators and for whoever compares copies."""
-        now = mono_us()
-        age_us = self.voter.age_us(now)
-        fields = {
-            "name": self.config.name,
-            "role": "voter",
-            "incarnation": self.incarnation,
-            "digest": self.replica.digest(self.clock.now_us()).hex(),
-            "counts": self.voter.counts,
-            "voters": sorted(self.options.voters),
-            "settled": len(self.voter.freshness.quorum.lists) == 1,
-            "links": list(self.voter.linked_voters),
-            "observers": self.voter.linked_observers,
-            "on_lost": self.mesh.on_lost,
-            "majority_known_ms_ago": None if age_us is None else age_us / 1000,
-        }
-        return Answer(200, msgspec.json.encode({k: v for k, v in fields.items() if v is not None}) + b"\n")
-
-    def vouch(self) -> Answer:
-        """An operator says that nothing is in force that this voter does not know."""
+        """The state of this replica, for operators and for whoever compares replicas."""
+        age_us = self.voter.age_us(mono_us())
+        return status_answer(
+            {
+                "name": self.config.name,
+                "role": "voter",
+                "incarnation": self.incarnation,
+                "digest": self.replica.digest(self.clock.now_us()).hex(),
+                "counts": self.voter.counts,
+                "voters": sorted(self.options.voters),
+                "settled": len(self.voter.freshness.quorum.lists) == 1,
+                "links": list(self.voter.linked_voters),
+                "observers": self.voter.linked_observers,
+                "on_lost": self.mesh.on_lost,
+                "majority_known_ms_ago": None if age_us is None else age_us / 1000,
+            }
+        )
+
+    def confirm_complete(self) -> Answer:
+        """An operator confirms that nothing is in force that this voter does not know."""
         log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"it counts for majorities\n")
 
-    def forget(self, scheduler: str) -> Answer:
-        """An operator says that a scheduler runs no more: changes don't wait for it."""
+    def remove_scheduler(self, scheduler: str) -> Answer:
+        """An operator reports that a scheduler no longer runs: no change waits for it."""
         log.warning("scheduler_removed", extra={"scheduler": scheduler})
-        self.driver.tell(Run(lambda: self._forget(scheduler)))
+        self.driver.tell(Run(lambda: self._remove_scheduler(scheduler)))
         return Answer(200, b"this voter waits for it no more; ask each voter\n")
 
     def metrics(self) -> Answer:
-        """Lines for operators."""
+        """Figures, one a line."""
         age_us = self.voter.age_us(mono_us())
-        traffic, counted = self.driver.traffic, self.voter.metrics
-        lines = [
+        counted = self.voter.metrics
+        figures = [
             f"voters_linked:{len(self.voter.linked_voters)}|g",
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
@@ -202,19 +202,15 @@
             f"changes_under_way:{self.cordons.changes.under_way()}|g",
             f"comparisons:{counted.comparisons}|c",
             f"refused:{counted.refused}|c",
-            f"opened:{traffic.opened}|c",
-            f"lost:{traffic.lost}|c",
-            f"messages_in:{traffic.messages_in}|c",
-            f"messages_out:{traffic.messages_out}|c",
-            f"bytes_in:{traffic.bytes_in}|c",
+            *traffic_figures(self.driver.traffic),
             f"bytes_out.voters:{counted.bytes_to_voters}|c",
             f"bytes_out.observers:{counted.bytes_to_observers}|c",
         ]
-        for kind, (records, size) in sorted(self.replica.sizes().items()):
-            lines += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size}|g"]
-        return Answer(200, "".join(f"{PREFIX}.control.{line}\n" for line in lines).encode())
+        for kind, (records, size_bytes) in sorted(self.replica.sizes().items()):
+            figures += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size_bytes}|g"]
+        return Answer(200, figure_lines(figures))
 
-    # What the voter asks for
+    # In the driver's mailbox
 
     def _act(self, action: Action) -> None:
         match action:
@@ -240,7 +236,7 @@
     def _confirm_complete(self) -> None:
         self.driver.perform(self.voter.confirm_complete(self.clock.now_us(), mono_us()))
 
-    def _forget(self, scheduler: str) -> None:
+    def _remove_scheduler(self, scheduler: str) -> None:
         self.driver.perform(self.voter.remove_observer(self.clock.now_us(), mono_us(), scheduler))
 
     async def _refresh(self) -> None:
@@ -248,6 +244,8 @@
             await asyncio.sleep(REFRESH_INTERVAL_S)
             self.driver.tell(Run(self.cordons.refresh))
 
+    # Disk and addresses
+
     def _snapshot_header(self) -> SnapshotHeader:
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
 
@@ -256,33 +254,3 @@
 
     def _address_of(self, voter: str) -> Address:
         return address_of(self.options, voter)
-
-
-class VoterOperatorServer(Operators):
-    """The operators' side of a voter; `PUT /ops/mesh/forget` names a scheduler that runs no more."""
-
-    def __init__(self, address: Address, supervisor: Supervisor, voter: VoterProcess) -> None:
-        calls = Calls(
-            readiness=voter.readiness,
-            stats=voter.metrics,
-            admission=lambda: NOT_SERVED,
-            hold_out=_no_workers,
-            drain=_no_clients,
-            cordons=voter.call,
-            mesh=voter.status,
-            vouch=voter.vouch,
-        )
-        super().__init__(address, MAX_OPERATOR_CALLS, supervisor, calls)
-        self._voter = voter
-        self._routes["/ops/mesh/forget"] = ("PUT", self._forget)
-
-    async def _forget(self, body: bytes) -> Answer:
-        return self._voter.forget(protocol.decode_instance_id(body))
-
-
-async def _no_workers(instance_id: str, out: bool) -> Answer:
-    return NOT_SERVED
-
-
-async def _no_clients(start: bool) -> Answer:
-    return NOT_SERVED
