--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -31,7 +31,7 @@
     traffic_figures,
 )
 from robinhill.net.control_group.recovery import log_rejected, recover
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
@@ -84,8 +84,8 @@
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._attach()
 
-    def _new_cordons(self) -> Cordons:
-        cordons = Cordons(
+    def _new_cordons(self) -> GroupCordons:
+        cordons = GroupCordons(
             self.options,
             self.incarnation,
             self.replica,
@@ -183,7 +183,7 @@
             f"moves:{self.observer.primary_changes}|c",
             f"cordons:{len(self.cordons.index.active())}|g",
             f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
-            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             *traffic_figures(self.driver.traffic),
             f"bytes_out:{self.driver.traffic.bytes_out}|c",
         ]
@@ -217,7 +217,7 @@
             case LeaseChanged(held=held, age_us=age_us):
                 self._lease_changed(held, age_us)
             case Progressed():
-                self.cordons.progressed(action)
+                self.cordons.record_progress(action)
 
     def _apply_cordons(self) -> None:
         """Apply the cordons as they are now: at once before each write, and in the dispatcher.
@@ -263,7 +263,7 @@
         if self.observer.synchronized:
             log.info("caught_up", extra={"seconds": seconds, "voter": self.observer.voter})
         else:
-            log.warning("not_caught_up", extra={"seconds": seconds, "voter": "none"})
+            log.warning("catch_up_timed_out", extra={"seconds": seconds, "voter": "none"})
 
     def _save_incarnation(self) -> None:
         """The next process must have a later incarnation also where the clock is set back meanwhile."""
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -8,7 +8,7 @@
 
 from robinhill.mesh.options import MeshOptions
 from robinhill.net.control_group.driver import Driver, Run, Traffic
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.metrics import PREFIX
 from robinhill.protocol import Answer
@@ -47,7 +47,7 @@
 
 
 async def call_cordons(
-    driver: Driver, cordons: Cordons, method: str, cordon_id: str, body: bytes, wait: str | None
+    driver: Driver, cordons: GroupCordons, method: str, cordon_id: str, body: bytes, wait: str | None
 ) -> Answer:
     """Carry out an operator's call about cordons in the driver's mailbox, and wait for its answer."""
     reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -35,7 +35,7 @@
 )
 from robinhill.net.control_group.recovery import log_rejected, recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
-from robinhill.net.cordons.group_member import Cordons
+from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -73,7 +73,7 @@
             self._act,
             accepted=self.voter.accepted,
         )
-        self.cordons = Cordons(
+        self.cordons = GroupCordons(
             self.options, self.incarnation, self.replica, self.clock, self.voter, self.driver.perform
         )
         self.operators = self._new_operator_server(config.ops) if config.ops else None
@@ -199,7 +199,7 @@
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
             f"majority_age_ms:{-1 if age_us is None else age_us // 1000}|g",
-            f"changes_under_way:{self.cordons.changes.under_way()}|g",
+            f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             f"comparisons:{counted.comparisons}|c",
             f"refused:{counted.refused}|c",
             *traffic_figures(self.driver.traffic),
@@ -217,7 +217,7 @@
             case Apply(rejected=rejected):
                 log_rejected(rejected)
             case Progressed():
-                self.cordons.progressed(action)
+                self.cordons.record_progress(action)
             case CaughtUp():
                 log.info("counts_for_majorities", extra={"voter": self.config.name})
             case VotersSettled():
@@ -242,7 +242,7 @@
     async def _refresh(self) -> None:
         while True:
             await asyncio.sleep(REFRESH_INTERVAL_S)
-            self.driver.tell(Run(self.cordons.refresh))
+            self.driver.tell(Run(self.cordons.renew_records))
 
     # Disk and addresses
 
