--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -13,7 +13,7 @@
 from robinhill.control.observer_progress import BarrierId, ObserverProgress
 from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.control.outbox import VoterOutbox
-from robinhill.control.voter_links import VoterLinks
+from robinhill.control.voter_links import GreetedVoter, VoterLinks
 
 STATUS_INTERVAL_US = 50_000
 """Least time between two statuses of a barrier, unless no observer lags any more."""
@@ -93,10 +93,10 @@
         """Our statuses mean something else from now on: send them all again."""
         self.observer_progress.dirty.update(self.observer_progress.tracked)
 
-    def send_barriers(self, link: Link, voter: str, written: int) -> None:
-        """Send the barriers that are due to a voter to which changes up to ``written`` are sent."""
-        for batch in self.commit_tracker.batches_to_query(voter, written):
-            self._outbox.send_to_voter(link, wire.Barrier(batch.number, batch.urgent, batch.hold))
+    def send_barriers(self, voter: GreetedVoter) -> None:
+        """Send a voter the barriers that are due, after the changes that they cover."""
+        for batch in self.commit_tracker.batches_to_query(voter.name, voter.written):
+            self._outbox.send_to_voter(voter.link, wire.Barrier(batch.number, batch.urgent, batch.hold))
 
     def advance(self, mono_us: int) -> None:
         """Seal batches, send statuses, and report progress."""
--- a/robinhill/control/operator_options.py
+++ b/robinhill/control/operator_options.py
@@ -1,4 +1,4 @@
-"""From the operators' file to the options of voters and observers. Faults become ConfigErrors."""
+"""Maps the operators' file to the options of voters and observers; faults are raised as ConfigError."""
 
 from collections.abc import Callable
 
@@ -17,18 +17,18 @@
 
 
 def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
-    """Check all that does not hang on who reads the file; what to warn of. Raises ConfigError."""
+    """Check what is the same for all processes. Returns warnings; raises ConfigError."""
     return options_of_voter(mesh, min(mesh.voters)).warnings
 
 
 def options_of_voter(mesh: MeshOptions, name: str) -> ControlOptions:
-    """The options of the voter of this name. Raises ConfigError."""
+    """The options of a voter. Raises ConfigError."""
     keys = _keys(mesh)
     return _checked(lambda: voter_options(keys, name, names_of(kinds())))
 
 
 def options_of_observer(mesh: MeshOptions, name: str) -> ControlOptions:
-    """The options of a scheduler of this name, which observes. Raises ConfigError."""
+    """The options of a scheduler as an observer. Raises ConfigError."""
     keys = _keys(mesh)
     place = Place(mesh.region, mesh.zone)
     return _checked(lambda: observer_options(keys, name, place, names_of(kinds())))
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -1,4 +1,4 @@
-"""The operators' keys on voters: `mesh.voters`, `mesh.regions`, `mesh.on_lost_by_kind`; typed and checked."""
+"""Options of the control group: the operators' keys on voters, typed and checked. Reads no file."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -12,27 +12,27 @@
 from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
-"""Each voter keeps a link to each other; a write costs a message to each, and a majority's confirmation."""
+"""Voters are linked each to each, and a write costs a message to each."""
 
 HEARTBEATS_PER_BOUND = 4
-"""Heartbeats of an observer within the bound: two may be lost and the lease still lasts."""
+"""An observer's heartbeats within the bound: the lease survives the loss of two."""
 
 PINGS_PER_BOUND = 16
-"""Pings of a voter to each other one within the bound: what they add to an observer's age stays small."""
+"""A voter's pings to each other voter within the bound; their interval adds to the age of a lease."""
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a scheduler stands; empty where the file does not say."""
+    """The region and zone of a process; empty where the file does not name them."""
 
     region: str = ""
     zone: str = ""
 
 
 class VotersKeys(Struct, frozen=True):
-    """The keys of `mesh` that concern voters, as they are read. Without ``voters`` there is no control group.
+    """The keys of `mesh` that concern voters, not checked yet. Without ``voters`` there is no control group.
 
-    ``regions``: all regions of the installation and their zones; where it is empty, any region counts as
-    known. ``on_lost_by_kind``: what goes on without a majority, by kind of record; others by ``on_lost``.
+    ``regions``: the zones of each region of the installation; where it is empty, any region is valid.
+    ``on_lost_by_kind``: whether records of a kind are used without a lease; other kinds go by ``on_lost``.
     """
 
     voters: dict[Name, VoterPlace] = {}
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlOptions:
-    """What a voter or an observer needs of the file, checked. Times in microseconds."""
+    """The checked options of one voter or observer. Times in microseconds."""
 
     name: str
     installation: str
@@ -58,32 +58,32 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this process is one of the voters; else it observes."""
+        """Whether this process is a voter; else it is an observer."""
         return self.name in self.voters
 
     @property
     def heartbeat_us(self) -> int:
-        """From one heartbeat of an observer to the next."""
+        """Interval of an observer's heartbeats."""
         return self.bound_us // HEARTBEATS_PER_BOUND
 
     @property
     def ping_us(self) -> int:
-        """From one ping of a voter to another to the next."""
+        """Interval of a voter's pings to another."""
         return self.bound_us // PINGS_PER_BOUND
 
     @property
     def modes(self) -> str:
-        """What goes on while no majority is known, as observers and voters compare it."""
+        """All modes as one text, which an observer's join must have in common with the voter."""
         kinds = sorted(self.on_lost_by_kind.items())
         return ",".join([self.on_lost.value, *(f"{kind}={mode.value}" for kind, mode in kinds)])
 
     def mode_of(self, kind: str) -> Mode:
-        """What goes on with records of a kind while no majority is known."""
+        """Whether records of a kind are used without a lease."""
         return self.on_lost_by_kind.get(kind, self.on_lost)
 
 
 def voter_options(keys: VotersKeys, name: str, kinds: Sequence[str] = ()) -> ControlOptions:
-    """The options of the voter of this name. Raises VotersMalformed, also where it is none."""
+    """The options of a voter. Raises VotersMalformed, also where ``name`` is no voter."""
     if name not in keys.voters:
         raise VotersMalformed(
             "mesh.voters", f"{name!r} is not among them", "name it there, or start it as a scheduler (run)"
@@ -93,7 +93,7 @@
 
 
 def observer_options(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str] = ()) -> ControlOptions:
-    """The options of a scheduler, which observes. Raises VotersMalformed, also where it is a voter."""
+    """The options of an observer. Raises VotersMalformed, also where ``name`` is a voter."""
     if name in keys.voters:
         raise VotersMalformed(
             "mesh.voters", f"{name!r} is this scheduler's own name", "give the scheduler another GW_NAME"
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -9,11 +9,11 @@
 from robinhill.mesh.records import Kind
 
 URGENT_KINDS = frozenset({CORDON})
-"""What goes ahead of all other changes."""
+"""Kinds whose changes are sent ahead of all others."""
 
 
 def kinds() -> tuple[Kind[Any], ...]:
-    """All kinds, as each replica registers them."""
+    """All kinds, as each replica of the group registers them."""
     return (cordon_kind(), DRAIN_KIND, EVIDENCE_KIND, request_kind(MAX_RETRY_WINDOW_US))
 
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -362,8 +362,8 @@
         self._changes.advance(mono_us)
         if pump:
             # Barriers follow the changes that they cover.
-            for link, voter, name in self._voter_links.pump(now_us, mono_us):
-                self._changes.send_barriers(link, name, voter.written)
+            for voter in self._voter_links.pump(now_us, mono_us):
+                self._changes.send_barriers(voter)
         self._flush(mono_us)
         if (moved := self._sessions.take_moved()) is not None:
             self._voter_links.send_to_all(moved)
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -44,6 +44,14 @@
         return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
 
 
+class GreetedVoter(NamedTuple):
+    """A link whose voter is known. ``written``: position up to which our changes are sent to it."""
+
+    link: Link
+    name: str
+    written: int
+
+
 class _RequiredRounds(NamedTuple):
     """Comparisons of a session after which a voter is complete again."""
 
@@ -203,10 +211,10 @@
 
     # Messages
 
-    def pump(self, now_us: int, mono_us: int) -> Iterator[tuple[Link, VoterLink, str]]:
+    def pump(self, now_us: int, mono_us: int) -> Iterator[GreetedVoter]:
         """Send what sessions have to send, then our status where it has changed.
 
-        Yields each link whose voter has greeted, with the voter's name.
+        Yields each link whose voter has greeted; what the caller sends then follows what was sent here.
         """
         status = self._status()
         for link, voter in self.by_link.items():
@@ -217,7 +225,7 @@
             if voter.sent_status != status:
                 voter.sent_status = status
                 self._outbox.send_to_voter(link, status)
-            yield link, voter, voter.name
+            yield GreetedVoter(link, voter.name, voter.written)
 
     def send_to_all(self, message: wire.VoterMessage) -> None:
         """Send a message to each voter that has greeted."""
