--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -83,7 +83,7 @@
     fresh: type[Freshness] = Freshness
     counts_at_once: bool = False
     confirms_before: bool = False  # confirmations count that were written before catching up
-    forgets_starts: bool = False  # a new start does not take back what the former self confirmed
+    ignores_incarnations: bool = False  # a new start does not take back what the former self confirmed
 
 
 class Scheduler:
@@ -103,27 +103,30 @@
 
     def clone(self) -> "Scheduler":
         fresh, accept = copy(self.fresh), copy(self.accept)
-        fresh._pings = {partner: copy(pings) for partner, pings in fresh._pings.items() if pings}
-        fresh._known, fresh._starting = fresh._known.copy(), fresh._starting.copy()
-        fresh._introduced, fresh._starts = fresh._introduced.copy(), fresh._starts.copy()
-        accept._starts = accept._starts.copy()
+        pending = fresh._pending_pings.items()
+        fresh._pending_pings = {partner: copy(pings) for partner, pings in pending if pings}
+        fresh._counting_moments = fresh._counting_moments.copy()
+        fresh._starting_moments = fresh._starting_moments.copy()
+        fresh._introduced_us, fresh._incarnations = fresh._introduced_us.copy(), fresh._incarnations.copy()
+        accept._incarnations = accept._incarnations.copy()
         accept._changes = {
-            stamp: replace(change, by=change.by.copy()) for stamp, change in accept._changes.items()
+            stamp: replace(change, confirmed_by=change.confirmed_by.copy())
+            for stamp, change in accept._changes.items()
         }
         return Scheduler(self.name, fresh, accept, self.holds, self.starts.copy())
 
     def seal(self) -> None:
         fresh = self.fresh
-        tables = (fresh._known, fresh._starting, fresh._introduced)
+        tables = (fresh._counting_moments, fresh._starting_moments, fresh._introduced_us)
         self.mark = hash(
             (
                 self.holds,
                 fresh.caught_up,
                 tuple(self.starts),
                 tuple(frozenset(one.items()) for one in tables),
-                frozenset((partner, *pings) for partner, pings in fresh._pings.items() if pings),
+                frozenset((partner, *pings) for partner, pings in fresh._pending_pings.items() if pings),
                 tuple(
-                    (change.accepted_us, frozenset(change.by.items()))
+                    (change.accepted_us, frozenset(change.confirmed_by.items()))
                     for change in self.accept._changes.values()
                 ),
             )
@@ -315,7 +318,7 @@
                 node.starts[index] = start
                 if self.names[index] != node.name:
                     node.fresh.started(self.names[index], start)
-                    if not self.rules.forgets_starts:
+                    if not self.rules.ignores_incarnations:
                         node.accept.started(self.names[index], start)
         sender, start = message.sender, message.starts[self.names.index(message.sender)]
         if message.ages is not None:
@@ -369,8 +372,8 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        if any(one == number for one, _ in self._pings.get(partner, ())):
-            self._pings[partner].append((-number, mono_us))
+        if any(one == number for one, _ in self._pending_pings.get(partner, ())):
+            self._pending_pings[partner].append((-number, mono_us))
             super().answered(mono_us, partner, -number, ages_us, starting_us)
 
 
@@ -385,15 +388,15 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        if self._pings.get(partner):
-            super().answered(mono_us, partner, self._pings[partner][-1][0], ages_us, starting_us)
+        if self._pending_pings.get(partner):
+            super().answered(mono_us, partner, self._pending_pings[partner][-1][0], ages_us, starting_us)
 
 
 class OneLess(Freshness):
     """Wrong: one scheduler less than a majority."""
 
     def _find_floor(self) -> int | None:
-        moments = sorted(self._known.values(), reverse=True)
+        moments = sorted(self._counting_moments.values(), reverse=True)
         needed = len(self._names) // 2 - self._caught_up
         return moments[needed - 1] if 0 < needed <= len(moments) else None if needed else 1 << 62
 
@@ -416,7 +419,7 @@
     """Wrong: caught up once one other has told what it knows."""
 
     def may_catch_up(self) -> bool:
-        return bool(self._known)
+        return bool(self._counting_moments)
 
 
 PLANS: Mapping[str, Budget] = {
@@ -447,7 +450,7 @@
     "ages-unread": ("relayed", lambda: Rules(AgesUnread)),
     "counts-at-once": ("crash", lambda: Rules(counts_at_once=True)),
     "one-is-enough": ("crash", lambda: Rules(OneIsEnough)),
-    "forgets-starts": ("memory", lambda: Rules(forgets_starts=True)),
+    "forgets-starts": ("memory", lambda: Rules(ignores_incarnations=True)),
     "confirms-before": ("memory", lambda: Rules(confirms_before=True)),
 }
 """Each with one thing done wrongly, and the plan within which that is found."""
--- a/robinhill/mesh/__init__.py
+++ b/robinhill/mesh/__init__.py
@@ -1,1 +1,2 @@
-"""What schedulers share: records, copies, members, freshness. No input or output; time is an argument."""
+"""Replication between schedulers: records, replica, links, failure detector, leases. No I/O; time is an
+argument."""
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -1,4 +1,4 @@
-"""The operators' file on what schedulers share. Times are in the units that the keys name.
+"""Settings of replication between schedulers, as the operators' file has them. Units are in the keys.
 
 The one module of the mesh that a scheduler without peers imports: it must stay small.
 """
@@ -10,12 +10,12 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 HostPort = Annotated[str, Meta(max_length=128, pattern=r"^.+:[0-9]{1,5}$")]
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]{1,64}$")]
-FULL_MESH = 16  # others: up to here each has a link to each
-MAX_PEERS = 999  # what is known of each is some hundred bytes; ages of all go with each pong
+MAX_FULL_MESH_PEERS = 16  # up to here every scheduler has a link to every other
+MAX_PEERS = 999
 
 
 class VoterPlace(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a voter of the control group is found, and where it stands."""
+    """Address of a voter of the control group, and its region and zone."""
 
     address: HostPort
     region: Name
@@ -23,18 +23,18 @@
 
 
 class MeshOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Who shares with whom, and how late a cordon may be. Without ``peers`` all of it is off.
+    """Which schedulers replicate to each other, and how late a cordon may take effect. Off without ``peers``.
 
-    ``peers`` may name this scheduler too, so that one file serves all. ``name`` defaults to the scheduler's
-    own, ``listen`` to this scheduler's address among ``peers``. ``bound_ms``: how long after it was accepted
-    a cordon may be unknown to a dispatcher that still sends. ``on_lost``: what a scheduler does that can't
-    know any more whether it is up to date: ``serve`` on, or ``hold`` new work. ``catch_up_ms``: how long a
-    scheduler that has just started waits for what its peers know before it serves without. ``folder``:
-    whether its own last state is kept in $TMPDIR. ``gang_*``: headers by which jobs name their gang.
+    ``peers`` may include this scheduler, so that all use the same file. ``name`` defaults to the scheduler's
+    own, ``listen`` to its address among ``peers``. ``bound_ms``: how long after its acceptance a cordon may
+    be unknown to a dispatcher that still sends. ``on_lost``: what a scheduler without a lease does: continue
+    to ``serve``, or ``hold`` new work. ``catch_up_ms``: how long a scheduler that has just started waits for
+    state of its peers before it serves without. ``folder``: whether its own snapshot is saved in $TMPDIR.
+    ``gang_*``: headers by which jobs name their gang.
 
     ``voters``: the control group, in place of ``peers`` (docs/control.md); ``regions``: all regions of the
-    installation and their zones, against which places are checked; ``region`` and ``zone``: where this
-    scheduler stands; ``on_lost_by_kind``: what goes before ``on_lost`` for records of a kind.
+    installation and their zones, to validate locations; ``region`` and ``zone``: the location of this
+    scheduler; ``on_lost_by_kind``: overrides ``on_lost`` for records of a kind.
     """
 
     installation: Name = "robinhill"
@@ -68,8 +68,9 @@
 
     @property
     def interval_us(self) -> int:
-        """How often each link is asked. A link adds at most one interval to the age of what passes it: where
-        all are linked to each other there is one, at 200 schedulers there are four at most. The rest of the
-        bound is for delays on the way.
+        """The interval between pings on a link.
+
+        Each link on the way adds at most one interval to the age of knowledge: one in a full mesh, at most
+        four among 200 schedulers. The rest of the bound is for network delay.
         """
-        return self.bound_ms * 1000 // (3 if len(self.peers) <= FULL_MESH else 6)
+        return self.bound_ms * 1000 // (3 if len(self.peers) <= MAX_FULL_MESH_PEERS else 6)
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -1,42 +1,27 @@
-"""Which schedulers keep a link to each other: at most 16 for each, the same on both sides, hard to cut apart.
-
-**Weighed** for 200 schedulers:
-
-- everybody with everybody: 199 links at each, 19,900 in all, and as many pings.
-- random partners: no structure to lean on, but both ends must agree on a draw and repair it after each
-  change.
-- a hash ring with fingers at points (Chord): stable, but the number of links into one scheduler has no bound,
-  and links are one-way.
-- taken: the sorted names as a ring, and links at fixed distances on it in both directions: to the neighbours,
-  and three pairs of fingers, each pair a step apart, whose distances grow by the same factor. Two ends agree
-  without a word, as both compute it from the operators' list alone; the number of links is the same for all;
-  200 are reached in at most 4 steps; names that follow each other (hosts of one rack, which fail together)
-  are jumped over by the long fingers. Pairs, as then both ends of each link have at least two partners in
-  common, through which one that does not answer can be looked for on links that exist. Single fingers at
-  powers of two save a fifth of a step on average, and leave most ends without any in common.
-
-It is computed from the *configured* names, not from those that are alive: else each crash would move most
-fingers of most schedulers, and views that differ for a moment would link the wrong ones. What that costs is
-repaired: who has few live partners left looks for live ones along the ring, in the links that are kept free
-for that.
-"""
+"""Which schedulers keep a link to each other: at most 16 for each, symmetric, and hard to partition.
 
-from collections.abc import Collection, Iterable, Sequence
-from itertools import chain
+Up to 17 schedulers everybody links to everybody. Above that the sorted names form a ring, with links at fixed
+distances in both directions: to the neighbours, and three pairs of fingers whose distances grow by a constant
+factor. Both ends compute the links from the operators' list alone; every scheduler has the same number; 200
+are reached in at most 4 steps; and long fingers skip names that follow each other, such as hosts of one rack,
+which fail together. Fingers come in pairs so that both ends of each link have at least two partners in
+common, for indirect pings on links that exist.
 
-LINKS_AT_MOST = 16
-"""Links that a scheduler keeps, to whoever dialled: what the bytes and wake-ups of pings ten times a second
-allow."""
+Alternatives: a full mesh needs 19,900 links for 200 schedulers; random partners must be agreed on and
+repaired after each change; a Chord ring has one-way links and no bound on those into one scheduler.
 
-DISTANCES = 7
-"""Links in each direction where there is no full mesh: 14 in all, so that two are free for repair."""
+Links follow the *configured* names, not the live ones: otherwise each crash would move most fingers, and
+views that differ for a moment would link the wrong ones. A scheduler with few live partners links to further
+live ones along the ring instead (`repairs`), within the links reserved for that.
+"""
 
-LONGEST = 0.4
-"""The longest finger as a share of the ring: at half, both directions would end at the same scheduler."""
+from collections.abc import Collection, Iterable, Sequence
+from itertools import chain
 
-REPAIR_BELOW = 4
-"""With fewer live partners a scheduler looks for others. At four the chance that all links of one are lost
-before the repair is small even where half of all are lost at once."""
+MAX_LINKS = 16  # of a scheduler, whoever dialled
+DISTANCES_PER_DIRECTION = 7  # without a full mesh: 14 links, so that two are free for repair
+MAX_DISTANCE_SHARE = 0.4  # of the ring; at half of it both directions would end at the same scheduler
+MIN_LIVE_PARTNERS = 4  # with fewer a scheduler links to others
 
 
 def partners(me: str, names: Iterable[str]) -> list[str]:
@@ -45,16 +30,16 @@
     Up to 17 names in all everybody is everybody's partner.
     """
     ring = _ring(me, names)
-    if len(ring) - 1 <= LINKS_AT_MOST:
+    if len(ring) - 1 <= MAX_LINKS:
         return ring[1:]
-    there_and_back = chain.from_iterable((far, len(ring) - far) for far in distances(len(ring)))
-    return [ring[at] for at in dict.fromkeys(there_and_back)]
+    both_ways = chain.from_iterable((distance, len(ring) - distance) for distance in distances(len(ring)))
+    return [ring[at] for at in dict.fromkeys(both_ways)]
 
 
 def dials(me: str, peer: str, names: Iterable[str]) -> bool:
-    """Which end of a pair opens the link: the one from which the way to the other along the ring is shorter.
+    """Whether ``me`` opens the link to ``peer``: the end with the shorter way forward along the ring does.
 
-    So that each opens half of its links; where both ways are equal, the one whose name is first.
+    So each scheduler opens half of its links; if both ways are equal, the smaller name opens it.
     """
     ring = _ring(me, names)
     forth = ring.index(peer)
@@ -63,15 +48,15 @@
 
 
 def repairs(me: str, names: Iterable[str], alive: Collection[str]) -> list[str]:
-    """Whom to link to besides the partners, while too few of these are alive: the next ones alive, either
-    way.
+    """Further schedulers to link to while too few partners are alive: the next live ones in either direction.
 
-    These have to take the link as long as they are under `LINKS_AT_MOST`, and tell if they are not; the
-    caller then leaves that one out of ``alive`` and asks again.
+    They accept the link while they have fewer than `MAX_LINKS`; the caller removes one that does not from
+    ``alive`` and tries again.
     """
     ring = _ring(me, names)
     own = set(partners(me, ring))
-    missing = min(REPAIR_BELOW - sum(one in alive for one in own), LINKS_AT_MOST - 2 * DISTANCES)
+    free_links = MAX_LINKS - 2 * DISTANCES_PER_DIRECTION
+    missing = min(MIN_LIVE_PARTNERS - sum(one in alive for one in own), free_links)
     if missing <= 0:
         return []
     others = ring[1:]
@@ -80,21 +65,20 @@
 
 
 def common(me: str, peer: str, names: Iterable[str]) -> list[str]:
-    """Partners of ours that are partners of ``peer`` too, through which to look whether it is there."""
+    """Partners of both ``me`` and ``peer``, for indirect pings."""
     ring = list(names)
     theirs = set(partners(peer, ring))
     return [one for one in partners(me, ring) if one in theirs]
 
 
 def distances(size: int) -> Sequence[int]:
-    """At which distances on a ring of ``size`` links are kept in each direction, ascending; `DISTANCES` of
-    them."""
-    longest = size * LONGEST
-    far = [1]
+    """The distances of links on a ring of ``size`` in each direction, ascending."""
+    max_distance = size * MAX_DISTANCE_SHARE
+    found = [1]
     for power in (1 / 3, 2 / 3, 1.0):
-        first = max(far[-1] + 1, round(longest**power))
-        far += [first, first + 1]
-    return far
+        first = max(found[-1] + 1, round(max_distance**power))
+        found += [first, first + 1]
+    return found
 
 
 def _ring(me: str, names: Iterable[str]) -> list[str]:
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -1,26 +1,26 @@
-"""Majorities of the configured schedulers, also while their list changes."""
+"""Majorities of the configured schedulers, also while their list changes (joint consensus)."""
 
 from collections.abc import Collection, Iterable, Mapping
 
 from robinhill.mesh.errors import MeshError
 
-LISTS_AT_MOST = 4
-"""Lists that may wait to be settled: two operators who correct each other; more is a loop in some script."""
+MAX_UNSETTLED_LISTS = 4
+"""Lists between a change and the moment when all know of it; more points to a loop in some script."""
 
 
 class ListsUnsettled(MeshError):
-    """The list of schedulers was changed again and again before the change before had reached all."""
+    """The list of schedulers was changed repeatedly before the previous change was known everywhere."""
 
     code = "ListsUnsettled"
     advice = "give all schedulers the same list, and wait until none is named as having the old one"
 
 
 class Quorum:
-    """The lists that hold just now: one, or several between a change and the moment when all know of it.
+    """The lists in force: one, or several between a change and the moment when all know of it.
 
-    Something has a majority once it has one in *every* list that holds. Whoever still has only the old list
-    shares a member with whoever needs both, and whoever needs both with whoever already has only the new
-    one; the old and the new alone need not share any. Source: joint consensus in Ongaro and Ousterhout, "In
+    A majority is one in *every* list in force. A majority of the old list shares a member with one of both
+    lists, and one of both with one of the new list; one of the old and one of the new alone need not share
+    any. Source: joint consensus in Ongaro and Ousterhout, "In
     search of an understandable consensus algorithm", 2014.
     """
 
@@ -30,62 +30,61 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """All schedulers of all lists that hold, ourselves among them."""
+        """All schedulers of all lists in force, ourselves included."""
         return frozenset().union(*self._lists)
 
     @property
     def lists(self) -> tuple[frozenset[str], ...]:
-        """The lists that hold, the newest last."""
+        """The lists in force, the newest last."""
         return self._lists
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """From now on ask for majorities of this list too. Raises ListsUnsettled at the bound."""
+        """Require majorities of this list too. Raises ListsUnsettled at ``MAX_UNSETTLED_LISTS``."""
         new = frozenset(peers) | {self.me}
         if new == self._lists[-1]:
             return
         lists = (*(one for one in self._lists if one != new), new)
-        if len(lists) > LISTS_AT_MOST:
+        if len(lists) > MAX_UNSETTLED_LISTS:
             raise ListsUnsettled(f"{len(lists)} lists of schedulers are not settled")
         self._lists = lists
 
     def settled(self) -> None:
         """Only the newest list counts from now on.
 
-        Safe once no scheduler can still act on a majority of an older list alone. That is so when the newest
-        list, spread as a record like any other, was accepted (`Acceptance`, under the lists of this object)
-        longer than the lease's bound ago: whoever sends or accepts later has heard of it, and has called
-        `reconfigure` when it did.
+        Safe once no scheduler can act on a majority of an older list alone. That is so when the newest list,
+        spread as a record like any other, was accepted (`Acceptance`, under the lists of this object) longer
+        ago than the lease's bound: whoever sends or accepts later knows it and has called `reconfigure`.
         """
         self._lists = self._lists[-1:]
 
-    def met(self, have: Collection[str]) -> bool:
-        """Whether these names are a majority."""
-        return all(sum(name in have for name in one) >= majority(len(one)) for one in self._lists)
+    def met(self, present: Collection[str]) -> bool:
+        """Whether these names are a majority of every list."""
+        return all(sum(name in present for name in one) >= majority(len(one)) for one in self._lists)
 
-    def floor(self, known: Mapping[str, int], mine: bool) -> int | None:
-        """The moment as of which a majority is known, or later: the least of the lists' majority-th latest.
+    def floor(self, moments: Mapping[str, int], mine: bool) -> int | None:
+        """The moment as of which a majority is known: the least of the lists' majority-th latest.
 
-        ``known``: the moments of other schedulers among `names`; ``mine``: whether we count ourselves, always
-        as of now. None where too few are known. Where we alone are a majority, so that no moment limits:
-        `NOW`.
+        ``moments``: those of other schedulers among `names`; ``mine``: whether we count ourselves, always as
+        of now. None if too few are known; `NOW` if we alone are a majority, so that no moment limits.
         """
         floor = NOW
         for one in self._lists:
             needed = majority(len(one)) - mine
-            moments = sorted(
-                known.values() if len(self._lists) == 1 else [known[name] for name in one & known.keys()]
-            )
-            if len(moments) < needed:
+            if len(self._lists) == 1:
+                ascending = sorted(moments.values())
+            else:
+                ascending = sorted(moments[name] for name in one & moments.keys())
+            if len(ascending) < needed:
                 return None
             if needed:
-                floor = min(floor, moments[-needed])
+                floor = min(floor, ascending[-needed])
         return floor
 
 
 NOW = 1 << 62
-"""Stands for a moment that never lies in the past."""
+"""A moment that never lies in the past."""
 
 
 def majority(of: int) -> int:
-    """The least number such that two groups of that size have a member in common."""
+    """The smallest number such that any two groups of that size share a member."""
     return of // 2 + 1
--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -1,12 +1,12 @@
-"""What a copy leaves on disk: a format of bytes, encoded and decoded here; the caller reads and writes.
+"""File format of a snapshot of a copy. Encodes and decodes only; the caller reads and writes the file.
 
-A head (magic bytes, version), then frames: length, check, MessagePack. The first frame tells whose file it
-is, the others hold records, the last is empty and says that it is whole. Each check is a hash that is keyed
-by the one before: a frame that is damaged, missing, doubled or out of place does not pass. Nothing is taken
-from a file that does not pass whole; peers still hold what it held.
+A head (magic bytes, version), then frames of length, checksum and MessagePack. The first frame is the
+header, the others contain records, the last is empty and marks the file as complete. Each checksum is keyed
+by the one before, so a frame that is damaged, missing, duplicated or out of place is detected. Nothing of a
+file that fails is used; peers still have its records.
 
-The caller writes to a temporary file of the same folder, syncs it and renames it; a file that raises
-ForeignState it sets aside under another name. What was read goes through ``Replica.take``, which ages it.
+The caller writes to a temporary file in the same folder, syncs it and renames it; a file that raises
+ForeignState is quarantined under another name. Records that were read go through ``Replica.merge``.
 """
 
 import struct
@@ -20,17 +20,18 @@
 
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
-FRAME_BYTES = 64 << 10  # a frame is closed once it has so many: small next to memory, large next to its head
-LONGEST_FRAME = 1 << 20  # one more record of the largest size fits; anything longer is damage
+FRAME_BYTES = 64 << 10  # a frame is closed once it has so many
+MAX_FRAME_BYTES = 1 << 20  # ``FRAME_BYTES`` and one record of the largest size fit
 _HEAD = struct.Struct(f"<{len(MAGIC)}sH")
-_CHECK = 16
-_FRAME = struct.Struct(f"<I{_CHECK}s")
+_CHECKSUM_BYTES = 16
+_FRAME = struct.Struct(f"<I{_CHECKSUM_BYTES}s")
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """Whose file it is. ``incarnation`` is that of the process that wrote it (the next one's must be larger),
-    ``saved_us`` when it did, in Unix time: it was away since then.
+    """Whose file it is: the process of ``origin`` with ``incarnation``; the next one's must be larger.
+
+    ``saved_us``: when it was written, in Unix time.
     """
 
     installation: str
@@ -39,14 +40,14 @@
     saved_us: int
 
 
-_owner = msgspec.msgpack.Decoder(SnapshotHeader)
-_records = msgspec.msgpack.Decoder(list[Record])
+_header_decoder = msgspec.msgpack.Decoder(SnapshotHeader)
+_records_decoder = msgspec.msgpack.Decoder(list[Record])
 
 
-def encode(owner: SnapshotHeader, records: Iterable[Record]) -> Iterator[bytes]:
-    """The file in pieces, to be written one after the other."""
+def encode(header: SnapshotHeader, records: Iterable[Record]) -> Iterator[bytes]:
+    """The file in pieces, to be written in order."""
     yield _HEAD.pack(MAGIC, VERSION)
-    check, frame = _frame(b"", _encode(owner))
+    checksum, frame = _frame(b"", _encode(header))
     yield frame
     parts: list[bytes] = []
     size = 0
@@ -54,19 +55,19 @@
         parts.append(_encode(record))
         size += len(parts[-1])
         if size >= FRAME_BYTES:
-            check, frame = _frame(check, _list(parts))
+            checksum, frame = _frame(checksum, _list(parts))
             yield frame
             parts, size = [], 0
     if parts:
-        check, frame = _frame(check, _list(parts))
+        checksum, frame = _frame(checksum, _list(parts))
         yield frame
-    yield _frame(check, b"")[1]
+    yield _frame(checksum, b"")[1]
 
 
 def decode(data: bytes, installation: str) -> tuple[SnapshotHeader, list[Record]]:
-    """Whose file it is and the records in it.
+    """The header and the records of a file.
 
-    Raises ForeignState for a file that is torn, damaged, of another installation or of a newer version.
+    Raises ForeignState for a file that is incomplete, damaged, of another installation or another version.
     """
     if len(data) < _HEAD.size or not data.startswith(MAGIC):
         raise ForeignState("the file holds no state of schedulers")
@@ -75,39 +76,41 @@
         raise ForeignState(f"the file is of version {version}, this program reads {VERSION}")
     frames = _frames(data)
     try:
-        owner = _owner.decode(next(frames))
-        if owner.installation != installation:
-            raise ForeignState(f"the file is of installation {owner.installation!r}, not {installation!r}")
-        return owner, [record for frame in frames for record in _records.decode(frame)]
+        header = _header_decoder.decode(next(frames))
+        if header.installation != installation:
+            raise ForeignState(f"the file is of installation {header.installation!r}, not {installation!r}")
+        return header, [record for frame in frames for record in _records_decoder.decode(frame)]
     except (msgspec.MsgspecError, StopIteration) as e:
         raise ForeignState(f"the file can't be unpacked: {e}") from e
 
 
 def _list(parts: list[bytes]) -> bytes:
-    """A MessagePack array (32 bit) of values that are encoded already."""
+    """A MessagePack array (32 bit) of encoded values."""
     return b"".join((b"\xdd", len(parts).to_bytes(4, "big"), *parts))
 
 
-def _frame(check: bytes, payload: bytes) -> tuple[bytes, bytes]:
-    check = blake2b(payload, digest_size=_CHECK, key=check).digest()
-    return check, _FRAME.pack(len(payload), check) + payload
+def _frame(checksum: bytes, payload: bytes) -> tuple[bytes, bytes]:
+    """A frame behind one with checksum ``checksum``: its own checksum, and its bytes."""
+    checksum = blake2b(payload, digest_size=_CHECKSUM_BYTES, key=checksum).digest()
+    return checksum, _FRAME.pack(len(payload), checksum) + payload
 
 
 def _frames(data: bytes) -> Iterator[bytes]:
-    at, check = _HEAD.size, b""
-    while at + _FRAME.size <= len(data):
-        length, told = _FRAME.unpack_from(data, at)
-        start, end = at + _FRAME.size, at + _FRAME.size + length
-        if length > LONGEST_FRAME or end > len(data):
-            raise ForeignState(f"the file is torn or damaged in its frame at byte {at}")
+    """The payloads of all frames. Raises ForeignState at the first that is damaged."""
+    offset, checksum = _HEAD.size, b""
+    while offset + _FRAME.size <= len(data):
+        length, expected = _FRAME.unpack_from(data, offset)
+        start, end = offset + _FRAME.size, offset + _FRAME.size + length
+        if length > MAX_FRAME_BYTES or end > len(data):
+            raise ForeignState(f"the file is torn or damaged in its frame at byte {offset}")
         payload = data[start:end]
-        check = blake2b(payload, digest_size=_CHECK, key=check).digest()
-        if check != told:
-            raise ForeignState(f"the file is damaged in its frame at byte {at}")
+        checksum = blake2b(payload, digest_size=_CHECKSUM_BYTES, key=checksum).digest()
+        if checksum != expected:
+            raise ForeignState(f"the file is damaged in its frame at byte {offset}")
         if not length:
             if end != len(data):
                 raise ForeignState(f"the file goes on behind its end at byte {end}")
             return
         yield payload
-        at = end
-    raise ForeignState(f"the file is torn at byte {at}")
+        offset = end
+    raise ForeignState(f"the file is torn at byte {offset}")
--- a/tests/test_mesh_freshness.py
+++ b/tests/test_mesh_freshness.py
@@ -7,9 +7,9 @@
 
 from benchmarks.mesh_explorer import PLANS, VARIANTS, Explorer, Rules
 from robinhill.mesh import freshness
-from robinhill.mesh.acceptance import TRACKED_AT_MOST, Acceptance
-from robinhill.mesh.freshness import AGES_AT_MOST, NEVER, PINGS_AT_MOST, Freshness
-from robinhill.mesh.quorum import LISTS_AT_MOST, ListsUnsettled, Quorum, majority
+from robinhill.mesh.acceptance import MAX_TRACKED_CHANGES, Acceptance
+from robinhill.mesh.freshness import MAX_AGES, MAX_PENDING_PINGS, NEVER, Freshness
+from robinhill.mesh.quorum import MAX_UNSETTLED_LISTS, ListsUnsettled, Quorum, majority
 from robinhill.mesh.records import Stamp
 
 BOUND_US = 1_000_000
@@ -74,7 +74,7 @@
     one.answered(400, "b", 1, {"b": 0, "c": 0})  # too late on an ordered link
     one.answered(500, "b", 2, {"b": 0, "c": 0})
     assert one.as_of("b") == 200 and one.as_of("c") is None
-    for number in range(3, 4 + PINGS_AT_MOST):
+    for number in range(3, 4 + MAX_PENDING_PINGS):
         one.pinged(1_000, "b", number)
     one.answered(2_000, "b", 3, {"b": 0})  # forgotten meanwhile
     assert one.as_of("b") == 200
@@ -119,12 +119,12 @@
 
 
 def test_answers_are_bounded_and_keep_the_freshest() -> None:
-    names = [f"p{at:04}" for at in range(2 * AGES_AT_MOST)]
+    names = [f"p{at:04}" for at in range(2 * MAX_AGES)]
     one = Freshness("me", names, BOUND_US)
     one.caught_up = True
     ask(one, 1_000_000, names[0], {name: at * 1_000 for at, name in enumerate(names)})
     ages = one.ages(1_000_000)
-    assert len(ages) == AGES_AT_MOST and ages["me"] == 0 and max(ages.values()) < 257_000
+    assert len(ages) == MAX_AGES and ages["me"] == 0 and max(ages.values()) < 257_000
 
 
 @given(
@@ -164,7 +164,7 @@
     assert one.age_us(200) == 100  # d of the new list is the oldest that is needed
     one.settled()
     assert one.as_of("b") is None and one.age_us(200) == 100
-    for peers in ("ab", "ac", "ad")[: LISTS_AT_MOST - 1]:
+    for peers in ("ab", "ac", "ad")[: MAX_UNSETTLED_LISTS - 1]:
         one.reconfigure(peers)
     with pytest.raises(ListsUnsettled, match="same list"):
         one.reconfigure("az")
@@ -201,7 +201,7 @@
     one.confirmed_through(1, "a", 1, stamp(3))
     assert one.confirmed_through(1, "b", 1, Stamp(9, 9, "b", 1)) == []
     assert one.confirmed_through(2, "b", 1, stamp(2)) == [stamp(1), stamp(2)]
-    for count in range(4, 5 + TRACKED_AT_MOST):
+    for count in range(4, 5 + MAX_TRACKED_CHANGES):
         one.follow(0, stamp(count))
     assert one.accepted_us(stamp(1)) is None and one.unconfirmed(stamp(1)) == ["a", "b", "c"]
 
--- a/tests/test_mesh_members.py
+++ b/tests/test_mesh_members.py
@@ -230,7 +230,7 @@
     random.Random(size).shuffle(names)
     for me in names[:20]:
         own = overlay.partners(me, names)
-        assert me not in own and len(set(own)) == len(own) <= overlay.LINKS_AT_MOST
+        assert me not in own and len(set(own)) == len(own) <= overlay.MAX_LINKS
         assert size > 17 or len(own) == size - 1
         for peer in own:
             assert me in overlay.partners(peer, names)
