--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -23,7 +23,7 @@
 import psutil
 
 from robinhill import api
-from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.admission import Admission, AdmissionRequest, Admit
 from robinhill.admission.options import AdmissionOptions
 from robinhill.checker.rules import broken
 from robinhill.emulator.client import REFUSALS, Asked, Clients, Tenant, served_worth
@@ -149,7 +149,9 @@
         job_class = self.random.randrange(3)
         left = SETTINGS.classes[job_class].deadline_us
         caller = self.admission.directory.find(header, address, str(self.number))
-        self.carry_out(self.admission.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
+        self.carry_out(
+            self.admission.arrive(self.now, AdmissionRequest(self.number, job_class, caller, self.now, left))
+        )
         due = self.admission.next_us
         if due is not None and due <= self.now:
             self.carry_out(self.admission.tick(self.now))
@@ -160,7 +162,7 @@
             number = self.pending.pop(0)
             self.running.append(number)
             self.carry_out(self.admission.placed(self.now, number))
-            self.carry_out(self.admission.began(self.now, number))
+            self.carry_out(self.admission.execution_started(self.now, number))
 
     def carry_out(self, actions: list[Any]) -> None:
         self.pending += [a.number for a in actions if isinstance(a, Admit)]
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.counting import allocated_bytes, executed_lines, microseconds
 from benchmarks.scale.fitting import Point, print_ladder
 from robinhill import api
-from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.admission import Admission, AdmissionRequest, Admit
 from robinhill.admission.options import AdmissionOptions, Limits, Tenant
 
 TENANTS = (10, 50, 190, 1_000, 5_000)
@@ -44,7 +44,7 @@
         self.now_us += after_us
         self.number += 1
         caller = self.admission.directory.find(name_of(tenant), "127.0.0.1", str(self.number))
-        ask = Ask(self.number, 0, caller, self.now_us, 5 * SECOND_US)
+        ask = AdmissionRequest(self.number, 0, caller, self.now_us, 5 * SECOND_US)
         for action in self.admission.arrive(self.now_us, ask):
             if isinstance(action, Admit):
                 self.admitted += 1
@@ -52,7 +52,7 @@
 
     def _run(self, number: int) -> None:
         self.admission.placed(self.now_us, number)
-        self.admission.began(self.now_us, number)
+        self.admission.execution_started(self.now_us, number)
         self.admission.ended(self.now_us, number, True)
 
     def requests(self) -> None:
--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappush, heapreplace
 from math import exp
 
-from robinhill.admission.buckets import Meter
+from robinhill.admission.buckets import RateLimiter
 from robinhill.admission.queues import Queue
 
 FORGET_US = 600_000_000  # what a tenant was served counts 1/e after ten minutes
@@ -21,14 +21,14 @@
     tenant: int
     name: str
     queue: Queue
-    meter: Meter | None
+    limiter: RateLimiter | None
     pinned: bool = False  # named by staff
     count: float = 0.0  # served work, in the sketch's scale
     error: float = 0.0  # of it, what may be another's: the count of the account that it replaced
     jobs: int = 0
     ratio: float = 1.0  # its jobs' running time over their classes'
     served_us: float = 0.0  # work in all, for staff
-    refused: int = 0
+    rejected: int = 0
 
     @property
     def established(self) -> bool:
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from robinhill.admission.accounts import Account, Accounts
-from robinhill.admission.buckets import Cells, Meter, meter
+from robinhill.admission.buckets import RateLimiter, SharedRateLimiters, limiter_for
 from robinhill.admission.callers import Caller, Directory
-from robinhill.admission.estimate import Costs, Pace
+from robinhill.admission.estimate import Costs, Throughput
 from robinhill.admission.options import AdmissionOptions
-from robinhill.admission.promises import Promise, Promises
-from robinhill.admission.queues import Line, Queue, Rounds, Ticket
+from robinhill.admission.promises import RetryPromise, RetryPromises
+from robinhill.admission.queues import ClassQueue, DeficitRoundRobin, Queue, Ticket
 from robinhill.admission.window import Windows
 from robinhill.api import JobClass, Settings
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class AdmissionRequest:
     """A request has come. ``owed``: it was taken before (by another process) and is not refused for
     limits.
     """
@@ -47,7 +47,7 @@
     caller: Caller
     arrived_us: int
     time_left_us: int  # at its arrival
-    owed: bool = False
+    already_accepted: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,18 +58,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class Reject:
     """Final answer: it never ran. ``own``: for what its tenant does (429), else for the fleet's load
     (503).
     """
 
     number: int
     reason: str
-    own: bool
+    tenant_limit: bool
     retry_us: int
 
 
-Action = Admit | Refuse
+Action = Admit | Reject
 
 
 def _always(job_class: int) -> bool:
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class _Present:
+class _TenantUsage:
     """What a tenant has here; forgotten with its last request."""
 
     open: int = 0
@@ -92,26 +92,26 @@
         self.secret = secret
         self.now = 0
         self.costs = Costs.of(len(settings.classes))
-        self.pace = Pace()
+        self.throughput = Throughput()
         self.windows = Windows(settings.classes)
-        self.promises = Promises()
+        self.promises = RetryPromises()
         self.tickets: dict[int, Ticket] = {}
-        self.refused: Counter[str] = Counter()
-        self.let_in = 0
-        self.shut = False  # nothing goes in: what waits is about to go to another process
+        self.rejected: Counter[str] = Counter()
+        self.admitted = 0
+        self.suspended = False  # nothing goes in: what waits is about to go to another process
         self._full_us = [0] * len(settings.classes)  # the longest time left seen: that of a first try
-        self._waits: list[tuple[int, int]] = []  # when who has waited long enough
-        self._present: dict[int, _Present] = {}
+        self._queue_deadlines: list[tuple[int, int]] = []  # when who has waited long enough
+        self._usage: dict[int, _TenantUsage] = {}
         self._swept_us = 0
         self._longest: tuple[int, Queue | None] = (0, None)
         self.accounts = Accounts(options.accounts)
-        self.rounds = Rounds(self._order(), options.newcomers)
-        self.out: list[Action] = []
-        self.network_meters: dict[str, Meter] = {}
+        self.round_robin = DeficitRoundRobin(self._order(), options.newcomers)
+        self.actions: list[Action] = []
+        self.network_limiters: dict[str, RateLimiter] = {}
         self._network_open: Counter[str] = Counter()
         self.options = AdmissionOptions()
-        self.cells = Cells(self.options.limits)
-        self.strangers: list[Queue] = []
+        self.shared_limiters = SharedRateLimiters(self.options.limits)
+        self.shared_queues: list[Queue] = []
         self.configure(0, options)
 
     def _order(self) -> list[int]:
@@ -123,28 +123,28 @@
 
     def configure(self, now: int, options: AdmissionOptions) -> list[Action]:
         """Go by these settings from now on. Nothing that waits is dropped, and no limit starts afresh."""
-        self._begin(now)
+        self._enter_event(now)
         old, self.options = self.options, options
         self.directory = Directory(options, self.secret)
         self.accounts.capacity = options.accounts
-        self.rounds.newcomers = options.newcomers
-        if len(self.strangers) != options.queues:
+        self.round_robin.newcomers = options.newcomers
+        if len(self.shared_queues) != options.queues:
             # Who waits in a queue of before stays there until it is let in.
-            self.strangers = [Queue(f"strangers {i}", strangers=True) for i in range(options.queues)]
+            self.shared_queues = [Queue(f"strangers {i}", is_shared=True) for i in range(options.queues)]
         if options.limits != old.limits:
-            self.cells = Cells(options.limits)
-        self.repin()
-        meters = {}
+            self.shared_limiters = SharedRateLimiters(options.limits)
+        self.apply_named_tenants()
+        limiters = {}
         for entry in options.networks:
-            if made := meter(entry.limits):
-                meters[entry.network] = made.adopt(self.network_meters.get(entry.network))
-        self.network_meters = meters
+            if made := limiter_for(entry.limits):
+                limiters[entry.network] = made.adopt(self.network_limiters.get(entry.network))
+        self.network_limiters = limiters
         if not options.enabled:
-            while self.rounds.length and (ticket := self.rounds.take(self.now, _always, _always)):
-                self._let_in(ticket)
-        return self._end()
+            while self.round_robin.length and (ticket := self.round_robin.take(self.now, _always, _always)):
+                self._admit_queued(ticket)
+        return self._leave_event()
 
-    def repin(self) -> None:
+    def apply_named_tenants(self) -> None:
         """Give those that staff name accounts for good, and all accounts the weight and limits of the
         file.
         """
@@ -152,8 +152,8 @@
         for account in list(self.accounts.by_tenant.values()):
             if account.pinned and account.tenant not in named:
                 self.accounts.unpin(account)
-            account.meter = self._meter(account.name, account.meter)
-            self.rounds.reweigh(account.queue, self._weight(account.name))
+            account.limiter = self._limiter_for(account.name, account.limiter)
+            self.round_robin.reweigh(account.queue, self._weight(account.name))
         for tenant, name in named.items():
             self.accounts.pin(self.accounts.get(tenant) or self.account(tenant, name))
 
@@ -161,144 +161,146 @@
         named = self.options.tenants.get(name)
         return named.weight if named else 1.0
 
-    def _meter(self, name: str, old: Meter | None) -> Meter | None:
-        made = meter(self.options.limits_of(name))
+    def _limiter_for(self, name: str, old: RateLimiter | None) -> RateLimiter | None:
+        made = limiter_for(self.options.limits_of(name))
         return made.adopt(old) if made else None
 
     def account(self, tenant: int, name: str) -> Account:
         """A new account with a queue of its own; not among the accounts yet."""
         queue = Queue(name, self._weight(name))
-        queue.round = self.rounds.number - 1
-        return Account(tenant, name, queue, self._meter(name, None))
+        queue.round = self.round_robin.number - 1
+        return Account(tenant, name, queue, self._limiter_for(name, None))
 
     # Events
 
-    def arrive(self, now: int, ask: Ask) -> list[Action]:
+    def arrive(self, now: int, ask: AdmissionRequest) -> list[Action]:
         """A request: it goes in, waits, or is refused."""
-        self._begin(now)
+        self._enter_event(now)
         now, caller = self.now, ask.caller
         account = self.accounts.get(caller.tenant)
         ticket = self._ticket(ask, account)
-        promise = self.promises.of(caller.mark)
-        if not ask.owed and (refusal := self._limited(ticket, account)):
+        promise = self.promises.of(caller.fingerprint)
+        if not ask.already_accepted and (refusal := self._check_limits(ticket, account)):
             self._refuse(ask.number, *refusal)
-            return self._end()
-        unhurried = not self.rounds.length and self.windows.roomy(ask.job_class)
+            return self._leave_event()
+        unhurried = not self.round_robin.length and self.windows.roomy(ask.job_class)
         # What the module would not hold is for it to refuse; it does so at once.
-        if unhurried or not self.options.enabled or ticket.until_us <= now:
+        if unhurried or not self.options.enabled or ticket.queue_deadline_us <= now:
             if promise:
                 self.promises.keep(promise)
-            self._enter(ticket, account)
+            self._open_ticket(ticket, account)
             ticket.queue.served_us += ticket.cost_us
             self._admit(ticket)
-            return self._end()
-        if not ask.owed and (refusal := self._hopeless(ticket, promise)):
+            return self._leave_event()
+        if not ask.already_accepted and (refusal := self._shed(ticket, promise)):
             self._refuse(ask.number, *refusal)
-            return self._end()
-        if self.rounds.length >= self.options.queued and not self._make_room(ticket):
-            if not ask.owed:
-                self._refuse(ask.number, "full", self._excess(ticket.queue), self._told_wait_us(ticket))
-                return self._end()
-        self._enter(ticket, account)
-        self._present[ticket.tenant].queued += 1
-        self.rounds.add(now, ticket)
-        heappush(self._waits, (ticket.until_us, ticket.number))
-        return self._end()
-
-    def resume(self, now: int, ask: Ask, placed: bool) -> None:
+            return self._leave_event()
+        if self.round_robin.length >= self.options.queued and not self._evict_newest(ticket):
+            if not ask.already_accepted:
+                self._refuse(
+                    ask.number, "full", self._exceeds_share(ticket.queue), self._retry_after_us(ticket)
+                )
+                return self._leave_event()
+        self._open_ticket(ticket, account)
+        self._usage[ticket.tenant].queued += 1
+        self.round_robin.add(now, ticket)
+        heappush(self._queue_deadlines, (ticket.queue_deadline_us, ticket.number))
+        return self._leave_event()
+
+    def resume(self, now: int, ask: AdmissionRequest, placed: bool) -> None:
         """A request that another process let in goes on under this one: its tenant has it open."""
-        self._begin(now)
+        self._enter_event(now)
         account = self.accounts.get(ask.caller.tenant)
         ticket = self._ticket(ask, account)
-        ticket.let_in_us, ticket.inside = self.now, True
-        self._enter(ticket, account)
+        ticket.admitted_us, ticket.in_window = self.now, True
+        self._open_ticket(ticket, account)
         self.windows.enter(ask.job_class)
         if placed:
             self.windows.placed(ask.job_class)
-            ticket.placed_us = self.now
-            self._run(ticket)
+            ticket.first_attempt_us = self.now
+            self._start_execution(ticket)
 
     def placed(self, now: int, number: int) -> list[Action]:
         """The first attempt of a request that was let in is out."""
-        self._begin(now)
+        self._enter_event(now)
         ticket = self.tickets.get(number)
-        if ticket and ticket.let_in_us and not ticket.placed_us:
-            ticket.placed_us = self.now
+        if ticket and ticket.admitted_us and not ticket.first_attempt_us:
+            ticket.first_attempt_us = self.now
             self.windows.placed(ticket.job_class)
-            more = self.rounds.length > 0
-            self.windows.of(ticket.job_class).placed(self.now, self.now - ticket.let_in_us, more)
+            more = self.round_robin.length > 0
+            self.windows.of(ticket.job_class).placed(self.now, self.now - ticket.admitted_us, more)
             if not self.s.tells_start:
-                self._run(ticket)
-        return self._end()
+                self._start_execution(ticket)
+        return self._leave_event()
 
-    def began(self, now: int, number: int) -> list[Action]:
+    def execution_started(self, now: int, number: int) -> list[Action]:
         """A worker has begun to run it."""
-        self._begin(now)
+        self._enter_event(now)
         ticket = self.tickets.get(number)
-        if ticket and ticket.placed_us and not ticket.began_us:
-            self._run(ticket)
-            delay, more = self.now - ticket.placed_us, self.rounds.length > 0
+        if ticket and ticket.first_attempt_us and not ticket.started_us:
+            self._start_execution(ticket)
+            delay, more = self.now - ticket.first_attempt_us, self.round_robin.length > 0
             cost = self.costs.by_class[ticket.job_class]
-            self.windows.of(ticket.job_class).began(self.now, delay, cost, more)
-        return self._end()
+            self.windows.of(ticket.job_class).execution_started(self.now, delay, cost, more)
+        return self._leave_event()
 
     def ended(self, now: int, number: int, served: bool) -> list[Action]:
         """It has its final answer, or another process has it."""
-        self._begin(now)
+        self._enter_event(now)
         if ticket := self.tickets.get(number):
-            self._close(ticket, served)
-        return self._end()
+            self._close_ticket(ticket, served)
+        return self._leave_event()
 
-    def shut_up(self, now: int, shut: bool) -> list[Action]:
+    def suspend(self, now: int, suspended: bool) -> list[Action]:
         """Let nothing in that waits until told otherwise; waiting still ends in time."""
-        self._begin(now)
-        self.shut = shut
-        return self._end()
+        self._enter_event(now)
+        self.suspended = suspended
+        return self._leave_event()
 
-    def left(self, now: int, number: int) -> list[Action]:
+    def client_disconnected(self, now: int, number: int) -> list[Action]:
         """Its client has gone: a place at admission is free at once."""
         return self.ended(now, number, False)
 
     def tick(self, now: int) -> list[Action]:
         """Time has passed."""
-        self._begin(now)
+        self._enter_event(now)
         now = self.now
-        while self._waits and self._waits[0][0] <= now:
-            _, number = heappop(self._waits)
+        while self._queue_deadlines and self._queue_deadlines[0][0] <= now:
+            _, number = heappop(self._queue_deadlines)
             ticket = self.tickets.get(number)
-            if ticket and not ticket.let_in_us:
-                wait = self._told_wait_us(ticket)
-                self._close(ticket, False)
+            if ticket and not ticket.admitted_us:
+                wait = self._retry_after_us(ticket)
+                self._close_ticket(ticket, False)
                 self._refuse(number, "late", False, wait)
         if now - self._swept_us >= SWEEP_US:
             self._swept_us = now
             for ticket in self.tickets.values():
-                if ticket.began_us and now - ticket.began_us > ticket.cost_us:
-                    self._charge(ticket, now - ticket.began_us)
-                if ticket.inside and now - ticket.let_in_us > self._overdue_us(ticket):
-                    self._vacate(ticket)
-        return self._end()
+                if ticket.started_us and now - ticket.started_us > ticket.cost_us:
+                    self._charge(ticket, now - ticket.started_us)
+                if ticket.in_window and now - ticket.admitted_us > self._overdue_us(ticket):
+                    self._free_window_slot(ticket)
+        return self._leave_event()
 
     @property
     def next_us(self) -> int | None:
         """When ``tick`` is to be called; None while nothing waits."""
-        while self._waits:
-            until, number = self._waits[0]
+        while self._queue_deadlines:
+            until, number = self._queue_deadlines[0]
             ticket = self.tickets.get(number)
-            if ticket and not ticket.let_in_us:
+            if ticket and not ticket.admitted_us:
                 return min(until, max(self.now, self._swept_us + SWEEP_US))
-            heappop(self._waits)
+            heappop(self._queue_deadlines)
         return None
 
     @property
     def waiting(self) -> int:
         """Requests that wait at admission."""
-        return self.rounds.length
+        return self.round_robin.length
 
-    def waits(self, number: int) -> bool:
+    def is_queued(self, number: int) -> bool:
         """Whether this request waits at admission."""
         ticket = self.tickets.get(number)
-        return ticket is not None and not ticket.let_in_us
+        return ticket is not None and not ticket.admitted_us
 
     def _overdue_us(self, ticket: Ticket) -> float:
         """After so long a job is thought to be lost: whoever ran it may be silent, and others may have
@@ -308,22 +310,22 @@
 
     # The way in
 
-    def _begin(self, now: int) -> None:
+    def _enter_event(self, now: int) -> None:
         self.now = max(self.now, now)
-        self.pace.advance(self.now, self.rounds.length > 0)
-        self.promises.lapse(self.now)
-        self.out = []
+        self.throughput.advance(self.now, self.round_robin.length > 0)
+        self.promises.expire(self.now)
+        self.actions = []
 
-    def _end(self) -> list[Action]:
+    def _leave_event(self) -> list[Action]:
         """Let in whose turn it is, as far as the windows allow."""
-        if self.rounds.length and not self.shut:
-            self.rounds.quantum_us = max(self.costs.by_class)
-            while ticket := self.rounds.take(self.now, self.windows.open, self.windows.roomy):
-                self.promises.drained(self.now, ticket.queue.lines[ticket.job_class])
-                self._let_in(ticket)
-        return self.out
-
-    def _ticket(self, ask: Ask, account: Account | None) -> Ticket:
+        if self.round_robin.length and not self.suspended:
+            self.round_robin.quantum_us = max(self.costs.by_class)
+            while ticket := self.round_robin.take(self.now, self.windows.open, self.windows.roomy):
+                self.promises.record_progress(self.now, ticket.queue.class_queues[ticket.job_class])
+                self._admit_queued(ticket)
+        return self.actions
+
+    def _ticket(self, ask: AdmissionRequest, account: Account | None) -> Ticket:
         caller, klass = ask.caller, self.s.classes[ask.job_class]
         known = self.costs.known[ask.job_class]
         mean = self.costs.by_class[ask.job_class]
@@ -335,107 +337,107 @@
         if klass.late_worth:
             patience = max(patience, int(left - cost))
         until = ask.arrived_us + min(left - 1, patience)
-        queue = account.queue if account and account.established else self._shortest(caller.tenant)
+        queue = account.queue if account and account.established else self._shared_queue_for(caller.tenant)
         return Ticket(
-            ask.number, ask.job_class, caller.tenant, caller.name, caller.network, caller.mark, queue, cost,
-            ask.arrived_us, until,
+            ask.number, ask.job_class, caller.tenant, caller.name, caller.network, caller.fingerprint,
+            queue, cost, ask.arrived_us, until,
         )  # fmt: skip
 
     def _patience(self, klass: JobClass, usual_us: float) -> int:
         return klass.aim_us + int(HOLD * max(0.0, klass.stretch - 1) * usual_us)
 
-    def _shortest(self, tenant: int) -> Queue:
+    def _shared_queue_for(self, tenant: int) -> Queue:
         """The shortest queue of a stranger's hand: the hand comes from its hash, a card at a time."""
-        cards, left, hand = tenant, list(range(len(self.strangers))) if self.options.hand > 1 else [], []
+        cards, left, hand = tenant, list(range(len(self.shared_queues))) if self.options.hand > 1 else [], []
         if not left:
-            return self.strangers[tenant % len(self.strangers)]
+            return self.shared_queues[tenant % len(self.shared_queues)]
         for _ in range(self.options.hand):
             cards, card = divmod(cards, len(left))
-            hand.append(self.strangers[left.pop(card)])
-        return min(hand, key=lambda q: q.ahead_us)
+            hand.append(self.shared_queues[left.pop(card)])
+        return min(hand, key=lambda q: q.work_ahead_us)
 
-    def _enter(self, ticket: Ticket, account: Account | None) -> None:
+    def _open_ticket(self, ticket: Ticket, account: Account | None) -> None:
         """It is taken: count it and charge its tenant's limits."""
         self.tickets[ticket.number] = ticket
-        present = self._present.setdefault(ticket.tenant, _Present())
+        present = self._usage.setdefault(ticket.tenant, _TenantUsage())
         present.open += 1
         ticket.queue.users += 1
         if account is None:
-            self.cells.take(ticket.tenant, ticket.cost_us)
-        elif account.meter:
-            account.meter.take(ticket.cost_us)
+            self.shared_limiters.take(ticket.tenant, ticket.cost_us)
+        elif account.limiter:
+            account.limiter.take(ticket.cost_us)
         if ticket.network >= 0:
             network = self._network(ticket)
             self._network_open[network] += 1
-            if network in self.network_meters:
-                self.network_meters[network].take(ticket.cost_us)
+            if network in self.network_limiters:
+                self.network_limiters[network].take(ticket.cost_us)
 
     def _network(self, ticket: Ticket) -> str:
         """A reload may have changed the table since the ticket's caller was found."""
         listed = self.options.networks
         return listed[ticket.network].network if ticket.network < len(listed) else ""
 
-    def _let_in(self, ticket: Ticket) -> None:
+    def _admit_queued(self, ticket: Ticket) -> None:
         """One that waited."""
-        self._present[ticket.tenant].queued -= 1
+        self._usage[ticket.tenant].queued -= 1
         self._admit(ticket)
 
     def _admit(self, ticket: Ticket) -> None:
-        ticket.let_in_us = self.now
+        ticket.admitted_us = self.now
         self.windows.enter(ticket.job_class)
-        ticket.inside = True
-        self.let_in += 1
-        self.out.append(Admit(ticket.number))
+        ticket.in_window = True
+        self.admitted += 1
+        self.actions.append(Admit(ticket.number))
 
-    def _run(self, ticket: Ticket) -> None:
-        ticket.began_us = self.now
-        self.pace.running += 1
+    def _start_execution(self, ticket: Ticket) -> None:
+        ticket.started_us = self.now
+        self.throughput.running += 1
 
     # The way out
 
-    def _close(self, ticket: Ticket, served: bool) -> None:
+    def _close_ticket(self, ticket: Ticket, served: bool) -> None:
         del self.tickets[ticket.number]
         queue = ticket.queue
         queue.users -= 1
-        present = self._present[ticket.tenant]
+        present = self._usage[ticket.tenant]
         present.open -= 1
-        if not ticket.let_in_us:
+        if not ticket.admitted_us:
             present.queued -= 1
-            self.rounds.remove(self.now, ticket)
-            self.promises.drained(self.now, queue.lines[ticket.job_class])
-        elif not ticket.placed_us:
+            self.round_robin.remove(self.now, ticket)
+            self.promises.record_progress(self.now, queue.class_queues[ticket.job_class])
+        elif not ticket.first_attempt_us:
             self.windows.placed(ticket.job_class)
-        self._vacate(ticket)
+        self._free_window_slot(ticket)
         if not present.open:
-            del self._present[ticket.tenant]
+            del self._usage[ticket.tenant]
         if ticket.network >= 0:
             network = self._network(ticket)
             self._network_open[network] -= 1
             if self._network_open[network] <= 0:
                 del self._network_open[network]
-        ran = self.now - ticket.began_us if ticket.began_us else 0
-        if ticket.began_us:
-            self.pace.running -= 1
+        ran = self.now - ticket.started_us if ticket.started_us else 0
+        if ticket.started_us:
+            self.throughput.running -= 1
         self._charge(ticket, ran)
         if served and ran:
             self._learn(ticket, ran)
 
-    def _vacate(self, ticket: Ticket) -> None:
-        if ticket.inside:
-            ticket.inside = False
+    def _free_window_slot(self, ticket: Ticket) -> None:
+        if ticket.in_window:
+            ticket.in_window = False
             self.windows.leave(ticket.job_class)
 
     def _charge(self, ticket: Ticket, ran_us: int) -> None:
         """Correct what was charged for it to what it has taken."""
         more, ticket.cost_us = ran_us - ticket.cost_us, float(ran_us)
-        if ticket.let_in_us:
+        if ticket.admitted_us:
             ticket.queue.deficit_us -= more
         account = self.accounts.get(ticket.tenant)
         if account is None:
-            self.cells.charge(ticket.tenant, more)
-        elif account.meter:
-            account.meter.charge(more)
-        if ticket.network >= 0 and (network := self.network_meters.get(self._network(ticket))):
+            self.shared_limiters.charge(ticket.tenant, more)
+        elif account.limiter:
+            account.limiter.charge(more)
+        if ticket.network >= 0 and (network := self.network_limiters.get(self._network(ticket))):
             network.charge(more)
 
     def _learn(self, ticket: Ticket, ran_us: int) -> None:
@@ -457,9 +459,9 @@
 
     # Refusals
 
-    def _refuse(self, number: int, reason: str, own: bool, wait_us: int) -> None:
-        self.refused[reason] += 1
-        self.out.append(Refuse(number, reason, own, self._cap(wait_us)))
+    def _refuse(self, number: int, reason: str, tenant_limit: bool, wait_us: int) -> None:
+        self.rejected[reason] += 1
+        self.actions.append(Reject(number, reason, tenant_limit, self._cap(wait_us)))
 
     def _cap(self, wait_us: int) -> int:
         """As much of it as the settings let us say."""
@@ -467,10 +469,10 @@
             return 0
         return max(0, min(wait_us, self.s.max_retry_after_us, self.options.retry_after_cap_ms * 1000))
 
-    def _limited(self, ticket: Ticket, account: Account | None) -> tuple[str, bool, int] | None:
+    def _check_limits(self, ticket: Ticket, account: Account | None) -> tuple[str, bool, int] | None:
         """Whether its tenant or network has used up what it may have."""
         limits = self.options.limits_of(ticket.name)
-        present = self._present.get(ticket.tenant)
+        present = self._usage.get(ticket.tenant)
         if present and limits.open and present.open >= limits.open:
             return "open", True, int(ticket.cost_us)
         if present and limits.queued and present.queued >= limits.queued:
@@ -480,85 +482,88 @@
             count = self._network_open[entry.network]
             if entry.limits.open and count >= entry.limits.open:
                 return "open", True, int(ticket.cost_us)
-        waits = []
+        is_queued = []
         if account is None:
-            waits.append(self.cells.wait_us(self.now, ticket.tenant, ticket.cost_us))
-        elif account.meter:
-            waits.append(account.meter.wait_us(self.now, ticket.cost_us))
-        if ticket.network >= 0 and (network := self.network_meters.get(self._network(ticket))):
-            waits.append(network.wait_us(self.now, ticket.cost_us))
-        if not waits or not (worst := max(waits))[0]:
+            is_queued.append(self.shared_limiters.wait_us(self.now, ticket.tenant, ticket.cost_us))
+        elif account.limiter:
+            is_queued.append(account.limiter.wait_us(self.now, ticket.cost_us))
+        if ticket.network >= 0 and (network := self.network_limiters.get(self._network(ticket))):
+            is_queued.append(network.wait_us(self.now, ticket.cost_us))
+        if not is_queued or not (worst := max(is_queued))[0]:
             return None
         if account:
-            account.refused += 1
+            account.rejected += 1
         return worst[1], True, worst[0]
 
-    def _hopeless(self, ticket: Ticket, promise: Promise | None) -> tuple[str, bool, int] | None:
+    def _shed(self, ticket: Ticket, promise: RetryPromise | None) -> tuple[str, bool, int] | None:
         """Whether it can't make its time at its queue's present rate; it is promised a time to come back
         then.
         """
-        line, patience = ticket.queue.line(ticket.job_class), ticket.until_us - self.now
-        rate = self._rate(line)
+        class_queue, patience = (
+            ticket.queue.class_queue(ticket.job_class),
+            ticket.queue_deadline_us - self.now,
+        )
+        rate = self._rate(class_queue)
         if promise:
             if not self.promises.is_due(self.now, promise):
                 return "early", True, promise.due_us - self.now
             self.promises.keep(promise)
-            if ticket.queue.kept_us / self._queue_rate(ticket.queue) <= patience * PATIENT:
-                ticket.kept = True
+            if ticket.queue.returning_work_us / self._queue_rate(ticket.queue) <= patience * PATIENT:
+                ticket.returning = True
                 return None
-        ahead = line.ahead_us
+        ahead = class_queue.work_ahead_us
         if ahead / rate <= patience or not self.costs.known[ticket.job_class]:
             return None  # what was never seen to run can't be known to be late
-        own = self._excess(ticket.queue)
-        if own and (account := self.accounts.get(ticket.tenant)):
-            account.refused += 1
-        wait = self._told_wait_us(ticket)
-        self.promises.make(self.now, ticket.mark, ticket.tenant, line, ticket.cost_us, wait)
+        tenant_limit = self._exceeds_share(ticket.queue)
+        if tenant_limit and (account := self.accounts.get(ticket.tenant)):
+            account.rejected += 1
+        wait = self._retry_after_us(ticket)
+        self.promises.make(self.now, ticket.fingerprint, ticket.tenant, class_queue, ticket.cost_us, wait)
         if self._cap(wait) >= wait:
-            self.promises.measure(self.now, line, wait, ahead - rate * patience * TARGET)
-        return "time", own, wait
+            self.promises.measure(self.now, class_queue, wait, ahead - rate * patience * TARGET)
+        return "time", tenant_limit, wait
 
-    def _told_wait_us(self, ticket: Ticket) -> int:
+    def _retry_after_us(self, ticket: Ticket) -> int:
         """When its line will have come down far enough for a request like it."""
-        line = ticket.queue.line(ticket.job_class)
+        class_queue = ticket.queue.class_queue(ticket.job_class)
         patience = self._patience(self.s.classes[ticket.job_class], self.costs.by_class[ticket.job_class])
-        wait = line.ahead_us / (BOOKED * self._rate(line)) - patience * TARGET
+        wait = class_queue.work_ahead_us / (BOOKED * self._rate(class_queue)) - patience * TARGET
         return max(SHORTEST_US, int(wait * (1 + SPREAD * (2 * self.random.random() - 1))))
 
     def _queue_rate(self, queue: Queue) -> float:
         """Work that goes in from this queue in a unit of time."""
         queue.advance(self.now)
-        return max(1e-3, queue.rate(self.pace.rate * self.rounds.share(queue)))
+        return max(1e-3, queue.rate(self.throughput.rate * self.round_robin.share(queue)))
 
-    def _rate(self, line: Line) -> float:
+    def _rate(self, class_queue: ClassQueue) -> float:
         """The same of one line: the part of it that its class has had of late."""
-        return self._queue_rate(line.queue) * line.queue.part(line.job_class)
+        return self._queue_rate(class_queue.queue) * class_queue.queue.part(class_queue.job_class)
 
-    def _excess(self, queue: Queue) -> bool:
+    def _exceeds_share(self, queue: Queue) -> bool:
         """Whether it is a tenant's own doing that it must wait: no queue is as long, and others are here."""
-        if queue.strangers or len(self._present) < 2:
+        if queue.is_shared or len(self._usage) < 2:
             return False
-        return self._most() is queue
+        return self._longest_queue() is queue
 
-    def _most(self) -> Queue | None:
+    def _longest_queue(self) -> Queue | None:
         at, queue = self._longest
         if queue is None or not queue.length or self.now - at > LONGEST_EVERY_US:
-            queue = self.rounds.longest() if self.rounds.length else None
+            queue = self.round_robin.longest() if self.round_robin.length else None
             self._longest = self.now, queue
         return queue
 
-    def _make_room(self, ticket: Ticket) -> bool:
+    def _evict_newest(self, ticket: Ticket) -> bool:
         """Put out the newest of the longest queue, if that is longer than this one's would be."""
-        longest = self._most()
-        weight = self.rounds.weight
+        longest = self._longest_queue()
+        weight = self.round_robin.weight
         if longest is None or longest is ticket.queue:
             return False
         queued_share = (ticket.queue.work_us + ticket.cost_us) / weight(ticket.queue)
         if longest.work_us / weight(longest) <= queued_share:
             return False
-        victim = self.rounds.newest(longest)
-        wait = self._told_wait_us(victim)
-        self._close(victim, False)
+        victim = self.round_robin.newest(longest)
+        wait = self._retry_after_us(victim)
+        self._close_ticket(victim, False)
         self._refuse(victim.number, "pushed_out", True, wait)
         return True
 
@@ -567,18 +572,18 @@
     def metrics(self) -> dict[str, Any]:
         """What admission control does now, as plain values."""
         return {
-            "queued": self.rounds.length,
-            "let_in": self.let_in,
-            "refused": dict(sorted(self.refused.items())),
+            "queued": self.round_robin.length,
+            "let_in": self.admitted,
+            "refused": dict(sorted(self.rejected.items())),
             "window": [int(w.size) for w in self.windows.windows],
             "places": [int(w.places) for w in self.windows.windows],
-            "inside": [w.inside for w in self.windows.windows],
+            "inside": [w.in_window for w in self.windows.windows],
             "unplaced": list(self.windows.unplaced),
-            "running": self.pace.running,
-            "rate": round(self.pace.rate, 2),
+            "running": self.throughput.running,
+            "rate": round(self.throughput.rate, 2),
             "class_ms": [round(c / 1000, 1) for c in self.costs.by_class],
             "accounts": len(self.accounts.by_tenant),
-            "tenants_present": len(self._present),
+            "tenants_present": len(self._usage),
             "promises": {
                 "open": self.promises.length,
                 "right": self.promises.right,
@@ -593,7 +598,7 @@
                     "ratio": round(a.ratio, 2),
                     "weight": a.queue.weight,
                     "queued": a.queue.length,
-                    "refused": a.refused,
+                    "refused": a.rejected,
                 }
                 for a in self.accounts.heaviest(TOP)
             ],
--- a/robinhill/admission/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """Tokens that come at a rate and are kept up to a burst. May be overdrawn: work is known afterwards."""
 
     rate: float  # a second
@@ -35,25 +35,25 @@
     def take(self, amount: float) -> None:
         self.tokens -= amount
 
-    def adopt(self, other: "Bucket") -> None:
+    def adopt(self, other: "TokenBucket") -> None:
         """Go on at the level of a bucket that this one replaces: a reload is no new burst."""
         self.tokens, self.at_us = min(self.burst, other.tokens), other.at_us
 
 
 @dataclass(slots=True)
-class Meter:
+class RateLimiter:
     """The two rates of one tenant or network."""
 
-    requests: Bucket | None
-    work: Bucket | None  # in seconds
+    requests: TokenBucket | None
+    work: TokenBucket | None  # in seconds
 
     def wait_us(self, now: int, cost_us: float) -> tuple[int, str]:
         """How long until a request of this cost is within both, and which of them is short."""
-        waits = [
+        is_queued = [
             (self.requests.wait_us(now, 1.0) if self.requests else 0, "requests"),
             (self.work.wait_us(now, cost_us / 1e6) if self.work else 0, "work"),
         ]
-        return max(waits, key=lambda x: x[0])
+        return max(is_queued, key=lambda x: x[0])
 
     def take(self, cost_us: float) -> None:
         if self.requests:
@@ -65,7 +65,7 @@
         if self.work:
             self.work.take(work_us / 1e6)
 
-    def adopt(self, other: "Meter | None") -> "Meter":
+    def adopt(self, other: "RateLimiter | None") -> "RateLimiter":
         """This meter at the other's levels."""
         if other:
             for bucket, other_bucket in ((self.requests, other.requests), (self.work, other.work)):
@@ -74,17 +74,19 @@
         return self
 
 
-def meter(limits: Limits) -> Meter | None:
+def limiter_for(limits: Limits) -> RateLimiter | None:
     """The buckets that these limits ask for; None if they limit no rate."""
     requests = work = None
     if limits.requests_per_s:
-        requests = Bucket(limits.requests_per_s, limits.requests_burst or max(1.0, limits.requests_per_s))
+        requests = TokenBucket(
+            limits.requests_per_s, limits.requests_burst or max(1.0, limits.requests_per_s)
+        )
     if limits.work_per_s:
-        work = Bucket(limits.work_per_s, limits.work_burst or limits.work_per_s)
-    return Meter(requests, work) if requests or work else None
+        work = TokenBucket(limits.work_per_s, limits.work_burst or limits.work_per_s)
+    return RateLimiter(requests, work) if requests or work else None
 
 
-class Cells:
+class SharedRateLimiters:
     """Meters by hash for tenants without an account, in bounded memory.
 
     A tenant has a cell in each row, shared with whoever meets it there. It is over its limit only where all
@@ -93,17 +95,17 @@
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.limited = meter(limits) is not None
-        self._cells: dict[int, Meter] = {}
+        self.limited = limiter_for(limits) is not None
+        self._limiters: dict[int, RateLimiter] = {}
 
-    def _of(self, tenant: int) -> list[Meter]:
+    def _of(self, tenant: int) -> list[RateLimiter]:
         found = []
         for row in range(ROWS):
             index = row * CELLS + (tenant >> 16 * row) % CELLS
-            if (cell := self._cells.get(index)) is None:
-                cell = meter(self.limits)
+            if (cell := self._limiters.get(index)) is None:
+                cell = limiter_for(self.limits)
                 assert cell
-                self._cells[index] = cell
+                self._limiters[index] = cell
             found.append(cell)
         return found
 
--- a/robinhill/admission/callers.py
+++ b/robinhill/admission/callers.py
@@ -24,7 +24,7 @@
     tenant: int
     name: str
     network: int = -1
-    mark: int = 0
+    fingerprint: int = 0
 
 
 class BadNameError(ValueError):
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -5,7 +5,7 @@
 
 UNKNOWN_US = 1_000_000.0  # a class's running time before any job of it has ended
 STEP = 1 / 16
-SMOOTH_US = 1_000_000  # over which the number of running jobs is smoothed
+SMOOTHING_US = 1_000_000  # over which the number of running jobs is smoothed
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class Throughput:
     """Own jobs that run at once, smoothed while requests wait at admission.
 
     Since work is running time, this is the work done in a unit of time. It follows a fleet that grows or
@@ -41,7 +41,7 @@
     """
 
     running: int = 0
-    smooth: float = 0.0
+    smoothed_running: float = 0.0
     at_us: int = 0
 
     def advance(self, now: int, waiting: bool) -> None:
@@ -52,11 +52,13 @@
             return
         if not waiting:
             # The fleet has room: how many run now tells what was asked for and not what it could do.
-            self.smooth = max(self.smooth, float(self.running))
+            self.smoothed_running = max(self.smoothed_running, float(self.running))
         else:
-            self.smooth += (self.running - self.smooth) * (1 - exp(-passed / SMOOTH_US))
+            self.smoothed_running += (self.running - self.smoothed_running) * (
+                1 - exp(-passed / SMOOTHING_US)
+            )
 
     @property
     def rate(self) -> float:
         """Work a unit of time; one job at least."""
-        return max(1.0, self.smooth)
+        return max(1.0, self.smoothed_running)
--- a/robinhill/admission/exported_state.py
+++ b/robinhill/admission/exported_state.py
@@ -1,103 +1,118 @@
-"""Admission's state as plain values, so that a successor process can go on with it.
+"""Admission's state as JSON values, for a successor process that may run another version.
 
-Requests that wait are handed over one by one; this is what was learned of tenants and classes, how far
-limits are used up, and what callers were told. Values go by name: versions may differ.
+Queued requests are handed over one by one; this is what was learned of tenants and classes, the levels of
+rate limiters, and open retry promises. All versions use the same keys: a renamed attribute keeps its key.
 """
 
 from typing import Any
 
 from robinhill.admission.accounts import Account
 from robinhill.admission.admission import Admission
-from robinhill.admission.buckets import Meter
-from robinhill.admission.callers import Directory
-from robinhill.admission.promises import Promise
+from robinhill.admission.buckets import RateLimiter
+from robinhill.admission.callers import Caller, Directory
+from robinhill.admission.promises import RetryPromise
 from robinhill.admission.queues import Queue
 
 Json = dict[str, Any]
 
 
-def _levels(meter: Meter | None) -> Json:
-    if meter is None:
+def _export_levels(limiter: RateLimiter | None) -> Json:
+    if limiter is None:
         return {}
-    both = {"requests": meter.requests, "work": meter.work}
+    both = {"requests": limiter.requests, "work": limiter.work}
     return {name: [bucket.tokens, bucket.at_us] for name, bucket in both.items() if bucket}
 
 
-def _set_levels(meter: Meter | None, learned_values: Json) -> None:
+def _import_levels(limiter: RateLimiter | None, learned_values: Json) -> None:
     for name, (tokens, at_us) in learned_values.items():
-        if meter and (bucket := getattr(meter, name)):
+        if limiter and (bucket := getattr(limiter, name)):
             bucket.tokens, bucket.at_us = min(bucket.burst, tokens), at_us
 
 
-def learned(admission: Admission) -> Json:
-    """All that goes along; the secret too, so that both know tenants by the same numbers."""
+def export_caller(caller: Caller) -> Json:
+    """A request's caller, which goes to the successor with the request."""
+    return {
+        "tenant": caller.tenant,
+        "name": caller.name,
+        "network": caller.network,
+        "mark": caller.fingerprint,
+    }
+
+
+def import_caller(values: Json) -> Caller:
+    """The caller that another process has exported."""
+    return Caller(values["tenant"], values["name"], values["network"], values["mark"])
+
+
+def export_state(admission: Admission) -> Json:
+    """All of it, with the secret, so that both processes know tenants by the same hashes."""
     return {
         "secret": admission.secret.hex(),
         "costs": admission.costs.by_class,
         "known": admission.costs.known,
-        "running": admission.pace.smooth,
+        "running": admission.throughput.smoothed_running,
         "windows": [w.size for w in admission.windows.windows],
         "start_us": admission.accounts.start_us,
         "accounts": [
             {
                 "tenant": a.tenant, "name": a.name, "count": a.count, "error": a.error, "jobs": a.jobs,
                 "ratio": a.ratio, "served_us": a.served_us, "deficit_us": a.queue.deficit_us,
-                "returns": {str(c): line.return_share for c, line in a.queue.lines.items()},
-                "levels": _levels(a.meter),
+                "returns": {str(c): each.return_share for c, each in a.queue.class_queues.items()},
+                "levels": _export_levels(a.limiter),
             }
             for a in admission.accounts.by_tenant.values()
         ],
-        "networks": {name: _levels(meter) for name, meter in admission.network_meters.items()},
-        "promises": [_promise(admission, p) for p in admission.promises.held()],
+        "networks": {name: _export_levels(limiter) for name, limiter in admission.network_limiters.items()},
+        "promises": [_export_promise(admission, p) for p in admission.promises.open_promises()],
     }  # fmt: skip
 
 
-def _promise(admission: Admission, promise: Promise) -> Json:
-    queue = promise.line.queue
-    strangers = admission.strangers.index(queue) if queue in admission.strangers else -1
+def _export_promise(admission: Admission, promise: RetryPromise) -> Json:
+    queue = promise.class_queue.queue
+    shared = admission.shared_queues.index(queue) if queue in admission.shared_queues else -1
     return {
-        "mark": promise.mark, "tenant": promise.tenant, "strangers": strangers,
-        "class": promise.line.job_class, "cost_us": promise.cost_us,
-        "told_us": promise.told_us, "wait_us": promise.due_us - promise.told_us,
+        "mark": promise.fingerprint, "tenant": promise.tenant, "strangers": shared,
+        "class": promise.class_queue.job_class, "cost_us": promise.cost_us,
+        "told_us": promise.promised_us, "wait_us": promise.due_us - promise.promised_us,
     }  # fmt: skip
 
 
-def recall(admission: Admission, now: int, learned_values: Json) -> None:
-    """Go on from there; before any request has come."""
-    admission.secret = bytes.fromhex(learned_values["secret"])
+def import_state(admission: Admission, now: int, values: Json) -> None:
+    """Go on from another process's state; to be called before the first request. ``now``: microseconds."""
+    admission.secret = bytes.fromhex(values["secret"])
     admission.directory = Directory(admission.options, admission.secret)
-    if len(learned_values["costs"]) == len(admission.costs.by_class):
+    if len(values["costs"]) == len(admission.costs.by_class):
         admission.costs.by_class, admission.costs.known = (
-            list(learned_values["costs"]),
-            list(learned_values["known"]),
+            list(values["costs"]),
+            list(values["known"]),
         )
-    for window, size in zip(admission.windows.windows, learned_values["windows"], strict=False):
+    for window, size in zip(admission.windows.windows, values["windows"], strict=False):
         window.size = size
-    admission.pace.smooth = learned_values["running"]
-    admission.accounts.reset(learned_values["start_us"])
-    for values in learned_values["accounts"]:
-        account: Account = admission.account(values["tenant"], values["name"])
+    admission.throughput.smoothed_running = values["running"]
+    admission.accounts.reset(values["start_us"])
+    for each in values["accounts"]:
+        account: Account = admission.account(each["tenant"], each["name"])
         for name in ("count", "error", "jobs", "ratio", "served_us"):
-            setattr(account, name, values[name])
-        account.queue.deficit_us, account.queue.settled_us = min(0.0, values["deficit_us"]), now
-        for job_class, share in values["returns"].items():
-            account.queue.line(int(job_class)).return_share = share
-        _set_levels(account.meter, values["levels"])
+            setattr(account, name, each[name])
+        account.queue.deficit_us, account.queue.settled_us = min(0.0, each["deficit_us"]), now
+        for job_class, share in each["returns"].items():
+            account.queue.class_queue(int(job_class)).return_share = share
+        _import_levels(account.limiter, each["levels"])
         admission.accounts.restore(account)
-    admission.repin()
-    for name, levels in learned_values["networks"].items():
-        _set_levels(admission.network_meters.get(name), levels)
-    for values in learned_values["promises"]:
-        queue = _queue(admission, values)
+    admission.apply_named_tenants()
+    for name, levels in values["networks"].items():
+        _import_levels(admission.network_limiters.get(name), levels)
+    for each in values["promises"]:
+        queue = _queue(admission, each)
         if queue:
             admission.promises.make(
-                values["told_us"], values["mark"], values["tenant"], queue.line(values["class"]),
-                values["cost_us"], values["wait_us"],
+                each["told_us"], each["mark"], each["tenant"], queue.class_queue(each["class"]),
+                each["cost_us"], each["wait_us"],
             )  # fmt: skip
 
 
 def _queue(admission: Admission, values: Json) -> Queue | None:
-    if 0 <= values["strangers"] < len(admission.strangers):
-        return admission.strangers[values["strangers"]]
+    if 0 <= values["strangers"] < len(admission.shared_queues):
+        return admission.shared_queues[values["strangers"]]
     account = admission.accounts.get(values["tenant"])
     return account.queue if account else None
--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -29,8 +29,8 @@
         """These, and the default's where these say nothing."""
         values = {}
         for name in self.__struct_fields__:
-            own = getattr(self, name)
-            values[name] = getattr(default, name) if own is None else own
+            tenant_limit = getattr(self, name)
+            values[name] = getattr(default, name) if tenant_limit is None else tenant_limit
         return Limits(**values)
 
 
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -6,10 +6,10 @@
 from heapq import heapify, heappop, heappush
 from itertools import chain
 
-from robinhill.admission.queues import Line
+from robinhill.admission.queues import ClassQueue
 
-MOST = 8_192
-LAPSE_US = 2_000_000  # a caller so long behind its time has lost its place
+MAX_OPEN_PROMISES = 8_192
+EXPIRE_AFTER_US = 2_000_000  # a caller so long behind its time has lost its place
 EARLY = 0.75  # of the told time: who comes back after this part of it has kept to it
 FACTOR = 2.0  # told over needed time is right within this
 RETURNS_STEP = 1 / 32  # of the share of callers that come back, by line
@@ -17,116 +17,120 @@
 
 
 @dataclass(slots=True)
-class Promise:
+class RetryPromise:
     """A caller may come back at ``due_us``; its work counts as if it stood in the queue until then."""
 
-    mark: int
+    fingerprint: int
     tenant: int
-    line: Line
+    class_queue: ClassQueue
     cost_us: float
-    told_us: int  # when
+    promised_us: int  # when
     due_us: int
 
 
 @dataclass(slots=True)
-class _PendingPromise:
+class _PendingMeasurement:
     """A told time under measurement: needed is the time until ``target_us`` of the line's work has gone."""
 
-    told_us: int
+    promised_us: int
     wait_us: int
     target_us: float
 
 
 @dataclass(slots=True)
-class Promises:
+class RetryPromises:
     """The book. A caller of a mark may hold several promises, the earliest first."""
 
-    by_mark: dict[int, deque[Promise]] = field(default_factory=dict)
+    by_fingerprint: dict[int, deque[RetryPromise]] = field(default_factory=dict)
     length: int = 0
     right: int = 0  # told times within the factor of what was needed
     short: int = 0  # told too short a time by more than it
     long: int = 0
-    _lapses: list[tuple[int, int, Promise]] = field(default_factory=list)
+    _expiries: list[tuple[int, int, RetryPromise]] = field(default_factory=list)
     _serial: int = 0
-    _pending: dict[Line, deque[_PendingPromise]] = field(default_factory=dict)
+    _pending: dict[ClassQueue, deque[_PendingMeasurement]] = field(default_factory=dict)
 
-    def make(self, now: int, mark: int, tenant: int, line: Line, cost_us: float, wait_us: int) -> None:
+    def make(
+        self, now: int, fingerprint: int, tenant: int, class_queue: ClassQueue, cost_us: float, wait_us: int
+    ) -> None:
         """Note what a caller is told; without room the caller is told all the same, with no place kept."""
-        if self.length >= MOST:
+        if self.length >= MAX_OPEN_PROMISES:
             return
-        promise = Promise(mark, tenant, line, cost_us, now, now + wait_us)
-        self.by_mark.setdefault(mark, deque()).append(promise)
+        promise = RetryPromise(fingerprint, tenant, class_queue, cost_us, now, now + wait_us)
+        self.by_fingerprint.setdefault(fingerprint, deque()).append(promise)
         self.length += 1
         self._serial += 1
-        line.promised_us += cost_us
-        line.queue.promises += 1
-        heappush(self._lapses, (promise.due_us + LAPSE_US, self._serial, promise))
+        class_queue.promised_us += cost_us
+        class_queue.queue.promises += 1
+        heappush(self._expiries, (promise.due_us + EXPIRE_AFTER_US, self._serial, promise))
 
-    def held(self) -> Iterator[Promise]:
+    def open_promises(self) -> Iterator[RetryPromise]:
         """All that are open."""
-        return chain.from_iterable(self.by_mark.values())
+        return chain.from_iterable(self.by_fingerprint.values())
 
-    def of(self, mark: int) -> Promise | None:
+    def of(self, fingerprint: int) -> RetryPromise | None:
         """The promise of a caller that has come back: its earliest one."""
-        held = self.by_mark.get(mark)
-        return held[0] if held else None
+        open_promises = self.by_fingerprint.get(fingerprint)
+        return open_promises[0] if open_promises else None
 
-    def is_due(self, now: int, promise: Promise) -> bool:
-        return now >= promise.told_us + (promise.due_us - promise.told_us) * EARLY
+    def is_due(self, now: int, promise: RetryPromise) -> bool:
+        return now >= promise.promised_us + (promise.due_us - promise.promised_us) * EARLY
 
-    def keep(self, promise: Promise, *, came: bool = True) -> None:
+    def keep(self, promise: RetryPromise, *, came: bool = True) -> None:
         """The caller has come for it, or it has lapsed."""
-        held = self.by_mark[promise.mark]
-        held.remove(promise)
-        if not held:
-            del self.by_mark[promise.mark]
+        open_promises = self.by_fingerprint[promise.fingerprint]
+        open_promises.remove(promise)
+        if not open_promises:
+            del self.by_fingerprint[promise.fingerprint]
         self.length -= 1
-        line = promise.line
-        line.queue.promises -= 1
-        line.promised_us = max(0.0, line.promised_us - promise.cost_us)
+        class_queue = promise.class_queue
+        class_queue.queue.promises -= 1
+        class_queue.promised_us = max(0.0, class_queue.promised_us - promise.cost_us)
         if not came:
-            line.gone_us += promise.cost_us * line.return_share
-        line.return_share += (came - line.return_share) * RETURNS_STEP
+            class_queue.removed_work_us += promise.cost_us * class_queue.return_share
+        class_queue.return_share += (came - class_queue.return_share) * RETURNS_STEP
         promise.cost_us = -1.0  # what is on the heap of it is void
 
-    def lapse(self, now: int) -> None:
+    def expire(self, now: int) -> None:
         """Forget what nobody came for."""
-        while self._lapses and (self._lapses[0][2].cost_us < 0 or self._lapses[0][0] <= now):
-            promise = heappop(self._lapses)[2]
+        while self._expiries and (self._expiries[0][2].cost_us < 0 or self._expiries[0][0] <= now):
+            promise = heappop(self._expiries)[2]
             if promise.cost_us >= 0:
                 self.keep(promise, came=False)
-        if len(self._lapses) > 2 * MOST:
-            self._lapses = [x for x in self._lapses if x[2].cost_us >= 0]
-            heapify(self._lapses)
+        if len(self._expiries) > 2 * MAX_OPEN_PROMISES:
+            self._expiries = [x for x in self._expiries if x[2].cost_us >= 0]
+            heapify(self._expiries)
 
     @property
     def next_us(self) -> int | None:
         """When the next one lapses."""
-        return self._lapses[0][0] if self._lapses else None
+        return self._expiries[0][0] if self._expiries else None
 
     # How true they were
 
-    def measure(self, now: int, line: Line, wait_us: int, ahead_us: float) -> None:
+    def measure(self, now: int, class_queue: ClassQueue, wait_us: int, work_ahead_us: float) -> None:
         """A told time is to be compared with when so much of the work before it has gone."""
-        pending = self._pending.setdefault(line, deque())
+        pending = self._pending.setdefault(class_queue, deque())
         if len(pending) < PENDING:
-            pending.append(_PendingPromise(now, wait_us, line.gone_us + ahead_us))
+            pending.append(_PendingMeasurement(now, wait_us, class_queue.removed_work_us + work_ahead_us))
 
-    def drained(self, now: int, line: Line) -> None:
+    def record_progress(self, now: int, class_queue: ClassQueue) -> None:
         """A line has come down: which told times' needs have come about."""
-        pending = self._pending.get(line)
+        pending = self._pending.get(class_queue)
         if pending is None:
             return
-        while pending and (line.gone_us >= pending[0].target_us or line.ahead_us <= 0):
+        while pending and (
+            class_queue.removed_work_us >= pending[0].target_us or class_queue.work_ahead_us <= 0
+        ):
             oldest = pending.popleft()
-            self._judge(oldest.wait_us, now - oldest.told_us)
+            self._judge(oldest.wait_us, now - oldest.promised_us)
         if not pending:
-            del self._pending[line]
+            del self._pending[class_queue]
 
-    def _judge(self, told_us: int, needed_us: int) -> None:
-        if told_us > FACTOR * max(1, needed_us):
+    def _judge(self, promised_us: int, needed_us: int) -> None:
+        if promised_us > FACTOR * max(1, needed_us):
             self.long += 1
-        elif told_us * FACTOR < needed_us:
+        elif promised_us * FACTOR < needed_us:
             self.short += 1
         else:
             self.right += 1
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -27,20 +27,20 @@
     tenant: int
     name: str
     network: int
-    mark: int
+    fingerprint: int
     queue: "Queue"
     cost_us: float  # what it is thought to take; what it has been charged so far
     arrived_us: int
-    until_us: int  # it waits no longer than this
-    let_in_us: int = 0  # 0: it waits at admission
-    placed_us: int = 0  # 0: no attempt of it is out yet
-    began_us: int = 0  # 0: not that we know of
-    kept: bool = False  # it has come back when it was told
-    inside: bool = False  # it takes one of the window's places
+    queue_deadline_us: int  # it waits no longer than this
+    admitted_us: int = 0  # 0: it waits at admission
+    first_attempt_us: int = 0  # 0: no attempt of it is out yet
+    started_us: int = 0  # 0: not that we know of
+    returning: bool = False  # it has come back when it was told
+    in_window: bool = False  # it takes one of the window's places
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class ClassQueue:
     """The requests of one class in a queue. What is of more worth goes first, so lines drain unalike."""
 
     queue: "Queue"
@@ -49,11 +49,11 @@
     work_us: float = 0.0  # of those that wait
     promised_us: float = 0.0  # of those told to come back
     return_share: float = 1.0  # how many of these do come back
-    drained_us: float = 0.0  # work let in, decayed
-    gone_us: float = 0.0
+    admitted_work_us: float = 0.0  # work let in, decayed
+    removed_work_us: float = 0.0
 
     @property
-    def ahead_us(self) -> float:
+    def work_ahead_us(self) -> float:
         """Work before a request that comes now: what waits, and what will come back before it."""
         return self.work_us + self.promised_us * self.return_share
 
@@ -64,10 +64,10 @@
 
     label: str
     weight: float = 1.0
-    strangers: bool = False
-    lines: dict[int, Line] = field(default_factory=dict)  # by class
-    kept: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # who has come back when told
-    kept_us: float = 0.0  # their work
+    is_shared: bool = False
+    class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # who has come back when told
+    returning_work_us: float = 0.0  # their work
     length: int = 0
     work_us: float = 0.0  # of those that wait
     deficit_us: float = 0.0  # what it may still have let in this round; below 0: a debt
@@ -77,7 +77,7 @@
     promises: int = 0  # open ones
     served_us: float = 0.0  # work let in since the start
 
-    drained_us: float = 0.0  # work let in while something waited, decayed
+    admitted_work_us: float = 0.0  # work let in while something waited, decayed
     waited_us: float = 0.0  # the time that took, decayed alike
     at_us: int = 0
 
@@ -92,42 +92,44 @@
         if passed <= 0:
             return
         fade = exp(-passed / DRAIN_US)
-        self.drained_us *= fade
+        self.admitted_work_us *= fade
         self.waited_us = self.waited_us * fade + passed * bool(self.length)
-        for line in self.lines.values():
-            line.drained_us *= fade
+        for class_queue in self.class_queues.values():
+            class_queue.admitted_work_us *= fade
 
     def rate(self, prior: float) -> float:
         """Work let in from here in a unit of time of waiting; leaning on the prior while that was short."""
-        return (self.drained_us + prior * PRIOR_US) / (self.waited_us + PRIOR_US)
+        return (self.admitted_work_us + prior * PRIOR_US) / (self.waited_us + PRIOR_US)
 
     def part(self, job_class: int) -> float:
         """The part of what is let in from here that is this class's: all, where no other has work ahead."""
         others = sum(
-            line.drained_us for line in self.lines.values() if line.job_class != job_class and line.ahead_us
+            class_queue.admitted_work_us
+            for class_queue in self.class_queues.values()
+            if class_queue.job_class != job_class and class_queue.work_ahead_us
         )
         if not others:
             return 1.0
-        own = self.line(job_class).drained_us
-        return max(LEAST, own / (own + others))
+        tenant_limit = self.class_queue(job_class).admitted_work_us
+        return max(LEAST, tenant_limit / (tenant_limit + others))
 
-    def line(self, job_class: int) -> Line:
-        if (line := self.lines.get(job_class)) is None:
-            line = self.lines[job_class] = Line(self, job_class)
-        return line
+    def class_queue(self, job_class: int) -> ClassQueue:
+        if (class_queue := self.class_queues.get(job_class)) is None:
+            class_queue = self.class_queues[job_class] = ClassQueue(self, job_class)
+        return class_queue
 
-    def waits(self, job_class: int) -> bool:
+    def is_queued(self, job_class: int) -> bool:
         """Whether a request of this class waits here."""
-        line = self.lines.get(job_class)
-        return line is not None and len(line.tickets) > 0
+        class_queue = self.class_queues.get(job_class)
+        return class_queue is not None and len(class_queue.tickets) > 0
 
     @property
-    def ahead_us(self) -> float:
-        return sum(line.ahead_us for line in self.lines.values())
+    def work_ahead_us(self) -> float:
+        return sum(class_queue.work_ahead_us for class_queue in self.class_queues.values())
 
 
 @dataclass(slots=True, eq=False)
-class Rounds:
+class DeficitRoundRobin:
     """All queues in which something waits, and the order in which they are let in."""
 
     order: Sequence[int]  # classes, the most worth first
@@ -148,7 +150,7 @@
 
     def weight(self, queue: Queue) -> float:
         """Quanta that a queue gets a round. Strangers' queues share theirs."""
-        if not queue.strangers:
+        if not queue.is_shared:
             return queue.weight
         if not self._known:
             return 1.0
@@ -158,8 +160,8 @@
         """The part of what is let in that is this queue's while all that wait go on waiting."""
         known, strange = self._known, self._strange
         if queue not in self.active:
-            known, strange = known + queue.weight * (not queue.strangers), strange + queue.strangers
-        if not queue.strangers:
+            known, strange = known + queue.weight * (not queue.is_shared), strange + queue.is_shared
+        if not queue.is_shared:
             total = known / (1 - self.newcomers) if strange else known
             return queue.weight / total if total else 1.0
         return (self.newcomers if known else 1.0) / max(1, strange)
@@ -169,13 +171,13 @@
         queue = ticket.queue
         if not queue.length:
             self._activate(now, queue)
-        line = queue.line(ticket.job_class)
+        class_queue = queue.class_queue(ticket.job_class)
         queue.advance(now)
-        line.tickets[ticket.number] = ticket
-        line.work_us += ticket.cost_us
-        if ticket.kept:
-            queue.kept[ticket.number] = ticket
-            queue.kept_us += ticket.cost_us
+        class_queue.tickets[ticket.number] = ticket
+        class_queue.work_us += ticket.cost_us
+        if ticket.returning:
+            queue.returning[ticket.number] = ticket
+            queue.returning_work_us += ticket.cost_us
         queue.length, queue.work_us = queue.length + 1, queue.work_us + ticket.cost_us
         self.length += 1
         if queue not in self._spent[ticket.job_class]:
@@ -184,16 +186,18 @@
     def remove(self, now: int, ticket: Ticket) -> None:
         """Take a request out: it goes in, or its time is up, or its client has left."""
         queue = ticket.queue
-        line = queue.lines[ticket.job_class]
+        class_queue = queue.class_queues[ticket.job_class]
         queue.advance(now)
-        del line.tickets[ticket.number]
-        if queue.kept.pop(ticket.number, None):
-            queue.kept_us = max(0.0, queue.kept_us - ticket.cost_us) if queue.kept else 0.0
-        line.gone_us += ticket.cost_us
-        line.work_us = max(0.0, line.work_us - ticket.cost_us) if line.tickets else 0.0
+        del class_queue.tickets[ticket.number]
+        if queue.returning.pop(ticket.number, None):
+            queue.returning_work_us = (
+                max(0.0, queue.returning_work_us - ticket.cost_us) if queue.returning else 0.0
+            )
+        class_queue.removed_work_us += ticket.cost_us
+        class_queue.work_us = max(0.0, class_queue.work_us - ticket.cost_us) if class_queue.tickets else 0.0
         queue.length, queue.work_us = queue.length - 1, max(0.0, queue.work_us - ticket.cost_us)
         self.length -= 1
-        if not line.tickets:
+        if not class_queue.tickets:
             self._ready[ticket.job_class].pop(queue, None)
             self._spent[ticket.job_class].pop(queue, None)
         if not queue.length:
@@ -214,8 +218,8 @@
                 if self._ready[job_class] and is_open(job_class) and (queue := self._next(job_class)):
                     ticket = self._head(queue, job_class, is_open)
                     queue.deficit_us -= ticket.cost_us
-                    queue.drained_us += ticket.cost_us
-                    queue.lines[ticket.job_class].drained_us += ticket.cost_us
+                    queue.admitted_work_us += ticket.cost_us
+                    queue.class_queues[ticket.job_class].admitted_work_us += ticket.cost_us
                     queue.served_us += ticket.cost_us
                     self._ready[job_class].move_to_end(queue)
                     self.remove(now, ticket)
@@ -230,15 +234,15 @@
         """What goes when it is a queue's turn for a class: its tenant's word is kept first, of whatever
         class.
         """
-        kept = next(iter(queue.kept.values()), None)
-        if kept and is_open(kept.job_class):
-            return kept
-        return next(iter(queue.lines[job_class].tickets.values()))
+        returning = next(iter(queue.returning.values()), None)
+        if returning and is_open(returning.job_class):
+            return returning
+        return next(iter(queue.class_queues[job_class].tickets.values()))
 
     def newest(self, queue: Queue) -> Ticket:
         """The request that came last to a queue, of its class of least worth."""
-        job_class = next(c for c in reversed(self.order) if queue.waits(c))
-        return next(reversed(queue.lines[job_class].tickets.values()))
+        job_class = next(c for c in reversed(self.order) if queue.is_queued(c))
+        return next(reversed(queue.class_queues[job_class].tickets.values()))
 
     def longest(self) -> Queue:
         """The queue with the most work for its weight: who has to give way where there is no room."""
@@ -246,7 +250,7 @@
 
     def reweigh(self, queue: Queue, weight: float) -> None:
         """Another weight from now on."""
-        if queue in self.active and not queue.strangers:
+        if queue in self.active and not queue.is_shared:
             self._known += weight - queue.weight
         queue.weight = weight
 
@@ -289,7 +293,7 @@
         queue.round = self.number
 
     def _count(self, queue: Queue, sign: int) -> None:
-        if queue.strangers:
+        if queue.is_shared:
             self._strange += sign
         else:
             self._known = max(0.0, self._known + sign * queue.weight) if len(self.active) > 0 else 0.0
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -9,7 +9,7 @@
 STALL_US = 20_000
 FIRST = 8.0
 FLOOR = 1.0  # the module always has the next request at hand when a worker becomes free
-MOST = 32.0
+MAX_UNPLACED_REQUESTS = 32.0
 SHRINK = 2 / 3
 SHRINK_EVERY_US = 50_000  # what was let in together and had to wait is one sign, not many
 PLACES = 64.0  # jobs inside at first: more than a small fleet can run, and soon corrected
@@ -39,14 +39,14 @@
     unplaced: int = 0
     shrunk_us: int = 0
     places: float = PLACES
-    inside: int = 0
+    in_window: int = 0
     waited_us: int = 0  # when a job last had to wait at its worker
     base_us: float = 0.0  # how long after an attempt is out the quickest jobs begin
 
     @property
     def free(self) -> bool:
         """Whether there is a place for one more job."""
-        return self.inside < max(FLOOR, int(self.places))
+        return self.in_window < max(FLOOR, int(self.places))
 
     @property
     def at_hand(self) -> int:
@@ -59,9 +59,9 @@
             if now - self.shrunk_us >= SHRINK_EVERY_US:
                 self.shrunk_us, self.size = now, max(FLOOR, self.size * SHRINK)
         elif more:
-            self.size = min(MOST, self.size + 1)
+            self.size = min(MAX_UNPLACED_REQUESTS, self.size + 1)
 
-    def began(self, now: int, delay_us: int, cost_us: float, more: bool) -> None:
+    def execution_started(self, now: int, delay_us: int, cost_us: float, more: bool) -> None:
         """A job of such a length runs, so long after its attempt was out."""
         # A low quantile: quickly down, slowly up, whatever the longest delays are.
         if delay_us < self.base_us or not self.base_us:
@@ -70,9 +70,9 @@
             self.base_us += BASE_STEP * min(delay_us - self.base_us, self.base_us)
         if delay_us - self.base_us > max(LATE_US, LATE_PART * cost_us):
             # Far more places than jobs tell nothing: what there is has proved to be too much.
-            self.places = max(FLOOR, min(self.places, SLACK * self.inside) - LESS)
+            self.places = max(FLOOR, min(self.places, SLACK * self.in_window) - LESS)
             self.waited_us = now
-        elif more and self.inside + 1 >= int(self.places):
+        elif more and self.in_window + 1 >= int(self.places):
             calm = min(6, max(0, now - self.waited_us - CALM_US) * 2 // CALM_US)
             self.places += min(1.0, STEP * 2**calm)
 
@@ -122,7 +122,7 @@
         """One is let in."""
         self.unplaced[job_class] += 1
         window = self._of[job_class]
-        window.unplaced, window.inside = window.unplaced + 1, window.inside + 1
+        window.unplaced, window.in_window = window.unplaced + 1, window.in_window + 1
 
     def placed(self, job_class: int) -> None:
         """One that was let in is placed, or gone before."""
@@ -131,4 +131,4 @@
 
     def leave(self, job_class: int) -> None:
         """One that was let in is over, or takes so long that its place counts as free."""
-        self._of[job_class].inside -= 1
+        self._of[job_class].in_window -= 1
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -11,7 +11,7 @@
 
 from robinhill import api
 from robinhill.admission.admission import Action as AdmissionAction
-from robinhill.admission.admission import Admission, Admit, Ask
+from robinhill.admission.admission import Admission, AdmissionRequest, Admit
 from robinhill.admission.callers import Caller
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
@@ -119,8 +119,8 @@
         if (caller := self.tenants.get(arrival.tenant)) is None:
             caller = self.admission.directory.find(f"tenant-{arrival.tenant}", ADDRESS)
             self.tenants[arrival.tenant] = caller
-        caller = Caller(caller.tenant, caller.name, -1, caller.mark ^ arrival.number)
-        ask = Ask(arrival.number, arrival.kind, caller, now, arrival.deadline_us)
+        caller = Caller(caller.tenant, caller.name, -1, caller.fingerprint ^ arrival.number)
+        ask = AdmissionRequest(arrival.number, arrival.kind, caller, now, arrival.deadline_us)
         self._at_admission(self.admission.arrive(now, ask))
 
     def leave(self, number: int) -> None:
@@ -129,9 +129,9 @@
         if held is None or not held.owed or not self.alive:
             return
         held.owed = False
-        waits = self.admission.waits(number) if self.admission else False
+        waits = self.admission.is_queued(number) if self.admission else False
         if self.admission:
-            self._at_admission(self.admission.left(self.engine.now, number))
+            self._at_admission(self.admission.client_disconnected(self.engine.now, number))
         if not waits:
             self._decide(api.ClientGone(number))
         self._forget(number)
@@ -148,7 +148,7 @@
                 self._let_in(action.number)
             else:
                 self.counts.refused[action.reason] += 1
-                self._final(action.number, 429 if action.own else 503, action.retry_us)
+                self._final(action.number, 429 if action.tenant_limit else 503, action.retry_us)
         assert self.admission
         due = self.admission.next_us
         if due is not None and (self._admission_due_us is None or due < self._admission_due_us):
@@ -286,7 +286,7 @@
         match what:
             case "started":
                 if self.admission:
-                    self._at_admission(self.admission.began(self.engine.now, number))
+                    self._at_admission(self.admission.execution_started(self.engine.now, number))
                 self._decide(api.JobStarted(number, attempt))
             case "done":
                 self._ended(number, attempt, api.Outcome.COMPLETED)
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -4,14 +4,14 @@
 import logging
 import secrets
 from collections.abc import Callable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 from multidict import MultiMapping
 
 from robinhill import protocol
 from robinhill.admission import exported_state
-from robinhill.admission.admission import Action, Admission, Admit, Ask, Refuse
+from robinhill.admission.admission import Action, Admission, AdmissionRequest, Admit, Reject
 from robinhill.admission.callers import SECRET_BYTES, BadNameError, Caller
 from robinhill.admission.options import AdmissionOptions
 from robinhill.config import Config
@@ -168,7 +168,7 @@
                     self._perform(self.admission.placed(now, number))
             case ExecutionStarted(request=request):
                 if number := self._number(request):
-                    self._perform(self.admission.began(now, number))
+                    self._perform(self.admission.execution_started(now, number))
             case Answered(number=number, served=served):
                 if self._forget(number):
                     self._perform(self.admission.ended(now, number, served))
@@ -180,7 +180,7 @@
             case Reconfigure(options=options):
                 self._perform(self.admission.configure(now, options))
             case Shut(yes=yes):
-                self._perform(self.admission.shut_up(now, yes))
+                self._perform(self.admission.suspend(now, yes))
             case TakeOut():
                 self._take_out(now, message)
             case PutIn():
@@ -200,7 +200,9 @@
         request = taken.request
         if self.tape and not owed:
             self.tape.arrived(request, taken.arrived_us, taken.caller.name)
-        ask = Ask(number, request.job_class, taken.caller, taken.arrived_us, request.time_left_us, owed)
+        ask = AdmissionRequest(
+            number, request.job_class, taken.caller, taken.arrived_us, request.time_left_us, owed
+        )
         self._perform(self.admission.arrive(now, ask))
 
     def _note(self, taken: RequestAccepted, caller: Caller) -> int:
@@ -222,7 +224,7 @@
                     taken = self._entries[number].taken
                     self._follow(number, taken.reply)
                     self.let_in(taken)
-                case Refuse():
+                case Reject():
                     self._refuse(action)
 
     def _follow(self, number: int, reply: asyncio.Future[Answer]) -> None:
@@ -233,13 +235,15 @@
 
         reply.add_done_callback(answered)
 
-    def _refuse(self, refusal: Refuse) -> None:
+    def _refuse(self, refusal: Reject) -> None:
         entry = self._forget(refusal.number)
         assert entry, "a refusal is of a request that waits here"
         request, reply = entry.taken.request, entry.taken.reply
         self.metrics.rejections["admission"] += 1
         answer = (
-            protocol.quota_exceeded(refusal.retry_us) if refusal.own else protocol.fail_fast(refusal.retry_us)
+            protocol.quota_exceeded(refusal.retry_us)
+            if refusal.tenant_limit
+            else protocol.fail_fast(refusal.retry_us)
         )
         self.metrics.answered(request.job_class, answer)
         if self.tape:
@@ -256,9 +260,9 @@
         if number is None:
             self.let_in(message)
             return
-        waits = self.admission.waits(number)
+        waits = self.admission.is_queued(number)
         self._forget(number)
-        self._perform(self.admission.left(now, number))
+        self._perform(self.admission.client_disconnected(now, number))
         if waits:
             log.debug("admission_left", extra={"id": request.id})
         else:
@@ -288,33 +292,40 @@
         if number is None:
             message.reply.set_result({})
             return
-        told: Json = {"caller": asdict(self._entries[number].caller)}
-        if self.admission.waits(number):
+        told: Json = {"caller": exported_state.export_caller(self._entries[number].caller)}
+        if self.admission.is_queued(number):
             taken = self._entries[number].taken
             told["waiting"] = {"arrived_us": taken.arrived_us}
             self._forget(number)
-            self._perform(self.admission.left(now, number))
+            self._perform(self.admission.client_disconnected(now, number))
         message.reply.set_result(told)
 
     def _put_in(self, now: int, message: PutIn) -> None:
         """It keeps its arrival, so its patience; and the tenant that it was found to be of."""
-        caller = Caller(**message.told["caller"])
+        caller = exported_state.import_caller(message.told["caller"])
         if waiting := message.told.get("waiting"):
             taken = RequestAccepted(message.request, waiting["arrived_us"], message.reply, caller)
             self._arrive(now, taken, owed=True)
             return
         taken = RequestAccepted(message.request, now, message.reply, caller)
         number = self._note(taken, caller)
-        ask = Ask(number, message.request.job_class, caller, now, message.request.time_left_us, owed=True)
+        ask = AdmissionRequest(
+            number,
+            message.request.job_class,
+            caller,
+            now,
+            message.request.time_left_us,
+            already_accepted=True,
+        )
         self.admission.resume(now, ask, placed=message.placed)
         self._follow(number, message.reply)
 
     def memory(self) -> Json:
         """What a successor must know to go on as one with this process."""
-        return exported_state.learned(self.admission)
+        return exported_state.export_state(self.admission)
 
     def recall(self, told: Json) -> None:
-        exported_state.recall(self.admission, self.clock.now_us(), told)
+        exported_state.import_state(self.admission, self.clock.now_us(), told)
 
     def stats(self) -> Answer:
         """Admission's figures as they are now."""
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -11,7 +11,6 @@
 import pkgutil
 from collections.abc import AsyncIterator, Callable, Iterator, Mapping
 from contextlib import asynccontextmanager
-from dataclasses import asdict
 from enum import Enum
 from pathlib import Path
 from typing import Any
@@ -22,7 +21,7 @@
 import robinhill
 from robinhill import api
 from robinhill import protocol as messages
-from robinhill.admission import exported_state as admission_memory
+from robinhill.admission import exported_state as admission_state
 from robinhill.admission.callers import Caller
 from robinhill.commands import cli
 from robinhill.config import OperatorFile
@@ -508,19 +507,22 @@
     for _ in range(30):
         fleet.ask("a")
     fleet.ask("a", key="k")
-    return _as_json(admission_memory.learned(fleet.admission))
+    return _as_json(admission_state.export_state(fleet.admission))
 
 
 def reexported_admission(state: Json) -> Json:
     """The same, told to a fresh admission control and exported by it."""
     fleet = Fleet(slots=1, run_ms=300)
-    admission_memory.recall(fleet.admission, fleet.now, state)
-    return _as_json(admission_memory.learned(fleet.admission))
+    admission_state.import_state(fleet.admission, fleet.now, state)
+    return _as_json(admission_state.export_state(fleet.admission))
 
 
 def exported_caller() -> Json:
     """A request's tenant as it goes along with the request."""
-    return asdict(Caller(tenant=1, name="name2", network=3, mark=4))
+    caller = Caller(tenant=1, name="name2", network=3, fingerprint=4)
+    written = _as_json(admission_state.export_caller(caller))
+    assert admission_state.import_caller(written) == caller
+    return written
 
 
 def handed_request() -> Json:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,10 +9,10 @@
 from robinhill import api
 from robinhill.admission import exported_state
 from robinhill.admission.accounts import Accounts
-from robinhill.admission.admission import Admission, Admit, Ask, Refuse
+from robinhill.admission.admission import Admission, AdmissionRequest, Admit, Reject
 from robinhill.admission.callers import BadNameError, Directory
 from robinhill.admission.options import AdmissionOptions, Limits, Network, Tenant
-from robinhill.admission.window import FLOOR, MOST
+from robinhill.admission.window import FLOOR, MAX_UNPLACED_REQUESTS
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -38,7 +38,7 @@
         self.running: dict[int, int] = {}  # until when
         self.names: dict[int, str] = {}
         self.served: list[str] = []
-        self.refused: dict[int, Refuse] = {}
+        self.refused: dict[int, Reject] = {}
         self.run_by: dict[str, int] = {}  # tenants whose jobs take another time
 
     def ask(
@@ -48,7 +48,9 @@
         caller = self.admission.directory.find(tenant, address, key or str(self.number))
         self.names[self.number] = caller.name
         left = CLASSES[job_class].deadline_us
-        self.perform(self.admission.arrive(self.now, Ask(self.number, job_class, caller, self.now, left)))
+        self.perform(
+            self.admission.arrive(self.now, AdmissionRequest(self.number, job_class, caller, self.now, left))
+        )
         return self.number
 
     def perform(self, actions: list[Any]) -> None:
@@ -62,7 +64,7 @@
             number = self.unplaced.pop(0)
             self.running[number] = self.now + self.run_by.get(self.names[number], self.run_ms) * MS
             self.perform(self.admission.placed(self.now, number))
-            self.perform(self.admission.began(self.now, number))
+            self.perform(self.admission.execution_started(self.now, number))
 
     def pass_time(self, ms: int) -> None:
         """Jobs end, and admission's timers fire, each at its time."""
@@ -122,14 +124,14 @@
     assert served >= 0.9 * 300
     held = len(fleet.running) + len(fleet.unplaced) + admission.waiting
     assert len(admission.accounts.by_tenant) <= 64
-    assert len(admission._present) <= held == len(admission.tickets)
-    assert len(admission.promises._lapses) <= 2 * 8192 + 1 and admission.promises.length <= 8192
+    assert len(admission._usage) <= held == len(admission.tickets)
+    assert len(admission.promises._expiries) <= 2 * 8192 + 1 and admission.promises.length <= 8192
     for _ in range(90_000):
         fleet.ask(*stranger())
         fleet.now += 20
     assert len(admission.accounts.by_tenant) <= 64
-    assert len(admission._present) <= len(admission.tickets) <= 300
-    assert len(admission.promises._lapses) <= 2 * 8192 + 1
+    assert len(admission._usage) <= len(admission.tickets) <= 300
+    assert len(admission.promises._expiries) <= 2 * 8192 + 1
 
 
 def test_who_returns_at_once_gains_nothing_and_loses_nothing() -> None:
@@ -147,7 +149,9 @@
         fleet.now += 1 * MS
         told.append(fleet.refused[fleet.ask("a", key="k")].retry_us)
     assert told == sorted(told, reverse=True) and told[-1] == first.retry_us - 20 * MS
-    assert fleet.admission.promises.by_mark[fleet.admission.directory.find("a", "10.0.0.1", "k").mark]
+    assert fleet.admission.promises.by_fingerprint[
+        fleet.admission.directory.find("a", "10.0.0.1", "k").fingerprint
+    ]
     assert {fleet.refused[n].reason for n in range(fleet.number - 19, fleet.number + 1)} == {"early"}
 
 
@@ -176,7 +180,7 @@
     open_now = [n for n in numbers if n not in fleet.refused]
     assert len(open_now) == 10
     refusals = [fleet.refused[n] for n in numbers if n in fleet.refused]
-    assert all(r.own and r.reason in ("open", "queued") and r.retry_us > 0 for r in refusals)
+    assert all(r.tenant_limit and r.reason in ("open", "queued") and r.retry_us > 0 for r in refusals)
     other = fleet.ask("b")
     assert other not in fleet.refused
 
@@ -227,7 +231,7 @@
     for i in range(300):
         fleet.ask(f"t{i % 30}", RENEWAL)
         fleet.pass_time(5)
-        assert len(fleet.unplaced) <= MOST
+        assert len(fleet.unplaced) <= MAX_UNPLACED_REQUESTS
     assert fleet.admission.waiting > 0 or fleet.refused
 
 
@@ -259,7 +263,7 @@
     for number in lost:
         fleet.running.pop(number, None)
     waits = fleet.ask("b", RENEWAL)
-    assert fleet.admission.waits(waits)
+    assert fleet.admission.is_queued(waits)
     fleet.pass_time(3_000)
     later = fleet.ask("b", RENEWAL)
     assert later in fleet.running
@@ -270,7 +274,7 @@
     fleet.ask("a")
     fleet.now -= 3_600 * S
     refusal = fleet.refused[fleet.ask("a")]
-    assert refusal.own and 0 < refusal.retry_us <= 1.1 * S
+    assert refusal.tenant_limit and 0 < refusal.retry_us <= 1.1 * S
     fleet.now += 3_600 * S + 2 * S
     assert fleet.ask("a") not in fleet.refused
 
@@ -285,7 +289,9 @@
     fleet.perform(fleet.admission.configure(fleet.now, options))
     assert fleet.refused[fleet.ask("a")].reason == "requests"
     successor = Fleet(tenants={"a": Tenant(limits=limits)})
-    exported_state.recall(successor.admission, successor.now, exported_state.learned(fleet.admission))
+    exported_state.import_state(
+        successor.admission, successor.now, exported_state.export_state(fleet.admission)
+    )
     assert successor.refused[successor.ask("a")].reason == "requests"
     assert successor.ask("b") not in successor.refused
 
@@ -298,9 +304,9 @@
     for _ in range(30):
         fleet.ask("a")
     refusal = fleet.refused[fleet.ask("a", key="k")]
-    told = exported_state.learned(fleet.admission)
+    told = exported_state.export_state(fleet.admission)
     successor = Fleet(slots=1, run_ms=300)
-    exported_state.recall(successor.admission, successor.now, told)
+    exported_state.import_state(successor.admission, successor.now, told)
     assert successor.admission.costs.by_class == fleet.admission.costs.by_class
     account = successor.admission.accounts.get(fleet.admission.directory.hash("a"))
     assert account and account.established and account.jobs >= 8
@@ -323,7 +329,7 @@
     assert fleet.admission.waiting == 10
     small = fleet.ask("b", RENEWAL)
     assert small not in fleet.refused and fleet.refused[large[-1]].reason == "pushed_out"
-    assert fleet.refused[large[-1]].own
+    assert fleet.refused[large[-1]].tenant_limit
     assert fleet.refused[fleet.ask("a", RENEWAL)].reason in ("full", "time")
 
 
@@ -341,11 +347,11 @@
     fleet = Fleet(slots=0, queued=5)
     numbers = [fleet.ask(f"t{i}", RENEWAL) for i in range(13)]
     assert fleet.admission.waiting == 5
-    fleet.perform(fleet.admission.left(fleet.now, numbers[-1]))
+    fleet.perform(fleet.admission.client_disconnected(fleet.now, numbers[-1]))
     assert fleet.admission.waiting == 4
     fleet.pass_time(10_000)
     assert fleet.admission.waiting == 0 and all(n in fleet.refused for n in numbers[8:12])
-    assert all(not fleet.refused[n].own for n in numbers[8:12])
+    assert all(not fleet.refused[n].tenant_limit for n in numbers[8:12])
 
 
 DIRECTORY = Directory(
@@ -428,10 +434,10 @@
     for _ in range(20):
         fleet.ask("a")
     admission = fleet.admission
-    (present,) = admission._present.values()
+    (present,) = admission._usage.values()
     before = present.queued
     assert before == admission.waiting > 0
     caller = admission.directory.find("a", "10.0.0.1", "late")
-    actions = admission.arrive(fleet.now, Ask(1_000, LOOKUP, caller, fleet.now, 0))
+    actions = admission.arrive(fleet.now, AdmissionRequest(1_000, LOOKUP, caller, fleet.now, 0))
     assert [a.number for a in actions if isinstance(a, Admit)] == [1_000]
     assert present.queued == admission.waiting == before
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -9,9 +9,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from robinhill import api
-from robinhill.admission.admission import Admission, Admit, Ask, Refuse
+from robinhill.admission.admission import Admission, AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions, Limits, Tenant
-from robinhill.admission.queues import BURST, Queue, Rounds, Ticket
+from robinhill.admission.queues import BURST, DeficitRoundRobin, Queue, Ticket
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -49,7 +49,7 @@
             if isinstance(action, Admit):
                 self.state[action.number] = "in"
             else:
-                assert isinstance(action, Refuse) and 0 <= action.retry_us <= 10 * S
+                assert isinstance(action, Reject) and 0 <= action.retry_us <= 10 * S
                 del self.state[action.number]
 
     def some(self, data: Any, *states: str) -> int | None:
@@ -64,7 +64,7 @@
         self.number += 1
         caller = self.admission.directory.find(tenant, "10.0.0.1", str(key))
         self.state[self.number] = "waits"
-        ask = Ask(self.number, job_class, caller, self.now, left * MS, owed)
+        ask = AdmissionRequest(self.number, job_class, caller, self.now, left * MS, owed)
         self.perform(self.admission.arrive(self.now, ask))
 
     @rule(data=st.data())
@@ -77,7 +77,7 @@
     def start(self, data: Any) -> None:
         if number := self.some(data, "placed"):
             self.state[number] = "runs"
-            self.perform(self.admission.began(self.now, number))
+            self.perform(self.admission.execution_started(self.now, number))
 
     @rule(data=st.data(), served=st.booleans())
     def end(self, data: Any, served: bool) -> None:
@@ -89,7 +89,7 @@
     def leave(self, data: Any) -> None:
         if number := self.some(data, "waits", "in", "placed", "runs"):
             del self.state[number]
-            self.perform(self.admission.left(self.now, number))
+            self.perform(self.admission.client_disconnected(self.now, number))
 
     @rule(ms=st.integers(0, 3_000))
     def pass_time(self, ms: int) -> None:
@@ -108,7 +108,7 @@
     def reload(self, options: AdmissionOptions) -> None:
         before = {n for n, state in self.state.items() if state == "waits"}
         actions = self.admission.configure(self.now, options)
-        assert not any(isinstance(a, Refuse) for a in actions), "a reload drops nothing that waits"
+        assert not any(isinstance(a, Reject) for a in actions), "a reload drops nothing that waits"
         self.perform(actions)
         assert before <= set(self.state)
 
@@ -119,9 +119,9 @@
         assert self.admission.waiting == len(waiting)
         assert set(self.admission.tickets) == set(self.state)
         # Its memory is that of what is there: a name leaves nothing behind.
-        assert sum(p.open for p in self.admission._present.values()) == len(self.state)
-        assert all(p.open > 0 and p.queued >= 0 for p in self.admission._present.values())
-        assert sum(p.queued for p in self.admission._present.values()) == len(waiting)
+        assert sum(p.open for p in self.admission._usage.values()) == len(self.state)
+        assert all(p.open > 0 and p.queued >= 0 for p in self.admission._usage.values())
+        assert sum(p.queued for p in self.admission._usage.values()) == len(waiting)
         for job_class in (0, 1):
             unplaced = [
                 n for n, s in self.state.items()
@@ -134,7 +134,7 @@
         queues = {t.queue for t in self.admission.tickets.values()}
         assert sum(q.length for q in queues) == len(waiting)
         assert sum(q.users for q in queues) == len(self.state)
-        assert set(self.admission.rounds.active) == {q for q in queues if q.length}
+        assert set(self.admission.round_robin.active) == {q for q in queues if q.length}
 
     def teardown(self) -> None:
         """Whatever waits gets its answer in bounded time."""
@@ -166,7 +166,7 @@
 def test_shares_keep_to_the_weights(weights: list[float], costs: list[float]) -> None:
     """Queues that never run dry get work in proportion to their weights, whatever their jobs cost."""
     queues = [Queue(str(i), w) for i, w in enumerate(weights)]
-    rounds = Rounds([0], 0.25, quantum_us=max(costs))
+    rounds = DeficitRoundRobin([0], 0.25, quantum_us=max(costs))
     number = 0
 
     def fill(queue: Queue, cost: float) -> None:
@@ -192,7 +192,7 @@
 def test_nobody_starves(data: Any) -> None:
     """A request is let in within as many rounds as its own queue's work before it asks for, and one more."""
     queues = [Queue(str(i), data.draw(st.sampled_from([0.5, 1.0, 3.0]))) for i in range(5)]
-    rounds = Rounds([1, 0], 0.25, quantum_us=2.0)
+    rounds = DeficitRoundRobin([1, 0], 0.25, quantum_us=2.0)
     asked: dict[int, tuple[int, float, Queue]] = {}
     for number in range(1, 60):
         queue = data.draw(st.sampled_from(queues))
@@ -206,7 +206,7 @@
     assert not rounds.length and not rounds.active
 
 
-def check(rounds: Rounds, asked: dict[int, tuple[int, float, Queue]], taken: Ticket) -> None:
+def check(rounds: DeficitRoundRobin, asked: dict[int, tuple[int, float, Queue]], taken: Ticket) -> None:
     since, ahead, queue = asked.pop(taken.number)
     # What came later to its own queue, of more worth, goes before it: that is its tenant's choice.
     later = sum(a for n, (_, _, q) in asked.items() if q is queue and n > taken.number for a in [2.0])
@@ -219,13 +219,13 @@
 def test_strangers_together_keep_to_their_share(strangers: int) -> None:
     """Guards against the cheapest flood: a thousand names must not weigh as a thousand tenants."""
     known = [Queue(f"k{i}") for i in range(3)]
-    strange = [Queue(f"s{i}", strangers=True) for i in range(strangers)]
-    rounds = Rounds([0], 0.25, quantum_us=1.0)
+    strange = [Queue(f"s{i}", is_shared=True) for i in range(strangers)]
+    rounds = DeficitRoundRobin([0], 0.25, quantum_us=1.0)
     for number, queue in enumerate((known + strange) * 400):
         rounds.add(0, ticket(number, queue, 1.0))
     got: dict[bool, int] = defaultdict(int)
     for _ in range(800):
         taken = rounds.take(0, always, always)
         assert taken
-        got[taken.queue.strangers] += 1
+        got[taken.queue.is_shared] += 1
     assert 0.2 <= got[True] / 800 <= 0.3
