--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -15,7 +15,7 @@
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
 from robinhill.net.dispatcher.worker_restrictions import WorkerRestrictions
 from robinhill.net.metrics import Metrics
-from robinhill.net.workers.endpoint import Endpoint
+from robinhill.net.workers.endpoint import Endpoint, SendPolicy
 from robinhill.net.workers.messages import CloseIdleConnections, EndpointReport
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import EndpointList, Lifecycle, ListedEndpoint
@@ -118,9 +118,7 @@
             self.settings.keepalive_us,
             self.metrics,
             self.report,
-            self.may_send,
-            self.list_lease,
-            self.catch_up,
+            SendPolicy(self.may_send, self.list_lease, self.catch_up),
         )
         self.endpoints[destination.instance_id] = endpoint
         endpoint.start()
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -24,7 +24,7 @@
 from robinhill.net.clients import connection as client_connection
 from robinhill.net.dispatcher.messages import EndpointListReceived, ReleaseRequest
 from robinhill.net.scheduler import Scheduler
-from robinhill.net.workers.endpoint import _Phase
+from robinhill.net.workers.attempt import Phase
 from robinhill.protocol import EndpointList, JobEvent, JobState, Lifecycle
 
 from .test_exchanges import SETTINGS, merge
@@ -272,7 +272,7 @@
         assert attempt.id == request_id
         attempt.accept()
         attempts = [e.attempts for e in scheduler.dispatcher.table.endpoints.values()]
-        await until(lambda: any(a[request_id].phase is _Phase.ACCEPTED for a in attempts if request_id in a))
+        await until(lambda: any(a[request_id].phase is Phase.ACCEPTED for a in attempts if request_id in a))
         assert await self.event(request_id, "started") == 204
         return client
 
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -30,7 +30,9 @@
     RequestAccepted,
 )
 from robinhill.net.metrics import Metrics
-from robinhill.net.workers import endpoint as ep
+from robinhill.net.workers import client
+from robinhill.net.workers.attempt import Phase
+from robinhill.net.workers.endpoint import Endpoint
 from robinhill.net.workers.messages import AttemptEnded, CancelAttempt, EndpointReport, StartAttempt
 from robinhill.protocol import Answer, EndpointList, JobEvent, JobState, Lifecycle, ListedEndpoint
 
@@ -135,7 +137,7 @@
     def __init__(self, worker: Worker, connect_timeout_us: int) -> None:
         self.worker, self.supervisor, self.clock = worker, Supervisor(), SetClock()
         self.reports: asyncio.Queue[EndpointReport] = asyncio.Queue()
-        self.endpoint = ep.Endpoint(
+        self.endpoint = Endpoint(
             worker.destination(), self.supervisor, self.clock, connect_timeout_us, 15_000_000, Metrics(()),
             self.reports.put_nowait,
         )  # fmt: skip
@@ -260,7 +262,7 @@
             first = await r.worker.accept()
             assert await first.head() == b"POST /x HTTP/1.1"
             first.say(TAKEN)
-            connector: Any = r.endpoint.session.connector
+            connector: Any = r.endpoint.client.session.connector
             await until(lambda: bool(connector._conns))
             r.done("j1")
             assert await r.ended() == (1, Outcome.COMPLETED)
@@ -273,7 +275,7 @@
             second = await r.worker.accept()
             assert await second.head() == b"POST /x HTTP/1.1"
             second.say(TAKEN)
-            await until(lambda: r.endpoint.attempts["j2"].phase is ep._Phase.ACCEPTED)
+            await until(lambda: r.endpoint.attempts["j2"].phase is Phase.ACCEPTED)
             r.done("j2")
             assert await r.ended() == (2, Outcome.COMPLETED)
 
@@ -343,7 +345,7 @@
             peer = await r.worker.accept()
             await peer.head()
             peer.say(b"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n")
-            await until(lambda: r.endpoint.attempts["j1"].phase is ep._Phase.ACCEPTED)
+            await until(lambda: r.endpoint.attempts["j1"].phase is Phase.ACCEPTED)
             await pour(peer)
             r.done("j1")
             assert await r.ended() == (1, Outcome.COMPLETED)
@@ -361,7 +363,7 @@
 
 def test_an_answer_that_stops_short_ends_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """It held the request until the client's own limit; cut, it proves nothing."""
-    monkeypatch.setattr(ep, "LINGER_S", 0.05)
+    monkeypatch.setattr(client, "LINGER_S", 0.05)
 
     async def stop() -> None:
         async with rig() as r:
@@ -426,7 +428,7 @@
             peer = await r.worker.accept()
             await peer.head()
             peer.say(TAKEN)
-            await until(lambda: r.endpoint.attempts["j1"].phase is ep._Phase.ACCEPTED)
+            await until(lambda: r.endpoint.attempts["j1"].phase is Phase.ACCEPTED)
             r.endpoint.tell(CancelAttempt(1, 0))
             assert await peer.head() == b"DELETE /jobs/j1 HTTP/1.1"
             peer.say(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
@@ -462,7 +464,7 @@
             peer = await r.worker.accept()
             await peer.head()
             peer.say(TAKEN)
-            await until(lambda: r.endpoint.attempts["j1"].phase is ep._Phase.ACCEPTED)
+            await until(lambda: r.endpoint.attempts["j1"].phase is Phase.ACCEPTED)
             if first == "call":
                 r.done("j1")
                 r.endpoint.tell(CancelAttempt(1, 0))
@@ -503,7 +505,7 @@
         self.dispatcher.start()
 
     @property
-    def endpoint(self) -> ep.Endpoint:
+    def endpoint(self) -> Endpoint:
         return self.dispatcher.table.endpoints["s-1"]
 
     def take(self, request: protocol.JobRequest) -> asyncio.Future[Answer]:
@@ -516,7 +518,7 @@
         peer = await worker.accept()
         await peer.head()
         peer.say(TAKEN)
-        await until(lambda: self.endpoint.attempts[request.id].phase is ep._Phase.ACCEPTED)
+        await until(lambda: self.endpoint.attempts[request.id].phase is Phase.ACCEPTED)
         return reply
 
     def listed(self, worker: Worker, lifecycle: Lifecycle) -> None:
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -10,7 +10,7 @@
 BEFORE = frozenset(json.loads((Path(__file__).parent / "log_events_before.json").read_text()))
 LEVELS = ("debug", "info", "warning", "error", "critical", "exception", "log")
 # An attempt's end is logged under one of these by what broke: the call names a variable.
-BY_VARIABLE = ("attempt_broke", "spoilt_answer")
+BY_VARIABLE = ("attempt_connection_failed", "malformed_response")
 
 
 def constants() -> set[str]:
