--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -80,7 +80,7 @@
     return int(text.partition("|")[0])
 
 
-async def processes(options: argparse.Namespace, out: Path) -> int:
+async def processes(options: argparse.Namespace, results: Path) -> int:
     """Idle schedulers and voters, with a few changes: what each process uses."""
     folder = Path(tempfile.mkdtemp(prefix="robinhill-control-"))
     site, discovery = Site((KIND,)), Discovery([], Journal())
@@ -104,7 +104,7 @@
         await asyncio.sleep(WARM_S)
         line = await _measured(options, voters, schedulers, alone)
     shutil.rmtree(folder)
-    note(out, line)
+    note(results, line)
     _show([line])
     return 0
 
@@ -113,10 +113,10 @@
     options: argparse.Namespace, voters: list[Program], schedulers: list[Program], alone: Program
 ) -> Json:
     before = [await used(program) for program in (*voters, *schedulers, alone)]
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     spread_ms, failed = await _changes(options, schedulers)
-    await asyncio.sleep(max(0.0, began_s + options.seconds - time.monotonic()))
-    seconds = time.monotonic() - began_s
+    await asyncio.sleep(max(0.0, started_s + options.seconds - time.monotonic()))
+    seconds = time.monotonic() - started_s
     after = [await used(program) for program in (*voters, *schedulers, alone)]
     rates = [
         {
@@ -156,9 +156,9 @@
         program = rng.choice(schedulers)
         body = orjson.dumps({"target": f"worker/w{number}", "reason": "a trial", "for_s": 600}).decode()
         status, text = await program.call("PUT", f"/ops/cordons/c{number}?wait={WAIT_S}", body)
-        told = orjson.loads(text)
-        if status == 200 and told["in_force"]:
-            spread_ms.append(told["ms"])
+        answer = orjson.loads(text)
+        if status == 200 and answer["in_force"]:
+            spread_ms.append(answer["ms"])
         else:
             failed += 1
         number += 1
@@ -189,13 +189,13 @@
     async with asyncio.timeout(SETTLE_S):
         for program in schedulers:
             while True:
-                told = orjson.loads((await program.call("GET", "/ops/mesh"))[1])
-                if told["in_step"] and told["lease"] and told.get("spare_voter"):
+                answer = orjson.loads((await program.call("GET", "/ops/mesh"))[1])
+                if answer["in_step"] and answer["lease"] and answer.get("spare_voter"):
                     break
                 await asyncio.sleep(0.1)
 
 
-async def faults(options: argparse.Namespace, out: Path) -> int:
+async def faults(options: argparse.Namespace, results: Path) -> int:
     """Schedules of these seeds, one after another, each on fresh processes."""
     failed = 0
     for seed in numbers(options.seeds):
@@ -212,13 +212,13 @@
         try:
             outcome = await play(schedule, folder, options.voters, bound_ms=options.bound_ms)
         except Exception as e:  # a run that could not be played is a result too, and others follow
-            note(out, line | {"broken": [f"could not be played: {repr(e)[-300:]}"], "equal_s": None})
+            note(results, line | {"broken": [f"could not be played: {repr(e)[-300:]}"], "equal_s": None})
             print(f"seed {seed}: could not be played: {repr(e)[-300:]}; logs: {folder}", flush=True)
             failed += 1
             continue
         counts = {what.name: n for what, n in outcome.counts.items()}
         result = {"broken": outcome.broken, "equal_s": outcome.equal_s, "late_s": outcome.late_s}
-        note(out, line | result | {"counts": counts, "links": outcome.links})
+        note(results, line | result | {"counts": counts, "links": outcome.links})
         print(f"seed {seed}: {outcome}", flush=True)
         for what in outcome.broken[:5]:
             print(f"  BROKEN: {what}")
@@ -258,9 +258,9 @@
             )
 
 
-def total(out: Path) -> int:
+def total(results: Path) -> int:
     """What all lines of the file show."""
-    lines = [orjson.loads(line) for line in out.read_bytes().splitlines()]
+    lines = [orjson.loads(line) for line in results.read_bytes().splitlines()]
     _show(line for line in lines if line["part"] == "processes")
     latest = {line["seed"]: line for line in lines if line["part"] == "faults"}
     if latest:
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -186,19 +186,21 @@
 
     def needs_confirmation(self) -> bool:
         """Whether the voter does not know yet how far this replica is."""
-        return self._confirmed != self._applied()
+        confirmed, feed = self._confirmed, self.feed_position
+        return (
+            confirmed.received != self._messages_received
+            or confirmed.position != feed.position
+            or confirmed.urgent != feed.urgent
+        )
 
     def confirm(self, mono_us: int, link: Link) -> None:
         """Confirm what is applied: at once, but not more often than at `CONFIRM_INTERVAL_US`."""
         if not self.needs_confirmation() or mono_us < self.confirm_due_us:
             return
-        self._confirmed = self._applied()
+        feed = self.feed_position
+        self._confirmed = wire.Applied(self._messages_received, feed.position, feed.urgent)
         self.confirm_due_us = mono_us + CONFIRM_INTERVAL_US
         if self.synchronized:
             self._outbox.send(link, self._confirmed)
         else:
             self._outbox.send(link, wire.Applied(self._messages_received, -1, -1))
-
-    def _applied(self) -> wire.Applied:
-        feed = self.feed_position
-        return wire.Applied(self._messages_received, feed.position, feed.urgent)
--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -29,7 +29,7 @@
 CONNECT_TIMEOUT_US = 1_000_000
 RETRANSMIT_US = 200_000
 CHECK_US = 10_000
-RATES = 200  # of clocks, parts in a million either way
+MAX_CLOCK_RATE_PPM = 200
 
 _pack = msgspec.msgpack.Encoder().encode
 _unpack = msgspec.msgpack.Decoder(int).decode
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True)
 class Connection:
-    """Two ends; ``ready_us``: when the last message of each direction arrives, as order is kept."""
+    """Two ends; ``ready_us``: when the last message of each direction arrives, as messages stay in order."""
 
     number: int
     ends: tuple[str, str]
     starts: tuple[int, int]
     up: bool = True
     ready_us: dict[str, int] = field(default_factory=dict)
-    held: list[tuple[str, bytes | None]] = field(default_factory=list)  # behind a cut, by receiver
+    delayed: list[tuple[str, bytes | None]] = field(default_factory=list)  # by a cut, with their receivers
 
     def other(self, name: str) -> str:
         return self.ends[1] if name == self.ends[0] else self.ends[0]
@@ -93,11 +93,11 @@
     owner: str
     number: int
     record: Record
-    asked_us: int
+    requested_us: int
     accepted_us: int | None = None
     in_force_us: int | None = None
-    behind: int = -1
-    names: tuple[str, ...] = ()
+    lagging_count: int = -1
+    lagging_names: tuple[str, ...] = ()
 
 
 class Network:
@@ -116,9 +116,9 @@
         delay_us: int = 2_000,
         between_us: int = 40_000,
         loss: float = 0.0,
-        room: dict[str, int] | None = None,  # of a process for notes
+        note_capacity: dict[str, int] | None = None,  # of a process for notes
     ) -> None:
-        self.room = room or {}
+        self.note_capacity = note_capacity or {}
         self.rng = Random(seed)
         self.at_us = 0
         self.bound_us = bound_ms * 1000
@@ -181,11 +181,11 @@
 
     def _replica(self, name: str) -> tuple[Replica, int]:
         self._start += 1
-        kinds = [number_kind(CORDON), number_kind(NOTE, self.room.get(name, 20_000))]
+        kinds = [number_kind(CORDON), number_kind(NOTE, self.note_capacity.get(name, 20_000))]
         return Replica(name, self._start, kinds), self._start
 
     def _clock(self) -> tuple[int, int]:
-        return self.rng.randrange(1 << 40), self.rng.randint(-RATES, RATES)
+        return self.rng.randrange(1 << 40), self.rng.randint(-MAX_CLOCK_RATE_PPM, MAX_CLOCK_RATE_PPM)
 
     def _add(self, process: Process) -> None:
         self.processes[process.name] = process
@@ -256,8 +256,8 @@
         """All cuts end; what was held goes on."""
         self.cuts.clear()
         for connection in list(self.connections.values()):
-            held, connection.held = connection.held, []
-            for receiver, data in held:
+            delayed, connection.delayed = connection.delayed, []
+            for receiver, data in delayed:
                 self._transmit(connection, receiver, data)
 
     def is_cut(self, one: str, other: str) -> bool:
@@ -300,11 +300,11 @@
 
     def run_until(self, met: Callable[[], bool], within_us: int) -> int:
         """Let time go on until something is so. Returns how long it took; AssertionError in time."""
-        began_us = self.at_us
+        started_us = self.at_us
         while not met():
-            assert self.at_us - began_us < within_us, f"not within {within_us / 1e6} s"
+            assert self.at_us - started_us < within_us, f"not within {within_us / 1e6} s"
             self.run(5_000)
-        return self.at_us - began_us
+        return self.at_us - started_us
 
     def _after(self, delay_us: int, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.at_us + delay_us, next(self._order), action))
@@ -389,8 +389,8 @@
         connection.up = False
 
     def _transmit(self, connection: Connection, receiver: str, data: bytes | None) -> None:
-        if connection.held or self.is_cut(*connection.ends):
-            connection.held.append((receiver, data))
+        if connection.delayed or self.is_cut(*connection.ends):
+            connection.delayed.append((receiver, data))
             return
         delay_us = self._delay(*connection.ends)
         if self.rng.random() < self.loss:
@@ -401,7 +401,7 @@
 
     def _arrive(self, connection: Connection, receiver: str, data: bytes | None) -> None:
         if self.is_cut(*connection.ends):
-            connection.held.append((receiver, data))
+            connection.delayed.append((receiver, data))
             return
         process = self.processes.get(receiver)
         start = connection.starts[connection.ends.index(receiver)]
@@ -425,13 +425,13 @@
 
     # Rules
 
-    def _progressed(self, process: Process, news: Progressed) -> None:
-        change = self._by_number[process.name, process.incarnation, news.number]
-        if news.accepted and change.accepted_us is None:
+    def _progressed(self, process: Process, progressed: Progressed) -> None:
+        change = self._by_number[process.name, process.incarnation, progressed.number]
+        if progressed.accepted and change.accepted_us is None:
             change.accepted_us = self.at_us
-        if news.in_force and change.in_force_us is None:
+        if progressed.in_force and change.in_force_us is None:
             change.in_force_us = self.at_us
-        change.behind, change.names = news.lagging.count, news.lagging.names
+        change.lagging_count, change.lagging_names = progressed.lagging.count, progressed.lagging.names
 
     def _check(self) -> None:
         if self.checking:
@@ -475,8 +475,8 @@
 
     def knows(self, process: Process, change: Change) -> bool:
         """Whether a process holds a change, or a later value of its record."""
-        held = process.replica.record(*change.record.name)
-        return held is not None and _unpack(held.value) >= _unpack(change.record.value)
+        delayed = process.replica.record(*change.record.name)
+        return delayed is not None and _unpack(delayed.value) >= _unpack(change.record.value)
 
     def know_all(self, change: Change) -> bool:
         return all(self.knows(one, change) for one in self.processes.values())
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -104,7 +104,7 @@
     run(play)
 
 
-def test_a_link_whose_other_side_does_not_read_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_link_with_a_slow_reader_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(link, "MAX_QUEUED_BYTES", 1 << 20)
 
     async def play() -> None:
@@ -167,7 +167,7 @@
     return Driver(machine, Supervisor(), Clock(), lambda voter: Address(host, int(port)), act)
 
 
-def test_actions_are_carried_out_in_order_so_what_is_confirmed_is_already_gone_by() -> None:
+def test_actions_are_performed_in_order_so_confirmed_records_are_already_applied() -> None:
     async def play() -> None:
         async with server() as voter:
             machine = FakeMachine()
@@ -185,7 +185,7 @@
     run(play)
 
 
-def test_a_link_that_is_disconnected_from_here_is_not_told_as_lost_and_one_that_ends_there_is() -> None:
+def test_only_a_link_that_the_other_side_ends_is_reported_as_lost() -> None:
     async def play() -> None:
         async with server() as voter:
             machine = FakeMachine()
@@ -213,7 +213,7 @@
     run(play)
 
 
-def test_a_voter_that_can_not_be_reached_is_told_to_the_machine_each_time_and_to_the_log_at_the_third(
+def test_each_failed_connect_is_reported_to_the_machine_and_the_third_is_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def play() -> None:
@@ -233,7 +233,7 @@
         run(play)
 
 
-def test_the_clock_is_given_when_the_machine_wants_it() -> None:
+def test_the_machine_is_ticked_when_due() -> None:
     async def play() -> None:
         machine = FakeMachine()
         machine.due_us = 0
@@ -247,7 +247,7 @@
     run(play)
 
 
-def test_a_cordon_stops_sends_from_the_moment_it_is_taken_in_and_all_stop_once_it_has_left() -> None:
+def test_a_cordon_stops_sends_at_once_and_a_stopped_scheduler_sends_nothing() -> None:
     async def play() -> None:
         worker = ListedEndpoint("w0", "127.0.0.1:1", "north", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
         other = ListedEndpoint("w1", "127.0.0.1:1", "south", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -13,6 +13,6 @@
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
-def test_what_is_wrong_is_found(variant: str) -> None:
+def test_each_planted_fault_is_found(variant: str) -> None:
     budget, rules = VARIANTS[variant]
     assert search(budget, rules()).broken is not None
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -226,7 +226,7 @@
     assert story().broken != []
 
 
-def test_a_copy_that_is_replaced_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_replaced_replica_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     copy_is_replaced(monkeypatch)
     network = started()
     network.write("v00", CORDON, "c")
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -42,7 +42,7 @@
     assert rig.draw() == []
 
 
-def test_an_answer_follows_all_that_was_known_at_its_heartbeat() -> None:
+def test_a_reply_follows_all_that_was_known_at_its_heartbeat() -> None:
     rig = Rig(MAX_RECORDS_PER_MESSAGE * (MAX_UNCONFIRMED_MESSAGES + 2))
     rig.feed.resume(0)
     rig.feed.heartbeat(7, 500)
@@ -90,7 +90,7 @@
     assert isinstance(answer, HeartbeatReply) and answer.position == 3_001
 
 
-def test_equal_copies_are_sent_nothing() -> None:
+def test_equal_replicas_are_sent_nothing() -> None:
     rig = Rig(100)
     other = Replica("s", 1, [number_kind(CORDON), number_kind(NOTE)])
     for record in rig.replica.snapshot():
@@ -109,7 +109,7 @@
     assert len(drawn) == 1 and rig.log.messages_encoded == 1
 
 
-def test_urgent_changes_beyond_one_message_are_told_in_order() -> None:
+def test_urgent_changes_beyond_one_message_are_sent_in_order() -> None:
     rig = Rig()
     rig.feed.resume(0)
     for i in range(2 * MAX_RECORDS_PER_MESSAGE + 1):
--- a/tests/test_control_lease.py
+++ b/tests/test_control_lease.py
@@ -12,14 +12,14 @@
     return found
 
 
-def test_there_is_no_lease_before_an_answer() -> None:
+def test_there_is_no_lease_before_a_reply() -> None:
     fresh = lease()
     assert not fresh.is_valid(0) and fresh.age_us(0) is None and fresh.until_us() == NEVER
     fresh.heartbeat_sent(0)
     assert not fresh.is_valid(0)
 
 
-def test_the_moment_is_reckoned_back_from_the_writing() -> None:
+def test_the_lease_counts_from_the_writing_of_the_heartbeat() -> None:
     fresh = lease()
     number = fresh.heartbeat_sent(10 * SECOND)
     assert fresh.reply_received(number, 2 * SECOND)
@@ -29,13 +29,13 @@
     assert fresh.until_us() == 12 * SECOND - allowance
 
 
-def test_an_answer_without_a_majority_renews_nothing() -> None:
+def test_a_reply_without_a_majority_renews_nothing() -> None:
     fresh = lease()
     assert not fresh.reply_received(fresh.heartbeat_sent(0), -1)
     assert not fresh.is_valid(0)
 
 
-def test_unknown_and_doubled_answers_count_for_nothing() -> None:
+def test_unknown_and_duplicate_replies_are_ignored() -> None:
     fresh = lease()
     number = fresh.heartbeat_sent(0)
     assert not fresh.reply_received(number + 1, 0)
@@ -51,7 +51,7 @@
     assert fresh.as_of_us == SECOND
 
 
-def test_answers_count_only_in_step() -> None:
+def test_replies_count_only_while_synchronized() -> None:
     fresh = lease()
     before = fresh.heartbeat_sent(0)
     fresh.reset()
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -81,7 +81,7 @@
     assert network.know_all(change) and network.broken == []
 
 
-def test_an_observer_leaves_a_voter_that_is_cut_off_and_keeps_its_lease() -> None:
+def test_an_observer_fails_over_from_a_cut_off_voter_and_keeps_its_lease() -> None:
     network = running(3, 6)
     for other in ("v01", "v02"):
         network.cut("v00", other)
@@ -106,14 +106,14 @@
 # Who has not confirmed
 
 
-def test_who_is_cut_off_is_named_until_its_lease_is_over() -> None:
+def test_a_cut_off_observer_is_lagging_until_its_lease_expires() -> None:
     network = running(3, 4)
     for voter in network.keys.voters:
         network.cut("s0002", voter)
     change = network.write("v00", CORDON, "c")
     network.run(SECOND // 2)
     assert change.accepted_us is not None and change.in_force_us is None
-    assert (change.behind, change.names) == (1, ("s0002",))
+    assert (change.lagging_count, change.lagging_names) == (1, ("s0002",))
     in_force(network, change, network.bound_us + SECOND)
     assert not network.observer("s0002").has_lease(network.mono_us("s0002"))
     assert network.broken == []
@@ -126,18 +126,18 @@
     change = network.write("v00", CORDON, "c")
     network.run(10 * SECOND)
     assert change.accepted_us is not None and change.in_force_us is None
-    assert change.names == ("s0002",)
+    assert change.lagging_names == ("s0002",)
     network.heal()
     assert in_force(network, change, 4 * SECOND) < 4 * SECOND
 
 
-def test_goodbye_and_an_operators_word_end_the_wait() -> None:
+def test_a_goodbye_and_an_operators_removal_end_the_wait() -> None:
     network = running(3, 4, on_lost=Mode.SERVE)
     network.crash("s0002")
     network.leave("s0003")
     change = network.write("v00", CORDON, "c")
     network.run(4 * SECOND)
-    assert change.names == ("s0002",)
+    assert change.lagging_names == ("s0002",)
     for voter in network.keys.voters:
         network.call(
             voter, lambda machine, now_us, mono_us: machine.remove_observer(now_us, mono_us, "s0002")
@@ -146,7 +146,7 @@
     assert change.in_force_us is not None
 
 
-def test_a_join_that_came_late_is_not_waited_for() -> None:
+def test_an_outdated_join_is_not_waited_for() -> None:
     network = running(3, 3, on_lost=Mode.SERVE)
     having = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != having)
@@ -157,11 +157,11 @@
     observer_progress.link_lost("s0000", 999)
     change = network.write("v00", CORDON, "c")
     network.run(SECOND // 2)
-    assert change.names == ("s0000",)
+    assert change.lagging_names == ("s0000",)
     in_force(network, change, network.bound_us + 2 * SECOND)
 
 
-def test_a_goodbye_that_another_voter_did_not_hear_of_is_told_again() -> None:
+def test_a_goodbye_that_another_voter_missed_is_sent_again() -> None:
     network = running(3, 3, on_lost=Mode.SERVE)
     having = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != having)
@@ -180,7 +180,7 @@
         network.cut("v02", other)
     change = network.write("v00", CORDON, "c")
     network.run(300_000)
-    assert "voter v02" in change.names
+    assert "voter v02" in change.lagging_names
     in_force(network, change, network.bound_us + SECOND)
     assert network.broken == []
 
@@ -307,7 +307,7 @@
         if i == 500:
             urgent = network.write("v00", CORDON, "now")
     in_force(network, urgent)
-    assert urgent.in_force_us is not None and urgent.in_force_us - urgent.asked_us < SECOND
+    assert urgent.in_force_us is not None and urgent.in_force_us - urgent.requested_us < SECOND
     network.run_until(lambda: all(change.in_force_us for change in network.changes), 4 * SECOND)
     assert network.broken == []
 
@@ -325,40 +325,40 @@
 # Records that are refused
 
 
-def test_an_observer_that_refuses_a_record_confirms_nothing_and_gets_no_lease() -> None:
-    network = running(3, 4, room={"s0001": 2})  # takes twice as many
+def test_an_observer_that_rejects_a_record_confirms_nothing_and_gets_no_lease() -> None:
+    network = running(3, 4, note_capacity={"s0001": 2})  # takes twice as many
     for i in range(6):
         network.write("v00", NOTE, f"n{i}")
     network.run(SECOND // 2)
-    assert network.changes[-1].names == ("s0001",)
+    assert network.changes[-1].lagging_names == ("s0001",)
     network.run(network.bound_us + SECOND)
     assert not network.observer("s0001").has_lease(network.mono_us("s0001"))
     assert all(change.in_force_us is not None for change in network.changes) and network.broken == []
 
 
-def test_a_voter_that_refuses_a_record_does_not_accept_it() -> None:
-    network = running(3, 3, room={"v01": 2})
+def test_a_voter_that_rejects_a_record_does_not_accept_it() -> None:
+    network = running(3, 3, note_capacity={"v01": 2})
     changes = [network.write("v00", NOTE, f"n{i}") for i in range(6)]
     network.run(SECOND // 2)
     last = changes[-1]
     assert last.accepted_us is not None and last.in_force_us is None
-    assert "voter v01, which refused a record" in last.names
+    assert "voter v01, which refused a record" in last.lagging_names
     network.run(network.bound_us + SECOND)
     assert last.in_force_us is not None and network.broken == []
 
 
-def test_nothing_is_accepted_that_a_majority_refuses() -> None:
-    network = running(3, 3, room={"v01": 2, "v02": 2})
+def test_nothing_is_accepted_that_a_majority_rejects() -> None:
+    network = running(3, 3, note_capacity={"v01": 2, "v02": 2})
     changes = [network.write("v00", NOTE, f"n{i}") for i in range(6)]
     network.run(5 * SECOND)
     assert changes[-1].accepted_us is None and network.broken == []
 
 
-def test_an_offer_that_the_voter_refuses_is_told() -> None:
-    network = running(1, 2, room={"v00": 2})
+def test_a_rejected_offer_is_reported() -> None:
+    network = running(1, 2, note_capacity={"v00": 2})
     changes = [network.write("s0000", NOTE, f"n{i}") for i in range(6)]
     network.run(3 * SECOND)
-    assert changes[-1].accepted_us is None and changes[-1].names[0].startswith("voter v00: ")
+    assert changes[-1].accepted_us is None and changes[-1].lagging_names[0].startswith("voter v00: ")
 
 
 # Bounds
@@ -378,7 +378,7 @@
     assert len(network.voter("v00").commit_tracker.batches) <= 4
 
 
-def test_changes_that_nobody_accepts_are_refused_at_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_are_rejected_at_the_limit_while_none_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("robinhill.control.commit_tracker.MAX_BATCHES", 4)
     network = running(3, 1)
     for other in ("v01", "v02"):
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -37,7 +37,7 @@
     assert not left
 
 
-def test_silence_proves_nothing_until_the_lease_is_over() -> None:
+def test_a_disconnected_observer_is_waited_for_until_its_lease_expires() -> None:
     found = observer_progress("a")
     left = waiting(found)
     found.link_lost("a", 0)
@@ -47,7 +47,7 @@
     assert not left
 
 
-def test_under_serve_only_a_word_ends_the_wait() -> None:
+def test_under_serve_only_a_message_ends_the_wait() -> None:
     found = observer_progress("a", "b", "c")
     left = waiting(found, hold=False)
     for link, name in enumerate("abc"):
@@ -61,7 +61,7 @@
     assert not left
 
 
-def test_an_earlier_move_counts_for_nothing() -> None:
+def test_an_earlier_join_elsewhere_is_ignored() -> None:
     found = observer_progress("a")
     found.joined(LATER, "a", 1, 3, 7)
     left = waiting(found)
@@ -69,13 +69,13 @@
     assert found.moved_away("a", 1, 4) and not left
 
 
-def test_an_earlier_start_may_not_join() -> None:
+def test_an_earlier_incarnation_may_not_join() -> None:
     found = observer_progress()
     found.joined(LATER, "a", 2, 1, 1)
     assert found.joined(LATER, "a", 1, 5, 2) is None
 
 
-def test_observers_of_an_earlier_start_are_waited_for() -> None:
+def test_observers_of_an_earlier_incarnation_are_waited_for() -> None:
     found = ObserverProgress(0, BOUND)
     left = found.track(1, BarrierId("v", 1), 6, urgent=False, hold=False).waiting
     assert left == {UNKNOWN_OBSERVERS}
@@ -83,7 +83,7 @@
     assert not left
 
 
-def test_those_that_went_are_bounded() -> None:
+def test_departed_observers_are_bounded() -> None:
     found = ObserverProgress(0, BOUND)
     for i in range(MAX_DEPARTED + 10):
         found.joined(0, f"s{i}", 1, 1, i)
--- a/tests/test_control_options.py
+++ b/tests/test_control_options.py
@@ -68,12 +68,12 @@
     assert str(told.value).startswith(f"{key}: ") and told.value.advice in str(told.value)
 
 
-def test_a_scheduler_of_an_unknown_region_is_refused() -> None:
+def test_a_scheduler_of_an_unknown_region_is_rejected() -> None:
     with pytest.raises(VotersMalformed, match=r"mesh.region: 'south' is no known region; use one of north"):
         observer_options(keys(), "s1", Place("south"))
 
 
-def test_what_goes_on_is_set_by_kind() -> None:
+def test_the_mode_is_set_by_kind() -> None:
     options = voter_options(
         keys(on_lost="hold", on_lost_by_kind={"drain": "serve"}), "v0", ["cordon", "drain"]
     )
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -433,7 +433,7 @@
     assert key in line
 
 
-def test_an_even_number_of_voters_and_a_taken_address_are_told(tmp_path: Path) -> None:
+def test_an_even_number_of_voters_and_a_taken_address_are_reported(tmp_path: Path) -> None:
     async def play() -> None:
         voters = {name: VOTER | {"address": free_address()} for name in ("v1", "v2")}
         site, discovery = Site((QUICK,)), Discovery([], Journal())
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -102,13 +102,13 @@
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
-def test_voters_and_schedulers_keep_what_they_promise(name: str, tmp_path: Path) -> None:
+def test_no_rule_is_broken_under_faults(name: str, tmp_path: Path) -> None:
     outcome = run(name, tmp_path)
     assert not outcome.broken, str(outcome)
 
 
 @pytest.mark.parametrize("bug", BROKEN)
-def test_a_broken_one_is_found_out(bug: str, tmp_path: Path) -> None:
+def test_a_planted_fault_is_found(bug: str, tmp_path: Path) -> None:
     who, code, name, words = BROKEN[bug]
     entry = ("-c", f"{code}\nfrom robinhill.commands import main; raise SystemExit(main())")
     if who in names_of(PROCESSES)[:VOTERS]:
