--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -1,4 +1,8 @@
-"""The destination set's actor: watches discovery and passes on what it tells."""
+"""The actor that watches discovery's endpoint list and reports what it receives.
+
+It owns the one open call to discovery. When the next call begins is up to ``placement.watch_schedule``, and
+what a list means is up to whoever gets the reports.
+"""
 
 import asyncio
 import logging
@@ -24,153 +28,168 @@
 
 log = logging.getLogger(__name__)
 
-Answered = TypeVar("Answered")
+Result = TypeVar("Result")
+LeaseEvent = ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged
 
 CONNECT_TIMEOUT_S = 1.0
-LONGEST_LIST = 4 << 20  # some 20,000 workers
+MAX_LIST_BYTES = 4 << 20  # some 20,000 workers
+HTTP_OK = 200
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
-    """Discovery is at another address from now on."""
+class ChangeAddress:
+    """Watch discovery at this address from now on."""
 
     discovery: Address
 
 
-class _SilentError(Exception):
-    """No whole word came in time."""
+class WatchSilentError(Exception):
+    """No complete message came in the time that the schedule allows."""
+
+
+def _ignore(event: LeaseEvent) -> None:
+    """For callers that keep no lease on the list."""
 
 
-class EndpointListWatcher(Actor[Move]):
-    """One watch at a time, from the start on; ``schedule`` alone decides when another is opened.
+class EndpointListWatcher(Actor[ChangeAddress]):
+    """Keeps one call to discovery open at a time, from the start on.
 
-    The module hears of each call that fails and each watch that ends, but for silent ones and agents.
+    A failed call or ended watch is reported as a list of None, except for silent ones and for agents.
     """
 
     def __init__(
         self,
         discovery: Address,
-        generation: int,
+        version: int,
         schedule: WatchSchedule,
         clock: Clock,
         supervisor: Supervisor,
-        report: Callable[[EndpointListReceived], None],
-        note: Callable[
-            [ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged], None
-        ] = lambda word: None,
+        report_list: Callable[[EndpointListReceived], None],
+        report_lease_event: Callable[[LeaseEvent], None] = _ignore,
     ) -> None:
-        super().__init__("destinations", supervisor)
+        super().__init__("endpoint list", supervisor)
         self.discovery = discovery
-        self.generation: int | None = generation  # the last version seen at this address
+        self.version: int | None = version  # of the last list from this address; None: there was none
         self.schedule = schedule
         self.clock = clock
-        self.report = report
-        self.note = note  # hears of all else that the lease on the list goes by
-        self.answered = False  # the open call's answer has begun to tell the list
-        self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not looked for
+        self.report_list = report_list
+        self.report_lease_event = report_lease_event
+        self.catch_up: CatchUp | None = None  # None: stalls are not detected
+        self._answered = False  # discovery has begun to send its list on the open call
         self._transport: asyncio.BaseTransport | None = None  # of the open call's connection
-        self.watch: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Begin to watch, at the time that the schedule gives."""
         super().start()
-        self._open(self.schedule.start(self.clock.now_us()))
+        self._open_watch(self.schedule.start(self.clock.now_us()))
 
-    def receive(self, message: Move) -> None:
-        """Leave the old address at once: waiting for its end would cost what is told meanwhile.
+    def receive(self, message: ChangeAddress) -> None:
+        """Leave the old address at once, and get the whole list of the new one.
 
         A cancelled watch reports nothing, so its end is no failure of the new one. A version counts the
-        changes of the list at one discovery; nothing says that another address counts alike, and one that is
-        behind would answer "no changes" for ever. So the new address is asked for its whole list.
+        changes at one discovery; another address may count otherwise, and answer "no changes" for ever.
         """
         if message.discovery == self.discovery:
             return
-        if self.watch:
-            self.watch.cancel()
-        self.discovery, self.generation = message.discovery, None
+        if self._watch_task:
+            self._watch_task.cancel()
+        self.discovery, self.version = message.discovery, None
         self.schedule.record_moved(self.clock.now_us())
-        self.note(DiscoveryAddressChanged(self.clock.now_us()))
-        self._open(0)
+        self.report_lease_event(DiscoveryAddressChanged(self.clock.now_us()))
+        self._open_watch(0)
+
+    def has_unread_data(self) -> bool:
+        """Whether messages of discovery wait in the kernel."""
+        if self._transport is None or self._transport.is_closing():
+            return False
+        return unread_bytes(self._transport) > 0
 
-    def _open(self, wait_us: int) -> None:
-        self.watch = self.supervisor.spawn(self._watch(wait_us), "watch")
+    def _open_watch(self, wait_us: int) -> None:
+        self._watch_task = self.supervisor.spawn(self._watch(wait_us), "watch")
 
     async def _watch(self, wait_us: int) -> None:
         while True:
             await asyncio.sleep(wait_us / 1e6)
             self.schedule.record_call(self.clock.now_us())
-            self.answered, self._transport = False, None
-            silent, why = False, "ended"
+            self._answered, self._transport = False, None
+            is_silent, why = False, "ended"
             try:
-                await self._read()
-            except _SilentError:
-                silent, why = True, "silent"
-            except Exception as e:  # whatever discovery sends costs this exchange alone
+                await self._call()
+            except WatchSilentError:
+                is_silent, why = True, "silent"
+            except Exception as e:  # whatever discovery sends must cost this call alone
                 why = f"{type(e).__name__}: {e}"
-            wait_us = self.schedule.record_lost(self.clock.now_us(), self.answered)
-            if self.schedule.unreachable_us is not None:
-                self.note(DiscoveryUnreachable(self.schedule.called_us, self.schedule.unreachable_us))
-            log.warning("watch_lost", extra={"generation": self.generation, "why": why, "again_us": wait_us})
-            if not (silent or self.schedule.lists_pushed):
-                self.report(EndpointListReceived(None))
-
-    async def _read(self) -> None:
+            wait_us = self._lost(is_silent, why)
+
+    def _lost(self, is_silent: bool, why: str) -> int:
+        """Report the end of a call or watch; return the wait before the next call."""
+        wait_us = self.schedule.record_lost(self.clock.now_us(), self._answered)
+        if self.schedule.unreachable_us is not None:
+            self.report_lease_event(
+                DiscoveryUnreachable(self.schedule.called_us, self.schedule.unreachable_us)
+            )
+        log.warning("watch_lost", extra={"generation": self.version, "why": why, "retry_in_us": wait_us})
+        if not (is_silent or self.schedule.lists_pushed):
+            self.report_list(EndpointListReceived(None))
+        return wait_us
+
+    async def _call(self) -> None:
         query = {"watch": "1"}
-        if self.generation is not None:
-            query["after"] = str(self.generation)
+        if self.version is not None:
+            query["after"] = str(self.version)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            # Else a call that ends without an answer is made again at once, by every scheduler.
+            # Else aiohttp repeats a call that ends without an answer at once, at every scheduler.
             session._retry_connection = False
             url = f"http://{self.discovery}/v1/endpoints"
-            async with await self._in_time(session.get(url, params=query, allow_redirects=False)) as response:
-                self.answered = response.status == 200
+            call = session.get(url, params=query, allow_redirects=False)
+            async with await self._unless_silent(call) as response:
+                self._answered = response.status == HTTP_OK
                 self._transport = response.connection.transport if response.connection else None
-                if response.status != 200:
+                if response.status != HTTP_OK:
                     raise protocol.MalformedError(f"status {response.status}")
-                await self._listen(response.content)
-
-    def unread(self) -> bool:
-        """Whether words of discovery wait in the kernel."""
-        if self._transport is None or self._transport.is_closing():
-            return False
-        return unread_bytes(self._transport) > 0
+                await self._read_events(response.content)
 
-    async def _listen(self, content: aiohttp.StreamReader) -> None:
-        reader, first = protocol.WatchEventReader(LONGEST_LIST), True
-        while data := await self._in_time(content.readany()):
-            for told in reader.feed(data):
+    async def _read_events(self, content: aiohttp.StreamReader) -> None:
+        reader, is_first = protocol.WatchEventReader(MAX_LIST_BYTES), True
+        while data := await self._unless_silent(content.readany()):
+            for event in reader.feed(data):
                 self.schedule.record_received(self.clock.now_us())
-                if told:
-                    self._told(told)
-                elif self.generation is not None:  # else it knows nothing of the list that we have
-                    self.note(ListConfirmed(self.generation, self.schedule.last_received_us))
-                if first and not told:
-                    # Nothing has changed: the module hears that its call has been answered.
-                    unchanged = protocol.EndpointList(self.generation or 0, False, ())
-                    self.report(EndpointListReceived(unchanged))
-                first = False
-
-    async def _in_time(self, work: Awaitable[Answered]) -> Answered:
-        """Wait no longer than until the call or watch counts as silent."""
+                if event:
+                    self._list_received(event)
+                else:
+                    self._unchanged(is_first)
+                is_first = False
+
+    def _list_received(self, event: protocol.EndpointList) -> None:
+        self.version = event.generation
+        self.report_list(EndpointListReceived(event, received_us=self.schedule.last_received_us))
+        log.info(
+            "endpoint_list_received",
+            extra={"generation": event.generation, "reset": event.reset, "count": len(event.destinations)},
+        )
+
+    def _unchanged(self, is_first: bool) -> None:
+        """An empty line: nothing has changed since the version that the call named, if it named one."""
+        if self.version is not None:
+            self.report_lease_event(ListConfirmed(self.version, self.schedule.last_received_us))
+        if is_first:  # the call has been answered
+            self.report_list(EndpointListReceived(protocol.EndpointList(self.version or 0, False, ())))
+
+    async def _unless_silent(self, work: Awaitable[Result]) -> Result:
+        """The result; cancels the work and raises ``WatchSilentError`` when the schedule's time is over."""
         waiting = asyncio.ensure_future(work)
         try:
             while not waiting.done():
                 left_us = self.schedule.silent_at_us() - self.clock.now_us()
                 await asyncio.wait([waiting], timeout=max(0, left_us) / 1e6)
-                # Where this process itself stood still, a word may be here that was not read in time.
-                stood_still = self.catch_up is not None and self.catch_up.is_catching_up()
-                if not waiting.done() and left_us <= 0 and not stood_still:
-                    raise _SilentError
+                # After a stall of this process a message may be here that was not read in time.
+                stalled = self.catch_up is not None and self.catch_up.is_catching_up()
+                if not waiting.done() and left_us <= 0 and not stalled:
+                    raise WatchSilentError
             return waiting.result()
         finally:
             if not waiting.done():
                 waiting.cancel()
                 await asyncio.gather(waiting, return_exceptions=True)
-
-    def _told(self, told: protocol.EndpointList) -> None:
-        self.generation = told.generation
-        self.report(EndpointListReceived(told, received_us=self.schedule.last_received_us))
-        log.info(
-            "endpoint_list_received",
-            extra={"generation": told.generation, "reset": told.reset, "count": len(told.destinations)},
-        )
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -19,7 +19,7 @@
 from robinhill.net.clients.listener import bind, inherit
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
+from robinhill.net.discovery.list_watcher import ChangeAddress, EndpointListWatcher
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
@@ -61,7 +61,7 @@
         schedule = watch_schedule.from_settings(config.settings, random.Random(config.seed))
         self.list_lease = ListLease.from_settings(config.settings, config.known.generation)
         self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
-        self.destinations = EndpointListWatcher(
+        self.list_watcher = EndpointListWatcher(
             config.discovery,
             config.known.generation,
             schedule,
@@ -70,8 +70,8 @@
             self.dispatcher.tell,
             self.dispatcher.tell,
         )
-        self.catch_up = CatchUp(self.clock, self.destinations.unread)
-        self.dispatcher.table.catch_up = self.destinations.catch_up = self.catch_up
+        self.catch_up = CatchUp(self.clock, self.list_watcher.has_unread_data)
+        self.dispatcher.table.catch_up = self.list_watcher.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
             from robinhill.net.dispatcher import admission
@@ -142,7 +142,7 @@
             await self._take_over(self.handover)
         else:
             self.dispatcher.start()
-            self.destinations.start()
+            self.list_watcher.start()
             self.inbound.awaiting_endpoint_list = True
         if self.sharing:
             self.sharing.start()
@@ -168,14 +168,14 @@
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
             known = protocol.decode_endpoint_list(told["known"])
-            self.destinations.generation = known.generation
+            self.list_watcher.version = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
             self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
         else:
             self.dispatcher.start()
-        self.destinations.start()
+        self.list_watcher.start()
         await self._list_leased()
         if told and (memory := await handover.ask_predecessor(QuestionName.STATE)):
             self.dispatcher.import_state(memory["decider"])
@@ -209,7 +209,7 @@
             log.warning("reload_needs_restart", extra={"keys": ",".join(waiting)})
         self.config = replace(self.config, discovery=new.discovery, operator=new.operator)
         log.info("reloaded", extra={"discovery": new.discovery})
-        self.destinations.tell(Move(new.discovery))
+        self.list_watcher.tell(ChangeAddress(new.discovery))
 
     def _reconfigure(self, new: OperatorFile, old: OperatorFile) -> None:
         """Go by another operators' file from now on; what waits at admission goes on waiting."""
@@ -368,7 +368,7 @@
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
-        generation = self.destinations.generation or 0
+        generation = self.list_watcher.version or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
             "list_confirmed_us": self.list_lease.confirmed_us,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -299,7 +299,7 @@
         (tmp_path / "config.json").write_text(json.dumps(changed))
         with caplog.at_level(logging.INFO):
             scheduler.reload()
-        assert scheduler.config is before and not scheduler.destinations._mailbox
+        assert scheduler.config is before and not scheduler.list_watcher._mailbox
         assert [r.getMessage() for r in caplog.records] == ["reload_failed"]
 
     asyncio.run(play())
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -24,7 +24,7 @@
 from robinhill.net import scheduler as embedded
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
+from robinhill.net.discovery.list_watcher import ChangeAddress, EndpointListWatcher
 from robinhill.net.dispatcher.messages import DiscoveryAddressChanged, EndpointListReceived, ListConfirmed
 from robinhill.placement import watch_schedule
 from robinhill.placement.watch_schedule import WatchSchedule
@@ -480,7 +480,7 @@
             if moment == "watch":
                 call.send(HEAD + chunk(told(42)))
                 assert await here.generation() == 42
-            here.actor.tell(Move(new.address))
+            here.actor.tell(ChangeAddress(new.address))
             async with asyncio.timeout(1):
                 asked = await new.call()
             assert asked.target.endswith("/v1/endpoints?watch=1")
@@ -498,13 +498,13 @@
     async def play() -> None:
         async with watching() as here:
             words: list[object] = []
-            here.actor.note = words.append
+            here.actor.report_lease_event = words.append
             old, new = await here.discoveries[0].listen(), await here.discoveries[1].listen()
             here.actor.start()
             call = await old.call()
             call.send(HEAD + chunk(told(42)))
             assert await here.generation() == 42
-            here.actor.tell(Move(new.address))
+            here.actor.tell(ChangeAddress(new.address))
             call = await new.call()
             call.send(HEAD + chunk(b"\n"))
             while not (report := await here.reports.get()).endpoint_list:
@@ -529,7 +529,7 @@
             call = await old.call()
             call.send(HEAD + chunk(told(42)))
             assert await here.generation() == 42
-            here.actor.tell(Move(new.address))
+            here.actor.tell(ChangeAddress(new.address))
             await call.left()
             await here.failed()
             await new.listen()
@@ -549,7 +549,7 @@
             call = await discovery.call()
             call.send(HEAD + chunk(told(42)))
             assert await here.generation() == 42
-            here.actor.tell(Move(discovery.address))
+            here.actor.tell(ChangeAddress(discovery.address))
             call.send(chunk(told(43)))
             assert await here.generation() == 43
             assert discovery.calls.empty()
@@ -565,8 +565,8 @@
             await new.listen()
             here.actor.start()
             await old.call()
-            here.actor.tell(Move(new.address))
-            here.actor.tell(Move(old.address))
+            here.actor.tell(ChangeAddress(new.address))
+            here.actor.tell(ChangeAddress(old.address))
             assert (await old.call()).target.endswith("/v1/endpoints?watch=1")
             assert new.calls.empty()
 
--- a/tests/test_list_watcher.py
+++ b/tests/test_list_watcher.py
@@ -11,7 +11,7 @@
 from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
 from robinhill.net.clock import Clock
-from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
+from robinhill.net.discovery.list_watcher import ChangeAddress, EndpointListWatcher
 from robinhill.net.dispatcher.messages import EndpointListReceived
 from robinhill.placement import watch_schedule
 from robinhill.placement.watch_schedule import WatchSchedule
@@ -173,7 +173,7 @@
         for after in (41, 43, 43, 43):
             assert f"after={after}" in await discovery.call()
         assert None not in [r.endpoint_list for r in discovery.reports]
-        actor.tell(Move(Address("127.0.0.1", 9)))
+        actor.tell(ChangeAddress(Address("127.0.0.1", 9)))
         await discovery.stop()
 
     asyncio.run(play())
