--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -95,7 +95,7 @@
         if self._watch_task:
             self._watch_task.cancel()
         self.discovery, self.version = message.discovery, None
-        self.schedule.record_moved(self.clock.now_us())
+        self.schedule.record_address_change(self.clock.now_us())
         self.report_lease_event(DiscoveryAddressChanged(self.clock.now_us()))
         self._open_watch(0)
 
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -1,4 +1,4 @@
-"""The workers that operators have disabled, stored in a file so that they outlive the process."""
+"""The workers that operators have disabled, in a file of $TMPDIR that outlives the process."""
 
 import logging
 import os
@@ -12,13 +12,13 @@
 
 
 class DisabledWorkerStore:
-    """The file with the ids of disabled workers. Without a folder nothing is stored."""
+    """Stores the IDs of disabled workers; without a folder it stores nothing."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
 
     def load(self) -> set[str]:
-        """The ids as last saved; none if the file can't be read, which is logged."""
+        """Return the IDs as last saved; none, with a log line, if the file can't be read."""
         if not self.folder:
             return set()
         try:
@@ -28,10 +28,10 @@
         except (OSError, orjson.JSONDecodeError) as e:
             log.error("state_unreadable", extra={"file": FILE_NAME, "why": str(e)})
             return set()
-        return {each for each in ids if isinstance(each, str)} if isinstance(ids, list) else set()
+        return {x for x in ids if isinstance(x, str)} if isinstance(ids, list) else set()
 
     def save(self, instance_ids: set[str]) -> bool:
-        """Replace the file; whether that was done. After an error, which is logged, the old file stays."""
+        """Save the IDs, all or none. Returns whether they are saved; a failure is logged."""
         if not self.folder:
             return True
         temporary = self.folder / f"{FILE_NAME}.{os.getpid()}"
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -33,7 +33,7 @@
 
 
 def test_the_most_worth_for_its_work_is_served_first() -> None:
-    node = Node(1, classes=(klass(worth=1.0), klass(worth=9.0)))
+    node = Node(1, classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)))
     node.ask()
     node.ask(MS, job_class=0)
     node.ask(MS, job_class=1)
@@ -152,7 +152,12 @@
 
 def test_waits_over_the_aim_shed_the_least_worth_first() -> None:
     """Everything was queued and late in overload, nothing refused (incidents if560c8, if420f9)."""
-    node = Node(40, classes=(klass(worth=1.0), klass(worth=9.0)), tells_start=True, waste_price=0.2)
+    node = Node(
+        40,
+        classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)),
+        tells_start=True,
+        waste_price=0.2,
+    )
     refused = [0, 0]
     for i in range(400):
         actions = node.ask(10 * MS, job_class=i % 2)
@@ -165,7 +170,7 @@
         for send in only(node.ask(10 * MS, job_class=1), api.Send):
             started(node, send.job, MS)
             node.end(send.job)
-    assert node.balancer.shed == 0
+    assert node.balancer.overload.shed_share == 0
 
 
 def test_a_worker_never_met_leans_on_its_kind() -> None:
@@ -175,7 +180,7 @@
         where = sent_to(node.ask(10 * MS))
         node.end(node.jobs, took_us=(50 if int(where[1:]) % 2 else 200) * MS)
     for worker in node.balancer.workers.values():
-        node.balancer._weigh_age(worker)
+        node.balancer.weights.update_worker(worker)
     fast = [x for x in node.balancer.workers.values() if x.entry.kind == 1]
     slow = [x for x in node.balancer.workers.values() if x.entry.kind == 0]
     assert max(x.job_time_us for x in fast) < min(x.job_time_us for x in slow)
@@ -211,7 +216,7 @@
 
 
 def test_no_withdrawal_where_late_answers_have_worth_or_cancelling_is_barred() -> None:
-    for changes in ({"cancelling": False}, {"classes": (klass(late_worth=0.5),)}):
+    for changes in ({"cancelling": False}, {"classes": (klass(late_priority_weight=0.5),)}):
         node = Node(2, tells_start=True, **changes)
         node.ask()
         assert not only(node.ask(2 * S), api.Cancel)
@@ -292,14 +297,14 @@
     for _ in range(200):
         node.ask()
     calls = 0
-    pick = node.balancer._pick_worker
+    pick = node.balancer.choice.choose
 
     def counted(now: int, job: object) -> object:
         nonlocal calls
         calls += 1
         return pick(now, job)  # type: ignore[arg-type]
 
-    node.balancer._pick_worker = counted  # type: ignore[method-assign, assignment]
+    node.balancer.choice.choose = counted  # type: ignore[method-assign, assignment]
     node.do(api.TimerFired("held"), MS)
     assert calls <= 2
 
@@ -366,10 +371,14 @@
         started(node, node.jobs)
         node.end(node.jobs)
     worker = node.balancer.workers[sent_to(node.ask(MS))]
-    before, shed = worker.job_time_us, node.balancer.shed
+    before, shed = worker.job_time_us, node.balancer.overload.shed_share
     started(node, node.jobs)
     node.end(node.jobs, O.TIMEOUT, 5 * S, after_us=5 * S)
-    assert worker.job_time_us == before and node.balancer.shed == shed and not worker.consecutive_ejections
+    assert (
+        worker.job_time_us == before
+        and node.balancer.overload.shed_share == shed
+        and not worker.consecutive_ejections
+    )
 
 
 def test_a_slow_worker_that_tells_progress_is_no_lost_answer() -> None:
@@ -383,7 +392,7 @@
 
 def test_a_safe_job_whose_answer_is_lost_is_sent_again() -> None:
     """Nothing came after the start: 8 % of the answers never arrived (ledger site, big-1)."""
-    node = Node(2, tells_start=True, progress_us=S, classes=(klass(late_worth=0.5),))
+    node = Node(2, tells_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
     started(node, 1, MS)
@@ -400,7 +409,7 @@
     for i in range(400):
         for send in only(node.ask(20 * MS), api.Send):
             node.end(send.job, took_us=(100 if i < 100 else 1000) * MS)
-    assert node.balancer.shed > 0.5
+    assert node.balancer.overload.shed_share > 0.5
 
 
 def test_open_connections_go_first_where_new_ones_have_a_price() -> None:
@@ -419,7 +428,7 @@
 
 def test_a_late_job_with_late_worth_is_held_only_while_it_can_be_served() -> None:
     """Held until the client gave up, when nobody could serve it any more."""
-    node = Node(1, classes=(klass(late_worth=0.5),), tells_start=True)
+    node = Node(1, classes=(klass(late_priority_weight=0.5),), tells_start=True)
     for _ in range(3):
         node.ask(MS)
         started(node, node.jobs)
@@ -464,7 +473,7 @@
 def test_a_class_turned_away_everywhere_is_still_sent() -> None:
     node = Node(2, tells_start=True)
     for _ in range(3):
-        node.balancer.shed = 0.0
+        node.balancer.overload.shed_share = 0.0
         assert only(node.ask(10 * MS), api.Send)
         for attempt in range(4):
             node.end(node.jobs, O.FULL, MS, attempt=attempt)
@@ -472,7 +481,9 @@
 
 def test_the_advice_when_to_come_back_follows_what_a_late_answer_is_worth() -> None:
     for late, advice in ((0.0, 2 * S), (0.5, 50 * MS)):
-        node = Node(1, classes=(klass(late_worth=late),), retry_after=True, max_retry_after_us=2 * S)
+        node = Node(
+            1, classes=(klass(late_priority_weight=late),), retry_after=True, max_retry_after_us=2 * S
+        )
         node.ask()
         node.end(1)
         assert only(node.ask(left_us=0), api.Refuse) == [api.Refuse(2, advice)]
@@ -534,7 +545,7 @@
     repeat: api.Repeat, alive: bool, moved: bool
 ) -> None:
     """It was waited for until the client's limit (days with vanished workers)."""
-    classes = (klass(aim_us=3 * S, repeat=repeat),)
+    classes = (klass(latency_objective_us=3 * S, repeat=repeat),)
     node = Node(1, classes=classes, tells_start=True, probes=True, connect_timeout_us=200 * MS)
     node.ask()
     started(node, 1, MS)
@@ -624,7 +635,10 @@
 def test_of_held_jobs_those_that_are_late_go_last() -> None:
     """Answers that were late already took the places of others that could be in time (Kalevi, overload)."""
     for late_worth, first in ((0.2, 3), (0.9, 2)):
-        classes = (klass(worth=3.0, late_worth=late_worth), klass(worth=2.0, late_worth=0.5))
+        classes = (
+            klass(priority_weight=3.0, late_priority_weight=late_worth),
+            klass(priority_weight=2.0, late_priority_weight=0.5),
+        )
         node = Node(1, tells_start=True, classes=classes, value_by_work=True)
         node.ask()
         node.ask(MS, job_class=0)
@@ -642,7 +656,7 @@
         started(node, node.jobs)
         node.end(node.jobs)
     (timer,) = only(node.ask(200 * MS), api.SetTimer)
-    assert node.balancer.sparse
+    assert node.balancer.state.few_in_flight
     assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel)
     assert not only(node.do(api.TimerFired(timer.tag), 2 * S), api.Cancel), "past its aim neither"
 
@@ -654,5 +668,5 @@
         started(node, node.jobs)
         node.end(node.jobs, took_us=300 * MS)
     (timer,) = only(node.ask(), api.SetTimer)
-    assert not node.balancer.sparse
+    assert not node.balancer.state.few_in_flight
     assert only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel) == [api.Cancel(node.jobs, 0)]
