--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -23,8 +23,10 @@
 import psutil
 
 from robinhill import api
-from robinhill.admission.admission import Admission, AdmissionRequest, Admit
+from robinhill.admission.admission import Admission
+from robinhill.admission.messages import AdmissionRequest, Admit
 from robinhill.admission.options import AdmissionOptions
+from robinhill.admission.report import report
 from robinhill.checker.rules import broken
 from robinhill.emulator.client import REFUSALS, Asked, Clients, Tenant, served_worth
 from robinhill.emulator.program import Town, town
@@ -183,7 +185,7 @@
             alone.step(header, address, 1_000)
         gc.collect()
         more = (psutil.Process().memory_info().rss - before) / 1e6
-        metrics = alone.admission.metrics()
+        metrics = report(alone.admission)
         print(
             f"  100,000 {what}: {more:.1f} MB more, {metrics['accounts']} accounts,"
             f" {metrics['queued']} queued, {metrics['let_in']} let in"
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -6,7 +6,8 @@
 from benchmarks.scale.counting import allocated_bytes, executed_lines, microseconds
 from benchmarks.scale.fitting import Point, print_ladder
 from robinhill import api
-from robinhill.admission.admission import Admission, AdmissionRequest, Admit
+from robinhill.admission.admission import Admission
+from robinhill.admission.messages import AdmissionRequest, Admit
 from robinhill.admission.options import AdmissionOptions, Limits, Tenant
 
 TENANTS = (10, 50, 190, 1_000, 5_000)
--- a/robinhill/admission/exported_state.py
+++ b/robinhill/admission/exported_state.py
@@ -62,7 +62,9 @@
             }
             for a in admission.accounts.by_tenant.values()
         ],
-        "networks": {name: _export_levels(limiter) for name, limiter in admission.network_limiters.items()},
+        "networks": {
+            name: _export_levels(limiter) for name, limiter in admission.limits.network_limiters.items()
+        },
         "promises": [_export_promise(admission, p) for p in admission.promises.open_promises()],
     }  # fmt: skip
 
@@ -101,7 +103,7 @@
         admission.accounts.restore(account)
     admission.apply_named_tenants()
     for name, levels in values["networks"].items():
-        _import_levels(admission.network_limiters.get(name), levels)
+        _import_levels(admission.limits.network_limiters.get(name), levels)
     for each in values["promises"]:
         queue = _queue(admission, each)
         if queue:
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -113,7 +113,7 @@
         window = self._of[job_class]
         return window.free and sum(self.unplaced[c] for c in self._rivals[job_class]) < window.at_hand
 
-    def roomy(self, job_class: int) -> bool:
+    def has_capacity(self, job_class: int) -> bool:
         """Whether a round may begin for the sake of this class."""
         window = self._of[job_class]
         return window.free and window.unplaced < window.at_hand
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -10,9 +10,10 @@
 from typing import Any, Protocol
 
 from robinhill import api
-from robinhill.admission.admission import Action as AdmissionAction
-from robinhill.admission.admission import Admission, AdmissionRequest, Admit
+from robinhill.admission.admission import Admission
 from robinhill.admission.callers import Caller
+from robinhill.admission.messages import Action as AdmissionAction
+from robinhill.admission.messages import AdmissionRequest, Admit
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
 
@@ -147,7 +148,7 @@
             if isinstance(action, Admit):
                 self._let_in(action.number)
             else:
-                self.counts.refused[action.reason] += 1
+                self.counts.refused[action.reason.value] += 1
                 self._final(action.number, 429 if action.tenant_limit else 503, action.retry_us)
         assert self.admission
         due = self.admission.next_us
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -11,9 +11,11 @@
 
 from robinhill import protocol
 from robinhill.admission import exported_state
-from robinhill.admission.admission import Action, Admission, AdmissionRequest, Admit, Reject
+from robinhill.admission.admission import Admission
 from robinhill.admission.callers import SECRET_BYTES, BadNameError, Caller
+from robinhill.admission.messages import Action, AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions
+from robinhill.admission.report import report
 from robinhill.config import Config
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock
@@ -123,7 +125,7 @@
         self._numbers: dict[str, int] = {}
         self._next = 1
         self._due_us: int | None = None  # when the timer that is set fires
-        self.metrics.admission_queued = lambda: self.admission.waiting
+        self.metrics.admission_queued = lambda: self.admission.queued_count
 
     # For the scheduler, which loads this module only where there is admission control
 
@@ -250,7 +252,7 @@
             self.tape.answered(request, answer.status)
         log.debug(
             "admission_refused",
-            extra={"id": request.id, "tenant": entry.caller.name, "why": refusal.reason},
+            extra={"id": request.id, "tenant": entry.caller.name, "why": refusal.reason.value},
         )
         if not reply.done():
             reply.set_result(answer)
@@ -329,7 +331,7 @@
 
     def stats(self) -> Answer:
         """Admission's figures as they are now."""
-        shown = {"enabled": self.admission.options.enabled} | self.admission.metrics()
+        shown = {"enabled": self.admission.options.enabled} | report(self.admission)
         names = self._classes
         for key in ("unplaced", "class_ms"):
             shown[key] = dict(zip(names, shown[key], strict=True))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,8 +9,9 @@
 from robinhill import api
 from robinhill.admission import exported_state
 from robinhill.admission.accounts import Accounts
-from robinhill.admission.admission import Admission, AdmissionRequest, Admit, Reject
+from robinhill.admission.admission import Admission
 from robinhill.admission.callers import BadNameError, Directory
+from robinhill.admission.messages import AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions, Limits, Network, Tenant
 from robinhill.admission.window import FLOOR, MAX_UNPLACED_REQUESTS
 
@@ -122,15 +123,15 @@
     served = flood(fleet, stranger, 10)
     admission = fleet.admission
     assert served >= 0.9 * 300
-    held = len(fleet.running) + len(fleet.unplaced) + admission.waiting
+    held = len(fleet.running) + len(fleet.unplaced) + admission.queued_count
     assert len(admission.accounts.by_tenant) <= 64
-    assert len(admission._usage) <= held == len(admission.tickets)
+    assert len(admission.limits.usage) <= held == len(admission.tickets)
     assert len(admission.promises._expiries) <= 2 * 8192 + 1 and admission.promises.length <= 8192
     for _ in range(90_000):
         fleet.ask(*stranger())
         fleet.now += 20
     assert len(admission.accounts.by_tenant) <= 64
-    assert len(admission._usage) <= len(admission.tickets) <= 300
+    assert len(admission.limits.usage) <= len(admission.tickets) <= 300
     assert len(admission.promises._expiries) <= 2 * 8192 + 1
 
 
@@ -152,7 +153,7 @@
     assert fleet.admission.promises.by_fingerprint[
         fleet.admission.directory.find("a", "10.0.0.1", "k").fingerprint
     ]
-    assert {fleet.refused[n].reason for n in range(fleet.number - 19, fleet.number + 1)} == {"early"}
+    assert {fleet.refused[n].reason.value for n in range(fleet.number - 19, fleet.number + 1)} == {"early"}
 
 
 def test_who_comes_back_when_told_is_let_in() -> None:
@@ -180,7 +181,7 @@
     open_now = [n for n in numbers if n not in fleet.refused]
     assert len(open_now) == 10
     refusals = [fleet.refused[n] for n in numbers if n in fleet.refused]
-    assert all(r.tenant_limit and r.reason in ("open", "queued") and r.retry_us > 0 for r in refusals)
+    assert all(r.tenant_limit and r.reason.value in ("open", "queued") and r.retry_us > 0 for r in refusals)
     other = fleet.ask("b")
     assert other not in fleet.refused
 
@@ -232,7 +233,7 @@
         fleet.ask(f"t{i % 30}", RENEWAL)
         fleet.pass_time(5)
         assert len(fleet.unplaced) <= MAX_UNPLACED_REQUESTS
-    assert fleet.admission.waiting > 0 or fleet.refused
+    assert fleet.admission.queued_count > 0 or fleet.refused
 
 
 def test_a_window_that_fell_recovers_within_seconds() -> None:
@@ -284,15 +285,15 @@
     fleet = Fleet(tenants={"a": Tenant(limits=limits)})
     fleet.ask("a")
     fleet.ask("a")
-    assert fleet.refused[fleet.ask("a")].reason == "requests"
+    assert fleet.refused[fleet.ask("a")].reason.value == "requests"
     options = AdmissionOptions(enabled=True, tenants={"a": Tenant(weight=3, limits=limits)})
     fleet.perform(fleet.admission.configure(fleet.now, options))
-    assert fleet.refused[fleet.ask("a")].reason == "requests"
+    assert fleet.refused[fleet.ask("a")].reason.value == "requests"
     successor = Fleet(tenants={"a": Tenant(limits=limits)})
     exported_state.import_state(
         successor.admission, successor.now, exported_state.export_state(fleet.admission)
     )
-    assert successor.refused[successor.ask("a")].reason == "requests"
+    assert successor.refused[successor.ask("a")].reason.value == "requests"
     assert successor.ask("b") not in successor.refused
 
 
@@ -315,7 +316,7 @@
     for _ in range(40):
         successor.ask("b", RENEWAL)
     early = successor.refused[successor.ask("a", key="k")]
-    assert early.reason == "early" and early.retry_us == refusal.retry_us - 1 * MS
+    assert early.reason.value == "early" and early.retry_us == refusal.retry_us - 1 * MS
 
 
 def test_a_full_queue_puts_out_the_newest_of_the_longest_queue() -> None:
@@ -326,11 +327,11 @@
         fleet.pass_time(200)
     fleet.slots = 0
     large = [fleet.ask("a", RENEWAL) for _ in range(18)]
-    assert fleet.admission.waiting == 10
+    assert fleet.admission.queued_count == 10
     small = fleet.ask("b", RENEWAL)
-    assert small not in fleet.refused and fleet.refused[large[-1]].reason == "pushed_out"
+    assert small not in fleet.refused and fleet.refused[large[-1]].reason.value == "pushed_out"
     assert fleet.refused[large[-1]].tenant_limit
-    assert fleet.refused[fleet.ask("a", RENEWAL)].reason in ("full", "time")
+    assert fleet.refused[fleet.ask("a", RENEWAL)].reason.value in ("full", "time")
 
 
 def test_a_renewal_goes_before_other_tenants_reports() -> None:
@@ -346,11 +347,11 @@
 def test_refusals_end_with_the_time_and_the_places_of_those_that_left_are_free() -> None:
     fleet = Fleet(slots=0, queued=5)
     numbers = [fleet.ask(f"t{i}", RENEWAL) for i in range(13)]
-    assert fleet.admission.waiting == 5
+    assert fleet.admission.queued_count == 5
     fleet.perform(fleet.admission.client_disconnected(fleet.now, numbers[-1]))
-    assert fleet.admission.waiting == 4
+    assert fleet.admission.queued_count == 4
     fleet.pass_time(10_000)
-    assert fleet.admission.waiting == 0 and all(n in fleet.refused for n in numbers[8:12])
+    assert fleet.admission.queued_count == 0 and all(n in fleet.refused for n in numbers[8:12])
     assert all(not fleet.refused[n].tenant_limit for n in numbers[8:12])
 
 
@@ -434,10 +435,10 @@
     for _ in range(20):
         fleet.ask("a")
     admission = fleet.admission
-    (present,) = admission._usage.values()
+    (present,) = admission.limits.usage.values()
     before = present.queued
-    assert before == admission.waiting > 0
+    assert before == admission.queued_count > 0
     caller = admission.directory.find("a", "10.0.0.1", "late")
     actions = admission.arrive(fleet.now, AdmissionRequest(1_000, LOOKUP, caller, fleet.now, 0))
     assert [a.number for a in actions if isinstance(a, Admit)] == [1_000]
-    assert present.queued == admission.waiting == before
+    assert present.queued == admission.queued_count == before
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -9,7 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from robinhill import api
-from robinhill.admission.admission import Admission, AdmissionRequest, Admit, Reject
+from robinhill.admission.admission import Admission
+from robinhill.admission.messages import AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions, Limits, Tenant
 from robinhill.admission.queues import BURST, DeficitRoundRobin, Queue, Ticket
 
@@ -116,12 +117,12 @@
     @precondition(lambda self: hasattr(self, "admission"))
     def it_is_consistent(self) -> None:
         waiting = [n for n, state in self.state.items() if state == "waits"]
-        assert self.admission.waiting == len(waiting)
+        assert self.admission.queued_count == len(waiting)
         assert set(self.admission.tickets) == set(self.state)
         # Its memory is that of what is there: a name leaves nothing behind.
-        assert sum(p.open for p in self.admission._usage.values()) == len(self.state)
-        assert all(p.open > 0 and p.queued >= 0 for p in self.admission._usage.values())
-        assert sum(p.queued for p in self.admission._usage.values()) == len(waiting)
+        assert sum(p.open for p in self.admission.limits.usage.values()) == len(self.state)
+        assert all(p.open > 0 and p.queued >= 0 for p in self.admission.limits.usage.values())
+        assert sum(p.queued for p in self.admission.limits.usage.values()) == len(waiting)
         for job_class in (0, 1):
             unplaced = [
                 n for n, s in self.state.items()
@@ -130,7 +131,9 @@
             assert self.admission.windows.unplaced[job_class] == len(unplaced)
             # Work conserving: nobody waits at admission while the module has next to nothing at hand.
             waits = any(self.admission.tickets[n].job_class == job_class for n in waiting)
-            assert not (waits and self.admission.windows.roomy(job_class)), "somebody waits and could go in"
+            assert not (waits and self.admission.windows.has_capacity(job_class)), (
+                "somebody waits and could go in"
+            )
         queues = {t.queue for t in self.admission.tickets.values()}
         assert sum(q.length for q in queues) == len(waiting)
         assert sum(q.users for q in queues) == len(self.state)
