--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -73,7 +73,10 @@
     def _class_order(self) -> list[int]:
         """Classes by descending priority weight; of equal ones the one with the shorter objective first."""
         classes = self.settings.classes
-        return sorted(range(len(classes)), key=lambda c: (-classes[c].worth, classes[c].aim_us, c))
+        return sorted(
+            range(len(classes)),
+            key=lambda c: (-classes[c].priority_weight, classes[c].latency_objective_us, c),
+        )
 
     # Settings
 
@@ -263,7 +266,7 @@
         full = max(self._first_attempt_time_us[request.job_class], time_left)
         self._first_attempt_time_us[request.job_class] = full
         patience = self._estimate.patience_us(job_class, mean if is_learned else 0.0) - (full - time_left)
-        if job_class.late_worth:
+        if job_class.late_priority_weight:
             patience = max(patience, int(time_left - cost))
         has_queue = account and account.established
         return Ticket(
--- a/robinhill/admission/wait_estimate.py
+++ b/robinhill/admission/wait_estimate.py
@@ -37,7 +37,7 @@
     def patience_us(self, job_class: JobClass, typical_us: float) -> int:
         """How long a request of a class may wait and still make its latency objective."""
         stretch = max(0.0, job_class.stretch - 1)
-        return job_class.aim_us + int(STRETCH_FACTOR * stretch * typical_us)
+        return job_class.latency_objective_us + int(STRETCH_FACTOR * stretch * typical_us)
 
     def queue_rate(self, now: int, queue: Queue) -> float:
         """Work admitted from a queue in a unit of time."""
--- a/robinhill/net/control_group/voter_operators.py
+++ b/robinhill/net/control_group/voter_operators.py
@@ -6,7 +6,7 @@
 from robinhill import protocol
 from robinhill.config_types import Address
 from robinhill.net.actor import Supervisor
-from robinhill.net.operators.server import Calls, Operators
+from robinhill.net.operators.server import OperatorCalls, OperatorServer
 from robinhill.protocol import Answer
 
 MAX_OPERATOR_CALLS = 32
@@ -29,23 +29,23 @@
     cordons: Callable[[str, str, bytes, str | None], Awaitable[Answer]]
 
 
-class VoterOperatorServer(Operators):
+class VoterOperatorServer(OperatorServer):
     """Serves the operators' address; calls about clients and workers are answered by 404."""
 
     def __init__(self, address: Address, supervisor: Supervisor, voter_calls: VoterCalls) -> None:
-        calls = Calls(
+        calls = OperatorCalls(
             readiness=voter_calls.readiness,
             stats=voter_calls.metrics,
             admission=lambda: NOT_SERVED,
-            hold_out=_no_workers,
+            disable_worker=_no_workers,
             drain=_no_clients,
             cordons=voter_calls.cordons,
             mesh=voter_calls.status,
-            vouch=voter_calls.confirm_complete,
+            confirm_complete=voter_calls.confirm_complete,
         )
         super().__init__(address, MAX_OPERATOR_CALLS, supervisor, calls)
         self._remove_scheduler = voter_calls.remove_scheduler
-        self._routes[REMOVE_SCHEDULER_PATH] = ("PUT", self._handle_remove)
+        self.add_route(REMOVE_SCHEDULER_PATH, "PUT", self._handle_remove)
 
     async def _handle_remove(self, body: bytes) -> Answer:
         return self._remove_scheduler(protocol.decode_instance_id(body))
