--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import Any
 
+from robinhill.cordon.codec import cordon_kind
 from robinhill.cordon.value import NAME as CORDON
-from robinhill.cordon.value import cordon_kind
 from robinhill.mesh.record_kinds import DRAIN_KIND, EVIDENCE_KIND, MAX_RETRY_WINDOW_US, request_kind
 from robinhill.mesh.records import Kind
 
--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -72,9 +72,9 @@
             raise ValueError("shares must be above 0 and at most 1")
         if not (self.lagging_multiple > 1 and self.slow_multiple > 1):
             raise ValueError("multiples must be above 1")
-        longest_us = limits.MAX_AUTOMATIC_DURATION_US
-        if not (self.max_observation_age_us > 0 and 0 < self.duration_us <= longest_us):
-            raise ValueError(f"times must be above 0, and a cordon lasts {longest_us} us at most")
+        max_duration_us = limits.MAX_AUTOMATIC_DURATION_US
+        if not (self.max_observation_age_us > 0 and 0 < self.duration_us <= max_duration_us):
+            raise ValueError(f"times must be above 0, and a cordon lasts {max_duration_us} us at most")
 
     def threshold(self, cause: str) -> float:
         """Return the amount from which on a worker is bad against a baseline without faults."""
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -58,20 +58,22 @@
         newer one never displaces it.
         """
         free = [location.zone for worker, location in workers.items() if worker not in operator_cordoned]
-        fleet_room = floor(self.fleet_share * len(free) + ROUNDING)
-        zone_room = {zone: floor(self.zone_share * n + ROUNDING) for zone, n in Counter(free).items()}
-        taken: set[str] = set()
+        fleet_capacity = floor(self.fleet_share * len(free) + ROUNDING)
+        zone_capacity = {zone: floor(self.zone_share * n + ROUNDING) for zone, n in Counter(free).items()}
+        admitted_workers: set[str] = set()
         admitted = set()
         for target, entry in sorted(proposals, key=_rank):
-            added = matching.get(target, frozenset()) - operator_cordoned - taken
+            added = matching.get(target, frozenset()) - operator_cordoned - admitted_workers
             added_by_zone = Counter(workers[worker].zone for worker in added)
-            if len(added) > fleet_room or any(n > zone_room[zone] for zone, n in added_by_zone.items()):
+            if len(added) > fleet_capacity or any(
+                n > zone_capacity[zone] for zone, n in added_by_zone.items()
+            ):
                 continue
             admitted.add((target, entry.reason.id))
-            taken |= added
-            fleet_room -= len(added)
+            admitted_workers |= added
+            fleet_capacity -= len(added)
             for zone, n in added_by_zone.items():
-                zone_room[zone] -= n
+                zone_capacity[zone] -= n
         return admitted
 
 
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -165,8 +165,8 @@
         if self.majority_since_us is not None:
             waiting = [self._schedulers[u.name] for u in self.unconfirmed(self.majority_since_us)]
             if all(self._is_bound_by_lease(s) for s in waiting):
-                longest_us = max((with_slack(s.bound_us) for s in waiting), default=0)
-                deadlines.append(self.majority_since_us + longest_us)
+                max_bound_us = max((with_slack(s.bound_us) for s in waiting), default=0)
+                deadlines.append(self.majority_since_us + max_bound_us)
         return min(deadlines, default=None)
 
     def failure(self, mono_us: int, missing: Sequence[str] = ()) -> CordonError | None:
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -1,9 +1,9 @@
 """Tracks how far this process's changes of cordons have come, by the acknowledgements of all schedulers.
 
-A scheduler's acknowledgement (`mesh.acknowledgements`) carries digests of the cordons that its dispatcher
-goes by. Copies only grow, so a scheduler that goes by a value that was held here at the change or later goes
-by the change. A value that was held only elsewhere confirms nothing, which is safe: once copies are equal, so
-are the digests.
+A scheduler's acknowledgement (`mesh.acknowledgements`) carries digests of the cordons that its dispatcher has
+applied. Copies only grow, so a scheduler that has applied a value which was in this copy at the change or
+later has applied the change. A value that was only in other copies confirms nothing, which is safe: once
+copies are equal, so are the digests.
 
 No input or output: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of this
 process's monotonic clock.
@@ -13,6 +13,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
+from robinhill.cordon.peer_state import PeerState
 from robinhill.cordon.propagation import (
     Mode,
     ProcessStatus,
@@ -28,7 +29,6 @@
 
 MAX_DIGESTS = 256  # later digests of a change that still confirm it
 MODES = {mode.value for mode in Mode}
-GONE_AFTER_US = 5_000_000  # without a link for longer, a scheduler is gone and no longer suspect
 
 
 @dataclass(slots=True, eq=False)
@@ -47,32 +47,13 @@
     overall_digests: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_DIGESTS))
 
     def is_confirmed_by(self, acknowledgement: Acknowledgement) -> bool:
-        """Return whether the scheduler that wrote the acknowledgement goes by this change."""
+        """Return whether the scheduler that wrote the acknowledgement has applied this change."""
         recent = dict(acknowledgement.recent_digests)
         return acknowledgement.applied_digest in self.overall_digests or all(
             recent.get(target) in digests for target, digests in self.digests.items()
         )
 
 
-@dataclass(slots=True)
-class PeerState:
-    """What is known of another scheduler.
-
-    ``link_changed_us`` is when its link last came up or went down, 0 before the first time.
-    """
-
-    acknowledgement: Acknowledgement | None = None
-    linked: bool = False
-    link_changed_us: int = 0
-    incarnation: int = 0
-
-    @property
-    def current_acknowledgement(self) -> Acknowledgement | None:
-        """Its last acknowledgement, if its present process wrote it."""
-        last = self.acknowledgement
-        return last if last and last.incarnation >= self.incarnation else None
-
-
 class PropagationTracker:
     """All changes of this process that are tracked, and what is known of the other schedulers.
 
@@ -107,7 +88,7 @@
     # Changes
 
     def record_value(self, target: str, value: bytes) -> None:
-        """Record that a value, encoded, is now held here."""
+        """Record that a value, encoded, is now in this copy."""
         digest = self.applied.put(target, value)
         self.recent_targets.pop(target, None)
         self.recent_targets[target] = None
@@ -224,7 +205,7 @@
         if name == self.own_name:
             return Scheduler(name, self.incarnation, ProcessStatus.ALIVE, self.mode, self.bound_us)
         peer = self.peers[name]
-        status = _status(peer, mono_us)
+        status = peer.status(mono_us)
         current = peer.current_acknowledgement
         if current is None:
             return Scheduler(name, peer.incarnation, status)
@@ -232,34 +213,18 @@
         return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
 
     def lagging_peers(self, target: str) -> tuple[str, ...]:
-        """Return the peers that are not known to go by what is held here of a target, by name.
+        """Return the peers that are not known to have applied this copy's cordons of a target, by name.
 
-        A peer that has left sends nothing more, whatever it went by, and does not lag.
+        A peer that has left sends nothing more, whatever it had applied, and does not lag.
         """
-        return tuple(name for name, peer in sorted(self.peers.items()) if self._is_lagging(peer, target))
-
-    def _is_lagging(self, peer: PeerState, target: str) -> bool:
-        current = peer.current_acknowledgement
-        if current is None:
-            return True
-        if current.left or current.applied_digest == self.applied.combined:
-            return False
-        digest = self.applied.get(target)
-        return digest is None or dict(current.recent_digests).get(target) != digest
+        digest, combined_digest = self.applied.get(target), self.applied.combined
+        return tuple(
+            name
+            for name, peer in sorted(self.peers.items())
+            if peer.is_lagging(target, digest, combined_digest)
+        )
 
     def _update_propagations(self, mono_us: int, name: str) -> None:
         scheduler = self.scheduler(mono_us, name)
         for propagation in self.propagations.pending():
             propagation.update_scheduler(mono_us, scheduler)
-
-
-def _status(peer: PeerState, mono_us: int) -> ProcessStatus:
-    current = peer.current_acknowledgement
-    if current and current.left:
-        return ProcessStatus.LEFT
-    if peer.linked:
-        return ProcessStatus.ALIVE
-    if not peer.link_changed_us:
-        return ProcessStatus.UNKNOWN if peer.acknowledgement is None else ProcessStatus.SUSPECT
-    gone = mono_us - peer.link_changed_us > GONE_AFTER_US
-    return ProcessStatus.GONE if gone else ProcessStatus.SUSPECT
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -18,8 +18,6 @@
 
 from robinhill.cordon import limits
 from robinhill.cordon.errors import CordonElsewhere, CordonMalformed, CordonsFull, CordonUnknown
-from robinhill.mesh.errors import ForeignState
-from robinhill.mesh.records import Kind
 
 NAME = "cordon"
 VERSION = 1
@@ -112,12 +110,12 @@
     active = [e for e in value.entries if not e.reason.has_ended(now_us)]
     if len(active) < 2:
         return tuple(active)
-    longest: dict[str, Entry] = {}
+    by_id: dict[str, Entry] = {}
     for entry in active:
-        other = longest.get(entry.reason.id)
+        other = by_id.get(entry.reason.id)
         if other is None or _end_order(entry) > _end_order(other):
-            longest[entry.reason.id] = entry
-    return tuple(longest[key] for key in sorted(longest))
+            by_id[entry.reason.id] = entry
+    return tuple(by_id[key] for key in sorted(by_id))
 
 
 def find_targets(items: CordonItems, cordon_id: str, now_us: int) -> tuple[str, ...]:
@@ -185,18 +183,18 @@
     if one == other:
         return one
     own_entries, other_entries = _by_dot(one), _by_dot(other)
-    own_seen, other_seen = _by_writer(one.seen), _by_writer(other.seen)
+    own_seen, other_seen = by_writer(one.seen), by_writer(other.seen)
     entries = []
     for dot in own_entries.keys() | other_entries.keys():
         a, b = own_entries.get(dot), other_entries.get(dot)
         if a is not None and b is not None:
             entries.append(max(a, b))  # equal, unless a writer is faulty
-        elif a is not None and not _has_seen(other_seen, dot):
+        elif a is not None and not has_seen(other_seen, dot):
             entries.append(a)
-        elif b is not None and not _has_seen(own_seen, dot):
+        elif b is not None and not has_seen(own_seen, dot):
             entries.append(b)
     seen = (
-        SeenDots(*writer, _join_ranges((*own_seen.get(writer, ()), *other_seen.get(writer, ()))))
+        SeenDots(*writer, join_ranges((*own_seen.get(writer, ()), *other_seen.get(writer, ()))))
         for writer in sorted(own_seen.keys() | other_seen.keys())
     )
     return CordonSet(
@@ -232,7 +230,8 @@
     return cordon_id
 
 
-def _is_line(text: str, max_chars: int) -> bool:
+def is_line(text: str, max_chars: int) -> bool:
+    """Return whether a text is one line of at most so many characters."""
     return len(text) <= max_chars and _LINE.fullmatch(text) is not None
 
 
@@ -242,11 +241,11 @@
 
 
 def check_reason(reason: Reason, now_us: int) -> None:
-    """Raise CordonMalformed if a reason can't be written now; `decode` accepts more from peers."""
+    """Raise CordonMalformed if a reason can't be written now; `codec.decode` accepts more from peers."""
     check_id(reason.id, automatic=reason.automatic)
-    if not reason.text.strip() or not _is_line(reason.text, limits.MAX_TEXT_CHARS):
+    if not reason.text.strip() or not is_line(reason.text, limits.MAX_TEXT_CHARS):
         raise CordonMalformed(f"the reason must be one line of 1 to {limits.MAX_TEXT_CHARS} characters")
-    if not _is_line(reason.by, limits.MAX_NAME_CHARS):
+    if not is_line(reason.by, limits.MAX_NAME_CHARS):
         raise CordonMalformed(
             f"who asks must be named in one line of at most {limits.MAX_NAME_CHARS} characters"
         )
@@ -260,40 +259,6 @@
         raise CordonMalformed("the automatic part of the reason is out of bounds")
 
 
-def encode(value: CordonSet) -> bytes:
-    """Return the canonical encoding: equal values have equal bytes, as all their parts are ordered."""
-    return _encoder.encode(value)
-
-
-def decode(data: bytes) -> CordonSet:
-    """Return a value of a peer or a file. Raises ForeignState if it is not canonical, too large or newer."""
-    try:
-        if (version := _head.decode(data).version) != VERSION:
-            raise ForeignState(f"a cordon of version {version}, not {VERSION}")
-        value = _decoder.decode(data)
-    except (msgspec.DecodeError, ValueError) as e:
-        raise ForeignState(f"a cordon can't be read: {e}") from e
-    if (violation := _find_violation(value)) or encode(value) != data:
-        raise ForeignState(f"a cordon is damaged: {violation or 'not in canonical form'}")
-    return value
-
-
-def cordon_kind() -> Kind[CordonSet]:
-    """Return the kind of the replica's records, by target. None is evicted; new targets are rejected."""
-    return Kind(NAME, encode, decode, merge, lifetime_us=limits.RECORD_LIFETIME_US, bound=limits.MAX_TARGETS)
-
-
-class _Head(msgspec.Struct, array_like=True):
-    """The part that all versions share."""
-
-    version: int
-
-
-_encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(CordonSet)
-_head = msgspec.msgpack.Decoder(_Head)
-
-
 def _end_order(entry: Entry) -> tuple[bool, int, Entry]:
     """Return the order by which one entry represents an ID: the latest end, and no end above all."""
     return entry.reason.until_us == 0, entry.reason.until_us, entry
@@ -311,15 +276,17 @@
     return {e.dot: e for e in value.entries}
 
 
-def _by_writer(seen: Sequence[SeenDots]) -> dict[tuple[str, int], tuple[CounterRange, ...]]:
+def by_writer(seen: Sequence[SeenDots]) -> dict[tuple[str, int], tuple[CounterRange, ...]]:
+    """Return the ranges of the dots that were seen, by writer."""
     return {s.writer: s.ranges for s in seen}
 
 
-def _has_seen(seen: dict[tuple[str, int], tuple[CounterRange, ...]], dot: Dot) -> bool:
+def has_seen(seen: dict[tuple[str, int], tuple[CounterRange, ...]], dot: Dot) -> bool:
+    """Return whether a dot is among those that were seen, given by writer."""
     return any(low <= dot.counter <= high for low, high in seen.get(dot.writer, ()))
 
 
-def _join_ranges(ranges: Iterable[CounterRange]) -> tuple[CounterRange, ...]:
+def join_ranges(ranges: Iterable[CounterRange]) -> tuple[CounterRange, ...]:
     """Return the same counters in as few ranges as possible."""
     joined: list[CounterRange] = []
     for low, high in sorted(ranges):
@@ -336,74 +303,10 @@
     A process knows all its own writes, so it wrote nothing to this target between its last dot and this one:
     the counters between them count as seen, and one range per writer is enough.
     """
-    by_writer = _by_writer(seen)
-    ranges = by_writer.get(dot.writer, ())
+    ranges_by_writer = by_writer(seen)
+    ranges = ranges_by_writer.get(dot.writer, ())
     last = ranges[-1][1] if ranges else dot.counter - 1
     if dot.counter <= last:
         raise ValueError(f"{dot} is not new: its writer is at {last}")
-    by_writer[dot.writer] = _join_ranges((*ranges, (last + 1, dot.counter)))
-    return tuple(SeenDots(*writer, by_writer[writer]) for writer in sorted(by_writer))
-
-
-def _find_violation(value: CordonSet) -> str:
-    """Return which rule a value from elsewhere breaks, '' if none."""
-    return (
-        _find_size_violation(value)
-        or _find_order_violation(value)
-        or next((found for seen in value.seen if (found := _find_seen_violation(seen))), "")
-        or _find_entries_violation(value)
-        or ("" if 0 <= value.lifted_us <= limits.MAX_INTEGER else "times out of bounds")
-    )
-
-
-def _find_size_violation(value: CordonSet) -> str:
-    if len(value.entries) > limits.MAX_ENTRIES or len(value.seen) > limits.MAX_WRITERS:
-        return "too many entries"
-    if sum(len(s.ranges) for s in value.seen) > limits.MAX_RANGES:
-        return "too many ranges"
-    return ""
-
-
-def _find_order_violation(value: CordonSet) -> str:
-    writers = [s.writer for s in value.seen]
-    if writers != sorted(set(writers)):
-        return "writers out of order"
-    dots = [e.dot for e in value.entries]
-    if dots != sorted(set(dots)):
-        return "entries out of order"
-    return ""
-
-
-def _find_seen_violation(seen: SeenDots) -> str:
-    ranges = seen.ranges
-    if not _is_line(seen.origin, limits.MAX_NAME_CHARS):
-        return "a name out of bounds"
-    if not ranges or ranges != _join_ranges(ranges) or any(low > high for low, high in ranges):
-        return "ranges out of order"
-    if not (ranges[0][0] >= 1 and ranges[-1][1] <= limits.MAX_INTEGER):
-        return "counters out of bounds"
-    return ""
-
-
-def _find_entries_violation(value: CordonSet) -> str:
-    seen = _by_writer(value.seen)
-    for entry in value.entries:
-        if not _has_seen(seen, entry.dot):
-            return "an entry that was not seen"
-        if violation := _find_reason_violation(entry.reason):
-            return violation
-    return ""
-
-
-def _find_reason_violation(reason: Reason) -> str:
-    if not is_cordon_id(reason.id) or not _is_line(reason.text, limits.MAX_TEXT_CHARS):
-        return "an ID or text out of bounds"
-    if not all(
-        _is_line(name, limits.MAX_NAME_CHARS) for name in (reason.by, reason.cause, *reason.observers)
-    ):
-        return "a name out of bounds"
-    if not (0 <= reason.since_us <= limits.MAX_INTEGER and 0 <= reason.until_us <= limits.MAX_INTEGER):
-        return "times out of bounds"
-    if len(reason.observers) > limits.MAX_OBSERVERS or (reason.automatic and not reason.until_us):
-        return "an automatic reason out of bounds"
-    return ""
+    ranges_by_writer[dot.writer] = join_ranges((*ranges, (last + 1, dot.counter)))
+    return tuple(SeenDots(*writer, ranges_by_writer[writer]) for writer in sorted(ranges_by_writer))
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -1,4 +1,4 @@
-"""Writes this scheduler's own acknowledgement, by which the other schedulers know what it goes by.
+"""Writes this scheduler's own acknowledgement, from which other schedulers know what it has applied.
 
 It owns the acknowledgement's sequence number and the starts of peers that it passes on. It decides nothing
 about the other schedulers' acknowledgements.
@@ -56,7 +56,7 @@
             self._timer = asyncio.get_running_loop().call_later(STARTS_DELAY_S, write)
 
     def write(self, mono_us: int, applied_digest: bytes, *, serving: bool, left: bool = False) -> None:
-        """Write the acknowledgement of what this scheduler goes by, as given by the digest.
+        """Write the acknowledgement; the digest is that of the cordons which the dispatcher has applied.
 
         ``serving``: it takes clients. ``left``: it sends nothing more.
         """
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CordonsApplied:
-    """The dispatcher and all endpoints go by the notification of this number."""
+    """The dispatcher and all endpoints have applied the notification of this number."""
 
     number: int
 
@@ -187,7 +187,7 @@
         if not self.freshness.caught_up and self.freshness.may_catch_up():
             self.confirm_complete("learned from others")
         if not self.serving:
-            self._try_to_serve(mono_us())
+            self._serve_if_ready(mono_us())
         if not self._notifier.has_lease:
             self._notifier.notify_lease(self.holds_lease())
 
@@ -225,7 +225,7 @@
         self._write_acknowledgement(left=True)
 
     def status(self) -> StatusReply:
-        """Return how this copy stands, for operators and for comparison of copies."""
+        """Return the status of this copy, for operators and for comparison of copies."""
         return self._report.status(mono_us(), serving=self.serving)
 
     def metrics(self) -> list[str]:
@@ -272,7 +272,7 @@
         if (self.fleet.own_name, self.incarnation) in acknowledgement.incarnations:
             self.freshness.introduced(mono_us(), name)
         if acknowledgement.serving and not self.serving:
-            self._try_to_serve(mono_us())
+            self._serve_if_ready(mono_us())
 
     def _record_start(self, name: str, incarnation: int) -> None:
         if name not in self.tracker.peers or incarnation <= self.tracker.peers[name].incarnation:
@@ -286,7 +286,7 @@
 
     def _update(self) -> None:
         """Derive what is cordoned, and notify the dispatcher, which confirms it."""
-        # Collected first: digests go by the latest Unix time that the replica was given.
+        # Collected first: digests depend on the latest Unix time that the replica was given.
         self.replica.collect(self.clock.now_us())
         workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
         self._next_end_us = self.index.update(self.clock.now_us(), self._records.items(), workers).next_end_us
@@ -302,8 +302,8 @@
         self._writer.write(mono_us(), self._notifier.applied_digest, serving=self.serving, left=left)
         self.on_change()
 
-    def _try_to_serve(self, now_us: int) -> None:
-        if self._catch_up.try_to_serve(now_us):
+    def _serve_if_ready(self, now_us: int) -> None:
+        if self._catch_up.serve_if_ready(now_us):
             self._write_acknowledgement()
             self.on_serving()
 
@@ -315,7 +315,7 @@
         self._timer_due_us = 0
         self._notifier.notify_lease(self.holds_lease())
         if not self.serving:
-            self._try_to_serve(now_us)
+            self._serve_if_ready(now_us)
         if self._next_end_us and unix_us >= self._next_end_us:
             self._update()
         if unix_us - self._writer.written_us > acknowledgements.REWRITE_INTERVAL_US:
@@ -328,8 +328,8 @@
 
     def _renew_records(self, unix_us: int) -> None:
         """Write anew the records that a cordon outlasts, and forget digests of expired ones."""
-        known_targets = self.tracker.applied.keys()
-        for target in known_targets:
+        targets = self.tracker.applied.keys()
+        for target in targets:
             record = self.replica.record(value.NAME, target)
             if record is None or record.until_us <= unix_us:
                 self.tracker.applied.drop(target)
--- a/robinhill/net/cordons/catch_up.py
+++ b/robinhill/net/cordons/catch_up.py
@@ -14,27 +14,27 @@
 class CatchUp:
     """``serving``: this scheduler takes clients; ``duration_us``: how long it took until then."""
 
-    def __init__(self, fleet: Fleet, tracker: PropagationTracker, began_us: int) -> None:
+    def __init__(self, fleet: Fleet, tracker: PropagationTracker, started_us: int) -> None:
         self.fleet = fleet
         self.tracker = tracker
         self.serving = False
         self.duration_us: int | None = None
         self._answered: set[str] = set()  # peers whose state was received since the start
-        self._began_us = began_us
+        self._started_us = started_us
 
     def start(self, mono_us: int) -> None:
         """Begin: time runs from now on."""
-        self._began_us = mono_us
+        self._started_us = mono_us
 
     def age_s(self, mono_us: int) -> float:
         """Return the seconds since the start."""
-        return (mono_us - self._began_us) / 1e6
+        return (mono_us - self._started_us) / 1e6
 
     def record_answer(self, name: str) -> None:
         """Record that all that a peer knew is here."""
         self._answered.add(name)
 
-    def try_to_serve(self, mono_us: int) -> bool:
+    def serve_if_ready(self, mono_us: int) -> bool:
         """Begin to serve once a serving peer or all peers have answered, or time is up.
 
         Returns whether it begins.
--- a/robinhill/net/cordons/dispatcher_notifier.py
+++ b/robinhill/net/cordons/dispatcher_notifier.py
@@ -13,7 +13,8 @@
 
 
 class DispatcherNotifier:
-    """``on_applied`` is called with a notification's number once the dispatcher and all endpoints go by it.
+    """``on_applied`` is called with a notification's number once the dispatcher and all endpoints have
+    applied it.
 
     ``targets`` are the cordoned targets now; ``applied_digest`` is that of the cordons which the dispatcher
     has confirmed; ``has_lease`` is as it was notified last.
@@ -42,7 +43,7 @@
         self._notify(CordonsChanged(lambda worker: covers(targets, worker), lambda: self._on_applied(number)))
 
     def confirm_applied(self, number: int) -> bool:
-        """Record that the dispatcher goes by a notification. Returns whether that changes the digest."""
+        """Record that the dispatcher has applied a notification. Returns whether that changes the digest."""
         digest = self._pending_digests.pop(number)
         if digest == self.applied_digest:
             return False
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -140,11 +140,11 @@
     def change(self, call: CordonCall) -> None:
         """Write the change that a call asks for, and answer the call once it has come far enough."""
         wait_us = call.wait_us
-        asked = self._records.prepare_change(call)
-        dots = () if asked.cordon is None else (str(asked.cordon.dot),)
-        change = PendingChange(asked.cordon_id, asked.targets, asked.is_lift, mono_us(), dots)
-        self._write(change, asked.values)
-        asked.write_log()
+        requested = self._records.prepare_change(call)
+        dots = () if requested.cordon is None else (str(requested.cordon.dot),)
+        change = PendingChange(requested.cordon_id, requested.targets, requested.is_lift, mono_us(), dots)
+        self._write(change, requested.values)
+        requested.write_log()
         timeout_us = self.options.bound_us if wait_us is None else wait_us
         self._waits.add(change, call.reply, timeout_us, until_in_force=wait_us is not None)
 
--- a/robinhill/net/cordons/mesh_calls.py
+++ b/robinhill/net/cordons/mesh_calls.py
@@ -71,7 +71,7 @@
         handle_call(call, self, views.HTTP_STATUS)
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return one cordon, or all for '', and how each scheduler stands. Raises CordonUnknown."""
+        """Return one cordon, or all for '', and the status of each scheduler. Raises CordonUnknown."""
         now_us = self.mono_us()
         listing = views.list_cordons(now_us, self.index, self.tracker.propagations)
         cordons = tuple(
@@ -82,25 +82,27 @@
 
     def change(self, call: CordonCall) -> None:
         """Write the change that a call asks for, and track it."""
-        asked = self.records.prepare_change(call)
-        key = str(asked.cordon.dot) if asked.cordon else f"lift {self.records.next_number()}"
+        requested = self.records.prepare_change(call)
+        key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_number()}"
         wait_us = call.wait_us
         now_us = self.mono_us()
         self.tracker.propagations.reserve()  # a call that is rejected must not have written anything
         replica, unix_us = self.records.replica, self.clock.now_us()
-        written = [replica.write(unix_us, value.NAME, target, new) for target, new in asked.values.items()]
+        written = [
+            replica.write(unix_us, value.NAME, target, new) for target, new in requested.values.items()
+        ]
         change = self.tracker.track(
             now_us,
             key,
             call.cordon_id,
             written,
-            is_lift=asked.is_lift,
+            is_lift=requested.is_lift,
             deadline_us=None if wait_us is None else now_us + wait_us,
             stored=self.fleet.sends_without_lease or self.report.freshness.caught_up,
         )
         self._wait(call, change, now_us, wait_us)
         self.on_written(written)
-        asked.write_log()
+        requested.write_log()
 
     def review(self, now_us: int) -> None:
         """Answer calls whose change has come far enough, or whose time is up."""
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -1,6 +1,6 @@
 """The transition from former lists of schedulers to the present one.
 
-Majorities of the former lists are needed, too, until all schedulers have been known to go by the present one
+Majorities of the former lists are needed, too, until all schedulers have been known to use the present one
 for as long as the bound.
 """
 
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -52,12 +52,12 @@
 
     @property
     def lagging_count(self) -> int:
-        """How many voters and schedulers are not known to go by it."""
+        """How many voters and schedulers are not known to have applied it."""
         return max((last.lagging.count for last in self._reports()), default=0)
 
     @property
     def lagging_names(self) -> tuple[str, ...]:
-        """Some of those that are not known to go by it, ascending."""
+        """Some of those that are not known to have applied it, ascending."""
         return tuple(sorted({name for last in self._reports() for name in last.lagging.names}))
 
     def _reports(self) -> Iterable[Progressed]:
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -33,7 +33,7 @@
     """How far a change has come.
 
     ``ms``: time since the call. ``lagging_count``: at a member of the control group, how many of its members
-    are not known to go by the change. ``error``, ``advice`` and ``type``: of a call that waited in vain.
+    are not known to have applied the change. ``error``, ``advice`` and ``type``: of a call that timed out.
     """
 
     id: str
@@ -55,13 +55,13 @@
 
 
 class CordonReply(CordonView, frozen=True):
-    """One cordon, and the schedulers that are not known to go by it."""
+    """One cordon, and the schedulers that are not known to have applied it."""
 
     lagging: tuple[str, ...] = msgspec.field(name="behind", default=())
 
 
 class SchedulerReply(msgspec.Struct, frozen=True):
-    """How one scheduler stands, as known here; ``knowledge_age_ms`` is None if it was never known."""
+    """The status of one scheduler, as known here; ``knowledge_age_ms`` is None if it was never known."""
 
     name: str
     state: str
@@ -81,7 +81,7 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """How a scheduler's copy of the shared state stands. Ages are None where nothing was known yet."""
+    """The status of a scheduler's copy of the shared state. Ages are None where nothing was known yet."""
 
     name: str
     incarnation: int
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -30,7 +30,7 @@
         self.clock = clock
 
     def status(self, mono_us: int, *, serving: bool) -> StatusReply:
-        """Return how this copy stands; its digest only while it serves."""
+        """Return the status of this copy; its digest only while it serves."""
         age_us = self.freshness.age_us(mono_us)
         return StatusReply(
             name=self.fleet.own_name,
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -14,7 +14,7 @@
 
 from robinhill.config import Config
 from robinhill.config_types import Address, ConfigError
-from robinhill.cordon.value import cordon_kind
+from robinhill.cordon.codec import cordon_kind
 from robinhill.mesh.acknowledgements import acknowledgement_kind
 from robinhill.mesh.clocks import agreed_offset_us, next_incarnation
 from robinhill.mesh.errors import MeshError
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -27,6 +27,7 @@
 from robinhill.config import OperatorFile
 from robinhill.control import messages as control
 from robinhill.control.record_kinds import kinds as control_kinds
+from robinhill.cordon import codec as cordon_codec
 from robinhill.cordon import value as cordon
 from robinhill.cordon import views
 from robinhill.errors import RobinhillError
@@ -346,7 +347,7 @@
 _REQUESTS = record_kinds.request_kind(record_kinds.MAX_RETRY_WINDOW_US)
 
 VALUES: Mapping[str, Callable[[bytes], bytes]] = {
-    "cordon": lambda data: cordon.encode(cordon.decode(data)),
+    "cordon": lambda data: cordon_codec.encode(cordon_codec.decode(data)),
     "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
     "drain": lambda data: record_kinds.DRAIN_KIND.encode(record_kinds.DRAIN_KIND.decode(data)),
@@ -365,7 +366,7 @@
     """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
     record = SAMPLES["shared.Record"]
     assert isinstance(record, shared.Record)
-    replica = Replica("s1", 5, (cordon.cordon_kind(), record_kinds.DRAIN_KIND))
+    replica = Replica("s1", 5, (cordon_codec.cordon_kind(), record_kinds.DRAIN_KIND))
     stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
     replica.merge(
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -10,6 +10,7 @@
 
 from robinhill.cordon.automatic import Observation, propose
 from robinhill.cordon.budget import CAUSES, Budget, Location
+from robinhill.cordon.codec import cordon_kind, decode, encode
 from robinhill.cordon.errors import (
     BoundNotMet,
     CordonBudgetSpent,
@@ -37,9 +38,6 @@
     Reason,
     SeenDots,
     active_entries,
-    cordon_kind,
-    decode,
-    encode,
     find_targets,
     lift_cordon,
     merge,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,8 @@
 from benchmarks.scale.counting import allocated_bytes, executed_lines
 from benchmarks.scale.fitting import Growth, Point, growth
 from benchmarks.scale.processes import counter
-from robinhill.cordon.value import Dot, Reason, cordon_kind, set_cordon
+from robinhill.cordon.codec import cordon_kind
+from robinhill.cordon.value import Dot, Reason, set_cordon
 from robinhill.mesh.errors import StateFull
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.replica import Replica
