--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -20,7 +20,7 @@
 )
 
 RENEWAL_MARGIN_US = 1_000_000  # from a watch's silence to the answer to the call that follows
-DISCOVERY_MOVE_BOUND_US = 4_000_000  # the list at a new address is in force so long after the order to move
+ADDRESS_CHANGE_BOUND_US = 4_000_000  # the list at a new address is in force so long after the order to move
 UNKNOWN_AGE_MS = -1
 
 
@@ -41,7 +41,7 @@
     version: int = 0
     confirmed_us: int | None = None  # when discovery last confirmed the list; None: not that we know
     until_us: int = 0
-    moved_us: int | None = None  # when discovery got another address that has not answered yet
+    address_changed_us: int | None = None  # when discovery got another address that has not answered yet
 
     @classmethod
     def from_settings(cls, settings: api.Settings, version: int) -> "ListLease":
@@ -61,17 +61,19 @@
         """Discovery has sent a list, its changes, or that nothing has changed since ``version``."""
         self.origin, self.version, self.confirmed_us = ListOrigin.DISCOVERY, version, received_us
         until_us = received_us + self.duration_us
-        if self.moved_us is not None and received_us < self.moved_us:  # from the address before
-            until_us = min(until_us, self.moved_us + DISCOVERY_MOVE_BOUND_US)
+        if (
+            self.address_changed_us is not None and received_us < self.address_changed_us
+        ):  # from the address before
+            until_us = min(until_us, self.address_changed_us + ADDRESS_CHANGE_BOUND_US)
         else:
-            self.moved_us = None
+            self.address_changed_us = None
         self.until_us = max(self.until_us, until_us)
 
-    def record_moved(self, now_us: int) -> None:
+    def record_address_change(self, now_us: int) -> None:
         """Discovery is at another address; of several such orders the first without an answer counts."""
-        if self.moved_us is None:
-            self.moved_us = now_us
-        self.until_us = min(self.until_us, self.moved_us + DISCOVERY_MOVE_BOUND_US)
+        if self.address_changed_us is None:
+            self.address_changed_us = now_us
+        self.until_us = min(self.until_us, self.address_changed_us + ADDRESS_CHANGE_BOUND_US)
 
     def record_unreachable(self, called_us: int, as_of_us: int) -> None:
         """A call begun at ``called_us`` shows that discovery was unreachable at ``as_of_us``.
@@ -82,8 +84,10 @@
         if called_us >= self.until_us:
             return
         self.until_us = max(self.until_us, as_of_us + self.duration_us)
-        if self.moved_us is not None:
-            self.moved_us = max(self.moved_us, as_of_us)  # the new address was not there before, either
+        if self.address_changed_us is not None:
+            self.address_changed_us = max(
+                self.address_changed_us, as_of_us
+            )  # the new address was not there before, either
 
     def is_valid(self, now_us: int) -> bool:
         """Whether work may be sent by the list."""
