--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -49,7 +49,7 @@
         self.due_us = now_us + self.change_bound_us
         return 0 if self.lists_pushed else self._random_wait_us(now_us)
 
-    def record_moved(self, now_us: int) -> None:
+    def record_address_change(self, now_us: int) -> None:
         """Discovery has another address, which is called at once."""
         self.due_us, self.failed_calls = now_us + self.change_bound_us, 0
 
