--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -211,7 +211,7 @@
         deadline_us = message.arrived_us + request.time_left_us
         job = self.in_flight.add(request, deadline_us, message.reply).job
         if self.traffic_recorder and message.caller is None:  # else admission control has recorded it
-            self.traffic_recorder.arrived(request, message.arrived_us, "")
+            self.traffic_recorder.record_arrival(request, message.arrived_us, "")
         arrival = api.Request(
             job,
             request.job_class,
@@ -245,7 +245,7 @@
             self.handover.keep(request)
         self.metrics.answered(request.request.job_class, answer)
         if self.traffic_recorder:
-            self.traffic_recorder.answered(request.request, answer.status)
+            self.traffic_recorder.record_answer(request.request, answer.status)
         if answer is protocol.FAILED:
             name = self.config.classes[request.request.job_class]
             log.warning(
@@ -352,7 +352,7 @@
     def _record_ending(self, request: InFlightRequest, ended: AttemptEnded) -> None:
         instance_id, outcome = request.endpoints[ended.attempt], ended.outcome
         if self.traffic_recorder:
-            self.traffic_recorder.attempted(
+            self.traffic_recorder.record_attempt(
                 request.request, instance_id, outcome, ended.took_us, request.started_us
             )
         request.last_outcome = outcome
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -90,7 +90,7 @@
         instance_id = destination.instance_id
         self.destinations[instance_id] = destination
         if self.traffic_recorder:
-            self.traffic_recorder.listed(destination)
+            self.traffic_recorder.record_endpoint(destination)
         effective = self.restrictions.effective(destination)
         if endpoint := self.endpoints.get(instance_id):
             endpoint.tell(effective)
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -88,7 +88,7 @@
             tape = TrafficRecorder(self.recorder, self.clock, config.classes)
             self.dispatcher.traffic_recorder = self.dispatcher.table.traffic_recorder = tape
             if self.admission:
-                self.admission.tape = tape
+                self.admission.traffic_recorder = tape
             self.metrics.recorder = self.recorder
             self.recorder.start()
         self.inbound = Inbound(
@@ -98,7 +98,7 @@
             self.metrics,
             self.admission.tell if self.admission else self.dispatcher.tell,
             self._deliver,
-            self.admission.find if self.admission else None,
+            self.admission.identify_caller if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
         self.sharing: Sharing | ObservingScheduler | None = None
@@ -180,7 +180,7 @@
         if told and (memory := await handover.ask_predecessor(QuestionName.STATE)):
             self.dispatcher.import_state(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
-                self.admission.recall(memory[HANDED_ADMISSION])
+                self.admission.import_state(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _list_leased(self) -> None:
@@ -247,14 +247,14 @@
     async def _leave_to_successor(self) -> bool:
         """Whether there was one until all was settled."""
         if self.admission and self.inbound.superseded:
-            self.admission.shut(True)
+            self.admission.suspend(True)
         while self.inbound.superseded:
             await self.inbound.hand_over(self._release, self._send_over)
             if self.inbound.settled:
                 return self.inbound.superseded
             await asyncio.sleep(HAND_OVER_S)
         if self.admission:
-            self.admission.shut(False)
+            self.admission.suspend(False)
         return False
 
     # Operators' calls
@@ -320,7 +320,7 @@
         at_admission: Json = {}
         if self.admission:
             known: asyncio.Future[Json] = asyncio.get_running_loop().create_future()
-            self.admission.take_out(request, known)
+            self.admission.release(request, known)
             at_admission = await known
             if "waiting" in at_admission:
                 return {HANDED_ADMISSION: at_admission}
@@ -356,7 +356,7 @@
     async def _take_back(self, told: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
         """Go on ourselves with a request that no successor has had."""
         if self.admission and "waiting" in told[HANDED_ADMISSION]:
-            self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
+            self.admission.adopt(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
         self.dispatcher.tell(
@@ -378,7 +378,7 @@
         }
 
     def export_state(self) -> Json:
-        admission = self.admission.memory() if self.admission else None
+        admission = self.admission.export_state() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
             "drained": self.inbound.drained_by_operators,
@@ -411,7 +411,7 @@
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
-            self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
+            self.admission.adopt(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
             if not self.admission:  # it has waited long enough
                 self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
