--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -61,17 +61,17 @@
 
 
 class Extra(NamedTuple):
-    """What may still happen, beside what may to voters."""
+    """Events of observers that may still happen: heartbeats, failovers and crashes."""
 
     beats: int
     moves: int
     quits: int
 
 
-class Word(NamedTuple):
+class Message(NamedTuple):
     """A message between an observer and its voter. ``what``: join, sync, offer, beat or answer.
 
-    ``holds``: with what it carries, or follows, the change comes along.
+    ``holds``: the receiver knows the change once it has this message.
     """
 
     what: str
@@ -96,16 +96,16 @@
 class Observer:
     """One observer; never changed once `seal` has fixed what tells it from others."""
 
-    __slots__ = ("down", "holds", "lease", "mark", "synced", "up", "voter")
+    __slots__ = ("down", "fingerprint", "holds", "lease", "synchronized", "up", "voter")
 
     def __init__(self, lease: ObserverLease, voter: int) -> None:
         self.lease = lease
         self.voter = voter
-        self.synced = voter != NOWHERE
+        self.synchronized = voter != NOWHERE
         self.holds = False
-        self.up: tuple[Word, ...] = ()
-        self.down: tuple[Word, ...] = ()
-        self.mark = 0
+        self.up: tuple[Message, ...] = ()
+        self.down: tuple[Message, ...] = ()
+        self.fingerprint = 0
 
     def clone(self) -> "Observer":
         other = copy(self)
@@ -116,7 +116,7 @@
     def seal(self) -> "Observer":
         lease = self.lease
         at_lease = lease.as_of_us, lease._last_number, tuple(lease._in_flight), lease._counting
-        self.mark = hash((at_lease, self.voter, self.synced, self.holds, self.up, self.down))
+        self.fingerprint = hash((at_lease, self.voter, self.synchronized, self.holds, self.up, self.down))
         return self
 
 
@@ -132,8 +132,8 @@
     went_back: bool
 
     def key(self) -> int:
-        marks = tuple(one.mark for one in self.observers)
-        return hash((super().key(), self.extra, marks, self.reloaded, self.settled))
+        observers = tuple(one.fingerprint for one in self.observers)
+        return hash((super().key(), self.extra, observers, self.reloaded, self.settled))
 
 
 class ControlExplorer(Explorer):
@@ -169,7 +169,7 @@
         listed = names if name in names else self.new
         fresh = self.rules.fresh(name, listed, BOUND_US)
         fresh.caught_up = counts
-        _tell_starts(fresh, self.names, starts)
+        _set_incarnations(fresh, self.names, starts)
         node = Scheduler(name, fresh, Acceptance(fresh.quorum), False, starts)
         node.seal()
         return node
@@ -223,7 +223,7 @@
             yield self._up(state, at)
         if observer.down:
             yield self._down(state, at)
-        if extra.beats and observer.voter != NOWHERE and (observer.synced or self.wrong.unsynced):
+        if extra.beats and observer.voter != NOWHERE and (observer.synchronized or self.wrong.unsynced):
             yield self._beat(state, at)
         if extra.moves:
             for voter in range(len(self.names)):
@@ -237,7 +237,7 @@
     def _beat(self, state: ControlState, at: int) -> ControlState:
         observer = state.observers[at].clone()
         number = observer.lease.heartbeat_sent(state.now_us)
-        observer.up = (*observer.up, Word("beat", number=number))
+        observer.up = (*observer.up, Message("beat", number=number))
         following = self._with_observer(state, f"observer {at} beats", at, observer)
         following.extra = state.extra._replace(beats=state.extra.beats - 1)
         if not self.control.prompt:
@@ -253,8 +253,8 @@
     def _move(self, state: ControlState, at: int, voter: int) -> ControlState:
         observer = state.observers[at].clone()
         observer.lease.reset()
-        observer.voter, observer.synced = voter, False
-        observer.up, observer.down = (Word("join"),), ()
+        observer.voter, observer.synchronized = voter, False
+        observer.up, observer.down = (Message("join"),), ()
         if self.wrong.unsynced:
             observer.lease._counting = True
             observer.up = ()
@@ -269,39 +269,39 @@
     def _up(self, state: ControlState, at: int) -> ControlState:
         """The voter reads the observer's next message."""
         observer = state.observers[at].clone()
-        word, observer.up = observer.up[0], observer.up[1:]
+        message, observer.up = observer.up[0], observer.up[1:]
         node = state.nodes[observer.voter]
-        step = f"{node.name} reads {word.what} of observer {at}"
-        if word.what == "join":
-            observer.down = (*observer.down, Word("sync", node.holds))
-        if word.what == "beat":
-            observer.down = (*observer.down, self._answer(state, node, word, observer))
+        step = f"{node.name} reads {message.what} of observer {at}"
+        if message.what == "join":
+            observer.down = (*observer.down, Message("sync", node.holds))
+        if message.what == "beat":
+            observer.down = (*observer.down, self._answer(state, node, message, observer))
         following = self._with_observer(state, step, at, observer)
-        if word.what == "offer" and word.holds and not node.holds:
-            taken = node.clone()
-            taken.holds = True
-            self._with(following, taken)
+        if message.what == "offer" and message.holds and not node.holds:
+            merged = node.clone()
+            merged.holds = True
+            self._with(following, merged)
         return following
 
-    def _answer(self, state: ControlState, node: Scheduler, word: Word, observer: Observer) -> Word:
+    def _answer(self, state: ControlState, node: Scheduler, message: Message, observer: Observer) -> Message:
         age_us = node.fresh.age_us(state.now_us)
-        carries = node.holds and observer.synced and not self.wrong.answers_first
-        return Word("answer", carries, word.number, -1 if age_us is None else age_us)
+        carries = node.holds and observer.synchronized and not self.wrong.answers_first
+        return Message("answer", carries, message.number, -1 if age_us is None else age_us)
 
     def _down(self, state: ControlState, at: int) -> ControlState:
         """The observer reads its voter's next message."""
         observer = state.observers[at].clone()
-        word, observer.down = observer.down[0], observer.down[1:]
+        message, observer.down = observer.down[0], observer.down[1:]
         held, as_of_us = observer.holds, observer.lease.as_of_us
-        if word.what == "sync":
-            observer.holds = word.holds if self.wrong.replaces else observer.holds or word.holds
-            observer.synced = True
+        if message.what == "sync":
+            observer.holds = message.holds if self.wrong.replaces else observer.holds or message.holds
+            observer.synchronized = True
             observer.lease.start_counting()
-            observer.up = (*observer.up, Word("offer", observer.holds))
+            observer.up = (*observer.up, Message("offer", observer.holds))
         else:
-            observer.holds |= word.holds
-            observer.lease.reply_received(word.number, word.age_us)
-        following = self._with_observer(state, f"observer {at} reads {word.what}", at, observer)
+            observer.holds |= message.holds
+            observer.lease.reply_received(message.number, message.age_us)
+        following = self._with_observer(state, f"observer {at} reads {message.what}", at, observer)
         following.went_back |= held and not observer.holds
         if as_of_us is not None:
             following.went_back |= observer.lease.as_of_us is None or observer.lease.as_of_us < as_of_us
@@ -321,7 +321,7 @@
         else:
             node.fresh.quorum._lists = (self.new,)
             node.fresh._list_changed()
-        _tell_starts(node.fresh, self.names, node.starts)
+        _set_incarnations(node.fresh, self.names, node.starts)
         following = self._next(state, f"{node.name} takes the new list", state.left)
         following.reloaded = _put(state.reloaded, at, state.now_us)
         if node.accept.review(state.now_us):
@@ -333,8 +333,8 @@
         """All of the new list went by it longer than the bound ago. A voter that was told so knows less."""
         if self.wrong.settles_at_once:
             return True
-        took = [state.reloaded[at] for at, name in enumerate(self.names) if name in self.new]
-        return min(took) >= 0 and state.now_us - max(took) > BOUND_US
+        reloaded_us = [state.reloaded[at] for at, name in enumerate(self.names) if name in self.new]
+        return min(reloaded_us) >= 0 and state.now_us - max(reloaded_us) > BOUND_US
 
     def _settle(self, state: ControlState, at: int) -> ControlState:
         node = _with_own_quorum(state.nodes[at])
@@ -367,8 +367,8 @@
         assert isinstance(following, ControlState)
         name, starts = self.names[at], following.nodes[at].starts
         names = self.new if state.reloaded[at] >= 0 else self.old
-        again = self._voter(name, starts, self.rules.counts_at_once, names)
-        following.nodes = _put(following.nodes, at, again)
+        restarted = self._voter(name, starts, self.rules.counts_at_once, names)
+        following.nodes = _put(following.nodes, at, restarted)
         following.settled = _put(state.settled, at, state.settled[at] or state.reloaded[at] >= 0)
         following.observers = tuple(
             _unlinked(observer) if observer.voter == at else observer for observer in state.observers
@@ -384,7 +384,7 @@
         return self.names[state.observers[at].voter]
 
 
-def _tell_starts(fresh: Freshness, names: str, starts: list[int]) -> None:
+def _set_incarnations(fresh: Freshness, names: str, starts: list[int]) -> None:
     for peer, start in zip(names, starts, strict=True):
         fresh.started(peer, start)
 
@@ -401,7 +401,7 @@
     """Its voter has crashed."""
     observer = observer.clone()
     observer.lease.reset()
-    observer.voter, observer.synced, observer.up, observer.down = NOWHERE, False, (), ()
+    observer.voter, observer.synchronized, observer.up, observer.down = NOWHERE, False, (), ()
     return observer.seal()
 
 
@@ -535,25 +535,26 @@
     parser.add_argument("--plan", choices=sorted({*PLANS, *LARGE}), help="one of them only")
     parser.add_argument("--large", action="store_true", help="the large plans, which take minutes")
     parser.add_argument("--variants", action="store_true", help="search each variant; each must be found")
-    told = parser.parse_args()
+    options = parser.parse_args()
     searches: list[tuple[str, ControlBudget, ControlRules]] = []
-    if told.variants:
+    if options.variants:
         searches = [(name, budget, rules()) for name, (budget, rules) in VARIANTS.items()]
     else:
-        plans = LARGE if told.large else PLANS
-        searches = [(name, plans[name], ControlRules()) for name in plans if told.plan in (None, name)]
+        plans = LARGE if options.large else PLANS
+        searches = [(name, plans[name], ControlRules()) for name in plans if options.plan in (None, name)]
     right = True
     for name, budget, rules in searches:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         found = search(budget, rules)
-        took = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - started_s
         verdict = "both rules hold" if found.broken is None else "BROKEN"
         print(
-            f"{name}: {verdict}; {found.states} states, {found.accepted} accepted; {took:.1f} s", flush=True
+            f"{name}: {verdict}; {found.states} states, {found.accepted} accepted; {elapsed_s:.1f} s",
+            flush=True,
         )
         if found.broken is not None:
             print("   " + "\n   ".join(found.broken.path()))
-        right &= (found.broken is None) != told.variants
+        right &= (found.broken is None) != options.variants
     sys.exit(not right)
 
 
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -93,6 +93,69 @@
                 kept.bind((host, int(port)))
 
 
+@dataclass(slots=True, frozen=True)
+class _Layout:
+    """Names, addresses and files of one rig. ``relays``: by who connects, and to which voter."""
+
+    folder: Path
+    site: Site
+    voters: tuple[str, ...]
+    schedulers: tuple[str, ...]
+    addresses: dict[str, str]
+    relays: dict[tuple[str, str], Relay]
+    bound_ms: int
+    voter_entry: tuple[str, ...]
+    entry: tuple[str, ...]
+
+    @property
+    def names(self) -> tuple[str, ...]:
+        """All processes, the voters first."""
+        return self.voters + self.schedulers
+
+    def operator_file(self, name: str) -> Json:
+        """The operators' file of a process: it reaches other voters through its relays."""
+        places: Json = {}
+        for voter in self.voters:
+            address = self.relays[name, voter].address if voter != name else self.addresses[voter]
+            places[voter] = {"address": address, "region": "r", "zone": f"z-{voter}"}
+        section: Json = {"installation": "rig", "voters": places, "bound_ms": self.bound_ms}
+        return {"mesh": section | {"on_lost": "hold"}}
+
+    async def programs(self, discovery: Discovery, workers: dict[str, Worker]) -> dict[str, Program]:
+        """All processes, not started yet."""
+        programs: dict[str, Program] = {}
+        for name in self.names:
+            (self.folder / name / "state").mkdir(parents=True)
+        for name in self.voters:
+            own = self.folder / name
+            programs[name] = voter_program(
+                own,
+                self.site,
+                discovery,
+                self.operator_file(name),
+                name,
+                state=own / "state",
+                entry=self.voter_entry,
+            )
+        for number, name in enumerate(self.schedulers):
+            own, listen = self.folder / name, free_address()
+            view = await discovery.view(
+                {worker.name: await worker.open_address(name, listen) for worker in workers.values()}
+            )
+            programs[name] = Program(
+                own,
+                self.site,
+                view,
+                self.operator_file(name),
+                name,
+                number,
+                listen,
+                entry=self.entry,
+                state=own / "state",
+            )
+        return programs
+
+
 @asynccontextmanager
 async def control_rig(
     voters: int,
@@ -104,55 +167,36 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[ControlRig]:
-    """All of it at work and in step; all of it has ended behind the block.
+    """Start all processes and synchronize them; they have ended after the block.
 
     ``entry``, ``voter_entry``: what is run in place of the programs.
     """
     site = Site(KINDS, schedulers=schedulers)
     names = names_of(voters + schedulers)
-    voting, others = names[:voters], names[voters:]
+    voting = names[:voters]
     journal, lateness = Watched(), Lateness()
-    made = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(WORKERS)}
-    discovery = Discovery(made.values(), journal)
-    listens = {name: free_address() for name in voting}
+    workers = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(WORKERS)}
+    discovery = Discovery(workers.values(), journal)
+    addresses = {name: free_address() for name in voting}
     ends = [(a, b) for a in names for b in voting if a != b]
-    relays = {(a, b): Relay(listens[b], f"{seed} {a} {b}") for a, b in ends}
-    programs: dict[str, Program] = {}
+    relays = {(a, b): Relay(addresses[b], f"{seed} {a} {b}") for a, b in ends}
+    layout = _Layout(folder, site, voting, names[voters:], addresses, relays, bound_ms, voter_entry, entry)
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        await start_parts(stack, [*made.values(), discovery, *relays.values()])
-
-        def operator(name: str) -> Json:
-            addresses = {b: relays[name, b].address if b != name else listens[b] for b in voting}
-            places = {b: {"address": a, "region": "r", "zone": f"z-{b}"} for b, a in addresses.items()}
-            section: Json = {"installation": "rig", "voters": places, "bound_ms": bound_ms}
-            return {"mesh": section | {"on_lost": "hold"}}
-
-        for name in names:
-            (folder / name / "state").mkdir(parents=True)
-        for name in voting:
-            own = folder / name
-            programs[name] = voter_program(
-                own, site, discovery, operator(name), name, state=own / "state", entry=voter_entry
-            )
-        for number, name in enumerate(others):
-            own, listen = folder / name, free_address()
-            view = await discovery.view({w.name: await w.open_address(name, listen) for w in made.values()})
-            programs[name] = Program(
-                own, site, view, operator(name), name, number, listen, entry=entry, state=own / "state"
-            )
-        clients = Clients(site, lambda: here.address(), journal, seed)
-        here = ControlRig(
-            names, journal, made, discovery, programs, relays, clients, session, lateness, voters=voting
+        await start_parts(stack, [*workers.values(), discovery, *relays.values()])
+        programs = await layout.programs(discovery, workers)
+        clients = Clients(site, lambda: rig.address(), journal, seed)
+        rig = ControlRig(
+            names, journal, workers, discovery, programs, relays, clients, session, lateness, voters=voting
         )
-        stack.push_async_callback(here.stop)
+        stack.push_async_callback(rig.stop)
         for name in names:
-            await here.start(name)
-        if await here.equal(FORM_S) is None:
+            await rig.start(name)
+        if await rig.equal(FORM_S) is None:
             raise RuntimeError(f"the links did not come up; see {folder}")
         lateness.start()
         stack.callback(lateness.stop)
-        yield here
+        yield rig
 
 
 async def play(
