--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -48,7 +48,7 @@
 class LeaseChanged:
     """The lease began or expired. ``age_us``: age of the newest known majority state; None: never known."""
 
-    held: bool
+    valid: bool
     age_us: int | None
 
 
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -91,7 +91,7 @@
     number: int
 
 
-class Moved(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
+class Migrated(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
     """These observers are synchronized with the sender, or have left: a voter that knows them by an earlier
     join need not wait for them."""
 
@@ -100,7 +100,8 @@
 
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
     """The sender waits for these observers, which disconnected without a goodbye. A voter that knows a later
-    join replies with `Moved`: so a `Moved` that was lost, or overtook the join, does no lasting harm."""
+    join replies with `Migrated`: so a `Migrated` that was lost, or overtook the join, does no lasting
+    harm."""
 
     observers: tuple[ObserverJoin, ...]
 
@@ -237,7 +238,7 @@
     why: str
 
 
-VoterMessage = MeshData | VoterStatus | Barrier | BarrierStatus | BarrierEnd | Moved | Departed
+VoterMessage = MeshData | VoterStatus | Barrier | BarrierStatus | BarrierEnd | Migrated | Departed
 ObserverMessage = Join | Digests | Offer | Heartbeat | Applied | Goodbye
 ToObserver = Welcome | Compare | RangeRecords | Compared | Changes | HeartbeatReply | Progress | Refused
 AnyMessage = VoterMessage | ObserverMessage | ToObserver
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -283,9 +283,9 @@
 
     def _make_primary(self, now_us: int, mono_us: int, link: Link) -> None:
         """Join the voter of this link: its replies don't count until the replica is synchronized with it."""
-        away_us = mono_us - self._lease_lost_us
-        if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, away_us):
-            self._sync.clear(away_us)
+        without_lease_us = mono_us - self._lease_lost_us
+        if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, without_lease_us):
+            self._sync.clear(without_lease_us)
         self._sync.begin()
         self.lease.reset()
         self._links.make_primary(mono_us, link, self._sync.feed_position)
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -166,7 +166,7 @@
 
     # Observers of other voters
 
-    def moved_away(self, name: str, incarnation: int, join: int) -> bool:
+    def migrated_away(self, name: str, incarnation: int, join: int) -> bool:
         """An observer is synchronized with another voter by this join. True if it was known here by an
         earlier one."""
         observer = self.observers.get(name)
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -54,7 +54,7 @@
         self.observer_progress = observer_progress
         self._age_us = age_us
         self._by_link: dict[Link, ObserverSession] = {}
-        self._moved: dict[str, wire.ObserverJoin] = {}  # since the last `take_moved`
+        self._migrated: dict[str, wire.ObserverJoin] = {}  # since the last `take_moved`
         self._outbox = outbox
         self._comparison_queue: dict[Link, None] = {}
         self._comparing: set[Link] = set()
@@ -144,7 +144,7 @@
     ) -> None:
         feed.confirm(applied.received)
         if self.observer_progress.applied(mono_us, session.name, applied.position, applied.urgent):
-            self._note_moved(session, session.join)
+            self._note_migrated(session, session.join)
         self._send_changes(mono_us, link, session)
 
     def _handle_digests(
@@ -173,7 +173,7 @@
 
     def _handle_goodbye(self, link: Link, session: ObserverSession) -> None:
         self.observer_progress.record_goodbye(session.name, session.incarnation)
-        self._note_moved(session, wire.GOODBYE)
+        self._note_migrated(session, wire.GOODBYE)
         self.closed(link)
         self._outbox.disconnect(link, "it said goodbye")
 
@@ -184,17 +184,17 @@
         for link, session in self._by_link.items():
             self._send_changes(mono_us, link, session)
 
-    def take_moved(self) -> wire.Moved | None:
+    def take_migrated(self) -> wire.Migrated | None:
         """Observers that were synchronized here, or have left, since the last call; None if there are
         none."""
-        if not self._moved:
+        if not self._migrated:
             return None
-        moved = wire.Moved(tuple(sorted(self._moved.values())))
-        self._moved.clear()
-        return moved
+        migrated = wire.Migrated(tuple(sorted(self._migrated.values())))
+        self._migrated.clear()
+        return migrated
 
-    def _note_moved(self, session: ObserverSession, join: int) -> None:
-        self._moved[session.name] = wire.ObserverJoin(session.name, session.incarnation, join)
+    def _note_migrated(self, session: ObserverSession, join: int) -> None:
+        self._migrated[session.name] = wire.ObserverJoin(session.name, session.incarnation, join)
 
     def _send_changes(self, mono_us: int, link: Link, session: ObserverSession) -> None:
         feed = session.feed
@@ -216,10 +216,10 @@
 
     # Links that end
 
-    def moved_away(self, join: wire.ObserverJoin) -> None:
+    def migrated_away(self, join: wire.ObserverJoin) -> None:
         """An observer is synchronized with another voter; a link that it still has here is outdated."""
         observer = self.observer_progress.observers.get(join.name)
-        known = self.observer_progress.moved_away(join.name, join.incarnation, join.number)
+        known = self.observer_progress.migrated_away(join.name, join.incarnation, join.number)
         if known and observer is not None and observer.link is not None:
             self.drop(observer.link, f"{join.name} has another voter now")
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -267,13 +267,13 @@
                 self.commit_tracker.record_status(mono_us, name, message)
             case wire.BarrierEnd():
                 self._changes.end_barrier(name, message)
-            case wire.Moved():
+            case wire.Migrated():
                 for join in message.observers:
-                    self._sessions.moved_away(join)
+                    self._sessions.migrated_away(join)
             case wire.Departed():
                 newer = self.observer_progress.newer_joins(message.observers)
                 if newer and name in self._voter_links.link_of:
-                    self._outbox.send_to_voter(self._voter_links.link_of[name], wire.Moved(newer))
+                    self._outbox.send_to_voter(self._voter_links.link_of[name], wire.Migrated(newer))
             case _:
                 raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
 
@@ -296,7 +296,7 @@
         self._voter_links.greeted(link, voter.name)
         self._record_incarnations([voter])
         if joins := self.observer_progress.synchronized_joins():
-            self._outbox.send_to_voter(link, wire.Moved(joins))
+            self._outbox.send_to_voter(link, wire.Migrated(joins))
 
     def _handle_session_answer(self, voter: VoterLink) -> None:
         incomplete = self._voter_links.incomplete
@@ -365,8 +365,8 @@
             for voter in self._voter_links.pump(now_us, mono_us):
                 self._changes.send_barriers(voter)
         self._flush(mono_us)
-        if (moved := self._sessions.take_moved()) is not None:
-            self._voter_links.send_to_all(moved)
+        if (migrated := self._sessions.take_migrated()) is not None:
+            self._voter_links.send_to_all(migrated)
         return self._outbox.take()
 
     def _flush(self, mono_us: int) -> None:
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -214,8 +214,8 @@
                 log_rejected(rejected)
                 if any(record.kind == CORDON for record in records):
                     self._apply_cordons()
-            case LeaseChanged(held=held, age_us=age_us):
-                self._lease_changed(held, age_us)
+            case LeaseChanged(valid=valid, age_us=age_us):
+                self._lease_changed(valid, age_us)
             case Progressed():
                 self.cordons.record_progress(action)
 
@@ -235,12 +235,12 @@
             loop = asyncio.get_running_loop()
             self._expiry_timer = loop.call_later(wait_s, self.driver.tell, Run(self._apply_cordons))
 
-    def _lease_changed(self, held: bool, age_us: int | None) -> None:
+    def _lease_changed(self, valid: bool, age_us: int | None) -> None:
         if self._requires_lease:
             self.dispatcher.tell(SendLeaseChanged())
             return
         extra = {"age_ms": None if age_us is None else age_us // 1000, "cordons": len(self.cordons.targets)}
-        if held:
+        if valid:
             log.info("control_lease_acquired", extra=extra)
         else:
             log.warning("control_lease_expired", extra=extra)
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -73,7 +73,7 @@
         lagging_names=("names6",),
     ),
     "control.unbar": control.BarrierEnd(number=1),
-    "control.moved": control.Moved(observers=(control.ObserverJoin("observers1", 2, 3),)),
+    "control.moved": control.Migrated(observers=(control.ObserverJoin("observers1", 2, 3),)),
     "control.departed": control.Departed(observers=(control.ObserverJoin("observers1", 2, 3),)),
     "control.join": control.Join(
         protocol=1,
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -174,13 +174,13 @@
     monkeypatch.setattr(CommitTracker, "_lagging", planted)
 
 
-def moved_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
+def migrated_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
     grant = ObserverSessions._grant_comparisons
 
     def planted(self: ObserverSessions) -> None:
         for link in self._comparison_queue:
             observer = self._by_link[link]
-            self._note_moved(observer, observer.join)
+            self._note_migrated(observer, observer.join)
         grant(self)
 
     monkeypatch.setattr(ObserverSessions, "_grant_comparisons", planted)
@@ -209,7 +209,7 @@
     (link_ends_at_the_voter_only, without_departed),
     (voter_forgets_its_observers, without_unknown),
     (voter_is_cut_off_with_its_observers, without_silent_voters),
-    (observer_moves_without_a_change, moved_at_the_join),
+    (observer_moves_without_a_change, migrated_at_the_join),
     (observer_is_cut_off_from_all, lease_lasts_twice_as_long),
 )
 
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -57,7 +57,7 @@
     found.remove("a")
     found.joined(LATER, "b", 2, 1, 9)
     assert left == {"c"}
-    found.moved_away("c", 1, 2)
+    found.migrated_away("c", 1, 2)
     assert not left
 
 
@@ -65,8 +65,8 @@
     found = observer_progress("a")
     found.joined(LATER, "a", 1, 3, 7)
     left = waiting(found)
-    assert not found.moved_away("a", 1, 2) and left == {"a"}
-    assert found.moved_away("a", 1, 4) and not left
+    assert not found.migrated_away("a", 1, 2) and left == {"a"}
+    assert found.migrated_away("a", 1, 4) and not left
 
 
 def test_an_earlier_incarnation_may_not_join() -> None:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -268,8 +268,8 @@
             one, two = here.schedulers["s1"], here.schedulers["s2"]
             told = await settled(one)
             here.voters[told["voter"]].signal(signal.SIGSTOP)
-            moved = await settled(one, not_voter=told["voter"])
-            assert moved["voter"] == told["spare_voter"]
+            migrated = await settled(one, not_voter=told["voter"])
+            assert migrated["voter"] == told["spare_voter"]
             assert "event=send_lease_lost" not in one.log.read_text()
             here.voters[told["voter"]].signal(signal.SIGCONT)
             await equal(*here.voters.values(), one, two)
