--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -8,11 +8,13 @@
 import contextlib
 import logging
 import socket
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any, Protocol
 
 from robinhill.net.actor import Supervisor
 from robinhill.net.handover.handover_socket import HandoverSocket
+from robinhill.net.handover.messages import EndpointListExport, QuestionName, StateExport
 from robinhill.net.handover.process_link import LinkLostError, ProcessLink
 
 log = logging.getLogger(__name__)
@@ -23,23 +25,13 @@
 OPERATOR_CALL_TIMEOUT_S = 0.7  # an operator's call must be answered within 1 s
 
 
-class QuestionName:
-    """Names of questions in all versions; any other name is that of an operator's call."""
-
-    ENDPOINT_LIST = "hello"
-    STATE = "memory"
-    SERVING = "serving"
-    WORKER_EVENT = "event"
-    ADOPT_REQUEST = "adopt"
-
-
 class HandoverDelegate(Protocol):
     """What the hand-over needs of a scheduler; bodies are JSON of a process of any version."""
 
-    def export_endpoint_list(self) -> Json:
+    def export_endpoint_list(self) -> EndpointListExport:
         """The endpoint list, its lease and the clock that it goes by, for a successor."""
 
-    def export_state(self) -> Json:
+    def export_state(self) -> StateExport:
         """What a successor must know to decide as this process would."""
 
     def set_superseded(self, superseded: bool) -> None:
@@ -87,7 +79,7 @@
         self.predecessor = ProcessLink(sock, self.supervisor, self._answer)
         return True
 
-    async def ask_predecessor(self, question: str) -> Json | None:
+    async def ask_predecessor(self, question: str) -> Mapping[str, Any] | None:
         """The predecessor's answer; None if it does not answer in time, and it is given up then."""
         assert self.predecessor
         try:
@@ -139,7 +131,9 @@
 
     # As either
 
-    async def _answer(self, link: ProcessLink, question: str, body: Json, fd: int | None) -> Json:
+    async def _answer(
+        self, link: ProcessLink, question: str, body: Json, fd: int | None
+    ) -> Mapping[str, object]:
         await self.serving.wait()
         match question:
             case QuestionName.ENDPOINT_LIST:
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -11,7 +11,7 @@
 import os
 import socket
 from collections import deque
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 from itertools import count
 from typing import Any
@@ -61,7 +61,7 @@
     """The answer to the question of this number."""
 
     number: int
-    body: Json
+    body: Mapping[str, Any]
 
     def encode(self) -> bytes:
         """The answer as a line."""
@@ -93,7 +93,7 @@
         self,
         sock: socket.socket,
         supervisor: Supervisor,
-        answer: Callable[["ProcessLink", str, Json, int | None], Awaitable[Json]],
+        answer: Callable[["ProcessLink", str, Json, int | None], Awaitable[Mapping[str, object]]],
     ) -> None:
         sock.setblocking(False)
         self.sock = sock
@@ -102,7 +102,7 @@
         self.lost = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._numbers = count(1)
-        self._pending: dict[int, asyncio.Future[Json]] = {}  # answers by number of the question
+        self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}  # answers by number of the question
         self._sent: set[int] = set()  # pending questions that the other process may have received
         self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
         self._buffer = bytearray()
@@ -110,7 +110,7 @@
         self._loop.add_reader(sock, self._read)
         self._writer = supervisor.spawn(self._write(), "link")
 
-    async def ask(self, question: str, body: Json | None = None, fd: int | None = None) -> Json:
+    async def ask(self, question: str, body: Json | None = None, fd: int | None = None) -> Mapping[str, Any]:
         """The other process's answer; raises ``LinkLostError``.
 
         Questions arrive in order. ``fd`` is closed here once it is sent, or when it can't be.
@@ -120,7 +120,7 @@
                 os.close(fd)
             raise LinkLostError(False)
         number = next(self._numbers)
-        answer: asyncio.Future[Json] = self._loop.create_future()
+        answer: asyncio.Future[Mapping[str, Any]] = self._loop.create_future()
         self._pending[number] = answer
         data = Question(number, question, fd is not None, body or {}).encode()
         self._outbox.put_nowait(_Outgoing(data, fd, number))
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Mapping
 from dataclasses import fields, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from robinhill import config as configuration
 from robinhill import logs, protocol
@@ -23,7 +23,8 @@
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
-from robinhill.net.handover.handover import Handover, QuestionName
+from robinhill.net.handover.handover import Handover
+from robinhill.net.handover.messages import EndpointListExport, QuestionName, StateExport
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.server import OperatorCalls, OperatorServer
@@ -45,7 +46,7 @@
 LIST_S = 2.9  # for discovery's first answer, before this process says that it is ready
 START_S = 0.9  # an operator's call to a process that still starts is answered no after it
 STARTING = Answer(503, b"still starting\n")
-HANDED_ADMISSION = "door"  # the key between processes of all versions, which may take over from one another
+HANDED_ADMISSION: Final = "door"  # the key between processes of all versions
 NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
 
 
@@ -364,7 +365,7 @@
         )  # ours are set
         await done.wait()
 
-    def export_endpoint_list(self) -> Json:
+    def export_endpoint_list(self) -> EndpointListExport:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
@@ -377,7 +378,7 @@
             "known": {"generation": generation, "reset": True, "instances": known},
         }
 
-    def export_state(self) -> Json:
+    def export_state(self) -> StateExport:
         admission = self.admission.memory() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
