--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""What the decision module learns of job times, rates and clients' tries."""
+"""Estimates of job times and rates, and clients' retries."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     assert smooth(0.0, 8.0) == 8.0 and smooth(8.0, 40.0) == 9.0
 
 
-def test_a_hint_scales_the_mean_and_without_one_the_class_counts() -> None:
+def test_a_hint_scales_the_mean_and_without_one_the_class_mean_is_used() -> None:
     times = JobTimes(2)
     assert times.expected_us(0, 5) == 0.0, "nothing is known"
     times.add(0, 100, 100.0)
@@ -32,7 +32,7 @@
     assert times.class_baseline_us[0] == pytest.approx(100 + 300 / 32 / 1024)
 
 
-def test_one_huge_job_counts_as_four() -> None:
+def test_a_huge_job_is_clipped_to_four_times_the_mean() -> None:
     learned, worker = estimates(), WorkerRecord(api.Worker("w"), 0.0, ZoneWait(), S)
     request = api.Request(1, 0, S)
     learned.add_completion(MS, worker, request, 100 * MS)
@@ -40,14 +40,14 @@
     assert worker.own_time.value == pytest.approx((100 + 4 * 100) / 2 * MS, rel=0.001)
 
 
-def test_a_cold_worker_is_warm_for_sure_by_the_time_left() -> None:
+def test_slow_start_share_grows_with_the_time_since_the_start() -> None:
     learned = estimates()  # warm after 9 s, from 0.3 on
     worker = WorkerRecord(api.Worker("w"), 0.0, ZoneWait(), S, slow_start_until_us=9 * S)
     assert learned.slow_start_share(0, worker) == pytest.approx(0.3)
     assert learned.slow_start_share(9 * S, worker) == pytest.approx(1.0)
 
 
-def test_the_rate_is_that_of_the_window_and_never_falls_to_nothing() -> None:
+def test_the_rate_is_that_of_the_window_and_never_zero() -> None:
     learned = estimates()
     for second in range(1, 100):
         learned.add_arrival(second * S)
@@ -56,17 +56,17 @@
     assert learned.rate == pytest.approx(1 / 9)
 
 
-def test_a_try_with_less_time_is_a_further_one_only_while_one_was_given_up() -> None:
-    tries = ClientRetries(1, min_spent_us=10 * MS)
-    assert tries.spent_us(api.Request(1, 0, S)) == 0
-    assert tries.spent_us(api.Request(2, 0, S - 5 * MS)) == 5 * MS
-    assert tries.spent_us(api.Request(3, 0, S - 300 * MS)) == 0, "the first of a client that waits for less"
-    tries.unretried_answers = 1
-    assert tries.spent_us(api.Request(4, 0, S - 300 * MS)) == 300 * MS and tries.unretried_answers == 0
-    assert tries.spent_us(api.Request(5, 0, S - 300 * MS, client_repeat=True)) == 300 * MS
+def test_a_request_with_less_time_is_a_retry_only_after_an_unretried_answer() -> None:
+    retries = ClientRetries(1, min_spent_us=10 * MS)
+    assert retries.spent_us(api.Request(1, 0, S)) == 0
+    assert retries.spent_us(api.Request(2, 0, S - 5 * MS)) == 5 * MS
+    assert retries.spent_us(api.Request(3, 0, S - 300 * MS)) == 0, "the first of a client that waits for less"
+    retries.unretried_answers = 1
+    assert retries.spent_us(api.Request(4, 0, S - 300 * MS)) == 300 * MS and retries.unretried_answers == 0
+    assert retries.spent_us(api.Request(5, 0, S - 300 * MS, client_repeat=True)) == 300 * MS
 
 
-def test_bounds_follow_from_the_settings() -> None:
+def test_derived_settings_follow_from_the_settings() -> None:
     few = DerivedSettings.from_settings(
         settings(fleet_size=2, keepalive_us=S, handshake_price=0.1, progress_us=100), 50 * MS, 3.0
     )
--- a/tests/test_exported_state.py
+++ b/tests/test_exported_state.py
@@ -1,4 +1,4 @@
-"""What a successor's module is told makes it decide as its predecessor would."""
+"""A decision module that has imported its predecessor's state decides as that one would."""
 
 import json
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 def successor(old: Node, **changes: Any) -> Node:
-    """A module that has recalled what the old one learned, as it comes out of JSON."""
+    """A module that has imported the old one's state, by way of JSON."""
     new = Node(len(old.balancer.workers), seed=8, **changes)
     new.now = old.now
     exported_state.import_state(
@@ -19,7 +19,7 @@
     return new
 
 
-def test_a_successor_goes_on_with_the_rotation_and_the_speeds() -> None:
+def test_a_successor_continues_with_the_rotation_and_speeds() -> None:
     old = Node(3)
     for _ in range(30):
         worker = sent_to(old.ask(after_us=10 * MS))
@@ -32,7 +32,7 @@
             node.end(node.jobs, after_us=5 * MS)
 
 
-def test_a_successor_weighs_ages_anew_whatever_the_version_before_weighed_them_by() -> None:
+def test_a_successor_recomputes_age_weights_of_another_version() -> None:
     """Weights of two versions side by side would send all jobs to the workers of one of them."""
     old = Node(3)
     for _ in range(400):
@@ -47,7 +47,7 @@
         assert 0.5 < worker.age_weight / weight < 2.0
 
 
-def test_an_ejected_worker_stays_out() -> None:
+def test_an_ejected_worker_stays_ejected() -> None:
     old = Node(3)
     worker = sent_to(old.ask(after_us=10 * MS))
     old.end(old.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
@@ -55,8 +55,8 @@
     assert successor(old).balancer.avoided(old.now) == {worker}
 
 
-def test_a_job_that_is_let_go_ends_in_the_successor_and_leaves_its_room() -> None:
-    """Counted twice, as out elsewhere and as out here, jobs in flight left no room after an upgrade."""
+def test_an_exported_job_ends_in_the_successor_and_frees_its_capacity() -> None:
+    """Counted in both processes, jobs in flight would leave no capacity after an upgrade."""
     changes: dict[str, Any] = {"tells_start": True}
     old = Node(1, **changes)
     for _ in range(3):  # each that starts at once shows room for one more
@@ -64,8 +64,8 @@
         old.do(api.JobStarted(old.jobs, 0), after_us=5 * MS)
     new = successor(old, **changes)
     for job in range(1, 4):
-        told = json.loads(json.dumps(exported_state.export_job(old.balancer, job)))
-        assert not exported_state.import_job(new.balancer, new.now, told)
+        exported = json.loads(json.dumps(exported_state.export_job(old.balancer, job)))
+        assert not exported_state.import_job(new.balancer, new.now, exported)
     assert not old.balancer.attempts and not old.balancer.jobs and not old.balancer.workers["w0"].in_flight
     new.jobs = 3
     assert sent_to(new.ask()) == "w0"
@@ -74,28 +74,28 @@
     assert [send.job for send in again] == [1]  # safe to repeat: placed anew, as its second attempt
 
 
-def test_a_held_job_is_placed_by_the_successor() -> None:
+def test_a_queued_job_is_placed_by_the_successor() -> None:
     old = Node(1, tells_start=True)
     old.ask()  # has not started: no room
     assert not only(old.ask(), api.Send)
     new = successor(Node(2, tells_start=True), tells_start=True)
-    told = exported_state.export_job(old.balancer, 2)
-    assert told and sent_to(exported_state.import_job(new.balancer, new.now, told)) in ("w0", "w1")
+    exported = exported_state.export_job(old.balancer, 2)
+    assert exported and sent_to(exported_state.import_job(new.balancer, new.now, exported)) in ("w0", "w1")
     assert exported_state.export_job(old.balancer, 2) is None
 
 
-def test_names_on_the_link_are_those_of_older_versions() -> None:
-    """Values go by name: one under a new name would be lost at an upgrade, without a word."""
+def test_exported_keys_are_those_of_older_versions() -> None:
+    """A value under a new key would be lost at an upgrade without an error."""
     node = Node(1, tells_start=True)
     node.ask()
-    learned = exported_state.export_state(node.balancer)
-    assert set(learned) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
+    state = exported_state.export_state(node.balancer)
+    assert set(state) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
     own = (
         "sends rate_us began_us rate priced_rate mean_us class_us usual_us hint_us full_us given_up budget "
         "shed worth asked_us free_us spare"
     )
-    assert set(learned["own"]) == set(own.split())
-    seat = learned["seats"]["w0"]
+    assert set(state["own"]) == set(own.split())
+    seat = state["seats"]["w0"]
     assert set(seat) == {"values", "own", "full", "out"}
     values = (
         "rank last time_us lnq cold_us shut_us limit base_us quick unit errors failed faults wanted heard_us "
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The jobs that wait for a worker."""
+"""The order of the job queue, and the timer for its next check."""
 
 from robinhill import api
 from robinhill.placement.job_queue import JobQueue
@@ -11,7 +11,7 @@
     return JobRecord(api.Request(number, 0, 1000), klass(), order=order)
 
 
-def test_the_most_worth_goes_first_and_of_equal_worth_the_first_come() -> None:
+def test_jobs_are_ordered_by_priority_weight_then_arrival() -> None:
     queue = JobQueue()
     for number, order in ((3, -1.0), (1, -1.0), (2, -5.0), (4, -0.5)):
         queue.add(job(number, order))
@@ -21,15 +21,15 @@
     assert [x.request.job for x in queue.take_all()] == [1, 3, 4, 2] and not queue.jobs
 
 
-def test_a_job_that_was_let_go_and_came_back_stands_beside_its_old_record() -> None:
-    """Records were compared where order and number are equal, which failed."""
+def test_a_job_that_was_exported_and_imported_again_may_be_queued_twice() -> None:
+    """Records have no order of their own: equal sort keys must not lead to a comparison."""
     queue = JobQueue()
     for _ in range(2):
         queue.add(job(1, -1.0))
     assert len(queue.jobs) == 2
 
 
-def test_one_timer_is_set_for_the_nearer_of_the_end_and_the_next_look() -> None:
+def test_one_timer_is_set_for_the_nearer_of_the_deadline_and_the_next_check() -> None:
     queue = JobQueue()
     assert queue.next_check_us(1000, until_us=9000, tick_us=500) == 500
     assert queue.next_check_us(1100, until_us=9000, tick_us=500) == 0, "one is set for a nearer moment"
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,4 +1,4 @@
-"""Until when a list may be sent by: from discovery's word on it, whatever began, stopped or moved since."""
+"""How long the lease on the endpoint list is valid, through outages, changes of address and stalls."""
 
 import random
 
@@ -27,7 +27,7 @@
     return made
 
 
-def test_a_configured_list_is_never_leased_however_new_the_process_is() -> None:
+def test_a_configured_list_has_no_lease_however_new_the_process_is() -> None:
     made = ListLease(version=41)
     assert not made.is_valid(0) and not made.is_valid(HEARD)
     made.record_unreachable(HEARD, HEARD)  # an outage at the start says nothing of what came before it
@@ -36,13 +36,13 @@
     assert made.is_valid(HEARD) and made.origin is ListOrigin.DISCOVERY
 
 
-def test_the_lease_ends_when_what_was_missed_counts_as_told() -> None:
+def test_the_lease_ends_when_a_missed_change_is_in_force() -> None:
     assert lease().is_valid(HEARD + LIST_CHANGE_BOUND_US - 1) and not lease().is_valid(
         HEARD + LIST_CHANGE_BOUND_US
     )
 
 
-def test_the_lease_lasts_from_one_word_of_a_watch_to_the_next_however_often_schedulers_ask() -> None:
+def test_the_lease_lasts_from_one_watch_message_to_the_next_however_often_schedulers_poll() -> None:
     for ask_every_us in (S, 2 * S, 4 * S, 10 * S):
         made = ListLease.from_settings(settings(must_subscribe=True, ask_every_us=ask_every_us), 41)
         assert not made.is_valid(HEARD)
@@ -61,7 +61,7 @@
     assert not made.is_valid(200 * S)
 
 
-def test_an_outage_lengthens_the_lease_of_who_was_up_to_date_and_of_nobody_else() -> None:
+def test_an_outage_extends_a_valid_lease_and_no_other() -> None:
     made = lease()
     made.record_unreachable(HEARD + 5 * S, HEARD + 5 * S)
     assert made.is_valid(HEARD + 11 * S - 1) and not made.is_valid(HEARD + 11 * S)
@@ -70,7 +70,7 @@
     assert not late.is_valid(HEARD + LIST_CHANGE_BOUND_US)
 
 
-def test_orders_to_move_in_a_row_lengthen_nothing() -> None:
+def test_repeated_changes_of_address_extend_nothing() -> None:
     made = lease()
     for second in range(1, 10):
         made.record_address_change(HEARD + second * S)
@@ -79,7 +79,7 @@
     )
 
 
-def test_a_last_word_of_the_address_before_does_not_undo_a_move() -> None:
+def test_a_last_message_of_the_old_address_does_not_undo_a_change_of_address() -> None:
     made = lease()
     made.record_address_change(HEARD + S)
     made.renew(HEARD + S - 1, 42)
@@ -88,7 +88,7 @@
     assert made.is_valid(HEARD + 2 * S + LIST_CHANGE_BOUND_US - 1)
 
 
-def test_orders_to_move_while_no_address_can_be_reached_end_nothing() -> None:
+def test_changes_of_address_while_discovery_is_unreachable_end_no_lease() -> None:
     made, now = lease(), HEARD
     for _ in range(5):
         now += 3 * S
@@ -129,7 +129,7 @@
         assert len(lapses) <= 2 and max(lapses, default=0) <= 750 * MS
 
 
-def test_where_discovery_answers_and_no_whole_word_comes_the_lease_ends() -> None:
+def test_the_lease_ends_where_discovery_answers_without_a_complete_message() -> None:
     """It can be reached: a change that it had counts, though nobody here has heard of it."""
     schedule, made = WatchSchedule(False, random.Random(1), 200), lease()
     schedule.record_call(HEARD - S)
@@ -143,7 +143,7 @@
     assert not made.is_valid(HEARD + LIST_CHANGE_BOUND_US)
 
 
-def test_an_agent_that_is_silent_or_refuses_has_learned_nothing() -> None:
+def test_an_agent_that_is_silent_or_refuses_counts_as_unreachable() -> None:
     schedule = WatchSchedule(True, random.Random(1), 200)
     schedule.record_call(HEARD)
     schedule.record_lost(HEARD + MS, answered=False)
@@ -157,7 +157,7 @@
 # The module without the lease
 
 
-def test_without_the_lease_jobs_are_held_and_refused_when_they_are_worth_nothing_any_more() -> None:
+def test_without_the_lease_jobs_are_queued_then_rejected_at_their_queue_deadline() -> None:
     node = Node()
     node.do(api.ListLeased(False))
     assert not only(node.ask(), api.Send)
@@ -166,7 +166,7 @@
     assert refusal.job == 1 and refusal.why is api.RefusalReason.NO_WORKER
 
 
-def test_with_the_lease_what_was_held_goes_out_by_the_new_list() -> None:
+def test_with_the_lease_queued_jobs_are_sent_by_the_new_list() -> None:
     node = Node(workers=2)
     node.do(api.ListLeased(False))
     node.ask()
@@ -175,7 +175,7 @@
     assert sent_to(node.do(api.ListLeased(True))) == "w1"
 
 
-def test_an_attempt_that_was_not_written_for_want_of_the_lease_speaks_against_no_worker() -> None:
+def test_an_attempt_not_written_without_the_lease_is_no_fault_of_its_worker() -> None:
     node = Node(workers=2)
     worker = sent_to(node.ask())
     node.do(api.ListLeased(False))
@@ -185,7 +185,7 @@
     assert send.job == 1 and worker in ("w0", "w1")
 
 
-def test_a_start_ahead_of_our_clock_paces_a_worker_for_its_time_and_no_longer() -> None:
+def test_a_start_ahead_of_our_clock_means_one_slow_start_and_no_longer() -> None:
     node = Node(workers=2)
     hour = 3600 * S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
@@ -200,7 +200,7 @@
 # Stalls
 
 
-def test_a_beat_that_is_late_by_more_than_drains_allow_is_a_stall() -> None:
+def test_a_heartbeat_that_is_late_by_more_than_drains_allow_is_a_stall() -> None:
     stall_detector = StallDetector(HEARD)
     assert not stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US)
     assert stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 1)
--- a/tests/test_list_watcher.py
+++ b/tests/test_list_watcher.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: what silence is, when it is opened anew, and how its words are cut."""
+"""The watch on the endpoint list: when it is silent, when it is reopened, how its messages are split."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("indent", [False, True])
-def test_a_list_is_read_whole_wherever_it_is_torn_and_however_it_is_laid_out(indent: bool) -> None:
+def test_a_list_is_read_completely_wherever_it_is_split_and_however_it_is_indented(indent: bool) -> None:
     lists = [told(7), told(8)]
     if indent:
         lists = [orjson.dumps(orjson.loads(x), option=orjson.OPT_INDENT_2) for x in lists]
@@ -42,7 +42,7 @@
         assert [w and w.generation for w in words] == [None, 7, None, 8], cut
 
 
-def test_a_list_without_end_is_refused() -> None:
+def test_a_list_that_is_too_long_is_rejected() -> None:
     reader = protocol.WatchEventReader(1_000)
     with pytest.raises(protocol.MalformedError):
         for _ in range(100):
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("fleet_size", [1, 6, 200])
-def test_after_silence_the_next_call_comes_within_what_counts_as_told(fleet_size: int) -> None:
+def test_after_silence_the_next_call_begins_within_the_bound_on_list_changes(fleet_size: int) -> None:
     for seed in range(20):
         schedule = WatchSchedule(False, random.Random(seed), fleet_size)
         schedule.record_call(0)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("script", [_silent, _trickles, _says_nothing])
-def test_a_watch_without_whole_words_is_opened_anew_by_itself(quick: None, script: Handler) -> None:
+def test_a_watch_without_complete_messages_is_reopened(quick: None, script: Handler) -> None:
     async def play() -> None:
         discovery = Played(script, _says_nothing)
         await discovery.start()
@@ -154,7 +154,7 @@
     asyncio.run(play())
 
 
-def test_a_watch_that_ends_is_told_to_the_module_and_opened_anew_without_its_asking() -> None:
+def test_a_watch_that_ends_is_reported_and_reopened_unasked() -> None:
     async def play() -> None:
         discovery = Played(_ends, _says_nothing)
         await discovery.start()
@@ -166,7 +166,7 @@
     asyncio.run(play())
 
 
-def test_where_lists_are_pushed_the_agent_is_watched_unasked_and_always(quick: None) -> None:
+def test_an_agent_that_pushes_lists_is_always_watched(quick: None) -> None:
     async def play() -> None:
         discovery = Played(_ends, _ends, _silent, _says_nothing)
         actor = await discovery.start(pushed=True)
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -1,4 +1,4 @@
-"""Two processes of different versions may not understand each other: neither must end for that."""
+"""The link between two processes of a scheduler: what ends it, and what is lost with it."""
 
 import array
 import asyncio
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("line", [b"no JSON\n", b"[]\n", b'{"ask":1,"what":"x","fd":false,"body":{}}\n'])
-def test_what_is_not_understood_ends_the_link_and_nothing_else(line: bytes) -> None:
+def test_a_malformed_message_closes_the_link_and_nothing_else(line: bytes) -> None:
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
@@ -34,7 +34,7 @@
     asyncio.run(play())
 
 
-def test_descriptors_arrive_with_their_messages_and_asks_end_with_the_other_process() -> None:
+def test_descriptors_arrive_with_their_questions_and_pending_ones_fail_when_the_other_process_exits() -> None:
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
@@ -57,8 +57,8 @@
     asyncio.run(play())
 
 
-def test_what_the_other_process_said_before_its_end_is_heard_though_our_own_words_fail() -> None:
-    """A descriptor among it is ours alone by then."""
+def test_questions_written_before_the_other_process_exited_are_answered_though_our_writes_fail() -> None:
+    """Nobody else has their descriptors by then."""
 
     async def play() -> None:
         here, there = socket.socketpair()
@@ -94,7 +94,7 @@
     asyncio.run(play())
 
 
-def test_an_ask_that_was_sent_whole_may_have_been_heard() -> None:
+def test_a_question_that_was_sent_completely_counts_as_possibly_received() -> None:
     async def play() -> None:
         here, there = socket.socketpair()
         supervisor = Supervisor()
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics that the decision module keeps."""
+"""Decaying means and low quantiles."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from robinhill.placement.statistics import DecayingMean, follow_low_quantile
 
 
-def test_a_mean_forgets_over_its_window_and_leans_on_its_prior_while_it_knows_little() -> None:
+def test_a_mean_decays_over_its_window_and_follows_its_prior_while_it_has_few_samples() -> None:
     mean = DecayingMean()
     assert mean.with_prior(7.0) == 7.0
     mean.add(0, 4.0, 1000)
@@ -19,7 +19,7 @@
     assert ZoneWait().cost_factor == ZoneWait().new_connection_factor == 1.0
 
 
-def test_a_low_quantile_goes_down_quickly_and_up_slowly() -> None:
+def test_a_low_quantile_falls_quickly_and_rises_slowly() -> None:
     assert follow_low_quantile(1.0, 0.0) == pytest.approx(0.7) and follow_low_quantile(
         1.0, 2.0
     ) == pytest.approx(1.05)
