--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -7,27 +7,30 @@
 from robinhill.admission.buckets import RateLimiter
 from robinhill.admission.queues import Queue
 
-FORGET_US = 600_000_000  # what a tenant was served counts 1/e after ten minutes
-ESTABLISHED_JOBS = 3  # served jobs that make a name a tenant with a queue of its own
+USAGE_DECAY_US = 600_000_000  # after which served work counts 1/e
+ESTABLISHED_JOBS = 3  # served jobs, from which on a tenant has a queue of its own
 RATIO_STEP = 0.2
-RATIO_MOST = 500.0
-RENORMAL = 1e200  # forward decay: counts grow with time and are scaled back before they overflow
+MIN_RATIO = 0.02
+MAX_RATIO = 500.0
+RESCALE_ABOVE = 1e200  # forward decay: counts grow with time and are scaled back before they overflow
 
 
 @dataclass(slots=True, eq=False)
 class Account:
-    """A tenant that was served: its queue, its limits' levels and what its jobs take."""
+    """A tenant that was served: its queue, its rate limiter and the cost of its jobs."""
 
     tenant: int
     name: str
     queue: Queue
     limiter: RateLimiter | None
-    pinned: bool = False  # named by staff
+    pinned: bool = False  # named in the operators' file
     count: float = 0.0  # served work, in the sketch's scale
-    error: float = 0.0  # of it, what may be another's: the count of the account that it replaced
+    error: float = (
+        0.0  # of the count, what may be another tenant's: the count of the account that it replaced
+    )
     jobs: int = 0
     ratio: float = 1.0  # its jobs' running time over their classes'
-    served_us: float = 0.0  # work in all, for staff
+    served_us: float = 0.0  # work since the start, for operators
     rejected: int = 0
 
     @property
@@ -36,13 +39,13 @@
         return self.pinned or self.jobs >= ESTABLISHED_JOBS
 
     def learn(self, ratio: float) -> None:
-        self.ratio += (min(max(ratio, 0.02), RATIO_MOST) - self.ratio) * RATIO_STEP
+        """A job took ``ratio`` times its class's running time."""
+        self.ratio += (min(max(ratio, MIN_RATIO), MAX_RATIO) - self.ratio) * RATIO_STEP
 
 
 @dataclass(slots=True, eq=False)
 class Accounts:
-    """At most ``capacity`` accounts beside the pinned ones; the lightest makes room for a name that is
-    served.
+    """At most ``capacity`` accounts beside the pinned ones; a newly served tenant replaces the lightest.
 
     A tenant with more than 1/capacity of the served work is always among them, whatever names come.
     """
@@ -51,29 +54,31 @@
     by_tenant: dict[int, Account] = field(default_factory=dict)
     start_us: int = 0
     pinned: int = 0
-    _heap: list[tuple[float, int]] = field(default_factory=list)  # counts as they were when last looked at
+    _heap: list[tuple[float, int]] = field(default_factory=list)  # counts as of when they were pushed
 
     def get(self, tenant: int) -> Account | None:
+        """The account of a tenant, if it has one."""
         return self.by_tenant.get(tenant)
 
     def pin(self, account: Account) -> None:
+        """Keep an account whatever it is served."""
         self.pinned += not account.pinned
         account.pinned = True
         self.by_tenant[account.tenant] = account
 
     def unpin(self, account: Account) -> None:
-        """A tenant that staff name no longer: it keeps what it was served."""
+        """Let an account be replaced again; it keeps its count."""
         account.pinned = False
         self.pinned -= 1
         account.jobs = max(account.jobs, ESTABLISHED_JOBS)
         heappush(self._heap, (account.count, account.tenant))
 
     def reset(self, start_us: int) -> None:
-        """Begin with none, on another's scale."""
+        """Start empty, on the scale of another process."""
         self.by_tenant, self.start_us, self.pinned, self._heap = {}, start_us, 0, []
 
     def restore(self, account: Account) -> None:
-        """Take in an account as another process kept it."""
+        """Add an account that another process has exported."""
         self.by_tenant[account.tenant] = account
         heappush(self._heap, (account.count, account.tenant))
 
@@ -81,12 +86,12 @@
         """What a unit of work adds to a count now; counts are only compared with each other."""
         if not self.start_us:
             self.start_us = now
-        return exp(min(700.0, (now - self.start_us) / FORGET_US))
+        return exp(min(700.0, (now - self.start_us) / USAGE_DECAY_US))
 
     def serve(self, now: int, account: Account, work_us: float) -> None:
-        """It was served so much."""
+        """Count served work."""
         scale = self.scale(now)
-        if scale > RENORMAL:
+        if scale > RESCALE_ABOVE:
             for each in self.by_tenant.values():
                 each.count, each.error = each.count / scale, each.error / scale
             self.start_us, scale = now, 1.0
@@ -96,9 +101,9 @@
         account.jobs += 1
 
     def admit(self, account: Account) -> Account | None:
-        """Take a new account in, for the lightest one if there is no room; what was put out, if any.
+        """Add a new account, in place of the lightest at capacity; returns the removed one, if any.
 
-        Refuses (returns the new one itself) where the lightest is in use: its requests wait in its queue.
+        Returns the new one itself where the lightest is in use, as requests refer to its queue.
         """
         if len(self.by_tenant) - self.pinned >= self.capacity:
             lightest = self._lightest()
@@ -113,16 +118,16 @@
         heappush(self._heap, (account.count, account.tenant))
         return None
 
-    def heaviest(self, most: int) -> list[Account]:
-        """Those that were served most of late."""
-        return sorted(self.by_tenant.values(), key=lambda a: -(a.count - a.error))[:most]
+    def heaviest(self, count: int) -> list[Account]:
+        """The accounts that were recently served most."""
+        return sorted(self.by_tenant.values(), key=lambda a: -(a.count - a.error))[:count]
 
     def _rebuild(self) -> None:
         self._heap = [(a.count, t) for t, a in self.by_tenant.items() if not a.pinned]
         heapify(self._heap)
 
     def _lightest(self) -> Account | None:
-        """The top of the heap, once its count is not out of date."""
+        """The account with the least count; stale entries of the heap are updated on the way."""
         while self._heap:
             count, tenant = self._heap[0]
             account = self.by_tenant.get(tenant)
--- a/robinhill/admission/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -1,16 +1,16 @@
-"""Rate limits: token buckets, and cells that stand for the buckets of tenants too many to keep."""
+"""Rate limits: token buckets, and shared limiters for tenants without an account, in bounded memory."""
 
 from dataclasses import dataclass
 
 from robinhill.admission.options import Limits
 
-CELLS = 4_096
-ROWS = 2
+LIMITERS_PER_ROW = 4_096
+ROW_COUNT = 2
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that come at a rate and are kept up to a burst. May be overdrawn: work is known afterwards."""
+    """A token bucket that may be overdrawn, as the work of a job is known only afterwards."""
 
     rate: float  # a second
     burst: float
@@ -21,34 +21,35 @@
         self.tokens = self.burst
 
     def fill(self, now: int) -> float:
-        """The tokens there are at this time."""
+        """The tokens at this time."""
         if now > self.at_us:
             self.tokens = min(self.burst, self.tokens + self.rate * (now - self.at_us) / 1e6)
             self.at_us = now
         return self.tokens
 
     def wait_us(self, now: int, need: float) -> int:
-        """How long until that many are there, 0 if they are; never more than the burst is asked for."""
+        """Microseconds until so many tokens are there, at most the burst; 0 if they are."""
         short = min(need, self.burst) - self.fill(now)
         return max(0, int(short / self.rate * 1e6) + 1) if short > 1e-9 else 0
 
     def take(self, amount: float) -> None:
+        """Take tokens, also such as are not there."""
         self.tokens -= amount
 
     def adopt(self, other: "TokenBucket") -> None:
-        """Go on at the level of a bucket that this one replaces: a reload is no new burst."""
+        """Continue at the level of a bucket that this one replaces, so that a reload grants no burst."""
         self.tokens, self.at_us = min(self.burst, other.tokens), other.at_us
 
 
 @dataclass(slots=True)
 class RateLimiter:
-    """The two rates of one tenant or network."""
+    """The limits of one tenant or network on requests and on work a second."""
 
     requests: TokenBucket | None
     work: TokenBucket | None  # in seconds
 
     def wait_us(self, now: int, cost_us: float) -> tuple[int, str]:
-        """How long until a request of this cost is within both, and which of them is short."""
+        """Microseconds until a request of this cost is within both rates, and the limiting one's name."""
         is_queued = [
             (self.requests.wait_us(now, 1.0) if self.requests else 0, "requests"),
             (self.work.wait_us(now, cost_us / 1e6) if self.work else 0, "work"),
@@ -56,17 +57,18 @@
         return max(is_queued, key=lambda x: x[0])
 
     def take(self, cost_us: float) -> None:
+        """Charge a request."""
         if self.requests:
             self.requests.take(1.0)
         self.charge(cost_us)
 
     def charge(self, work_us: float) -> None:
-        """Work beyond what was taken at first; back, where it is negative."""
+        """Charge work beyond the estimate; give some back where it is negative."""
         if self.work:
             self.work.take(work_us / 1e6)
 
     def adopt(self, other: "RateLimiter | None") -> "RateLimiter":
-        """This meter at the other's levels."""
+        """This limiter at the levels of the one that it replaces."""
         if other:
             for bucket, other_bucket in ((self.requests, other.requests), (self.work, other.work)):
                 if bucket and other_bucket:
@@ -75,7 +77,7 @@
 
 
 def limiter_for(limits: Limits) -> RateLimiter | None:
-    """The buckets that these limits ask for; None if they limit no rate."""
+    """The limiter for these limits; None if they limit no rate."""
     requests = work = None
     if limits.requests_per_s:
         requests = TokenBucket(
@@ -87,10 +89,10 @@
 
 
 class SharedRateLimiters:
-    """Meters by hash for tenants without an account, in bounded memory.
+    """Rate limiters by hash for tenants without an account, in bounded memory.
 
-    A tenant has a cell in each row, shared with whoever meets it there. It is over its limit only where all
-    its cells are: a heavy neighbour in one row alone does it no harm. Cells are made as they are met.
+    A tenant has a limiter in each row, shared with the tenants of the same hash. It is over its limit only
+    where all of them are, so a heavy neighbour in one row does it no harm. They are created on first use.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -100,24 +102,27 @@
 
     def _of(self, tenant: int) -> list[RateLimiter]:
         found = []
-        for row in range(ROWS):
-            index = row * CELLS + (tenant >> 16 * row) % CELLS
-            if (cell := self._limiters.get(index)) is None:
-                cell = limiter_for(self.limits)
-                assert cell
-                self._limiters[index] = cell
-            found.append(cell)
+        for row in range(ROW_COUNT):
+            index = row * LIMITERS_PER_ROW + (tenant >> 16 * row) % LIMITERS_PER_ROW
+            if (limiter := self._limiters.get(index)) is None:
+                limiter = limiter_for(self.limits)
+                assert limiter
+                self._limiters[index] = limiter
+            found.append(limiter)
         return found
 
     def wait_us(self, now: int, tenant: int, cost_us: float) -> tuple[int, str]:
+        """As `RateLimiter.wait_us`, for a tenant."""
         if not self.limited:
             return 0, ""
         return min((m.wait_us(now, cost_us) for m in self._of(tenant)), key=lambda x: x[0])
 
     def take(self, tenant: int, cost_us: float) -> None:
-        for cell in self._of(tenant) if self.limited else ():
-            cell.take(cost_us)
+        """Charge a request of a tenant."""
+        for limiter in self._of(tenant) if self.limited else ():
+            limiter.take(cost_us)
 
     def charge(self, tenant: int, work_us: float) -> None:
-        for cell in self._of(tenant) if self.limited else ():
-            cell.charge(work_us)
+        """Charge a tenant work beyond the estimate."""
+        for limiter in self._of(tenant) if self.limited else ():
+            limiter.charge(work_us)
--- a/robinhill/admission/callers.py
+++ b/robinhill/admission/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: the tenant of a request, as a keyed number that nobody outside can aim at."""
+"""Identifies callers: the tenant of a request, as a keyed hash that nobody outside can collide with."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 from robinhill.admission.options import AdmissionOptions
 
 SECRET_BYTES = 16
-REMEMBERED = 4_096  # addresses; some 1 MB
+MAX_CACHED_ADDRESSES = 4_096  # some 1 MB
 UNKNOWN = "unknown"  # a caller without a readable address
 
 
 @dataclass(slots=True, frozen=True)
 class Caller:
-    """A request's tenant: ``tenant`` is its keyed hash, ``name`` what staff read.
+    """A request's tenant: ``tenant`` is its keyed hash, ``name`` what operators read.
 
-    ``network`` is the index of the listed network that the caller's address lies in, -1 for none. ``mark``
-    tells this caller's requests of one kind from others: the fingerprint of a promise.
+    ``network`` is the index of the listed network that the caller's address lies in, -1 for none.
+    ``fingerprint`` tells this caller's requests of one kind from others, for retry promises.
     """
 
     tenant: int
@@ -28,7 +28,7 @@
 
 
 class BadNameError(ValueError):
-    """A tenant's name that can't be one."""
+    """A tenant's name that is empty, too long or not printable."""
 
 
 class Directory:
@@ -38,13 +38,13 @@
         self.options = options
         self.secret = secret
         self._v4, self._v6 = PyTricia(32), PyTricia(128)
-        self._located: dict[str | None, tuple[int, str]] = {}  # of late, as the same callers come again
+        self._located: dict[str | None, tuple[int, str]] = {}  # a cache by address
         for number, entry in enumerate(options.networks):
             network = ipaddress.ip_network(entry.network)
             (self._v4 if network.version == 4 else self._v6).insert(str(network), number)
 
     def hash(self, text: str) -> int:
-        """64 bits, keyed: without the secret nobody can choose two names that meet in one queue."""
+        """64 bits, keyed: without the secret nobody can choose two names that share a queue."""
         digest = blake2b(text.encode(errors="surrogateescape"), digest_size=8, key=self.secret).digest()
         return int.from_bytes(digest)
 
@@ -54,7 +54,7 @@
         Raises BadNameError for a name that is empty, too long or not printable.
         """
         if (located := self._located.get(address)) is None:
-            if len(self._located) >= REMEMBERED:
+            if len(self._located) >= MAX_CACHED_ADDRESSES:
                 self._located.clear()
             located = self._located[address] = self._locate(address)
         number, prefix = located
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -1,43 +1,44 @@
-"""What requests take, and how much work the fleet does at once for this scheduler."""
+"""Learned cost of requests, and how much work the fleet does at a time for this scheduler."""
 
 from dataclasses import dataclass, field
 from math import exp
 
-UNKNOWN_US = 1_000_000.0  # a class's running time before any job of it has ended
-STEP = 1 / 16
-SMOOTHING_US = 1_000_000  # over which the number of running jobs is smoothed
+UNKNOWN_COST_US = 1_000_000.0  # of a class before any job of it has ended
+COST_STEP = 1 / 16
+SMOOTHING_US = 1_000_000
+MIN_TENANT_RATIO = 0.02
+MAX_SAMPLE_FACTOR = 4  # of the mean, for one job
 
 
 @dataclass(slots=True)
 class Costs:
-    """The learned running time of each class. Running times measure work: an hour of a worker's place is
-    one.
-    """
+    """The learned running time of each class in microseconds, which is the unit of work."""
 
     by_class: list[float] = field(default_factory=list)
     known: list[bool] = field(default_factory=list)
 
     @classmethod
     def of(cls, classes: int) -> "Costs":
-        return cls([UNKNOWN_US] * classes, [False] * classes)
+        """Nothing learned yet for so many classes."""
+        return cls([UNKNOWN_COST_US] * classes, [False] * classes)
 
-    def learn(self, job_class: int, ran_us: float, usual: float) -> None:
-        """A job has ended; ``usual`` is what its tenant's jobs take over their class's."""
+    def learn(self, job_class: int, ran_us: float, tenant_ratio: float) -> None:
+        """A job has ended; ``tenant_ratio``: running time of its tenant's jobs over that of their classes."""
         if not self.known[job_class]:
             self.by_class[job_class], self.known[job_class] = max(1.0, ran_us), True
             return
         mean = self.by_class[job_class]
-        # One tenant's odd jobs must not make its neighbours' look as long: measured against its own usual.
-        sample = min(ran_us / max(usual, 0.02), 4 * mean)
-        self.by_class[job_class] = max(1.0, mean + (sample - mean) * STEP)
+        # Normalised by tenant, so that one tenant's long jobs don't raise the cost of others.
+        sample = min(ran_us / max(tenant_ratio, MIN_TENANT_RATIO), MAX_SAMPLE_FACTOR * mean)
+        self.by_class[job_class] = max(1.0, mean + (sample - mean) * COST_STEP)
 
 
 @dataclass(slots=True)
 class Throughput:
-    """Own jobs that run at once, smoothed while requests wait at admission.
+    """Own jobs that run at a time, smoothed while requests are queued.
 
-    Since work is running time, this is the work done in a unit of time. It follows a fleet that grows or
-    shrinks as fast as jobs begin, where a rate of completions tells what was let in a job's time ago.
+    Since work is running time, this is the work done in a unit of time. It follows a changing fleet as fast
+    as jobs start, where a rate of completions lags by the length of a job.
     """
 
     running: int = 0
@@ -45,13 +46,13 @@
     at_us: int = 0
 
     def advance(self, now: int, waiting: bool) -> None:
-        """Time has passed with this many running."""
+        """Account for the time since the last call. ``waiting``: requests are queued."""
         passed = now - self.at_us
         self.at_us = max(now, self.at_us)
         if passed <= 0:
             return
         if not waiting:
-            # The fleet has room: how many run now tells what was asked for and not what it could do.
+            # With free capacity the number of running jobs shows the demand and not the capacity.
             self.smoothed_running = max(self.smoothed_running, float(self.running))
         else:
             self.smoothed_running += (self.running - self.smoothed_running) * (
@@ -60,5 +61,5 @@
 
     @property
     def rate(self) -> float:
-        """Work a unit of time; one job at least."""
+        """Work in a unit of time; one job at least."""
         return max(1.0, self.smoothed_running)
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -1,9 +1,9 @@
-"""The waiting requests in their queues, and whose turn it is: deficit round robin by work, worth first.
+"""The queued requests and whose turn it is: deficit round robin by work, classes by priority weight.
 
-After Shreedhar and Varghese, "Efficient fair queueing using deficit round robin" (1996). In a round each
-waiting queue may have a quantum of work let in, in proportion to its weight. Of the queues that have some of
-it left, those with a request of the most worth go first, in turns; who has used up its quantum waits for the
-next round.
+After Shreedhar and Varghese, "Efficient fair queueing using deficit round robin" (1996). In each round
+a queue may have a quantum of work admitted, in proportion to its weight. Of the queues with quantum left,
+those with a request of the highest priority weight go first, in turns; a queue that has used up its quantum
+waits for the next round.
 """
 
 from collections import OrderedDict
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, field
 from math import ceil, exp
 
-FORGET_US = 10_000_000  # a debt counts 1/e after this: a heavy job is not held against its tenant for ever
-DRAIN_US = 3_000_000  # over this rates are smoothed
-PRIOR_US = 1_000_000  # waiting after which a queue's own rate counts as much as its share of the fleet
-BURST = 4.0  # quanta that a queue may save up while it asks for less than its share
-LEAST = 0.05  # of its queue's rate: what a line of little worth counts on beside those that go first
+DEBT_DECAY_US = 10_000_000  # after which a debt counts 1/e
+RATE_SMOOTHING_US = 3_000_000
+RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's own rate counts as much as its quota
+MAX_SAVED_QUANTA = 4.0
+MIN_CLASS_RATE_SHARE = 0.05  # of its queue's rate, for a class behind others of more priority weight
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """A request at admission or let in, until its answer."""
+    """A request that is queued or admitted, until its answer."""
 
     number: int
     job_class: int
@@ -29,80 +29,81 @@
     network: int
     fingerprint: int
     queue: "Queue"
-    cost_us: float  # what it is thought to take; what it has been charged so far
+    cost_us: float  # the estimate, corrected to what it has taken so far
     arrived_us: int
-    queue_deadline_us: int  # it waits no longer than this
-    admitted_us: int = 0  # 0: it waits at admission
-    first_attempt_us: int = 0  # 0: no attempt of it is out yet
-    started_us: int = 0  # 0: not that we know of
-    returning: bool = False  # it has come back when it was told
-    in_window: bool = False  # it takes one of the window's places
+    queue_deadline_us: int  # it is queued no longer than this
+    admitted_us: int = 0  # 0: it is queued
+    first_attempt_us: int = 0  # 0: it has had no attempt
+    started_us: int = 0  # 0: not that is known
+    returning: bool = False  # its client came back at the time of its Retry-After
+    in_window: bool = False  # it takes one of the window's slots
 
 
 @dataclass(slots=True, eq=False)
 class ClassQueue:
-    """The requests of one class in a queue. What is of more worth goes first, so lines drain unalike."""
+    """The requests of one class in a queue. Classes of more priority weight go first, so rates differ."""
 
     queue: "Queue"
     job_class: int
     tickets: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)
-    work_us: float = 0.0  # of those that wait
-    promised_us: float = 0.0  # of those told to come back
-    return_share: float = 1.0  # how many of these do come back
-    admitted_work_us: float = 0.0  # work let in, decayed
-    removed_work_us: float = 0.0
+    work_us: float = 0.0  # of the queued requests
+    promised_us: float = 0.0  # work of clients that are to come back
+    return_share: float = 1.0  # the part of them that does come back
+    admitted_work_us: float = 0.0  # decayed
+    removed_work_us: float = 0.0  # admitted or dropped since the start
 
     @property
     def work_ahead_us(self) -> float:
-        """Work before a request that comes now: what waits, and what will come back before it."""
+        """Work ahead of a request that arrives now: what is queued, and what will come back before it."""
         return self.work_us + self.promised_us * self.return_share
 
 
 @dataclass(slots=True, eq=False)
 class Queue:
-    """Requests that wait in one place: a tenant's, or those of the strangers whose hands meet here."""
+    """A queue of one tenant, or a shared one of tenants without an account, by class."""
 
     label: str
     weight: float = 1.0
     is_shared: bool = False
     class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
-    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # who has come back when told
-    returning_work_us: float = 0.0  # their work
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # clients that came back in time
+    returning_work_us: float = 0.0
     length: int = 0
-    work_us: float = 0.0  # of those that wait
-    deficit_us: float = 0.0  # what it may still have let in this round; below 0: a debt
-    round: int = 0  # when that was last brought up to date
+    work_us: float = 0.0  # of the queued requests
+    deficit_us: float = 0.0  # work that it may still have admitted in this round; below 0: a debt
+    round: int = 0  # when the deficit was last updated
     settled_us: int = 0
-    users: int = 0  # requests that wait here or were let in from here and have no answer yet
+    users: int = 0  # requests queued here, or admitted from here and without an answer
     promises: int = 0  # open ones
-    served_us: float = 0.0  # work let in since the start
+    served_us: float = 0.0  # work admitted since the start
 
-    admitted_work_us: float = 0.0  # work let in while something waited, decayed
-    waited_us: float = 0.0  # the time that took, decayed alike
+    admitted_work_us: float = 0.0  # admitted while requests were queued, decayed
+    waited_us: float = 0.0  # the time of that, decayed alike
     at_us: int = 0
 
     @property
     def busy(self) -> bool:
+        """Whether requests or promises refer to this queue."""
         return self.users > 0 or self.promises > 0
 
     def advance(self, now: int) -> None:
-        """Let the memory of rates fade, and time run if something waits."""
+        """Decay the rates, and count time if requests are queued."""
         passed = now - self.at_us
         self.at_us = now
         if passed <= 0:
             return
-        fade = exp(-passed / DRAIN_US)
-        self.admitted_work_us *= fade
-        self.waited_us = self.waited_us * fade + passed * bool(self.length)
+        decay = exp(-passed / RATE_SMOOTHING_US)
+        self.admitted_work_us *= decay
+        self.waited_us = self.waited_us * decay + passed * bool(self.length)
         for class_queue in self.class_queues.values():
-            class_queue.admitted_work_us *= fade
+            class_queue.admitted_work_us *= decay
 
     def rate(self, prior: float) -> float:
-        """Work let in from here in a unit of time of waiting; leaning on the prior while that was short."""
-        return (self.admitted_work_us + prior * PRIOR_US) / (self.waited_us + PRIOR_US)
+        """Work admitted from here in a unit of queueing time; close to the prior while that time is short."""
+        return (self.admitted_work_us + prior * RATE_PRIOR_US) / (self.waited_us + RATE_PRIOR_US)
 
     def part(self, job_class: int) -> float:
-        """The part of what is let in from here that is this class's: all, where no other has work ahead."""
+        """This class's part of the work admitted from here: all, where no other class has work ahead."""
         others = sum(
             class_queue.admitted_work_us
             for class_queue in self.class_queues.values()
@@ -111,37 +112,39 @@
         if not others:
             return 1.0
         tenant_limit = self.class_queue(job_class).admitted_work_us
-        return max(LEAST, tenant_limit / (tenant_limit + others))
+        return max(MIN_CLASS_RATE_SHARE, tenant_limit / (tenant_limit + others))
 
     def class_queue(self, job_class: int) -> ClassQueue:
+        """The requests of one class."""
         if (class_queue := self.class_queues.get(job_class)) is None:
             class_queue = self.class_queues[job_class] = ClassQueue(self, job_class)
         return class_queue
 
     def is_queued(self, job_class: int) -> bool:
-        """Whether a request of this class waits here."""
+        """Whether a request of this class is queued here."""
         class_queue = self.class_queues.get(job_class)
         return class_queue is not None and len(class_queue.tickets) > 0
 
     @property
     def work_ahead_us(self) -> float:
+        """Work ahead of a request that arrives now, of all classes."""
         return sum(class_queue.work_ahead_us for class_queue in self.class_queues.values())
 
 
 @dataclass(slots=True, eq=False)
 class DeficitRoundRobin:
-    """All queues in which something waits, and the order in which they are let in."""
+    """All queues that are not empty, and the order in which their requests are admitted."""
 
-    order: Sequence[int]  # classes, the most worth first
-    newcomers: float  # strangers' share of a round together, while others wait
+    order: Sequence[int]  # classes by descending priority weight
+    newcomers: float  # the quota of all shared queues together, while others are not empty
     quantum_us: float = 1.0
     number: int = 1
     length: int = 0
     active: OrderedDict[Queue, None] = field(default_factory=OrderedDict)
     _ready: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
     _spent: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
-    _strange: int = 0  # active queues of strangers
-    _known: float = 0.0  # weight of the others
+    _shared_count: int = 0  # active shared queues
+    _tenant_weight: float = 0.0  # weight of the active queues of tenants
 
     def __post_init__(self) -> None:
         for job_class in self.order:
@@ -149,25 +152,26 @@
             self._spent[job_class] = OrderedDict()
 
     def weight(self, queue: Queue) -> float:
-        """Quanta that a queue gets a round. Strangers' queues share theirs."""
+        """Quanta that a queue gets in a round. Shared queues divide theirs."""
         if not queue.is_shared:
             return queue.weight
-        if not self._known:
+        if not self._tenant_weight:
             return 1.0
-        return self._known * self.newcomers / (1 - self.newcomers) / max(1, self._strange)
+        return self._tenant_weight * self.newcomers / (1 - self.newcomers) / max(1, self._shared_count)
 
     def share(self, queue: Queue) -> float:
-        """The part of what is let in that is this queue's while all that wait go on waiting."""
-        known, strange = self._known, self._strange
+        """This queue's quota of the admitted work, as long as no other queue runs empty."""
+        tenant_weight, shared_count = self._tenant_weight, self._shared_count
         if queue not in self.active:
-            known, strange = known + queue.weight * (not queue.is_shared), strange + queue.is_shared
+            tenant_weight += queue.weight * (not queue.is_shared)
+            shared_count += queue.is_shared
         if not queue.is_shared:
-            total = known / (1 - self.newcomers) if strange else known
+            total = tenant_weight / (1 - self.newcomers) if shared_count else tenant_weight
             return queue.weight / total if total else 1.0
-        return (self.newcomers if known else 1.0) / max(1, strange)
+        return (self.newcomers if tenant_weight else 1.0) / max(1, shared_count)
 
     def add(self, now: int, ticket: Ticket) -> None:
-        """Put a request at the end of its line."""
+        """Append a request to its queue."""
         queue = ticket.queue
         if not queue.length:
             self._activate(now, queue)
@@ -184,7 +188,7 @@
             self._ready[ticket.job_class].setdefault(queue)
 
     def remove(self, now: int, ticket: Ticket) -> None:
-        """Take a request out: it goes in, or its time is up, or its client has left."""
+        """Remove a request: it is admitted, timed out or abandoned by its client."""
         queue = ticket.queue
         class_queue = queue.class_queues[ticket.job_class]
         queue.advance(now)
@@ -206,12 +210,12 @@
             self._count(queue, -1)
 
     def take(
-        self, now: int, is_open: Callable[[int], bool], is_roomy: Callable[[int], bool]
+        self, now: int, is_open: Callable[[int], bool], has_capacity: Callable[[int], bool]
     ) -> Ticket | None:
-        """The request whose turn it is, taken out and charged to its queue.
+        """The request whose turn it is, removed and charged to its queue; None if none may be admitted.
 
-        ``is_open`` tells whether a class may go in within this round, ``is_roomy`` whether another round may
-        begin for it.
+        ``is_open`` tells whether a class may be admitted in this round, ``has_capacity`` whether another
+        round may start for it.
         """
         while True:
             for job_class in self.order:
@@ -224,34 +228,32 @@
                     self._ready[job_class].move_to_end(queue)
                     self.remove(now, ticket)
                     return ticket
-            waiting = [q for c in self.order if self._spent[c] and is_roomy(c) for q in self._spent[c]]
+            waiting = [q for c in self.order if self._spent[c] and has_capacity(c) for q in self._spent[c]]
             if not waiting:
                 return None
-            self._turn(waiting)
+            self._start_rounds(waiting)
 
     @staticmethod
     def _head(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
-        """What goes when it is a queue's turn for a class: its tenant's word is kept first, of whatever
-        class.
-        """
+        """The next request of a queue for a class: clients that came back in time go first, of any class."""
         returning = next(iter(queue.returning.values()), None)
         if returning and is_open(returning.job_class):
             return returning
         return next(iter(queue.class_queues[job_class].tickets.values()))
 
     def newest(self, queue: Queue) -> Ticket:
-        """The request that came last to a queue, of its class of least worth."""
+        """The newest request of a queue, of its class with the least priority weight."""
         job_class = next(c for c in reversed(self.order) if queue.is_queued(c))
         return next(reversed(queue.class_queues[job_class].tickets.values()))
 
     def longest(self) -> Queue:
-        """The queue with the most work for its weight: who has to give way where there is no room."""
+        """The queue with the most work for its weight."""
         return max(self.active, key=lambda q: q.work_us / self.weight(q))
 
     def reweigh(self, queue: Queue, weight: float) -> None:
-        """Another weight from now on."""
+        """Change a queue's weight."""
         if queue in self.active and not queue.is_shared:
-            self._known += weight - queue.weight
+            self._tenant_weight += weight - queue.weight
         queue.weight = weight
 
     def _next(self, job_class: int) -> Queue | None:
@@ -264,14 +266,14 @@
             self._spent[job_class][queue] = None
         return None
 
-    def _turn(self, waiting: list[Queue]) -> None:
-        """Begin the next round; or as many at once as the least indebted of those that could go needs."""
+    def _start_rounds(self, waiting: list[Queue]) -> None:
+        """Start the next round, or as many at once as the least indebted waiting queue needs."""
         rounds = max(1, min(ceil(-q.deficit_us / self._quantum(q) + 1e-9) for q in waiting))
         self.number += rounds
         for queue in self.active:
             quantum = self._quantum(queue)
-            # Saved up by a queue whose classes are closed; by the ones that idle, when they wait again.
-            queue.deficit_us = min(BURST * quantum, queue.deficit_us + rounds * quantum)
+            # Queues whose classes are closed save up; idle ones get their credit when they are active again.
+            queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + rounds * quantum)
         for job_class in self.order:
             ready, spent = self._ready[job_class], self._spent[job_class]
             for queue in [q for q in spent if q.deficit_us > 0]:
@@ -282,18 +284,20 @@
         return max(1e-3, self.quantum_us * self.weight(queue))
 
     def _activate(self, now: int, queue: Queue) -> None:
-        """It waits again: rounds since are its credit, up to a burst, and with time pay its debt off."""
+        """Credit the rounds since the queue ran empty, up to a burst; its debt has decayed with time."""
         self.active[queue] = None
         self._count(queue, 1)
         if queue.deficit_us < 0:
-            queue.deficit_us *= exp(min(0, queue.settled_us - now) / FORGET_US)
+            queue.deficit_us *= exp(min(0, queue.settled_us - now) / DEBT_DECAY_US)
         quantum = self._quantum(queue)
         passed = self.number - queue.round
-        queue.deficit_us = min(BURST * quantum, queue.deficit_us + passed * quantum)
+        queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + passed * quantum)
         queue.round = self.number
 
     def _count(self, queue: Queue, sign: int) -> None:
         if queue.is_shared:
-            self._strange += sign
+            self._shared_count += sign
         else:
-            self._known = max(0.0, self._known + sign * queue.weight) if len(self.active) > 0 else 0.0
+            self._tenant_weight = (
+                max(0.0, self._tenant_weight + sign * queue.weight) if len(self.active) > 0 else 0.0
+            )
--- a/robinhill/admission/report.py
+++ b/robinhill/admission/report.py
@@ -14,7 +14,7 @@
         "let_in": admission.admitted,
         "refused": dict(sorted((reason.value, count) for reason, count in admission.rejected.items())),
         "window": [int(w.size) for w in admission.windows.windows],
-        "places": [int(w.places) for w in admission.windows.windows],
+        "places": [int(w.slots) for w in admission.windows.windows],
         "inside": [w.in_window for w in admission.windows.windows],
         "unplaced": list(admission.windows.unplaced),
         "running": admission.throughput.running,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 from robinhill.admission.callers import BadNameError, Directory
 from robinhill.admission.messages import AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions, Limits, Network, Tenant
-from robinhill.admission.window import FLOOR, MAX_UNPLACED_REQUESTS
+from robinhill.admission.window import MAX_UNPLACED_REQUESTS, MIN_SIZE
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -242,7 +242,7 @@
     for _ in range(50):
         fleet.ask("a")
         fleet.pass_time(20)
-    window.size, window.places = FLOOR, FLOOR  # as a shared slowdown left it
+    window.size, window.slots = MIN_SIZE, MIN_SIZE  # as a shared slowdown left it
     window.waited_us = fleet.now
     begun = fleet.now
     while len(fleet.running) < 24 and fleet.now < begun + 10 * S:
@@ -259,7 +259,7 @@
         fleet.ask("a")
         fleet.pass_time(60)
     window = fleet.admission.windows.windows[0]
-    window.places = 4.0
+    window.slots = 4.0
     lost = [fleet.ask("a", RENEWAL) for _ in range(4)]
     for number in lost:
         fleet.running.pop(number, None)
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -12,7 +12,7 @@
 from robinhill.admission.admission import Admission
 from robinhill.admission.messages import AdmissionRequest, Admit, Reject
 from robinhill.admission.options import AdmissionOptions, Limits, Tenant
-from robinhill.admission.queues import BURST, DeficitRoundRobin, Queue, Ticket
+from robinhill.admission.queues import MAX_SAVED_QUANTA, DeficitRoundRobin, Queue, Ticket
 
 from .conftest import MS, S, klass
 from .conftest import settings as node_settings
@@ -187,7 +187,7 @@
     # In every round that is over a queue got its quantum, give or take its burst and its largest job.
     for queue, cost in zip(queues, costs, strict=False):
         quantum = rounds.quantum_us * queue.weight
-        assert abs(queue.served_us - rounds.number * quantum) <= (BURST + 1) * quantum + cost
+        assert abs(queue.served_us - rounds.number * quantum) <= (MAX_SAVED_QUANTA + 1) * quantum + cost
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
