--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,8 +1,9 @@
 """Many schedulers' real sharing code in one process, on a test clock.
 
-`Sharing`, `Peers`, `Cordons`, `Session`, `Replica` and `Freshness` are the program's own. Replaced are the
-clock (`ClockLoop`), sockets (`LinkEnd`) and what lies beyond: a decider that carries out at once what it is
-told. Time passes only between events, so a run gives the same counts on each machine, however busy.
+`Replication`, `PeerConnections`, `CordonActor`, `Session`, `Replica` and `Freshness` are the program's own.
+Replaced are the clock (`ClockLoop`), sockets (`LinkEnd`) and what lies beyond: a decider that carries out at
+once what it is told. Time passes only between events, so a run gives the same counts on each machine, however
+busy.
 """
 
 import asyncio
@@ -32,10 +33,10 @@
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
-from robinhill.net.peers import peer_connections, sharing
-from robinhill.net.peers.peer_connections import STRANGERS, Peers
+from robinhill.net.peers import peer_connections, replication
+from robinhill.net.peers.peer_connections import MAX_LINKS_WITHOUT_HELLO, PeerConnections
 from robinhill.net.peers.peer_link import PATH
-from robinhill.net.peers.sharing import Sharing
+from robinhill.net.peers.replication import Replication
 from robinhill.protocol import Answer, Lifecycle, ListedEndpoint
 
 Result = TypeVar("Result")
@@ -156,7 +157,7 @@
         pass
 
 
-class HollowPeers(Peers):
+class HollowPeers(PeerConnections):
     """A scheduler's links, over the network that is set while schedulers are made."""
 
     network: "Network"
@@ -164,14 +165,14 @@
     def start(self) -> None:
         Actor.start(self)
         self._client = cast(aiohttp.ClientSession, _Dialler(self.network, self))
-        self._look()
+        self._check_links()
 
     def accept(self, end: LinkEnd, address: str) -> None:
         """A connection that another scheduler has opened."""
-        if self._stopping or len(self.fresh) >= STRANGERS:
+        if self._stopping or len(self.opening) >= MAX_LINKS_WITHOUT_HELLO:
             raise ConnectionRefusedError("no room for more connections")
         socket = cast(aiohttp.ClientWebSocketResponse, end)
-        self.supervisor.spawn(self._run(socket, address, dialled=False), "accepted link")
+        self.supervisor.spawn(self._run_link(socket, address, dialled=False), "accepted link")
 
 
 class Network:
@@ -248,7 +249,7 @@
 
     shape: Shape
     network: Network
-    schedulers: dict[str, Sharing] = field(default_factory=dict)
+    schedulers: dict[str, Replication] = field(default_factory=dict)
     supervisors: list[Supervisor] = field(default_factory=list)
     vouched: int = 0  # schedulers that did not come to count by themselves
 
@@ -308,11 +309,11 @@
     return f"10.0.{number >> 8}.{number & 255}:7000"
 
 
-def _scheduler(name: str, options: MeshOptions, supervisor: Supervisor) -> Sharing:
+def _scheduler(name: str, options: MeshOptions, supervisor: Supervisor) -> Replication:
     config = SimpleNamespace(name=name, folder=None, operator=SimpleNamespace(mesh=options))
     inbound = SimpleNamespace(behind=False)
     dispatcher = cast(Dispatcher, _Applying())
-    return Sharing(cast(Config, config), supervisor, LoopClock(), dispatcher, cast(Inbound, inbound))
+    return Replication(cast(Config, config), supervisor, LoopClock(), dispatcher, cast(Inbound, inbound))
 
 
 def _conditions(shape: Shape, names: Sequence[str]) -> dict[tuple[str, str], Conditions]:
@@ -335,7 +336,7 @@
         with (
             patch.object(peer_connections, "mono_us", now_us),
             patch.object(cordons, "mono_us", now_us),
-            patch.object(sharing, "Peers", HollowPeers),
+            patch.object(replication, "PeerConnections", HollowPeers),
         ):
             yield
     finally:
--- /dev/null
+++ b/robinhill/net/peers/agreed_clock.py
@@ -0,0 +1,41 @@
+"""Unix time as most schedulers have it, for a host whose own clock is set wrong."""
+
+import logging
+from collections.abc import Collection
+
+from robinhill.mesh.clocks import agreed_offset_us
+from robinhill.net.clock import Clock
+
+log = logging.getLogger(__name__)
+
+MAX_CLOCK_DIFFERENCE_US = 2_000_000  # beyond it cordons would end noticeably late or early
+
+
+class AgreedClock(Clock):
+    """This host's Unix time, corrected by the median of all peers' clocks."""
+
+    def __init__(self, own: Clock) -> None:
+        self.own = own
+        self.offset_us = 0
+        self._peer_offsets_us: dict[str, int] = {}
+        self._last_us = 0
+
+    def now_us(self) -> int:
+        """Corrected Unix time. It may stand still when the correction changes, but never steps back."""
+        self._last_us = max(self._last_us, self.own.now_us() + self.offset_us)
+        return self._last_us
+
+    def observe(self, peer: str, peer_us: int) -> None:
+        """A peer's hello contained its Unix time ``peer_us``."""
+        offset_us = peer_us - self.own.now_us()
+        self._peer_offsets_us[peer] = offset_us
+        if abs(offset_us) > MAX_CLOCK_DIFFERENCE_US:
+            log.warning("clocks_differ", extra={"peer": peer, "ahead_s": offset_us / 1e6})
+        agreed_us = agreed_offset_us(self._peer_offsets_us[name] for name in sorted(self._peer_offsets_us))
+        if agreed_us != self.offset_us:
+            self.offset_us = agreed_us
+            log.warning("clock_corrected", extra={"by_s": agreed_us / 1e6})
+
+    def retain(self, names: Collection[str]) -> None:
+        """Forget the clocks of all other peers."""
+        self._peer_offsets_us = {n: us for n, us in self._peer_offsets_us.items() if n in names}
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -1,10 +1,10 @@
-"""The actor that keeps the links to other schedulers: it listens, dials, greets, and hands on what comes."""
+"""The actor that owns the links to other schedulers: accepts and dials them, and passes on what they
+receive."""
 
 import asyncio
 import contextlib
 import logging
 import random
-import time
 from collections.abc import Callable, Collection, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
@@ -14,8 +14,8 @@
 
 from robinhill.config_types import Address
 from robinhill.mesh import overlay
-from robinhill.mesh.errors import PeerRejected, PeerUnreachable
-from robinhill.mesh.frames import MAX_MESSAGE_BYTES
+from robinhill.mesh.errors import PeerRejected
+from robinhill.mesh.frames import MAX_MESSAGE_BYTES, Hello
 from robinhill.mesh.session import Identity, KnowledgeAges, Session, Store
 from robinhill.mesh.session_events import (
     Event,
@@ -27,81 +27,92 @@
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
-from robinhill.net.peers.peer_link import PATH, PeerLink
+from robinhill.net.peers.dialling import PeerDialler
+from robinhill.net.peers.peer_link import PATH, PeerLink, Socket
 
 log = logging.getLogger(__name__)
 
-HELLO_S = 2.0  # a link must be greeted within
-DIAL_S = 1.0  # for a connection and its upgrade
-FIRST_WAIT_S = 0.05  # before the second try to dial; the waits double, each is drawn between a tenth and all
-LONGEST_WAIT_S = 1.0  # two tries within the two seconds in which copies must be equal after a heal
-COURTESY_S = 0.1  # the peer with the lower name dials; the other only if nothing has come by then
-STRANGERS = 16  # connections that have not greeted yet
-DEAD_US = 800_000  # past an interval without a word, a link is given up
-AWAY_US = 500_000  # a look that is so late: this process stood still, and links had no chance to be heard
-BIND_AGAIN_S = 0.2  # while another process of this scheduler has the address still
-MOST_TRIES = 16  # that are counted
-LASTING_US = 2_000_000  # a link that lives so long was no try that failed
-SAID_AGAIN_S = 60.0  # how often a peer that stays unreachable is told of again
-
-
-class Hearer(Protocol):
-    """Who owns the replica. It is called at once, not told: what has come must be acted on before an answer
-    behind it lends a lease. ``told_us``: the peer's Unix time as it greeted.
+HELLO_TIMEOUT_US = 2_000_000
+CONNECT_TIMEOUT_S = 1.0  # for a connection and its upgrade
+SERVER_CLOSE_TIMEOUT_S = 0.2
+MAX_LINKS_WITHOUT_HELLO = 16
+MAX_REJECTIONS = 16  # remembered for operators
+SILENCE_TIMEOUT_US = 800_000  # beyond one interval without a message, before a link is closed
+PAUSE_US = 500_000  # a check that is so late: this process was paused, and messages may lie unread
+BIND_RETRY_S = 0.2  # while another process of this scheduler still has the address
+LASTING_LINK_US = 2_000_000  # a link that lives so long resets the backoff
+MIN_IDLE_S = 0.001
+
+
+class PeerEvents(Protocol):
+    """The owner of the replica. Called directly, not by a mailbox: what was received must be applied before
+    an answer behind it extends a lease.
     """
 
-    def learned(self, learned: RecordsReceived) -> None: ...
+    def records_received(self, received: RecordsReceived) -> None:
+        """Records of a push were merged or rejected."""
+        ...
 
-    def greeted(self, name: str, incarnation: int, told_us: int) -> None: ...
+    def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
+        """A link to a peer is up; ``peer_us``: its Unix time in its hello."""
+        ...
 
-    def answered(self, name: str) -> None: ...
+    def ping_answered(self, name: str) -> None:
+        """A peer has answered a ping."""
+        ...
 
-    def lost(self, name: str) -> None: ...
+    def link_lost(self, name: str) -> None:
+        """The link to a peer was closed."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
-    """A frame has come over a link."""
+class MessageReceived:
+    """A message was received over a link."""
 
     link: PeerLink
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Opened:
-    """A websocket is there, either way."""
+class LinkOpened:
+    """A websocket is open, whoever dialled."""
 
     link: PeerLink
 
 
 @dataclass(slots=True, frozen=True)
-class Closed:
-    """It is gone."""
+class LinkClosed:
+    """A websocket was closed."""
 
     link: PeerLink
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
-    """Time has passed."""
+class CheckLinks:
+    """It is time to check all links."""
 
 
 @dataclass(slots=True, frozen=True)
 class Configure:
-    """Whom to know, where they are, how many links to keep, and how often each is asked."""
+    """The peers and their addresses, how many links to keep, and the interval between pings."""
 
     identity: Identity
     addresses: Mapping[str, str]
-    most_links: int
+    max_links: int
     interval_us: int
 
 
-ToPeers = Heard | Opened | Closed | Look | Configure
+PeerMessage = MessageReceived | LinkOpened | LinkClosed | CheckLinks | Configure
 
 
-class Peers(Actor[ToPeers]):
-    """Keeps one link to each partner, and takes those of others as far as there is room."""
+class PeerConnections(Actor[PeerMessage]):
+    """Keeps one link to each partner, and accepts those of others within ``max_links``.
+
+    ``links``: by peer, after its hello; ``opening``: before it. ``alive`` returns who is considered alive,
+    for links in place of dead partners; ``on_member_message`` receives messages outside of replication.
+    """
 
     def __init__(
         self,
@@ -111,7 +122,7 @@
         clock: Clock,
         store: Store,
         ages: KnowledgeAges,
-        hearer: Hearer,
+        events: PeerEvents,
         rng: random.Random,
     ) -> None:
         super().__init__("peers", supervisor)
@@ -120,85 +131,92 @@
         self.clock = clock
         self.store = store
         self.ages = ages
-        self.hearer = hearer
-        self.rng = rng
-        self.links: dict[str, PeerLink] = {}  # greeted
-        self.fresh: set[PeerLink] = set()  # not greeted yet
+        self.events = events
+        self.links: dict[str, PeerLink] = {}
+        self.opening: set[PeerLink] = set()
         self.partners: Sequence[str] = self._partners()
-        self.alive: Callable[[], Collection[str]] = lambda: self.links.keys()  # who is thought to run
-        self.told: Callable[[str, bytes], None] = lambda name, payload: None  # words between members
+        self.alive: Callable[[], Collection[str]] = lambda: self.links.keys()
+        self.on_member_message: Callable[[str, bytes], None] = lambda _name, _payload: None
         self.counts = dict.fromkeys(("opened", "lost", "refused", "frames_in", "frames_out", "bytes_in",
                                      "bytes_out"), 0)  # fmt: skip
-        self.refusals: dict[str, str] = {}  # the last one by name or address, for operators; bounded
-        self._dialling: dict[str, asyncio.Task[None]] = {}
-        self._tries: dict[str, int] = {}  # in a row without a link that lasted
-        self._said_s: dict[str, float] = {}  # when it was last told that a peer can't be reached
+        self.rejections: dict[str, str] = {}  # the last reason by name or address
+        self._dialler = PeerDialler(
+            configured.identity.name,
+            supervisor,
+            rng,
+            self._wanted,
+            self.links,
+            self._connect,
+            self._address_of,
+        )
         self._client: aiohttp.ClientSession | None = None
         self._runner: web.ServerRunner | None = None
-        self._looked_us = mono_us()
+        self._checked_us = mono_us()
         self._timer: asyncio.TimerHandle | None = None
         self._stopping = False
 
     def start(self) -> None:
+        """Accept and dial links from now on."""
         super().start()
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=DIAL_S),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         )
         self.supervisor.spawn(self._listen(), "peers listen")
-        self._look()
+        self._check_links()
 
-    def receive(self, message: ToPeers) -> None:
+    def receive(self, message: PeerMessage) -> None:
+        """Handle one message of the mailbox."""
         match message:
-            case Heard(link=link, data=data):
-                self._heard(link, data)
-            case Opened(link=link):
-                self.fresh.add(link)
+            case MessageReceived(link=link, data=data):
+                self._message_received(link, data)
+            case LinkOpened(link=link):
+                self.opening.add(link)
                 self.counts["opened"] += 1
-            case Closed(link=link, why=why):
-                self._closed(link, why)
-            case Look():
-                self._look()
+            case LinkClosed(link=link, reason=reason):
+                self._link_closed(link, reason)
+            case CheckLinks():
+                self._check_links()
             case Configure():
                 self._configure(message)
 
     def wake(self) -> None:
-        """The replica has changed: write it to whoever lacks it."""
+        """The replica has changed: write the changes to all peers."""
         for link in self.links.values():
             link.wake()
 
     async def close(self) -> None:
-        """End all links, after what is known has been written as far as partners read it at once."""
+        """Close all links."""
         self._stopping = True
         self.stop()
-        for task in self._dialling.values():
-            task.cancel()
+        self._dialler.stop()
         if self._timer:
             self._timer.cancel()
-        for link in [*self.links.values(), *self.fresh]:
-            link.end("this scheduler ends")
+        for link in [*self.links.values(), *self.opening]:
+            link.close("this scheduler ends")
         if self._runner:
             with contextlib.suppress(Exception):
                 await self._runner.cleanup()
         if self._client:
             await self._client.close()
 
-    # Links
+    # Accepting and dialling
 
     async def _listen(self) -> None:
-        """Take links; another process of this scheduler may have the address for a while yet."""
-        said = False
+        """Accept links, once no other process of this scheduler has the address any more."""
+        reported = False
         while True:
             try:
                 sock = bind(self.listen, "mesh.listen")
                 break
             except Exception as e:
-                if not said:
-                    log.warning("peers_address_taken", extra={"listen": self.listen, "why": str(e)})
-                said = True
-                await asyncio.sleep(BIND_AGAIN_S)
-        self._runner = web.ServerRunner(web.Server(self._accept, access_log=None), shutdown_timeout=0.2)
+                if not reported:
+                    log.warning("peers_address_in_use", extra={"listen": self.listen, "why": str(e)})
+                reported = True
+                await asyncio.sleep(BIND_RETRY_S)
+        server = web.Server(self._accept, access_log=None)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SERVER_CLOSE_TIMEOUT_S)
         await self._runner.setup()
         await web.SockSite(self._runner, sock).start()
         log.info("peers_listening", extra={"listen": self.listen})
@@ -206,41 +224,75 @@
     async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != PATH:
             return web.Response(status=404)
-        if self._stopping or len(self.fresh) >= STRANGERS:
+        if self._stopping or len(self.opening) >= MAX_LINKS_WITHOUT_HELLO:
             return web.Response(status=503)
-        socket = web.WebSocketResponse(max_msg_size=MAX_MESSAGE_BYTES, compress=False, timeout=0.2)
+        socket = web.WebSocketResponse(
+            max_msg_size=MAX_MESSAGE_BYTES, compress=False, timeout=SERVER_CLOSE_TIMEOUT_S
+        )
         await socket.prepare(request)
-        await self._run(socket, str(request.remote), dialled=False)
+        await self._run_link(socket, str(request.remote), dialled=False)
         return socket
 
-    async def _run(
-        self, socket: web.WebSocketResponse | aiohttp.ClientWebSocketResponse, address: str, dialled: bool
-    ) -> str:
-        """Until the link ends; why it did."""
+    async def _connect(self, name: str) -> str | None:
+        """Dial once, and stay while the link does; why it failed or ended early, None if it lasted."""
+        assert self._client
+        address = self._address_of(name)
+        if address is None:
+            return "it has no address"
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                socket = await self._client.ws_connect(
+                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES, compress=0, autoclose=True
+                )
+        except (OSError, aiohttp.ClientError, TimeoutError) as e:
+            return f"{type(e).__name__} {e}".strip()
+        opened_us = mono_us()
+        reason = await self._run_link(socket, address, dialled=True)
+        return None if mono_us() - opened_us > LASTING_LINK_US else reason
+
+    def _address_of(self, name: str) -> str | None:
+        return self.configured.addresses.get(name)
+
+    def _partners(self) -> list[str]:
+        own = self.configured.identity
+        return overlay.partners(own.name, own.names)[: self.configured.max_links]
+
+    def _wanted(self) -> list[str]:
+        """Partners, and others along the ring while too few of them are alive."""
+        own = self.configured.identity
+        alive = {*self.alive(), *self.links}
+        return [*self.partners, *overlay.repairs(own.name, own.names, alive)]
+
+    # Links
+
+    async def _run_link(self, socket: Socket, address: str, dialled: bool) -> str:
+        """Run a link until it is closed; the reason."""
         c = self.configured
         session = Session(c.identity, self.store, self.ages, dialled, c.interval_us)
         link = PeerLink(socket, session, address, dialled, mono_us())
-        self.tell(Opened(link))
+        self.tell(LinkOpened(link))
         try:
-            why = await link.run(self._draw, lambda link, data: self.tell(Heard(link, data)), self._idle_s)
+            reason = await link.run(
+                self._draw, lambda link, data: self.tell(MessageReceived(link, data)), self._idle_s
+            )
         except BaseException:
-            self.tell(Closed(link, "this scheduler ends"))
+            self.tell(LinkClosed(link, "this scheduler ends"))
             raise
-        self.tell(Closed(link, why))
-        return why
+        self.tell(LinkClosed(link, reason))
+        return reason
 
     def _draw(self, link: PeerLink) -> bytes | None:
-        frame = link.session.draw(self.clock.now_us(), mono_us())
-        if frame is not None:
+        data = link.session.draw(self.clock.now_us(), mono_us())
+        if data is not None:
             self.counts["frames_out"] += 1
-            self.counts["bytes_out"] += len(frame)
-        return frame
+            self.counts["bytes_out"] += len(data)
+        return data
 
     def _idle_s(self, link: PeerLink) -> float:
-        return max(0.001, (link.session.next_us() - mono_us()) / 1e6)
+        return max(MIN_IDLE_S, (link.session.next_us() - mono_us()) / 1e6)
 
-    def _heard(self, link: PeerLink, data: bytes) -> None:
-        if link.ended is not None:
+    def _message_received(self, link: PeerLink, data: bytes) -> None:
+        if link.close_reason is not None:
             return
         self.counts["frames_in"] += 1
         self.counts["bytes_in"] += len(data)
@@ -248,177 +300,125 @@
         try:
             events = link.session.receive(self.clock.now_us(), mono_us(), data)
         except PeerRejected as e:
-            self._refuse(link, e)
+            self._reject(link, e)
             return
         for event in events:
-            self._happened(link, event)
+            self._handle(link, event)
         if self.store.head != head:
             self.wake()
         link.wake()
 
-    def _happened(self, link: PeerLink, event: Event) -> None:
+    def _handle(self, link: PeerLink, event: Event) -> None:
         match event:
             case HelloReceived(hello=hello):
-                if self._seat(link):
-                    own = self.configured.identity
-                    near = set(overlay.partners(hello.name, own.names))
-                    link.session.sender.receives_directly = lambda origin: (
-                        origin in near or origin == hello.name
-                    )
-                    self.hearer.greeted(hello.name, hello.incarnation, hello.now_us)
+                self._hello_received(link, hello)
             case RecordsReceived():
-                self.hearer.learned(event)
+                self.events.records_received(event)
             case PingAnswered():
-                if not link.proven and self.links.get(link.name) is link:
-                    link.proven = True
-                    extra = {"peer": link.name, "dialled": link.dialled, "links": len(self.links)}
-                    log.info("peer_linked", extra=extra)
-                self.hearer.answered(link.name)
+                self._confirm(link)
+                self.events.ping_answered(link.name)
             case MemberMessageReceived(payload=payload):
-                self.told(link.name, payload)
+                self.on_member_message(link.name, payload)
 
-    def _refuse(self, link: PeerLink, error: PeerRejected) -> None:
+    def _hello_received(self, link: PeerLink, hello: Hello) -> None:
+        self.opening.discard(link)
+        if reason := self._reason_to_close(link, hello):
+            link.close(reason)
+            return
+        if (other := self.links.get(hello.name)) is not None:
+            other.close("another link took its place")
+        self.links[hello.name] = link
+        partners = set(overlay.partners(hello.name, self.configured.identity.names))
+        partners.add(hello.name)
+        link.session.sender.receives_directly = partners.__contains__
+        self.events.peer_greeted(hello.name, hello.incarnation, hello.now_us)
+
+    def _reason_to_close(self, link: PeerLink, hello: Hello) -> str | None:
+        """Why a new link is not kept; of two links to a peer, both sides keep the same one."""
+        c = self.configured
+        other = self.links.get(hello.name)
+        if other is None:
+            full = hello.name not in self.partners and len(self.links) >= c.max_links
+            return "no room for more links" if full else None
+        assert other.session.peer
+        if other.session.peer.incarnation != hello.incarnation:
+            keep_new = hello.incarnation > other.session.peer.incarnation
+        elif self._is_silent(other) or other.dialled is link.dialled:
+            keep_new = True
+        else:  # the link that the smaller name has dialled
+            dialler = c.identity.name if link.dialled else hello.name
+            keep_new = dialler == min(hello.name, c.identity.name)
+        return None if keep_new else "there is a link already"
+
+    def _is_silent(self, link: PeerLink) -> bool:
+        return mono_us() - link.session.last_received_us > 2 * self.configured.interval_us
+
+    def _confirm(self, link: PeerLink) -> None:
+        """Both sides have accepted the link."""
+        if link.confirmed or self.links.get(link.name) is not link:
+            return
+        link.confirmed = True
+        extra = {"peer": link.name, "dialled": link.dialled, "links": len(self.links)}
+        log.info("peer_linked", extra=extra)
+
+    def _reject(self, link: PeerLink, error: PeerRejected) -> None:
         self.counts["refused"] += 1
         peer = link.name or link.address
-        self.refusals.pop(peer, None)
-        self.refusals[peer] = error.what
-        if len(self.refusals) > STRANGERS:
-            del self.refusals[next(iter(self.refusals))]
-        log.warning("peer_refused", extra={"peer": peer, "why": str(error)})
-        link.end(error.what)
-
-    def _seat(self, link: PeerLink) -> bool:
-        """Whether a greeted link is the one to this peer; of two, both sides choose the same one."""
-        assert link.session.peer
-        self.fresh.discard(link)
-        name, incarnation = link.name, link.session.peer.incarnation
-        other = self.links.get(name)
-        if other is None:
-            c = self.configured
-            if name not in self.partners and len(self.links) >= c.most_links:
-                link.end("no room for more links")
-                return False
-        else:
-            assert other.session.peer
-            silent_us = mono_us() - other.session.last_received_us
-            preferred = min(name, self.configured.identity.name)
-            dialler = {True: self.configured.identity.name, False: name}
-            if other.session.peer.incarnation != incarnation:
-                newer = incarnation > other.session.peer.incarnation
-            elif silent_us > 2 * self.configured.interval_us or other.dialled is link.dialled:
-                newer = True
-            else:
-                newer = dialler[link.dialled] == preferred
-            if not newer:
-                link.end("there is a link already")
-                return False
-            other.end("another link took its place")
-        self.links[name] = link
-        return True
-
-    def _closed(self, link: PeerLink, why: str) -> None:
-        self.fresh.discard(link)
+        self.rejections.pop(peer, None)
+        self.rejections[peer] = error.what
+        if len(self.rejections) > MAX_REJECTIONS:
+            del self.rejections[next(iter(self.rejections))]
+        log.warning("peer_rejected", extra={"peer": peer, "why": str(error)})
+        link.close(error.what)
+
+    def _link_closed(self, link: PeerLink, reason: str) -> None:
+        self.opening.discard(link)
         if self.links.get(link.name) is not link:
             return
         del self.links[link.name]
-        self.hearer.lost(link.name)
-        if link.proven:
+        self.events.link_lost(link.name)
+        if link.confirmed:
             self.counts["lost"] += 1
-            log.warning("peer_lost", extra={"peer": link.name, "why": why, "links": len(self.links)})
-        self._dial_missing()
-
-    # Dialling
-
-    def _partners(self) -> list[str]:
-        own = self.configured.identity
-        return overlay.partners(own.name, own.names)[: self.configured.most_links]
-
-    def _wanted(self) -> list[str]:
-        """Partners, and others along the ring while too few of these are there."""
-        own = self.configured.identity
-        alive = {*self.alive(), *self.links}
-        return [*self.partners, *overlay.repairs(own.name, own.names, alive)]
-
-    def _dial_missing(self) -> None:
-        for name in self._wanted():
-            if name not in self.links and name not in self._dialling and not self._stopping:
-                task = self.supervisor.spawn(self._dial(name), f"dial {name}")
-                self._dialling[name] = task
-                task.add_done_callback(lambda done, name=name: self._dialling.pop(name, None))  # type: ignore[misc]
-
-    async def _dial(self, name: str) -> None:
-        """Try until there is a link, whoever dialled it."""
-        if name < self.configured.identity.name:
-            await asyncio.sleep(COURTESY_S)
-        while name in self._wanted() and name not in self.links and not self._stopping:
-            if tries := self._tries.get(name, 0):
-                longest_s = min(FIRST_WAIT_S * 2.0 ** (tries - 1), LONGEST_WAIT_S)
-                await asyncio.sleep(longest_s * (0.1 + 0.9 * self.rng.random()))
-                if name in self.links:
-                    return
-            self._tries[name] = min(tries + 1, MOST_TRIES)
-            if why := await self._try(name):
-                self._tell_unreachable(name, why)
-
-    def _tell_unreachable(self, name: str, why: str) -> None:
-        """At the third failure in a row, and then once a minute."""
-        now_s = time.monotonic()
-        if self._tries[name] >= 3 and now_s - self._said_s.get(name, -SAID_AGAIN_S) >= SAID_AGAIN_S:
-            self._said_s[name] = now_s
-            error = PeerUnreachable(f"{name} at {self.configured.addresses.get(name)}: {why}")
-            log.warning("peer_unreachable", extra={"peer": name, "why": str(error)})
-
-    async def _try(self, name: str) -> str | None:
-        """Dial once, and stay while the link does or another is there; why there was none, or None."""
-        assert self._client
-        address = self.configured.addresses.get(name)
-        if address is None:
-            return "it has no address"
-        try:
-            async with asyncio.timeout(DIAL_S):
-                socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES, compress=0, autoclose=True
-                )
-        except (OSError, aiohttp.ClientError, TimeoutError) as e:
-            return f"{type(e).__name__} {e}".strip()
-        began_us = mono_us()
-        why = await self._run(socket, address, dialled=True)
-        return None if mono_us() - began_us > LASTING_US else why
+            log.warning("peer_lost", extra={"peer": link.name, "why": reason, "links": len(self.links)})
+        self._dialler.dial_missing()
 
-    # Time
+    # Timer and configuration
 
-    def _look(self) -> None:
-        """Give up links that are silent; not just after we stood still ourselves, as they had no chance."""
+    def _check_links(self) -> None:
+        """Close silent links, unless this process was paused and messages may lie unread."""
         now_us = mono_us()
         interval_us = self.configured.interval_us
-        late_us = now_us - self._looked_us - interval_us
-        self._looked_us = now_us
-        if late_us > AWAY_US:
-            log.warning("was_away", extra={"seconds": late_us / 1e6})
+        late_us = now_us - self._checked_us - interval_us
+        self._checked_us = now_us
+        if late_us > PAUSE_US:
+            log.warning("process_paused", extra={"seconds": late_us / 1e6})
             for link in self.links.values():
                 link.session.pings.ping_soon()
                 link.wake()
         else:
-            dead_us = interval_us + DEAD_US
-            for link in list(self.links.values()):
-                if now_us - link.session.last_received_us > dead_us:
-                    link.end("silent")
-                elif now_us - link.opened_us > LASTING_US:
-                    self._tries.pop(link.name, None)
-            for link in list(self.fresh):
-                if now_us - link.opened_us > HELLO_S * 1e6:
-                    link.end("no greeting")
-        self._dial_missing()
-        self._timer = asyncio.get_running_loop().call_later(interval_us / 1e6, self.tell, Look())
+            self._close_silent_links(now_us)
+        self._dialler.dial_missing()
+        self._timer = asyncio.get_running_loop().call_later(interval_us / 1e6, self.tell, CheckLinks())
+
+    def _close_silent_links(self, now_us: int) -> None:
+        timeout_us = self.configured.interval_us + SILENCE_TIMEOUT_US
+        for link in list(self.links.values()):
+            if now_us - link.session.last_received_us > timeout_us:
+                link.close("silent")
+            elif now_us - link.opened_us > LASTING_LINK_US:
+                self._dialler.reset_backoff(link.name)
+        for link in list(self.opening):
+            if now_us - link.opened_us > HELLO_TIMEOUT_US:
+                link.close("no greeting")
 
     def _configure(self, new: Configure) -> None:
-        """Go by another list: all links are greeted anew, as the greeting tells the list."""
+        """Use a new list of peers: all links are opened anew, as the hello contains the list."""
         old, self.configured = self.configured, new
         if new.identity == old.identity and new.interval_us == old.interval_us:
-            gone = [n for n in self.links if old.addresses.get(n) != new.addresses.get(n)]
+            outdated = [n for n in self.links if old.addresses.get(n) != new.addresses.get(n)]
         else:
-            gone = list(self.links)
+            outdated = list(self.links)
         self.partners = self._partners()
-        for name in gone:
-            self.links[name].end("the list of schedulers has changed")
-        self._dial_missing()
+        for name in outdated:
+            self.links[name].close("the list of schedulers has changed")
+        self._dialler.dial_missing()
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -1,7 +1,7 @@
-"""What schedulers share, on disk: this scheduler's own last state, in one file of $TMPDIR.
+"""The snapshot of this scheduler's replica on disk, in one file of $TMPDIR.
 
-The file is written beside the old one, synced and renamed. One that can't be read is set aside, and never the
-end of the program: peers have what it held.
+The file is written beside the old one, synced and renamed. One that can't be read is quarantined and never
+ends the program: peers have its records.
 """
 
 import asyncio
@@ -18,13 +18,16 @@
 log = logging.getLogger(__name__)
 
 FILE = "mesh.state"
-ASIDE = "mesh.state.aside"  # one is kept: a later one replaces it
-SAVE_S = 1.0  # from a change to its save, at least; a save of 10,000 records takes some 20 ms of a thread
+QUARANTINE_FILE = "mesh.state.aside"  # a later one replaces it
+SAVE_INTERVAL_S = 1.0
 MAX_BYTES = 256 << 20
 
 
 class SnapshotStore:
-    """Without a folder nothing is kept."""
+    """Saves and loads the snapshots of ``origin``; without a folder neither does anything.
+
+    ``failing``: whether the last save failed; ``saved_head``: the number of the last change that was saved.
+    """
 
     def __init__(self, folder: Path | None, installation: str, origin: str) -> None:
         self.folder = folder
@@ -33,63 +36,64 @@
         self.saved_head = -1
 
     def load(self) -> tuple[SnapshotHeader | None, list[Record]]:
-        """What the last process has left; None and nothing where there is no file of ours."""
+        """The snapshot of the last process; None and no records if there is no valid file."""
         if not self.folder:
             return None, []
         path = self.folder / FILE
         try:
             if path.stat().st_size > MAX_BYTES:
                 raise ForeignState(f"{FILE} is longer than {MAX_BYTES} bytes")
-            owner, records = snapshot.decode(path.read_bytes(), self.installation)
-            if owner.origin != self.origin:
-                raise ForeignState(f"{FILE} is of {owner.origin}")
-            return owner, records
+            header, records = snapshot.decode(path.read_bytes(), self.installation)
+            if header.origin != self.origin:
+                raise ForeignState(f"{FILE} is of {header.origin}")
+            return header, records
         except FileNotFoundError:
             return None, []
         except OSError as e:
             log.error("state_unreadable", extra={"file": FILE, "why": str(e)})
             return None, []
         except ForeignState as e:
-            log.error("state_set_aside", extra={"file": FILE, "as": ASIDE, "why": str(e)})
+            log.error("snapshot_quarantined", extra={"file": FILE, "as": QUARANTINE_FILE, "why": str(e)})
             try:
-                path.replace(self.folder / ASIDE)
+                path.replace(self.folder / QUARANTINE_FILE)
             except OSError as error:
-                log.error("state_not_set_aside", extra={"file": FILE, "why": str(error)})
+                log.error("snapshot_not_quarantined", extra={"file": FILE, "why": str(error)})
             return None, []
 
     async def keep(
         self,
         head: Callable[[], int],
-        owner: Callable[[], SnapshotHeader],
+        header: Callable[[], SnapshotHeader],
         records: Callable[[], Iterable[Record]],
     ) -> None:
-        """Save whenever something has changed, until cancelled."""
+        """Save at most each `SAVE_INTERVAL_S` if something has changed, until cancelled."""
         while self.folder:
-            await asyncio.sleep(SAVE_S)
+            await asyncio.sleep(SAVE_INTERVAL_S)
             if head() != self.saved_head:
-                await self.save(head(), owner(), list(records()))
+                await self.save(head(), header(), list(records()))
 
-    async def save(self, head: int, owner: SnapshotHeader, records: list[Record]) -> None:
-        """In a thread: other work goes on."""
+    async def save(self, head: int, header: SnapshotHeader, records: list[Record]) -> None:
+        """Save a snapshot in a thread; a failure is logged once and retried with the next save."""
         if not self.folder:
             return
         try:
-            await asyncio.get_running_loop().run_in_executor(None, self.write, owner, records)
+            await asyncio.get_running_loop().run_in_executor(None, self.write, header, records)
         except OSError as e:
-            if not self.failing:  # it is tried again each second
+            if not self.failing:
                 log.error("state_not_saved", extra={"file": FILE, "why": str(e)})
             self.failing = True
             return
         if self.failing:
-            log.info("state_saved_again", extra={"file": FILE})
+            log.info("snapshot_saved_again", extra={"file": FILE})
         self.failing, self.saved_head = False, head
 
-    def write(self, owner: SnapshotHeader, records: Iterable[Record]) -> None:
+    def write(self, header: SnapshotHeader, records: Iterable[Record]) -> None:
+        """Write the file. Blocks; raises OSError."""
         assert self.folder
         temporary = self.folder / f"{FILE}.{os.getpid()}"
         try:
             with temporary.open("wb") as file:
-                for piece in snapshot.encode(owner, records):
+                for piece in snapshot.encode(header, records):
                     file.write(piece)
                 file.flush()
                 os.fsync(file.fileno())
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
-    from robinhill.net.peers.sharing import Sharing
+    from robinhill.net.peers.replication import Replication
     from robinhill.record.recorder import Recorder
 
 log = logging.getLogger(__name__)
@@ -101,7 +101,7 @@
             self.admission.find if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
-        self.sharing: Sharing | ObservingScheduler | None = None
+        self.sharing: Replication | ObservingScheduler | None = None
         if config.operator and config.operator.mesh.voters:
             from robinhill.net.control_group import observing_scheduler
 
@@ -109,9 +109,11 @@
                 config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
-            from robinhill.net.peers import sharing
+            from robinhill.net.peers import replication
 
-            self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.dispatcher, self.inbound)
+            self.sharing = replication.Replication(
+                config, self.supervisor, self.clock, self.dispatcher, self.inbound
+            )
         self.operators: OperatorServer | None = None
         if config.ops:
             calls = OperatorCalls(
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -216,7 +216,7 @@
             old = dict(here.peers)
             here.peers["s3"] = free_address()
             three = await here.start("s3")
-            await until(here.programs["s1"], "event=peer_refused")
+            await until(here.programs["s1"], "event=peer_rejected")
             await until(three, "no peer by our file")
             for name in old:
                 here.programs[name].reload(here.operator(name))
