--- a/robinhill/mesh/member_table.py
+++ b/robinhill/mesh/member_table.py
@@ -211,17 +211,18 @@
         name, member = update.name, self.members[update.name]
         state = MemberState(update.state)
         same_incarnation = update.incarnation == member.incarnation
-        if state is MemberState.DEAD and same_incarnation:
-            if member.received_within(mono_us, self.options.recent_us):
-                state = MemberState.SUSPECT  # we received from it just now: let it refute
+        alive_here = same_incarnation and member.received_within(mono_us, self.options.recent_us)
+        if state is MemberState.DEAD and alive_here:
+            state = MemberState.SUSPECT  # we received from it just now: let it refute
         known, reported = (member.incarnation, member.refutations), update.version
         if reported == known and state is MemberState.SUSPECT is member.state:
             self.add_reporter(name, update.reporter)
         if member.state is MemberState.LEFT and same_incarnation:
             return  # reported by itself, so it is final
-        if reported < known or (reported == known and state <= member.state):
-            if state is not MemberState.LEFT or update.incarnation < member.incarnation:
-                return
+        supersedes = reported > known or (reported == known and state > member.state)
+        leaves = state is MemberState.LEFT and update.incarnation >= member.incarnation
+        if not (supersedes or leaves):
+            return
         member.incarnation, member.refutations = max(known, reported)
         if state is MemberState.SUSPECT:
             self.suspect(mono_us, name, update.reporter)
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -48,7 +48,7 @@
         self.peer_name = ""
         self.cursor = log.head
         self.window = SendWindow()
-        self.receives_directly: Callable[[str], bool] = lambda origin: False
+        self.receives_directly: Callable[[str], bool] = lambda _origin: False
         self.relay_due_us: int | None = None  # when delayed changes must be written
         self.pushed = 0  # records
         self.skipped = 0  # records that the peer was known to have
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -126,15 +126,9 @@
         stored = table.stored.get(table.place(record.kind, record.key))
         new, value = record, NOT_DECODED
         if stored is not None:
-            stored_is_live = stored.record.until_us > now_us
-            if stored_is_live == (record.until_us > now_us):
-                if stored.record == record:
-                    return None
-                new, value = merge_with_value(table.kind, stored.record, record, stored.value)
-                if new == stored.record:
-                    return None
-            elif stored_is_live:
-                return None  # an expired record adds nothing to a live one, and is replaced by one
+            new, value = _merge_into(stored, record, now_us)
+            if new is stored.record:
+                return None
         if value is NOT_DECODED and table.kind is not None:
             value = decode_value(table.kind, new)
         self.clock.observe(now_us, record.stamp)
@@ -303,6 +297,19 @@
         stored.change_number = -1
 
 
+def _merge_into(stored: StoredRecord, record: Record, now_us: int) -> tuple[Record, object]:
+    """The record to store in place of ``stored``, and its value if it is decoded; the same one if
+    unchanged."""
+    stored_is_live = stored.record.until_us > now_us
+    if stored_is_live != (record.until_us > now_us):
+        # An expired record adds nothing to a live one, and is replaced by one.
+        return (stored.record, stored.value) if stored_is_live else (record, NOT_DECODED)
+    if stored.record == record:
+        return stored.record, stored.value
+    new, value = merge_with_value(stored.table.kind, stored.record, record, stored.value)
+    return (stored.record, stored.value) if new == stored.record else (new, value)
+
+
 def _check_size(table: RecordTable, record: Record, stored: StoredRecord | None) -> None:
     """Raises StateFull if a value, or a kind that does not evict, would become too large."""
     evicts = table.kind is None or table.kind.evict is not None
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -174,15 +174,22 @@
                 return self._receive_pong(mono_us, frame)
             case PushResendRequest(numbers=numbers):
                 self.sender.window.mark_lost(numbers)
+            case RangeDigests() | RecordVersions() | VersionsResendRequest():
+                self._receive_anti_entropy(now_us, mono_us, frame)
+            case MemberMessage(payload=payload):
+                return [MemberMessageReceived(payload)]
+        return []
+
+    def _receive_anti_entropy(
+        self, now_us: int, mono_us: int, frame: RangeDigests | RecordVersions | VersionsResendRequest
+    ) -> None:
+        match frame:
             case RangeDigests():
                 self.anti_entropy.digests_received(now_us, mono_us, frame)
             case RecordVersions():
                 self.anti_entropy.versions_received(mono_us, frame)
             case VersionsResendRequest():
                 self.anti_entropy.resend_requested(frame)
-            case MemberMessage(payload=payload):
-                return [MemberMessageReceived(payload)]
-        return []
 
     def _receive_hello(self, now_us: int, mono_us: int, hello: Hello) -> list[Event]:
         if self.peer is not None:
@@ -301,10 +308,7 @@
             return self._hello(now_us, mono_us)
         if self.peer is None:
             return None
-        if self._missing:
-            numbers, self._missing = self._missing, ()
-            return PushResendRequest(numbers)
-        if (frame := self._changes_or_pong(mono_us)) is not None:
+        if (frame := self._resend_request() or self._changes_or_pong(mono_us)) is not None:
             return frame
         if mono_us >= self._ping_due_us():
             return self._ping(mono_us)
@@ -312,6 +316,12 @@
             return MemberMessage(self._member_messages.popleft())
         return self._anti_entropy_frame(now_us, mono_us)
 
+    def _resend_request(self) -> PushResendRequest | None:
+        if not self._missing:
+            return None
+        numbers, self._missing = self._missing, ()
+        return PushResendRequest(numbers)
+
     def _changes_or_pong(self, mono_us: int) -> Push | Pong | None:
         push = self.sender.lost_push() or self.sender.changes(mono_us, self._pending_pong is not None)
         if push is None:
