--- /dev/null
+++ b/tests/test_cordon_index.py
@@ -0,0 +1,121 @@
+"""The index of cordons: what is in effect, warnings, and the budget of automatic cordons."""
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from robinhill.cordon.budget import Budget, Location
+from robinhill.cordon.errors import (
+    CordonBudgetSpent,
+)
+from robinhill.cordon.index import CordonIndex, IndexUpdate, WorkersCordoned, WorkersUncordoned
+from robinhill.cordon.value import (
+    Dot,
+    merge,
+    set_cordon,
+)
+from tests.cordons import DETERMINISTIC, FLEET, NOW, S, automatic_reason, cordons_of, operator_reason
+
+
+def test_index_reports_cordoned_workers_and_slow_start_after_the_end() -> None:
+    index = CordonIndex()
+    zone = cordons_of("zone/z0", operator_reason("power"))
+    change = index.update(
+        NOW, [zone, cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
+    )
+    tens = tuple(w for w in FLEET if FLEET[w].zone == "z0")
+    assert change == IndexUpdate((WorkersCordoned(tens),), NOW + 60 * S)
+    assert {r.id for r in index.reasons("w00")} == {"power", "disk", "auto-slow-w00"}
+    assert not index.reasons("w01")
+    later = NOW + 60 * S  # the automatic one has ended
+    change = index.update(
+        later, [cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
+    )
+    assert change == IndexUpdate((WorkersUncordoned(tens[1:], later),), 0)
+    assert [r.id for r in index.reasons("w00")] == ["disk"]
+    assert index.started_us("w03", NOW) == later and index.started_us("w01", NOW) == NOW
+    assert index.started_us("w03", later + S) == later + S, "it started once more since"
+    rest = {w: p for w, p in FLEET.items() if w != "w00"}
+    assert index.update(later, [], rest).events == (), "who has left the list is not lifted"
+
+
+def test_a_cordon_applies_to_workers_that_are_listed_later() -> None:
+    index, items = (
+        CordonIndex(),
+        [cordons_of("worker/new", operator_reason()), cordons_of("cell/9", operator_reason("c"))],
+    )
+    assert index.update(NOW, items, FLEET).events == ()
+    grown = {**FLEET, "new": Location("z0"), "other": Location("z0", cell=9)}
+    assert index.update(NOW, items, grown).events == (WorkersCordoned(("new", "other")),)
+
+
+def test_warnings_name_what_is_left_without_workers() -> None:
+    index = CordonIndex()
+    index.update(NOW, [cordons_of("zone/z0", operator_reason())], FLEET)
+    assert index.warnings("worker/w01") == ()
+    (typo,) = index.warnings("zone/zo")
+    assert "no listed worker" in typo and "z0, z1, z2" in typo
+    zone, kind = index.warnings("kind/small")
+    assert "zone 'z0'" in zone and "kind 'small'" in kind
+    index.update(
+        NOW, [cordons_of("zone/z0", operator_reason()), cordons_of("zone/z1", operator_reason())], FLEET
+    )
+    assert index.warnings("zone/z2") == ("no worker is left: nothing new can be placed at all",)
+    two = {"a": Location("z0"), "b": Location("z1")}
+    index.update(NOW, [], two)
+    assert index.warnings("worker/a") == ("no worker is left in zone 'z0'",)
+
+
+@DETERMINISTIC
+@given(st.data())
+def test_no_copy_exceeds_the_budget_and_all_orders_agree(data: st.DataObject) -> None:
+    budget = Budget(fleet_share=0.1, zone_share=0.2)
+    proposals = data.draw(
+        st.lists(
+            st.tuples(
+                st.sampled_from(sorted(FLEET)), st.sampled_from(["silent", "slow"]), st.integers(0, 3),
+                st.sampled_from("abc"),
+            ),
+            max_size=12,
+        )
+    )  # fmt: skip
+    manual = [
+        cordons_of(f"worker/{w}", operator_reason())
+        for w in data.draw(st.sets(st.sampled_from(sorted(FLEET))))
+    ]
+    out = {target.partition("/")[2] for target, _ in manual}
+    writes = [
+        (f"worker/{w}", set_cordon(None, automatic_reason(w, cause, NOW - since), Dot(origin, 1, n), NOW))
+        for n, (w, cause, since, origin) in enumerate(proposals, 1)
+    ]
+    ends = []
+    for _ in range(2):
+        index, held = CordonIndex(budget), dict(manual)
+        for target, value in data.draw(st.permutations(writes)):
+            held[target] = merge(held[target], value) if target in held else value
+            index.update(NOW, held.items(), FLEET)
+            automatic = index.cordoned_workers() - out
+            free = [w for w in FLEET if w not in out]
+            assert len(automatic) <= 0.1 * len(free)
+            for zone in ("z0", "z1", "z2"):
+                mine = [w for w in free if FLEET[w].zone == zone]
+                assert len(automatic & set(mine)) <= 0.2 * len(mine)
+        ends.append({w: index.reasons(w) for w in FLEET})
+    assert ends[0] == ends[1]
+
+
+def test_over_the_budget_the_worst_and_oldest_are_in_effect_and_the_rest_wait() -> None:
+    index = CordonIndex(Budget(0.1, 0.2))
+    slow = [
+        cordons_of(f"worker/{w}", automatic_reason(w, "slow", NOW + n))
+        for n, w in enumerate(["w05", "w04", "w03", "w02"])
+    ]
+    index.update(NOW, slow, FLEET)
+    assert index.cordoned_workers() == {"w05", "w04", "w03"}
+    with pytest.raises(CordonBudgetSpent, match="worker/w02"):
+        index.check_budget()
+    silent = cordons_of("worker/w01", automatic_reason("w01", "silent", NOW + 9))
+    index.update(NOW, [*slow, silent, cordons_of("zone/z9", automatic_reason("z9"))], FLEET)
+    assert index.cordoned_workers() == {"w01", "w05", "w04"}
+    index.update(NOW, [*slow, cordons_of("zone/z0", automatic_reason("z0", "silent"))], FLEET)
+    assert index.cordoned_workers() == {"w05", "w04", "w03"}, "a whole zone never fits, and bars nobody else"
