--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -102,7 +102,7 @@
         for number, job_class in enumerate(self.classes):
             self._rivals.append([
                 n for n, other in enumerate(self.classes)
-                if self._of[n] is self._of[number] and other.worth >= job_class.worth
+                if self._of[n] is self._of[number] and other.priority_weight >= job_class.priority_weight
             ])  # fmt: skip
 
     def of(self, job_class: int) -> Window:
@@ -113,7 +113,7 @@
         window = self._of[job_class]
         return window.free and sum(self.unplaced[c] for c in self._rivals[job_class]) < window.at_hand
 
-    def roomy(self, job_class: int) -> bool:
+    def has_capacity(self, job_class: int) -> bool:
         """Whether a round may begin for the sake of this class."""
         window = self._of[job_class]
         return window.free and window.unplaced < window.at_hand
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -476,7 +476,7 @@
             case DiscoveryUnreachable(called_us=called_us, as_of_us=as_of_us):
                 self.list_lease.record_unreachable(called_us, as_of_us)
             case DiscoveryAddressChanged(at_us=at_us):
-                self.list_lease.record_moved(at_us)
+                self.list_lease.record_address_change(at_us)
         self._check_list_lease()
 
     def _check_list_lease(self) -> None:
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -6,7 +6,7 @@
 
 from robinhill import api
 from robinhill.placement import watch_schedule
-from robinhill.placement.list_lease import DISCOVERY_MOVE_BOUND_US, ListLease, ListOrigin
+from robinhill.placement.list_lease import ADDRESS_CHANGE_BOUND_US, ListLease, ListOrigin
 from robinhill.placement.stall_detector import HEARTBEAT_INTERVAL_US, MAX_HEARTBEAT_DELAY_US, StallDetector
 from robinhill.placement.watch_schedule import (
     CALL_TIMEOUT_US,
@@ -73,17 +73,17 @@
 def test_orders_to_move_in_a_row_lengthen_nothing() -> None:
     made = lease()
     for second in range(1, 10):
-        made.record_moved(HEARD + second * S)
-    assert made.is_valid(HEARD + S + DISCOVERY_MOVE_BOUND_US - 1) and not made.is_valid(
-        HEARD + S + DISCOVERY_MOVE_BOUND_US
+        made.record_address_change(HEARD + second * S)
+    assert made.is_valid(HEARD + S + ADDRESS_CHANGE_BOUND_US - 1) and not made.is_valid(
+        HEARD + S + ADDRESS_CHANGE_BOUND_US
     )
 
 
 def test_a_last_word_of_the_address_before_does_not_undo_a_move() -> None:
     made = lease()
-    made.record_moved(HEARD + S)
+    made.record_address_change(HEARD + S)
     made.renew(HEARD + S - 1, 42)
-    assert not made.is_valid(HEARD + S + DISCOVERY_MOVE_BOUND_US)
+    assert not made.is_valid(HEARD + S + ADDRESS_CHANGE_BOUND_US)
     made.renew(HEARD + 2 * S, 7)  # the new one's
     assert made.is_valid(HEARD + 2 * S + LIST_CHANGE_BOUND_US - 1)
 
@@ -92,11 +92,11 @@
     made, now = lease(), HEARD
     for _ in range(5):
         now += 3 * S
-        made.record_moved(now)
+        made.record_address_change(now)
         made.record_unreachable(now, now)
         assert made.is_valid(now)
-    made.record_moved(now + 3 * S)
-    assert not made.is_valid(now + DISCOVERY_MOVE_BOUND_US)
+    made.record_address_change(now + 3 * S)
+    assert not made.is_valid(now + ADDRESS_CHANGE_BOUND_US)
 
 
 # With the schedule of calls, through outages
