--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Mapping
 from dataclasses import fields, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from robinhill import config as configuration
 from robinhill import logs, protocol
@@ -19,11 +19,12 @@
 from robinhill.net.clients.listener import bind, inherit
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
-from robinhill.net.discovery.list_watcher import EndpointListWatcher, Move
+from robinhill.net.discovery.list_watcher import ChangeAddress, EndpointListWatcher
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
-from robinhill.net.handover.handover import Handover, QuestionName
+from robinhill.net.handover.handover import Handover
+from robinhill.net.handover.messages import EndpointListExport, QuestionName, StateExport
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.server import OperatorCalls, OperatorServer
@@ -34,7 +35,7 @@
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
-    from robinhill.net.peers.sharing import Sharing
+    from robinhill.net.peers.replication import Replication
     from robinhill.record.recorder import Recorder
 
 log = logging.getLogger(__name__)
@@ -45,7 +46,7 @@
 LIST_S = 2.9  # for discovery's first answer, before this process says that it is ready
 START_S = 0.9  # an operator's call to a process that still starts is answered no after it
 STARTING = Answer(503, b"still starting\n")
-HANDED_ADMISSION = "door"  # the key between processes of all versions, which may take over from one another
+HANDED_ADMISSION: Final = "door"  # the key between processes of all versions
 NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
 
 
@@ -61,7 +62,7 @@
         schedule = watch_schedule.from_settings(config.settings, random.Random(config.seed))
         self.list_lease = ListLease.from_settings(config.settings, config.known.generation)
         self.dispatcher = Dispatcher(config, self.supervisor, self.clock, self.metrics, self.list_lease)
-        self.destinations = EndpointListWatcher(
+        self.list_watcher = EndpointListWatcher(
             config.discovery,
             config.known.generation,
             schedule,
@@ -70,8 +71,8 @@
             self.dispatcher.tell,
             self.dispatcher.tell,
         )
-        self.catch_up = CatchUp(self.clock, self.destinations.unread)
-        self.dispatcher.table.catch_up = self.destinations.catch_up = self.catch_up
+        self.catch_up = CatchUp(self.clock, self.list_watcher.has_unread_data)
+        self.dispatcher.table.catch_up = self.list_watcher.catch_up = self.catch_up
         self.admission: AdmissionActor | None = None
         if config.operator:
             from robinhill.net.dispatcher import admission
@@ -101,7 +102,7 @@
             self.admission.find if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
-        self.sharing: Sharing | ObservingScheduler | None = None
+        self.sharing: Replication | ObservingScheduler | None = None
         if config.operator and config.operator.mesh.voters:
             from robinhill.net.control_group import observing_scheduler
 
@@ -109,9 +110,11 @@
                 config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
-            from robinhill.net.peers import sharing
+            from robinhill.net.peers import replication
 
-            self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.dispatcher, self.inbound)
+            self.sharing = replication.Replication(
+                config, self.supervisor, self.clock, self.dispatcher, self.inbound
+            )
         self.operators: OperatorServer | None = None
         if config.ops:
             calls = OperatorCalls(
@@ -142,7 +145,7 @@
             await self._take_over(self.handover)
         else:
             self.dispatcher.start()
-            self.destinations.start()
+            self.list_watcher.start()
             self.inbound.awaiting_endpoint_list = True
         if self.sharing:
             self.sharing.start()
@@ -168,14 +171,14 @@
             self.clock.follow(told["clock_anchor_ns"])
         if told and told["discovery"] == str(self.config.discovery):
             known = protocol.decode_endpoint_list(told["known"])
-            self.destinations.generation = known.generation
+            self.list_watcher.version = known.generation
             # An older version does not tell: then the list may be of any age.
             confirmed_us, until_us = told.get("list_confirmed_us"), told.get("list_until_us", 0)
             self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
         else:
             self.dispatcher.start()
-        self.destinations.start()
+        self.list_watcher.start()
         await self._list_leased()
         if told and (memory := await handover.ask_predecessor(QuestionName.STATE)):
             self.dispatcher.import_state(memory["decider"])
@@ -209,7 +212,7 @@
             log.warning("reload_needs_restart", extra={"keys": ",".join(waiting)})
         self.config = replace(self.config, discovery=new.discovery, operator=new.operator)
         log.info("reloaded", extra={"discovery": new.discovery})
-        self.destinations.tell(Move(new.discovery))
+        self.list_watcher.tell(ChangeAddress(new.discovery))
 
     def _reconfigure(self, new: OperatorFile, old: OperatorFile) -> None:
         """Go by another operators' file from now on; what waits at admission goes on waiting."""
@@ -364,11 +367,11 @@
         )  # ours are set
         await done.wait()
 
-    def export_endpoint_list(self) -> Json:
+    def export_endpoint_list(self) -> EndpointListExport:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
-        generation = self.destinations.generation or 0
+        generation = self.list_watcher.version or 0
         return {
             "clock_anchor_ns": self.clock.anchor_ns,
             "list_confirmed_us": self.list_lease.confirmed_us,
@@ -377,7 +380,7 @@
             "known": {"generation": generation, "reset": True, "instances": known},
         }
 
-    def export_state(self) -> Json:
+    def export_state(self) -> StateExport:
         admission = self.admission.memory() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
