--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Mapping
 from dataclasses import fields, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from robinhill import config as configuration
 from robinhill import logs, protocol
@@ -23,7 +23,8 @@
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import AdoptRequest, ReleaseRequest, RequestAccepted, SetWorkerDisabled
 from robinhill.net.dispatcher.traffic_recorder import TrafficRecorder
-from robinhill.net.handover.handover import Handover, QuestionName
+from robinhill.net.handover.handover import Handover
+from robinhill.net.handover.messages import EndpointListExport, QuestionName, StateExport
 from robinhill.net.handover.process_link import LinkLostError
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.server import OperatorCalls, OperatorServer
@@ -34,7 +35,7 @@
 if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
-    from robinhill.net.peers.sharing import Sharing
+    from robinhill.net.peers.replication import Replication
     from robinhill.record.recorder import Recorder
 
 log = logging.getLogger(__name__)
@@ -45,7 +46,7 @@
 LIST_S = 2.9  # for discovery's first answer, before this process says that it is ready
 START_S = 0.9  # an operator's call to a process that still starts is answered no after it
 STARTING = Answer(503, b"still starting\n")
-HANDED_ADMISSION = "door"  # the key between processes of all versions, which may take over from one another
+HANDED_ADMISSION: Final = "door"  # the key between processes of all versions
 NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
 
 
@@ -101,7 +102,7 @@
             self.admission.identify_caller if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
-        self.sharing: Sharing | ObservingScheduler | None = None
+        self.sharing: Replication | ObservingScheduler | None = None
         if config.operator and config.operator.mesh.voters:
             from robinhill.net.control_group import observing_scheduler
 
@@ -109,9 +110,11 @@
                 config, self.supervisor, self.clock, self.dispatcher, self.inbound
             )
         elif config.operator and config.operator.mesh.peers:
-            from robinhill.net.peers import sharing
+            from robinhill.net.peers import replication
 
-            self.sharing = sharing.Sharing(config, self.supervisor, self.clock, self.dispatcher, self.inbound)
+            self.sharing = replication.Replication(
+                config, self.supervisor, self.clock, self.dispatcher, self.inbound
+            )
         self.operators: OperatorServer | None = None
         if config.ops:
             calls = OperatorCalls(
@@ -364,7 +367,7 @@
         )  # ours are set
         await done.wait()
 
-    def export_endpoint_list(self) -> Json:
+    def export_endpoint_list(self) -> EndpointListExport:
         """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
@@ -377,7 +380,7 @@
             "known": {"generation": generation, "reset": True, "instances": known},
         }
 
-    def export_state(self) -> Json:
+    def export_state(self) -> StateExport:
         admission = self.admission.export_state() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
