--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -86,7 +86,7 @@
             async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
                 return await self.predecessor.ask(question)
         except (TimeoutError, LinkLostError) as e:
-            log.warning("predecessor_unresponsive", extra={"what": question, "why": repr(e)})
+            log.warning("predecessor_unresponsive", extra={"question": question, "why": repr(e)})
             self.predecessor.close()
             return None
 
