--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -267,7 +267,7 @@
         waiting = [each for each in self.schedulers.values() if not each.freshness.caught_up]
         self.vouched = len(waiting)
         for scheduler in waiting:
-            scheduler.vouch()
+            scheduler.confirm_complete()
         await self.until(lambda: self.formed, FORM_S)
 
     def totals(self) -> Totals:
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -168,7 +168,7 @@
             }
         )
 
-    def vouch(self) -> Answer:
+    def confirm_complete(self) -> Answer:
         """Rejects an operator's confirmation: only voters count for majorities."""
         return NO_CONFIRMING
 
--- a/robinhill/net/peers/sharing.py
+++ b/robinhill/net/peers/sharing.py
@@ -195,7 +195,7 @@
         }
         return Answer(200, msgspec.json.encode({k: v for k, v in told.items() if v is not None}) + b"\n")
 
-    def vouch(self) -> Answer:
+    def confirm_complete(self) -> Answer:
         """An operator says that nothing is in force that this scheduler does not know."""
         self.cordons.confirm_complete("an operator said so")
         return Answer(200, b"it counts for majorities\n")
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -119,11 +119,11 @@
                 self.readiness,
                 self.stats,
                 self.admission.stats if self.admission else lambda: NO_ADMISSION,
-                self.hold_out,
+                self.disable_worker,
                 self.set_drained,
                 self.sharing.call if self.sharing else None,
                 self.sharing.status if self.sharing else None,
-                self.sharing.vouch if self.sharing else None,
+                self.sharing.confirm_complete if self.sharing else None,
             )
             self.operators = OperatorServer(config.ops, config.ops_sockets - 1, self.supervisor, calls)
         self.started = asyncio.Event()  # it is ready to serve
@@ -269,9 +269,9 @@
         answer = self.dispatcher.stats()
         return replace(answer, body=answer.body + self.sharing.metrics()) if self.sharing else answer
 
-    async def hold_out(self, instance_id: str, out: bool) -> Answer:
-        """Leave a worker out, or call it back."""
-        return await self._obeyed("hold_out", {"id": instance_id, "out": out})
+    async def disable_worker(self, instance_id: str, disabled: bool) -> Answer:
+        """Disable a worker, or enable it again."""
+        return await self._obeyed("hold_out", {"id": instance_id, "out": disabled})
 
     async def set_drained(self, start: bool) -> Answer:
         """Send clients elsewhere, or take them again."""
