--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -459,7 +459,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The program went 0.05 s after its last answer, and the rest of the request met a closed connection."""
-    monkeypatch.setattr(scheduler, "TAKE_ON_S", 0.0)
+    monkeypatch.setattr(scheduler, "ACCEPT_AFTER_SIGTERM_S", 0.0)
 
     async def play() -> None:
         async with program() as (here, listen):
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -598,8 +598,8 @@
 def test_a_new_process_whose_agent_is_silent_accepts_all_the_same_and_hears_it_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    assert embedded.LIST_S < 3  # far inside the 10 s that a restart may take
-    monkeypatch.setattr(embedded, "LIST_S", 0.05)
+    assert embedded.MAX_LIST_WAIT_S < 3  # far inside the 10 s that a restart may take
+    monkeypatch.setattr(embedded, "MAX_LIST_WAIT_S", 0.05)
 
     async def play() -> None:
         discovery = await Discovery().listen()
@@ -614,14 +614,14 @@
 
     with caplog.at_level(logging.WARNING):
         asyncio.run(play())
-    assert [r.message for r in caplog.records] == ["list_awaited"]
+    assert [r.message for r in caplog.records] == ["endpoint_list_timeout"]
 
 
 @pytest.mark.parametrize("how", ["subscribe", "push"])
 def test_a_watch_that_ends_during_a_drain_is_opened_anew_and_heard(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(embedded, "TAKE_ON_S", 60)  # the drain goes on until the test ends
+    monkeypatch.setattr(embedded, "ACCEPT_AFTER_SIGTERM_S", 60)  # the drain goes on until the test ends
 
     async def play() -> None:
         discovery = await Discovery().listen()
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -337,7 +337,7 @@
 @pytest.fixture(autouse=True)
 def no_long_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     """For requests that still come after SIGTERM: none do here."""
-    monkeypatch.setattr(scheduler, "TAKE_ON_S", 0.05)
+    monkeypatch.setattr(scheduler, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -497,7 +497,9 @@
             await relay.begin()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
-            call = asyncio.create_task(old._deliver(JobEvent("j1", "w1", JobState.DONE, result="one")))
+            call = asyncio.create_task(
+                old.transfer.deliver(JobEvent("j1", "w1", JobState.DONE, result="one"))
+            )
             relay.hand(message, fd)
             relay.old.say(await relay.new.hear())
             relay.new.say(await relay.old.hear_ask("event"))
@@ -707,7 +709,7 @@
 def test_a_successor_of_a_version_that_tells_no_age_waits_for_discovery(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(scheduler, "LIST_S", 0.05)
+    monkeypatch.setattr(scheduler, "MAX_LIST_WAIT_S", 0.05)
 
     async def play() -> None:
         async with world(tmp_path) as here:
