--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("size, service_us", [(200, 20 * MS), (40, 100 * MS), (6, 200 * MS)])
 @pytest.mark.parametrize("ending", ["start", "reset", "silent"])
-def test_all_have_the_list_by_when_it_counts_as_told_and_none_calls_in_a_herd(
+def test_all_have_the_list_within_the_bound_and_calls_are_spread(
     size: int, service_us: int, ending: Ending
 ) -> None:
     for seed in range(3):
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("size, service_us", [(200, 20 * MS), (40, 100 * MS), (6, 200 * MS)])
 @pytest.mark.parametrize("failure", LASTS_US)
-def test_all_have_the_list_in_time_after_an_outage_whatever_became_of_calls_in_it(
+def test_all_have_the_list_within_the_bound_after_an_outage_of_any_kind(
     size: int, service_us: int, failure: Failure
 ) -> None:
     for seed in range(3):
@@ -144,7 +144,7 @@
         assert max(fleet.listed.values()) <= 200 * 50 * MS + S  # the work itself, and a second
 
 
-def test_without_a_watch_changes_count_sooner_where_the_settings_make_schedulers_ask_more_often() -> None:
+def test_without_a_watch_the_bound_is_no_longer_than_the_poll_interval() -> None:
     for ask_every_us in (2 * S, 4 * S, 10 * S):
         given = settings(must_subscribe=True, ask_every_us=ask_every_us, fleet_size=200)
         for seed in range(20):
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("fleet_size", [1, 200])
-def test_no_wait_for_a_call_is_longer_than_half_of_what_counts_as_told(fleet_size: int) -> None:
+def test_no_wait_for_a_call_is_longer_than_half_of_the_bound(fleet_size: int) -> None:
     chance = random.Random(7)
     schedule, now = WatchSchedule(False, random.Random(1), fleet_size), 0
     now += schedule.start(now)
@@ -285,7 +285,7 @@
             discovery.close()
 
 
-def test_a_new_process_whose_first_calls_are_refused_calls_again_once_discovery_is_there() -> None:
+def test_a_new_process_whose_first_calls_are_refused_retries_until_discovery_is_there() -> None:
     async def play() -> None:
         async with watching() as here:
             here.actor.start()
@@ -342,7 +342,7 @@
     "watched, ending",
     [*((False, ending) for ending in ENDINGS), (True, _reset_unread), (True, _end_unanswered)],
 )
-def test_a_call_or_watch_that_ends_is_followed_by_another_after_the_last_whole_list(
+def test_a_call_or_watch_that_ends_is_followed_by_another_from_the_last_complete_list(
     watched: bool, ending: Callable[[Call], None]
 ) -> None:
     async def play() -> None:
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("wrong", WRONG.values(), ids=WRONG)
-def test_what_discovery_sends_wrong_costs_that_call_alone(
+def test_a_malformed_message_of_discovery_costs_that_call_alone(
     wrong: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def play() -> None:
@@ -418,7 +418,7 @@
     assert [r.message for r in caplog.records] == ["watch_lost"]
 
 
-def test_a_version_that_goes_backwards_is_the_one_to_go_on_from() -> None:
+def test_a_version_that_goes_backwards_is_followed() -> None:
     async def play() -> None:
         async with watching() as here:
             discovery = await here.discoveries[0].listen()
@@ -432,7 +432,7 @@
     asyncio.run(play())
 
 
-def test_the_late_answer_to_a_call_that_was_given_up_is_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_late_answer_to_an_abandoned_call_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_schedule, "CALL_TIMEOUT_US", 100 * MS)
 
     async def play() -> None:
@@ -459,7 +459,7 @@
 
 
 @pytest.mark.parametrize("moment", ["first wait", "back-off", "call", "watch"])
-def test_after_a_reload_the_new_address_is_asked_at_once_for_its_whole_list(moment: str) -> None:
+def test_after_a_reload_the_new_address_is_called_at_once_for_its_complete_list(moment: str) -> None:
     async def play() -> None:
         schedule = None if moment in ("call", "watch") else slow()
         async with watching(schedule=schedule) as here:
@@ -494,7 +494,7 @@
     asyncio.run(play())
 
 
-def test_an_empty_line_of_a_new_address_does_not_vouch_for_the_list_of_the_old_one() -> None:
+def test_an_empty_line_of_a_new_address_does_not_confirm_the_list_of_the_old_one() -> None:
     async def play() -> None:
         async with watching() as here:
             words: list[object] = []
@@ -520,7 +520,7 @@
     asyncio.run(play())
 
 
-def test_a_new_address_that_refuses_at_first_is_still_asked_for_its_whole_list() -> None:
+def test_a_new_address_that_refuses_at_first_is_still_called_for_its_complete_list() -> None:
     async def play() -> None:
         async with watching() as here:
             old, new = here.discoveries
@@ -557,7 +557,7 @@
     asyncio.run(play())
 
 
-def test_a_reload_back_to_the_first_address_asks_it_for_its_whole_list() -> None:
+def test_a_reload_back_to_the_first_address_calls_it_for_its_complete_list() -> None:
     async def play() -> None:
         async with watching() as here:
             old, new = here.discoveries
@@ -595,7 +595,7 @@
             discovery.close()
 
 
-def test_a_new_process_whose_agent_is_silent_accepts_all_the_same_and_hears_it_later(
+def test_a_new_process_whose_agent_is_silent_accepts_requests_and_gets_the_list_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     assert embedded.LIST_S < 3  # far inside the 10 s that a restart may take
@@ -618,7 +618,7 @@
 
 
 @pytest.mark.parametrize("how", ["subscribe", "push"])
-def test_a_watch_that_ends_during_a_drain_is_opened_anew_and_heard(
+def test_a_watch_that_ends_during_a_drain_is_reopened(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(embedded, "TAKE_ON_S", 60)  # the drain goes on until the test ends
@@ -643,7 +643,7 @@
     asyncio.run(play())
 
 
-def test_a_request_in_an_inherited_queue_does_not_lie_there_while_the_list_is_waited_for(
+def test_a_request_in_an_inherited_listen_queue_is_accepted_before_the_list_is_there(
     tmp_path: Path,
 ) -> None:
     """It has been taken: counted from when it is read, its answer would come after its client has gone."""
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -60,7 +60,7 @@
         self.fds: list[int] = []
         self.asked = 0
 
-    async def hear(self) -> Json:
+    async def receive(self) -> Json:
         """The next message; descriptors that come gather in ``fds``."""
         while b"\n" not in self._buffer:
             await readable(self.sock)
@@ -72,33 +72,33 @@
         message: Json = json.loads(line)
         return message
 
-    async def hear_ask(self, what: str) -> Json:
-        message = await self.hear()
+    async def receive_question(self, what: str) -> Json:
+        message = await self.receive()
         assert message.get("what") == what, message
         return message
 
-    def say(self, message: Json, fd: int | None = None) -> None:
+    def send(self, message: Json, fd: int | None = None) -> None:
         data = json.dumps(message).encode() + b"\n"
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))] if fd is not None else []
         assert self.sock.sendmsg([data], rights) == len(data)
 
-    def put(self, what: str, body: Json | None = None, fd: int | None = None) -> int:
+    def send_question(self, what: str, body: Json | None = None, fd: int | None = None) -> int:
         """Ask, without waiting for the answer."""
         self.asked += 1
-        self.say({"ask": self.asked, "what": what, "fd": fd is not None, "body": body or {}}, fd)
+        self.send({"ask": self.asked, "what": what, "fd": fd is not None, "body": body or {}}, fd)
         return self.asked
 
     async def ask(self, what: str, body: Json | None = None, fd: int | None = None) -> Json:
-        number = self.put(what, body, fd)
-        answer = await self.hear()
+        number = self.send_question(what, body, fd)
+        answer = await self.receive()
         assert answer["answer"] == number, answer
         told: Json = answer["body"]
         return told
 
     def answer(self, message: Json, body: Json | None = None) -> None:
-        self.say({"answer": message["ask"], "body": body or {}})
+        self.send({"answer": message["ask"], "body": body or {}})
 
-    def die(self) -> None:
+    def exit(self) -> None:
         self.sock.close()
         for fd in self.fds:
             os.close(fd)
@@ -123,7 +123,7 @@
             length = int(head.split("content-length: ")[1].split("\r\n")[0])
             return int(head.split()[1]), (await self.reader.readexactly(length)).decode()
 
-    async def rest(self) -> bytes:
+    async def read_rest(self) -> bytes:
         """All that still comes until the scheduler ends the connection."""
         async with asyncio.timeout(PATIENCE_S):
             return await self.reader.read()
@@ -223,7 +223,7 @@
         self.clients.append(Client(*await asyncio.open_connection(host, int(port))))
         return self.clients[-1]
 
-    async def taken(self) -> Attempt:
+    async def next_attempt(self) -> Attempt:
         async with asyncio.timeout(PATIENCE_S):
             return await self.attempts.get()
 
@@ -268,7 +268,7 @@
         """A client whose job a worker has accepted and begun."""
         client = await self.client()
         client.send(request_id, job_class)
-        attempt = await self.taken()
+        attempt = await self.next_attempt()
         assert attempt.id == request_id
         attempt.accept()
         attempts = [e.attempts for e in scheduler.dispatcher.table.endpoints.values()]
@@ -294,25 +294,25 @@
     def __init__(self, old: Process, new: Process, scheduler: Scheduler, start: "asyncio.Task[None]") -> None:
         self.old, self.new, self.scheduler, self.start = old, new, scheduler, start
 
-    async def begin(self, untold: tuple[str, ...] = ()) -> Scheduler:
+    async def take_over(self, omitted_keys: tuple[str, ...] = ()) -> Scheduler:
         """The new one takes over and accepts; the old one does not any more, and has not told these."""
         for what in ("hello", "memory", "serving"):
-            self.old.say(await self.new.hear_ask(what))
-            message = await self.old.hear()
-            for key in untold:
+            self.old.send(await self.new.receive_question(what))
+            message = await self.old.receive()
+            for key in omitted_keys:
                 message["body"].pop(key, None)
-            self.new.say(message)
+            self.new.send(message)
         await self.start
         return self.scheduler
 
     async def adopt(self) -> tuple[Json, int]:
         """What the old one hands over, with its client's descriptor."""
-        message = await self.old.hear_ask("adopt")
+        message = await self.old.receive_question("adopt")
         return message, self.old.fds.pop(0)
 
-    def hand(self, message: Json, fd: int) -> None:
+    def pass_on(self, message: Json, fd: int) -> None:
         """Let the new one have it."""
-        self.new.say(message, fd)
+        self.new.send(message, fd)
         os.close(fd)
 
 
@@ -341,7 +341,7 @@
 
 
 @pytest.mark.parametrize("told", [False, True])
-def test_a_successor_that_dies_at_a_request_leaves_the_others_here(told: bool, tmp_path: Path) -> None:
+def test_a_successor_that_exits_at_a_request_leaves_the_others_here(told: bool, tmp_path: Path) -> None:
     """It dies with one request sent to it, or with that one's yes; what it has not had yet goes on here."""
 
     async def play() -> None:
@@ -353,14 +353,14 @@
             third = await here.running(old, "j3")
             new = await here.successor()
             drain = asyncio.create_task(old.drain())
-            adopt = await new.hear_ask("adopt")
+            adopt = await new.receive_question("adopt")
             assert adopt["body"]["request"]["id"] == "j1"
             if told:
                 new.answer(adopt)
-                assert (await new.hear_ask("adopt"))["body"]["request"]["id"] == "j2"
-            new.die()
+                assert (await new.receive_question("adopt"))["body"]["request"]["id"] == "j2"
+            new.exit()
             if told:
-                assert await first.rest() == b""  # its death ends what was its own
+                assert await first.read_rest() == b""  # its death ends what was its own
                 assert (await second.answer())[0] == 502
             else:
                 assert (await first.answer())[0] == 502  # it may have sent it on: never sent again
@@ -376,7 +376,7 @@
 
 
 @pytest.mark.parametrize("told", ["hello", "memory", "serving"])
-def test_a_successor_that_dies_before_anything_is_handed_over_leaves_all_here(
+def test_a_successor_that_exits_before_any_hand_over_leaves_all_requests_here(
     told: str, tmp_path: Path
 ) -> None:
     async def play() -> None:
@@ -392,19 +392,19 @@
                 if what == told:
                     break
             assert old.inbound._listener.budget < budget
-            new.die()
+            new.exit()
             await until(lambda: old.inbound._listener.budget == budget)
             assert old.inbound.ready and not old.inbound.superseded
             assert await here.event("j1", "done", "one") == 204  # which it has accepted again
             assert await client.answer() == (200, "one")
             again = await here.successor()  # and the next one finds it
-            again.die()
+            again.exit()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("told", ["hello", "memory", "serving"])
-def test_a_predecessor_that_dies_before_it_hands_over_leaves_a_whole_successor(
+def test_a_predecessor_that_exits_before_it_hands_over_leaves_a_working_successor(
     told: str, tmp_path: Path
 ) -> None:
     async def play() -> None:
@@ -413,12 +413,12 @@
             await old.start()
             relay = await here.relay()
             for what in ("hello", "memory", "serving"):
-                message = await relay.new.hear_ask(what)
+                message = await relay.new.receive_question(what)
                 if what == told:
                     break
-                relay.old.say(message)
-                relay.new.say(await relay.old.hear())
-            relay.new.die()
+                relay.old.send(message)
+                relay.new.send(await relay.old.receive())
+            relay.new.exit()
             await relay.start
             await until(lambda: relay.scheduler.handover and not relay.scheduler.handover.predecessor)
             assert relay.scheduler.inbound._listener.budget == relay.scheduler.config.client_sockets()
@@ -431,7 +431,7 @@
     asyncio.run(play())
 
 
-def test_a_predecessor_that_dies_behind_a_descriptor_has_handed_the_request_over(tmp_path: Path) -> None:
+def test_a_predecessor_that_exits_after_a_descriptor_has_handed_the_request_over(tmp_path: Path) -> None:
     """Not even its yes could be heard any more."""
 
     async def play() -> None:
@@ -440,24 +440,24 @@
             await old.start()
             client = await here.running(old, "j1")
             relay = await here.relay()
-            new = await relay.begin()
+            new = await relay.take_over()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
-            relay.hand(message, fd)
-            relay.new.die()
+            relay.pass_on(message, fd)
+            relay.new.exit()
             await until(lambda: "j1" in new.dispatcher.in_flight)
             relay.old.answer(message)  # in the place of the dead one, ours goes
             await until(lambda: not old.inbound.pending_count)
             assert await here.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
-            relay.old.die()
+            relay.old.exit()
             async with asyncio.timeout(PATIENCE_S):
                 await drain
 
     asyncio.run(play())
 
 
-def test_what_a_worker_says_of_a_request_on_its_way_waits_until_it_has_arrived(tmp_path: Path) -> None:
+def test_a_workers_event_on_a_request_in_transit_waits_until_it_has_arrived(tmp_path: Path) -> None:
     """The new process hears of its end before it has the request, and asks the old one."""
 
     async def play() -> None:
@@ -466,15 +466,15 @@
             await old.start()
             client = await here.running(old, "j1")
             relay = await here.relay()
-            new = await relay.begin()
+            new = await relay.take_over()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             call = asyncio.create_task(here.event("j1", "done", "one"))
-            asked = await relay.new.hear_ask("event")
-            relay.old.say(asked)
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())  # the yes
-            relay.new.say(await relay.old.hear())  # not taken there
+            asked = await relay.new.receive_question("event")
+            relay.old.send(asked)
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())  # the yes
+            relay.new.send(await relay.old.receive())  # not taken there
             assert await call == 204
             assert await client.answer() == (200, "one")
             async with asyncio.timeout(PATIENCE_S):
@@ -484,7 +484,7 @@
     asyncio.run(play())
 
 
-def test_the_old_process_passes_on_what_it_hears_of_a_request_on_its_way(tmp_path: Path) -> None:
+def test_the_old_process_forwards_a_workers_event_on_a_request_in_transit(tmp_path: Path) -> None:
     async def play() -> None:
         async with world(tmp_path) as here:
             old = here.scheduler()
@@ -494,14 +494,14 @@
             caller.writer.write(b"GET /none HTTP/1.1\r\nHost: s\r\n\r\n")  # the old one has it
             await caller.answer()
             relay = await here.relay()
-            await relay.begin()
+            await relay.take_over()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             call = asyncio.create_task(old._deliver(JobEvent("j1", "w1", JobState.DONE, result="one")))
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())
-            relay.new.say(await relay.old.hear_ask("event"))
-            relay.old.say(await relay.new.hear())
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())
+            relay.new.send(await relay.old.receive_question("event"))
+            relay.old.send(await relay.new.receive())
             async with asyncio.timeout(PATIENCE_S):
                 await call
                 assert await client.answer() == (200, "one")
@@ -510,7 +510,9 @@
     asyncio.run(play())
 
 
-def test_a_request_whose_end_crosses_its_hand_over_is_answered_here_and_goes_nowhere(tmp_path: Path) -> None:
+def test_a_request_that_ends_during_its_hand_over_is_answered_here_and_not_handed_over(
+    tmp_path: Path,
+) -> None:
     """The worker's word is before the let-go in the endpoint's mailbox."""
 
     async def play() -> None:
@@ -523,15 +525,15 @@
             async with asyncio.timeout(PATIENCE_S):
                 await old.drain()
             assert await client.answer() == (200, "one")
-            new.put("readiness")
+            new.send_question("readiness")
             with pytest.raises(AssertionError, match="closed the link"):
-                await new.hear()
+                await new.receive()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("state", ["returned", "done"])
-def test_a_client_that_leaves_while_its_request_is_on_its_way_gets_no_further_attempt(
+def test_a_client_that_disconnects_while_its_request_is_in_transit_gets_no_further_attempt(
     state: str, tmp_path: Path
 ) -> None:
     async def play() -> None:
@@ -541,14 +543,14 @@
             client = await here.running(old, "j1")
             source = next(n for n, e in old.dispatcher.table.endpoints.items() if "j1" in e.attempts)
             relay = await here.relay()
-            new = await relay.begin()
+            new = await relay.take_over()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
             client.writer.transport.abort()
             with socket.socket(fileno=os.dup(fd)) as ours:  # its end is here before the new one reads
                 await readable(ours)
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())
             async with asyncio.timeout(PATIENCE_S):
                 await drain
             await until(lambda: not new.inbound.pending_count)
@@ -571,7 +573,7 @@
             client = await here.client()
             await until(lambda: old.inbound._listener.open)
             relay = await here.relay()
-            await relay.begin()
+            await relay.take_over()
             looked = asyncio.Event()
             hand_over = old.inbound.hand_over
 
@@ -584,10 +586,10 @@
             async with asyncio.timeout(PATIENCE_S):
                 await looked.wait()
             client.send("j1")
-            (await here.taken()).accept()
+            (await here.next_attempt()).accept()
             message, fd = await relay.adopt()
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())
             assert await here.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
             async with asyncio.timeout(PATIENCE_S):
@@ -602,7 +604,7 @@
     asyncio.run(play())
 
 
-def test_a_successor_that_comes_after_sigterm_takes_what_is_owed(tmp_path: Path) -> None:
+def test_a_successor_that_starts_after_sigterm_takes_pending_requests(tmp_path: Path) -> None:
     async def play() -> None:
         async with world(tmp_path) as here:
             old = here.scheduler()
@@ -611,10 +613,10 @@
             drain = asyncio.create_task(old.drain())
             await until(lambda: old.inbound.closed_to_new)
             relay = await here.relay()
-            await relay.begin()
+            await relay.take_over()
             message, fd = await relay.adopt()
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())
             async with asyncio.timeout(PATIENCE_S):
                 await drain
             assert await here.event("j1", "done", "one") == 204
@@ -623,7 +625,7 @@
     asyncio.run(play())
 
 
-def test_a_successor_that_ends_itself_takes_nothing_more(tmp_path: Path) -> None:
+def test_a_successor_that_shuts_down_takes_no_more_requests(tmp_path: Path) -> None:
     """Both are told to end: what the old one holds then is answered there, once."""
 
     async def play() -> None:
@@ -632,20 +634,20 @@
             await old.start()
             client = await here.running(old, "j1")
             relay = await here.relay()
-            new = await relay.begin()
+            new = await relay.take_over()
             new.inbound.shutting_down = True
             limits = [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()]
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
-            relay.hand(message, fd)
-            relay.old.say(await relay.new.hear())
+            relay.pass_on(message, fd)
+            relay.old.send(await relay.new.receive())
             assert "j1" not in new.dispatcher.in_flight and not new.inbound.pending
             await until(lambda: "j1" in old.dispatcher.in_flight)
             assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
-            relay.old.die()
+            relay.old.exit()
             here.schedulers.remove(new)
             await new.close()  # nothing else is at the address
-            relay.new.die()
+            relay.new.exit()
             assert await here.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
             async with asyncio.timeout(PATIENCE_S):
@@ -654,7 +656,7 @@
     asyncio.run(play())
 
 
-def test_an_endpoint_that_retires_as_a_request_is_let_go_holds_nothing_up(tmp_path: Path) -> None:
+def test_an_endpoint_that_retires_as_its_request_is_released_blocks_nothing(tmp_path: Path) -> None:
     """It stops with the question in its mailbox; the request waits for another worker."""
 
     async def play() -> None:
@@ -670,7 +672,7 @@
             reply: asyncio.Future[Json | None] = asyncio.get_running_loop().create_future()
             endpoint.tell(JobEvent("j1", endpoint.destination.instance_id, JobState.RETURNED))
             old.dispatcher.tell(ReleaseRequest(owed.request, reply))
-            assert (await here.taken()).id == "j1"
+            assert (await here.next_attempt()).id == "j1"
             await until(lambda: len(old.dispatcher.table.endpoints) == 1)
             async with asyncio.timeout(PATIENCE_S):
                 assert await reply is None
@@ -685,7 +687,7 @@
 LEASE = ("list_confirmed_us", "list_until_us")
 
 
-def test_a_successor_sends_by_its_predecessors_list_for_as_long_as_that_one_might(tmp_path: Path) -> None:
+def test_a_successor_inherits_its_predecessors_lease_on_the_list(tmp_path: Path) -> None:
     """Discovery does not answer it; the list's age goes along, so it need not wait."""
 
     async def play() -> None:
@@ -693,18 +695,18 @@
             old = here.scheduler()
             await old.start()
             here.listing.clear()
-            new = await (await here.relay()).begin()
+            new = await (await here.relay()).take_over()
             assert new.list_lease.is_valid(new.clock.now_us()) and new.dispatcher.list_lease_held.is_set()
             assert new.list_lease.until_us == old.list_lease.until_us
             assert abs(new.clock.now_us() - old.clock.now_us()) < 10_000
             client = await here.client()
             client.send("j1")
-            assert (await here.taken()).id == "j1"
+            assert (await here.next_attempt()).id == "j1"
 
     asyncio.run(play())
 
 
-def test_a_successor_of_a_version_that_tells_no_age_waits_for_discovery(
+def test_a_successor_of_a_version_without_a_list_age_waits_for_discovery(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(scheduler, "LIST_S", 0.05)
@@ -714,19 +716,19 @@
             old = here.scheduler()
             await old.start()
             here.listing.clear()
-            new = await (await here.relay()).begin(untold=LEASE)
+            new = await (await here.relay()).take_over(omitted_keys=LEASE)
             assert not new.list_lease.is_valid(new.clock.now_us())
             client = await here.client()
             client.send("j1")
             await until(lambda: new.dispatcher.in_flight.by_number)
             assert here.attempts.empty()
             here.listing.set()
-            assert (await here.taken()).id == "j1"
+            assert (await here.next_attempt()).id == "j1"
 
     asyncio.run(play())
 
 
-def test_a_successor_counts_handed_over_moments_by_the_same_clock_though_the_wall_clock_was_stepped(
+def test_a_successor_goes_by_its_predecessors_clock_though_the_wall_clock_was_stepped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Stepped by an hour between the two starts: each deadline handed over was past, or an hour away."""
@@ -740,10 +742,10 @@
             monkeypatch.setattr(time, "time_ns", lambda: stepped)
             relay = await here.relay()
             monkeypatch.undo()
-            new = await relay.begin()
+            new = await relay.take_over()
             assert abs(new.clock.now_us() - old.clock.now_us()) < 1_000_000
             leaving = asyncio.create_task(old.drain())
-            relay.hand(*await relay.adopt())
+            relay.pass_on(*await relay.adopt())
             await until(lambda: new.dispatcher.in_flight.by_number)
             (held,) = new.dispatcher.in_flight.by_number.values()
             left_us = held.deadline_us - new.clock.now_us()
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -89,7 +89,7 @@
     asyncio.run(run())
 
 
-def test_a_process_that_waits_for_its_list_holds_who_comes_and_sends_others_elsewhere() -> None:
+def test_a_process_without_a_list_queues_requests_and_is_not_ready() -> None:
     """Its front is told to wait; what has come all the same is sent as soon as the list is here."""
 
     async def run() -> None:
@@ -109,7 +109,7 @@
     asyncio.run(run())
 
 
-def test_a_process_that_is_told_to_end_while_it_waits_for_its_list_ends_at_once() -> None:
+def test_a_process_that_is_terminated_while_it_waits_for_its_list_exits_at_once() -> None:
     async def run() -> None:
         async with served(ASK) as here:
             starting = await start_unanswered(here)
@@ -121,7 +121,7 @@
     asyncio.run(run())
 
 
-def test_a_process_that_goes_on_after_a_pause_sends_nothing_by_a_list_that_is_too_old() -> None:
+def test_a_process_that_resumes_after_a_stall_sends_nothing_by_a_list_that_is_too_old() -> None:
     async def run() -> None:
         async with served(ASK) as here:
             here.program.signal(signal.SIGSTOP)
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("pause_s", [1.0, 4.0])
-def test_a_process_that_goes_on_after_a_pause_reads_what_was_told_meanwhile_first(pause_s: float) -> None:
+def test_a_process_that_resumes_after_a_stall_first_reads_messages_of_discovery(pause_s: float) -> None:
     """The change lies unread on an open watch, behind requests; 4 s are longer than a watch may be silent."""
 
     async def run() -> None:
@@ -166,7 +166,7 @@
     asyncio.run(run())
 
 
-def test_a_living_process_that_gets_no_whole_list_sends_nothing_by_one_that_is_too_old() -> None:
+def test_a_running_process_that_gets_no_complete_list_sends_nothing_by_one_that_is_too_old() -> None:
     """Discovery is there and answers, so a change that it has counts."""
 
     async def run() -> None:
@@ -189,7 +189,7 @@
     asyncio.run(run())
 
 
-def test_a_living_process_serves_while_discovery_fails_each_call_after_a_wait() -> None:
+def test_a_running_process_serves_while_discovery_fails_each_call_after_a_wait() -> None:
     """So it fails them while it is down, too: a fleet that stopped then would be the larger outage."""
 
     async def run() -> None:
@@ -202,7 +202,7 @@
     asyncio.run(run())
 
 
-def test_a_living_process_serves_while_discovery_is_down() -> None:
+def test_a_running_process_serves_while_discovery_is_down() -> None:
     """What it knows was confirmed to it, and nothing can have been told since."""
 
     async def run() -> None:
@@ -214,7 +214,7 @@
     asyncio.run(run())
 
 
-def test_a_new_process_takes_requests_while_discovery_is_down_and_refuses_them_in_time() -> None:
+def test_a_new_process_accepts_requests_while_discovery_is_down_and_rejects_them_in_time() -> None:
     async def run() -> None:
         async with served(ASK) as here:
             here.program.known = here.discovery.known()
