--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -92,7 +92,7 @@
                 relay.suffer(harm)
             seconds = WARM_S + options.trials * (WATCH_S + 3 * WAIT_S)
             load = asyncio.get_running_loop().create_task(it.load(seconds, CORDON_LOAD))
-            await it.journal.until(lambda: all(it.journal.begun[w] > 20 for w in it.workers))
+            await it.journal.until(lambda: all(it.journal.started_jobs[w] > 20 for w in it.workers))
             rng = random.Random(options.seed)
             trials = [await _trial(it, n, rng) for n in range(options.trials)]
             load.cancel()
@@ -118,10 +118,10 @@
     await asyncio.sleep(WATCH_S)
     sends = [e.at for e in it.journal.events if e.what is What.SENT and e.worker == worker and e.at >= begun]
     await it.lift(name, worker, id_, WAIT_S)
-    lifted, begun_then = time.monotonic(), it.journal.begun[worker]
+    lifted, begun_then = time.monotonic(), it.journal.started_jobs[worker]
     try:
         async with asyncio.timeout(WAIT_S):
-            await it.journal.until(lambda: it.journal.begun[worker] > begun_then)
+            await it.journal.until(lambda: it.journal.started_jobs[worker] > begun_then)
         back_ms: float | None = (time.monotonic() - lifted) * 1000
     except TimeoutError:
         back_ms = None
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -101,7 +101,7 @@
             asking.append(asyncio.create_task(_ask(session, here, number)))
             await asyncio.sleep(ASK_APART_S)
         due_s = time.monotonic() + OUT_WAIT_S
-        while (out := here.journal.begun[WORKER_NAME]) < job_count and time.monotonic() < due_s:
+        while (out := here.journal.started_jobs[WORKER_NAME]) < job_count and time.monotonic() < due_s:
             await asyncio.sleep(LOOK_S)
         held = here.resident_bytes - before
         here.kill()
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -1,8 +1,8 @@
-"""A checker of what several schedulers promise together, that reads a journal only. Times in seconds.
+"""A checker of the rules that several schedulers keep together; reads a journal only. Times in seconds.
 
-Its times are those of one clock, the rig's: when an operator's call was answered there, and when a worker had
-a request whole. An answer is read later than a cordon was accepted, so the bound is counted from too late by
-that much, never from too early.
+All times are the rig's clock: when it read the answer to an operator's call, and when a worker had received
+a request. An answer is read after the cordon was accepted, so the bound is counted from slightly too late,
+never from too early.
 """
 
 from collections import Counter, defaultdict
@@ -16,31 +16,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What was promised."""
+    """The bounds that are checked."""
 
     bound_s: float
-    holds: bool  # without a majority in touch nothing is sent; else it goes on, and promises less
-    equal_s: float = 2.0  # from the last heal to equal copies
-    back_s: float = 2.0  # that links have to come up again after a fault, before `serve` promises anything
-    late_s: float = 0.0  # by how much what is noted may be late, as the rig's own machine was busy
-    grace_s: float = 0.05  # from a scheduler's write to a worker's note of it
+    holds: bool  # whether nothing is sent without a majority; else the promise is weaker
+    equal_s: float = 2.0  # from the end of the last fault to equal replicas
+    back_s: float = 2.0  # for links to recover after a fault, before `serve` promises anything
+    late_s: float = 0.0  # by how much records may be late on a busy host
+    grace_s: float = 0.05  # from a scheduler's write to a worker's record of it
 
 
 @dataclass(slots=True)
 class Cordon:
-    """What calls were answered about one id."""
+    """What operators' calls were answered about one id."""
 
     worker: str
     by: str  # the scheduler that accepted it
-    since: float | None = None  # accepted, and no lift was asked for since
+    since: float | None = None  # when it was accepted, with no later call to lift it
     in_force: float | None = None
-    lifted: bool = False  # and no call since that could have set it anew
-    asked: int = 0  # calls that could still set it
-    doubtful: bool = False  # a lift was asked for after the last call to set it: which came first is unknown
+    lifted: bool = False  # with no later call that may have set it again
+    pending_calls: int = 0  # that may still set it
+    is_ambiguous: bool = False  # a lift was requested after a call to set it: the order of effects is unknown
 
 
 def broken(journal: Journal, terms: Terms, unsafe: Iterable[str], *, ended: bool = True) -> list[str]:
-    """What broke a rule, in words: those of one scheduler, and those of several."""
+    """Violations of the rules of one scheduler and of several, one line each."""
     events = sorted(journal.events, key=lambda e: e.at)
     kinds = set(unsafe)
     found = rules.broken(journal, kinds, ended=ended, late_s=terms.late_s)
@@ -53,100 +53,103 @@
 
 
 def once(events: list[Event], unsafe: set[str]) -> list[str]:
-    """An unsafe job begins at one worker at most, whichever scheduler its client asks again.
+    """An unsafe job starts at one worker at most, whichever scheduler its client retries at.
 
-    Ids are a client's key, a dash, and the number of its try.
+    Ids are a client's key, a dash, and the number of the attempt.
     """
-    began = Counter(e.request.rpartition("-")[0] for e in events if e.what is What.BEGAN and e.kind in unsafe)
-    return [f"{key} is unsafe and began {n} times" for key, n in began.items() if key and n > 1]
+    starts = Counter(
+        e.request.rpartition("-")[0] for e in events if e.what is What.EXECUTION_STARTED and e.kind in unsafe
+    )
+    return [f"{key} is unsafe and began {n} times" for key, n in starts.items() if key and n > 1]
 
 
 class _Health:
-    """Since when each scheduler and its links have been sound."""
+    """Since when each scheduler and its links have been without a fault."""
 
     def __init__(self) -> None:
         self._faults: Counter[str] = Counter()
-        self._sound: dict[str, float] = defaultdict(lambda: -inf)
+        self._healthy_since: dict[str, float] = defaultdict(lambda: -inf)
 
-    def note(self, event: Event) -> None:
-        if event.what is What.HARMED:
+    def record(self, event: Event) -> None:
+        """Follow the beginning or end of a fault."""
+        if event.what is What.FAULT_STARTED:
             self._faults[event.scheduler] += 1
-        elif event.what is What.HEALED:
+        elif event.what is What.FAULT_ENDED:
             self._faults[event.scheduler] -= 1
-            self._sound[event.scheduler] = event.at
+            self._healthy_since[event.scheduler] = event.at
 
     def since(self, scheduler: str) -> float:
-        """Infinite while a fault lasts."""
-        return inf if self._faults[scheduler] > 0 else self._sound[scheduler]
+        """The end of its last fault; infinite during one."""
+        return inf if self._faults[scheduler] > 0 else self._healthy_since[scheduler]
 
 
 def _follow(cordons: dict[str, Cordon], event: Event) -> None:
-    """What a call or its answer makes of an id. Unanswered ones may have done its work, or may yet."""
-    if event.what is What.CORDON_ASKED:
+    """Apply a call or its answer. An unanswered call may have taken effect, or may do so later."""
+    if event.what is What.CORDON_REQUESTED:
         cordon = cordons.setdefault(event.request, Cordon(event.worker, event.scheduler))
-        cordon.asked += 1
-        cordon.lifted = cordon.doubtful = False
+        cordon.pending_calls += 1
+        cordon.lifted = cordon.is_ambiguous = False
     elif event.request not in cordons:
         return
     cordon = cordons[event.request]
     if event.what is What.CORDONED:
-        cordon.asked -= 1
-        if not cordon.doubtful:
+        cordon.pending_calls -= 1
+        if not cordon.is_ambiguous:
             cordon.since = event.at if cordon.since is None else cordon.since
             cordon.by = event.scheduler
     elif event.what is What.IN_FORCE:
-        cordon.in_force = event.at if not cordon.doubtful else None
-    elif event.what is What.LIFT_ASKED:
+        cordon.in_force = event.at if not cordon.is_ambiguous else None
+    elif event.what is What.LIFT_REQUESTED:
         cordon.since = cordon.in_force = None
-        cordon.doubtful = True
+        cordon.is_ambiguous = True
     elif event.what is What.LIFTED:
-        cordon.lifted = cordon.asked == 0
+        cordon.lifted = cordon.pending_calls == 0
 
 
 def late_sends(events: Iterable[Event], terms: Terms) -> list[str]:
-    """Nothing is sent to a cordoned worker past the bound, nor after all were said to keep to the cordon.
+    """Nothing is sent to a cordoned worker past the bound, nor after the cordon was reported to be in force.
 
-    Under `serve` that is promised only by and through schedulers that no fault has touched for a while.
+    Under `serve` that is promised only by and through schedulers that were healthy for a while.
     """
     cordons: dict[str, Cordon] = {}
     health = _Health()
     found = []
     for event in events:
-        health.note(event)
+        health.record(event)
         _follow(cordons, event)
         if event.what is not What.SENT:
             continue
-        sound = -inf
+        healthy = -inf
         for id_, cordon in cordons.items():
             if cordon.worker != event.worker or cordon.since is None:
                 continue
             if not terms.holds:
-                sound = max(health.since(event.scheduler), health.since(cordon.by)) + terms.back_s
-            past = event.at - max(cordon.since, sound) - terms.bound_s
-            said = event.at - max(cordon.in_force, sound) if cordon.in_force is not None else -inf
-            if max(past, said) > terms.grace_s + terms.late_s:
+                healthy = max(health.since(event.scheduler), health.since(cordon.by)) + terms.back_s
+            past = event.at - max(cordon.since, healthy) - terms.bound_s
+            reported = event.at - max(cordon.in_force, healthy) if cordon.in_force is not None else -inf
+            if max(past, reported) > terms.grace_s + terms.late_s:
                 late = past > terms.grace_s + terms.late_s
-                why = f"{past:.3f} s past the bound" if late else f"{said:.3f} s after it was in force"
+                why = f"{past:.3f} s past the bound" if late else f"{reported:.3f} s after it was in force"
                 sent = f"{event.worker} got {event.request} from {event.scheduler}"
                 found.append(f"{sent}, cordoned by {id_}: {why}")
     return found
 
 
 def _settled(events: Iterable[Event]) -> float:
-    """When the last fault was over and the last call answered."""
-    last = (What.HEALED, What.UP, What.CORDON_ASKED, What.CORDONED, What.LIFT_ASKED, What.LIFTED)
+    """When the last fault had ended and the last call was answered."""
+    last = (What.FAULT_ENDED, What.UP, What.CORDON_REQUESTED, What.CORDONED, What.LIFT_REQUESTED, What.LIFTED)
     return max((e.at for e in events if e.what in last), default=0.0)
 
 
 def lists(events: list[Event], terms: Terms) -> list[str]:
-    """Once all is settled each scheduler lists what was accepted and not lifted, and nothing lifted."""
+    """Once settled, each scheduler lists what was accepted and not lifted, and nothing that was lifted."""
     cordons: dict[str, Cordon] = {}
     shown: dict[str, set[str]] = {}
-    took = equal_after(events)
-    settled = _settled(events) + (terms.equal_s if took is None else took)
+    equal_s = equal_after(events)
+    settled = _settled(events) + (terms.equal_s if equal_s is None else equal_s)
     for event in events:
         _follow(cordons, event)
-        if event.what is What.LOOKED and event.at >= settled:
+        if event.what is What.CORDONS_LISTED and event.at >= settled:
             shown[event.scheduler] = set(event.kind.split())
     found = []
     for scheduler, ids in shown.items():
@@ -157,7 +160,7 @@
 
 
 def equal_after(events: list[Event]) -> float | None:
-    """Seconds from the last heal or call until all copies that live were equal for good; None: never."""
+    """Seconds from the last fault or call until all live replicas stayed equal; None: never."""
     settled = _settled(events)
     live: set[str] = set()
     digests: dict[str, str] = {}
@@ -177,23 +180,29 @@
 
 
 def recovered(events: list[Event]) -> list[str]:
-    """Once faults are over and clients ask, each scheduler sends again, and what it cordons comes into force.
+    """After all faults each scheduler sends again, and a cordon set at it comes into force.
 
     Without this rule a scheduler that never sends would keep all others.
     """
-    healed = max((e.at for e in events if e.what in (What.HEALED, What.UP)), default=0.0)
+    healed = max((e.at for e in events if e.what in (What.FAULT_ENDED, What.UP)), default=0.0)
     live = sorted({e.scheduler for e in events if e.what is What.UP})
     sent = {e.scheduler for e in events if e.what is What.SENT and e.at > healed}
-    proved = [e for e in events if e.what is What.PROVED and e.at > healed]
-    found = [f"{name} sent nothing after the last heal" for name in live if proved and name not in sent]
-    return found + [f"no cordon came into force at {e.scheduler} any more" for e in proved if not e.status]
+    recovery_checks = [e for e in events if e.what is What.RECOVERY_CHECKED and e.at > healed]
+    found = [
+        f"{name} sent nothing after the last heal" for name in live if recovery_checks and name not in sent
+    ]
+    return found + [
+        f"no cordon came into force at {e.scheduler} any more" for e in recovery_checks if not e.status
+    ]
 
 
 def copies(events: list[Event], terms: Terms) -> list[str]:
-    """All copies are equal within the stated time after the last heal, and stay so."""
+    """All replicas are equal within the stated time after the last fault, and stay so."""
     if not any(e.what is What.UP for e in events):
         return []
-    took = equal_after(events)
-    if took is None:
+    equal_s = equal_after(events)
+    if equal_s is None:
         return ["the copies never became equal"]
-    return [f"the copies were equal only {took:.2f} s after the last heal"] if took > terms.equal_s else []
+    return (
+        [f"the copies were equal only {equal_s:.2f} s after the last heal"] if equal_s > terms.equal_s else []
+    )
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -1,17 +1,19 @@
-"""A checker of the rules that reads a journal only, and knows nothing of the code that it checks."""
+"""A checker of one scheduler's rules that reads a journal only, independent of the code that it checks."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from robinhill.checker.journal import NOBODYS, Event, Journal, What
+from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
 
-DRAIN_S = 0.55  # the grace of half a second, and the 50 ms that sockets get
-REFUSALS = (429, 503)
+DRAIN_GRACE_S = 0.55  # half a second, and 50 ms for sockets
+REJECTION_STATUSES = (429, 503)
 
 
 def broken(journal: Journal, unsafe: Iterable[str], *, ended: bool = True, late_s: float = 0.0) -> list[str]:
-    """What broke a rule, in words. ``unsafe``: classes that may not run twice; ``ended``: all is answered;
-    ``late_s``: by how much workers may have been late in noting that they were called off.
+    """Violations of the rules, one line each.
+
+    ``unsafe``: classes that may not run twice; ``ended``: whether every request must be answered; ``late_s``:
+    by how much workers may have been late in recording a cancellation.
     """
     events = sorted(journal.events, key=lambda e: e.at)
     by_request: dict[str, list[Event]] = defaultdict(list)
@@ -24,17 +26,21 @@
         found += _answers(request, request_events, ended)
         found += _attempts(request, request_events, kinds, late_s)
     found += _drains(events)
-    found += [f"{e.worker} was pushed over" for e in events if e.what is What.FELL and e.status != NOBODYS]
+    found += [
+        f"{e.worker} was pushed over"
+        for e in events
+        if e.what is What.OVERLOADED and e.status != UNAVOIDABLE_STATUS
+    ]
     return found
 
 
 def _answers(request: str, request_events: list[Event], ended: bool) -> list[str]:
-    """Each request taken gets exactly one final answer; 200 only if a worker has run it to its end."""
+    """Each request gets exactly one final answer, and 200 only if a worker has run it to its end."""
     counts = Counter(e.what for e in request_events)
     found = []
     if counts[What.ANSWERED] > 1:
         found.append(f"{request} was answered {counts[What.ANSWERED]} times")
-    if ended and counts[What.ASKED] and not (counts[What.ANSWERED] or counts[What.GONE]):
+    if ended and counts[What.REQUESTED] and not (counts[What.ANSWERED] or counts[What.CLIENT_DISCONNECTED]):
         found.append(f"{request} was never answered")
     served = any(e.what is What.ANSWERED and e.status == 200 for e in request_events)
     if served and not counts[What.ENDED]:
@@ -43,32 +49,37 @@
 
 
 def _attempts(request: str, request_events: list[Event], unsafe: set[str], late_s: float) -> list[str]:
-    """Never two attempts at once; an unsafe one that may have run is neither sent again nor refused."""
+    """Never two attempts at a time; an unsafe one that may have run is neither retried nor rejected."""
     found = []
-    out: set[str] = set()  # workers that have it and have not given it up
+    in_flight: set[str] = set()  # workers with an attempt
     may_have_run = False
     kind = next((e.kind for e in request_events if e.kind), "")
     for event in request_events:
         if event.what is What.SENT:
-            if out and not out <= _freed(request_events, event.at, late_s):
-                found.append(f"{request} was at {event.worker} while at {', '.join(sorted(out))}")
+            if in_flight and not in_flight <= _freed(request_events, event.at, late_s):
+                found.append(f"{request} was at {event.worker} while at {', '.join(sorted(in_flight))}")
             if kind in unsafe and may_have_run:
                 found.append(f"{request} ({kind}) was sent again though it may have run")
-            out.add(event.worker)
+            in_flight.add(event.worker)
             may_have_run = True
         elif event.what is What.RETURNED:
-            out.discard(event.worker)
-            may_have_run = False  # each attempt before this one was handed back too, or is reported above
-        elif event.what in (What.ENDED, What.CALLED_OFF):
-            out.discard(event.worker)
-        elif event.what is What.ANSWERED and event.status in REFUSALS and kind in unsafe and may_have_run:
+            in_flight.discard(event.worker)
+            may_have_run = False  # earlier attempts were handed back too, or are reported above
+        elif event.what in (What.ENDED, What.CANCELLED):
+            in_flight.discard(event.worker)
+        elif (
+            event.what is What.ANSWERED
+            and event.status in REJECTION_STATUSES
+            and kind in unsafe
+            and may_have_run
+        ):
             found.append(f"{request} ({kind}) was refused though it may have run")
     return found
 
 
 def _freed(request_events: list[Event], at: float, late_s: float) -> set[str]:
-    """Workers that noted soon after a moment that they had given it up."""
-    over = (What.CALLED_OFF, What.ENDED, What.RETURNED)
+    """Workers that recorded soon after a moment that their attempt was over."""
+    over = (What.CANCELLED, What.ENDED, What.RETURNED)
     return (
         {e.worker for e in request_events if e.what in over and at <= e.at <= at + late_s}
         if late_s
@@ -77,15 +88,17 @@
 
 
 def _drains(events: list[Event]) -> list[str]:
-    """Nothing new to a worker later than the grace after discovery has told that it leaves."""
-    leaving: dict[str, float] = {}
+    """No new attempt at a worker later than the grace after discovery has listed it as draining."""
+    draining_since: dict[str, float] = {}
     found = []
     for event in events:
-        if event.what is What.LEAVING:
-            leaving.setdefault(event.worker, event.at)
+        if event.what is What.DRAINING:
+            draining_since.setdefault(event.worker, event.at)
         elif event.what is What.STARTED:
-            leaving.pop(event.worker, None)
-        elif event.what is What.SENT and event.at - leaving.get(event.worker, event.at) > DRAIN_S:
-            late = event.at - leaving[event.worker]
+            draining_since.pop(event.worker, None)
+        elif (
+            event.what is What.SENT and event.at - draining_since.get(event.worker, event.at) > DRAIN_GRACE_S
+        ):
+            late = event.at - draining_since[event.worker]
             found.append(f"{event.worker} got {event.request} {late:.2f} s after it was told to leave")
     return found
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -86,7 +86,7 @@
         lines.append(f"{name:12} {len(its):6} {served:7} {refused:8}   {served_worth(its):8.0%}")
     lines.append("worker         jobs  running  waiting")
     for worker in here.workers:
-        jobs = here.journal.begun[worker.name]
+        jobs = here.journal.started_jobs[worker.name]
         lines.append(f"{worker.name:12} {jobs:6} {len(worker.running):8} {len(worker.waiting):8}")
     status, text = await here.program.call("GET", "/ops/admission")
     if status == 200:
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -100,7 +100,7 @@
         for watch, host_ports in self._watches.items():
             watch.put_nowait(self._list([worker.name], host_ports))
         if lifecycle != "active" and self._watches:
-            self.journal.note(What.LEAVING, worker=worker.name)
+            self.journal.record(What.DRAINING, worker=worker.name)
 
     def _put(self, worker: Worker, lifecycle: str) -> None:
         self._versions[worker.name] = self.generation
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -157,20 +157,20 @@
 
     async def cordon(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
         """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
-        self.journal.note(What.CORDON_ASKED, id_, worker, scheduler=name)
+        self.journal.record(What.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
         status, reply = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
         if reply.get("accepted"):
-            self.journal.note(What.CORDONED, id_, worker, status, scheduler=name)
+            self.journal.record(What.CORDONED, id_, worker, status, scheduler=name)
         if reply.get("in_force"):
-            self.journal.note(What.IN_FORCE, id_, worker, status, scheduler=name)
+            self.journal.record(What.IN_FORCE, id_, worker, status, scheduler=name)
         return reply
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
-        self.journal.note(What.LIFT_ASKED, id_, worker, scheduler=name)
+        self.journal.record(What.LIFT_REQUESTED, id_, worker, scheduler=name)
         status, reply = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
         if reply.get("accepted"):
-            self.journal.note(What.LIFTED, id_, worker, status, scheduler=name)
+            self.journal.record(What.LIFTED, id_, worker, status, scheduler=name)
         return reply
 
     async def digest(self, name: str) -> str | None:
@@ -183,7 +183,7 @@
 
         async def look(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
-                self.journal.note(What.DIGEST, kind=digest, scheduler=name)
+                self.journal.record(What.DIGEST, kind=digest, scheduler=name)
 
         await asyncio.gather(*map(look, self.names))
 
@@ -220,7 +220,7 @@
             status, reply = await self.ask(name, "GET", "/ops/cordons")
             if status == 200:
                 ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
-                self.journal.note(What.LOOKED, kind=" ".join(ids), scheduler=name)
+                self.journal.record(What.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
     async def prove(self) -> None:
         """Once all faults are over: each scheduler serves, and a cordon at each comes into force."""
@@ -229,8 +229,8 @@
             body = {"target": f"worker/{worker}", "reason": "a trial"}
             path = cordon_path(f"proof-{name}", PROOF_S)
             _, reply = await self.ask(name, "PUT", path, body)
-            self.journal.note(
-                What.PROVED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
+            self.journal.record(
+                What.RECOVERY_CHECKED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
             )
 
         await self.load(PROOF_LOAD_S)
@@ -242,10 +242,10 @@
         for kept in self._kept.pop(name, []):
             kept.close()
         await self.programs[name].start()
-        self.journal.note(What.UP, scheduler=name)
+        self.journal.record(What.UP, scheduler=name)
 
     async def kill(self, name: str) -> None:
-        self.journal.note(What.DOWN, scheduler=name)
+        self.journal.record(What.DOWN, scheduler=name)
         await self.programs[name].kill()
         self._keep(name)
 
@@ -291,7 +291,7 @@
 
     async def begin(self, fault: Fault) -> None:
         for name in fault.touched(self.names):
-            self.journal.note(What.HARMED, kind=fault.trouble.name, scheduler=name)
+            self.journal.record(What.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
         harm = link_harm(fault)
         match fault.trouble:
             case Trouble.ONE_WAY | Trouble.DEAF:
@@ -340,7 +340,7 @@
         if fault.trouble in KILLS:
             await self.start(name)
         for touched in fault.touched(self.names):
-            self.journal.note(What.HEALED, kind=fault.trouble.name, scheduler=touched)
+            self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=touched)
 
     async def play(self, schedule: Schedule) -> None:
         """Faults and calls at their times under load, until all is over and answered."""
@@ -471,8 +471,8 @@
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
         return (
-            f"{n[What.SENT]} sends, {n[What.CORDONED]} of {n[What.CORDON_ASKED]} cordons accepted, "
-            f"{n[What.LIFTED]} of {n[What.LIFT_ASKED]} lifts; copies equal {equal}; "
+            f"{n[What.SENT]} sends, {n[What.CORDONED]} of {n[What.CORDON_REQUESTED]} cordons accepted, "
+            f"{n[What.LIFTED]} of {n[What.LIFT_REQUESTED]} lifts; copies equal {equal}; "
             f"this machine was late by {self.late_s:.3f} s at most"
         )
 
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from robinhill.checker.journal import NOBODYS, Event, Journal, What
+from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
 from robinhill.model.describe import Fleet, Machine
 
 
@@ -108,7 +108,7 @@
 
     def cancel(self, request: str) -> None:
         """Waiting work is dropped, where workers do so; what runs goes on, and nobody is told."""
-        self._emit(Event(self.engine.now / 1e6, What.CALLED_OFF, request, self.name))
+        self._emit(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
         for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
             self.waiting.remove(job)
         for job in [*self.running, *self.waiting]:
@@ -180,7 +180,7 @@
                 break
             self.running.append(job)
             self._fetch(job)
-            self._note(What.BEGAN, job)
+            self._note(What.EXECUTION_STARTED, job)
             job.tell("started", job)
         self._plan()
 
@@ -265,8 +265,8 @@
         if pressed - max(w for _, w, _ in self._pressed) > self.fleet.fall_multiple * able:
             self.fell = True
             told = sum(w for _, w, knew in self._pressed if knew)
-            excused = NOBODYS if told * 3 < pressed * 2 else 0
-            self._emit(Event(now / 1e6, What.FELL, worker=self.name, status=excused))
+            excused = UNAVOIDABLE_STATUS if told * 3 < pressed * 2 else 0
+            self._emit(Event(now / 1e6, What.OVERLOADED, worker=self.name, status=excused))
             self.vanish()
 
     def _note(self, what: What, job: Job) -> None:
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -233,7 +233,7 @@
             self.engine.after(S, self._tell_change, entry)
             return
         if entry.state is not api.WorkerState.READY:
-            self._emit(What.LEAVING, worker=entry.address)
+            self._emit(What.DRAINING, worker=entry.address)
         for node in self.nodes:
             if node.subscribed:
                 node.listed(api.WorkersListed(api.ListKind.CHANGES, [entry]))
@@ -254,7 +254,7 @@
             return
         rng = stream(self.seed, CLIENTS, asked.number, wish.tries)
         node = self._choose(candidates, rng)
-        self._emit(What.ASKED, str(number), kind=asked.kind)
+        self._emit(What.REQUESTED, str(number), kind=asked.kind)
         self._count_present(1)
         since = now
         answered = [False]
@@ -276,7 +276,7 @@
             """Its scheduler has died, or owes it an answer past its time."""
             if not answered[0]:
                 answered[0] = True
-                self._emit(What.GONE, str(number))
+                self._emit(What.CLIENT_DISCONNECTED, str(number))
                 self._count_present(-1)
                 self._stays.append(self.engine.now - since)
                 if node.alive:
--- a/tests/test_checker_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -8,8 +8,8 @@
 W = What
 HOLD, SERVE = Terms(0.5, holds=True), Terms(0.5, holds=False)
 UP = [(0.0, W.UP, "", "", "", "a"), (0.0, W.UP, "", "", "", "b")]
-SET = [(1.0, W.CORDON_ASKED, "c", "w", "", "a"), (1.1, W.CORDONED, "c", "w", "", "a")]
-LIFT = [(2.0, W.LIFT_ASKED, "c", "w", "", "b"), (2.1, W.LIFTED, "c", "w", "", "b")]
+SET = [(1.0, W.CORDON_REQUESTED, "c", "w", "", "a"), (1.1, W.CORDONED, "c", "w", "", "a")]
+LIFT = [(2.0, W.LIFT_REQUESTED, "c", "w", "", "b"), (2.1, W.LIFTED, "c", "w", "", "b")]
 Row = tuple[float, What, str, str, str, str]
 
 
@@ -19,7 +19,7 @@
 
 
 def fault(start: float, end: float, on: str = "b") -> list[Row]:
-    return [(start, W.HARMED, "", "", "", on), (end, W.HEALED, "", "", "", on)]
+    return [(start, W.FAULT_STARTED, "", "", "", on), (end, W.FAULT_ENDED, "", "", "", on)]
 
 
 def digests(at: float, **told: str) -> list[Row]:
@@ -27,7 +27,7 @@
 
 
 def look(by: str, ids: str, at: float = 9.0) -> list[Row]:
-    return [(at, W.LOOKED, "", "", ids, by)]
+    return [(at, W.CORDONS_LISTED, "", "", ids, by)]
 
 
 def journal(*parts: list[Row]) -> Journal:
@@ -98,7 +98,10 @@
 
 def test_an_unsafe_job_began_for_two_schedulers_and_the_rules_of_one_still_count() -> None:
     same = digests(0.5, a="x", b="x")
-    twice = [(1.0, W.BEGAN, "k-0", "w", "charge", "a"), (2.0, W.BEGAN, "k-1", "v", "charge", "b")]
+    twice = [
+        (1.0, W.EXECUTION_STARTED, "k-0", "w", "charge", "a"),
+        (2.0, W.EXECUTION_STARTED, "k-1", "v", "charge", "b"),
+    ]
     assert broken(journal(twice, same), HOLD, ["charge"]) == ["k is unsafe and began 2 times"]
     assert not broken(journal(twice, same), HOLD, ["renewal"])
     (both,) = broken(journal([(1.0, W.SENT, "j-0", "v", "", "a")], send(1.5), same), HOLD, [])
@@ -106,7 +109,7 @@
 
 
 def test_a_worker_that_noted_late_that_it_was_called_off_is_no_second_attempt() -> None:
-    events = [(1.0, W.SENT, "j-0", "v", "", "a"), *send(1.5), (1.7, W.CALLED_OFF, "j-0", "v", "", "")]
+    events = [(1.0, W.SENT, "j-0", "v", "", "a"), *send(1.5), (1.7, W.CANCELLED, "j-0", "v", "", "")]
     same = digests(0.5, a="x", b="x")
     assert "while at v" in broken(journal(events, same), Terms(0.5, holds=True, late_s=0.1), [])[0]
     assert not broken(journal(events, same), Terms(0.5, holds=True, late_s=0.3), [])
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,8 +10,8 @@
 from robinhill.emulator.program import town
 from robinhill.emulator.site import Site
 
-ASKED, ANSWERED, GONE, SENT = What.ASKED, What.ANSWERED, What.GONE, What.SENT
-RETURNED, ENDED, CALLED_OFF = What.RETURNED, What.ENDED, What.CALLED_OFF
+ASKED, ANSWERED, GONE, SENT = What.REQUESTED, What.ANSWERED, What.CLIENT_DISCONNECTED, What.SENT
+RETURNED, ENDED, CALLED_OFF = What.RETURNED, What.ENDED, What.CANCELLED
 UNSAFE = ["renewal-charge"]
 
 
@@ -48,14 +48,14 @@
 
 def test_the_checker_sees_late_sends_and_pushed_workers() -> None:
     made = Journal(
-        [Event(1.0, What.LEAVING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
+        [Event(1.0, What.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
     )
     (late,) = broken(made, UNSAFE)
     assert "a got k 0.70 s after" in late
     made.events.append(Event(2.0, What.STARTED, worker="a"))
     made.events.append(Event(3.0, SENT, "l", "a"))
     assert len(broken(made, UNSAFE)) == 1
-    made.events.append(Event(4.0, What.FELL, worker="a"))
+    made.events.append(Event(4.0, What.OVERLOADED, worker="a"))
     assert "pushed over" in broken(made, UNSAFE)[-1]
 
 
@@ -71,19 +71,19 @@
             clients = Clients(site, lambda: here.program.listen, here.journal, seed=5)
             tenants = [Tenant(f"t{i}", 8.0, retries=1) for i in range(8)]
             playing = asyncio.get_running_loop().create_task(clients.play(tenants, 6.0))
-            while here.journal.begun.total() < 40:
+            while here.journal.started_jobs.total() < 40:
                 await asyncio.sleep(0.05)
             for worker in here.workers:
                 worker.vanish()
             while sum(e.what is ASKED for e in here.journal.events) < 200:
                 await asyncio.sleep(0.05)
-            before = here.journal.begun.total()
+            before = here.journal.started_jobs.total()
             for worker in here.workers:
                 worker.come_back()
                 here.discovery.tell(worker)
             await playing
             assert await here.program.stop() == 0
-            return broken(here.journal, UNSAFE), here.journal.begun.total() - before
+            return broken(here.journal, UNSAFE), here.journal.started_jobs.total() - before
 
     faults, served_after = asyncio.run(play())
     assert not faults and served_after > 0
@@ -96,11 +96,11 @@
             playing = asyncio.get_running_loop().create_task(
                 clients.play([Tenant("a", 30.0, heed=False, retries=1), Tenant("b", 5.0)], 4.0)
             )
-            while here.journal.begun.total() < 20:
+            while here.journal.started_jobs.total() < 20:
                 await asyncio.sleep(0.05)
             here.discovery.tell(here.workers[0], "leaving")
             await playing
-            assert any(e.what is What.LEAVING for e in here.journal.events)
+            assert any(e.what is What.DRAINING for e in here.journal.events)
             assert await here.program.stop() == 0
             return broken(here.journal, UNSAFE)
 
