--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -70,10 +70,10 @@
     try:
         acknowledgement = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as e:
-        raise ForeignState(f"a scheduler's word on itself can't be read: {e}") from e
+        raise ForeignState(f"an acknowledgement can't be read: {e}") from e
     version, in_bounds = acknowledgement.version, len(data) <= MAX_BYTES
     if version != VERSION or not in_bounds or acknowledgement.incarnation < 0 or acknowledgement.sequence < 0:
-        raise ForeignState(f"a scheduler's word on itself is of version {version}, or out of bounds")
+        raise ForeignState(f"an acknowledgement is of version {version}, or out of bounds")
     return acknowledgement
 
 
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -56,5 +56,5 @@
 def differing(ours: Sequence[int], theirs: Sequence[int]) -> list[int]:
     """The ranges in which two copies differ. Raises ForeignState if a peer has another number of ranges."""
     if len(theirs) != RANGES:
-        raise ForeignState(f"a peer told digests of {len(theirs)} ranges, here are {RANGES}")
+        raise ForeignState(f"a peer sent digests of {len(theirs)} ranges, here are {RANGES}")
     return [index for index, (our, their) in enumerate(zip(ours, theirs, strict=True)) if our != their]
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -31,7 +31,6 @@
 
 from collections import deque
 from collections.abc import Iterable, Mapping
-from typing import Any
 
 from robinhill.mesh.quorum import NOW, Quorum
 
@@ -129,8 +128,7 @@
             return
         self._incarnations[peer] = incarnation
         if before:
-            for table in self._knowledge_tables():
-                table.pop(peer, None)
+            self._forget(peer)
             self._floor = self._find_floor()
 
     def ages(self, mono_us: int) -> dict[str, int]:
@@ -190,14 +188,19 @@
 
     def _list_changed(self) -> None:
         self._names = self.quorum.names
-        for table in (*self._knowledge_tables(), self._incarnations):
-            for removed in table.keys() - self._names:
-                del table[removed]
+        moments = self._counting_moments.keys() | self._starting_moments.keys()
+        known = moments | self._pending_pings.keys() | self._introduced_us.keys() | self._incarnations.keys()
+        for removed in known - self._names:
+            self._forget(removed)
+            self._incarnations.pop(removed, None)
         self._floor = self._find_floor()
 
-    def _knowledge_tables(self) -> tuple[dict[str, Any], ...]:
-        """Everything that was learned of a peer in one incarnation of it."""
-        return self._pending_pings, self._counting_moments, self._starting_moments, self._introduced_us
+    def _forget(self, peer: str) -> None:
+        """Drop what was learned of a peer in its last incarnation."""
+        self._pending_pings.pop(peer, None)
+        self._counting_moments.pop(peer, None)
+        self._starting_moments.pop(peer, None)
+        self._introduced_us.pop(peer, None)
 
     def _raise(self, table: dict[str, int], written_us: int, ages_us: Mapping[str, int]) -> None:
         for peer, age_us in ages_us.items():
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -52,7 +52,6 @@
         self.relay_due_us: int | None = None  # when delayed changes must be written
         self.pushed = 0  # records
         self.skipped = 0  # records that the peer was known to have
-        self.oversized = 0  # records that fit no frame
         self._pending = pending  # records that anti-entropy found the peer to lack
         self._peer_has: dict[RecordName, Record] = {}  # of the changes behind the cursor
 
@@ -139,7 +138,6 @@
         return mono_us < self.relay_due_us
 
     def _fits(self, record: Record) -> bool:
+        """Whether a message can contain the record."""
         limit = MAX_MESSAGE_BYTES - MAX_PUSH_BYTES - FRAME_OVERHEAD_BYTES
-        fits = len(record.value) + len(record.key) <= limit
-        self.oversized += not fits
-        return fits
+        return len(record.value) + len(record.key) <= limit
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -62,11 +62,7 @@
         listen = _listen(options, self.name)
         folder = config.folder if options.folder else None
         self.snapshot_store = SnapshotStore(folder, options.installation, self.name)
-        header, records = self.snapshot_store.load()
-        incarnation = next_incarnation(clock.now_us(), header.incarnation if header else 0)
-        self.replica = Replica(self.name, incarnation, _kinds())
-        if header is not None:
-            self._restore(header, records)
+        self.replica = self._restored_replica()
         self.freshness = Freshness(self.name, names, options.bound_ms * 1000)
         self.cordons = CordonActor(
             Fleet(self.name, names, options),
@@ -85,35 +81,54 @@
             self.replica,
             self.freshness,
             self,
-            random.Random(f"{self.name} {incarnation}"),  # for backoff alone
+            random.Random(f"{self.name} {self.replica.clock.incarnation}"),  # for backoff alone
         )
         self._renewed_s = -RENEW_INTERVAL_S
+        self._connect(dispatcher)
+        log.info(
+            "replication_started",
+            extra={
+                "as": self.name,
+                "installation": options.installation,
+                "schedulers": len(names),
+                "bound_ms": options.bound_ms,
+                "on_lost": options.on_lost,
+            },
+        )
+
+    def _connect(self, dispatcher: Dispatcher) -> None:
+        """Connect cordons, peers, dispatcher and inbound requests to each other."""
         self.peers.alive = self.cordons.reachable
         self.cordons.on_change = self.peers.wake
         self.cordons.on_serving = self._start_serving
         self.cordons.on_newer_incarnation = self._renew_incarnation
-        inbound.catching_up = True
+        self.inbound.catching_up = True
         dispatcher.use_cordons(
             self.cordons.may_send,
             lambda: self.cordons.tell(WorkerListChanged()),
-            self.cordons.holds_lease if options.on_lost == "hold" else None,
-        )
-        extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
-        log.info(
-            "replication_started", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost}
+            self.cordons.holds_lease if self.options.on_lost == "hold" else None,
         )
 
-    def _restore(self, header: SnapshotHeader, records: list[Record]) -> None:
+    def _restored_replica(self) -> Replica:
+        """A replica with the records of the last process, under a larger incarnation."""
+        header, records = self.snapshot_store.load()
+        incarnation = next_incarnation(self.clock.own.now_us(), header.incarnation if header else 0)
+        replica = Replica(self.name, incarnation, _kinds())
+        if header is not None:
+            self._restore(replica, header, records)
+        return replica
+
+    def _restore(self, replica: Replica, header: SnapshotHeader, records: list[Record]) -> None:
         """Merge the last process's records, unless all others may have forgotten them since."""
         now_us = self.clock.now_us()
         for record in records:
             try:
-                self.replica.merge(now_us, record)
+                replica.merge(now_us, record)
             except MeshError as e:
                 log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": str(e)})
         age_us = max(0, now_us - header.saved_us)
-        if self.replica.stale(now_us, age_us):
-            self.replica.clear(age_us)
+        if replica.stale(now_us, age_us):
+            replica.clear(age_us)
         log.info("snapshot_restored", extra={"records": len(records), "age_s": age_us / 1e6})
 
     def start(self) -> None:
--- a/tests/test_mesh_freshness.py
+++ b/tests/test_mesh_freshness.py
@@ -46,7 +46,7 @@
     assert Explorer(PLANS[plan], rules()).search().broken is not None
 
 
-def test_lease_counts_from_the_writing_of_the_ping() -> None:
+def test_a_lease_counts_from_the_writing_of_the_ping() -> None:
     one = fresh("abc")
     assert one.age_us(0) is None and not one.holds_lease(0) and one.lease_until(0) == NEVER
     ask(one, 100, "b", {"b": 0}, after_us=900_000)
@@ -55,7 +55,7 @@
     assert one.holds_lease(100 + BOUND_US) and not one.holds_lease(101 + BOUND_US)
 
 
-def test_what_a_partner_passes_on_is_as_old_as_it_says() -> None:
+def test_relayed_ages_add_up() -> None:
     one = fresh()
     ask(one, 2_000_000, "b", {"b": 0, "c": 500_000, "d": 700_000, "x": 0, "a": 0})
     assert one.as_of("c") == 2_000_000 - 500_000 - 500  # and the allowance for its clock's rate
@@ -65,7 +65,7 @@
     assert one.as_of("c") == 2_000_001  # never from the future
 
 
-def test_unknown_and_doubled_answers_count_for_nothing() -> None:
+def test_unknown_and_duplicated_answers_are_ignored() -> None:
     one = fresh("abc")
     one.answered(50, "b", 1, {"b": 0})
     one.pinged(100, "b", 1)
@@ -80,7 +80,7 @@
     assert one.as_of("b") == 200
 
 
-def test_who_has_not_caught_up_counts_neither_for_others_nor_for_itself() -> None:
+def test_a_scheduler_that_has_not_caught_up_counts_for_nobody() -> None:
     one = fresh("abc", caught_up=False)
     assert "a" not in one.ages(0) and one.starting_ages(0) == {"a": 0}
     ask(one, 100, "b", {})
@@ -91,7 +91,7 @@
     assert one.age_us(200) == 0 and one.ages(200) == {"a": 0, "b": 0}
 
 
-def test_catching_up_takes_a_majority_of_others_who_know_of_this_start() -> None:
+def test_catching_up_takes_a_majority_of_others_that_know_this_incarnation() -> None:
     one = fresh(caught_up=False)
     ask(one, 1_000, "b", {"b": 0, "c": 1, "d": 1})
     assert not one.may_catch_up()  # c and d told b before they can have known
@@ -118,7 +118,7 @@
     assert one.may_catch_up() and fresh("a", caught_up=False).may_catch_up()
 
 
-def test_answers_are_bounded_and_keep_the_freshest() -> None:
+def test_answers_are_bounded_to_the_most_recent_ages() -> None:
     names = [f"p{at:04}" for at in range(2 * MAX_AGES)]
     one = Freshness("me", names, BOUND_US)
     one.caught_up = True
@@ -137,7 +137,7 @@
     ),
     st.booleans(),
 )
-def test_lease_is_the_majority_th_freshest(
+def test_a_lease_follows_from_the_majority_th_most_recent_moment(
     asked: list[tuple[str, int, dict[str, int]]], caught_up: bool
 ) -> None:
     one = fresh(caught_up=caught_up)
@@ -179,7 +179,7 @@
         assert not joint.met(joint.names - set(most))
 
 
-def test_acceptance_counts_starts_once_and_takes_back_what_former_ones_confirmed() -> None:
+def test_acceptance_drops_confirmations_of_former_incarnations() -> None:
     one = Acceptance(Quorum("a", FIVE))
     one.follow(10, stamp())
     assert not one.confirmed(11, "a", 1, stamp())
@@ -194,7 +194,7 @@
     assert one.accepted_us(stamp()) == 15 and one.open_us(20) == 0
 
 
-def test_acceptance_through_a_head_and_within_its_bounds() -> None:
+def test_acceptance_up_to_a_stamp_and_within_its_bounds() -> None:
     one = Acceptance(Quorum("a", "abc"))
     for count in range(1, 4):
         one.follow(0, stamp(count))
@@ -206,7 +206,7 @@
     assert one.accepted_us(stamp(1)) is None and one.unconfirmed(stamp(1)) == ["a", "b", "c"]
 
 
-def test_shorter_list_may_accept_what_was_open() -> None:
+def test_a_shorter_list_may_accept_pending_changes() -> None:
     one = Acceptance(quorum := Quorum("a", FIVE))
     one.follow(0, stamp())
     one.confirmed(1, "a", 1, stamp())
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -110,7 +110,7 @@
             await asyncio.sleep(0.02)
 
 
-def test_a_cordon_set_at_one_holds_at_the_other_until_it_is_lifted_at_any() -> None:
+def test_a_cordon_is_in_force_at_all_schedulers_until_it_is_lifted_at_any() -> None:
     async def play() -> None:
         async with fleet("s1", "s2") as here:
             one, two = here.programs["s1"], here.programs["s2"]
@@ -127,7 +127,7 @@
     asyncio.run(play())
 
 
-def test_who_starts_empty_is_ready_only_with_what_the_others_know() -> None:
+def test_a_scheduler_without_state_is_ready_once_it_has_caught_up() -> None:
     async def play() -> None:
         async with fleet("s1", "s2", "s3", folder=False) as here:
             assert (await cordon(here.programs["s1"]))[0] == 200
@@ -142,7 +142,7 @@
     asyncio.run(play())
 
 
-def test_alone_it_serves_once_the_time_to_catch_up_is_over_and_remembers_its_own() -> None:
+def test_a_lone_scheduler_serves_after_the_catch_up_time_with_its_own_snapshot() -> None:
     async def play() -> None:
         async with fleet("s1", "s2", catch_up_ms=600) as here:
             one, two = here.programs["s1"], here.programs["s2"]
@@ -166,7 +166,7 @@
     asyncio.run(play())
 
 
-def test_under_hold_nothing_is_sent_by_who_can_not_know_and_the_bound_stands() -> None:
+def test_under_hold_nothing_is_sent_without_a_lease_and_the_bound_is_met() -> None:
     """A stopped majority: the one that is left holds, says so, and serves again once they are back."""
 
     async def play() -> None:
@@ -195,7 +195,7 @@
     asyncio.run(play())
 
 
-def test_under_serve_who_has_not_confirmed_is_named() -> None:
+def test_under_serve_unconfirmed_schedulers_are_named() -> None:
     async def play() -> None:
         async with fleet("s1", "s2", "s3") as here:
             here.programs["s2"].signal(signal.SIGSTOP)
@@ -210,7 +210,7 @@
     asyncio.run(play())
 
 
-def test_a_reload_takes_in_another_scheduler_and_strangers_are_refused() -> None:
+def test_a_reload_adds_a_scheduler_and_unknown_ones_are_rejected() -> None:
     async def play() -> None:
         async with fleet("s1", "s2") as here:
             old = dict(here.peers)
@@ -235,7 +235,7 @@
     return told
 
 
-def test_nothing_of_it_is_loaded_where_no_peers_are_named() -> None:
+def test_no_module_of_it_is_loaded_without_peers() -> None:
     code = (
         "import sys, robinhill.commands.run\n"
         "print([m for m in sys.modules if m.startswith(('robinhill.mesh', 'robinhill.cordon'))"
@@ -245,7 +245,7 @@
     assert told.strip() == "['robinhill.mesh', 'robinhill.mesh.options']"
 
 
-def test_the_command_line_sets_lists_waits_and_lifts(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_line_sets_lists_awaits_and_lifts_cordons(capsys: pytest.CaptureFixture[str]) -> None:
     async def play() -> None:
         async with fleet("s1", "s2") as here:
             one, two = (here.programs[name].ops for name in ("s1", "s2"))
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -193,7 +193,7 @@
     assert merged(kind, a, a) == a and merged(kind, merged(kind, a, b), b) == merged(kind, a, b)
 
 
-def test_evidence_keeps_the_latest_sightings_within_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evidence_keeps_the_latest_observations_within_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(record_kinds, "MAX_OBSERVATIONS", 2)
     a, b, c = (
         (record_kinds.Observation(o, record_kinds.SLOW, at, "", at),)
@@ -211,7 +211,7 @@
     ] == ["z"]
 
 
-def test_an_hour_ahead_counts_but_draws_no_clock_along_and_loses_to_who_has_seen_it() -> None:
+def test_a_stamp_an_hour_ahead_counts_but_advances_no_clock_and_loses_to_later_writes() -> None:
     fast, sane, other = copies(3)
     ahead = fast.write(NOW + 3600 * S, "long", "w", ((1,), ()))
     with pytest.raises(StampAhead) as caught:
@@ -224,7 +224,7 @@
     assert fast.record("long", "w") == other.record("long", "w") == answer
 
 
-def test_years_ahead_is_refused_until_its_time_is_near() -> None:
+def test_a_stamp_years_ahead_is_rejected_until_its_time_is_near() -> None:
     mad, sane = copies(2)
     record = mad.write(NOW + FAR_US + S, "long", "w", ((1,), ()))
     for wrong in (record, msgspec.structs.replace(record, stamp=Stamp(0, 0, "x", 0), until_us=2**53 - 1)):
@@ -247,7 +247,7 @@
     assert agreed_offset_us([-3600 * S, -3601 * S, -3600 * S]) == -3600 * S
 
 
-def test_what_is_over_leaves_all_digests_at_once_and_does_not_come_back() -> None:
+def test_expired_records_leave_all_digests_at_once_and_do_not_return() -> None:
     a, b = copies(2)
     old = a.write(NOW, "short", "w", ((1,), ()))
     b.merge(NOW, old)
@@ -263,7 +263,7 @@
     assert a.collect(new.until_us) == 0 and a.clear() == [], "what is over is nobody's to write again"
 
 
-def test_who_was_away_too_long_forgets_before_it_brings_back_the_lifted() -> None:
+def test_a_stale_copy_is_cleared_before_it_restores_removed_values() -> None:
     away, here = copies(2)
     here.merge(NOW, away.write(NOW, "short", "w", ((1,), ())))
     here.write(NOW + S, "short", "w", ((), (1,)))
@@ -281,7 +281,7 @@
     assert away.digest(late) == copies(1)[0].digest(late) != here.digest(late)
 
 
-def test_full_kinds_keep_the_same_records_in_every_order_or_refuse(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_kinds_keep_the_same_records_in_every_order_or_reject(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replica, "MAX_UNKNOWN_RECORDS", 2)
     source = Replica("s", 1, [marks("few", DAY), marks("new", DAY)])
     written = [source.write(NOW + i, kind, str(i), ((i,), ())) for i in range(4) for kind in ("few", "new")]
@@ -294,7 +294,7 @@
     assert held_by[0].record("new", "3") == written[-1] and held_by[0].record("new", "1") is None
 
 
-def test_writing_stops_at_a_bound_and_taking_at_twice_that() -> None:
+def test_writes_are_rejected_at_the_bound_and_merges_at_twice_that() -> None:
     tight, *others = copies(3, marks("m", 20 * S, bound=1))
     tight.write(NOW, "m", "0", ((1,), ()))
     with pytest.raises(StateFull):
@@ -337,7 +337,7 @@
     assert next(parts) and len(copy.clear()) == 3 and list(parts) == [], "dropped meanwhile"
 
 
-def test_records_that_cannot_be_read_are_refused() -> None:
+def test_malformed_records_are_rejected() -> None:
     copy = copies(1)[0]
     good = copies(1)[0].write(NOW, "long", "w", ((1,), ()))
     change = msgspec.structs.replace
@@ -352,7 +352,7 @@
         digests.differing(copy.ranges(NOW), (0,) * 255)
 
 
-def test_a_file_passes_whole_or_not_at_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_snapshot_is_read_completely_or_not_at_all(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rest, "FRAME_BYTES", 100)
     source = copies(1)[0]
     for i in range(6):
--- a/tests/test_mesh_rig.py
+++ b/tests/test_mesh_rig.py
@@ -74,13 +74,13 @@
 
 
 @pytest.mark.parametrize("name", NAMED)
-def test_schedulers_keep_what_they_promise(name: str, tmp_path: Path) -> None:
+def test_schedulers_meet_their_guarantees_under_faults(name: str, tmp_path: Path) -> None:
     outcome = run(name, tmp_path)
     assert not outcome.broken, str(outcome)
 
 
 @pytest.mark.parametrize("how", BROKEN)
-def test_a_scheduler_with_a_fault_of_its_own_is_found_out(how: str, tmp_path: Path) -> None:
+def test_a_planted_fault_is_detected(how: str, tmp_path: Path) -> None:
     code, name, says = BROKEN[how]
     entry = ("-c", f"{code}\nfrom robinhill.commands import main; main()")
     outcome = run(name, tmp_path, entry)
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_copies_become_equal_and_answers_tell_the_truth_over_a_bad_link(seed: int) -> None:
+def test_copies_converge_and_pongs_are_truthful_over_a_bad_link(seed: int) -> None:
     link = Channel(seed, lost=0.3, delay_us=20 * MS, records=300)
     link.run(6 * S, writes=0.05)
     assert link.answers(0) > 5 and link.answers(1) > 5
@@ -116,7 +116,7 @@
     assert all(s.session.confirmed_cursor == s.replica.head for s in link.sides)
 
 
-def test_a_quiet_link_carries_a_change_in_one_way_and_tells_that_it_is_there() -> None:
+def test_an_idle_link_pushes_a_change_at_once_and_confirms_it() -> None:
     link = Channel(1)
     link.run(S)
     link.write(0, "x", 1)
@@ -128,7 +128,7 @@
     assert link.sides[0].session.confirmed_cursor == head
 
 
-def test_what_the_peer_has_is_not_sent_again() -> None:
+def test_records_the_peer_has_are_not_pushed() -> None:
     link = Channel(2, records=2000)
     link.run(2 * S)
     assert link.equal
@@ -141,7 +141,7 @@
     assert sum(link.bytes) - before < 20_000
 
 
-def test_a_far_copy_gets_what_it_lacks_alone() -> None:
+def test_anti_entropy_pushes_only_missing_records() -> None:
     near = Channel(3, records=3000)
     near.run(2 * S)
     near.write(0, "late", 1)
@@ -158,7 +158,7 @@
     assert sum(near.bytes) < 10_000
 
 
-def test_a_silent_reader_costs_no_memory_and_gets_the_newest_values() -> None:
+def test_a_silent_reader_costs_no_memory_and_receives_the_newest_values() -> None:
     link = Channel(4)
     link.run(S)
     link.cut = True
@@ -173,7 +173,7 @@
     assert link.equal and link.bytes[0] - before < 100_000
 
 
-def test_a_missed_change_is_found_by_the_digests() -> None:
+def test_a_missed_change_is_found_by_digests() -> None:
     """A record that came by no push: as if a bug of a peer's had left it out."""
     link = Channel(5)
     link.run(S)
@@ -200,7 +200,7 @@
     return frames.encode_message([msgspec.structs.replace(told, **changes)])
 
 
-def test_peers_of_another_kind_are_refused_with_what_to_do() -> None:
+def test_incompatible_peers_are_rejected_with_advice() -> None:
     assert "installation other" in refusal(hello(installation="other"))
     assert "protocol 99" in refusal(hello(protocol=99))
     assert "our own name" in refusal(hello(name="a"))
@@ -213,7 +213,7 @@
     assert PeerRejected.advice in refusal(hello(protocol=99))
 
 
-def test_frames_that_make_no_sense_change_nothing() -> None:
+def test_frames_out_of_sequence_change_nothing() -> None:
     link = Channel(7)
     link.run(S)
     session, head = link.sides[0].session, link.sides[0].replica.head
