--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -89,7 +89,7 @@
             tape = TrafficRecorder(self.recorder, self.clock, config.classes)
             self.dispatcher.traffic_recorder = self.dispatcher.table.traffic_recorder = tape
             if self.admission:
-                self.admission.tape = tape
+                self.admission.traffic_recorder = tape
             self.metrics.recorder = self.recorder
             self.recorder.start()
         self.inbound = Inbound(
@@ -99,7 +99,7 @@
             self.metrics,
             self.admission.tell if self.admission else self.dispatcher.tell,
             self._deliver,
-            self.admission.find if self.admission else None,
+            self.admission.identify_caller if self.admission else None,
         )
         self.inbound.catch_up = self.catch_up
         self.sharing: Replication | ObservingScheduler | None = None
@@ -121,11 +121,11 @@
                 self.readiness,
                 self.stats,
                 self.admission.stats if self.admission else lambda: NO_ADMISSION,
-                self.hold_out,
+                self.disable_worker,
                 self.set_drained,
                 self.sharing.call if self.sharing else None,
                 self.sharing.status if self.sharing else None,
-                self.sharing.vouch if self.sharing else None,
+                self.sharing.confirm_complete if self.sharing else None,
             )
             self.operators = OperatorServer(config.ops, config.ops_sockets - 1, self.supervisor, calls)
         self.started = asyncio.Event()  # it is ready to serve
@@ -183,7 +183,7 @@
         if told and (memory := await handover.ask_predecessor(QuestionName.STATE)):
             self.dispatcher.import_state(memory["decider"])
             if self.admission and memory.get(HANDED_ADMISSION):
-                self.admission.recall(memory[HANDED_ADMISSION])
+                self.admission.import_state(memory[HANDED_ADMISSION])
             self.inbound.drain(memory["drained"])
 
     async def _list_leased(self) -> None:
@@ -250,14 +250,14 @@
     async def _leave_to_successor(self) -> bool:
         """Whether there was one until all was settled."""
         if self.admission and self.inbound.superseded:
-            self.admission.shut(True)
+            self.admission.suspend(True)
         while self.inbound.superseded:
             await self.inbound.hand_over(self._release, self._send_over)
             if self.inbound.settled:
                 return self.inbound.superseded
             await asyncio.sleep(HAND_OVER_S)
         if self.admission:
-            self.admission.shut(False)
+            self.admission.suspend(False)
         return False
 
     # Operators' calls
@@ -271,9 +271,9 @@
         answer = self.dispatcher.stats()
         return replace(answer, body=answer.body + self.sharing.metrics()) if self.sharing else answer
 
-    async def hold_out(self, instance_id: str, out: bool) -> Answer:
-        """Leave a worker out, or call it back."""
-        return await self._obeyed("hold_out", {"id": instance_id, "out": out})
+    async def disable_worker(self, instance_id: str, disabled: bool) -> Answer:
+        """Disable a worker, or enable it again."""
+        return await self._obeyed("hold_out", {"id": instance_id, "out": disabled})
 
     async def set_drained(self, start: bool) -> Answer:
         """Send clients elsewhere, or take them again."""
@@ -323,7 +323,7 @@
         at_admission: Json = {}
         if self.admission:
             known: asyncio.Future[Json] = asyncio.get_running_loop().create_future()
-            self.admission.take_out(request, known)
+            self.admission.release(request, known)
             at_admission = await known
             if "waiting" in at_admission:
                 return {HANDED_ADMISSION: at_admission}
@@ -359,7 +359,7 @@
     async def _take_back(self, told: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
         """Go on ourselves with a request that no successor has had."""
         if self.admission and "waiting" in told[HANDED_ADMISSION]:
-            self.admission.put_in(request, told[HANDED_ADMISSION], reply, False)
+            self.admission.adopt(request, told[HANDED_ADMISSION], reply, False)
             return
         done = asyncio.Event()
         self.dispatcher.tell(
@@ -381,7 +381,7 @@
         }
 
     def export_state(self) -> StateExport:
-        admission = self.admission.memory() if self.admission else None
+        admission = self.admission.export_state() if self.admission else None
         return {
             "decider": self.dispatcher.export_state(),
             "drained": self.inbound.drained_by_operators,
@@ -414,7 +414,7 @@
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         at_admission = body.get(HANDED_ADMISSION) or {}
         if self.admission and "caller" in at_admission:
-            self.admission.put_in(request, at_admission, reply, bool(body.get("attempt")))
+            self.admission.adopt(request, at_admission, reply, bool(body.get("attempt")))
         if waiting := at_admission.get("waiting"):
             if not self.admission:  # it has waited long enough
                 self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
