--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -12,7 +12,7 @@
 from robinhill.control import messages as wire
 from robinhill.control.actions import Apply, Link
 from robinhill.control.outbox import Outbox
-from robinhill.control.record_merging import any_rejected, merge_records
+from robinhill.mesh.record_merging import any_rejected, merge_records
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -26,11 +26,11 @@
 from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Metrics, VoterOutbox
-from robinhill.control.record_merging import RejectedRecord, any_rejected, merge_records
 from robinhill.control.voter_links import VoterLink, VoterLinks
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
+from robinhill.mesh.record_merging import RejectedRecord, any_rejected, merge_records
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
@@ -282,8 +282,7 @@
         match event:
             case HelloReceived(hello=hello):
                 self._handle_greeting(mono_us, link, wire.VoterIncarnation(hello.name, hello.incarnation))
-            case RecordsReceived(records=records, rejected=received):
-                rejected = [RejectedRecord(record, error) for record, error in received]
+            case RecordsReceived(records=records, rejected=rejected):
                 self._note_changes(records, rejected)
                 if voter.name is not None and any_rejected(rejected):
                     self._voter_links.incomplete.record_rejected(voter.name, voter.session)
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -30,11 +30,12 @@
     status_answer,
     traffic_figures,
 )
-from robinhill.net.control_group.recovery import log_rejected, recover
+from robinhill.net.control_group.recovery import recover
 from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
+from robinhill.net.peers.rejections import log_rejected
 from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -33,9 +33,10 @@
     status_answer,
     traffic_figures,
 )
-from robinhill.net.control_group.recovery import log_rejected, recover
+from robinhill.net.control_group.recovery import recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
 from robinhill.net.cordons.group_member import GroupCordons
+from robinhill.net.peers.rejections import log_rejected
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/robinhill/net/peers/rejections.py
@@ -0,0 +1,15 @@
+"""Logging of records that a replica rejected."""
+
+import logging
+from collections.abc import Iterable
+
+from robinhill.mesh.record_merging import RejectedRecord
+
+log = logging.getLogger(__name__)
+
+
+def log_rejected(rejected: Iterable[RejectedRecord]) -> None:
+    """Log records that the replica rejected, or stored with a warning."""
+    for rejection in rejected:
+        record, why = rejection.record, str(rejection.error)
+        log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": why})
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -36,6 +36,7 @@
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
 from robinhill.net.peers.peer_connections import Configure, PeerConnections
+from robinhill.net.peers.snapshot_restore import restore_records
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
@@ -115,22 +116,11 @@
         incarnation = next_incarnation(self.clock.own.now_us(), header.incarnation if header else 0)
         replica = Replica(self.name, incarnation, _kinds())
         if header is not None:
-            self._restore(replica, header, records)
+            restored = restore_records(replica, header, records, self.clock.now_us())
+            extra = {"records": len(records), "age_s": restored.age_us / 1e6}
+            log.info("snapshot_restored", extra=extra)
         return replica
 
-    def _restore(self, replica: Replica, header: SnapshotHeader, records: list[Record]) -> None:
-        """Merge the last process's records, unless all others may have forgotten them since."""
-        now_us = self.clock.now_us()
-        for record in records:
-            try:
-                replica.merge(now_us, record)
-            except MeshError as e:
-                log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": str(e)})
-        age_us = max(0, now_us - header.saved_us)
-        if replica.stale(now_us, age_us):
-            replica.clear(age_us)
-        log.info("snapshot_restored", extra={"records": len(records), "age_s": age_us / 1e6})
-
     def start(self) -> None:
         """Start replicating, saving snapshots, and collecting expired records."""
         self.cordons.start()
