--- a/robinhill/adapter.py
+++ b/robinhill/adapter.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's wire and hosts many balancers. No decisions are made here."""
+"""Speaks the simulator's protocol and hosts many balancers. No decisions are made here."""
 
 import gc
 import sys
@@ -23,11 +23,11 @@
     "recalled": api.Outcome.CANCELLED,
     "superseded": api.Outcome.NOT_SENT,
 }
-ALIVE = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)  # of a probe
+ALIVE = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)  # of a health check
 
 
 class WireError(Exception):
-    """The input is not what the wire's page says."""
+    """The input does not follow the simulator's protocol."""
 
 
 def read_worker(row: list[Json]) -> api.Worker:
@@ -39,7 +39,7 @@
 
 
 class Host:
-    """Many balancers behind one wire."""
+    """Many balancers behind one stream of batches."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, Balancer] = {}
@@ -49,11 +49,11 @@
             "Done": lambda m: api.AttemptEnded(m[1], m[3], OUTCOMES[m[2]], m[5], bool(m[4])),
             "UpdateOf": self._note,
             "UnderWay": lambda m: api.StreamStarted(m[1], m[2]),
-            "ClientGone": lambda m: api.ClientGone(m[1]),
+            "ClientGone": lambda m: api.ClientDisconnected(m[1]),
             "Elapsed": lambda m: api.TimerFired(m[1]),
             "Targets": lambda m: api.WorkersListed(api.ListKind(m[1]), self.pools[m[3]] if m[1] != 3 else []),
-            "Sampled": lambda m: api.ProbeEnded(m[1], m[2] in ALIVE),
-            "Inbox": lambda m: None,
+            "Sampled": lambda m: api.HealthCheckEnded(m[1], m[2] in ALIVE),
+            "Inbox": lambda _: None,
         }
 
     @staticmethod
@@ -101,8 +101,7 @@
             actions = event.start(now)
         else:
             actions = self.nodes[node].handle(now, event)
-        for a in actions:
-            cmds.append(_WRITERS[type(a)](a))
+        cmds.extend(_WRITERS[type(action)](action) for action in actions)
 
     def batch(self, line: bytes) -> bytes:
         """Answer one batch."""
@@ -125,12 +124,12 @@
 
 _WRITERS: dict[type, Callable[[Any], list[Json]]] = {
     api.Send: lambda a: ["Route", a.job, a.address, a.timeout_us],
-    api.Refuse: lambda a: ["Reject", a.job, a.retry_in_us],
+    api.Reject: lambda a: ["Reject", a.job, a.retry_in_us],
     api.Fail: lambda a: ["FinishError", a.job],
     api.Cancel: lambda a: ["StopAttempt", a.job, a.attempt],
     api.SetTimer: lambda a: ["Sleep", a.after_us, a.tag],
-    api.Subscribe: lambda a: ["Listen", True],
-    api.Probe: lambda a: ["SoundOut", a.address],
+    api.Subscribe: lambda _: ["Listen", True],
+    api.CheckHealth: lambda a: ["SoundOut", a.address],
     api.CloseIdle: lambda a: ["DropConns", a.address],
     api.Log: lambda a: ["Trace", a.text],
 }
--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -44,7 +44,7 @@
 
 
 _NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-ANSWERED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL})  # the worker's own word: it is alive
+ANSWERED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL})  # by the worker itself: it is alive
 
 
 class WorkerState(IntEnum):
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node is told at its start.
+    """What a scheduler is configured with at its start.
 
     ``full_may_have_run``: a worker may answer 'full' for work that it had begun. ``close_within_us``: idle
     connections to a draining worker must be closed within it (None: they need not be).
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class WorkersListed:
-    """The list of workers, changes to it, or word that asking for it failed."""
+    """The endpoint list, changes to it, or that polling it failed."""
 
     kind: ListKind
     workers: list[Worker] = field(default_factory=list)
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class Arrived:
-    """A client's request has reached this node."""
+    """A client's request has reached this scheduler."""
 
     request: Request
 
@@ -238,7 +238,7 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """A running attempt has come so far (0 to 1)."""
+    """Progress of a running attempt; ``share`` of it is done (0 to 1)."""
 
     job: int
     attempt: int
@@ -265,8 +265,8 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
-    """The client of a request has left."""
+class ClientDisconnected:
+    """The client of a request has closed its connection."""
 
     job: int
 
@@ -279,31 +279,31 @@
 
 
 @dataclass(slots=True)
-class ProbeEnded:
-    """The result of a probe; ``alive`` if the worker answered at all, though it drains or is ill."""
+class HealthCheckEnded:
+    """The result of a health check; ``alive`` if the worker answered at all, even as draining."""
 
     address: str
     alive: bool
 
 
 @dataclass(slots=True)
-class ListLeased:
-    """The lease on the list of workers is held again, or lost: nothing is sent without it."""
+class ListLeaseChanged:
+    """The lease on the endpoint list is held again, or lost: nothing is sent without it."""
 
     held: bool
 
 
 Event = (
     WorkersListed
-    | ListLeased
+    | ListLeaseChanged
     | Arrived
     | JobStarted
     | JobProgress
     | StreamStarted
     | AttemptEnded
-    | ClientGone
+    | ClientDisconnected
     | TimerFired
-    | ProbeEnded
+    | HealthCheckEnded
 )
 
 
@@ -312,41 +312,41 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a job count 0, 1, 2 ... (timeout 0: till the client gives up)."""
+    """Start an attempt; attempts of a job count 0, 1, 2 ... (timeout 0: until the client's deadline)."""
 
     job: int
     address: str
     timeout_us: int = 0
 
 
-class RefusalReason(Enum):
-    """Why a request is refused; for log lines and figures, no wire tells it."""
+class RejectionReason(Enum):
+    """Why a request is rejected; for log lines and figures alone."""
 
-    NO_WORKER = "no_worker"  # none could take it for as long as it was worth holding
-    OVERLOAD = "overload"  # own waits show an overload, and a share of requests is refused at once
-    ATTEMPTS_SPENT = "attempts_spent"  # it has had as many as one request may have
+    NO_WORKER = "no_worker"  # no worker had capacity for as long as queueing made sense
+    OVERLOAD = "overload"  # own waits show an overload: load is shed
+    ATTEMPTS_SPENT = "attempts_spent"  # as many as a request may have
     ATTEMPT_ENDED = "attempt_ended"  # its last attempt ended with no time or place for another
 
 
 @dataclass(slots=True)
-class Refuse:
-    """Final answer: declined, trying again does no harm."""
+class Reject:
+    """Final answer: rejected, a retry does no harm."""
 
     job: int
     retry_in_us: int = 0
-    why: RefusalReason = field(default=RefusalReason.NO_WORKER, compare=False)
+    why: RejectionReason = field(default=RejectionReason.NO_WORKER, compare=False)
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: failed, it may have run."""
 
     job: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     job: int
     attempt: int
@@ -354,7 +354,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` with this tag."""
+    """Request a ``TimerFired`` with this tag."""
 
     after_us: int
     tag: str
@@ -362,19 +362,19 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask to be told of changes to the list from now on."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(slots=True)
-class Probe:
-    """Ask whether a worker answers."""
+class CheckHealth:
+    """Check whether a worker answers."""
 
     address: str
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close this node's idle connections to a worker."""
+    """Close this scheduler's idle connections to a worker."""
 
     address: str
 
@@ -386,4 +386,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Subscribe | Probe | CloseIdle | Log
+Action = Send | Reject | Fail | Cancel | SetTimer | Subscribe | CheckHealth | CloseIdle | Log
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -49,11 +49,11 @@
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             api.Arrived: self._on_arrival,
             api.AttemptEnded: self._on_attempt_ended,
-            api.ClientGone: self._on_client_gone,
+            api.ClientDisconnected: self._on_client_gone,
             api.JobProgress: self._on_progress,
             api.JobStarted: self._on_progress,
-            api.ListLeased: self._on_list_leased,
-            api.ProbeEnded: self.outliers.on_health_check_ended,
+            api.ListLeaseChanged: self._on_list_leased,
+            api.HealthCheckEnded: self.outliers.on_health_check_ended,
             api.StreamStarted: self._on_stream_started,
             api.TimerFired: self._on_timer,
             api.WorkersListed: self._on_list,
@@ -85,7 +85,7 @@
         self.worker_list.apply(now, event)
         self._place_queued(now)
 
-    def _on_list_leased(self, now: int, event: api.ListLeased) -> None:
+    def _on_list_leased(self, now: int, event: api.ListLeaseChanged) -> None:
         self.state.list_leased = event.held
         self._place_queued(now)
 
@@ -109,7 +109,7 @@
         job.queue_deadline_us = now + min(left_us - 1, self._useful_wait_us(job, objective_us, expected_us))
         job.queue_deadline_us = min(job.queue_deadline_us, job.group_until_us or job.queue_deadline_us)
         if self.overload.sheds(priority_weight):
-            self._give_up(job, api.RefusalReason.OVERLOAD)
+            self._give_up(job, api.RejectionReason.OVERLOAD)
         else:
             self.place(now, job)
 
@@ -143,7 +143,7 @@
         self._on_progress(now, event)
         self.jobs.pop(event.job, None)  # the attempt is the client's now, and no answer is pending
 
-    def _on_client_gone(self, _: int, event: api.ClientGone) -> None:
+    def _on_client_gone(self, _: int, event: api.ClientDisconnected) -> None:
         self.jobs.pop(event.job, None)
 
     def _on_attempt_ended(self, now: int, event: api.AttemptEnded) -> None:
@@ -172,7 +172,7 @@
         if self.retries.is_last(job, outcome):
             # A cancel that can't be confirmed, before its time is up: the client may move it at once.
             unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
-            self._give_up(job, api.RefusalReason.ATTEMPT_ENDED, unconfirmed)
+            self._give_up(job, api.RejectionReason.ATTEMPT_ENDED, unconfirmed)
         else:
             self.place(now, job)
 
@@ -195,9 +195,9 @@
     def place(self, now: int, job: JobRecord) -> None:
         """Send the job, or queue it for a worker, or give it up."""
         if job.attempts >= self.settings.max_attempts:
-            self._give_up(job, api.RefusalReason.ATTEMPTS_SPENT)
+            self._give_up(job, api.RejectionReason.ATTEMPTS_SPENT)
         elif now >= job.queue_deadline_us:
-            self._give_up(job, api.RefusalReason.NO_WORKER)
+            self._give_up(job, api.RejectionReason.NO_WORKER)
         elif self.state.list_leased and (worker := self.choice.choose(now, job)) is not None:
             self._send(now, job, worker)
         else:
@@ -227,7 +227,7 @@
             timeout_us = max(1, int(job.objective_us + overrun_us) - now)
         state.actions.append(api.Send(job.request.job, worker.entry.address, timeout_us))
 
-    def _give_up(self, job: JobRecord, why: api.RefusalReason, unconfirmed: bool = False) -> None:
+    def _give_up(self, job: JobRecord, why: api.RejectionReason, unconfirmed: bool = False) -> None:
         """One final answer; a refusal only where it is true that trying again does no harm."""
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
@@ -242,7 +242,7 @@
             retry_after_us = self.settings.max_retry_after_us
             if klass.late_priority_weight:
                 retry_after_us = min(retry_after_us, int(self.job_times.mean_us))
-        self.state.actions.append(api.Refuse(job.request.job, retry_after_us, why))
+        self.state.actions.append(api.Reject(job.request.job, retry_after_us, why))
 
     # The queue
 
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -134,7 +134,7 @@
         if self.admission:
             self._at_admission(self.admission.client_disconnected(self.engine.now, number))
         if not waits:
-            self._decide(api.ClientGone(number))
+            self._decide(api.ClientDisconnected(number))
         self._forget(number)
 
     def _let_in(self, number: int) -> None:
@@ -194,7 +194,7 @@
             match action:
                 case api.Send(job=number, address=address, timeout_us=timeout):
                     self._send(number, address, timeout)
-                case api.Refuse(job=number, retry_in_us=wait):
+                case api.Reject(job=number, retry_in_us=wait):
                     self.counts.refused["module"] += 1
                     self._over_at_admission(number, False)
                     self._final(number, 503, wait)
@@ -208,7 +208,7 @@
                 case api.Subscribe():
                     self.subscribed = True
                     self.on_subscribe(self)
-                case api.Probe(address=address):
+                case api.CheckHealth(address=address):
                     self._probe(address)
                 case api.CloseIdle(address=address):
                     self._close_idle(address)
@@ -343,7 +343,7 @@
         alive = worker.reachable(self.zone)
         way = self.way_us(self.zone, worker.zone)
         delay = 4 * way if alive else 1_000_000
-        self.engine.after(delay, self._decide, api.ProbeEnded(address, alive))
+        self.engine.after(delay, self._decide, api.HealthCheckEnded(address, alive))
 
     def _close_idle(self, address: str) -> None:
         worker = self.workers[address]
--- a/robinhill/model/wire.py
+++ b/robinhill/model/wire.py
@@ -119,7 +119,7 @@
                 for w in workers
             ]
             return [["Pool", 0, rows], ["Targets", int(kind), 1, 0]]
-        case api.ListLeased():
+        case api.ListLeaseChanged():
             return []  # the simulator's wire tells no lease: its lists are never unconfirmed
         case api.Arrived(request=r):
             attrs = 1 * bool(r.work_hint_us) + 2 * r.client_repeat
@@ -145,11 +145,11 @@
             return [["UnderWay", job, attempt, None, 0]]
         case api.AttemptEnded(job=job, attempt=attempt, outcome=outcome, took_us=took, final=final):
             return [["Done", job, _NAMES[outcome], attempt, final, took, None]]
-        case api.ClientGone(job=job):
+        case api.ClientDisconnected(job=job):
             return [["ClientGone", job]]
         case api.TimerFired(tag=tag):
             return [["Elapsed", tag]]
-        case api.ProbeEnded(address=address, alive=alive):
+        case api.HealthCheckEnded(address=address, alive=alive):
             return [["Sampled", address, "completed" if alive else "overdue", 0]]
 
 
@@ -159,7 +159,7 @@
         case "Route":
             return api.Send(m[1], m[2], m[3])
         case "Reject":
-            return api.Refuse(m[1], m[2])
+            return api.Reject(m[1], m[2])
         case "FinishError":
             return api.Fail(m[1])
         case "StopAttempt":
@@ -169,7 +169,7 @@
         case "Listen":
             return api.Subscribe()
         case "SoundOut":
-            return api.Probe(m[1])
+            return api.CheckHealth(m[1])
         case "DropConns":
             return api.CloseIdle(m[1])
         case "Trace":
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -120,7 +120,7 @@
             CordonsChanged: self._on_cordons,
             SendLeaseChanged: lambda _: None,  # the lease is read before each message
             HealthCheckEnded: lambda message: self._decide(
-                api.ProbeEnded(message.instance_id, message.alive)
+                api.HealthCheckEnded(message.instance_id, message.alive)
             ),
             ReleaseRequest: self.handover.release,
             AttemptReleased: self.handover.attempt_released,
@@ -129,12 +129,12 @@
         }
         self._performers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: lambda action: self._answer(action.job, protocol.FAILED),
             api.Cancel: self._cancel,
             api.SetTimer: lambda action: self.timers.set(action.after_us, action.tag),
             api.Subscribe: lambda _: None,  # discovery is watched from the start on
-            api.Probe: self._check_health,
+            api.CheckHealth: self._check_health,
             api.CloseIdle: self._close_idle_connections,
             api.Log: lambda action: log.info("balancer_message", extra={"text": action.text}),
         }
@@ -166,7 +166,7 @@
         if self.list_lease is None or self.list_lease.is_valid(now):
             self.list_lease_held.set()
         else:
-            self._decide(api.ListLeased(False))
+            self._decide(api.ListLeaseChanged(False))
         self._on_list(EndpointListReceived(known or self.config.known, cached=True))
         super().start()
 
@@ -226,7 +226,7 @@
                 arrival.group, arrival.group_until_us = window.group, window.until_us
         self._decide(api.Arrived(arrival))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         self.metrics.rejections[action.why.value] += 1
         if log.isEnabledFor(logging.DEBUG):
             request = self.in_flight.by_number[action.job]
@@ -263,7 +263,7 @@
         request.answer_pending = False
         if request.release_reply:
             self.handover.keep(request)
-        self._decide(api.ClientGone(request.job))
+        self._decide(api.ClientDisconnected(request.job))
         for attempt in request.attempts_in_flight:
             if endpoint := self.table.endpoints.get(request.endpoints[attempt]):
                 endpoint.tell(AbandonUnwritten(request.job, attempt))
@@ -375,7 +375,7 @@
 
     # Workers
 
-    def _check_health(self, action: api.Probe) -> None:
+    def _check_health(self, action: api.CheckHealth) -> None:
         instance_id = action.address
         if self.restrictions.applies_to(self.table.destinations.get(instance_id), instance_id):
             # A disabled worker gets nothing, and its silence says nothing about it.
@@ -494,7 +494,7 @@
         else:
             self.list_lease_held.clear()
             log.warning("list_lease_lost", extra=fields)
-        self._decide(api.ListLeased(held))
+        self._decide(api.ListLeaseChanged(held))
 
     def _list_fields(self) -> dict[str, object]:
         return self.list_lease.log_fields(self.clock.now_us()) if self.list_lease else {}
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -61,9 +61,9 @@
         is_checked = bool(worker.health_check_since_us)
         if state.derived.can_check_health and listed and worker.in_flight and not is_checked:
             worker.health_check_since_us = now
-            state.actions.append(api.Probe(worker.entry.address))
+            state.actions.append(api.CheckHealth(worker.entry.address))
 
-    def on_health_check_ended(self, now: int, event: api.ProbeEnded) -> None:
+    def on_health_check_ended(self, now: int, event: api.HealthCheckEnded) -> None:
         """A machine that vanished never ends the jobs it has: those safe to repeat are moved."""
         state = self.state
         worker = state.workers.get(event.address)
@@ -73,7 +73,7 @@
         answered = worker.last_response_us >= worker.health_check_since_us
         alive = event.alive or answered or not worker.in_flight
         if not alive and worker.failed_health_checks < HEALTH_CHECKS:
-            state.actions.append(api.Probe(event.address))
+            state.actions.append(api.CheckHealth(event.address))
             return
         worker.health_check_since_us = worker.failed_health_checks = 0
         if alive:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -179,7 +179,7 @@
             tell(api.TimerFired(tag), 10_000)
     tell(api.WorkersListed(api.ListKind.CHANGES, [api.Worker("w1", state=api.WorkerState.DRAINING)]))
     tell(api.WorkersListed(api.ListKind.FAILED))
-    tell(api.ClientGone(job))
+    tell(api.ClientDisconnected(job))
 
 
 def paths(value: Any, start: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -29,7 +29,7 @@
     node = Node(1, tells_start=True)
     node.ask()
     assert not only(node.ask(MS), api.Send)
-    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Refuse) == [api.Refuse(2, 0)]
+    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject) == [api.Reject(2, 0)]
 
 
 def test_the_most_worth_for_its_work_is_served_first() -> None:
@@ -44,9 +44,9 @@
     node = Node(1)
     node.ask()
     node.ask(MS)
-    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Refuse)  # its client comes again
+    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject)  # its client comes again
     node.ask(MS, left_us=5 * S - 95 * MS)
-    assert only(node.do(api.TimerFired("held"), 6 * MS), api.Refuse)
+    assert only(node.do(api.TimerFired("held"), 6 * MS), api.Reject)
 
 
 def test_an_attempt_with_a_hint_ends_when_worthless() -> None:
@@ -54,7 +54,7 @@
     node = Node(2)
     (send,) = only(node.ask(work_hint_us=100 * MS), api.Send)
     assert 300 * MS <= send.timeout_us <= 400 * MS
-    assert only(node.end(1, O.TIMEOUT, send.timeout_us, after_us=send.timeout_us), api.Refuse)
+    assert only(node.end(1, O.TIMEOUT, send.timeout_us, after_us=send.timeout_us), api.Reject)
 
 
 def test_a_hinted_job_avoids_a_kind_too_slow_for_its_aim() -> None:
@@ -161,7 +161,7 @@
     refused = [0, 0]
     for i in range(400):
         actions = node.ask(10 * MS, job_class=i % 2)
-        refused[i % 2] += len(only(actions, api.Refuse))
+        refused[i % 2] += len(only(actions, api.Reject))
         for send in only(actions, api.Send):
             started(node, send.job, MS if i < 80 else 150 * MS)
             node.end(send.job, took_us=200 * MS)
@@ -435,8 +435,8 @@
         node.end(node.jobs, took_us=S)
     node.ask()
     node.ask()
-    assert not only(node.do(api.TimerFired("held"), 3 * S), api.Refuse)
-    assert only(node.do(api.TimerFired("held"), S + 100 * MS), api.Refuse) == [api.Refuse(5, 0)]
+    assert not only(node.do(api.TimerFired("held"), 3 * S), api.Reject)
+    assert only(node.do(api.TimerFired("held"), S + 100 * MS), api.Reject) == [api.Reject(5, 0)]
 
 
 def test_what_is_given_up_is_answered_at_once() -> None:
@@ -444,9 +444,9 @@
     node = Node(1, max_attempts=1)
     node.ask()
     actions = node.end(1, O.FULL)
-    assert actions[0] == api.Refuse(1, 0) and not only(actions, api.SetTimer)
+    assert actions[0] == api.Reject(1, 0) and not only(actions, api.SetTimer)
     actions = node.ask(left_us=0)
-    assert only(actions, api.Refuse) and not only(actions, api.SetTimer)
+    assert only(actions, api.Reject) and not only(actions, api.SetTimer)
 
 
 def test_full_for_one_class_backs_off_that_class_alone() -> None:
@@ -486,7 +486,7 @@
         )
         node.ask()
         node.end(1)
-        assert only(node.ask(left_us=0), api.Refuse) == [api.Refuse(2, advice)]
+        assert only(node.ask(left_us=0), api.Reject) == [api.Reject(2, advice)]
 
 
 def test_a_keyed_job_moves_only_when_it_waits_longer_than_usual() -> None:
@@ -521,10 +521,10 @@
     node.end(1, took_us=400 * MS, after_us=400 * MS)
     node.ask()
     node.ask(MS)
-    assert not only(node.do(api.TimerFired("held"), 110 * MS), api.Refuse)
+    assert not only(node.do(api.TimerFired("held"), 110 * MS), api.Reject)
     assert sent_to(node.end(2, after_us=200 * MS)) == "w0"
     node.ask(MS)
-    assert only(node.do(api.TimerFired("held"), 710 * MS), api.Refuse)
+    assert only(node.do(api.TimerFired("held"), 710 * MS), api.Reject)
 
 
 def test_a_worker_not_heard_from_gets_a_job_on_a_new_connection() -> None:
@@ -552,10 +552,10 @@
     node.ask(S)
     node.listed(api.ListKind.CHANGES, *(api.Worker(f"w{i}") for i in (1, 2)))
     failed = node.end(2, O.CONNECT_FAILED, 200 * MS, after_us=200 * MS)
-    assert only(failed, api.Probe) == [api.Probe("w0")]
+    assert only(failed, api.CheckHealth) == [api.CheckHealth("w0")]
     # A pause of a busy machine can swallow one probe.
-    assert (only(node.do(api.ProbeEnded("w0", alive), 250 * MS), api.Probe) == []) == alive
-    cancelled = only(node.do(api.ProbeEnded("w0", alive), 250 * MS), api.Cancel)
+    assert (only(node.do(api.HealthCheckEnded("w0", alive), 250 * MS), api.CheckHealth) == []) == alive
+    cancelled = only(node.do(api.HealthCheckEnded("w0", alive), 250 * MS), api.Cancel)
     assert cancelled == [api.Cancel(1, 0)] * moved
     if moved:
         assert sent_to(node.end(1, O.CANCELLED, 2 * S, after_us=500 * MS)) != "w0"
@@ -571,8 +571,10 @@
     lost = sent_to(node.ask())
     (overdue,) = only(started(node, 3, MS), api.SetTimer)
     assert overdue.tag == "overdue 3 0" and overdue.after_us >= 200 * MS
-    assert only(node.do(api.TimerFired(overdue.tag), overdue.after_us), api.Probe) == [api.Probe(lost)]
-    node.do(api.ProbeEnded(lost, True), MS)
+    assert only(node.do(api.TimerFired(overdue.tag), overdue.after_us), api.CheckHealth) == [
+        api.CheckHealth(lost)
+    ]
+    node.do(api.HealthCheckEnded(lost, True), MS)
     for job in range(4, 8):
         assert sent_to(node.ask(MS)) != lost
         started(node, job, MS)
@@ -611,7 +613,7 @@
     assert sent_to(node.end(1, O.RESET, S, after_us=S))
     started(node, 1)
     node.do(api.JobStarted(1, 1))
-    assert only(node.end(1, O.RESET, 3 * S, attempt=1, after_us=4500 * MS), api.Refuse)
+    assert only(node.end(1, O.RESET, 3 * S, attempt=1, after_us=4500 * MS), api.Reject)
 
 
 def test_where_own_jobs_wait_a_worker_rests_between_two() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -124,7 +124,7 @@
                 assert action.job not in over and not any(job == action.job for job, _ in out)
                 out[action.job, tries[action.job]] = action.address
                 tries[action.job] += 1
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 assert action.job not in over
                 over.add(action.job)
                 answered[action.job] += 1
@@ -142,7 +142,7 @@
             carry_out(node.ask(left_us=chance.randrange(50 * MS, 3 * S), job_class=job_class))
         elif what < 0.6 and (left := [j for j in range(1, node.jobs + 1) if j not in over]):
             over.add(job := chance.choice(left))
-            carry_out(node.do(api.ClientGone(job)))
+            carry_out(node.do(api.ClientDisconnected(job)))
         elif out:
             key = chance.choice(sorted(out))
             if chance.random() < 0.3:
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -159,29 +159,29 @@
 
 def test_without_the_lease_jobs_are_queued_then_rejected_at_their_queue_deadline() -> None:
     node = Node()
-    node.do(api.ListLeased(False))
+    node.do(api.ListLeaseChanged(False))
     assert not only(node.ask(), api.Send)
     assert not only(node.listed(api.ListKind.CHANGES, api.Worker("w9")), api.Send)
-    (refusal,) = only(node.do(api.TimerFired("held"), 5 * S), api.Refuse)
-    assert refusal.job == 1 and refusal.why is api.RefusalReason.NO_WORKER
+    (refusal,) = only(node.do(api.TimerFired("held"), 5 * S), api.Reject)
+    assert refusal.job == 1 and refusal.why is api.RejectionReason.NO_WORKER
 
 
 def test_with_the_lease_queued_jobs_are_sent_by_the_new_list() -> None:
     node = Node(workers=2)
-    node.do(api.ListLeased(False))
+    node.do(api.ListLeaseChanged(False))
     node.ask()
     gone = api.Worker("w0", state=api.WorkerState.GONE)
     assert not only(node.listed(api.ListKind.CHANGES, gone), api.Send)
-    assert sent_to(node.do(api.ListLeased(True))) == "w1"
+    assert sent_to(node.do(api.ListLeaseChanged(True))) == "w1"
 
 
 def test_an_attempt_not_written_without_the_lease_is_no_fault_of_its_worker() -> None:
     node = Node(workers=2)
     worker = sent_to(node.ask())
-    node.do(api.ListLeased(False))
+    node.do(api.ListLeaseChanged(False))
     assert not only(node.end(1, api.Outcome.CONNECT_FAILED, MS), api.Send)
     assert not node.balancer.avoided(node.now)
-    (send,) = only(node.do(api.ListLeased(True)), api.Send)
+    (send,) = only(node.do(api.ListLeaseChanged(True)), api.Send)
     assert send.job == 1 and worker in ("w0", "w1")
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -61,13 +61,13 @@
             self.idle(now, action.address)
         elif isinstance(action, api.CloseIdle):
             self.used.pop(action.address, None)
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, api.Reject | api.Fail):
             if action.job not in self.open:
                 raise RuleBrokenError("a second final answer")
             request, _ = self.open.pop(action.job)
             c = self.config.classes[request.job_class]
             free = c.repeat is api.Repeat.SAFE or (c.repeat is api.Repeat.KEYED and c.scope is api.Scope.ALL)
-            if isinstance(action, api.Refuse) and not free and self.risky(action.job):
+            if isinstance(action, api.Reject) and not free and self.risky(action.job):
                 raise RuleBrokenError("refused although it may have run")
 
     def send(self, now: int, action: api.Send) -> None:
@@ -188,7 +188,7 @@
         elif roll < 0.77 and checker.open:
             gone = rng.choice(list(checker.open))
             del checker.open[gone]
-            give(api.ClientGone(gone))
+            give(api.ClientDisconnected(gone))
         elif roll < 0.80:
             listed(rng.choice([api.ListKind.CHANGES, api.ListKind.FULL]))
     assert not checker.open
@@ -217,7 +217,7 @@
     with pytest.raises(RuleBrokenError, match="two attempts"):
         checker.act(1, api.Send(1, "b"))
     with pytest.raises(RuleBrokenError, match="refused"):
-        checker.act(1, api.Refuse(1))
+        checker.act(1, api.Reject(1))
     checker = checker_with_job(repeat=api.Repeat.UNSAFE)
     checker.tries[1].append({"worker": A, "at": 0, "outcome": O.ERROR})
     with pytest.raises(RuleBrokenError, match="unsafe"):
@@ -251,7 +251,7 @@
             with pytest.raises(RuleBrokenError, match="unsafe"):
                 checker.act(1, api.Send(1, "b"))
             with pytest.raises(RuleBrokenError, match="refused"):
-                checker.act(1, api.Refuse(1))
+                checker.act(1, api.Reject(1))
         else:
             checker.act(1, api.Send(1, "b"))
     checker = checker_with_job()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 from .fleet import START, play
 
 O = api.Outcome  # noqa: E741
-FINAL = (api.Refuse, api.Fail)
+FINAL = (api.Reject, api.Fail)
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
@@ -34,7 +34,7 @@
         if seen:
             break
         (timer,) = only(actions, api.SetTimer)
-    assert seen == [api.Refuse(1, 0)] and node.now <= 1_000 * S + 60 * MS
+    assert seen == [api.Reject(1, 0)] and node.now <= 1_000 * S + 60 * MS
 
 
 @pytest.mark.parametrize("workers", [0, 1, 400])
@@ -54,23 +54,23 @@
     node = Node(2, classes=(klass(repeat=api.Repeat.UNSAFE),))
     node.ask()
     assert finals(node.end(1, O.TIMEOUT, 5 * S, after_us=5 * S)) == [api.Fail(1)]
-    assert not node.end(1, O.ERROR) and not node.do(api.ClientGone(1))
+    assert not node.end(1, O.ERROR) and not node.do(api.ClientDisconnected(1))
 
 
 def test_a_client_that_left_gets_nothing_more() -> None:
     node = Node(1)
     node.ask()
     node.ask(MS)
-    node.do(api.ClientGone(2))
+    node.do(api.ClientDisconnected(2))
     assert not only(node.end(1), api.Send)
-    node.do(api.ClientGone(3))
+    node.do(api.ClientDisconnected(3))
     assert not finals(node.do(api.TimerFired("held"), S))
 
 
 def test_late_outcomes_of_a_finished_request_change_nothing() -> None:
     node = Node(2)
     node.ask()
-    node.do(api.ClientGone(1))
+    node.do(api.ClientDisconnected(1))
     actions = node.end(1, O.ERROR)
     assert not only(actions, api.Send) and not finals(actions)
 
@@ -79,7 +79,8 @@
     node = Node(1)
     for event in (
         api.AttemptEnded(99, 0, O.ERROR, 1, False), api.JobStarted(99, 0), api.JobProgress(99, 0, 0.5),
-        api.StreamStarted(99, 0), api.ClientGone(99), api.TimerFired("what"), api.ProbeEnded("x", True),
+        api.StreamStarted(99, 0), api.ClientDisconnected(99), api.TimerFired("what"),
+        api.HealthCheckEnded("x", True),
     ):  # fmt: skip
         assert node.do(event) == []
 
@@ -133,7 +134,7 @@
 def test_keyed_work_known_everywhere_may_be_refused() -> None:
     node = keyed_node(api.Scope.ALL)
     node.ask()
-    assert finals(node.end(1, O.RESET, after_us=60 * MS)) == [api.Refuse(1, 0)]
+    assert finals(node.end(1, O.RESET, after_us=60 * MS)) == [api.Reject(1, 0)]
 
 
 def test_the_group_of_a_keyed_job_is_that_of_its_send() -> None:
@@ -156,7 +157,7 @@
         node.listed(api.ListKind.CHANGES, api.Worker(f"w{worker}", zone=0, state=api.WorkerState.GONE))
     assert not only(node.ask(group=0, group_until_us=node.now + 50 * MS), api.Send)
     actions = node.do(api.TimerFired("held"), 51 * MS)
-    assert only(actions, api.Fail) and not only(actions, api.Refuse), "its first may have run: no promise"
+    assert only(actions, api.Fail) and not only(actions, api.Reject), "its first may have run: no promise"
 
 
 def test_keys_are_bound_by_the_first_attempt_that_may_have_run() -> None:
@@ -212,7 +213,7 @@
     assert only(node.ask(MS, job_class=1), api.Send), "other held work goes on"
     node.listed(api.ListKind.CHANGES, api.Worker("z1k1", zone=1, kind=1, state=api.WorkerState.DRAINING))
     assert not only(node.end(1, O.CONNECT_FAILED), api.Send), "nor at a further attempt"
-    assert only(node.do(api.TimerFired("held"), S), api.Refuse) == [api.Refuse(1, 0), api.Refuse(2, 0)]
+    assert only(node.do(api.TimerFired("held"), S), api.Reject) == [api.Reject(1, 0), api.Reject(2, 0)]
 
 
 def test_one_bound_leaves_the_other_free() -> None:
@@ -274,7 +275,7 @@
     node = Node(8, max_attempts=2)
     node.ask()
     assert only(node.end(1, O.FULL, after_us=MS), api.Send)
-    assert finals(node.end(1, O.FULL, attempt=1, after_us=MS)) == [api.Refuse(1, 0)]
+    assert finals(node.end(1, O.FULL, attempt=1, after_us=MS)) == [api.Reject(1, 0)]
 
 
 # Drains
@@ -323,11 +324,11 @@
 def test_a_client_that_comes_again_too_late_is_refused_at_once() -> None:
     node = Node([api.Worker("w0", state=api.WorkerState.DRAINING)])
     node.ask()
-    assert only(node.do(api.TimerFired("held"), 2 * S), api.Refuse)
+    assert only(node.do(api.TimerFired("held"), 2 * S), api.Reject)
     node.listed(api.ListKind.CHANGES, api.Worker("w0"))
-    assert only(node.ask(left_us=2 * S), api.Refuse)
+    assert only(node.ask(left_us=2 * S), api.Reject)
     node.balancer.client_retries.unretried_answers = 0
-    assert only(node.ask(left_us=2 * S, client_repeat=True), api.Refuse)  # it says so itself
+    assert only(node.ask(left_us=2 * S, client_repeat=True), api.Reject)  # it says so itself
 
 
 # Cold workers
@@ -346,7 +347,7 @@
                 cold.append(node.now)
             # rejected at once: rejected work counts too
             node.end(send.job, O.FULL if send.address == "w0" else O.COMPLETED, 100 * MS)
-            node.do(api.ClientGone(send.job))
+            node.do(api.ClientDisconnected(send.job))
     # half the multiple x present capacity, for all that a warm one does x window, of this node's 10 jobs a
     # second over two workers
     assert 1 <= len(cold) <= 2.5 / 2 * 0.45 * 5 * 1.5 + 1
--- a/tests/test_thin_fleet.py
+++ b/tests/test_thin_fleet.py
@@ -39,7 +39,7 @@
             case api.Arrived():
                 self.tries[event.request.job] = 0
                 return self.send(event.request.job)
-            case api.ClientGone():
+            case api.ClientDisconnected():
                 self.tries.pop(event.job, None)
             case api.AttemptEnded() if event.final:
                 self.tries.pop(event.job, None)
@@ -47,7 +47,7 @@
                 if event.outcome is api.Outcome.FULL and self.tries[event.job] < 6:
                     return self.send(event.job)
                 del self.tries[event.job]
-                return [api.Refuse(event.job)]
+                return [api.Reject(event.job)]
         return []
 
     def send(self, job: int) -> list[api.Action]:
