--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -85,7 +85,7 @@
         self._open_watch(self.schedule.start(self.clock.now_us()))
 
     def receive(self, message: ChangeAddress) -> None:
-        """Leave the old address at once, and get the whole list of the new one.
+        """Leave the old address at once, and get the complete list of the new one.
 
         A cancelled watch reports nothing, so its end is no failure of the new one. A version counts the
         changes at one discovery; another address may count otherwise, and answer "no changes" for ever.
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -34,7 +34,7 @@
 
 
 class LinkLostError(Exception):
-    """The other process has exited. Unless ``sent``, it has not received the whole question."""
+    """The other process has exited. Unless ``sent``, it has not received the complete question."""
 
     def __init__(self, sent: bool) -> None:
         super().__init__(sent)
