--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -130,7 +130,7 @@
     ),
     retry_after=True,
     max_retry_after_us=60_000_000,
-    tells_start=True,
+    reports_start=True,
     value_by_work=True,
 )  # fmt: skip
 
--- a/benchmarks/scale/nodes.py
+++ b/benchmarks/scale/nodes.py
@@ -12,7 +12,12 @@
     """One class of jobs that may be repeated; workers tell when a job starts."""
     job_class = api.JobClass(latency_objective_us, deadline_us, stretch=2.0, repeat=api.Repeat.SAFE)
     return api.Settings(
-        (job_class,), fleet_size=200, max_attempts=4, cancelling=True, tells_start=True, cold_from=0.3
+        (job_class,),
+        fleet_size=200,
+        max_attempts=4,
+        cancelling=True,
+        reports_start=True,
+        slow_start_floor=0.3,
     )
 
 
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -19,7 +19,7 @@
 SECONDS = 2
 REQUESTS = 200  # in one timing or count
 APART_US = 2_000
-SETTINGS = api.Settings((api.JobClass(100_000, 5 * SECOND_US, repeat=api.Repeat.SAFE),), tells_start=True)
+SETTINGS = api.Settings((api.JobClass(100_000, 5 * SECOND_US, repeat=api.Repeat.SAFE),), reports_start=True)
 
 
 def name_of(tenant: int) -> str:
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -169,7 +169,7 @@
             self.windows.placed(ticket.job_class)
             more = self.round_robin.length > 0
             self.windows.of(ticket.job_class).placed(self.now, self.now - ticket.admitted_us, more)
-            if not self.settings.tells_start:
+            if not self.settings.reports_start:
                 self._start_execution(ticket)
         return self._finish_event()
 
--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -141,10 +141,10 @@
     over_quota_priority_weight: float = 1.0
     value_by_work: bool = False
     must_subscribe: bool = False
-    ask_every_us: int = 10_000_000
+    poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    cold_from: float = 0.5
-    cold_us: int = 10_000_000
+    slow_start_floor: float = 0.5
+    slow_start_us: int = 10_000_000
     fall_multiple: float = 2.0
     tip_after_us: int = 1_000_000
     connect_timeout_us: int = 250_000
@@ -154,7 +154,7 @@
     probes: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    tells_start: bool = False
+    reports_start: bool = False
     progress_us: int = 0
     cross_zone_price: float = 0.0
     waste_price: float = 0.0
@@ -167,9 +167,9 @@
         _require(len(self.classes) > 0, "classes", "at least one is needed")
         _require(self.fleet_size >= 1, "fleet_size", "must be 1 or more")
         _require(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
-        _require(0 < self.cold_from <= 1, "cold_from", "must be above 0 and at most 1")
+        _require(0 < self.slow_start_floor <= 1, "slow_start_floor", "must be above 0 and at most 1")
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
-        for name in ("cold_us", "tip_after_us", "ask_every_us"):
+        for name in ("slow_start_us", "tip_after_us", "poll_interval_us"):
             _require(getattr(self, name) > 0, name, "must be above 0")
         for name in ("drain_grace_us", "connect_timeout_us", "max_retry_after_us", "progress_us",
                      "over_quota_priority_weight", "handshake_price", "keepalive_us"):  # fmt: skip
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -211,7 +211,7 @@
         key, group = (job.request.job, job.attempts), klass.group_of(worker.entry)
         attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.in_flight), group)
         worker.in_flight.add(key)
-        worker.waiting = attempt if self.settings.tells_start else None
+        worker.waiting = attempt if self.settings.reports_start else None
         self.slow_start.use(worker)
         job.attempts += 1
         job.attempts_in_flight += 1
--- a/robinhill/model/wire.py
+++ b/robinhill/model/wire.py
@@ -45,8 +45,9 @@
         "value-by": "work" if s.value_by_work else "request",
         "over-share-worth": s.over_quota_priority_weight,
         "guarantees": {
-            "ask-every-us": s.ask_every_us, "drain-grace-us": s.drain_grace_us, "cold-from": s.cold_from,
-            "cold-us": s.cold_us, "fall-multiple": s.fall_multiple, "tip-after-us": s.tip_after_us,
+            "ask-every-us": s.poll_interval_us, "drain-grace-us": s.drain_grace_us,
+            "cold-from": s.slow_start_floor,
+            "cold-us": s.slow_start_us, "fall-multiple": s.fall_multiple, "tip-after-us": s.tip_after_us,
         },
         "policy-limits": {
             "most-tries": s.max_attempts, "parallel-tries": s.parallel_attempts, "cancelling": s.cancelling,
@@ -57,7 +58,7 @@
             "cross-zone": s.cross_zone_price, "waste": s.waste_price, "handshake": s.handshake_price
         },
         "specifics": {
-            "tells-start": s.tells_start, "progress-us": s.progress_us,
+            "tells-start": s.reports_start, "progress-us": s.progress_us,
             "class-stretch": [c.stretch for c in s.classes], "class-kind": [-1] * len(s.classes),
         },
         "tenants": [],
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -137,11 +137,11 @@
         )  # fmt: skip
         values: dict[str, Any] = {
             "classes": classes, "fleet_size": f.schedulers, "must_subscribe": True, "value_by_work": True,
-            "drain_grace_us": 500_000, "cold_from": f.cold_from, "cold_us": int(f.cold_s * S),
+            "drain_grace_us": 500_000, "slow_start_floor": f.cold_from, "slow_start_us": int(f.cold_s * S),
             "fall_multiple": f.fall_multiple, "tip_after_us": int(f.tip_after_s * S),
             "connect_timeout_us": int(f.connect_timeout_ms * 1000), "max_attempts": f.most_tries,
             "cancelling": True, "probes": f.probes, "retry_after": f.max_retry_after_s > 0,
-            "max_retry_after_us": int(f.max_retry_after_s * S), "tells_start": True,
+            "max_retry_after_us": int(f.max_retry_after_s * S), "reports_start": True,
             "waste_price": f.waste_price, "handshake_price": f.handshake_price,
             "keepalive_us": int(f.keepalive_s * S), "cross_zone_price": 0.1 if len(f.zones) > 1 else 0.0,
         }  # fmt: skip
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -27,11 +27,11 @@
         """
         tick_us = min(c.latency_objective_us for c in settings.classes) // 4 + 1000
         return cls(
-            list_spread_us=min(settings.ask_every_us // 2, list_poll_us * settings.fleet_size),
+            list_spread_us=min(settings.poll_interval_us // 2, list_poll_us * settings.fleet_size),
             tick_us=tick_us,
             min_concurrency_limit=min(1.0, max(0.2, fleet_jobs_in_line / settings.fleet_size)),
             progress_timeout_us=settings.progress_us * 3 // 2,
             max_idle_us=settings.keepalive_us - tick_us if settings.handshake_price else inf,
-            can_cancel_unstarted=settings.tells_start and settings.cancelling,
+            can_cancel_unstarted=settings.reports_start and settings.cancelling,
             can_check_health=settings.probes and settings.cancelling,
         )
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -79,9 +79,9 @@
         self.settings = settings
         self.jobs = job_times
         self.unknown_job_us = unknown_job_us
-        self.window_us = settings.cold_us
+        self.window_us = settings.slow_start_us
         self.started_us = 0
-        self.rate = US_PER_S / settings.cold_us  # own jobs a second
+        self.rate = US_PER_S / settings.slow_start_us  # own jobs a second
         self.rate_updated_us = 0
         self.zones: dict[int, ZoneWait] = {}
         self.kinds: dict[int, DecayingMean] = {}  # job time by kind of machine
@@ -161,7 +161,7 @@
     def slow_start_share(self, now: int, worker: WorkerRecord) -> float:
         """The share of its full speed that a worker in slow start has for sure."""
         remaining = min(1.0, (worker.slow_start_until_us - now) / self.window_us)
-        return 1 - (1 - self.settings.cold_from) * remaining
+        return 1 - (1 - self.settings.slow_start_floor) * remaining
 
     def zone(self, number: int) -> ZoneWait:
         """The waits in a zone; a new one if it is not known."""
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -52,10 +52,10 @@
         worker.add_success(now)
         self.retries.add_completion()
         if worker.ejected_until_us < inf:
-            state.estimates.served.add(now, took_us, state.settings.cold_us)
+            state.estimates.served.add(now, took_us, state.settings.slow_start_us)
         state.estimates.add_completion(now, worker, request, took_us)
         self.weights.update_worker(worker)
-        if not state.settings.tells_start:
+        if not state.settings.reports_start:
             waited_us = state.estimates.infer_wait(worker, request, took_us)
             objective_us = klass.latency_objective_us + klass.stretch * request.work_hint_us
             late = request.work_hint_us and took_us > objective_us
@@ -70,7 +70,7 @@
         full = outcome is api.Outcome.FULL
         if full:
             job_class = attempt.job.request.job_class
-            worker.class_backoff_until_us[job_class] = now + state.settings.cold_us
+            worker.class_backoff_until_us[job_class] = now + state.settings.slow_start_us
         elif not lost:
             slow_us = took_us if outcome is api.Outcome.TIMEOUT else 2 * worker.job_time_us
             state.estimates.add_job_time(now, worker, slow_us)
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -28,7 +28,7 @@
         worker.add_failure(outcome is api.Outcome.ERROR)
         unreachable = outcome is api.Outcome.CONNECT_FAILED
         if unreachable and state.few_arrivals:  # else a lost zone would be tried worker by worker
-            worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.cold_us)
+            worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.slow_start_us)
         broken = unreachable or outcome is api.Outcome.RESET
         is_outlier = broken or worker.failure_share > MAX_FAILURE_SHARE or worker.consecutive_ejections
         if is_outlier and now >= worker.ejected_until_us:
@@ -40,7 +40,7 @@
         ejected = sum(now < other.ejected_until_us < inf for other in workers.values())
         if 2 * ejected >= len(workers):
             return
-        longest_us = max(settings.cold_us // 2, MIN_MAX_EJECTION_US)
+        longest_us = max(settings.slow_start_us // 2, MIN_MAX_EJECTION_US)
         wait_us = min(longest_us, settings.connect_timeout_us << worker.consecutive_ejections)
         worker.consecutive_ejections += 1
         worker.ejected_until_us = max(worker.ejected_until_us, now + wait_us)
@@ -51,7 +51,7 @@
         """A job is overdue: if none has completed there since it started, answers seem to be lost."""
         worker = attempt.worker
         if worker.last_completion_us < attempt.last_progress_us:
-            worker.suspected_until_us = now + self.state.settings.cold_us
+            worker.suspected_until_us = now + self.state.settings.slow_start_us
             self.check_health(now, worker)
 
     def check_health(self, now: int, worker: WorkerRecord) -> None:
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -34,7 +34,7 @@
         worker, objective_us = attempt.worker, attempt.job.klass.latency_objective_us
         step = ((waited_us > objective_us) - 0.5) * SHED_STEP
         self.shed_share = min(MAX_SHED_SHARE, max(0.0, self.shed_share + step))
-        worker.zone.add(now, min(objective_us, max(0.0, delay_us)), self.state.settings.cold_us)
+        worker.zone.add(now, min(objective_us, max(0.0, delay_us)), self.state.settings.slow_start_us)
         if waited_us >= objective_us / 4:
             self._lower_limit(worker, attempt.in_flight_at_send)
         elif attempt.in_flight_at_send + 1 >= worker.concurrency_limit - 0.5:
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -25,7 +25,7 @@
         """
         state, settings = self.state, self.settings
         started_us = min(worker.entry.started_us, now)  # one ahead of our clock is the clock's error
-        worker.slow_start_until_us = started_us + settings.cold_us if started_us else 0
+        worker.slow_start_until_us = started_us + settings.slow_start_us if started_us else 0
         worker.slow_start_credit, worker.slow_start_credit_us = state.random.random(), now
         worker.error_share = 0.0
         crosses_zones = worker.entry.zone != settings.zone and settings.cross_zone_price
@@ -45,7 +45,7 @@
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
         credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:
-            phase = int(len(self.state.workers) / self.settings.cold_from)
+            phase = int(len(self.state.workers) / self.settings.slow_start_floor)
             worker.last_send = min(worker.last_send, self.state.sends - phase)
         worker.slow_start_credit, worker.slow_start_credit_us = min(1.0, credit), now
         return credit >= 1.0
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -109,7 +109,7 @@
 
 def list_change_bound_us(settings: api.Settings) -> int:
     """How long after a change it is in force; without a watch, no later than the next poll is due."""
-    return min(LIST_CHANGE_BOUND_US, settings.ask_every_us)
+    return min(LIST_CHANGE_BOUND_US, settings.poll_interval_us)
 
 
 def from_settings(settings: api.Settings, rng: random.Random) -> WatchSchedule:
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -113,7 +113,7 @@
         tight = hint_us > 0 and now + worker.unit_time * hint_us > criteria.job.objective_us
         rank = TIGHT_FIT_RANK if tight else 0
         # Where starts are not reported, a worker with an own job in flight is less surely ready.
-        if worker.in_flight and not self.settings.tells_start:
+        if worker.in_flight and not self.settings.reports_start:
             rank += 1
         if criteria.few_arrivals and criteria.unsafe:
             proven = worker.last_completion_us or now < worker.slow_start_until_us
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -41,7 +41,7 @@
         """Poll again with backoff, well inside the time after which a change counts as notified."""
         state = self.state
         spread_us = state.derived.list_spread_us << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS)
-        wait_us = min(state.settings.ask_every_us // 2, spread_us)
+        wait_us = min(state.settings.poll_interval_us // 2, spread_us)
         self._subscribed, self._failed_polls = False, self._failed_polls + 1
         wait_us = int(wait_us * (0.5 + state.random.random() / 2))
         state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -11,6 +11,9 @@
 # Names in errors of the fields that are called otherwise by the settings' keys.
 ERROR_NAMES = {
     "latency_objective_us": "aim_us",
+    "poll_interval_us": "ask_every_us",
+    "slow_start_floor": "cold_from",
+    "slow_start_us": "cold_us",
     "priority_weight": "worth",
     "over_quota_priority_weight": "over_quota_worth",
 }
@@ -65,10 +68,10 @@
         over_quota_priority_weight=options.get("over-share-worth", 1.0),
         value_by_work=options.get("value-by") == "work",
         must_subscribe=options.get("discovery") == "subscribe",
-        ask_every_us=rules.get("ask-every-us") or 10_000_000,
+        poll_interval_us=rules.get("ask-every-us") or 10_000_000,
         drain_grace_us=rules["drain-grace-us"],
-        cold_from=rules["cold-from"],
-        cold_us=rules["cold-us"],
+        slow_start_floor=rules["cold-from"],
+        slow_start_us=rules["cold-us"],
         fall_multiple=rules["fall-multiple"],
         tip_after_us=rules["tip-after-us"],
         connect_timeout_us=limits.get("connect-timeout-us", 250_000),
@@ -78,7 +81,7 @@
         probes=limits.get("probes", False),
         retry_after=limits.get("retry-after", False),
         max_retry_after_us=limits.get("max-retry-after-us", 0),
-        tells_start=bool(specifics.get("tells-start", False)),
+        reports_start=bool(specifics.get("tells-start", False)),
         progress_us=specifics.get("progress-us", 0),
         cross_zone_price=prices.get("cross-zone", 0.0),
         waste_price=prices.get("waste", 0.0),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,8 +32,8 @@
         "max_attempts": 4,
         "cancelling": True,
         "drain_grace_us": 500 * MS,
-        "cold_us": 9 * S,
-        "cold_from": 0.3,
+        "slow_start_us": 9 * S,
+        "slow_start_floor": 0.3,
         "fall_multiple": 2.5,
         "tip_after_us": 1500 * MS,
     }
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -56,7 +56,7 @@
     balancers = []
     for node in range(nodes):
         zone = zones[node] if zones else 0
-        chosen = settings(fleet_size=nodes, tells_start=True, zone=zone, **changes)
+        chosen = settings(fleet_size=nodes, reports_start=True, zone=zone, **changes)
         balancers.append(Balancer(chosen, node))
     sent: list[Sent] = []
     queue: list[tuple[int, int, int, api.Event]] = []
@@ -110,11 +110,13 @@
 ) -> tuple[float, float]:
     """How full a cold worker's fullest window was, 1 being all that is put down to chance beyond its budget;
     and how much of its budget till it is warm it got. ``warm_rate``: jobs a second that it does once warm."""
-    window, cold = chosen.tip_after_us, chosen.cold_us
+    window, cold = chosen.tip_after_us, chosen.slow_start_us
 
     def speed(at_us: int) -> float:
         """The share of its speed that it has for sure, linear until it is warm."""
-        return chosen.cold_from + (1 - chosen.cold_from) * min(1.0, max(0.0, (at_us - started_us) / cold))
+        return chosen.slow_start_floor + (1 - chosen.slow_start_floor) * min(
+            1.0, max(0.0, (at_us - started_us) / cold)
+        )
 
     moments = sorted(s.at_us for s in sent if s.worker == worker and 0 <= s.at_us - started_us < cold)
     worst = 0.0
@@ -122,5 +124,5 @@
         got = number - bisect_right(moments, at - window)
         budget = chosen.fall_multiple * warm_rate * window / S * (speed(at - window) + speed(at)) / 2
         worst = max(worst, got / (budget + 2 * sqrt(budget) + 2))
-    whole = chosen.fall_multiple * warm_rate * cold / S * (1 + chosen.cold_from) / 2
+    whole = chosen.fall_multiple * warm_rate * cold / S * (1 + chosen.slow_start_floor) / 2
     return worst, len(moments) / whole
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -449,7 +449,7 @@
 
 
 def _driven() -> Node:
-    node = Node(3, tells_start=True)
+    node = Node(3, reports_start=True)
     for _ in range(40):
         worker = sent_to(node.ask(after_us=10 * MS))
         node.end(node.jobs, took_us=300 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
@@ -472,7 +472,7 @@
 
 def reexported_state(state: Json) -> Json:
     """The same, told to a fresh module and exported by it."""
-    node = Node(3, tells_start=True)
+    node = Node(3, reports_start=True)
     memory.import_state(node.balancer, state)
     return _as_json(memory.export_state(node.balancer))
 
@@ -485,7 +485,7 @@
 
 def handed_over_again(jobs: list[Json]) -> list[Json]:
     """The same, taken by a fresh module and handed over by it."""
-    node = Node(3, tells_start=True)
+    node = Node(3, reports_start=True)
     for job in jobs:
         memory.import_job(node.balancer, node.now, job)
     return [_as_json(memory.export_job(node.balancer, number)) for number in sorted(node.balancer.jobs)]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,7 +30,7 @@
 
     def __init__(self, slots: int = 4, run_ms: int = 100, **options: Any) -> None:
         settings = node_settings(
-            classes=CLASSES, retry_after=True, max_retry_after_us=60 * S, tells_start=True
+            classes=CLASSES, retry_after=True, max_retry_after_us=60 * S, reports_start=True
         )
         self.admission = Admission(settings, AdmissionOptions(enabled=True, **options), 7, bytes(16))
         self.slots, self.run_ms = slots, run_ms
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -21,7 +21,7 @@
     klass(latency_objective_us=100 * MS, deadline_us=2 * S),
     klass(latency_objective_us=400 * MS, deadline_us=5 * S, priority_weight=8.0, repeat=api.Repeat.UNSAFE),
 )
-SETTINGS = node_settings(classes=CLASSES, retry_after=True, max_retry_after_us=10 * S, tells_start=True)
+SETTINGS = node_settings(classes=CLASSES, retry_after=True, max_retry_after_us=10 * S, reports_start=True)
 TENANTS = ("a", "b", "c", "d", "e")
 OPTIONS = (
     AdmissionOptions(enabled=True, queued=12, queues=4, hand=2, accounts=8),
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -46,7 +46,7 @@
         self.workers = [api.Worker(f"w{i}") for i in range(workers)]
         self.rate, self.length = load * workers * slots / job_s, even(job_s)
         aim_us = max(100 * MS, int(3 * job_s * S))
-        self.changes: dict[str, Any] = {"cold_us": 6 * S, "tip_after_us": 1 * S, **changes}
+        self.changes: dict[str, Any] = {"slow_start_us": 6 * S, "tip_after_us": 1 * S, **changes}
         self.changes["classes"] = (klass(latency_objective_us=aim_us, deadline_us=20 * S),)
 
     def play(self, cold: list[str], at_s: float, left: int = 0, **how: Any) -> tuple[float, float]:
@@ -60,7 +60,7 @@
             return O.COMPLETED, int(self.length(chance) * S) + 1
 
         sent = play(
-            self.nodes, self.workers, self.rate, at_s + chosen.cold_us / S, answer, (at_s, change),
+            self.nodes, self.workers, self.rate, at_s + chosen.slow_start_us / S, answer, (at_s, change),
             self.slots, **how, **self.changes,
         )  # fmt: skip
         found = [fullest(sent, name, started, self.slots / self.job_s, chosen) for name in cold]
@@ -79,8 +79,8 @@
     nodes: int, job_s: float, slots: int, cold_from: float, multiple: float, tip_ms: int
 ) -> None:
     site = Site(
-        nodes, 8, job_s, slots, cold_us=5 * S,
-        cold_from=cold_from, fall_multiple=multiple, tip_after_us=tip_ms * MS,
+        nodes, 8, job_s, slots, slow_start_us=5 * S,
+        slow_start_floor=cold_from, fall_multiple=multiple, tip_after_us=tip_ms * MS,
     )  # fmt: skip
     # Each has met each warm worker before: till then these, which it knows nothing of, go first.
     worst, used = site.play(NEW, max(5.0, 2 * nodes * 8 / site.rate))
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("job_s, multiple", [(1.0, 2.5), (3.0, 2.0)])
 def test_long_jobs_of_workers_with_one_slot_keep_to_the_budget(job_s: float, multiple: float) -> None:
     for nodes in (4, 20, 30):
-        site = Site(nodes, 24, job_s, 1, cold_from=0.2, fall_multiple=multiple, tip_after_us=500 * MS)
+        site = Site(nodes, 24, job_s, 1, slow_start_floor=0.2, fall_multiple=multiple, tip_after_us=500 * MS)
         worst, _ = site.play(NEW, 30.0)
         assert worst <= 1
 
@@ -124,7 +124,7 @@
 
 
 def test_a_few_short_jobs_of_schedulers_just_started_do_not_stand_for_all() -> None:
-    site = Site(20, 12, 0.6, 2, cold_us=8 * S)
+    site = Site(20, 12, 0.6, 2, slow_start_us=8 * S)
     site.length = mixed(0.6)
     worst, used = site.play(NEW, 20.0, starts=[15.0 + 0.1 * node / 20 for node in range(20)])
     assert worst <= 1 and used <= 0.6
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("until_s", [12.0, 14.0])
 def test_the_turns_of_a_lull_do_not_come_together_after_it(nodes: int, until_s: float) -> None:
     """Each scheduler's turn at a cold worker came while no job did; the first burst sent twice the budget."""
-    site = Site(nodes, 10, 0.2, 4, 0.9, cold_us=9 * S, tip_after_us=500 * MS)
+    site = Site(nodes, 10, 0.2, 4, 0.9, slow_start_us=9 * S, tip_after_us=500 * MS)
     moments = after_a_lull(site.rate, 15.0, 6.05, until_s)
     worst, _ = site.play(["new0", "new1"], 6.0, moments=moments)
     assert worst <= 1
@@ -149,7 +149,9 @@
 
 def test_workers_taken_back_cold_get_no_more_than_others() -> None:
     """First jobs to them were 0.5 s apart whatever they can do: with jobs of 2 s, 1.55 times the budget."""
-    site = Site(10, 24, 2.0, 1, cold_from=0.2, fall_multiple=2.0, tip_after_us=2 * S, cold_us=9 * S)
+    site = Site(
+        10, 24, 2.0, 1, slow_start_floor=0.2, fall_multiple=2.0, tip_after_us=2 * S, slow_start_us=9 * S
+    )
     cold = [f"w{i}" for i in range(8)]
     drained = [api.Worker(name, state=api.WorkerState.DRAINING) for name in cold]
     worst, used = site.play(cold, 30.0, before=(29.0, drained))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -232,7 +232,7 @@
 @pytest.mark.parametrize(
     "changes, taken",
     [
-        ({"guarantees": {"ask-every-us": 2_000_000.4}}, ("ask_every_us", 2_000_000)),
+        ({"guarantees": {"ask-every-us": 2_000_000.4}}, ("poll_interval_us", 2_000_000)),
         ({"policy-limits": {"connect-timeout-us": 250_000.0}}, ("connect_timeout_us", 250_000)),
         ({"policy-limits": {"retry-after": None}}, ("retry_after", False)),
         ({"prices": {"waste": None}}, ("waste_price", 0.0)),
@@ -283,12 +283,15 @@
         ({"classes": [{"worth": -1}]}, "worth: must not be negative"),
         ({"classes": [{"aim-us": -1}]}, "aim_us: must not be negative"),
         ({"over-share-worth": -1}, "over_quota_worth: must not be negative"),
+        ({"guarantees": {"ask-every-us": -1}}, "ask_every_us: must be above 0"),
+        ({"guarantees": {"cold-from": 0}}, "cold_from: must be above 0 and at most 1"),
+        ({"guarantees": {"cold-us": 0}}, "cold_us: must be above 0"),
     ],
 )
 def test_a_value_out_of_range_is_named_as_operators_know_it(changes: dict[str, Any], error: str) -> None:
     settings = copy.deepcopy(SETTINGS)
     settings["classes"][0] |= changes.get("classes", [{}])[0]
-    settings |= {key: value for key, value in changes.items() if key != "classes"}
+    merge(settings, {key: value for key, value in changes.items() if key != "classes"})
     with pytest.raises(ValueError, match=f"^{error}$"):
         read_settings(settings)
 
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -145,11 +145,11 @@
 
 
 def test_without_a_watch_the_bound_is_no_longer_than_the_poll_interval() -> None:
-    for ask_every_us in (2 * S, 4 * S, 10 * S):
-        given = settings(must_subscribe=True, ask_every_us=ask_every_us, fleet_size=200)
+    for poll_interval_us in (2 * S, 4 * S, 10 * S):
+        given = settings(must_subscribe=True, poll_interval_us=poll_interval_us, fleet_size=200)
         for seed in range(20):
             schedule = watch_schedule.from_settings(given, random.Random(seed))
-            assert schedule.start(0) <= min(ask_every_us, watch_schedule.LIST_CHANGE_BOUND_US) // 2
+            assert schedule.start(0) <= min(poll_interval_us, watch_schedule.LIST_CHANGE_BOUND_US) // 2
 
 
 @pytest.mark.parametrize("fleet_size", [1, 200])
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -73,7 +73,7 @@
     assert (few.tick_us, few.min_concurrency_limit, few.progress_timeout_us) == (26 * MS, 1.0, 150)
     assert few.max_idle_us == S - 26 * MS and not few.can_cancel_unstarted and not few.can_check_health
     many = DerivedSettings.from_settings(
-        settings(fleet_size=200, tells_start=True, probes=True), 50 * MS, 3.0
+        settings(fleet_size=200, reports_start=True, probes=True), 50 * MS, 3.0
     )
     assert many.min_concurrency_limit == 0.2 and many.max_idle_us == float("inf")
     assert many.can_cancel_unstarted and many.can_check_health
--- a/tests/test_exported_state.py
+++ b/tests/test_exported_state.py
@@ -57,7 +57,7 @@
 
 def test_an_exported_job_ends_in_the_successor_and_frees_its_capacity() -> None:
     """Counted in both processes, jobs in flight would leave no capacity after an upgrade."""
-    changes: dict[str, Any] = {"tells_start": True}
+    changes: dict[str, Any] = {"reports_start": True}
     old = Node(1, **changes)
     for _ in range(3):  # each that starts at once shows room for one more
         old.ask(after_us=10 * MS)
@@ -75,10 +75,10 @@
 
 
 def test_a_queued_job_is_placed_by_the_successor() -> None:
-    old = Node(1, tells_start=True)
+    old = Node(1, reports_start=True)
     old.ask()  # has not started: no room
     assert not only(old.ask(), api.Send)
-    new = successor(Node(2, tells_start=True), tells_start=True)
+    new = successor(Node(2, reports_start=True), reports_start=True)
     exported = exported_state.export_job(old.balancer, 2)
     assert exported and sent_to(exported_state.import_job(new.balancer, new.now, exported)) in ("w0", "w1")
     assert exported_state.export_job(old.balancer, 2) is None
@@ -86,7 +86,7 @@
 
 def test_exported_keys_are_those_of_older_versions() -> None:
     """A value under a new key would be lost at an upgrade without an error."""
-    node = Node(1, tells_start=True)
+    node = Node(1, reports_start=True)
     node.ask()
     state = exported_state.export_state(node.balancer)
     assert set(state) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,7 +15,7 @@
 
 def test_a_worker_with_an_own_waiting_job_is_not_ready() -> None:
     """Blind rotation queued jobs behind jobs (all three deployments, plain design)."""
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     first, second = sent_to(node.ask()), sent_to(node.ask(MS))
     assert {first, second} == {"w0", "w1"}
     assert not only(node.ask(MS), api.Send)
@@ -26,7 +26,7 @@
 
 def test_overload_is_refused_at_the_aim_not_answered_late() -> None:
     """Every answer late in overload (incident i9047f8)."""
-    node = Node(1, tells_start=True)
+    node = Node(1, reports_start=True)
     node.ask()
     assert not only(node.ask(MS), api.Send)
     assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject) == [api.Reject(2, 0)]
@@ -71,7 +71,7 @@
 
 def test_an_own_job_that_waits_past_use_is_withdrawn() -> None:
     """Late jobs ran although worthless (incidents i7b4fb2, i75c0bb)."""
-    node = Node(2, tells_start=True, classes=(klass(repeat=api.Repeat.UNSAFE),))
+    node = Node(2, reports_start=True, classes=(klass(repeat=api.Repeat.UNSAFE),))
     (timer,) = only(node.ask(), api.SetTimer)
     (timer,) = only(node.do(api.TimerFired(timer.tag), timer.after_us), api.SetTimer)
     assert only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel) == [api.Cancel(1, 0)]
@@ -82,14 +82,14 @@
 
 def test_no_withdrawal_and_no_move_where_waste_is_dear() -> None:
     """A cancel stops nothing there: withdrawn jobs ran on for nobody (keyed site at full size, 0.00)."""
-    node = Node(2, tells_start=True, waste_price=0.2)
+    node = Node(2, reports_start=True, waste_price=0.2)
     assert not only(node.ask(), api.SetTimer)
     assert not only(node.ask(2 * S), api.Cancel)
 
 
 def test_a_safe_job_that_does_not_start_is_moved() -> None:
     """Blind among 100 nodes, a third of the jobs queued (unsafe site at full size)."""
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
     assert timer.after_us <= 25 * MS
@@ -99,7 +99,7 @@
 
 def test_withdrawals_of_waiting_jobs_keep_to_a_part_of_what_is_served() -> None:
     """Withdrawn jobs ran on: with a place free for others, most work was for nobody (genova-sala, calm)."""
-    node = Node(60, tells_start=True)
+    node = Node(60, reports_start=True)
     due: list[tuple[int, str]] = []
     for _ in range(40):
         (timer,) = only(node.ask(MS), api.SetTimer)
@@ -116,7 +116,7 @@
 
 
 def test_what_is_served_lets_waiting_jobs_move() -> None:
-    node = Node(60, tells_start=True)
+    node = Node(60, reports_start=True)
     for _ in range(40):
         node.ask(MS)
     for job in range(1, 31):
@@ -127,7 +127,7 @@
 
 
 def test_a_worker_that_jobs_are_moved_from_does_not_look_fast() -> None:
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     worker = node.balancer.workers[sent_to(node.ask())]
     started(node, 1)
     node.end(1, took_us=200 * MS)
@@ -144,7 +144,7 @@
 
 
 def test_a_started_job_is_not_moved() -> None:
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     (timer,) = only(node.ask(), api.SetTimer)
     started(node, 1, MS)
     assert not node.do(api.TimerFired(timer.tag), timer.after_us)
@@ -155,7 +155,7 @@
     node = Node(
         40,
         classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)),
-        tells_start=True,
+        reports_start=True,
         waste_price=0.2,
     )
     refused = [0, 0]
@@ -188,7 +188,9 @@
 
 def test_a_full_own_zone_spills_into_another() -> None:
     """The own zone went first however full: a third of all jobs late at once (hinted site at full size)."""
-    node = Node([api.Worker(f"w{i}", zone=i % 2) for i in range(20)], cross_zone_price=0.02, tells_start=True)
+    node = Node(
+        [api.Worker(f"w{i}", zone=i % 2) for i in range(20)], cross_zone_price=0.02, reports_start=True
+    )
     picks = []
     for _ in range(200):
         where = sent_to(node.ask(20 * MS))
@@ -217,7 +219,7 @@
 
 def test_no_withdrawal_where_late_answers_have_worth_or_cancelling_is_barred() -> None:
     for changes in ({"cancelling": False}, {"classes": (klass(late_priority_weight=0.5),)}):
-        node = Node(2, tells_start=True, **changes)
+        node = Node(2, reports_start=True, **changes)
         node.ask()
         assert not only(node.ask(2 * S), api.Cancel)
 
@@ -284,7 +286,7 @@
 
 def test_ready_workers_of_the_own_zone_go_first_where_crossing_costs() -> None:
     workers = [api.Worker(f"w{i}", zone=i % 2) for i in range(4)]
-    node = Node(workers, cross_zone_price=0.02, tells_start=True)
+    node = Node(workers, cross_zone_price=0.02, reports_start=True)
     picks = {sent_to(node.ask(MS)), sent_to(node.ask(MS))}
     assert picks == {"w0", "w2"}
     assert sent_to(node.ask(MS)) in {"w1", "w3"}
@@ -321,7 +323,7 @@
 def test_unbound_work_spares_machines_that_bound_work_needs() -> None:
     """Bound jobs waited 2.6 s (90 %) behind work that could go anywhere (igp site, big-1)."""
     workers = [api.Worker(f"w{i}", kind=i % 2) for i in range(20)]
-    node = Node(workers, classes=(klass(kinds=frozenset({1})), klass()), tells_start=True)
+    node = Node(workers, classes=(klass(kinds=frozenset({1})), klass()), reports_start=True)
     picks = []
     for i in range(200):
         bound = i % 2 == 0
@@ -337,14 +339,14 @@
     """Blind among 100 nodes, keyed jobs queued while workers of their cell had room (igp site)."""
     workers = [api.Worker(f"w{i}", cell=i // 2) for i in range(4)]
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.CELL)
-    node = Node(workers, classes=(keyed,), tells_start=True)
+    node = Node(workers, classes=(keyed,), reports_start=True)
     actions = node.ask()
     where = sent_to(actions)
     (timer,) = only(actions, api.SetTimer)
     assert only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel) == [api.Cancel(1, 0)]
     second = sent_to(node.end(1, O.CANCELLED, 26 * MS))
     assert second != where and int(second[1:]) // 2 == int(where[1:]) // 2
-    node = Node(1, classes=(keyed,), tells_start=True)
+    node = Node(1, classes=(keyed,), reports_start=True)
     (timer,) = only(node.ask(), api.SetTimer)
     assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel), "nowhere to go"
 
@@ -354,7 +356,7 @@
     home = []
     for price in (0.001, 0.2):
         workers = [api.Worker(f"w{i}", zone=i % 2) for i in range(10)]
-        node = Node(workers, cross_zone_price=price, tells_start=True)
+        node = Node(workers, cross_zone_price=price, reports_start=True)
         for _ in range(100):
             where = sent_to(node.ask(20 * MS))
             home.append(int(where[1:]) % 2 == 0)
@@ -365,7 +367,7 @@
 
 def test_a_lost_answer_does_not_look_like_a_slow_or_full_worker() -> None:
     """Workers that lose answers were shunned and the others drowned (ledger site, big-1)."""
-    node = Node(2, tells_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
+    node = Node(2, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     for _ in range(6):
         node.ask(MS)
         started(node, node.jobs)
@@ -382,7 +384,7 @@
 
 
 def test_a_slow_worker_that_tells_progress_is_no_lost_answer() -> None:
-    node = Node(2, tells_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
+    node = Node(2, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     worker = node.balancer.workers[sent_to(node.ask())]
     started(node, 1)
     node.do(api.JobProgress(1, 0, 0.3), 4 * S)
@@ -392,7 +394,7 @@
 
 def test_a_safe_job_whose_answer_is_lost_is_sent_again() -> None:
     """Nothing came after the start: 8 % of the answers never arrived (ledger site, big-1)."""
-    node = Node(2, tells_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
+    node = Node(2, reports_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
     started(node, 1, MS)
@@ -416,7 +418,7 @@
     """A quarter of all sends met a worker for the first time (ledger site, big days)."""
     met = []
     for price in (0.0, 0.1):
-        node = Node(50, handshake_price=price, keepalive_us=30 * S, tells_start=True)
+        node = Node(50, handshake_price=price, keepalive_us=30 * S, reports_start=True)
         seen = set()
         for _ in range(60):
             seen.add(sent_to(node.ask(300 * MS)))
@@ -428,7 +430,7 @@
 
 def test_a_late_job_with_late_worth_is_held_only_while_it_can_be_served() -> None:
     """Held until the client gave up, when nobody could serve it any more."""
-    node = Node(1, classes=(klass(late_priority_weight=0.5),), tells_start=True)
+    node = Node(1, classes=(klass(late_priority_weight=0.5),), reports_start=True)
     for _ in range(3):
         node.ask(MS)
         started(node, node.jobs)
@@ -451,7 +453,7 @@
 
 def test_full_for_one_class_backs_off_that_class_alone() -> None:
     """Workers with room turned one class away: each met them again and again (ledger site, big-2)."""
-    node = Node(6, classes=(klass(), klass()), tells_start=True)
+    node = Node(6, classes=(klass(), klass()), reports_start=True)
     picks: list[tuple[int, str]] = []
     for i in range(120):
         where = sent_to(node.ask(20 * MS, job_class=i % 2))
@@ -471,7 +473,7 @@
 
 
 def test_a_class_turned_away_everywhere_is_still_sent() -> None:
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     for _ in range(3):
         node.balancer.overload.shed_share = 0.0
         assert only(node.ask(10 * MS), api.Send)
@@ -494,7 +496,7 @@
     workers = [api.Worker(f"w{i}", cell=i // 2) for i in range(4)]
     waits = []
     for repeat in (api.Repeat.KEYED, api.Repeat.SAFE):
-        node = Node(workers, classes=(klass(repeat=repeat, scope=api.Scope.CELL),), tells_start=True)
+        node = Node(workers, classes=(klass(repeat=repeat, scope=api.Scope.CELL),), reports_start=True)
         for _ in range(8):
             node.ask(MS)
             started(node, node.jobs, 80 * MS)
@@ -505,7 +507,7 @@
 
 def test_lost_jobs_take_no_room() -> None:
     """Jobs whose answers were lost filled every worker till they timed out (ledger site, twin of big-1)."""
-    node = Node(1, tells_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
+    node = Node(1, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     node.ask()
     started(node, 1, MS)
     node.balancer.workers["w0"].concurrency_limit = 1.0
@@ -515,7 +517,7 @@
 
 def test_a_job_of_untold_length_waits_longer_than_its_bare_aim() -> None:
     """Lookups were refused after 0.3 s though a usual one could have waited 1 s (calm and rude days)."""
-    node = Node(1, tells_start=True)
+    node = Node(1, reports_start=True)
     node.ask()
     started(node, 1, MS)
     node.end(1, took_us=400 * MS, after_us=400 * MS)
@@ -529,7 +531,7 @@
 
 def test_a_worker_not_heard_from_gets_a_job_on_a_new_connection() -> None:
     """Renewals written to the open connections of a vanished machine were lost (fleet days)."""
-    node = Node(1, tells_start=True)
+    node = Node(1, reports_start=True)
     assert not only(node.ask(), api.CloseIdle)  # none can be open
     node.end(1, after_us=50 * MS)
     assert not only(node.ask(100 * MS), api.CloseIdle)
@@ -546,7 +548,7 @@
 ) -> None:
     """It was waited for until the client's limit (days with vanished workers)."""
     classes = (klass(latency_objective_us=3 * S, repeat=repeat),)
-    node = Node(1, classes=classes, tells_start=True, probes=True, connect_timeout_us=200 * MS)
+    node = Node(1, classes=classes, reports_start=True, probes=True, connect_timeout_us=200 * MS)
     node.ask()
     started(node, 1, MS)
     node.ask(S)
@@ -563,7 +565,7 @@
 
 def test_a_worker_that_loses_its_answers_is_picked_last() -> None:
     """It starts jobs and ends none: seven renewals in a row were lost to two of them (lost answers)."""
-    node = Node(2, tells_start=True, probes=True)
+    node = Node(2, reports_start=True, probes=True)
     for job in (1, 2):
         node.ask()
         started(node, job, MS)
@@ -585,7 +587,7 @@
 
 def test_a_worker_shows_its_room_within_a_few_starts() -> None:
     """At a tenth a start, home workers with idle slots counted as full: a third of all jobs crossed zones."""
-    node = Node(1, tells_start=True)
+    node = Node(1, reports_start=True)
     for job in range(1, 9):
         assert sent_to(node.ask(MS)) == "w0", f"no room for job {job}"
         started(node, job, MS)
@@ -593,7 +595,7 @@
 
 def test_what_may_not_be_repeated_avoids_a_worker_that_failed_of_late() -> None:
     """Renewals were a failing worker's trial jobs after each ejection, and were lost there (reload days)."""
-    node = Node(3, classes=(klass(), klass(repeat=api.Repeat.UNSAFE)), tells_start=True)
+    node = Node(3, classes=(klass(), klass(repeat=api.Repeat.UNSAFE)), reports_start=True)
     bad = sent_to(node.ask())
     assert sent_to(node.end(1, O.RESET, MS, after_us=MS)) != bad
     node.end(1, attempt=1, took_us=3 * S, after_us=MS)
@@ -607,7 +609,7 @@
 
 def test_a_safe_job_that_breaks_after_a_long_run_is_sent_again() -> None:
     """Reports killed with a released worker were refused, though long ones had time for another run."""
-    node = Node(2, tells_start=True)
+    node = Node(2, reports_start=True)
     node.ask()
     started(node, 1, MS)
     assert sent_to(node.end(1, O.RESET, S, after_us=S))
@@ -620,7 +622,7 @@
     """Eight nodes with one job each at a worker wait for each other there (Kalevi, overload, big-1)."""
 
     def pause(waits_us: int) -> int:
-        node = Node(1, tells_start=True, fleet_size=8)
+        node = Node(1, reports_start=True, fleet_size=8)
         for job in range(1, 8):
             while not only(node.ask(10 * MS), api.Send):
                 pass
@@ -641,7 +643,7 @@
             klass(priority_weight=3.0, late_priority_weight=late_worth),
             klass(priority_weight=2.0, late_priority_weight=0.5),
         )
-        node = Node(1, tells_start=True, classes=classes, value_by_work=True)
+        node = Node(1, reports_start=True, classes=classes, value_by_work=True)
         node.ask()
         node.ask(MS, job_class=0)
         node.do(api.TimerFired("held"), 110 * MS)
@@ -652,7 +654,7 @@
 
 def test_a_node_with_few_jobs_out_leaves_waiting_jobs_alone_that_could_go_anywhere() -> None:
     """200 such nodes moved one job in nine to workers as full, and what they withdrew ran on all the same."""
-    node = Node(60, tells_start=True, fleet_size=200)
+    node = Node(60, reports_start=True, fleet_size=200)
     for _ in range(20):
         node.ask(200 * MS)
         started(node, node.jobs)
@@ -664,7 +666,7 @@
 
 
 def test_a_node_with_many_jobs_out_still_moves_a_job_that_does_not_start() -> None:
-    node = Node(2, tells_start=True, fleet_size=200)
+    node = Node(2, reports_start=True, fleet_size=200)
     for _ in range(20):
         node.ask(10 * MS)
         started(node, node.jobs)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,7 +109,7 @@
     chance = random.Random(seed)
     kinds = (SAFE, UNSAFE, klass(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, memory_us=300 * MS))
     node = Node(
-        [api.Worker(f"w{i}", zone=i % 2) for i in range(3)], seed=seed, classes=kinds, tells_start=True,
+        [api.Worker(f"w{i}", zone=i % 2) for i in range(3)], seed=seed, classes=kinds, reports_start=True,
         probes=True, progress_us=100 * MS, waste_price=0.02,
     )  # fmt: skip
     over: set[int] = set()
@@ -160,7 +160,7 @@
 def test_a_keyed_job_whose_window_is_over_is_answered_though_it_ran_long() -> None:
     """It had started, so its time was thought to be longer; held past its window, no worker could get it."""
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, memory_us=300 * MS)
-    node = Node(2, classes=(keyed,), tells_start=True)
+    node = Node(2, classes=(keyed,), reports_start=True)
     node.ask()
     node.do(api.JobStarted(1, 0), MS)
     assert only(node.end(1, O.RESET, after_us=400 * MS), api.Fail) == [api.Fail(1)]
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -43,8 +43,8 @@
 
 
 def test_the_lease_lasts_from_one_watch_message_to_the_next_however_often_schedulers_poll() -> None:
-    for ask_every_us in (S, 2 * S, 4 * S, 10 * S):
-        made = ListLease.from_settings(settings(must_subscribe=True, ask_every_us=ask_every_us), 41)
+    for poll_interval_us in (S, 2 * S, 4 * S, 10 * S):
+        made = ListLease.from_settings(settings(must_subscribe=True, poll_interval_us=poll_interval_us), 41)
         assert not made.is_valid(HEARD)
         made.renew(HEARD, 41)
         assert made.is_valid(HEARD + watch_schedule.WATCH_SILENCE_TIMEOUT_US) and not made.is_valid(
@@ -190,7 +190,7 @@
     hour = 3600 * S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
     record = node.balancer.workers["w2"]
-    assert record.slow_start_until_us == node.now + node.balancer.settings.cold_us
+    assert record.slow_start_until_us == node.now + node.balancer.settings.slow_start_us
     until = record.slow_start_until_us
     node.now += S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -115,7 +115,7 @@
               late_priority_weight=rng.choice([0.0, 0.0, 0.5]), deadline_us=S)
         for r, k in zip(repeats, [None, None, frozenset({1})], strict=True)
     )  # fmt: skip
-    config = settings(classes=classes, tells_start=rng.random() < 0.5, max_attempts=3, must_subscribe=True,
+    config = settings(classes=classes, reports_start=rng.random() < 0.5, max_attempts=3, must_subscribe=True,
                       parallel_attempts=rng.random() < 0.5, cancelling=rng.random() < 0.7,
                       full_may_have_run=rng.random() < 0.5,
                       close_within_us=rng.choice([None, 20 * MS]))  # fmt: skip
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -33,7 +33,7 @@
 def test_a_node_with_few_jobs_out_weighs_ages_by_the_logarithm_of_q_alone() -> None:
     """Kinds that differ by half got loads that differ by more than twice, and a fleet swung between them."""
     workers = [api.Worker(f"w{i}", kind=i % 2) for i in range(60)]
-    node = Node(workers, fleet_size=200, tells_start=True)
+    node = Node(workers, fleet_size=200, reports_start=True)
     for _ in range(300):
         where = sent_to(node.ask(200 * MS))
         node.do(api.JobStarted(node.jobs, 0), MS)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("workers", [0, 1, 400])
 def test_any_size_of_list_answers_each_request_once(workers: int) -> None:
-    node, answers = Node(workers, tells_start=True, fleet_size=150), 0
+    node, answers = Node(workers, reports_start=True, fleet_size=150), 0
     for _ in range(60):
         actions = node.ask(5 * MS)
         answers += len(finals(actions))
@@ -202,7 +202,7 @@
 
 def bound_node(**changes: object) -> Node:
     workers = [api.Worker("z0k0"), api.Worker("z0k1", kind=1), api.Worker("z1k1", zone=1, kind=1)]
-    return Node(workers, classes=(klass(**changes), klass()), tells_start=True)
+    return Node(workers, classes=(klass(**changes), klass()), reports_start=True)
 
 
 def test_a_bound_class_goes_only_to_what_is_open_to_it() -> None:
@@ -237,7 +237,7 @@
 
 
 def closing_node(close_within_us: int | None = S) -> Node:
-    node = Node(1, tells_start=True, close_within_us=close_within_us)
+    node = Node(1, reports_start=True, close_within_us=close_within_us)
     assert sent_to(node.ask()) == "w0"
     return node
 
@@ -297,7 +297,7 @@
 
 
 def test_the_list_is_subscribed_and_a_failed_call_repeated_with_back_off() -> None:
-    node = Node(1, must_subscribe=True, ask_every_us=8 * S)
+    node = Node(1, must_subscribe=True, poll_interval_us=8 * S)
     (timer,) = only(node.first, api.SetTimer)
     assert node.do(api.TimerFired(timer.tag), timer.after_us) == [api.Subscribe()]
     waits = []
@@ -387,7 +387,7 @@
 
 def test_a_worker_taken_back_is_used_soon_whatever_befell_it_before() -> None:
     """Its outage was the operators': it comes back cold, and neither shunned nor full of lost jobs."""
-    node = Node(2, tells_start=True, classes=(klass(repeat=api.Repeat.UNSAFE),))
+    node = Node(2, reports_start=True, classes=(klass(repeat=api.Repeat.UNSAFE),))
     until_sent_to(node, "w0")
     lost = node.jobs  # it will never be heard of again
     node.listed(api.ListKind.CACHED, api.Worker("w0", state=api.WorkerState.DRAINING), api.Worker("w1"))
@@ -447,8 +447,8 @@
     [
         ("fleet_size", 0),
         ("max_attempts", 0),
-        ("cold_from", 0.0),
-        ("cold_us", 0),
+        ("slow_start_floor", 0.0),
+        ("slow_start_us", 0),
         ("classes", ()),
         ("close_within_us", -1),
         ("close_within_us", "x"),
