--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from robinhill.control.record_merging import RejectedRecord
+from robinhill.mesh.record_merging import RejectedRecord
 from robinhill.mesh.records import Record
 
 Link = int
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -12,7 +12,7 @@
 from robinhill.control import messages as wire
 from robinhill.control.actions import Apply, Link
 from robinhill.control.outbox import Outbox
-from robinhill.control.record_merging import any_rejected, merge_records
+from robinhill.mesh.record_merging import any_rejected, merge_records
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
@@ -176,11 +176,11 @@
             feed.position = max(feed.position, position)
 
     def _merge(self, now_us: int, records: Iterable[Record]) -> None:
-        changed, rejected = merge_records(self.replica, now_us, records)
-        if any_rejected(rejected):
+        merged = merge_records(self.replica, now_us, records)
+        if any_rejected(merged.rejected):
             self.rejected = self._rejected_in_comparison = True
-        if changed or rejected:
-            self._outbox.add(Apply(tuple(changed), tuple(rejected)))
+        if merged.changed or merged.rejected:
+            self._outbox.add(Apply(tuple(merged.changed), tuple(merged.rejected)))
 
     # Confirmations
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -26,11 +26,11 @@
 from robinhill.control.observer_sessions import ObserverSessions
 from robinhill.control.options import ControlOptions
 from robinhill.control.outbox import Metrics, VoterOutbox
-from robinhill.control.record_merging import RejectedRecord, any_rejected, merge_records
 from robinhill.control.voter_links import VoterLink, VoterLinks
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
+from robinhill.mesh.record_merging import RejectedRecord, any_rejected, merge_records
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
@@ -282,8 +282,7 @@
         match event:
             case HelloReceived(hello=hello):
                 self._handle_greeting(mono_us, link, wire.VoterIncarnation(hello.name, hello.incarnation))
-            case RecordsReceived(records=records, rejected=received):
-                rejected = [RejectedRecord(record, error) for record, error in received]
+            case RecordsReceived(records=records, rejected=rejected):
                 self._note_changes(records, rejected)
                 if voter.name is not None and any_rejected(rejected):
                     self._voter_links.incomplete.record_rejected(voter.name, voter.session)
@@ -310,8 +309,8 @@
             self.commit_tracker.voter_restarted(name, incarnation)
 
     def _handle_offer(self, now_us: int, mono_us: int, link: Link, offer: wire.Offer) -> None:
-        changed, rejected = merge_records(self.replica, now_us, offer.records)
-        self._note_changes(changed, rejected)
+        merged = merge_records(self.replica, now_us, offer.records)
+        self._note_changes(merged.changed, merged.rejected)
         if not offer.number:
             return
         try:
@@ -319,8 +318,8 @@
         except ChangesFull as e:
             self._changes.report_untracked(link, offer.number, e.what)
             return
-        if any_rejected(rejected):
-            self._changes.report_untracked(link, offer.number, rejected[0].error.what)
+        if any_rejected(merged.rejected):
+            self._changes.report_untracked(link, offer.number, merged.rejected[0].error.what)
             return
         self._track(mono_us, offer.records, Requester(link, offer.number))
 
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -13,7 +13,7 @@
 
 from robinhill.mesh.anti_entropy import AntiEntropy
 from robinhill.mesh.delivery_windows import ReceiveWindow
-from robinhill.mesh.errors import MeshError, PeerRejected
+from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.frames import (
     MAX_MEMBERS,
     PROTOCOL,
@@ -32,6 +32,7 @@
 )
 from robinhill.mesh.ping_schedule import MAX_PINGS_IN_FLIGHT, PingSchedule
 from robinhill.mesh.push_sender import PushSender
+from robinhill.mesh.record_merging import MergeResult
 from robinhill.mesh.records import Record
 from robinhill.mesh.session_events import (
     Event,
@@ -222,20 +223,13 @@
 
     def _receive_push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
         self._received.received(push.number, push.replaces)
-        changed: list[Record] = []
-        rejected: list[tuple[Record, MeshError]] = []
+        merged = MergeResult()
         for record in push.records:
-            try:
-                stored = self.store.merge(now_us, record)
-            except MeshError as e:
-                rejected.append((record, e))
-                stored = getattr(e, "stored", None)  # a record slightly in the future is stored all the same
-            if stored is not None:
-                changed.append(stored)
+            merged.merge(self.store, now_us, record)
             self.sender.peer_has(record)
         events: list[Event] = []
-        if changed or rejected:
-            events.append(RecordsReceived(tuple(changed), tuple(rejected)))
+        if merged.changed or merged.rejected:
+            events.append(RecordsReceived(tuple(merged.changed), tuple(merged.rejected)))
         early, self._early_pongs = self._early_pongs, []
         for pong in early:
             events += self._receive_pong(mono_us, pong)
--- a/robinhill/mesh/session_events.py
+++ b/robinhill/mesh/session_events.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from robinhill.mesh.errors import MeshError
 from robinhill.mesh.frames import Hello
+from robinhill.mesh.record_merging import RejectedRecord
 from robinhill.mesh.records import Record
 
 
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordsReceived:
-    """Records that changed here by a push, and those that were rejected, each with its error."""
+    """Records that changed here by a push, and those that were rejected or stored with a warning."""
 
     records: tuple[Record, ...]
-    rejected: tuple[tuple[Record, MeshError], ...] = ()
+    rejected: tuple[RejectedRecord, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -14,7 +14,7 @@
 from robinhill.control.observer import Observer
 from robinhill.control.operator_options import address_of, options_of_observer
 from robinhill.control.options import ControlOptions
-from robinhill.control.record_kinds import kinds, names_of
+from robinhill.control.record_kinds import kinds
 from robinhill.cordon.propagation import Mode
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.mesh.options import MeshOptions
@@ -30,11 +30,11 @@
     status_answer,
     traffic_figures,
 )
-from robinhill.net.control_group.recovery import log_rejected, recover
 from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import covers
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
+from robinhill.net.peers.recovery import log_rejected, recover
 from robinhill.protocol import Answer, ListedEndpoint
 
 log = logging.getLogger(__name__)
@@ -64,7 +64,7 @@
         self.inbound = inbound
         # A file is left by a scheduler that shared with peers; as an observer it saves no records.
         folder = config.folder if mesh.folder else None
-        recovery = recover(folder, mesh.installation, self.name, clock.now_us(), names_of(kinds()))
+        recovery = recover(folder, mesh.installation, self.name, clock.now_us(), kinds(), other_kinds=False)
         self.snapshot_store = recovery.store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -18,7 +18,7 @@
 from robinhill.control.errors import VotersNotOneAtATime
 from robinhill.control.operator_options import address_of, options_of_voter
 from robinhill.control.options import ControlOptions
-from robinhill.control.record_kinds import URGENT_KINDS
+from robinhill.control.record_kinds import URGENT_KINDS, kinds
 from robinhill.control.voter import Voter
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.records import Record
@@ -33,9 +33,9 @@
     status_answer,
     traffic_figures,
 )
-from robinhill.net.control_group.recovery import log_rejected, recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
 from robinhill.net.cordons.group_member import GroupCordons
+from robinhill.net.peers.recovery import log_rejected, recover
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         folder = config.folder if self.mesh.folder else None
-        recovery = recover(folder, self.mesh.installation, config.name, self.clock.now_us())
+        recovery = recover(folder, self.mesh.installation, config.name, self.clock.now_us(), kinds())
         self.snapshot_store = recovery.store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -37,6 +37,7 @@
 from robinhill.net.cordons.peer_list_transition import PeerListTransition
 from robinhill.net.cordons.replies import StatusReply
 from robinhill.net.cordons.status_report import StatusReport
+from robinhill.net.peers.recovery import log_rejected
 from robinhill.protocol import ListedEndpoint
 
 log = logging.getLogger(__name__)
@@ -165,9 +166,7 @@
 
     def receive_records(self, received: RecordsReceived) -> None:
         """Apply records that were received from a peer and are in the replica now."""
-        for record, error in received.rejected:
-            extra = {"kind": record.kind, "key": record.key, "why": str(error)}
-            log.warning("record_rejected", extra=extra)
+        log_rejected(received.rejected)
         if sum([self._apply(record) for record in received.records]):
             self._update()
         self._review()
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/peers/recovery.py
@@ -1,14 +1,14 @@
-"""What a member of the control group restores at its start: its incarnation, and its records on disk."""
+"""What a process restores at its start: its incarnation, and the records that its last process saved."""
 
 import logging
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
-from robinhill.control.record_kinds import kinds
-from robinhill.control.record_merging import RejectedRecord, merge_records
 from robinhill.mesh.clocks import next_incarnation
-from robinhill.mesh.records import Record
+from robinhill.mesh.record_merging import RejectedRecord, merge_records
+from robinhill.mesh.records import Kind, Record
 from robinhill.mesh.replica import Replica
 from robinhill.mesh.snapshot import SnapshotHeader
 from robinhill.net.peers.snapshot_store import SnapshotStore
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Recovery:
-    """A member's replica with its restored records, and where it saves them."""
+    """A replica with its restored records, and where it is saved."""
 
     store: SnapshotStore
     replica: Replica
@@ -30,15 +30,22 @@
     installation: str,
     name: str,
     now_us: int,
-    only_kinds: Collection[str] | None = None,
+    kinds: Iterable[Kind[Any]],
+    *,
+    other_kinds: bool = True,
 ) -> Recovery:
-    """Restore the records that the last process saved, of ``only_kinds``; without a folder there are none."""
+    """Restore the saved records; without a folder there are none.
+
+    ``kinds``: those that the replica registers; with ``other_kinds`` records of others are restored too.
+    """
     store = SnapshotStore(folder, installation, name)
     header, records = store.load()
     incarnation = next_incarnation(now_us, header.incarnation if header else 0)
-    replica = Replica(name, incarnation, kinds())
+    registered = tuple(kinds)
+    replica = Replica(name, incarnation, registered)
     if header:
-        wanted = [record for record in records if only_kinds is None or record.kind in only_kinds]
+        names = {kind.name for kind in registered}
+        wanted = [record for record in records if other_kinds or record.kind in names]
         restore_records(replica, header, wanted, now_us)
     return Recovery(store, replica, incarnation)
 
@@ -48,12 +55,11 @@
 ) -> None:
     """Merge the records of a snapshot, unless it is so old that other processes may have dropped them
     since."""
-    _, rejected = merge_records(replica, now_us, records)
-    log_rejected(rejected)
+    log_rejected(merge_records(replica, now_us, records).rejected)
     age_us = max(0, now_us - header.saved_us)
     if replica.stale(now_us, age_us):
         replica.clear(age_us)
-    log.info("snapshot_restored", extra={"records": len(records) - len(rejected), "age_s": age_us / 1e6})
+    log.info("snapshot_restored", extra={"records": len(records), "age_s": age_us / 1e6})
 
 
 def log_rejected(rejected: Iterable[RejectedRecord]) -> None:
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -16,13 +16,11 @@
 from robinhill.config_types import Address, ConfigError
 from robinhill.cordon.codec import cordon_kind
 from robinhill.mesh.acknowledgements import acknowledgement_kind
-from robinhill.mesh.clocks import next_incarnation
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.record_kinds import DRAIN_KIND, EVIDENCE_KIND, MAX_RETRY_WINDOW_US, request_kind
 from robinhill.mesh.records import Kind, Record
-from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Identity
 from robinhill.mesh.session_events import RecordsReceived
 from robinhill.mesh.snapshot import SnapshotHeader
@@ -36,7 +34,7 @@
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
 from robinhill.net.peers.peer_connections import Configure, PeerConnections
-from robinhill.net.peers.snapshot_store import SnapshotStore
+from robinhill.net.peers.recovery import recover
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -61,12 +59,8 @@
         names = _names(options, self.name)
         listen = _listen(options, self.name)
         folder = config.folder if options.folder else None
-        self.snapshot_store = SnapshotStore(folder, options.installation, self.name)
-        header, records = self.snapshot_store.load()
-        incarnation = next_incarnation(clock.now_us(), header.incarnation if header else 0)
-        self.replica = Replica(self.name, incarnation, _kinds())
-        if header is not None:
-            self._restore(header, records)
+        recovery = recover(folder, options.installation, self.name, self.clock.now_us(), _kinds())
+        self.snapshot_store, self.replica = recovery.store, recovery.replica
         self.freshness = Freshness(self.name, names, options.bound_ms * 1000)
         self.cordons = CordonActor(
             Fleet(self.name, names, options),
@@ -85,7 +79,7 @@
             self.replica,
             self.freshness,
             self,
-            random.Random(f"{self.name} {incarnation}"),  # for backoff alone
+            random.Random(f"{self.name} {recovery.incarnation}"),  # for backoff alone
         )
         self._renewed_s = -RENEW_INTERVAL_S
         self.peers.alive = self.cordons.reachable
@@ -103,19 +97,6 @@
             "replication_started", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost}
         )
 
-    def _restore(self, header: SnapshotHeader, records: list[Record]) -> None:
-        """Merge the last process's records, unless all others may have forgotten them since."""
-        now_us = self.clock.now_us()
-        for record in records:
-            try:
-                self.replica.merge(now_us, record)
-            except MeshError as e:
-                log.warning("record_rejected", extra={"kind": record.kind, "key": record.key, "why": str(e)})
-        age_us = max(0, now_us - header.saved_us)
-        if self.replica.stale(now_us, age_us):
-            self.replica.clear(age_us)
-        log.info("snapshot_restored", extra={"records": len(records), "age_s": age_us / 1e6})
-
     def start(self) -> None:
         """Start replicating, saving snapshots, and collecting expired records."""
         self.cordons.start()
