--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -176,11 +176,11 @@
             feed.position = max(feed.position, position)
 
     def _merge(self, now_us: int, records: Iterable[Record]) -> None:
-        merged = merge_records(self.replica, now_us, records)
-        if any_rejected(merged.rejected):
+        changed, rejected = merge_records(self.replica, now_us, records)
+        if any_rejected(rejected):
             self.rejected = self._rejected_in_comparison = True
-        if merged.changed or merged.rejected:
-            self._outbox.add(Apply(tuple(merged.changed), tuple(merged.rejected)))
+        if changed or rejected:
+            self._outbox.add(Apply(tuple(changed), tuple(rejected)))
 
     # Confirmations
 
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -309,8 +309,8 @@
             self.commit_tracker.voter_restarted(name, incarnation)
 
     def _handle_offer(self, now_us: int, mono_us: int, link: Link, offer: wire.Offer) -> None:
-        merged = merge_records(self.replica, now_us, offer.records)
-        self._note_changes(merged.changed, merged.rejected)
+        changed, rejected = merge_records(self.replica, now_us, offer.records)
+        self._note_changes(changed, rejected)
         if not offer.number:
             return
         try:
@@ -318,8 +318,8 @@
         except ChangesFull as e:
             self._changes.report_untracked(link, offer.number, e.what)
             return
-        if any_rejected(merged.rejected):
-            self._changes.report_untracked(link, offer.number, merged.rejected[0].error.what)
+        if any_rejected(rejected):
+            self._changes.report_untracked(link, offer.number, rejected[0].error.what)
             return
         self._track(mono_us, offer.records, Requester(link, offer.number))
 
--- a/robinhill/mesh/record_merging.py
+++ b/robinhill/mesh/record_merging.py
@@ -1,7 +1,7 @@
 """Merging of received records into a replica, and the records that it rejected or stored with a warning."""
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Protocol
 
 from robinhill.mesh.clocks import StampAhead
@@ -9,11 +9,11 @@
 from robinhill.mesh.records import Record
 
 
-class MergingStore(Protocol):
+class Mergeable(Protocol):
     """What merging needs of the replica."""
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a record. Returns what is stored now; None if nothing has changed. Raises MeshError."""
+        """Merge a record; what is stored now if that changed something. Raises MeshError."""
         ...
 
 
@@ -30,31 +30,30 @@
         return self.error.stored if isinstance(self.error, StampAhead) else None
 
 
-@dataclass(slots=True)
-class MergeResult:
-    """Records that have changed the replica, and records that it rejected or stored with a warning."""
+def merge_record(
+    replica: Mergeable, now_us: int, record: Record
+) -> tuple[Record | None, RejectedRecord | None]:
+    """Merge a record. Returns what is stored now if the replica changed, and the rejection if any."""
+    try:
+        return replica.merge(now_us, record), None
+    except MeshError as e:
+        rejection = RejectedRecord(record, e)
+        return rejection.stored_with_warning, rejection
 
-    changed: list[Record] = field(default_factory=list)
-    rejected: list[RejectedRecord] = field(default_factory=list)
 
-    def merge(self, store: MergingStore, now_us: int, record: Record) -> None:
-        """Merge one record and add its result."""
-        try:
-            stored = store.merge(now_us, record)
-        except MeshError as e:
-            rejection = RejectedRecord(record, e)
-            self.rejected.append(rejection)
-            stored = rejection.stored_with_warning
-        if stored is not None:
-            self.changed.append(stored)
-
-
-def merge_records(store: MergingStore, now_us: int, records: Iterable[Record]) -> MergeResult:
-    """Merge records in order."""
-    result = MergeResult()
+def merge_records(
+    replica: Mergeable, now_us: int, records: Iterable[Record]
+) -> tuple[list[Record], list[RejectedRecord]]:
+    """Merge ``records``. Returns those that changed the replica, and those that it rejected or bounded."""
+    changed: list[Record] = []
+    rejected: list[RejectedRecord] = []
     for record in records:
-        result.merge(store, now_us, record)
-    return result
+        stored, rejection = merge_record(replica, now_us, record)
+        if rejection is not None:
+            rejected.append(rejection)
+        if stored is not None:
+            changed.append(stored)
+    return changed, rejected
 
 
 def any_rejected(rejected: Iterable[RejectedRecord]) -> bool:
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -32,7 +32,7 @@
 )
 from robinhill.mesh.ping_schedule import MAX_PINGS_IN_FLIGHT, PingSchedule
 from robinhill.mesh.push_sender import PushSender
-from robinhill.mesh.record_merging import MergeResult
+from robinhill.mesh.record_merging import RejectedRecord, merge_record
 from robinhill.mesh.records import Record
 from robinhill.mesh.session_events import (
     Event,
@@ -223,13 +223,18 @@
 
     def _receive_push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
         self._received.received(push.number, push.replaces)
-        merged = MergeResult()
+        changed: list[Record] = []
+        rejected: list[RejectedRecord] = []
         for record in push.records:
-            merged.merge(self.store, now_us, record)
+            stored, rejection = merge_record(self.store, now_us, record)
+            if rejection is not None:
+                rejected.append(rejection)
+            if stored is not None:
+                changed.append(stored)
             self.sender.peer_has(record)
         events: list[Event] = []
-        if merged.changed or merged.rejected:
-            events.append(RecordsReceived(tuple(merged.changed), tuple(merged.rejected)))
+        if changed or rejected:
+            events.append(RecordsReceived(tuple(changed), tuple(rejected)))
         early, self._early_pongs = self._early_pongs, []
         for pong in early:
             events += self._receive_pong(mono_us, pong)
--- /dev/null
+++ b/robinhill/net/control_group/recovery.py
@@ -0,0 +1,43 @@
+"""What a member of the control group restores at its start: its incarnation, and its records on disk."""
+
+import logging
+from collections.abc import Collection
+from dataclasses import dataclass
+from pathlib import Path
+
+from robinhill.control.record_kinds import kinds
+from robinhill.mesh.clocks import next_incarnation
+from robinhill.mesh.replica import Replica
+from robinhill.net.peers.snapshot_restore import restore_records
+from robinhill.net.peers.snapshot_store import SnapshotStore
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(slots=True, frozen=True)
+class Recovery:
+    """A member's replica with its restored records, and where it saves them."""
+
+    store: SnapshotStore
+    replica: Replica
+    incarnation: int
+
+
+def recover(
+    folder: Path | None,
+    installation: str,
+    name: str,
+    now_us: int,
+    only_kinds: Collection[str] | None = None,
+) -> Recovery:
+    """Restore the records that the last process saved, of ``only_kinds``; without a folder there are none."""
+    store = SnapshotStore(folder, installation, name)
+    header, records = store.load()
+    incarnation = next_incarnation(now_us, header.incarnation if header else 0)
+    replica = Replica(name, incarnation, kinds())
+    if header:
+        wanted = [record for record in records if only_kinds is None or record.kind in only_kinds]
+        restored = restore_records(replica, header, wanted, now_us)
+        count = len(wanted) - restored.rejected
+        log.info("snapshot_restored", extra={"records": count, "age_s": restored.age_us / 1e6})
+    return Recovery(store, replica, incarnation)
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -37,7 +37,7 @@
 from robinhill.net.cordons.peer_list_transition import PeerListTransition
 from robinhill.net.cordons.replies import StatusReply
 from robinhill.net.cordons.status_report import StatusReport
-from robinhill.net.peers.recovery import log_rejected
+from robinhill.net.peers.rejections import log_rejected
 from robinhill.protocol import ListedEndpoint
 
 log = logging.getLogger(__name__)
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -16,11 +16,13 @@
 from robinhill.config_types import Address, ConfigError
 from robinhill.cordon.codec import cordon_kind
 from robinhill.mesh.acknowledgements import acknowledgement_kind
+from robinhill.mesh.clocks import next_incarnation
 from robinhill.mesh.errors import MeshError
 from robinhill.mesh.freshness import Freshness
 from robinhill.mesh.options import MeshOptions
 from robinhill.mesh.record_kinds import DRAIN_KIND, EVIDENCE_KIND, MAX_RETRY_WINDOW_US, request_kind
 from robinhill.mesh.records import Kind, Record
+from robinhill.mesh.replica import Replica
 from robinhill.mesh.session import Identity
 from robinhill.mesh.session_events import RecordsReceived
 from robinhill.mesh.snapshot import SnapshotHeader
@@ -34,7 +36,8 @@
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
 from robinhill.net.peers.peer_connections import Configure, PeerConnections
-from robinhill.net.peers.recovery import recover
+from robinhill.net.peers.snapshot_restore import restore_records
+from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -59,8 +62,8 @@
         names = _names(options, self.name)
         listen = _listen(options, self.name)
         folder = config.folder if options.folder else None
-        recovery = recover(folder, options.installation, self.name, self.clock.now_us(), _kinds())
-        self.snapshot_store, self.replica = recovery.store, recovery.replica
+        self.snapshot_store = SnapshotStore(folder, options.installation, self.name)
+        self.replica = self._restored_replica()
         self.freshness = Freshness(self.name, names, options.bound_ms * 1000)
         self.cordons = CordonActor(
             Fleet(self.name, names, options),
@@ -79,24 +82,45 @@
             self.replica,
             self.freshness,
             self,
-            random.Random(f"{self.name} {recovery.incarnation}"),  # for backoff alone
+            random.Random(f"{self.name} {self.replica.clock.incarnation}"),  # for backoff alone
         )
         self._renewed_s = -RENEW_INTERVAL_S
+        self._connect(dispatcher)
+        log.info(
+            "replication_started",
+            extra={
+                "as": self.name,
+                "installation": options.installation,
+                "schedulers": len(names),
+                "bound_ms": options.bound_ms,
+                "on_lost": options.on_lost,
+            },
+        )
+
+    def _connect(self, dispatcher: Dispatcher) -> None:
+        """Connect cordons, peers, dispatcher and inbound requests to each other."""
         self.peers.alive = self.cordons.reachable
         self.cordons.on_change = self.peers.wake
         self.cordons.on_serving = self._start_serving
         self.cordons.on_newer_incarnation = self._renew_incarnation
-        inbound.catching_up = True
+        self.inbound.catching_up = True
         dispatcher.use_cordons(
             self.cordons.may_send,
             lambda: self.cordons.tell(WorkerListChanged()),
-            self.cordons.holds_lease if options.on_lost == "hold" else None,
-        )
-        extra = {"as": self.name, "installation": options.installation, "schedulers": len(names)}
-        log.info(
-            "replication_started", extra=extra | {"bound_ms": options.bound_ms, "on_lost": options.on_lost}
+            self.cordons.holds_lease if self.options.on_lost == "hold" else None,
         )
 
+    def _restored_replica(self) -> Replica:
+        """A replica with the records of the last process, under a larger incarnation."""
+        header, records = self.snapshot_store.load()
+        incarnation = next_incarnation(self.clock.own.now_us(), header.incarnation if header else 0)
+        replica = Replica(self.name, incarnation, _kinds())
+        if header is not None:
+            restored = restore_records(replica, header, records, self.clock.now_us())
+            extra = {"records": len(records), "age_s": restored.age_us / 1e6}
+            log.info("snapshot_restored", extra=extra)
+        return replica
+
     def start(self) -> None:
         """Start replicating, saving snapshots, and collecting expired records."""
         self.cordons.start()
@@ -179,7 +203,7 @@
         }
         return Answer(200, msgspec.json.encode({k: v for k, v in status.items() if v is not None}) + b"\n")
 
-    def vouch(self) -> Answer:
+    def confirm_complete(self) -> Answer:
         """An operator confirms that nothing is in force that this scheduler does not know."""
         self.cordons.confirm_complete("an operator said so")
         return Answer(200, b"it counts for majorities\n")
