--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -1,8 +1,8 @@
 """Voters and observers of the control group on a simulated network: real state machines, a test clock.
 
-Links are ordered, as connections are: a lost message comes late, and all behind it with it. A cut holds what
-is on its way; connections over it are not told of each other's end before the heal. Every process has a
-monotonic clock of its own, which starts elsewhere and runs at another rate.
+Links are ordered, as connections are: a lost message arrives late, and so do all messages after it. A
+partition delays messages in flight until it heals, among them the end of a connection. Every process has a
+monotonic clock with an offset and a rate of its own.
 """
 
 import heapq
@@ -192,7 +192,7 @@
         self._act(process, process.machine.start(self.now_us, process.mono_us(self.at_us)))
 
     def crash(self, name: str) -> None:
-        """The process ends without a word; its host tells so where it can be reached."""
+        """The process ends without a goodbye; its host closes the connections that are not cut."""
         process = self.processes.pop(name)
         process.alive = False
         for number in sorted(process.connections):
@@ -490,7 +490,8 @@
         )
 
     def settled(self) -> bool:
-        """Whether all observers are in step and have a spare link, where there is more than one voter."""
+        """Whether all observers are synchronized and have a spare link, where there is more than one
+        voter."""
         spare = len(self.voters()) > 1
         return all(
             one.machine.synchronized and (one.machine.spare_voter is not None or not spare)
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -221,8 +221,8 @@
             async with asyncio.timeout(DEADLINE_S):
                 while machine.names().count("failed") < times:
                     await asyncio.sleep(0.005)
-            told = [record for record in caplog.records if record.msg == "voter_unreachable"]
-            assert len(told) == (times >= 3)
+            notified = [record for record in caplog.records if record.msg == "voter_unreachable"]
+            assert len(notified) == (times >= 3)
         await driver.close()
 
     with caplog.at_level(logging.WARNING):
@@ -249,8 +249,8 @@
         other = ListedEndpoint("w1", "127.0.0.1:1", "south", "small", 0, Lifecycle.ACTIVE, 1.0, 0)
         mesh = MeshOptions(voters={"v1": VoterPlace(free_address(), "east", "a")})
         config = SimpleNamespace(operator=OperatorFile(mesh=mesh), name="s1", folder=None)
-        told: list[object] = []
-        dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=told.append)
+        notified: list[object] = []
+        dispatcher = SimpleNamespace(listed=lambda: [worker, other], tell=notified.append)
         dispatcher.use_cordons = lambda may_send, *_: setattr(dispatcher, "may_send", may_send)
         inbound = SimpleNamespace(behind=False)
         here = ObservingScheduler(
@@ -265,7 +265,7 @@
         here.driver.perform(actions)
         assert not dispatcher.may_send(worker), "though the decider has not come to its mailbox"
         assert dispatcher.may_send(other)
-        assert len(told) == 1
+        assert len(notified) == 1
         lifted = value.lift_cordon(cordoned, "c1", now_us)
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", lifted)
         here.driver.perform(actions)
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -1,4 +1,4 @@
-"""What a voter sends to one observer: order, bounds, priorities."""
+"""A voter's change feed to one observer: order, send window, priorities."""
 
 from robinhill.control.change_feed import MAX_UNCONFIRMED_MESSAGES, ChangeFeed
 from robinhill.control.changelog import MAX_RECORDS_PER_MESSAGE, ChangeLog
--- a/tests/test_control_lease.py
+++ b/tests/test_control_lease.py
@@ -1,4 +1,4 @@
-"""An observer's lease, and what a voter tells of it."""
+"""An observer's lease, and the voter's replies that renew it."""
 
 from robinhill.control.lease import MAX_UNANSWERED_HEARTBEATS, ObserverLease
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -1,4 +1,4 @@
-"""Whom a voter waits for."""
+"""Which observers a voter waits for until a change is in force."""
 
 from robinhill.control.observer_progress import MAX_DEPARTED, UNKNOWN_OBSERVERS, BarrierId, ObserverProgress
 from robinhill.cordon.propagation import with_slack
--- a/tests/test_control_options.py
+++ b/tests/test_control_options.py
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("number", [0, 14])
 def test_there_are_one_to_thirteen_voters(number: int) -> None:
-    with pytest.raises(VotersMalformed, match="name 1 to 13") as told:
+    with pytest.raises(VotersMalformed, match="name 1 to 13") as raised:
         observer_options(keys(number), "s1", Place())
-    assert told.value.key == "mesh.voters"
+    assert raised.value.key == "mesh.voters"
 
 
 def test_one_and_thirteen_are_allowed() -> None:
@@ -62,10 +62,10 @@
     read = keys(regions=regions)
     voters = dict(read.voters)
     voters["v1"] = msgspec.structs.replace(voters["v1"], **change)
-    with pytest.raises(VotersMalformed) as told:
+    with pytest.raises(VotersMalformed) as raised:
         voter_options(msgspec.structs.replace(read, voters=voters), "v0")
-    assert told.value.key == key
-    assert str(told.value).startswith(f"{key}: ") and told.value.advice in str(told.value)
+    assert raised.value.key == key
+    assert str(raised.value).startswith(f"{key}: ") and raised.value.advice in str(raised.value)
 
 
 def test_a_scheduler_of_an_unknown_region_is_rejected() -> None:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -93,7 +93,7 @@
 
 @asynccontextmanager
 async def group(schedulers: tuple[str, ...] = SCHEDULERS, **mesh: Any) -> AsyncIterator[ChangeBatch]:
-    """All of it runs and is in step at the start of the block, and has ended behind it."""
+    """All processes run and are synchronized at the start of the block, and have ended after it."""
     with tempfile.TemporaryDirectory(prefix="robinhill-") as folder:
         here = ChangeBatch(Path(folder), schedulers, **mesh)
         try:
@@ -134,26 +134,27 @@
 async def status_of(program: Program) -> Json:
     status, text = await program.call("GET", "/ops/mesh")
     assert status == 200
-    told: Json = json.loads(text)
-    return told
+    answer: Json = json.loads(text)
+    return answer
 
 
 async def has(program: Program, path: str, **wanted: Any) -> bool:
     """Whether an operators' call tells these values."""
     _, text = await program.call("GET", path)
-    told = json.loads(text)
-    return all(told.get(key) == value for key, value in wanted.items())
+    answer = json.loads(text)
+    return all(answer.get(key) == value for key, value in wanted.items())
 
 
 async def settled(program: Program, not_voter: str | None = None) -> Json:
-    """Until a scheduler is in step with a voter, has a spare one and holds its lease; how it stands then."""
+    """Wait until a scheduler is synchronized with a voter, has a spare one and a lease. Returns its
+    status."""
 
-    async def stands() -> bool:
-        told = await status_of(program)
-        voters = told.get("voter"), told.get("spare_voter")
-        return bool(told["in_step"] and told["lease"] and all(voters)) and not_voter not in voters
+    async def is_settled() -> bool:
+        answer = await status_of(program)
+        voters = answer.get("voter"), answer.get("spare_voter")
+        return bool(answer["in_step"] and answer["lease"] and all(voters)) and not_voter not in voters
 
-    await until(stands)
+    await until(is_settled)
     return await status_of(program)
 
 
@@ -187,13 +188,13 @@
             one, three = here.schedulers["s1"], here.schedulers["s3"]
             assert await here.ask("s3", 12) == {"w0", "w1", "w2"}
             assert (await cordon(one, "c0", target="worker/w9"))[0] == 200  # earlier starts have no lease now
-            status, told = await cordon(one)
-            assert (status, told["in_force"], told["unconfirmed"]) == (200, True, [])
-            assert told["ms"] < BOUND_MS
+            status, answer = await cordon(one)
+            assert (status, answer["in_force"], answer["unconfirmed"]) == (200, True, [])
+            assert answer["ms"] < BOUND_MS
             assert await here.ask("s3", 12) == {"w1", "w2"}
-            status, told = await cordon(here.voters["v2"], "c2", target="worker/w1")
-            assert (status, told["in_force"], told["behind"]) == (200, True, 0)
-            assert told["ms"] < BOUND_MS
+            status, answer = await cordon(here.voters["v2"], "c2", target="worker/w1")
+            assert (status, answer["in_force"], answer["behind"]) == (200, True, 0)
+            assert answer["ms"] < BOUND_MS
             assert await here.ask("s1", 12) == {"w2"}
             shown = json.loads((await three.call("GET", "/ops/cordons"))[1])["cordons"]
             assert {c["id"]: (c["target"], c["workers"]) for c in shown} == {
@@ -201,8 +202,8 @@
                 "c1": ("worker/w0", 1),
                 "c2": ("worker/w1", 1),
             }
-            status, told = await lift(three)
-            assert status == 200 and told["in_force"]
+            status, answer = await lift(three)
+            assert status == 200 and answer["in_force"]
             assert "w0" in await here.ask("s2", 30)
             await equal(*here.voters.values(), *here.schedulers.values())
             observers = [
@@ -216,8 +217,8 @@
             for name in ("v2", "v3"):
                 here.voters[name].signal(signal.SIGSTOP)
             await logged(one, "event=control_lease_expired")
-            told = await status_of(one)
-            assert told["may_act"] and not told["lease"] and told["majority_known_ms_ago"] > BOUND_MS
+            answer = await status_of(one)
+            assert answer["may_act"] and not answer["lease"] and answer["majority_known_ms_ago"] > BOUND_MS
             assert await here.ask("s1", 12) == {"w0", "w2"}
             assert "app.control.lease:0|g" in (await one.call("GET", "/ops/stats"))[1]
             for name in ("v2", "v3"):
@@ -238,8 +239,8 @@
 
             await until(saved)
             await first.kill()
-            told = await settled(one, not_voter="v1")
-            assert {told["voter"], told["spare_voter"]} == {"v2", "v3"}
+            answer = await settled(one, not_voter="v1")
+            assert {answer["voter"], answer["spare_voter"]} == {"v2", "v3"}
             assert (await cordon(one, "c2", wait="", target="worker/w1"))[0] == 200
             await first.start()
             assert "records=1" in first.log.read_text(), "it took what its disk held"
@@ -252,8 +253,8 @@
             assert "event=snapshot_restored" not in second.log.read_text()
             await settled(one)
             await equal(*here.voters.values(), one)
-            status, told = await lift(second, "c2")
-            assert status == 200 and told["in_force"]
+            status, answer = await lift(second, "c2")
+            assert status == 200 and answer["in_force"]
             assert "w1" in await here.ask("s1", 30)
 
     asyncio.run(play())
@@ -266,12 +267,12 @@
         bound_s = 2.0
         async with group(("s1", "s2"), on_lost="hold", bound_ms=int(bound_s * 1000)) as here:
             one, two = here.schedulers["s1"], here.schedulers["s2"]
-            told = await settled(one)
-            here.voters[told["voter"]].signal(signal.SIGSTOP)
-            migrated = await settled(one, not_voter=told["voter"])
-            assert migrated["voter"] == told["spare_voter"]
+            answer = await settled(one)
+            here.voters[answer["voter"]].signal(signal.SIGSTOP)
+            migrated = await settled(one, not_voter=answer["voter"])
+            assert migrated["voter"] == answer["spare_voter"]
             assert "event=send_lease_lost" not in one.log.read_text()
-            here.voters[told["voter"]].signal(signal.SIGCONT)
+            here.voters[answer["voter"]].signal(signal.SIGCONT)
             await equal(*here.voters.values(), one, two)
             await settled(two)
 
@@ -284,8 +285,8 @@
             assert time.monotonic() - stopped < bound_s + 1
             assert await here.ask("s1", 2) == set()
             assert not (await status_of(one))["may_act"]
-            status, told = await cordon(one, wait="?wait=0.2")
-            assert status == 504 and told["type"] == "NotAccepted" and told["advice"]
+            status, answer = await cordon(one, wait="?wait=0.2")
+            assert status == 504 and answer["type"] == "NotAccepted" and answer["advice"]
             for voter in lost:
                 voter.signal(signal.SIGCONT)
             await logged(one, "event=send_lease_held", 2)
@@ -294,10 +295,10 @@
 
             await settled(two)
             await two.kill()
-            status, told = await cordon(one, "c2", target="worker/w1")
-            assert status == 200 and told["in_force"]
+            status, answer = await cordon(one, "c2", target="worker/w1")
+            assert status == 200 and answer["in_force"]
             # It may have sent until its lease was over: the bound after the last answer to a heartbeat.
-            assert told["ms"] > bound_s * 1000 / 2
+            assert answer["ms"] > bound_s * 1000 / 2
 
     asyncio.run(play())
 
@@ -310,16 +311,16 @@
             one, three = here.schedulers["s1"], here.schedulers["s3"]
             await three.kill()
             assert await here.schedulers["s2"].stop() == 0
-            status, told = await cordon(one, wait="?wait=0.5")
-            assert (status, told["type"]) == (504, "BoundNotMet")
-            assert [u["scheduler"] for u in told["unconfirmed"]] == ["s3"]
+            status, answer = await cordon(one, wait="?wait=0.5")
+            assert (status, answer["type"]) == (504, "BoundNotMet")
+            assert [u["scheduler"] for u in answer["unconfirmed"]] == ["s3"]
             for voter in here.voters.values():
                 assert (await voter.call("PUT", "/ops/mesh/forget", "s3"))[0] == 200
             await until(lambda: in_force(one, "c1"))
             await three.start()
             await settled(three)
-            status, told = await lift(three)
-            assert status == 200 and told["in_force"]
+            status, answer = await lift(three)
+            assert status == 200 and answer["in_force"]
 
     asyncio.run(play())
 
@@ -358,8 +359,8 @@
             assert await here.voters["v1"].stop() == 0
             for name in ("v2", "v3", "v4"):
                 await logged(here.voters[name], "event=voters_settled", 2 if name != "v4" else 1)
-            status, told = await lift(one)
-            assert status == 200 and told["in_force"]
+            status, answer = await lift(one)
+            assert status == 200 and answer["in_force"]
 
     asyncio.run(play())
 
@@ -372,12 +373,12 @@
 
             async def run(*words: str, code: int = 0) -> str:
                 assert await asyncio.to_thread(main, ["cordon", *words]) == code
-                told = capsys.readouterr()
-                return told.out + told.err
+                answer = capsys.readouterr()
+                return answer.out + answer.err
 
             assert "nothing is cordoned" in await run("list", "--ops", voter)
-            told = await run("set", "c1", "zone/north", "--reason", "flood", "--wait", "5", "--ops", voter)
-            assert "in force" in told
+            answer = await run("set", "c1", "zone/north", "--reason", "flood", "--wait", "5", "--ops", voter)
+            assert "in force" in answer
             assert "c1 is in force" in await run("wait", "c1", "--ops", scheduler)
             assert "flood" in await run("list", "--ops", scheduler)
             assert "in force" in await run("lift", "c1", "--wait", "5", "--ops", scheduler)
@@ -477,8 +478,8 @@
         "print([m for m in sys.modules if m.startswith("
         "('robinhill.control', 'robinhill.net.control_group', 'robinhill.net.cordons'))])"
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert told.strip() == "[]"
+    answer = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert answer.strip() == "[]"
 
 
 def test_a_scheduler_with_peers_loads_nothing_of_it_either(tmp_path: Path) -> None:
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -1,4 +1,4 @@
-"""Real voters and schedulers keep what they promise under faults; broken ones are found out.
+"""Real voters and schedulers break no rule under faults; planted faults are found.
 
 Of five processes n1 to n3 are voters, n4 and n5 schedulers.
 """
@@ -55,21 +55,21 @@
 
 # What is broken, in all voters (n1) or all schedulers (n4), the schedule that shows it, and what tells of it.
 BROKEN = {
-    "sends though it can't know": (
+    "sends without a lease": (
         "n4",
         "import robinhill.control.lease as l\n"
         "l.ObserverLease.is_valid = lambda self, now: self.as_of_us is not None",
         "a voter and a scheduler are cut off",
         "past the bound",
     ),
-    "goes by no cordons": (
+    "ignores cordons": (
         "n4",
         "import robinhill.net.control_group.observing_scheduler as o\n"
         "o.covers = lambda targets, destination: False",
         "a voter and a scheduler are cut off",
         "past the bound",
     ),
-    "says in force at once": (
+    "reports in force at once": (
         "n1",
         "import robinhill.control.commit_tracker as t\n"
         "t.CommitTracker._lagging = lambda self, batch: t.NONE_LAGGING",
