--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -2,12 +2,9 @@
 receive."""
 
 import asyncio
-import contextlib
 import logging
 import random
-from collections.abc import Callable, Collection, Mapping, Sequence
-from dataclasses import dataclass
-from typing import Protocol
+from collections.abc import Callable, Collection, Sequence
 
 import aiohttp
 from aiohttp import web
@@ -16,7 +13,7 @@
 from robinhill.mesh import overlay
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.frames import MAX_MESSAGE_BYTES, Hello
-from robinhill.mesh.session import Identity, KnowledgeAges, Session, Store
+from robinhill.mesh.session import KnowledgeAges, Session, Store
 from robinhill.mesh.session_events import (
     Event,
     HelloReceived,
@@ -25,10 +22,19 @@
     RecordsReceived,
 )
 from robinhill.net.actor import Actor, Supervisor
-from robinhill.net.clients.listener import bind
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.peers.dialling import PeerDialler
 from robinhill.net.peers.peer_link import PATH, PeerLink, Socket
+from robinhill.net.peers.peer_listener import PeerListener
+from robinhill.net.peers.peer_messages import (
+    CheckLinks,
+    Configure,
+    LinkClosed,
+    LinkOpened,
+    MessageReceived,
+    PeerEvents,
+    PeerMessage,
+)
 
 log = logging.getLogger(__name__)
 
@@ -39,74 +45,10 @@
 MAX_REJECTIONS = 16  # remembered for operators
 SILENCE_TIMEOUT_US = 800_000  # beyond one interval without a message, before a link is closed
 PAUSE_US = 500_000  # a check that is so late: this process was paused, and messages may lie unread
-BIND_RETRY_S = 0.2  # while another process of this scheduler still has the address
 LASTING_LINK_US = 2_000_000  # a link that lives so long resets the backoff
 MIN_IDLE_S = 0.001
 
 
-class PeerEvents(Protocol):
-    """The owner of the replica. Called directly, not by a mailbox: what was received must be applied before
-    an answer behind it extends a lease.
-    """
-
-    def records_received(self, received: RecordsReceived) -> None:
-        """Records of a push were merged or rejected."""
-        ...
-
-    def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
-        """A link to a peer is up; ``peer_us``: its Unix time in its hello."""
-        ...
-
-    def ping_answered(self, name: str) -> None:
-        """A peer has answered a ping."""
-        ...
-
-    def link_lost(self, name: str) -> None:
-        """The link to a peer was closed."""
-        ...
-
-
-@dataclass(slots=True, frozen=True)
-class MessageReceived:
-    """A message was received over a link."""
-
-    link: PeerLink
-    data: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class LinkOpened:
-    """A websocket is open, whoever dialled."""
-
-    link: PeerLink
-
-
-@dataclass(slots=True, frozen=True)
-class LinkClosed:
-    """A websocket was closed."""
-
-    link: PeerLink
-    reason: str
-
-
-@dataclass(slots=True, frozen=True)
-class CheckLinks:
-    """It is time to check all links."""
-
-
-@dataclass(slots=True, frozen=True)
-class Configure:
-    """The peers and their addresses, how many links to keep, and the interval between pings."""
-
-    identity: Identity
-    addresses: Mapping[str, str]
-    max_links: int
-    interval_us: int
-
-
-PeerMessage = MessageReceived | LinkOpened | LinkClosed | CheckLinks | Configure
-
-
 class PeerConnections(Actor[PeerMessage]):
     """Keeps one link to each partner, and accepts those of others within ``max_links``.
 
@@ -150,7 +92,7 @@
             self._address_of,
         )
         self._client: aiohttp.ClientSession | None = None
-        self._runner: web.ServerRunner | None = None
+        self._listener = PeerListener(listen, self._accept)
         self._checked_us = mono_us()
         self._timer: asyncio.TimerHandle | None = None
         self._stopping = False
@@ -163,7 +105,7 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         )
-        self.supervisor.spawn(self._listen(), "peers listen")
+        self.supervisor.spawn(self._listener.run(), "peers listen")
         self._check_links()
 
     def receive(self, message: PeerMessage) -> None:
@@ -195,32 +137,12 @@
             self._timer.cancel()
         for link in [*self.links.values(), *self.opening]:
             link.close("this scheduler ends")
-        if self._runner:
-            with contextlib.suppress(Exception):
-                await self._runner.cleanup()
+        await self._listener.close()
         if self._client:
             await self._client.close()
 
     # Accepting and dialling
 
-    async def _listen(self) -> None:
-        """Accept links, once no other process of this scheduler has the address any more."""
-        reported = False
-        while True:
-            try:
-                sock = bind(self.listen, "mesh.listen")
-                break
-            except Exception as e:
-                if not reported:
-                    log.warning("peers_address_in_use", extra={"listen": self.listen, "why": str(e)})
-                reported = True
-                await asyncio.sleep(BIND_RETRY_S)
-        server = web.Server(self._accept, access_log=None)
-        self._runner = web.ServerRunner(server, shutdown_timeout=SERVER_CLOSE_TIMEOUT_S)
-        await self._runner.setup()
-        await web.SockSite(self._runner, sock).start()
-        log.info("peers_listening", extra={"listen": self.listen})
-
     async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != PATH:
             return web.Response(status=404)
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -35,7 +35,8 @@
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
-from robinhill.net.peers.peer_connections import Configure, PeerConnections
+from robinhill.net.peers.peer_connections import PeerConnections
+from robinhill.net.peers.peer_messages import Configure
 from robinhill.net.peers.snapshot_restore import restore_records
 from robinhill.net.peers.snapshot_store import SnapshotStore
 from robinhill.protocol import Answer
