--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -337,7 +337,7 @@
 @pytest.fixture(autouse=True)
 def no_long_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     """For requests that still come after SIGTERM: none do here."""
-    monkeypatch.setattr(scheduler, "TAKE_ON_S", 0.05)
+    monkeypatch.setattr(scheduler, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -497,7 +497,9 @@
             await relay.take_over()
             drain = asyncio.create_task(old.drain())
             message, fd = await relay.adopt()
-            call = asyncio.create_task(old._deliver(JobEvent("j1", "w1", JobState.DONE, result="one")))
+            call = asyncio.create_task(
+                old.transfer.deliver(JobEvent("j1", "w1", JobState.DONE, result="one"))
+            )
             relay.pass_on(message, fd)
             relay.old.send(await relay.new.receive())
             relay.new.send(await relay.old.receive_question("event"))
@@ -709,7 +711,7 @@
 def test_a_successor_of_a_version_without_a_list_age_waits_for_discovery(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(scheduler, "LIST_S", 0.05)
+    monkeypatch.setattr(scheduler, "MAX_LIST_WAIT_S", 0.05)
 
     async def play() -> None:
         async with world(tmp_path) as here:
