--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,8 +1,8 @@
 """Many schedulers' real sharing code in one process, on a test clock.
 
 `Replication`, `PeerConnections`, `CordonActor`, `Session`, `Replica` and `Freshness` are the program's own.
-Replaced are the clock (`ClockLoop`), sockets (`LinkEnd`) and what lies beyond: a decider that carries out at
-once what it is told. Time passes only between events, so a run gives the same counts on each machine, however
+Replaced are the clock (`ClockLoop`), sockets (`LinkEnd`) and what lies beyond: a dispatcher that carries out
+at once what it is told. Time passes only between events, so a run gives the same counts on each machine, however
 busy.
 """
 
@@ -198,7 +198,7 @@
 
 
 class _Applying:
-    """Stands for the decider: what it is told about cordons it has carried out at the next turn."""
+    """Stands for the dispatcher: what it is told about cordons it has carried out at the next turn."""
 
     def use_cordons(
         self,
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -36,6 +36,7 @@
     TimerDue,
 )
 from robinhill.net.dispatcher.request_handover import (
+    DispatcherState,
     RequestHandover,
     export_dispatcher,
     import_balancer,
@@ -501,7 +502,7 @@
 
     # Hand-over to and from another process of this scheduler
 
-    def export_state(self) -> Json:
+    def export_state(self) -> DispatcherState:
         """What a successor must know to decide as one with this process."""
         return export_dispatcher(self.balancer, self.in_flight, self.restrictions)
 
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -6,7 +6,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypedDict
 
 from robinhill import api, protocol
 from robinhill.logic import Balancer
@@ -18,10 +18,43 @@
 from robinhill.net.dispatcher.worker_restrictions import OutOfUse, WorkerRestrictions
 from robinhill.net.workers.messages import AttemptReleased, ReleaseAttempt, RequestReturned, ResumeAttempt
 from robinhill.placement import exported_state
+from robinhill.placement.exported_format import ExportedJob, ExportedState
 
 Json = dict[str, Any]
 
 
+class AttemptState(TypedDict):
+    """An attempt in flight."""
+
+    until_us: int
+    final: bool  # read by processes of an older version
+    sent_us: int
+
+
+class RequestState(TypedDict):
+    """A released request, but for what the client has sent."""
+
+    job: int
+    deadline_us: int
+    endpoints: list[str]
+    endings: list[str]
+    returned: list[str]
+    attempt: AttemptState | None
+    destination: Json | None  # the entry of the attempt's worker on the endpoint list
+    module: ExportedJob
+    timers: list[list[int | str]]  # when each is due (us), and its tag
+
+
+class DispatcherState(TypedDict):
+    """What a successor must know before any request."""
+
+    module: ExportedState
+    seen: list[str]  # recent request ids
+    held_out: list[str]  # disabled workers
+    outages: dict[str, list[int]]  # since when and until when a worker was out of use
+    next: int  # number of the next request
+
+
 class RequestHandover:
     """Releases requests to another process, and adopts those that it has released."""
 
@@ -87,21 +120,21 @@
                 self.table.endpoints[request.endpoints[-1]].tell(attempt)
             return
         assert request.release_reply
-        request.release_reply.set_result(self._export_request(request, attempt))
+        request.release_reply.set_result({**self._export_request(request, attempt)})
         self.in_flight.remove(request)
 
-    def _export_request(self, request: InFlightRequest, attempt: ResumeAttempt | None) -> Json:
+    def _export_request(self, request: InFlightRequest, attempt: ResumeAttempt | None) -> RequestState:
         exported_job = exported_state.export_job(self.balancer, request.job)
         assert exported_job, "a request that needs an answer is known to the decision module"
+        worker = self.table.destinations[request.endpoints[-1]] if attempt else None
         return {
             "job": request.job,
             "deadline_us": request.deadline_us,
             "endpoints": request.endpoints,
             "endings": request.endings,
             "returned": request.returned_by,
-            "attempt": attempt and _export_attempt(attempt),
-            "destination": attempt
-            and protocol.encode_listed_endpoint(self.table.destinations[request.endpoints[-1]]),
+            "attempt": _export_attempt(attempt) if attempt else None,
+            "destination": protocol.encode_listed_endpoint(worker) if worker else None,
             "module": exported_job,
             "timers": [[due_us, tag] for due_us, tag in self.timers.of_job(request.job)],
         }
@@ -140,7 +173,7 @@
 
 def export_dispatcher(
     balancer: Balancer, in_flight: InFlightRequests, restrictions: WorkerRestrictions
-) -> Json:
+) -> DispatcherState:
     """What a successor must know, before any request, to decide as one with this process."""
     return {
         "module": exported_state.export_state(balancer),
@@ -166,9 +199,9 @@
     exported_state.import_state(balancer, state["module"])
 
 
-def _export_attempt(attempt: ResumeAttempt) -> Json:
+def _export_attempt(attempt: ResumeAttempt) -> AttemptState:
     return {
         "until_us": attempt.until_us,
-        "final": attempt.until_us >= attempt.deadline_us,  # read by processes of an older version
+        "final": attempt.until_us >= attempt.deadline_us,
         "sent_us": attempt.sent_us,
     }
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -263,7 +263,7 @@
         now_us, mono_us = here.clock.now_us(), 1
         _, _, actions = here.observer.write(now_us, mono_us, value.NAME, "zone/north", cordoned)
         here.driver.perform(actions)
-        assert not dispatcher.may_send(worker), "though the decider has not come to its mailbox"
+        assert not dispatcher.may_send(worker), "though the dispatcher has not come to its mailbox"
         assert dispatcher.may_send(other)
         assert len(notified) == 1
         lifted = value.lift_cordon(cordoned, "c1", now_us)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -26,7 +26,7 @@
         dispatcher = Dispatcher(given, Supervisor(), clock, Metrics(given.classes))
         first, second = (protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ()) for _ in range(2))
         replies = [asyncio.get_running_loop().create_future() for _ in range(2)]
-        replies[1].cancel()  # its client has gone before the decider looks
+        replies[1].cancel()  # its client has gone before the dispatcher looks
         for request, reply in zip((first, second), replies, strict=True):
             dispatcher.receive(RequestAccepted(request, clock.now_us(), reply))
         dispatcher.receive(ClientDisconnected(second))
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -181,7 +181,7 @@
 
 
 def inbound(report: Callable[[RequestAccepted | ClientDisconnected], None], sockets: int = 64) -> Inbound:
-    """The client side by itself; who reads what it reports answers for the decider."""
+    """The client side by itself; who reads what it reports answers for the dispatcher."""
     nowhere = Address("127.0.0.1", 1)
     known = EndpointList(0, True, ())
     config = Config("n1", nowhere, nowhere, None, None, 7, sockets, None, known, settings(), ("x",), (), ())
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -480,11 +480,11 @@
     play(cross())
 
 
-# Decider and endpoint together
+# Dispatcher and endpoint together
 
 
 class House:
-    """A decider with one worker; more than one for a scheduler that is being replaced."""
+    """A dispatcher with one worker; more than one for a scheduler that is being replaced."""
 
     def __init__(self, folder: Path, worker: Worker, repeat: str) -> None:
         listed = protocol.encode_listed_endpoint(worker.destination())
