--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -12,8 +12,8 @@
 **After an absence.** Removals are part of the values of kinds and expire with their record. A member that was
 away for longer than a kind's lifetime, and rewrote a record meanwhile, could therefore bring back what others
 have removed and forgotten. It checks ``stale``; if so it calls ``clear`` and fetches a complete snapshot of a
-peer before it writes, serves or answers peers. ``away_us`` counts from the last contact with a majority, or
-from when the file was saved.
+peer before it writes, serves or answers peers. ``disconnected_us`` counts from the last contact with a
+majority, or from when the file was saved.
 
 **Bounds.** ``write`` rejects at a kind's bound, ``merge`` at twice that: what several schedulers accepted
 concurrently must fit on all, or copies would differ by the order of arrival. Kinds that evict never reject:
@@ -147,22 +147,24 @@
             dropped += 1
         return dropped
 
-    def stale(self, now_us: int, away_us: int) -> bool:
-        """Whether this copy, ``away_us`` without a majority, could bring back what was removed."""
+    def stale(self, now_us: int, disconnected_us: int) -> bool:
+        """Whether this copy, ``disconnected_us`` without a majority, could bring back what was removed."""
         self._now_us = now_us
         return any(
-            table.kind and table.kind.lifetime_us <= away_us + AHEAD_US and table.live(now_us)
+            table.kind and table.kind.lifetime_us <= disconnected_us + AHEAD_US and table.live(now_us)
             for table in self._tables.values()
         )
 
-    def clear(self, away_us: int | None = None) -> list[Record]:
-        """Drop the kinds for which ``away_us`` is too long, by default all.
+    def clear(self, disconnected_us: int | None = None) -> list[Record]:
+        """Drop the kinds for which ``disconnected_us`` is too long, by default all.
 
         Returns the live records that this process wrote last, which their operators may ask for again.
         """
         own: list[Record] = []
         for table in [*self._tables.values(), self._unknown]:
-            if away_us is None or (table.kind and table.kind.lifetime_us <= away_us + AHEAD_US):
+            if disconnected_us is None or (
+                table.kind and table.kind.lifetime_us <= disconnected_us + AHEAD_US
+            ):
                 for stored in list(table.stored.values()):
                     if self._is_own(stored.record) and stored.record.until_us > self._now_us:
                         own.append(stored.record)
@@ -250,7 +252,7 @@
         if not evicts or len(record.value) > MAX_MERGED_VALUE_BYTES:
             _check_size(table, record, stored)
         if stored is None:
-            if not self._make_room(table, record, place, bound_factor):
+            if not self._ensure_capacity(table, record, place, bound_factor):
                 return False
             stored = StoredRecord(record, table, place, digests.range_of(record.kind, record.key))
             self._by_range[stored.range_index].add(stored)
@@ -269,8 +271,8 @@
             self._drop(table.first_to_evict())
         return stored.change_number >= 0
 
-    def _make_room(self, table: RecordTable, record: Record, place: str, bound_factor: int) -> bool:
-        """Make room for one more record. False if it would be evicted first; raises StateFull."""
+    def _ensure_capacity(self, table: RecordTable, record: Record, place: str, bound_factor: int) -> bool:
+        """Ensure capacity for one more record. False if it would be evicted first; raises StateFull."""
         if table.kind is None or table.kind.evict is not None:
             bound = table.kind.bound if table.kind else MAX_UNKNOWN_RECORDS
             if len(table.stored) >= bound:
