--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -2,8 +2,8 @@
 
 `Replication`, `PeerConnections`, `CordonActor`, `Session`, `Replica` and `Freshness` are the program's own.
 Replaced are the clock (`ClockLoop`), sockets (`LinkEnd`) and what lies beyond: a dispatcher that carries out
-at once what it is told. Time passes only between events, so a run gives the same counts on each machine, however
-busy.
+at once what it is told. Time passes only between events, so a run gives the same counts on each machine,
+however busy.
 """
 
 import asyncio
