--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -126,6 +126,17 @@
         return (kinds is None or worker.kind in kinds) and (zones is None or worker.zone in zones)
 
 
+_NOT_NEGATIVE = (  # fields of the settings, in the order in which they are checked
+    "drain_grace_us",
+    "connect_timeout_us",
+    "max_retry_after_us",
+    "over_quota_priority_weight",
+    "progress_us",
+    "handshake_price",
+    "keepalive_us",
+)
+
+
 @dataclass(slots=True, frozen=True)
 class Settings:
     """What a scheduler is configured with at its start.
@@ -143,7 +154,7 @@
     must_subscribe: bool = False
     poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    slow_start_floor: float = 0.5
+    slow_start_floor: float = 0.5  # share of its full speed that a worker has as it starts
     slow_start_us: int = 10_000_000
     fall_multiple: float = 2.0
     tip_after_us: int = 1_000_000
@@ -171,8 +182,7 @@
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         for name in ("slow_start_us", "tip_after_us", "poll_interval_us"):
             _require(getattr(self, name) > 0, name, "must be above 0")
-        for name in ("drain_grace_us", "connect_timeout_us", "max_retry_after_us", "progress_us",
-                     "over_quota_priority_weight", "handshake_price", "keepalive_us"):  # fmt: skip
+        for name in _NOT_NEGATIVE:
             _require(getattr(self, name) >= 0, name, "must not be negative")
         _require(isinstance(self.full_may_have_run, bool), "full_may_have_run", "must be true or false")
         close = self.close_within_us
@@ -181,7 +191,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """One entry of the list of workers; ``started_us`` 0 means long ago."""
+    """One entry of the endpoint list; ``started_us`` 0 means long ago."""
 
     address: str
     zone: int = 0
@@ -194,7 +204,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A job asked for by a client.
+    """A client's request.
 
     ``group``: an earlier request of its key may have run there and is repeated nowhere else before
     ``group_until_us`` (0: there was none).
