--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -29,15 +29,13 @@
 
     def update_for_choice(self, now: int) -> None:
         """Update what is due before a worker is chosen."""
-        state, rate = self.state, self.state.estimates.rate
-        state.few_arrivals = state.estimates.fewer_jobs_than_workers(now)
-        were_few, state.few_in_flight = (
-            state.few_in_flight,
-            state.estimates.fewer_jobs_in_flight_than_workers(now),
-        )
-        rate_changed = abs(rate - self.weighted_rate) > self.weighted_rate * RATE_CHANGE_SHARE
+        state, estimates = self.state, self.state.estimates
+        state.few_arrivals = estimates.fewer_jobs_than_workers(now)
+        were_few = state.few_in_flight
+        state.few_in_flight = estimates.fewer_jobs_in_flight_than_workers(now)
+        rate_changed = abs(estimates.rate - self.weighted_rate) > self.weighted_rate * RATE_CHANGE_SHARE
         if rate_changed or state.few_in_flight != were_few:
-            self.weighted_rate = rate
+            self.weighted_rate = estimates.rate
             for worker in state.workers.values():
                 self.update_worker(worker)
         if not state.sends % SENDS_PER_UPDATE:
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -21,13 +21,10 @@
         self.shed_share = 0.0  # of requests, weighted by priority
 
     def sheds(self, priority_weight: float) -> bool:
-        """Whether a request of this weight for its work is rejected at once; draws by chance."""
+        """Whether a request of this weight for its work is rejected at once; draws a random number."""
         state = self.state
-        return bool(
-            self.shed_share
-            and state.random.random() * priority_weight
-            < self.shed_share * state.estimates.mean_priority_weight
-        )
+        threshold = self.shed_share * state.estimates.mean_priority_weight
+        return state.random.random() * priority_weight < threshold
 
     def adapt(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
         """Count an own job's wait; ``delay_us``: with the network's part."""
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -63,21 +63,23 @@
     def _cheapest(self, now: int, criteria: _Criteria) -> WorkerRecord | None:
         """Each job compares all workers: what most of them need is in the loop itself, without calls."""
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
-        bound, pace = klass.bound, self.slow_start.pace(now)
-        in_slow_start_allows, has_capacity = self.slow_start.allows, self.has_capacity
+        bound, pace = klass.bound, 0.0  # the pace is computed for the first worker in slow start
+        slow_start, has_capacity = self.slow_start, self.has_capacity
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         saturated = True
         for worker in self.state.workers.values():
-            if now < worker.slow_start_until_us and not in_slow_start_allows(now, worker, pace):
-                continue
+            if now < worker.slow_start_until_us:
+                pace = pace or slow_start.pace(now)
+                if not slow_start.allows(now, worker, pace):
+                    continue
             cost = (sends - worker.last_send) * worker.age_weight * worker.zone.cost_factor
             if cost > best_cost and not best_rank:
                 continue  # what follows only raises the cost
             if now < worker.ejected_until_us or now < worker.backoff_until_us:
                 continue
-            if bound and not klass.open_to(worker.entry):
-                continue
-            if worker.in_flight and not has_capacity(now, worker):
+            if (bound and not klass.open_to(worker.entry)) or (
+                worker.in_flight and not has_capacity(now, worker)
+            ):
                 continue
             saturated = False
             cost = self._full_cost(now, worker, criteria, cost)
@@ -100,8 +102,7 @@
             cost *= self.estimates.slow_start_share(now, worker)
         factor = criteria.unbound_factor if worker.serves_bound_classes else 1.0
         cost *= (1 - worker.error_share) ** ERROR_POWER * factor if criteria.few_arrivals else factor
-        backoffs = worker.class_backoff_until_us
-        rejected = backoffs and now < backoffs.get(criteria.job_class, 0)
+        rejected = worker.class_backoff_until_us.get(criteria.job_class, 0) > now
         # A worker back from an ejection is tried by jobs that may run twice.
         if rejected or now < worker.suspected_until_us or (worker.consecutive_ejections and criteria.unsafe):
             cost /= BACKOFF_DIVISOR
@@ -110,8 +111,9 @@
     def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
         """Workers of a lower rank go first, whatever they cost."""
         hint_us = criteria.padded_hint_us
-        tight = hint_us > 0 and now + worker.unit_time * hint_us > criteria.job.objective_us
-        rank = TIGHT_FIT_RANK if tight else 0
+        rank = (
+            TIGHT_FIT_RANK if hint_us and now + worker.unit_time * hint_us > criteria.job.objective_us else 0
+        )
         # Where starts are not reported, a worker with an own job in flight is less surely ready.
         if worker.in_flight and not self.settings.reports_start:
             rank += 1
