--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -50,7 +50,7 @@
 class WorkerState(IntEnum):
     """A worker's state on the list."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -49,14 +49,14 @@
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             api.Arrived: self._on_arrival,
             api.AttemptEnded: self._on_attempt_ended,
-            api.ClientDisconnected: self._on_client_gone,
+            api.ClientDisconnected: self._on_client_disconnected,
             api.JobProgress: self._on_progress,
             api.JobStarted: self._on_progress,
-            api.ListLeaseChanged: self._on_list_leased,
+            api.ListLeaseChanged: self._on_list_lease_changed,
             api.HealthCheckEnded: self.outliers.on_health_check_ended,
             api.StreamStarted: self._on_stream_started,
             api.TimerFired: self._on_timer,
-            api.WorkersListed: self._on_list,
+            api.WorkersListed: self._on_list_received,
         }
 
     def start(self, now: int) -> list[api.Action]:
@@ -78,14 +78,14 @@
 
     # Events
 
-    def _on_list(self, now: int, event: api.WorkersListed) -> None:
+    def _on_list_received(self, now: int, event: api.WorkersListed) -> None:
         if event.kind is api.ListKind.FAILED:
             self.worker_list.schedule_retry()
             return
         self.worker_list.apply(now, event)
         self._place_queued(now)
 
-    def _on_list_leased(self, now: int, event: api.ListLeaseChanged) -> None:
+    def _on_list_lease_changed(self, now: int, event: api.ListLeaseChanged) -> None:
         self.state.list_leased = event.held
         self._place_queued(now)
 
@@ -143,7 +143,7 @@
         self._on_progress(now, event)
         self.jobs.pop(event.job, None)  # the attempt is the client's now, and no answer is pending
 
-    def _on_client_gone(self, _: int, event: api.ClientDisconnected) -> None:
+    def _on_client_disconnected(self, _: int, event: api.ClientDisconnected) -> None:
         self.jobs.pop(event.job, None)
 
     def _on_attempt_ended(self, now: int, event: api.AttemptEnded) -> None:
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -202,8 +202,10 @@
 
     def _entry(self, worker: Worker) -> api.Worker:
         states = {
-            "active": api.WorkerState.READY, "leaving": api.WorkerState.DRAINING, "left": api.WorkerState.GONE
-        }  # fmt: skip
+            "active": api.WorkerState.READY,
+            "leaving": api.WorkerState.DRAINING,
+            "left": api.WorkerState.REMOVED,
+        }
         return api.Worker(
             worker.name, worker.zone, states[worker.lifecycle], worker.started_us, kind=worker.kind
         )
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -23,7 +23,7 @@
 _WORKER_STATES = {
     Lifecycle.ACTIVE: api.WorkerState.READY,
     Lifecycle.DRAINING: api.WorkerState.DRAINING,
-    Lifecycle.REMOVED: api.WorkerState.GONE,
+    Lifecycle.REMOVED: api.WorkerState.REMOVED,
 }
 
 
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -175,7 +175,7 @@
 
 def _removed_worker(address: str) -> WorkerRecord:
     """A record for a worker that is no longer on the endpoint list."""
-    entry = api.Worker(address, state=api.WorkerState.GONE)
+    entry = api.Worker(address, state=api.WorkerState.REMOVED)
     return WorkerRecord(entry, 0.0, ZoneWait(), UNKNOWN_JOB_US, ejected_until_us=inf)
 
 
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -57,7 +57,7 @@
         self.weights.update_factors()
         for address, worker in list(state.workers.items()):
             unlisted = event.kind is not api.ListKind.CHANGES and address not in listed
-            if unlisted or worker.entry.state is api.WorkerState.GONE:
+            if unlisted or worker.entry.state is api.WorkerState.REMOVED:
                 self.close(state.workers.pop(address))
         state.estimates.update_usable_workers(state.workers.values())
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -54,7 +54,7 @@
         chosen = settings(fleet_size=self.nodes, **self.changes)
         started = int(at_s * S)
         change = [api.Worker(name, started_us=START + started) for name in cold]
-        change += [api.Worker(f"w{i}", state=api.WorkerState.GONE) for i in range(left)]
+        change += [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(left)]
 
         def answer(worker: str, at_us: int, chance: random.Random) -> tuple[O, int]:
             return O.COMPLETED, int(self.length(chance) * S) + 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -59,7 +59,7 @@
     """Six in ten workers are replaced: of 194 charges in the 5 s after that one went to a new worker, and
     those that were left, known but full, kept 4 in 10 waiting (join+vast)."""
     new = [api.Worker(f"new{i}", started_us=START + 20 * S) for i in range(36)]
-    gone = [api.Worker(f"w{i}", state=api.WorkerState.GONE) for i in range(36)]
+    gone = [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(36)]
     sent = play(40, WORKERS, 80, 28, half_fail, (20.0, new + gone), classes=(SAFE, SAFE, SAFE, UNSAFE))
     to_new = Counter((s.worker.startswith("new"), s.job_class == 3) for s in sent if s.at_us > 20 * S)
     safe, unsafe = (to_new[True, c] / (to_new[True, c] + to_new[False, c]) for c in (False, True))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -170,7 +170,7 @@
     node = Node(workers=2)
     node.do(api.ListLeaseChanged(False))
     node.ask()
-    gone = api.Worker("w0", state=api.WorkerState.GONE)
+    gone = api.Worker("w0", state=api.WorkerState.REMOVED)
     assert not only(node.listed(api.ListKind.CHANGES, gone), api.Send)
     assert sent_to(node.do(api.ListLeaseChanged(True))) == "w1"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -154,7 +154,7 @@
             assert int(there[1:]) % 2 == zone
     assert node.ask(group=1 - zone, group_until_us=node.now), "its window is over: anywhere"
     for worker in range(0, 8, 2):
-        node.listed(api.ListKind.CHANGES, api.Worker(f"w{worker}", zone=0, state=api.WorkerState.GONE))
+        node.listed(api.ListKind.CHANGES, api.Worker(f"w{worker}", zone=0, state=api.WorkerState.REMOVED))
     assert not only(node.ask(group=0, group_until_us=node.now + 50 * MS), api.Send)
     actions = node.do(api.TimerFired("held"), 51 * MS)
     assert only(actions, api.Fail) and not only(actions, api.Reject), "its first may have run: no promise"
@@ -247,7 +247,7 @@
     """One stayed open 1.52 s after the notice (launceston site, a deploy day)."""
     node = closing_node()
     kind = api.ListKind.FULL if leave == "absent" else api.ListKind.CHANGES
-    gone = api.Worker("w0", state=api.WorkerState.GONE)
+    gone = api.Worker("w0", state=api.WorkerState.REMOVED)
     notice = {"drain": [DRAIN], "gone": [gone], "absent": []}[leave]
     assert only(node.listed(kind, *notice), api.CloseIdle) == CLOSED
     assert only(node.end(1), api.CloseIdle) == CLOSED
@@ -281,7 +281,7 @@
 # Drains
 
 
-@pytest.mark.parametrize("state", [api.WorkerState.DRAINING, api.WorkerState.GONE])
+@pytest.mark.parametrize("state", [api.WorkerState.DRAINING, api.WorkerState.REMOVED])
 def test_nothing_goes_to_a_draining_or_gone_worker(state: api.WorkerState) -> None:
     node = Node(2)
     node.listed(api.ListKind.CHANGES, api.Worker("w0", state=state))
@@ -357,7 +357,7 @@
 def sent_while_cold(nodes: int) -> int:
     """Jobs that all nodes together send to workers just started, before these are warm."""
     new = [api.Worker(f"new{i}", started_us=START + 60 * S) for i in range(6)]
-    left = [api.Worker(f"w{i}", state=api.WorkerState.GONE) for i in range(6)]
+    left = [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(6)]
     workers = [api.Worker(f"w{i}") for i in range(10)]
     sent = play(nodes, workers, 40, 69, lambda *_: (O.COMPLETED, 500 * MS), (60.0, new + left))
     return sum(s.worker.startswith("new") for s in sent)
