--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -13,7 +13,7 @@
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
-# Flags of `run`, with the variable of the same meaning; robinhill/config.py reads and checks them all.
+# Flags of `run`, each with its environment variable; robinhill/config.py reads and checks them all.
 FLAGS = {
     "--config": ("GW_CONFIG", "JSON file of the platform"),
     "--operator": ("GW_OPERATOR", "JSON file of the operators"),
@@ -62,10 +62,10 @@
 
 
 def _serve(flags: dict[str, str]) -> int:
-    # The scheduler speaks plain TCP alone. asyncio and aiohttp go without ssl where there is none; with it,
-    # aiohttp reads every certificate authority of the machine as it is loaded: a fifth of the time to start.
+    # The scheduler speaks plain TCP alone. asyncio and aiohttp work without ssl; with it, aiohttp loads every
+    # certificate authority of the host at import, a fifth of the time to start.
     sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
-    gc.disable()  # what is loaded stays: looking for garbage in it finds none
+    gc.disable()  # modules stay: collecting garbage in them finds none
     from robinhill.commands.run import serve
 
     gc.enable()
@@ -185,8 +185,8 @@
     """Compare side B with side A: `this`, settings files, operators' files, git revisions, joined by `+`."""
     from robinhill.commands import modelling as commands
 
-    names = ("a", "b", "on", "trace", "until", "seed", "processes", "json_path", "html_path")
-    context.exit(commands.guarded(commands.compare_sides, *(options[name] for name in names)))
+    comparison = commands.ComparisonOptions(**options)
+    context.exit(commands.guarded(commands.compare_sides, comparison))
 
 
 @cli.group()
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -11,13 +11,11 @@
 from robinhill.admission.callers import BadNameError, Directory
 from robinhill.config_types import ConfigError
 
-SECRET = bytes(16)  # hashes are not shown
+SECRET = bytes(16)  # any will do, as hashes are not shown
 
 
 def check(files: tuple[str, ...]) -> int:
-    """Print what each file would make of a scheduler; 2 where one is faulty, with its key on standard
-    error.
-    """
+    """Print what each file means; the exit code is 2 where one is faulty, with its key on standard error."""
     logs.configure()
     faulty = False
     for path in files:
@@ -30,7 +28,7 @@
 
 
 def _summary(path: str) -> str:
-    """The platform's files hold ``settings``; all others are taken for operators' files."""
+    """A file with ``settings`` is the platform's, any other is an operators' file."""
     try:
         document = orjson.loads(Path(path).read_bytes())
     except (OSError, orjson.JSONDecodeError) as e:
@@ -56,7 +54,7 @@
 
 
 def explain_caller(path: str, address: str, tenant: str | None) -> int:
-    """Print the tenant, weight and limits of a caller; 2 for a faulty file or name."""
+    """Print the tenant, weight and limits of a caller; the exit code is 2 for a faulty file or name."""
     logs.configure()
     try:
         options = config.read_operator(path).admission
@@ -78,5 +76,5 @@
 
 
 def _limits(limits: msgspec.Struct) -> str:
-    told = {k: v for k, v in msgspec.structs.asdict(limits).items() if v is not None}
-    return ", ".join(f"{key} {value:g}" for key, value in told.items()) or "none"
+    given = {k: v for k, v in msgspec.structs.asdict(limits).items() if v is not None}
+    return ", ".join(f"{key} {value:g}" for key, value in given.items()) or "none"
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass
 from pathlib import Path
 
 import click
@@ -33,24 +34,26 @@
     try:
         return sites.site(name)
     except KeyError:
-        known = ", ".join(sites.names())
-        raise DescriptionError(f"{name}: neither a file nor one of {known}") from None
+        names = ", ".join(sites.names())
+        raise DescriptionError(f"{name}: neither a file nor one of {names}") from None
 
 
 @contextmanager
-def version(words: str) -> Iterator[Version]:
-    """A side: `this`, a file (an operators' file, or {"settings", "clients", "admission"}), a git revision,
-    or several of them joined by `+`. A revision is checked out beside this tree for as long as it is needed.
+def version(name: str) -> Iterator[Version]:
+    """A side of a comparison: `this`, a file, a git revision, or several of them joined by `+`.
+
+    A file is an operators' file or an object of "settings", "clients" and "admission". A revision is checked
+    out beside this tree for as long as it is needed. Raises DescriptionError.
     """
-    merged: dict[str, object] = {"name": words}
+    merged: dict[str, object] = {"name": name}
     with ExitStack() as stack:
-        for word in words.split("+"):
-            if word == "this":
+        for part in name.split("+"):
+            if part == "this":
                 continue
-            if Path(word).exists():
-                merged |= _from_file(Path(word))
+            if Path(part).exists():
+                merged |= _from_file(Path(part))
             else:
-                merged["root"] = stack.enter_context(_checked_out(word))
+                merged["root"] = stack.enter_context(_checked_out(part))
         yield msgspec.convert(merged, Version)
 
 
@@ -102,12 +105,11 @@
 
 
 def describe(source: str, kinds_of: str) -> int:
-    """What a trace or situation holds, and for a recording the description that fits it."""
+    """Print a situation, or for a recording the description that is fitted to it."""
     if Path(source).exists() and not source.endswith(".json"):
         base = situation(kinds_of)
         trace = load(Path(source), base.traffic.kinds)
-        for note in trace.repairs:
-            click.echo(f"repaired: {note}", err=True)
+        _print_repairs(trace)
         traffic = fit(trace, base.traffic.kinds)
         description = msgspec.structs.replace(
             base, name=Path(source).name, traffic=traffic, seconds=trace.seconds + 1, troubles=(), warm_s=0.0
@@ -118,16 +120,16 @@
     return 0
 
 
-def run(name: str, words: str, seed: int) -> int:
-    """One run of a side on a situation."""
+def run(name: str, side_name: str, seed: int) -> int:
+    """Play one run of a side on a situation and print its result; the exit code is 3 if the side failed."""
     description = situation(name)
-    with version(words) as side:
-        begun = time.perf_counter()
+    with version(side_name) as side:
+        started_s = time.perf_counter()
         result = play(description, side, seed)
     if isinstance(result, Failed):
         click.echo(f"{result.side} failed on seed {result.seed}: {result.why}")
         return DISAGREES
-    took = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started_s
     click.echo(f"{description.name}, seed {seed}: {result.share:.3f} of the worth served in time")
     for kind, (wanted, served) in result.by_kind.items():
         click.echo(f"  {kind:18} {served / wanted if wanted else 1.0:.3f}")
@@ -135,55 +137,63 @@
     click.echo(f"  requests {result.firsts}, tries {result.tries}, crossings {result.crossings}")
     refused = ", ".join(f"{k} {v}" for k, v in result.refused.items()) or "none"
     click.echo(f"  refusals: {refused}")
-    click.echo(
-        f"  {description.seconds / took:.0f} simulated seconds a second, {result.steps / took:,.0f} events"
-    )
+    speed, rate = description.seconds / elapsed_s, result.steps / elapsed_s
+    click.echo(f"  {speed:.0f} simulated seconds a second, {rate:,.0f} events")
     return 0
 
 
-def compare_sides(
-    a: str,
-    b: str,
-    on: str,
-    trace_path: str | None,
-    until: float,
-    seed: int,
-    processes: int | None,
-    json_path: str | None,
-    html_path: str | None,
-) -> int:
-    """Compare, print the table, and write what was asked for; 3 where a side failed."""
-    description = situation(on)
-    trace: Trace | None = None
-    if trace_path:
-        trace = load(Path(trace_path), description.traffic.kinds)
-        for note in trace.repairs:
-            click.echo(f"repaired: {note}", err=True)
-        description = msgspec.structs.replace(description, seconds=trace.seconds + 1)
+@dataclass(slots=True, frozen=True)
+class ComparisonOptions:
+    """What `model compare` is called with. ``until``: the share that the difference is to be known within."""
 
-    def progress(pairs: int, words: str) -> None:
-        if sys.stderr.isatty():
-            click.echo(f"\r{pairs} pairs, difference so far {words} ", nl=False, err=True)
+    a: str
+    b: str
+    on: str
+    trace: str | None
+    until: float
+    seed: int
+    processes: int | None
+    json_path: str | None
+    html_path: str | None
 
-    with version(a) as first, version(b) as second:
-        done: Comparison = compare(
+
+def compare_sides(options: ComparisonOptions) -> int:
+    """Compare, print the table and write the files; the exit code is 3 where a side failed."""
+    description = situation(options.on)
+    trace: Trace | None = None
+    if options.trace:
+        trace = load(Path(options.trace), description.traffic.kinds)
+        _print_repairs(trace)
+        description = msgspec.structs.replace(description, seconds=trace.seconds + 1)
+    with version(options.a) as first, version(options.b) as second:
+        comparison: Comparison = compare(
             description,
             first,
             second,
-            until=until,
-            seed=seed,
+            until=options.until,
+            seed=options.seed,
             trace=trace,
-            processes=processes,
-            progress=progress,
+            processes=options.processes,
+            progress=_print_progress,
         )
     if sys.stderr.isatty():
         click.echo("", err=True)
-    click.echo(report.table(done))
-    if json_path:
-        Path(json_path).write_bytes(report.as_json(done))
-    if html_path:
-        Path(html_path).write_text(report.as_html(done))
-    return DISAGREES if done.failed else 0
+    click.echo(report.table(comparison))
+    if options.json_path:
+        Path(options.json_path).write_bytes(report.as_json(comparison))
+    if options.html_path:
+        Path(options.html_path).write_text(report.as_html(comparison))
+    return DISAGREES if comparison.failed else 0
+
+
+def _print_progress(pairs: int, difference: str) -> None:
+    if sys.stderr.isatty():
+        click.echo(f"\r{pairs} pairs, difference so far {difference} ", nl=False, err=True)
+
+
+def _print_repairs(trace: Trace) -> None:
+    for note in trace.repairs:
+        click.echo(f"repaired: {note}", err=True)
 
 
 def guarded(call: object, *arguments: object) -> int:
--- a/robinhill/commands/process.py
+++ b/robinhill/commands/process.py
@@ -1,4 +1,4 @@
-"""What each long-running sub-command does round its work: log lines, configuration, exit codes."""
+"""What long-running sub-commands share: set-up of log lines, configuration and exit codes."""
 
 import asyncio
 import gc
