--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -61,7 +61,7 @@
     enabled: bool = False
     tenant_header: Annotated[str, Meta(pattern=HEADER_FORM)] = "X-Tenant-Id"
     networks: tuple[Network, ...] = ()
-    # Callers that neither name a tenant nor come from a listed network are told apart by such a prefix.
+    # Callers that neither name a tenant nor come from a listed network are distinguished by such a prefix.
     prefix_v4: Annotated[int, Meta(ge=8, le=32)] = 24
     prefix_v6: Annotated[int, Meta(ge=16, le=128)] = 48
     tenants: dict[Name, Tenant] = {}
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -43,7 +43,7 @@
 log = logging.getLogger(__name__)
 
 MIN_MAINTENANCE_DELAY_US = 5_000
-REACHABLE_US = 10_000_000  # a scheduler that was heard of within this is worth connecting to
+REACHABLE_US = 10_000_000  # a scheduler seen alive within this is worth connecting to
 RENEWAL_INTERVAL_US = 3_600_000_000
 
 
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -255,13 +255,13 @@
         The listener stays up: workers call back at the clients' address. A successor that serves there also
         takes what is pending. `close` answers what is received in part then.
         """
-        log.info("draining", extra={"owed": self.inbound.pending_count})
+        log.info("draining", extra={"pending": self.inbound.pending_count})
         self.inbound.shutting_down = True
         if await self._hand_over_pending():
             return
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         self.inbound.closed_to_new = True
-        log.info("refusing", extra={"owed": self.inbound.pending_count})
+        log.info("rejecting", extra={"pending": self.inbound.pending_count})
         while self.inbound.pending_count:
             if await self._hand_over_pending():  # a successor has come only now
                 return
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -1,7 +1,7 @@
 """The choice of the worker for a job: the age-priced rotation of docs/design.md.
 
 The eligible worker of the lowest rank gets the job, among these the one of the lowest cost x * ln(q): x is
-the number of own sends since it last got one, and factors raise the cost for what speaks against the worker.
+the number of own sends since it last got one, and factors raise the cost for faults and waits of the worker.
 """
 
 from dataclasses import dataclass
@@ -93,7 +93,7 @@
         return best
 
     def _full_cost(self, now: int, worker: WorkerRecord, criteria: _Criteria, cost: float) -> float:
-        """The cost of an age (below 0), raised by all that speaks against the worker."""
+        """The cost of an age (below 0), raised by the worker's faults, backoffs and slow start."""
         max_idle_us = criteria.max_idle_us
         if max_idle_us < inf and (worker.in_flight or now - worker.connection_used_us > max_idle_us):
             age = criteria.sends - worker.last_send
