--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -166,7 +166,7 @@
                 min(SHUTDOWN_RETRY_AFTER_US, settings.max_retry_after_us) * settings.retry_after
             )
             self.metrics.rejections["leaving"] += 1
-            log.debug("request_refused", extra={"id": job.id, "why": "leaving"})
+            log.debug("request_rejected", extra={"id": job.id, "why": "leaving"})
             self.metrics.answered(job.job_class, refusal)
             return self._respond(refusal)
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -236,7 +236,7 @@
                 "why": action.why.value,
                 "attempts": ", ".join(request.endings),
             }
-            log.debug("request_refused", extra=fields | self._list_fields())
+            log.debug("request_rejected", extra=fields | self._list_fields())
         self._answer(action.job, protocol.fail_fast(action.retry_in_us))
 
     def _answer(self, job: int, answer: Answer) -> None:
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -52,7 +52,7 @@
     text = asyncio.run(run())
     sent = [line for line in text.splitlines() if "event=attempt_sent" in line]
     assert sent and all("list_version=1" in line and "list_age_ms=" in line for line in sent)
-    refused = [line for line in text.splitlines() if "event=request_refused" in line]
+    refused = [line for line in text.splitlines() if "event=request_rejected" in line]
     assert refused and all(" why=" in line for line in refused)
 
 
