--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -59,6 +59,8 @@
 
 import pytest
 
+from robinhill.emulator.site import free_address
+
 ROOT = Path(__file__).parent.parent
 FILES = sorted((ROOT / "tests" / "exchanges").glob("*.txt"))
 WORDS = (
@@ -128,7 +130,9 @@
     sock = socket.socket()
     # Discovery comes back on a port that has old watches.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind(("127.0.0.1", 0))
+    # The program binds some of these only after they are closed here: nobody else may get them meanwhile.
+    host, _, port = free_address().rpartition(":")
+    sock.bind((host, int(port)))
     sock.settimeout(PATIENCE_S)
     return sock
 
