--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -11,6 +11,8 @@
 
 import click
 
+from robinhill.commands.exit_codes import FAULTY
+
 Command = TypeVar("Command", bound=Callable[..., Any])
 
 # Flags of `run`, each with its environment variable; robinhill/config.py reads and checks them all.
@@ -31,7 +33,6 @@
     "--ops": ("GW_OPS", "host:port for operators"),
     "--folder": ("TMPDIR", "folder for its state"),
 }
-FAULTY = 2  # exit code for a faulty configuration or command line
 
 
 def _options(flags: dict[str, tuple[str, str]]) -> Callable[[Command], Command]:
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -9,6 +9,7 @@
 
 from robinhill import config, logs
 from robinhill.admission.callers import BadNameError, Directory
+from robinhill.commands.exit_codes import FAULTY, OK
 from robinhill.config_types import ConfigError
 
 SECRET = bytes(16)  # any will do, as hashes are not shown
@@ -24,7 +25,7 @@
         except ConfigError as e:
             print(f"{path}: {e}", file=sys.stderr)
             faulty = True
-    return 2 if faulty else 0
+    return FAULTY if faulty else OK
 
 
 def _summary(path: str) -> str:
@@ -61,7 +62,7 @@
         caller = Directory(options, SECRET).find(tenant, address)
     except (ConfigError, BadNameError) as e:
         print(f"robinhill: {e}", file=sys.stderr)
-        return 2
+        return FAULTY
     named = options.tenants.get(caller.name)
     by = f"header {options.tenant_header}" if tenant is not None else f"address {address}"
     network = options.networks[caller.network] if caller.network >= 0 else None
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -14,6 +14,7 @@
 
 from robinhill import config, logs
 from robinhill.checker.rules import broken
+from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
 from robinhill.emulator.program import Town, town
@@ -35,7 +36,7 @@
             config.read_operator(operator)
         except ConfigError as e:
             print(f"robinhill: {e}", file=sys.stderr)
-            return 2
+            return FAULTY
         given = orjson.loads(Path(operator).read_bytes())
     return asyncio.run(_play(seconds, workers, given))
 
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -14,6 +14,7 @@
 import orjson
 
 from robinhill import config, logs
+from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.model import report, sites
 from robinhill.model.compare import Comparison, Failed, Version, compare, play
@@ -23,7 +24,6 @@
 from robinhill.record.frames import RecordingError
 
 DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
-FAULTY = 2
 ROOT = Path(__file__).parent.parent.parent
 
 
--- a/robinhill/commands/process.py
+++ b/robinhill/commands/process.py
@@ -7,6 +7,7 @@
 from typing import Any, TypeVar
 
 from robinhill import config, logs
+from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.net.actor import ActorDiedError
 
@@ -26,7 +27,7 @@
         asyncio.run(work(settings))
     except ConfigError as e:
         print(f"robinhill: {e}", file=sys.stderr)
-        return 2
+        return FAULTY
     except ActorDiedError:
         return 1
     return 0
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -108,7 +108,7 @@
         job.order, job.latest_start_us = -priority_weight, int(now + objective_us)
         job.queue_deadline_us = now + min(left_us - 1, self._useful_wait_us(job, objective_us, expected_us))
         job.queue_deadline_us = min(job.queue_deadline_us, job.group_until_us or job.queue_deadline_us)
-        if self.overload.shed_share and self.overload.sheds(priority_weight):
+        if self.overload.sheds(priority_weight):
             self._give_up(job, api.RejectionReason.OVERLOAD)
         else:
             self.place(now, job)
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -2,9 +2,7 @@
 
 import asyncio
 import logging
-from collections.abc import Iterable, Mapping, Sequence
-
-import msgspec
+from collections.abc import Iterable, Sequence
 
 from robinhill.mesh.options import MeshOptions
 from robinhill.net.control_group.driver import Driver, Run, Traffic
@@ -24,12 +22,6 @@
     return bool(changed)
 
 
-def status_answer(fields: Mapping[str, object]) -> Answer:
-    """A status as JSON, without the fields that are None."""
-    known = {key: value for key, value in fields.items() if value is not None}
-    return Answer(200, msgspec.json.encode(known) + b"\n")
-
-
 def traffic_figures(traffic: Traffic) -> list[str]:
     """Figures on connections that all members have."""
     return [
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -30,12 +30,12 @@
     call_cordons,
     figure_lines,
     needs_restart,
-    status_answer,
     traffic_figures,
 )
 from robinhill.net.control_group.recovery import recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
 from robinhill.net.cordons.group_member import GroupCordons
+from robinhill.net.cordons.replies import status_answer
 from robinhill.net.peers.rejections import log_rejected
 from robinhill.protocol import Answer
 
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -4,6 +4,8 @@
 single cordons are in `robinhill.cordon.views`.
 """
 
+from collections.abc import Mapping
+
 import msgspec
 from msgspec import UNSET, UnsetType
 
@@ -110,3 +112,9 @@
 def make_answer(status: int, body: Reply) -> Answer:
     """Return an HTTP answer: one line of JSON."""
     return Answer(status, msgspec.json.encode(body) + b"\n")
+
+
+def status_answer(fields: Mapping[str, object]) -> Answer:
+    """A status as JSON, without the fields that are None."""
+    known = {key: value for key, value in fields.items() if value is not None}
+    return Answer(200, msgspec.json.encode(known) + b"\n")
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -130,7 +130,7 @@
         }
         self._performers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Reject: self._refuse,
+            api.Reject: self._reject,
             api.Fail: lambda action: self._answer(action.job, protocol.FAILED),
             api.Cancel: self._cancel,
             api.SetTimer: lambda action: self.timers.set(action.after_us, action.tag),
@@ -227,7 +227,7 @@
                 arrival.group, arrival.group_until_us = window.group, window.until_us
         self._decide(api.Arrived(arrival))
 
-    def _refuse(self, action: api.Reject) -> None:
+    def _reject(self, action: api.Reject) -> None:
         self.metrics.rejections[action.why.value] += 1
         if log.isEnabledFor(logging.DEBUG):
             request = self.in_flight.by_number[action.job]
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -32,6 +32,7 @@
 from robinhill.net.cordons.actor import CordonActor, WorkerListChanged
 from robinhill.net.cordons.fleet import Fleet
 from robinhill.net.cordons.operator_calls import CordonCall
+from robinhill.net.cordons.replies import status_answer
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
@@ -197,12 +198,12 @@
 
     def status(self) -> Answer:
         """The status of this scheduler's replication, as JSON."""
-        status = msgspec.to_builtins(self.cordons.status()) | {
+        own = {
             "links": sorted(self.peers.links),
             "refused": self.peers.rejections,
             "clock_corrected_ms": self.clock.offset_us / 1000,
         }
-        return Answer(200, msgspec.json.encode({k: v for k, v in status.items() if v is not None}) + b"\n")
+        return status_answer(msgspec.to_builtins(self.cordons.status()) | own)
 
     def confirm_complete(self) -> Answer:
         """An operator confirms that nothing is in force that this scheduler does not know."""
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -21,7 +21,9 @@
         self.shed_share = 0.0  # of requests, weighted by priority
 
     def sheds(self, priority_weight: float) -> bool:
-        """Whether a request of this weight for its work is rejected at once; draws a random number."""
+        """Whether a request of this weight for its work is rejected at once, by chance under overload."""
+        if not self.shed_share:
+            return False
         state = self.state
         threshold = self.shed_share * state.estimates.mean_priority_weight
         return state.random.random() * priority_weight < threshold
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -26,6 +26,7 @@
 
     job: JobRecord
     job_class: int
+    bound: bool  # the job may go to certain workers only
     unsafe: bool  # the job must not run twice
     padded_hint_us: float  # hinted work with its margin
     sends: int
@@ -47,15 +48,16 @@
     def choose(self, now: int, job: JobRecord) -> WorkerRecord | None:
         """The worker for a job; None if none can take it now. Equal costs go to the larger age."""
         self.weights.update_for_choice(now)
-        state, klass = self.state, job.klass
+        state, klass, bound = self.state, job.klass, job.klass.bound
         criteria = _Criteria(
             job=job,
             job_class=job.request.job_class,
+            bound=bound,
             unsafe=klass.repeat is api.Repeat.UNSAFE,
             padded_hint_us=HINT_MARGIN * job.request.work_hint_us,
             sends=state.sends,
             few_arrivals=state.few_arrivals,
-            unbound_factor=1.0 if klass.bound else self.weights.unbound_factor,
+            unbound_factor=1.0 if bound else self.weights.unbound_factor,
             max_idle_us=state.derived.max_idle_us,
         )
         return self._cheapest(now, criteria)
@@ -63,7 +65,7 @@
     def _cheapest(self, now: int, criteria: _Criteria) -> WorkerRecord | None:
         """Each job compares all workers: what most of them need is in the loop itself, without calls."""
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
-        bound, pace = klass.bound, 0.0  # the pace is computed for the first worker in slow start
+        bound, pace = criteria.bound, 0.0  # the pace is computed for the first worker in slow start
         slow_start, has_capacity = self.slow_start, self.has_capacity
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         saturated = True
