--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -4,19 +4,21 @@
 which promises them whatever fails; copies of voters count as those of schedulers do.
 """
 
+import asyncio
 import contextlib
 import random
 import socket
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
+from math import inf
 from pathlib import Path
 from typing import Any
 
 import aiohttp
 
 from robinhill.checker import rules
-from robinhill.checker.journal import Event
+from robinhill.checker.journal import Event, What
 from robinhill.checker.mesh import Terms, copies, late_sends, lists, once, recovered
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
@@ -25,6 +27,7 @@
 from robinhill.emulator.rig import (
     FORM_S,
     KINDS,
+    LOOK_S,
     PROGRAM,
     UNSAFE,
     WORKERS,
@@ -45,6 +48,8 @@
 """From the last heal to equal copies at all voters and schedulers."""
 
 SPARE_S = 4.0
+LEASE_TIMEOUT_S = 10.0
+"""From equal copies to a send lease at each scheduler, before a schedule begins."""
 
 
 @dataclass(slots=True, eq=False)
@@ -78,6 +83,28 @@
         """Of the next scheduler in turn, down or not."""
         return self.programs[self.schedulers[next(self._turns) % len(self.schedulers)]].listen
 
+    async def may_send(self, name: str) -> bool:
+        """Whether a scheduler reports that it may send jobs: under `hold`, that it has a lease."""
+        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        return status == 200 and reply.get("may_act") is True
+
+    async def wait_until_sending_allowed(self, timeout_s: float) -> None:
+        """Wait until all schedulers may send at the same poll.
+
+        A scheduler reports equal copies before its voter can grant a lease. Raises RuntimeError with the
+        names of the schedulers that may not send at the timeout.
+        """
+        missing = list(self.schedulers)
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s):
+                while missing:
+                    held = await asyncio.gather(*map(self.may_send, self.schedulers))
+                    missing = [name for name, has in zip(self.schedulers, held, strict=True) if not has]
+                    if missing:
+                        await asyncio.sleep(LOOK_S)
+        if missing:
+            raise RuntimeError(f"{', '.join(missing)} may not send: no lease within {timeout_s:g} s")
+
     def _keep(self, name: str) -> None:
         program = self.programs[name]
         assert program.operator
@@ -167,7 +194,7 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[ControlRig]:
-    """Start all processes and synchronize them; they have ended after the block.
+    """Start all processes, synchronize them and wait for send leases; they have ended after the block.
 
     ``entry``, ``voter_entry``: what is run in place of the programs.
     """
@@ -194,6 +221,7 @@
             await rig.start(name)
         if await rig.equal(FORM_S) is None:
             raise RuntimeError(f"the links did not come up; see {folder}")
+        await rig.wait_until_sending_allowed(LEASE_TIMEOUT_S)
         lateness.start()
         stack.callback(lateness.stop)
         yield rig
@@ -225,7 +253,16 @@
     terms = Terms(bound_ms / 1000, True, EQUAL_S, late_s=late)
     found = rules.broken(here.journal, set(UNSAFE), ended=True, late_s=late)
     found += broken(sorted(here.journal.events, key=lambda e: e.at), terms, here.voters)
-    return here.outcome(found, equal, late)
+    outcome = here.outcome(found, equal, late)
+    outcome.idle_schedulers = idle_schedulers(here.journal.events, here.schedulers)
+    return outcome
+
+
+def idle_schedulers(events: list[Event], schedulers: tuple[str, ...]) -> tuple[str, ...]:
+    """Schedulers that sent nothing until the last fault ended: rules about sends checked nothing there."""
+    faults_ended = max((e.at for e in events if e.what is What.FAULT_ENDED), default=inf)
+    sent = {e.scheduler for e in events if e.what is What.SENT and e.at <= faults_ended}
+    return tuple(name for name in schedulers if name not in sent)
 
 
 def broken(events: list[Event], terms: Terms, voters: tuple[str, ...]) -> list[str]:
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -467,6 +467,7 @@
     late_s: float  # this machine's own lateness
     journal: Journal
     links: dict[str, int]  # what befell messages between schedulers
+    idle_schedulers: tuple[str, ...] = ()  # sent nothing until the last fault ended; by the control rig alone
 
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from robinhill.emulator.control_rig import play
+from robinhill.checker.journal import Event, What
+from robinhill.emulator.control_rig import idle_schedulers, play
 from robinhill.emulator.rig import PROGRAM, Outcome
 from robinhill.emulator.schedule import Call, Fault, Schedule, Trouble, names_of
 from robinhill.emulator.voter import VOTER
@@ -98,7 +99,11 @@
     schedule = Schedule(3, names_of(PROCESSES), faults, tuple(calls))
     bound_ms = LONG_BOUND_MS if SCHEDULES[name] is FAR_AWAY else BOUND_MS
     played = play(schedule, folder, VOTERS, bound_ms=bound_ms, voter_entry=voter, entry=scheduler)
-    return asyncio.run(played)
+    outcome = asyncio.run(played)
+    assert not outcome.idle_schedulers, (
+        f"this run checked nothing at {', '.join(outcome.idle_schedulers)}, which sent nothing under faults"
+    )
+    return outcome
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
@@ -116,3 +121,14 @@
     else:
         outcome = run(name, tmp_path, scheduler=entry)
     assert any(words in what for what in outcome.broken), (str(outcome), outcome.broken)
+
+
+def test_a_scheduler_that_sends_nothing_until_the_faults_end_is_idle() -> None:
+    events = [
+        Event(1.0, What.FAULT_STARTED, scheduler="n4"),
+        Event(2.0, What.SENT, scheduler="n5"),
+        Event(3.0, What.FAULT_ENDED, scheduler="n4"),
+        Event(4.0, What.SENT, scheduler="n4"),
+    ]
+    assert idle_schedulers(events, ("n4", "n5")) == ("n4",)
+    assert idle_schedulers(events[:2], ("n4", "n5")) == ("n4",)
