--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -1,8 +1,8 @@
 """The decision module: events in, actions out; the interface (types, events, actions) is in robinhill/api.py.
 
-``Balancer`` owns the way of a job from its arrival to its final answer. What it goes by is in modules of
-robinhill/placement by concern: the choice of a worker (worker_choice, age_weights), slow_start, outliers,
-retries, overload, outcomes and worker_list.
+``Balancer`` handles each job from its arrival to its final answer. The policies that it applies are in
+modules of robinhill/placement, one for each concern: the choice of a worker (worker_choice, age_weights),
+slow_start, outliers, retries, overload, outcomes and worker_list.
 """
 
 from collections.abc import Callable
@@ -23,13 +23,15 @@
 from robinhill.placement.worker_choice import WorkerChoice
 from robinhill.placement.worker_list import WorkerList
 
-UNHINTED_WAIT = 1.5  # how far a job may wait into what its own length, not hinted, adds to its objective
-TRUSTED_CONNECTION_US = 250_000  # a connection to a worker that was silent for longer may be dead
-ATTEMPT_OVERRUN_SHARE = 0.25  # of the hinted work's stretch, by which an attempt may miss its objective
+# A job without a hint may queue beyond its latency objective by this factor times its class's usual job time
+# times (stretch - 1).
+UNHINTED_WAIT_FACTOR = 1.5
+TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has sent no response for longer
+ATTEMPT_OVERRUN_SHARE = 0.25  # an attempt may exceed its objective by this share of stretch * hinted work
 
 
 class Balancer:
-    """Events and clock in, actions out; deterministic for a seed, no input or output of its own."""
+    """Turns events and clock readings into actions. Deterministic for a given seed; performs no I/O."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -60,20 +62,20 @@
         }
 
     def start(self, now: int) -> list[api.Action]:
-        """To be called once, before any event; return the actions to be carried out."""
+        """Return the initial actions, in order. The caller must call this once, before the first event."""
         self.estimates.start(now)
         actions = self.state.actions = []
         self.worker_list.schedule_first_poll()
         return actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Handle one event; return the actions to be carried out, in order."""
+        """Handle one event; return the actions that the caller must carry out, in order."""
         actions = self.state.actions = []
         self._handlers[type(event)](now, event)
         return actions
 
     def avoided(self, now: int) -> set[str]:
-        """The workers that get nothing, or come last, for their own faults; it changes nothing."""
+        """Addresses of the workers that are ejected or suspected because of their own failures. Read-only."""
         return {address for address, worker in self.workers.items() if worker.is_avoided(now)}
 
     # Events
@@ -94,7 +96,7 @@
         klass = self.settings.classes[request.job_class]
         self.estimates.add_arrival(now)
         job = self.jobs[request.job] = JobRecord(request, klass, client_deadline_us=now + left_us)
-        if now < request.group_until_us:  # an earlier request of its key may have run
+        if now < request.group_until_us:  # an earlier request with the same idempotency key may have run
             job.may_have_run, job.group, job.group_until_us = True, request.group, request.group_until_us
         objective_us = klass.latency_objective_us - self.client_retries.spent_us(request)
         job.objective_us = now + objective_us + klass.stretch * hint_us
@@ -114,14 +116,18 @@
             self.place(now, job)
 
     def _useful_wait_us(self, job: JobRecord, objective_us: int, expected_us: float) -> int:
-        """How long a job is worth queueing: while it can meet its objective, or its end if late counts."""
+        """How long queueing the job is useful (us).
+
+        A job whose class gives late answers a priority weight may queue as long as it can still meet the
+        client's deadline; any other only as long as it can meet its latency objective.
+        """
         klass, request = job.klass, job.request
         if klass.late_priority_weight:
             return max(objective_us, int(request.time_left_us - expected_us))
         if request.work_hint_us:
             return objective_us
         usual_us = self.job_times.class_baseline_us[request.job_class]
-        return objective_us + int(UNHINTED_WAIT * max(0.0, klass.stretch - 1) * usual_us)
+        return objective_us + int(UNHINTED_WAIT_FACTOR * max(0.0, klass.stretch - 1) * usual_us)
 
     def _on_progress(self, now: int, event: api.JobStarted | api.JobProgress | api.StreamStarted) -> None:
         attempt = self.attempts.get((event.job, event.attempt))
@@ -141,7 +147,7 @@
 
     def _on_stream_started(self, now: int, event: api.StreamStarted) -> None:
         self._on_progress(now, event)
-        self.jobs.pop(event.job, None)  # the attempt is the client's now, and no answer is pending
+        self.jobs.pop(event.job, None)  # the response streams to the client, so the job cannot be retried
 
     def _on_client_disconnected(self, _: int, event: api.ClientDisconnected) -> None:
         self.jobs.pop(event.job, None)
@@ -170,7 +176,8 @@
         if job.attempts_in_flight:
             return
         if self.retries.is_last(job, outcome):
-            # A cancel that can't be confirmed, before its time is up: the client may move it at once.
+            # The attempt was cancelled before the queue deadline, but nothing confirms that it did not run.
+            # The client may retry elsewhere at once, so the rejection carries no delay.
             unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
             self._give_up(job, api.RejectionReason.ATTEMPT_ENDED, unconfirmed)
         else:
@@ -193,7 +200,7 @@
     # Placement
 
     def place(self, now: int, job: JobRecord) -> None:
-        """Send the job, or queue it for a worker, or give it up."""
+        """Send the job to a worker or queue it; reject or fail it if its attempts or its time are used up."""
         if job.attempts >= self.settings.max_attempts:
             self._give_up(job, api.RejectionReason.ATTEMPTS_SPENT)
         elif now >= job.queue_deadline_us:
@@ -217,18 +224,19 @@
         job.attempts_in_flight += 1
         self.retries.schedule_start_check(attempt)
         if worker.connection_used_us and now - worker.last_response_us > TRUSTED_CONNECTION_US:
-            # A vanished machine leaves its connections open; a new one is not established, so no job is lost.
+            # Connections to a machine that crashed stay open on this side, and a job sent over one would be
+            # lost. Closing them forces a new connection: if that fails, the job was never sent.
             state.actions.append(api.CloseIdle(worker.entry.address))
         worker.connection_used_us = now
         timeout_us = 0
         if hint_us and not klass.late_priority_weight:
-            # With a hint it is known when an answer turns worthless: its place serves another then.
+            # The hint tells when a late answer becomes worthless; the timeout then frees capacity.
             overrun_us = ATTEMPT_OVERRUN_SHARE * klass.stretch * hint_us
             timeout_us = max(1, int(job.objective_us + overrun_us) - now)
         state.actions.append(api.Send(job.request.job, worker.entry.address, timeout_us))
 
     def _give_up(self, job: JobRecord, why: api.RejectionReason, unconfirmed: bool = False) -> None:
-        """One final answer; a refusal only where it is true that trying again does no harm."""
+        """Reject the job if a retry by its client is harmless; otherwise fail it, as it may have run."""
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
         klass = job.klass
@@ -238,7 +246,8 @@
             return
         retry_after_us = 0
         if self.settings.retry_after and not unconfirmed:
-            # Late attempts worth nothing are spared by the longest wait, others come back after a job's time.
+            # Where a late answer is worthless, the longest delay keeps clients from retrying in vain. Other
+            # clients may retry after the mean time of a job.
             retry_after_us = self.settings.max_retry_after_us
             if klass.late_priority_weight:
                 retry_after_us = min(retry_after_us, int(self.job_times.mean_us))
@@ -247,7 +256,7 @@
     # The queue
 
     def _place_queued(self, now: int) -> None:
-        """Give queued jobs their worker, the highest priority first, or their answer in time."""
+        """Place queued jobs, the highest priority first, and answer those past their queue deadline."""
         queued = self.queue.take_all()
         saturated_classes = self.choice.saturated_classes
         saturated_classes.clear()
@@ -256,7 +265,8 @@
         for job in queued:
             saturated = not available or job.request.job_class in saturated_classes
             if now < job.queue_deadline_us and saturated:
-                self.queue.jobs.append(job)  # a long queue must not cost a choice for each job at each event
+                # Avoids the cost of choosing a worker for each job of a long queue at each event.
+                self.queue.jobs.append(job)
             elif self.jobs.get(job.request.job) is job:
                 self.place(now, job)
 
@@ -269,6 +279,6 @@
             self._schedule_queue_check(now, min(job.queue_deadline_us for job in self.queue.jobs))
 
     def _schedule_queue_check(self, now: int, until_us: int) -> None:
-        """Check when the first job must be answered, and often enough to see capacity."""
+        """Set a timer for the next queue check, by ``until_us`` and within a tick to detect new capacity."""
         if wait_us := self.queue.next_check_us(now, until_us, self.state.derived.tick_us):
             self.state.actions.append(api.SetTimer(wait_us, timers.QUEUE_CHECK))
