--- a/robinhill/placement/__init__.py
+++ b/robinhill/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where and when each job runs: the parts of the decision module. No input or output; time is an argument."""
+"""The policies of the decision module: where and when each job runs. No I/O; the time is an argument."""
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -1,8 +1,8 @@
-"""Weights of the age-priced rotation: what each own send since the last one to a worker adds to its cost.
+"""Weights of the age-priced rotation.
 
-The cost of a worker is ln(q) times its age, the number of own sends since it last got one; q is the chance
-that its last own job still runs when the next job arrives. Weights change slowly: recomputing them for each
-job would dominate the cost of a decision.
+The cost of a worker is ln(q) times its age. The age is the number of own sends since the last one to that
+worker; q is the chance that the last own job there still runs when the next job arrives. Weights change
+slowly, and recomputing them for each job would dominate the cost of a decision, so they are cached.
 """
 
 from math import log1p
@@ -11,24 +11,26 @@
 from robinhill.placement.estimates import US_PER_S
 from robinhill.placement.records import WorkerRecord
 
-RATE_CHANGE_SHARE = 1 / 5  # of the rate, after which all workers are weighted anew
-SENDS_PER_UPDATE = 8  # own sends between updates of the factors of zones and unbound work
+RATE_CHANGE_SHARE = 1 / 5  # relative change of the job rate at which all weights are recomputed
+SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_POWER = 8
 ZONE_POWER = 8
-ZONE_POWER_FEW_ARRIVALS = 2  # sharper, schedulers that learn late would all leave a full zone for the next
+# With few arrivals a scheduler learns late that a zone is full. A higher power would then make all schedulers
+# move to the next zone together.
+ZONE_POWER_FEW_ARRIVALS = 2
 
 
 class AgeWeights:
-    """Computes the weights of workers and the factors of zones and of unbound work."""
+    """Computes the age weights of workers and the cost factors of zones and of unbound work."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
-        self.weighted_rate = 0.0  # rate of own jobs for which all workers were last weighted
+        self.weighted_rate = 0.0  # rate of own jobs at the last recomputation of all weights
         self.unbound_factor = 1.0  # cost factor of unbound work at workers that serve bound classes
         self._has_bound_classes = any(klass.bound for klass in state.settings.classes)
 
     def update_for_choice(self, now: int) -> None:
-        """Update what is due before a worker is chosen."""
+        """Recompute the weights and factors that are out of date. Called before each choice of a worker."""
         state, estimates = self.state, self.state.estimates
         state.few_arrivals = estimates.fewer_jobs_than_workers(now)
         were_few = state.few_in_flight
@@ -42,21 +44,23 @@
             self.update_factors()
 
     def update_worker(self, worker: WorkerRecord) -> None:
-        """Weight one worker by its expected job time and the rate of own jobs."""
+        """Recompute the age weight of one worker from its expected job time and the rate of own jobs."""
         estimates = self.state.estimates
         estimates.update_times(worker)
         worker.age_weight = -log1p(US_PER_S / (worker.job_time_us * estimates.rate))
         if not self.state.few_in_flight:
-            # Slow workers leave less of the latency objective. With few jobs this would swing between kinds.
+            # Slow workers use up more of the latency objective, so they get less than their share. With few
+            # jobs in flight this would make the load oscillate between the kinds of machine.
             worker.age_weight /= worker.job_time_us
 
     def update_factors(self) -> None:
-        """Update the factors of zones and of unbound work."""
+        """Recompute the cost factors of zones and of unbound work."""
         self._update_zones()
         self._update_unbound()
 
     def _update_zones(self) -> None:
-        # Own jobs wait longer in a zone that is full or far; a price counts like so much waiting.
+        # Own jobs wait longer in a zone that is full or distant. The prices of crossing zones and of
+        # handshakes are converted to waiting time.
         state, zones = self.state, self.state.estimates.zones
         settings, tick_us = state.settings, state.derived.tick_us
         price = settings.cross_zone_price * (len(zones) > 1)
@@ -70,7 +74,7 @@
             zone.new_connection_factor = zone.cost_factor * connected_share**CONNECTION_COST_POWER
 
     def _update_unbound(self) -> None:
-        """Leave workers of bound classes to these, as far as that loads all workers alike."""
+        """Move unbound work away from workers that serve bound classes, as far as that equalises the load."""
         if not self._has_bound_classes:
             return
         estimates = self.state.estimates
--- a/robinhill/placement/decision_state.py
+++ b/robinhill/placement/decision_state.py
@@ -1,6 +1,6 @@
-"""What the parts of the decision module share: settings, records, estimates and the actions of an event.
+"""The state that the parts of the decision module share: settings, records, estimates and pending actions.
 
-It holds state and decides nothing. Times are whole microseconds of the caller's clock.
+This module makes no decisions. Times are whole microseconds of the caller's clock.
 """
 
 import random
@@ -11,9 +11,9 @@
 from robinhill.placement.estimates import Estimates, JobTimes
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
 
-UNKNOWN_JOB_US = 1_000_000.0  # a job's time where nothing is known
-LIST_POLL_US = 50_000  # a poll's time at discovery: first polls of all schedulers are spread by it
-FLEET_JOBS_IN_LINE = 3.0  # jobs of all schedulers that may wait at one worker
+UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any has completed and without a hint
+LIST_POLL_US = 50_000  # time that discovery spends on a poll; the schedulers' first polls are spread by it
+FLEET_JOBS_IN_LINE = 3.0  # jobs of all schedulers together that may wait at one worker
 
 
 class DecisionState:
@@ -30,15 +30,15 @@
         self.estimates = Estimates(settings, self.job_times, UNKNOWN_JOB_US)
         self.actions: list[api.Action] = []
         self.sends = 0  # own sends so far
-        self.list_leased = True  # without the lease on the endpoint list jobs stay in the queue
-        self.few_arrivals = False  # fewer own jobs than workers in the window, as of the last choice
-        self.few_in_flight = False  # fewer own jobs in flight than workers, as of the last choice
+        self.list_leased = True  # while the endpoint list has no valid lease, jobs stay in the queue
+        self.few_arrivals = False  # at the last choice, fewer own jobs per window than usable workers
+        self.few_in_flight = False  # at the last choice, fewer own jobs in flight than usable workers
 
     def set_attempt_timer(self, wait_us: int, check: timers.AttemptCheck, attempt: Attempt) -> None:
-        """Set a timer for a check of this attempt in ``wait_us``."""
+        """Set a timer that performs ``check`` on this attempt after ``wait_us``."""
         self.actions.append(api.SetTimer(wait_us, timers.AttemptTimer(check, *attempt.key).tag))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its end is reported later."""
+        """Request the cancellation of an attempt; an ``AttemptEnded`` event reports its end later."""
         attempt.cancel_requested = True
         self.actions.append(api.Cancel(*attempt.key))
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -1,4 +1,4 @@
-"""Times and bounds that the decision module computes once from its settings."""
+"""Times and limits that the decision module computes once from its settings."""
 
 from dataclasses import dataclass
 from math import inf
@@ -8,22 +8,24 @@
 
 @dataclass(slots=True, frozen=True)
 class DerivedSettings:
-    """What follows from the settings alone; times in microseconds."""
+    """Values computed from the settings alone; times in microseconds."""
 
-    list_spread_us: int  # window over which first polls for the endpoint list are spread
-    tick_us: int  # longest time between checks of the queue; shorter differences of time are ignored
-    min_concurrency_limit: float  # of a worker
-    progress_timeout_us: int  # an attempt without progress for so long is lost; 0: progress is not reported
-    max_idle_us: float  # a connection idle for longer may be closed; infinite: new ones cost nothing
-    can_cancel_unstarted: bool  # attempts that have not started are known and can be cancelled
-    can_check_health: bool  # workers answer health checks, and their jobs can be cancelled
+    list_spread_us: int  # window over which the schedulers' first polls for the endpoint list are spread
+    tick_us: int  # longest time between checks of the queue; smaller time differences are ignored
+    min_concurrency_limit: float  # lower bound of a worker's concurrency limit
+    progress_timeout_us: int  # an attempt without progress for this long is lost; 0: no progress reports
+    max_idle_us: float  # the worker may have closed a connection idle for longer; inf: reconnecting is free
+    can_cancel_unstarted: bool  # workers report starts, and attempts can be cancelled
+    can_check_health: bool  # workers answer health checks, and attempts can be cancelled
 
     @classmethod
     def from_settings(
         cls, settings: api.Settings, list_poll_us: int, fleet_jobs_in_line: float
     ) -> "DerivedSettings":
-        """``list_poll_us``: cost of a poll at discovery; ``fleet_jobs_in_line``: jobs of all schedulers that
-        may wait at one worker.
+        """Derive the values from ``settings``.
+
+        ``list_poll_us``: time that discovery spends on a poll; ``fleet_jobs_in_line``: jobs of all schedulers
+        together that may wait at one worker.
         """
         tick_us = min(c.latency_objective_us for c in settings.classes) // 4 + 1000
         return cls(
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -1,7 +1,7 @@
-"""Estimates of job times, arrival rates and waits, smoothed from own jobs. Statistics only: no decisions.
+"""Estimates of job times, arrival rates and waits, smoothed over own jobs. Statistics only: no decisions.
 
-Times are microseconds. Values are smoothed over the slow-start window, or over the samples that
-``placement.statistics`` names. "Own" is what this scheduler itself has received or sent.
+Times are microseconds. Values are smoothed over the slow-start window, or over the number of samples set in
+``placement.statistics``. "Own" jobs are those that this scheduler itself has received or sent.
 """
 
 from collections.abc import Iterable
@@ -12,32 +12,32 @@
 from robinhill.placement.statistics import PRIOR_WEIGHT, DecayingMean, follow_low_quantile, smooth
 
 US_PER_S = 1e6
-BASELINE_RISE = 1 / 1024  # of the difference, at each job that takes longer
-MAX_TIME_RATIO = 4  # a job's time is clipped to so many times what such jobs take
-BASELINE_MARGIN = 1.3  # a job that takes so much longer than at its quickest has waited
+BASELINE_RISE = 1 / 1024  # share of its distance to the class mean that a baseline rises per completed job
+MAX_TIME_RATIO = 4  # the time of a job is clipped to this multiple of the expected time
+BASELINE_MARGIN = 1.3  # time above this multiple of the quickest known time counts as a wait at the worker
 
 
 class JobTimes:
-    """How long jobs take from send to completion (us): all of them, by class and by the clients' hints."""
+    """Job times from send to completion (us): the mean of all jobs, by class and scaled by clients' hints."""
 
     def __init__(self, classes: int) -> None:
         self.mean_us = 0.0
         self.class_mean_us = [0.0] * classes
-        self.class_baseline_us = [0.0] * classes  # the lowest mean of each class, rising slowly
-        self.mean_hint_us = 0.0  # 0: no hint has come
+        self.class_baseline_us = [0.0] * classes  # follows the lowest mean of each class; rises slowly
+        self.mean_hint_us = 0.0  # 0: no hint received yet
 
     def add_hint(self, hint_us: int) -> None:
-        """Count the hint of an arriving request."""
+        """Add the work hint of an arriving request to the mean of hints."""
         self.mean_hint_us = smooth(self.mean_hint_us, hint_us)
 
     def expected_us(self, job_class: int, hint_us: int) -> float:
-        """How long such a job takes; 0 if nothing is known."""
+        """Return the expected time of a job of this class and hint; 0 if no job has completed yet."""
         if hint_us and self.mean_us:
             return self.mean_us * hint_us / self.mean_hint_us
         return self.class_mean_us[job_class] or self.mean_us
 
     def add(self, job_class: int, elapsed_us: int, clipped_us: float) -> None:
-        """Count a completed job; ``clipped_us`` is used unless it is the first one."""
+        """Add a completed job's time; a mean without samples takes ``elapsed_us``, others ``clipped_us``."""
         self.mean_us = self._smooth(self.mean_us, elapsed_us, clipped_us)
         mean = self._smooth(self.class_mean_us[job_class], elapsed_us, clipped_us)
         self.class_mean_us[job_class] = mean
@@ -51,16 +51,21 @@
 
 
 class ClientRetries:
-    """How much of their time clients have spent on attempts before this one."""
+    """Estimates how much of its deadline a client has already spent on earlier requests for the same job."""
 
     def __init__(self, classes: int, min_spent_us: int) -> None:
-        """``min_spent_us``: a request that has less time missing than this counts as a first attempt."""
+        """``min_spent_us``: a request that has spent no more than this counts as a first request."""
         self.min_spent_us = min_spent_us
-        self.max_time_left_us = [0] * classes  # that of a first attempt
-        self.unretried_answers = 0  # own final answers after which no retry has come yet
+        self.max_time_left_us = [0] * classes  # by class; taken as the time left of a first request
+        self.unretried_answers = 0  # own rejections and failures that no retry has followed yet
 
     def spent_us(self, request: api.Request) -> int:
-        """How much of its client's time an arriving request has spent; it is a retry if one was due."""
+        """Return the time that the client has spent before this request (us).
+
+        A request with less time left than the maximum of its class counts as a retry if the client marks it
+        as one, or if an own rejection or failure has not been followed by a retry yet. A request that is no
+        retry has spent nothing: its client set a shorter deadline.
+        """
         full = max(self.max_time_left_us[request.job_class], request.time_left_us)
         self.max_time_left_us[request.job_class] = full
         spent = full - request.time_left_us
@@ -72,10 +77,10 @@
 
 
 class Estimates:
-    """The rate of own jobs, how long they take by worker and kind of machine, and wait by zone."""
+    """The rate of own jobs, their times by worker and kind of machine, and their waits by zone."""
 
     def __init__(self, settings: api.Settings, job_times: JobTimes, unknown_job_us: float) -> None:
-        """``unknown_job_us``: a job's time where nothing is known."""
+        """``unknown_job_us``: assumed time of a job before any has completed."""
         self.settings = settings
         self.jobs = job_times
         self.unknown_job_us = unknown_job_us
@@ -86,72 +91,72 @@
         self.zones: dict[int, ZoneWait] = {}
         self.kinds: dict[int, DecayingMean] = {}  # job time by kind of machine
         self.weighted_time = DecayingMean()  # job time on a worker of weight 1
-        self.unit_times: dict[int, float] = {}  # low quantile of time over work by kind of machine
+        self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
         self.served = DecayingMean()  # time of own completed jobs
         self.usable_workers = 1
-        self.mean_priority_weight = 0.0  # of requests, for their expected work
-        self.requested_us = 2 * unknown_job_us  # work requested in total
-        self.unbound_us = unknown_job_us  # of this, by classes that may go to any worker
+        self.mean_priority_weight = 0.0  # mean of the requests' priority weights for their expected work
+        self.requested_us = 2 * unknown_job_us  # expected work of all requests
+        self.unbound_us = unknown_job_us  # the part of it in classes that may go to any worker
 
     def start(self, now: int) -> None:
-        """Begin the window; nothing was observed before."""
+        """Begin the smoothing window at ``now``, with no jobs observed."""
         self.rate_updated_us = self.started_us = now
 
     def window_share(self, now: int) -> float:
-        """The share of the window that has been observed: little after a start."""
+        """The share of the smoothing window observed since the start; small right after it."""
         return -expm1((self.started_us - now) / self.window_us) or 1.0
 
     def add_arrival(self, now: int) -> None:
-        """Count an arriving request in the rate."""
+        """Update the rate of own jobs with an arriving request."""
         one_job = US_PER_S / self.window_us
         decay = exp((self.rate_updated_us - now) / self.window_us)
         self.rate = max(one_job, self.rate * decay + one_job)
         self.rate_updated_us = now
 
     def add_work(self, expected_us: float, priority_weight: float, bound: bool) -> None:
-        """Count a request's expected time, and its priority weight for that time.
+        """Add a request's expected time and its priority weight for that time to the estimates.
 
-        ``bound``: its class may go to certain workers only.
+        ``bound``: the request's class may go to certain workers only.
         """
         self.requested_us += expected_us
         self.unbound_us += 0.0 if bound else expected_us
         self.mean_priority_weight = smooth(self.mean_priority_weight, priority_weight)
 
     def update_usable_workers(self, workers: Iterable[WorkerRecord]) -> None:
-        """Count usable workers; jobs served keep their number for each of them."""
+        """Count the usable workers; the count of served jobs is rescaled to keep the number per worker."""
         usable = max(1, sum(worker.ejected_until_us < inf for worker in workers))
         self.served.count = self.served.count * usable / self.usable_workers
         self.usable_workers = usable
 
     def fewer_jobs_than_workers(self, now: int) -> bool:
-        """Whether fewer own jobs arrive in a window than there are workers."""
+        """Whether fewer own jobs arrive in a window than there are usable workers."""
         return US_PER_S * self.usable_workers * self.window_share(now) > self.rate * self.window_us
 
     def fewer_jobs_in_flight_than_workers(self, now: int) -> bool:
-        """Whether fewer own jobs are in flight at a time than there are workers, by Little's law."""
+        """Whether fewer own jobs are in flight on average than there are usable workers, by Little's law."""
         in_flight = self.rate * self.jobs.mean_us / US_PER_S
         return 0 < in_flight < self.usable_workers * self.window_share(now)
 
     def worker_throughput(self, now: int) -> float:
-        """Own jobs a microsecond that a usable worker serves; at least this scheduler's share of one job."""
+        """Own jobs served per microsecond and usable worker; at least this scheduler's share of one job."""
         served = self.served.count * exp((self.served.at_us - now) / self.window_us)
         throughput = served / (self.window_share(now) * self.window_us * self.usable_workers)
         one_job = 1 / (self.settings.fleet_size * self.served.with_prior(self.unknown_job_us))
         return max(throughput, one_job)
 
     def counted_gap_share(self, now: int) -> float:
-        """The share of the time between own jobs that counts if each gap is cut at ``tip_after_us``."""
+        """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``."""
         tip = self.settings.tip_after_us
         return max(0.5, -expm1(-self.rate * tip / (US_PER_S * self.window_share(now))))
 
     def add_job_time(self, now: int, worker: WorkerRecord, elapsed_us: float) -> None:
-        """Count a job's time for its worker, its kind of machine and all workers by weight."""
+        """Add a job's time to the means of its worker, of its kind of machine and, by weight, of all."""
         worker.own_time.add(now, elapsed_us, self.window_us)
         self.kinds.setdefault(worker.entry.kind, DecayingMean()).add(now, elapsed_us, self.window_us)
         self.weighted_time.add(now, elapsed_us * worker.entry.weight, self.window_us)
 
     def add_completion(self, now: int, worker: WorkerRecord, request: api.Request, elapsed_us: int) -> None:
-        """Count a completed job, its time normalised and clipped by what such jobs take."""
+        """Add a completed job's time, clipped and normalised by the expected time of its class and hint."""
         mean = self.jobs.mean_us
         expected = self.jobs.expected_us(request.job_class, request.work_hint_us) or max(1.0, elapsed_us)
         clipped = min(max(1, elapsed_us), MAX_TIME_RATIO * expected)
@@ -159,16 +164,16 @@
         self.jobs.add(request.job_class, elapsed_us, clipped)
 
     def slow_start_share(self, now: int, worker: WorkerRecord) -> float:
-        """The share of its full speed that a worker in slow start has for sure."""
+        """The share of its full speed that a worker in slow start has at least."""
         remaining = min(1.0, (worker.slow_start_until_us - now) / self.window_us)
         return 1 - (1 - self.settings.slow_start_floor) * remaining
 
     def zone(self, number: int) -> ZoneWait:
-        """The waits in a zone; a new one if it is not known."""
+        """Return the waits in a zone; a zone seen for the first time gets a new record."""
         return self.zones.setdefault(number, ZoneWait())
 
     def zone_waits(self, tick_us: int, crossing_us: float) -> list[float]:
-        """How long own jobs wait in each zone; ``crossing_us`` is added for zones other than our own."""
+        """Waits of own jobs by zone (us); ``crossing_us`` is added for zones other than this scheduler's."""
         waits = []
         for number, zone in self.zones.items():
             is_other = number != self.settings.zone
@@ -176,7 +181,7 @@
         return waits
 
     def bound_speed_share(self, workers: Iterable[WorkerRecord]) -> float:
-        """The share of all speed that workers have which serve bound classes."""
+        """The share of the total speed of usable workers that those serving bound classes contribute."""
         speeds = [
             (1 / worker.job_time_us, worker.serves_bound_classes)
             for worker in workers
@@ -186,17 +191,22 @@
         return bound / (sum(speed for speed, _ in speeds) or 1.0)
 
     def update_times(self, worker: WorkerRecord) -> None:
-        """Set the worker's expected times: own jobs, then its kind, then the list's weight as prior."""
+        """Set the worker's expected times from own jobs there.
+
+        The prior of the job time is the mean of the worker's kind of machine, whose own prior comes from the
+        weight in the endpoint list.
+        """
         entry, kind = worker.entry, self.kinds.get(worker.entry.kind)
         prior = self.weighted_time.value / max(1e-6, entry.weight) or self.unknown_job_us
         worker.job_time_us = max(1.0, worker.own_time.with_prior(kind.with_prior(prior) if kind else prior))
         worker.unit_time = worker.unit_time or self.unit_times.get(entry.kind, 0.0)
 
     def infer_wait(self, worker: WorkerRecord, request: api.Request, elapsed_us: int) -> float:
-        """How long a job has waited at its worker, where workers do not report starts.
+        """Estimate how long a job has waited at its worker, for workers that do not report starts (us).
 
-        It is the time above that of such a job at its quickest: by its hint and the worker's time for a unit
-        of work, or by its class's baseline, which unlike the mean does not follow a lasting overload.
+        The wait is the elapsed time less the shortest time of such a job with a margin. With a hint, the
+        shortest time is the hint times the worker's time per unit of work; without one it is the baseline of
+        the class, which, unlike the mean, does not follow a lasting overload.
         """
         kind, hint, own = worker.entry.kind, request.work_hint_us, worker.own_time.count
         work = hint or self.jobs.class_mean_us[request.job_class]
