--- a/robinhill/placement/exported_format.py
+++ b/robinhill/placement/exported_format.py
@@ -1,7 +1,7 @@
-"""The format of the decision module's exported state: its keys, and the shapes that they are in.
+"""The format of the decision module's exported state: its keys and the types of its objects.
 
-Two processes of a scheduler may be of different versions, and each ignores keys that it does not know. So a
-key never changes its meaning, and a renamed attribute keeps its key.
+The two processes of a hand-over may be of different versions, and each ignores keys that it does not know. So
+a key never changes its meaning, and a renamed attribute keeps its key.
 """
 
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 Json = dict[str, Any]
 Keys = Mapping[str, str]
 
-# Keys by attribute of the record that has the value.
+# Each mapping gives, for the attributes of one record, the keys under which their values are exported.
 SENDS_KEYS: Keys = {"sends": "sends"}
 WEIGHTED_RATE_KEYS: Keys = {"weighted_rate": "priced_rate"}
 RETRY_BUDGET_KEYS: Keys = {"budget": "budget"}
@@ -91,7 +91,11 @@
 
 
 class ExportedWorker(TypedDict):
-    """What is known of one worker; ``full`` has a pair of class and end of back-off, ``out`` a count."""
+    """State of one worker.
+
+    ``own``: mean time of own jobs there; ``full``: pairs of a job class and the end of its backoff (us);
+    ``out``: number of own attempts in flight there.
+    """
 
     values: Json
     own: Json
@@ -100,9 +104,12 @@
 
 
 class ExportedState(TypedDict):
-    """What the module has learned of workers and of jobs in general.
+    """State of the decision module apart from single jobs.
 
-    Pairs begin with the number of a kind of machine or of a zone.
+    ``own``: counters and estimates of this scheduler; ``unit``: job time on a worker of weight 1; ``kinds``:
+    job time by kind of machine; ``zones``: waits by zone; ``quick``: low quantile of the time per unit of
+    work, by kind of machine; ``served``: time of completed jobs; ``seats``: state of workers by address.
+    Pairs begin with the number of the kind of machine or of the zone.
     """
 
     own: Json
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -1,6 +1,7 @@
-"""State of the decision module as plain JSON values, so that a successor process can go on with it.
+"""Export and import of the decision module's state as JSON values, for a hand-over to a successor process.
 
-It moves values between records and the shapes of ``placement.exported_format``, and decides nothing.
+This module copies values between records and the types of ``placement.exported_format``; it makes no
+decisions.
 """
 
 from collections.abc import Mapping
@@ -38,7 +39,7 @@
 
 
 def export_state(balancer: Balancer) -> ExportedState:
-    """What the module has learned of workers and of jobs in general."""
+    """Export the state of the decision module apart from single jobs; the balancer is not changed."""
     estimates = balancer.estimates
     own: Json = {}
     for record, keys in _learned_records(balancer):
@@ -55,13 +56,15 @@
 
 
 def import_state(balancer: Balancer, state: Mapping[str, Any]) -> None:
-    """Go on from an ``ExportedState`` of any version. The endpoint list must be known by then."""
+    """Import an ``ExportedState`` of any version.
+
+    The balancer must have received the endpoint list before: workers that it does not know are skipped.
+    """
     estimates = balancer.estimates
     for record, keys in _learned_records(balancer):
         _import(record, keys, state["own"])
-    balancer.weights.weighted_rate = (
-        0.0  # so that this version computes its own age weights at the first choice
-    )
+    # A rate of 0 makes this version compute its own age weights at the first choice of a worker.
+    balancer.weights.weighted_rate = 0.0
     _import(estimates.weighted_time, MEAN_KEYS, state["unit"])
     for number, values in state["kinds"]:
         _import(estimates.kinds.setdefault(number, DecayingMean()), MEAN_KEYS, values)
@@ -75,7 +78,7 @@
 
 
 def export_job(balancer: Balancer, number: int) -> ExportedJob | None:
-    """Remove a job and its attempts, for another process to go on with; None if there is no such job."""
+    """Remove a job and its attempts, and return them for another process; None if the job is unknown."""
     if (job := balancer.jobs.pop(number, None)) is None:
         return None
     keys = [key for key in balancer.attempts if key[0] == number]
@@ -89,9 +92,9 @@
 def import_job(
     balancer: Balancer, now: int, exported: Mapping[str, Any], own: bool = False
 ) -> list[api.Action]:
-    """Take over an ``ExportedJob`` of any version; return the actions that follow.
+    """Import an ``ExportedJob`` of any version; return the actions that the caller must carry out.
 
-    ``own``: this process exported the job, and no other has taken it.
+    ``own``: this process exported the job itself, and no other process has accepted it.
     """
     attributes = {key: name for name, key in REQUEST_KEYS.items()}
     request = api.Request(**{attributes[key]: value for key, value in exported["request"].items()})
@@ -107,13 +110,13 @@
 
 
 def is_timer_of_job(tag: str, number: int) -> bool:
-    """Whether a timer is about an attempt of this job."""
+    """Whether the timer with this tag checks an attempt of this job."""
     timer = timers.parse(tag)
     return timer is not None and timer.job == number
 
 
 def _learned_records(balancer: Balancer) -> list[tuple[object, Keys]]:
-    """Who has learned what, in the order of the format's keys."""
+    """The objects whose attributes are exported under ``own``, each with its keys, in the order of export."""
     return [
         (balancer.state, SENDS_KEYS),
         (balancer.weights, WEIGHTED_RATE_KEYS),
@@ -140,9 +143,10 @@
     _import(worker, WORKER_KEYS, exported["values"])
     _import(worker.own_time, MEAN_KEYS, exported["own"])
     worker.class_backoff_until_us = dict(exported["full"])
-    # Attempts of the other process take capacity there until `import_job` brings them here.
+    # The predecessor's attempts in flight use capacity of the worker until `import_job` imports them.
     worker.concurrency_limit = max(1.0, worker.concurrency_limit - exported["out"])
-    if listed_as_unavailable or worker.ejected_until_us == inf:  # the endpoint list here is newer
+    if listed_as_unavailable or worker.ejected_until_us == inf:
+        # Whether the worker is listed as ready follows from this process's list, newer than the exported one.
         worker.ejected_until_us = inf if listed_as_unavailable else 0
 
 
@@ -168,19 +172,20 @@
     attempt = balancer.attempts[key] = Attempt(key, worker, now, job, 0, -1)
     _import(attempt, ATTEMPT_KEYS, exported["values"])
     worker.in_flight.add(key)
-    worker.concurrency_limit += 0.0 if own else 1.0  # taken off in `_import_worker`, not in `export_job`
+    # `_import_worker` lowered the limit for each attempt in flight at the predecessor; `export_job` does not.
+    worker.concurrency_limit += 0.0 if own else 1.0
     if exported["waiting"]:
         worker.waiting = attempt
 
 
 def _removed_worker(address: str) -> WorkerRecord:
-    """A record for a worker that is no longer on the endpoint list."""
+    """Create a record for a worker that is no longer on the endpoint list; it gets no more jobs."""
     entry = api.Worker(address, state=api.WorkerState.REMOVED)
     return WorkerRecord(entry, 0.0, ZoneWait(), UNKNOWN_JOB_US, ejected_until_us=inf)
 
 
 def _export(record: object, keys: Keys) -> Json:
-    """The record's values by key; JSON has no infinity, so null stands for it."""
+    """Return the record's values by exported key; null replaces infinity, which JSON cannot express."""
     values = {key: getattr(record, name) for name, key in keys.items()}
     return {key: None if value == inf else value for key, value in values.items()}
 
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -1,4 +1,4 @@
-"""The jobs that wait for a worker, in order of priority, and the time of the next check of them."""
+"""The queue of jobs that wait for a worker, by priority, and the time of its next check."""
 
 from bisect import insort
 
@@ -10,18 +10,18 @@
 
 
 class JobQueue:
-    """Jobs of the lowest ``order`` first, then those that arrived first."""
+    """Jobs sorted by ``order``, lowest first, and by arrival among jobs of the same ``order``."""
 
     def __init__(self) -> None:
         self.jobs: list[JobRecord] = []
         self._next_check_us = 0
 
     def add(self, job: JobRecord) -> None:
-        """Insert a job at its place."""
+        """Insert a job at its position in the sort order."""
         insort(self.jobs, job, key=_sort_key)
 
     def sort(self) -> None:
-        """Restore the order after ``order`` of some jobs has changed."""
+        """Sort the queue again after the ``order`` attribute of some jobs has changed."""
         self.jobs.sort(key=_sort_key)
 
     def take_all(self) -> list[JobRecord]:
@@ -30,9 +30,9 @@
         return jobs
 
     def next_check_us(self, now: int, until_us: int, tick_us: int) -> int:
-        """How long to the next check if a timer must be set for it, else 0.
+        """Return the delay for which the caller must set a timer, or 0 if a timer in time is already set.
 
-        Checks are due by ``until_us`` and after each ``tick_us``, whichever is sooner.
+        The next check is due at ``until_us`` or ``tick_us`` from now, whichever is sooner.
         """
         due = max(now + 1, min(until_us, now + tick_us))
         if now < self._next_check_us <= due:
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -1,6 +1,7 @@
-"""What the outcome of an attempt shows about its worker: speed, capacity, and whether it is an outlier.
+"""Evaluation of the outcome of an attempt: what it shows about the worker's speed, capacity and failures.
 
-Estimates, limits and ejections are kept elsewhere: this module only says which of them an outcome concerns.
+This module only decides which estimates, concurrency limits and ejections an outcome updates; other modules
+hold them.
 """
 
 from math import inf
@@ -15,7 +16,7 @@
 
 
 class OutcomeEvaluator:
-    """Passes each outcome on to those whom it concerns."""
+    """Updates estimates, limits, failures and the retry budget from the outcome of each attempt."""
 
     def __init__(
         self,
@@ -32,10 +33,10 @@
         self.retries = retries
 
     def evaluate(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
-        """Count an attempt that has ended."""
+        """Update the state of the worker and of the scheduler from an attempt that has ended."""
         state, worker = self.state, attempt.worker
         if not state.list_leased and outcome is api.Outcome.CONNECT_FAILED:
-            return  # it was not written for want of the lease
+            return  # the attempt was not written because the lease on the endpoint list had expired
         connect_timeout_us = state.settings.connect_timeout_us
         if outcome in api.ANSWERED:
             worker.last_response_us = now
@@ -43,7 +44,7 @@
             self.outliers.check_health(now, worker)
         if outcome is api.Outcome.COMPLETED:
             self._completed(now, attempt, took_us)
-        elif not _proves_nothing(attempt, outcome):
+        elif not _is_inconclusive(attempt, outcome):
             self._failed(now, attempt, outcome, took_us)
 
     def _completed(self, now: int, attempt: Attempt, took_us: int) -> None:
@@ -64,7 +65,7 @@
     def _failed(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
         state, worker = self.state, attempt.worker
         late = outcome is api.Outcome.TIMEOUT or attempt.cancel_requested
-        # A lost answer must not make its worker look slow or full: the others would get its load.
+        # A lost answer must not count as slowness or a full worker: load would shift to the other workers.
         timeout_us = state.derived.progress_timeout_us
         lost = late and attempt.last_progress_us and 0 < timeout_us <= now - attempt.last_progress_us
         full = outcome is api.Outcome.FULL
@@ -82,8 +83,8 @@
             self.outliers.record_failure(now, attempt, outcome)
 
 
-def _proves_nothing(attempt: Attempt, outcome: api.Outcome) -> bool:
-    """Whether it was the client's doing, or a job from before the worker was readmitted."""
+def _is_inconclusive(attempt: Attempt, outcome: api.Outcome) -> bool:
+    """Whether the client caused the outcome, or the attempt was sent before the worker was readmitted."""
     cancelled = outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
     by_client = cancelled and not attempt.cancel_requested
     return by_client or attempt.sent_us < attempt.worker.readmitted_us
