--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -16,7 +16,7 @@
 from robinhill.placement.job_queue import JobQueue
 from robinhill.placement.outcomes import OutcomeEvaluator
 from robinhill.placement.outliers import OutlierDetector
-from robinhill.placement.overload import Overload
+from robinhill.placement.overload import OverloadControl
 from robinhill.placement.records import Attempt, JobRecord, WorkerRecord
 from robinhill.placement.retries import Retries
 from robinhill.placement.slow_start import SlowStart
@@ -43,7 +43,7 @@
         self.weights = AgeWeights(state)
         self.slow_start = SlowStart(state)
         self.choice = WorkerChoice(state, self.weights, self.slow_start)
-        self.overload = Overload(state)
+        self.overload = OverloadControl(state)
         self.outliers = OutlierDetector(state)
         self.retries = Retries(state)
         self.outcomes = OutcomeEvaluator(state, self.weights, self.overload, self.outliers, self.retries)
@@ -162,7 +162,7 @@
         attempt.job.attempts_in_flight -= 1
         if worker.concurrency_limit < 1 and outcome is not api.Outcome.FULL:
             self.overload.pause_after_attempt(now, worker)
-        self.worker_list.connection_fell_idle(now, worker)
+        self.worker_list.on_connection_idle(now, worker)
         self.outcomes.evaluate(now, attempt, outcome, event.took_us)
         if event.final:
             self.jobs.pop(event.job, None)
@@ -219,7 +219,7 @@
         attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.in_flight), group)
         worker.in_flight.add(key)
         worker.waiting = attempt if self.settings.reports_start else None
-        self.slow_start.use(worker)
+        self.slow_start.spend_credit(worker)
         job.attempts += 1
         job.attempts_in_flight += 1
         self.retries.schedule_start_check(attempt)
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -32,7 +32,7 @@
     def update_for_choice(self, now: int) -> None:
         """Recompute the weights and factors that are out of date. Called before each choice of a worker."""
         state, estimates = self.state, self.state.estimates
-        state.few_arrivals = estimates.fewer_jobs_than_workers(now)
+        state.few_arrivals = estimates.fewer_arrivals_than_workers(now)
         were_few = state.few_in_flight
         state.few_in_flight = estimates.fewer_jobs_in_flight_than_workers(now)
         rate_changed = abs(estimates.rate - self.weighted_rate) > self.weighted_rate * RATE_CHANGE_SHARE
--- a/robinhill/placement/decision_state.py
+++ b/robinhill/placement/decision_state.py
@@ -13,7 +13,7 @@
 
 UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any has completed and without a hint
 LIST_POLL_US = 50_000  # time that discovery spends on a poll; the schedulers' first polls are spread by it
-FLEET_JOBS_IN_LINE = 3.0  # jobs of all schedulers together that may wait at one worker
+MAX_FLEET_JOBS_WAITING = 3.0  # jobs of all schedulers together that may wait at one worker
 
 
 class DecisionState:
@@ -21,7 +21,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
-        self.derived = DerivedSettings.from_settings(settings, LIST_POLL_US, FLEET_JOBS_IN_LINE)
+        self.derived = DerivedSettings.from_settings(settings, LIST_POLL_US, MAX_FLEET_JOBS_WAITING)
         self.random = random.Random(seed)
         self.workers: dict[str, WorkerRecord] = {}
         self.jobs: dict[int, JobRecord] = {}
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -20,18 +20,18 @@
 
     @classmethod
     def from_settings(
-        cls, settings: api.Settings, list_poll_us: int, fleet_jobs_in_line: float
+        cls, settings: api.Settings, list_poll_us: int, max_fleet_jobs_waiting: float
     ) -> "DerivedSettings":
         """Derive the values from ``settings``.
 
-        ``list_poll_us``: time that discovery spends on a poll; ``fleet_jobs_in_line``: jobs of all schedulers
-        together that may wait at one worker.
+        ``list_poll_us``: time that discovery spends on a poll; ``max_fleet_jobs_waiting``: jobs of all
+        schedulers together that may wait at one worker.
         """
         tick_us = min(c.latency_objective_us for c in settings.classes) // 4 + 1000
         return cls(
             list_spread_us=min(settings.poll_interval_us // 2, list_poll_us * settings.fleet_size),
             tick_us=tick_us,
-            min_concurrency_limit=min(1.0, max(0.2, fleet_jobs_in_line / settings.fleet_size)),
+            min_concurrency_limit=min(1.0, max(0.2, max_fleet_jobs_waiting / settings.fleet_size)),
             progress_timeout_us=settings.progress_us * 3 // 2,
             max_idle_us=settings.keepalive_us - tick_us if settings.handshake_price else inf,
             can_cancel_unstarted=settings.reports_start and settings.cancelling,
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -128,7 +128,7 @@
         self.served.count = self.served.count * usable / self.usable_workers
         self.usable_workers = usable
 
-    def fewer_jobs_than_workers(self, now: int) -> bool:
+    def fewer_arrivals_than_workers(self, now: int) -> bool:
         """Whether fewer own jobs arrive in a window than there are usable workers."""
         return US_PER_S * self.usable_workers * self.window_share(now) > self.rate * self.window_us
 
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -10,7 +10,7 @@
 from robinhill.placement.age_weights import AgeWeights
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.outliers import OutlierDetector
-from robinhill.placement.overload import Overload
+from robinhill.placement.overload import OverloadControl
 from robinhill.placement.records import Attempt
 from robinhill.placement.retries import Retries
 
@@ -22,7 +22,7 @@
         self,
         state: DecisionState,
         weights: AgeWeights,
-        overload: Overload,
+        overload: OverloadControl,
         outliers: OutlierDetector,
         retries: Retries,
     ) -> None:
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: ejection of workers that fail fast, health checks of silent ones, lost answers.
+"""Outlier detection: ejection of failing workers, health checks of silent workers, and lost answers.
 
-A worker is judged by own jobs alone. Ejections double in length while faults go on; no more than half of all
-workers are ejected at a time.
+Only this scheduler's own jobs count as evidence about a worker. The ejection time doubles with each
+consecutive ejection, and at most half of all workers are ejected at a time.
 """
 
 from math import inf
@@ -11,23 +11,27 @@
 from robinhill.placement.records import Attempt, WorkerRecord
 
 MIN_MAX_EJECTION_US = 4_000_000  # the longest ejection is this, or half the slow-start window if longer
-SILENT_EJECTIONS = 3  # a worker that answers no health check is ejected as after so many ejections
+SILENT_EJECTIONS = 3  # ejections counted at least for a worker that fails its health checks: longer backoff
 MAX_FAILURE_SHARE = 0.4
-HEALTH_CHECKS = 2  # one can be lost in a pause of a busy machine
+HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
 
 
 class OutlierDetector:
-    """Ejects workers by own failures and by health checks."""
+    """Ejects workers because of failures of own jobs and failed health checks."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
 
     def record_failure(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
-        """An attempt failed fast, which must not look like speed."""
+        """Count a fast failure of an attempt, and eject the worker if it is an outlier.
+
+        Without ejection, a worker that fails fast would look fast and attract more jobs.
+        """
         state, worker = self.state, attempt.worker
         worker.add_failure(outcome is api.Outcome.ERROR)
         unreachable = outcome is api.Outcome.CONNECT_FAILED
-        if unreachable and state.few_arrivals:  # else a lost zone would be tried worker by worker
+        if unreachable and state.few_arrivals:
+            # Raises the cost of the whole zone. Otherwise each worker of a lost zone would be tried in turn.
             worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.slow_start_us)
         broken = unreachable or outcome is api.Outcome.RESET
         is_outlier = broken or worker.failure_share > MAX_FAILURE_SHARE or worker.consecutive_ejections
@@ -35,7 +39,7 @@
             self.eject(now, worker, outcome.value)
 
     def eject(self, now: int, worker: WorkerRecord, reason: str) -> None:
-        """Send nothing to the worker for a while, unless half of all workers are ejected."""
+        """Eject the worker for a time that doubles with each ejection, unless half of all are ejected."""
         workers, settings = self.state.workers, self.state.settings
         ejected = sum(now < other.ejected_until_us < inf for other in workers.values())
         if 2 * ejected >= len(workers):
@@ -48,14 +52,20 @@
         self.state.actions.append(api.Log(text))
 
     def suspect_lost_answers(self, now: int, attempt: Attempt) -> None:
-        """A job is overdue: if none has completed there since it started, answers seem to be lost."""
+        """Suspect the worker of an overdue attempt of losing answers, and check its health.
+
+        A worker that has completed a job since the attempt last reported progress is not suspected.
+        """
         worker = attempt.worker
         if worker.last_completion_us < attempt.last_progress_us:
             worker.suspected_until_us = now + self.state.settings.slow_start_us
             self.check_health(now, worker)
 
     def check_health(self, now: int, worker: WorkerRecord) -> None:
-        """Nothing came from this worker, not even a rejection: check it, if jobs there could be moved."""
+        """Start a health check of a worker that does not respond, if it has jobs that could be moved.
+
+        Nothing happens if the worker is unlisted or being checked, or has no own attempts in flight.
+        """
         state = self.state
         listed = state.workers.get(worker.entry.address) is worker
         is_checked = bool(worker.health_check_since_us)
@@ -64,7 +74,11 @@
             state.actions.append(api.CheckHealth(worker.entry.address))
 
     def on_health_check_ended(self, now: int, event: api.HealthCheckEnded) -> None:
-        """A machine that vanished never ends the jobs it has: those safe to repeat are moved."""
+        """Handle the result of a health check.
+
+        After ``HEALTH_CHECKS`` failures the worker is ejected, and its jobs that are safe to repeat are
+        cancelled so that they can move: a machine that has crashed never reports their end.
+        """
         state = self.state
         worker = state.workers.get(event.address)
         if worker is None or not worker.health_check_since_us:
@@ -79,7 +93,7 @@
         if alive:
             return
         worker.consecutive_ejections = max(worker.consecutive_ejections, SILENT_EJECTIONS)
-        self.eject(now, worker, "silent")
+        self.eject(now, worker, "no response to health checks")
         self._cancel_safe_attempts(worker)
 
     def _cancel_safe_attempts(self, worker: WorkerRecord) -> None:
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -1,7 +1,7 @@
-"""Overload control: concurrency limits of workers, and the share of requests that is rejected at once.
+"""Overload control: concurrency limits of workers, and load shedding.
 
-Both follow what own jobs wait at workers: a limit grows by one while jobs start at once and falls when they
-wait (AIMD), and load is shed while waits exceed the latency objective.
+Both follow the waits of own jobs at workers. A worker's limit grows by one while jobs start without a wait
+and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
 """
 
 from robinhill.placement.decision_state import DecisionState
@@ -10,18 +10,18 @@
 MAX_SHED_SHARE = 0.8
 SHED_STEP = 1 / 16
 LIMIT_DECREASE = 0.7
-SLOW_LIMIT_INCREASE = 0.15  # below one job at a time
+SLOW_LIMIT_INCREASE = 0.15  # step of a limit below one job at a time
 
 
-class Overload:
-    """Adapts to waits of own jobs."""
+class OverloadControl:
+    """Adapts concurrency limits and the shed share to the waits of own jobs."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
-        self.shed_share = 0.0  # of requests, weighted by priority
+        self.shed_share = 0.0  # share of the requests, weighted by priority, that is rejected on arrival
 
     def sheds(self, priority_weight: float) -> bool:
-        """Whether a request of this weight for its work is rejected at once, by chance under overload."""
+        """Whether to reject an arriving request: random, less likely the higher its priority weight."""
         if not self.shed_share:
             return False
         state = self.state
@@ -29,7 +29,10 @@
         return state.random.random() * priority_weight < threshold
 
     def adapt(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
-        """Count an own job's wait; ``delay_us``: with the network's part."""
+        """Adapt the shed share, the worker's limit and the waits of its zone to an own job's wait.
+
+        ``waited_us``: time that the job waited at its worker; ``delay_us``: the same with the network delay.
+        """
         worker, objective_us = attempt.worker, attempt.job.klass.latency_objective_us
         step = ((waited_us > objective_us) - 0.5) * SHED_STEP
         self.shed_share = min(MAX_SHED_SHARE, max(0.0, self.shed_share + step))
@@ -53,13 +56,13 @@
 
     @staticmethod
     def pause_after_attempt(now: int, worker: WorkerRecord) -> None:
-        """A worker with a limit below one job gets a pause after each."""
+        """Keep jobs from a worker whose limit is below one for a pause that brings its load to the limit."""
         pause = (1 / worker.concurrency_limit - 1) * worker.job_time_us
         worker.backoff_until_us = now + int(pause)
 
     @staticmethod
     def lower_priority_if_late(now: int, job: JobRecord) -> bool:
-        """A queued job that can no longer meet its objective weighs less; whether its order has changed."""
+        """Lower the priority of a queued job that can no longer meet its objective; True if lowered."""
         if now <= job.latest_start_us:
             return False
         job.latest_start_us = job.client_deadline_us
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -1,7 +1,7 @@
-"""Retries: when an attempt is cancelled so that its job can move, and what a failed attempt leaves to do.
+"""Retries: when an attempt is cancelled so that its job can move, and whether a failed attempt is retried.
 
-No hedged requests are sent: a job has one attempt at a time. Cancelled jobs may run on at their workers, so
-cancels of waiting jobs have a retry budget that grows with completed jobs.
+No hedged requests are sent: a job has one attempt at a time. Cancelled jobs may keep running at their
+workers, so cancels of waiting jobs are limited by a retry budget that grows with completed jobs.
 """
 
 from math import inf
@@ -13,46 +13,50 @@
 
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
-CHEAP_WASTE_PRICE = 0.1  # price of waste below which jobs past use are cancelled
-OVERDUE_FACTOR = 2.0  # of its class's usual time: a job that runs longer raises suspicion of its worker
+CHEAP_WASTE_PRICE = 0.1  # price of wasted work, in mean job times, below which late jobs are cancelled
+OVERDUE_FACTOR = 2.0  # multiple of the class's usual job time after which an attempt is overdue
 
 
 class Retries:
-    """Checks attempts in flight, and owns the retry budget."""
+    """Checks the progress of attempts in flight, and holds the retry budget."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
         self.budget = 1.0
 
     def add_completion(self) -> None:
-        """Let the budget grow with a completed job."""
+        """Increase the retry budget for a completed job."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRY_BUDGET_PER_COMPLETION)
 
     def schedule_start_check(self, attempt: Attempt) -> None:
-        """Check, if that can lead to anything, whether the attempt has started."""
+        """Set a timer to check whether the attempt has started, if it could then be cancelled."""
         state, klass, worker = self.state, attempt.job.klass, attempt.worker
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
-        # A keyed job has few workers to go to: it moves if it waits longer than own jobs there usually do.
+        # Few workers are eligible for a keyed job: it moves only if it waits longer than usual in the zone.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
         wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
 
     def schedule_overdue_check(self, attempt: Attempt) -> None:
-        """Check later whether the worker of a started attempt has completed any job since."""
+        """Set a timer to check, once a started attempt is overdue, if its worker has completed any job."""
         if usual_us := self.state.job_times.class_baseline_us[attempt.job.request.job_class]:
             wait_us = int(OVERDUE_FACTOR * usual_us)
             self.state.set_attempt_timer(wait_us, timers.AttemptCheck.OVERDUE, attempt)
 
     def _worth_cancelling(self, job: JobRecord) -> bool:
-        """Whether the price of waste lets jobs past use be cancelled, though some run on."""
+        """Whether wasted work is cheap enough to cancel late attempts, as some of them keep running."""
         state, safe = self.state, job.klass.repeat is api.Repeat.SAFE
         mean_us = state.job_times.mean_us
         wasted_us = state.job_times.class_mean_us[job.request.job_class] if safe else mean_us
         return state.settings.waste_price * (wasted_us or 1.0) < CHEAP_WASTE_PRICE * (mean_us or 1.0)
 
     def check_progress(self, now: int, attempt: Attempt) -> None:
-        """Cancel a job that does not start, to move it or as too late, or one whose answer is lost."""
+        """Cancel the attempt if it is due, or set a timer for when it will be.
+
+        An attempt that has not started is cancelled to move its job, or because the job is late; one that has
+        started, because it has made no progress for so long that its answer must be lost.
+        """
         due_us = self._cancel_due_us(now, attempt)
         if now >= due_us:
             self.budget -= 1
@@ -61,14 +65,15 @@
             self.state.set_attempt_timer(int(due_us - now) + 1, timers.AttemptCheck.PROGRESS, attempt)
 
     def _cancel_due_us(self, now: int, attempt: Attempt) -> float:
-        """When to cancel an attempt as things stand; infinite: not at all."""
+        """Time at which to cancel the attempt in the current state (us); infinite: never."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
         if attempt.worker.waiting is attempt:
             if state.few_in_flight and klass.repeat is api.Repeat.SAFE:
-                return inf  # another choice would know no more, and what is cancelled may run on
-            if self._moves(now, attempt):
+                # Another choice would have no more information, and the cancelled attempt may keep running.
+                return inf
+            if self._should_move(now, attempt):
                 return now
-            if not klass.late_priority_weight:  # an overload must not be spent on late answers
+            if not klass.late_priority_weight:  # under overload, late answers must not use capacity
                 return self._late_cancel_us(now, job)
         timeout_us = state.derived.progress_timeout_us
         repeatable = klass.late_priority_weight and klass.repeat is api.Repeat.SAFE
@@ -76,46 +81,49 @@
             return attempt.last_progress_us + timeout_us
         return inf
 
-    def _moves(self, now: int, attempt: Attempt) -> bool:
-        """Whether a job that waits at its worker is better tried at another, now."""
-        first = attempt.key[1] == 0
-        in_time = first and now < attempt.job.queue_deadline_us and self.budget >= 1
+    def _should_move(self, now: int, attempt: Attempt) -> bool:
+        """Whether to cancel a waiting first attempt now, so that its job can move to another worker."""
+        is_first = attempt.key[1] == 0
+        in_time = is_first and now < attempt.job.queue_deadline_us and self.budget >= 1
         return in_time and self.state.list_leased and self._can_move(now, attempt)
 
     def _late_cancel_us(self, now: int, job: JobRecord) -> float:
-        """When a job that waits has missed its objective for certain."""
+        """Time from which a waiting job is certain to miss its objective (us).
+
+        Without retry budget it is at least a tick from now.
+        """
         mean_us = self.state.job_times.class_mean_us[job.request.job_class]
         due_us = job.objective_us + (job.klass.stretch - 1) * mean_us / 4
         return due_us if self.budget >= 1 else max(due_us, now + self.state.derived.tick_us)
 
     def _can_move(self, now: int, attempt: Attempt) -> bool:
-        """Whether the job may run elsewhere: a keyed one needs a free worker of its group."""
+        """Whether the job may run at another worker; a keyed job needs an idle worker of its group."""
         klass = attempt.job.klass
         if klass.repeat is not api.Repeat.KEYED:
             return klass.repeat is api.Repeat.SAFE
 
-        def is_free(worker: WorkerRecord) -> bool:
+        def is_idle_in_group(worker: WorkerRecord) -> bool:
             ready = now >= worker.ejected_until_us and not worker.in_flight
             return ready and klass.group_of(worker.entry) == attempt.group
 
-        return any(is_free(worker) for worker in self.state.workers.values())
+        return any(is_idle_in_group(worker) for worker in self.state.workers.values())
 
     def record_failed_attempt(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Note what a failed attempt means for its job: how long it may wait, and whether it may have run."""
+        """Update the job after a failed attempt: its queue deadline, and whether it may have run."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
         if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_priority_weight:
-            # It is at least as long as it ran, and its objective grows with that.
+            # The job takes at least as long as the attempt has run, and its objective grows with its length.
             usual_us = state.job_times.class_baseline_us[job.request.job_class]
             ran_us = now - attempt.last_progress_us + usual_us
             until_us = int(job.objective_us + max(0.0, klass.stretch - 1) * ran_us)
             job.queue_deadline_us = min(job.client_deadline_us - 1, max(job.queue_deadline_us, until_us))
-        # Some workers reject jobs as full that they have begun.
+        # Some workers answer "full" for jobs that they have begun.
         full_may_have_run = outcome is api.Outcome.FULL and state.settings.full_may_have_run
         if not outcome.never_ran or full_may_have_run:
             job.record_possible_run(attempt)
 
     @staticmethod
     def is_last(job: JobRecord, outcome: api.Outcome) -> bool:
-        """Whether no attempt may follow one with this outcome."""
+        """Whether the job must not be retried after an attempt with this outcome."""
         out_of_time = outcome in (api.Outcome.TIMEOUT, api.Outcome.NOT_SENT)
         return out_of_time or (job.may_have_run and job.klass.repeat is api.Repeat.UNSAFE)
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -1,30 +1,32 @@
-"""Slow start: how often a worker that is warming up gets a job of this scheduler.
+"""Slow start: how often this scheduler may send a job to a worker that is warming up.
 
-All schedulers together may send it no more than its budget, so each earns credit towards its next job as time
-goes by, at a pace that follows what workers bear.
+All schedulers together must not exceed the budget of such a worker. So each scheduler earns credit towards
+its next job there over time, at a pace that follows the throughput of a usable worker.
 """
 
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.records import WorkerRecord
 
-BUDGET_SHARE = 2  # of its budget a worker is to get one half, as chance adds to it
-UNUSED_TURNS = 1000  # age of a worker that was never used, in turns of the rotation
+BUDGET_DIVISOR = 2  # plans for half of a worker's budget, as random peaks exceed the plan
+UNUSED_TURNS = 1000  # initial age, in turns of the rotation, of a worker that must be chosen next
 
 
 class SlowStart:
-    """Credits of the workers that are warming up."""
+    """Tracks the credits of the workers that are warming up."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
         self.settings, self.estimates = state.settings, state.estimates
 
     def begin(self, now: int, worker: WorkerRecord, turn: int) -> None:
-        """Begin a worker's rotation; ``turn``: sends after which each worker has had one.
+        """Add a worker that is new or has restarted to the rotation.
 
-        One in slow start, or in a zone with a price, begins at a random phase of a turn; others come next.
+        ``turn``: number of sends in which each worker gets one. The worker begins at a random phase of a turn
+        if it is in slow start, or if the settings price handshakes or the zone that it is in. Any other
+        worker is chosen next.
         """
         state, settings = self.state, self.settings
-        started_us = min(worker.entry.started_us, now)  # one ahead of our clock is the clock's error
+        started_us = min(worker.entry.started_us, now)  # a start time in the future is a clock error
         worker.slow_start_until_us = started_us + settings.slow_start_us if started_us else 0
         worker.slow_start_credit, worker.slow_start_credit_us = state.random.random(), now
         worker.error_share = 0.0
@@ -34,14 +36,14 @@
         worker.last_send = state.sends - 1 - age
 
     def pace(self, now: int) -> float:
-        """Credit per microsecond of a worker at full speed."""
+        """Credit that a worker at full speed earns per microsecond."""
         estimates = self.estimates
-        budget = self.settings.fall_multiple / BUDGET_SHARE
+        budget = self.settings.fall_multiple / BUDGET_DIVISOR
         return budget * estimates.worker_throughput(now) / estimates.counted_gap_share(now)
 
     def allows(self, now: int, worker: WorkerRecord, pace: float) -> bool:
-        """Add the credit earned since the last call; whether it is enough for a job."""
-        # Uncut, the gap of a lull would let all schedulers send at the first burst after it.
+        """Add the credit earned since the last call; return whether it is enough for a job."""
+        # The gap is capped: after a long idle time all schedulers would have full credit and send at once.
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
         credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:
@@ -51,6 +53,6 @@
         return credit >= 1.0
 
     @staticmethod
-    def use(worker: WorkerRecord) -> None:
-        """A job goes to the worker: its credit is spent."""
+    def spend_credit(worker: WorkerRecord) -> None:
+        """Reset the worker's credit because a job is sent to it."""
         worker.slow_start_credit = 0.0
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -1,12 +1,12 @@
-"""Decaying means and low quantiles: arithmetic alone, with no knowledge of jobs or workers."""
+"""Decaying means and low quantiles: pure arithmetic, independent of jobs and workers."""
 
 from dataclasses import dataclass
 from math import exp
 
-PRIOR_WEIGHT = 2.0  # in samples
+PRIOR_WEIGHT = 2.0  # weight of the prior, in samples
 SMOOTHING_SAMPLES = 32
-QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3  # step towards a sample above, and below
-MAX_QUANTILE_STEP = 1.0  # of the difference that a step counts, so that one huge sample counts as one
+QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3  # share of the difference to a higher, and to a lower sample
+MAX_QUANTILE_STEP = 1.0  # upper limit of that difference, so that one huge sample has a limited effect
 
 
 @dataclass(slots=True, eq=False)
@@ -14,26 +14,26 @@
     """A mean whose samples lose weight exponentially with their age."""
 
     value: float = 0.0
-    count: float = 0.0  # samples, each by the weight that it has left
+    count: float = 0.0  # sum of the remaining weights of all samples
     at_us: int = 0  # when the last sample was added
 
     def add(self, now: int, value: float, window_us: int) -> None:
-        """Add a sample; those before have decayed by the time since, in units of ``window_us``."""
+        """Add a sample; earlier samples lose the weight factor e for each ``window_us`` that has passed."""
         self.count = 1.0 + self.count * exp((self.at_us - now) / window_us)
         self.at_us = now
         self.value += (value - self.value) / self.count
 
     def with_prior(self, prior: float) -> float:
-        """The mean as if ``PRIOR_WEIGHT`` further samples had the value ``prior``."""
+        """Return the mean with ``PRIOR_WEIGHT`` additional samples of the value ``prior``."""
         return (self.count * self.value + PRIOR_WEIGHT * prior) / (self.count + PRIOR_WEIGHT)
 
 
 def follow_low_quantile(before: float, sample: float) -> float:
-    """Move an estimate of a low quantile towards a sample: down quickly, up slowly."""
+    """Return the estimate ``before`` of a low quantile moved towards a sample: down fast, up slowly."""
     step = QUANTILE_RISE if sample > before else QUANTILE_FALL
     return before + step * min(sample - before, MAX_QUANTILE_STEP)
 
 
 def smooth(mean: float, sample: float) -> float:
-    """Smooth exponentially over ``SMOOTHING_SAMPLES``; a mean of 0 has no samples and takes the first."""
+    """Return the exponential mean over ``SMOOTHING_SAMPLES`` with a sample added; 0: no samples yet."""
     return mean + ((sample - mean) / SMOOTHING_SAMPLES if mean else sample)
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -1,6 +1,6 @@
-"""The timers that the decision module sets, as tags and parsed back.
+"""The timers of the decision module, and the conversion from and to their tags.
 
-Tags go along when a job is handed over to another process, so their text never changes between versions.
+A tag is handed over with its job to another process, so its text must never change between versions.
 """
 
 from dataclasses import dataclass
@@ -11,10 +11,10 @@
 
 
 class AttemptCheck(Enum):
-    """What is checked of an attempt."""
+    """The condition of an attempt that a timer checks."""
 
-    PROGRESS = "look"  # whether it has started, or goes on
-    OVERDUE = "overdue"  # whether its worker has completed any job since it started
+    PROGRESS = "look"  # whether the attempt has started, and makes progress
+    OVERDUE = "overdue"  # whether the worker has completed any job since the attempt started
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,12 +27,12 @@
 
     @property
     def tag(self) -> str:
-        """The timer as the tag of a ``SetTimer``."""
+        """The text that identifies this timer in ``SetTimer`` and ``TimerFired``."""
         return f"{self.check.value} {self.job} {self.attempt}"
 
 
 def parse(tag: str) -> AttemptTimer | None:
-    """The attempt's timer of this tag; None for a tag of another kind or of an unknown version."""
+    """Parse the tag of an attempt's timer; None if it is another kind of timer or of an unknown version."""
     match tag.split():
         case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as check, job, attempt]:
             return AttemptTimer(AttemptCheck(check), int(job), int(attempt))
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -1,7 +1,7 @@
 """The choice of the worker for a job: the age-priced rotation of docs/design.md.
 
-The eligible worker of the lowest rank gets the job, among these the one of the lowest cost x * ln(q): x is
-the number of own sends since it last got one, and factors raise the cost for faults and waits of the worker.
+Among the eligible workers of the lowest rank, the one with the lowest cost x * ln(q) gets the job. The age x
+is the number of own sends since the last one to that worker; factors raise the cost for failures and waits.
 """
 
 from dataclasses import dataclass
@@ -13,40 +13,45 @@
 from robinhill.placement.records import JobRecord, WorkerRecord
 from robinhill.placement.slow_start import SlowStart
 
-BACKOFF_DIVISOR = 64.0  # of an age's cost at a worker that rejected the class: chosen if most others did too
-HINT_MARGIN = 1.5  # workers that meet the objective with so much of the hinted work go before tight fits
+# Divides the (negative) cost of a worker that has rejected the job's class, or is suspected of losing answers,
+# or was ejected if the job must not run twice. So it is chosen only if the same is true of most others.
+BACKOFF_DIVISOR = 64.0
+HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_POWER = 8
-MAX_PROVEN_ERROR_SHARE = 0.1  # a worker with more is not proven for jobs that must not run twice
+MAX_PROVEN_ERROR_SHARE = 0.1  # above this share a worker is not proven for jobs that must not run twice
 TIGHT_FIT_RANK = 2
 
 
 @dataclass(slots=True)
 class _Criteria:
-    """What the choice of a worker for one job needs of job and settings, read once for all workers."""
+    """Inputs of the choice of a worker for one job, read once before the loop over all workers."""
 
     job: JobRecord
     job_class: int
     bound: bool  # the job may go to certain workers only
     unsafe: bool  # the job must not run twice
-    padded_hint_us: float  # hinted work with its margin
+    padded_hint_us: float  # hinted work times ``HINT_MARGIN``
     sends: int
     few_arrivals: bool
-    unbound_factor: float  # of the cost of workers that serve bound classes
-    max_idle_us: float  # a connection idle for longer may be closed; infinite: new ones cost nothing
+    unbound_factor: float  # cost factor of workers that serve bound classes
+    max_idle_us: float  # the worker may have closed a connection idle for longer; inf: reconnecting is free
 
 
 class WorkerChoice:
-    """Chooses workers; it changes nothing but slow-start credits and the weights that are due."""
+    """Chooses workers. Side effects are limited to slow-start credits and the update of weights."""
 
     def __init__(self, state: DecisionState, weights: AgeWeights, slow_start: SlowStart) -> None:
         self.state = state
         self.weights = weights
         self.slow_start = slow_start
         self.settings, self.estimates = state.settings, state.estimates
-        self.saturated_classes: set[int] = set()  # those for which no worker had capacity
+        self.saturated_classes: set[int] = set()  # job classes for which no worker had capacity
 
     def choose(self, now: int, job: JobRecord) -> WorkerRecord | None:
-        """The worker for a job; None if none can take it now. Equal costs go to the larger age."""
+        """Return the worker for a job, or None if no worker can accept it now.
+
+        Of workers with equal costs, the one whose last own job was sent earlier is chosen.
+        """
         self.weights.update_for_choice(now)
         state, klass, bound = self.state, job.klass, job.klass.bound
         criteria = _Criteria(
@@ -63,9 +68,12 @@
         return self._cheapest(now, criteria)
 
     def _cheapest(self, now: int, criteria: _Criteria) -> WorkerRecord | None:
-        """Each job compares all workers: what most of them need is in the loop itself, without calls."""
+        """Return the cheapest eligible worker of the lowest rank.
+
+        Each job compares all workers, so the checks that most workers need are inlined in the loop.
+        """
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
-        bound, pace = criteria.bound, 0.0  # the pace is computed for the first worker in slow start
+        bound, pace = criteria.bound, 0.0  # the pace is computed once, at the first worker in slow start
         slow_start, has_capacity = self.slow_start, self.has_capacity
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         saturated = True
@@ -76,7 +84,7 @@
                     continue
             cost = (sends - worker.last_send) * worker.age_weight * worker.zone.cost_factor
             if cost > best_cost and not best_rank:
-                continue  # what follows only raises the cost
+                continue  # the remaining factors can only raise the cost
             if now < worker.ejected_until_us or now < worker.backoff_until_us:
                 continue
             if (bound and not klass.open_to(worker.entry)) or (
@@ -95,7 +103,7 @@
         return best
 
     def _full_cost(self, now: int, worker: WorkerRecord, criteria: _Criteria, cost: float) -> float:
-        """The cost of an age (below 0), raised by the worker's faults, backoffs and slow start."""
+        """Raise the negative ``cost`` of the age towards 0 for new connections, failures and slow start."""
         max_idle_us = criteria.max_idle_us
         if max_idle_us < inf and (worker.in_flight or now - worker.connection_used_us > max_idle_us):
             age = criteria.sends - worker.last_send
@@ -105,18 +113,21 @@
         factor = criteria.unbound_factor if worker.serves_bound_classes else 1.0
         cost *= (1 - worker.error_share) ** ERROR_POWER * factor if criteria.few_arrivals else factor
         rejected = worker.class_backoff_until_us.get(criteria.job_class, 0) > now
-        # A worker back from an ejection is tried by jobs that may run twice.
+        # After an ejection, a worker is first tried with jobs that may run twice.
         if rejected or now < worker.suspected_until_us or (worker.consecutive_ejections and criteria.unsafe):
             cost /= BACKOFF_DIVISOR
         return cost
 
     def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
-        """Workers of a lower rank go first, whatever they cost."""
+        """Return the worker's rank for the job: a lower rank is preferred whatever the cost.
+
+        A worker ranks higher if it may miss the objective, may be busy, or is not proven for an unsafe job.
+        """
         hint_us = criteria.padded_hint_us
         rank = (
             TIGHT_FIT_RANK if hint_us and now + worker.unit_time * hint_us > criteria.job.objective_us else 0
         )
-        # Where starts are not reported, a worker with an own job in flight is less surely ready.
+        # If starts are not reported, a worker with an own job in flight may not be able to start another.
         if worker.in_flight and not self.settings.reports_start:
             rank += 1
         if criteria.few_arrivals and criteria.unsafe:
@@ -125,18 +136,18 @@
         return rank
 
     def is_available(self, now: int, worker: WorkerRecord) -> bool:
-        """Whether a worker takes jobs now, of some class at least."""
+        """Whether a worker can accept jobs of at least one class now."""
         ready = now >= worker.ejected_until_us and now >= worker.backoff_until_us
         return ready and (not worker.in_flight or self.has_capacity(now, worker))
 
     def has_capacity(self, now: int, worker: WorkerRecord) -> bool:
-        """Whether own jobs show capacity here; load reports and health checks play no part."""
+        """Whether the worker has capacity, by own jobs alone: load reports and health checks do not count."""
         if worker.waiting:
-            return False  # an own job waits: the worker is full, frozen or gone
+            return False  # an own job has not started: the worker is full, frozen or unreachable
         limit = 1 if worker.consecutive_ejections else worker.concurrency_limit
         if len(worker.in_flight) < limit:
             return True
-        # Lost attempts take no capacity.
+        # Attempts without progress for longer than the timeout are lost and use no capacity.
         timeout_us = self.state.derived.progress_timeout_us or inf
         attempts = self.state.attempts
         progress_us = (attempts[key].last_progress_us or now for key in worker.in_flight)
@@ -144,10 +155,10 @@
 
     @staticmethod
     def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
-        """Whether the job may run here: in time as far as a hint shows, and with no second effect."""
+        """Whether the job can meet its objective (by its hint) and cannot take effect twice at this worker."""
         klass, hint_us = job.klass, job.request.work_hint_us
         if hint_us and not klass.late_priority_weight and now + worker.unit_time * hint_us > job.objective_us:
-            return False  # at its quickest it would miss the objective
+            return False  # even the shortest time for the hinted work would miss the objective
         if not job.may_have_run or klass.repeat is api.Repeat.SAFE:
             return True
         return klass.group_of(worker.entry) == job.group and now < job.group_until_us
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list in the decision module: which workers there are, and when to poll for the list.
+"""The endpoint list in the decision module: the known workers, and the times of polls for the list.
 
-It owns the records of workers as far as the list determines them.
+This module creates and removes the records of workers, and updates the attributes that come from the list.
 """
 
 from math import inf
@@ -16,29 +16,35 @@
 
 
 class WorkerList:
-    """Keeps the workers' records in step with the list."""
+    """Applies the endpoint list to the records of workers, and schedules polls for it."""
 
     def __init__(self, state: DecisionState, weights: AgeWeights, slow_start: SlowStart) -> None:
         self.state = state
         self.weights = weights
         self.slow_start = slow_start
         self._subscribed = False
-        self._failed_polls = 0  # in a row
+        self._failed_polls = 0  # consecutive failures
 
     def schedule_first_poll(self) -> None:
-        """Poll at a random moment: all schedulers at once, after a common start, would overload discovery."""
+        """Set a timer for the first poll, if the settings require a subscription.
+
+        The delay is random: schedulers that start together would overload discovery if they polled at once.
+        """
         state = self.state
         wait_us = int(state.random.random() * state.derived.list_spread_us)
         if state.settings.must_subscribe:
             state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
 
     def poll(self) -> None:
-        """Subscribe to the list, unless it is."""
+        """Subscribe to the endpoint list unless this scheduler is subscribed already."""
         if not self._subscribed:
             self.state.actions.append(api.Subscribe())
 
     def schedule_retry(self) -> None:
-        """Poll again with backoff, well inside the time after which a change counts as notified."""
+        """Set a timer for the next poll with exponential backoff, after half the poll interval at most.
+
+        So the poll is early enough for a change to be received before it counts as notified.
+        """
         state = self.state
         spread_us = state.derived.list_spread_us << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS)
         wait_us = min(state.settings.poll_interval_us // 2, spread_us)
@@ -47,7 +53,7 @@
         state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
 
     def apply(self, now: int, event: api.WorkersListed) -> None:
-        """Take a list or changes to it."""
+        """Apply a full list, a cached list or changes to the records of workers."""
         state = self.state
         self._subscribed = self._subscribed or event.kind is not api.ListKind.CACHED
         self._failed_polls = 0
@@ -65,7 +71,7 @@
         state = self.state
         worker = state.workers.get(entry.address)
         if worker and (worker.entry.kind, worker.entry.zone) != (entry.kind, entry.zone):
-            self.close(worker)  # the same address is another machine now
+            self.close(worker)  # another machine now has this address
             worker = None
         restarted = worker is None or entry.started_us > worker.entry.started_us
         if worker is None:
@@ -89,14 +95,14 @@
         self.weights.update_worker(worker)
 
     def close(self, worker: WorkerRecord) -> None:
-        """Send nothing to a worker that drains or was removed; close its connections as they fall idle."""
+        """Stop sending to a worker that drains or was removed, and close its idle connections."""
         worker.ejected_until_us = inf
         if worker.connection_used_us and self.state.settings.close_within_us is not None:
             worker.connection_used_us = 0
             self.state.actions.append(api.CloseIdle(worker.entry.address))
 
-    def connection_fell_idle(self, now: int, worker: WorkerRecord) -> None:
-        """An attempt has ended: its connection stays open, unless the worker is closed."""
+    def on_connection_idle(self, now: int, worker: WorkerRecord) -> None:
+        """Record that the connection of an ended attempt is idle; close it if its worker was closed."""
         listed = self.state.workers.get(worker.entry.address, worker)
         listed.connection_used_us = now
         if listed.ejected_until_us == inf:
