--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -13,8 +13,9 @@
 from robinhill.placement.records import JobRecord, WorkerRecord
 from robinhill.placement.slow_start import SlowStart
 
-# Divides the (negative) cost of a worker that has rejected the job's class, or is suspected of losing answers,
-# or was ejected if the job must not run twice. So it is chosen only if the same is true of most others.
+# Divides the (negative) cost of a worker that has rejected the class, is suspected of losing answers, or
+# has recently been ejected (for jobs that must not run twice). Such a worker is chosen only if most others are
+# no better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_POWER = 8
@@ -155,7 +156,7 @@
 
     @staticmethod
     def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
-        """Whether the job can meet its objective (by its hint) and cannot take effect twice at this worker."""
+        """Whether the job can meet its objective, by its hint, and cannot take effect twice at the worker."""
         klass, hint_us = job.klass, job.request.work_hint_us
         if hint_us and not klass.late_priority_weight and now + worker.unit_time * hint_us > job.objective_us:
             return False  # even the shortest time for the hinted work would miss the objective
