--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -13,9 +13,9 @@
 from robinhill.placement.records import JobRecord, WorkerRecord
 from robinhill.placement.slow_start import SlowStart
 
-# Divides the (negative) cost of a worker that has rejected the class, is suspected of losing answers, or
-# has recently been ejected (for jobs that must not run twice). Such a worker is chosen only if most others are
-# no better.
+# Divides the (negative) cost of a worker that has rejected the class, is suspected of losing answers, or has
+# recently been ejected (for jobs that must not run twice). Such a worker is chosen only if most others are no
+# better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_POWER = 8
--- a/tests/test_exported_state.py
+++ b/tests/test_exported_state.py
@@ -1,4 +1,4 @@
-"""A decision module that has imported its predecessor's state decides as that one would."""
+"""Export and import of the decision module's state: a successor decides as its predecessor would."""
 
 import json
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 def successor(old: Node, **changes: Any) -> Node:
-    """A module that has imported the old one's state, by way of JSON."""
+    """A node that has imported the state of ``old`` through JSON."""
     new = Node(len(old.balancer.workers), seed=8, **changes)
     new.now = old.now
     exported_state.import_state(
@@ -19,7 +19,7 @@
     return new
 
 
-def test_a_successor_continues_with_the_rotation_and_speeds() -> None:
+def test_successor_keeps_the_rotation_and_the_job_times() -> None:
     old = Node(3)
     for _ in range(30):
         worker = sent_to(old.ask(after_us=10 * MS))
@@ -32,8 +32,8 @@
             node.end(node.jobs, after_us=5 * MS)
 
 
-def test_a_successor_recomputes_age_weights_of_another_version() -> None:
-    """Weights of two versions side by side would send all jobs to the workers of one of them."""
+def test_successor_recomputes_age_weights_of_another_version() -> None:
+    """If weights of two versions were mixed, the workers weighted by one of them would get all jobs."""
     old = Node(3)
     for _ in range(400):
         old.ask(after_us=100 * MS)
@@ -47,7 +47,7 @@
         assert 0.5 < worker.age_weight / weight < 2.0
 
 
-def test_an_ejected_worker_stays_ejected() -> None:
+def test_successor_keeps_a_worker_ejected() -> None:
     old = Node(3)
     worker = sent_to(old.ask(after_us=10 * MS))
     old.end(old.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
@@ -55,11 +55,11 @@
     assert successor(old).balancer.avoided(old.now) == {worker}
 
 
-def test_an_exported_job_ends_in_the_successor_and_frees_its_capacity() -> None:
-    """Counted in both processes, jobs in flight would leave no capacity after an upgrade."""
+def test_exported_job_ends_in_the_successor_and_frees_its_capacity() -> None:
+    """If both processes counted the jobs in flight, no capacity would be left after an upgrade."""
     changes: dict[str, Any] = {"reports_start": True}
     old = Node(1, **changes)
-    for _ in range(3):  # each that starts at once shows room for one more
+    for _ in range(3):  # each job that starts without a wait raises the concurrency limit by one
         old.ask(after_us=10 * MS)
         old.do(api.JobStarted(old.jobs, 0), after_us=5 * MS)
     new = successor(old, **changes)
@@ -70,13 +70,13 @@
     new.jobs = 3
     assert sent_to(new.ask()) == "w0"
     new.do(api.JobStarted(4, 0), after_us=5 * MS)
-    again = only(new.do(api.AttemptEnded(1, 0, api.Outcome.ERROR, 50 * MS, False)), api.Send)
-    assert [send.job for send in again] == [1]  # safe to repeat: placed anew, as its second attempt
+    retries = only(new.do(api.AttemptEnded(1, 0, api.Outcome.ERROR, 50 * MS, False)), api.Send)
+    assert [send.job for send in retries] == [1]  # the job is safe to repeat, so it gets a second attempt
 
 
-def test_a_queued_job_is_placed_by_the_successor() -> None:
+def test_queued_job_is_placed_by_the_successor() -> None:
     old = Node(1, reports_start=True)
-    old.ask()  # has not started: no room
+    old.ask()  # this job has not started, so the worker has no capacity left
     assert not only(old.ask(), api.Send)
     new = successor(Node(2, reports_start=True), reports_start=True)
     exported = exported_state.export_job(old.balancer, 2)
@@ -84,8 +84,8 @@
     assert exported_state.export_job(old.balancer, 2) is None
 
 
-def test_exported_keys_are_those_of_older_versions() -> None:
-    """A value under a new key would be lost at an upgrade without an error."""
+def test_exported_keys_match_older_versions() -> None:
+    """A value exported under a new key would be lost silently at an upgrade."""
     node = Node(1, reports_start=True)
     node.ask()
     state = exported_state.export_state(node.balancer)
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The order of the job queue, and the timer for its next check."""
+"""The sort order of the job queue, and the timer for its next check."""
 
 from robinhill import api
 from robinhill.placement.job_queue import JobQueue
@@ -21,17 +21,17 @@
     assert [x.request.job for x in queue.take_all()] == [1, 3, 4, 2] and not queue.jobs
 
 
-def test_a_job_that_was_exported_and_imported_again_may_be_queued_twice() -> None:
-    """Records have no order of their own: equal sort keys must not lead to a comparison."""
+def test_queue_accepts_a_job_twice_after_export_and_import() -> None:
+    """Job records cannot be compared, so two records with equal sort keys must not raise an error."""
     queue = JobQueue()
     for _ in range(2):
         queue.add(job(1, -1.0))
     assert len(queue.jobs) == 2
 
 
-def test_one_timer_is_set_for_the_nearer_of_the_deadline_and_the_next_check() -> None:
+def test_next_check_timer_is_set_for_the_earlier_of_deadline_and_tick() -> None:
     queue = JobQueue()
     assert queue.next_check_us(1000, until_us=9000, tick_us=500) == 500
-    assert queue.next_check_us(1100, until_us=9000, tick_us=500) == 0, "one is set for a nearer moment"
+    assert queue.next_check_us(1100, until_us=9000, tick_us=500) == 0, "an earlier timer is already set"
     assert queue.next_check_us(1100, until_us=1200, tick_us=500) == 100
-    assert queue.next_check_us(1200, until_us=1100, tick_us=500) == 1, "what is due is looked at next"
+    assert queue.next_check_us(1200, until_us=1100, tick_us=500) == 1, "an overdue check is due at once"
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,4 +1,4 @@
-"""How long the lease on the endpoint list is valid, through outages, changes of address and stalls."""
+"""Validity of the lease on the endpoint list through outages, changes of address and stalls."""
 
 import random
 
@@ -17,165 +17,169 @@
 
 from .conftest import MS, Node, S, only, sent_to, settings
 
-HEARD = 100 * S
+RENEWED_US = 100 * S
 
 
-def lease() -> ListLease:
-    """One that discovery renewed at HEARD."""
-    made = ListLease()
-    made.renew(HEARD, 41)
-    return made
+def renewed_lease() -> ListLease:
+    """A lease that discovery renewed at ``RENEWED_US``."""
+    lease = ListLease()
+    lease.renew(RENEWED_US, 41)
+    return lease
 
 
-def test_a_configured_list_has_no_lease_however_new_the_process_is() -> None:
-    made = ListLease(version=41)
-    assert not made.is_valid(0) and not made.is_valid(HEARD)
-    made.record_unreachable(HEARD, HEARD)  # an outage at the start says nothing of what came before it
-    assert not made.is_valid(HEARD)
-    made.renew(HEARD, 41)
-    assert made.is_valid(HEARD) and made.origin is ListOrigin.DISCOVERY
+def test_configured_list_has_no_lease_before_the_first_renewal() -> None:
+    lease = ListLease(version=41)
+    assert not lease.is_valid(0) and not lease.is_valid(RENEWED_US)
+    lease.record_unreachable(RENEWED_US, RENEWED_US)  # changes from before the outage may be in effect
+    assert not lease.is_valid(RENEWED_US)
+    lease.renew(RENEWED_US, 41)
+    assert lease.is_valid(RENEWED_US) and lease.origin is ListOrigin.DISCOVERY
 
 
-def test_the_lease_ends_when_a_missed_change_is_in_force() -> None:
-    assert lease().is_valid(HEARD + LIST_CHANGE_BOUND_US - 1) and not lease().is_valid(
-        HEARD + LIST_CHANGE_BOUND_US
+def test_lease_expires_when_a_missed_change_takes_effect() -> None:
+    assert renewed_lease().is_valid(RENEWED_US + LIST_CHANGE_BOUND_US - 1) and not renewed_lease().is_valid(
+        RENEWED_US + LIST_CHANGE_BOUND_US
     )
 
 
-def test_the_lease_lasts_from_one_watch_message_to_the_next_however_often_schedulers_poll() -> None:
+def test_lease_lasts_between_watch_messages_for_any_poll_interval() -> None:
     for poll_interval_us in (S, 2 * S, 4 * S, 10 * S):
-        made = ListLease.from_settings(settings(must_subscribe=True, poll_interval_us=poll_interval_us), 41)
-        assert not made.is_valid(HEARD)
-        made.renew(HEARD, 41)
-        assert made.is_valid(HEARD + watch_schedule.WATCH_SILENCE_TIMEOUT_US) and not made.is_valid(
-            HEARD + LIST_CHANGE_BOUND_US
+        lease = ListLease.from_settings(settings(must_subscribe=True, poll_interval_us=poll_interval_us), 41)
+        assert not lease.is_valid(RENEWED_US)
+        lease.renew(RENEWED_US, 41)
+        assert lease.is_valid(RENEWED_US + watch_schedule.WATCH_SILENCE_TIMEOUT_US) and not lease.is_valid(
+            RENEWED_US + LIST_CHANGE_BOUND_US
         )
 
 
-def test_a_handed_over_list_is_as_old_as_it_was_there() -> None:
-    made = ListLease()
-    made.inherit(41, 198 * S, 204 * S)
-    assert made.age_us(200 * S) == 2 * S
-    assert made.is_valid(204 * S - 1) and not made.is_valid(204 * S)
-    made.inherit(41, None, 0)  # by a process that had none from discovery, or of old
-    assert not made.is_valid(200 * S)
+def test_inherited_list_keeps_its_age_and_lease() -> None:
+    lease = ListLease()
+    lease.inherit(41, 198 * S, 204 * S)
+    assert lease.age_us(200 * S) == 2 * S
+    assert lease.is_valid(204 * S - 1) and not lease.is_valid(204 * S)
+    lease.inherit(41, None, 0)  # from a predecessor without a list of discovery, or of an older version
+    assert not lease.is_valid(200 * S)
 
 
-def test_an_outage_extends_a_valid_lease_and_no_other() -> None:
-    made = lease()
-    made.record_unreachable(HEARD + 5 * S, HEARD + 5 * S)
-    assert made.is_valid(HEARD + 11 * S - 1) and not made.is_valid(HEARD + 11 * S)
-    late = lease()
-    late.record_unreachable(HEARD + LIST_CHANGE_BOUND_US, HEARD + LIST_CHANGE_BOUND_US)
-    assert not late.is_valid(HEARD + LIST_CHANGE_BOUND_US)
+def test_outage_extends_a_valid_lease_but_not_an_expired_one() -> None:
+    lease = renewed_lease()
+    lease.record_unreachable(RENEWED_US + 5 * S, RENEWED_US + 5 * S)
+    assert lease.is_valid(RENEWED_US + 11 * S - 1) and not lease.is_valid(RENEWED_US + 11 * S)
+    expired = renewed_lease()
+    expired.record_unreachable(RENEWED_US + LIST_CHANGE_BOUND_US, RENEWED_US + LIST_CHANGE_BOUND_US)
+    assert not expired.is_valid(RENEWED_US + LIST_CHANGE_BOUND_US)
 
 
-def test_repeated_changes_of_address_extend_nothing() -> None:
-    made = lease()
+def test_repeated_address_changes_do_not_extend_the_lease() -> None:
+    lease = renewed_lease()
     for second in range(1, 10):
-        made.record_address_change(HEARD + second * S)
-    assert made.is_valid(HEARD + S + ADDRESS_CHANGE_BOUND_US - 1) and not made.is_valid(
-        HEARD + S + ADDRESS_CHANGE_BOUND_US
+        lease.record_address_change(RENEWED_US + second * S)
+    assert lease.is_valid(RENEWED_US + S + ADDRESS_CHANGE_BOUND_US - 1) and not lease.is_valid(
+        RENEWED_US + S + ADDRESS_CHANGE_BOUND_US
     )
 
 
-def test_a_last_message_of_the_old_address_does_not_undo_a_change_of_address() -> None:
-    made = lease()
-    made.record_address_change(HEARD + S)
-    made.renew(HEARD + S - 1, 42)
-    assert not made.is_valid(HEARD + S + ADDRESS_CHANGE_BOUND_US)
-    made.renew(HEARD + 2 * S, 7)  # the new one's
-    assert made.is_valid(HEARD + 2 * S + LIST_CHANGE_BOUND_US - 1)
+def test_message_from_the_previous_address_does_not_undo_an_address_change() -> None:
+    lease = renewed_lease()
+    lease.record_address_change(RENEWED_US + S)
+    lease.renew(RENEWED_US + S - 1, 42)
+    assert not lease.is_valid(RENEWED_US + S + ADDRESS_CHANGE_BOUND_US)
+    lease.renew(RENEWED_US + 2 * S, 7)  # a message from the new address
+    assert lease.is_valid(RENEWED_US + 2 * S + LIST_CHANGE_BOUND_US - 1)
 
 
-def test_changes_of_address_while_discovery_is_unreachable_end_no_lease() -> None:
-    made, now = lease(), HEARD
+def test_address_changes_while_discovery_is_unreachable_keep_the_lease_valid() -> None:
+    lease, now = renewed_lease(), RENEWED_US
     for _ in range(5):
         now += 3 * S
-        made.record_address_change(now)
-        made.record_unreachable(now, now)
-        assert made.is_valid(now)
-    made.record_address_change(now + 3 * S)
-    assert not made.is_valid(now + ADDRESS_CHANGE_BOUND_US)
+        lease.record_address_change(now)
+        lease.record_unreachable(now, now)
+        assert lease.is_valid(now)
+    lease.record_address_change(now + 3 * S)
+    assert not lease.is_valid(now + ADDRESS_CHANGE_BOUND_US)
 
 
-# With the schedule of calls, through outages
+# The lease together with the schedule of calls, through outages of discovery
 
 
 @pytest.mark.parametrize(
-    "lasts_us",
+    "call_duration_us",
     [MS, S, 2 * S, 3 * S, CALL_TIMEOUT_US],
-    ids=["refused", "never comes up", "503 after 2 s", "503 after 3 s", "never answered"],
+    ids=["refused", "not connected", "503 after 2 s", "503 after 3 s", "no response"],
 )
 @pytest.mark.parametrize("fleet_size", [1, 6, 200])
-def test_a_process_that_was_up_to_date_serves_through_an_outage(lasts_us: int, fleet_size: int) -> None:
-    """Two minutes without discovery: the lease lapses shortly, while the first call may be answered."""
+def test_up_to_date_process_keeps_its_lease_through_an_outage(call_duration_us: int, fleet_size: int) -> None:
+    """In two minutes without discovery, the lease lapses only briefly, until the first call has ended."""
     for seed in range(5):
-        schedule, made = WatchSchedule(False, random.Random(seed), fleet_size), lease()
-        schedule.record_call(HEARD - S)
-        schedule.record_received(HEARD)
-        now = HEARD + S  # the watch ends
+        schedule, lease = WatchSchedule(False, random.Random(seed), fleet_size), renewed_lease()
+        schedule.record_call(RENEWED_US - S)
+        schedule.record_received(RENEWED_US)
+        now = RENEWED_US + S  # the watch ends
         now += schedule.record_lost(now)
         lapses: list[int] = []
-        while now < HEARD + 120 * S:
+        while now < RENEWED_US + 120 * S:
             schedule.record_call(now)
-            now += lasts_us
-            lapses += [lapsed] if (lapsed := now - made.until_us) > 0 else []
+            now += call_duration_us
+            lapses += [lapsed] if (lapsed := now - lease.until_us) > 0 else []
             wait_us = schedule.record_lost(now, answered=False)
             assert schedule.unreachable_us is not None
-            made.record_unreachable(schedule.called_us, schedule.unreachable_us)
-            assert made.is_valid(now)
+            lease.record_unreachable(schedule.called_us, schedule.unreachable_us)
+            assert lease.is_valid(now)
             now += wait_us
         assert len(lapses) <= 2 and max(lapses, default=0) <= 750 * MS
 
 
-def test_the_lease_ends_where_discovery_answers_without_a_complete_message() -> None:
-    """It can be reached: a change that it had counts, though nobody here has heard of it."""
-    schedule, made = WatchSchedule(False, random.Random(1), 200), lease()
-    schedule.record_call(HEARD - S)
-    schedule.record_received(HEARD)
-    now = HEARD + S
-    while now < HEARD + 20 * S:
+def test_lease_expires_if_discovery_answers_without_a_complete_message() -> None:
+    """Discovery is reachable, so its changes take effect though this scheduler has not received them."""
+    schedule, lease = WatchSchedule(False, random.Random(1), 200), renewed_lease()
+    schedule.record_call(RENEWED_US - S)
+    schedule.record_received(RENEWED_US)
+    now = RENEWED_US + S
+    while now < RENEWED_US + 20 * S:
         now += schedule.record_lost(now, answered=True)
         assert schedule.unreachable_us is None
         schedule.record_call(now)
         now += CALL_TIMEOUT_US
-    assert not made.is_valid(HEARD + LIST_CHANGE_BOUND_US)
+    assert not lease.is_valid(RENEWED_US + LIST_CHANGE_BOUND_US)
 
 
-def test_an_agent_that_is_silent_or_refuses_counts_as_unreachable() -> None:
+def test_agent_that_refuses_or_times_out_counts_as_unreachable() -> None:
     schedule = WatchSchedule(True, random.Random(1), 200)
-    schedule.record_call(HEARD)
-    schedule.record_lost(HEARD + MS, answered=False)
-    assert schedule.unreachable_us == HEARD
-    schedule.record_call(HEARD + S)
-    schedule.record_lost(HEARD + S + CALL_TIMEOUT_US, answered=True)
-    assert schedule.unreachable_us == HEARD + S + CALL_TIMEOUT_US - watch_schedule.UNANSWERED_CALL_OUTAGE_US
-    assert schedule.unreachable_us + LIST_CHANGE_BOUND_US >= HEARD + S + 2 * CALL_TIMEOUT_US + MIN_SPREAD_US
+    schedule.record_call(RENEWED_US)
+    schedule.record_lost(RENEWED_US + MS, answered=False)
+    assert schedule.unreachable_us == RENEWED_US
+    schedule.record_call(RENEWED_US + S)
+    schedule.record_lost(RENEWED_US + S + CALL_TIMEOUT_US, answered=True)
+    assert (
+        schedule.unreachable_us == RENEWED_US + S + CALL_TIMEOUT_US - watch_schedule.UNANSWERED_CALL_OUTAGE_US
+    )
+    assert (
+        schedule.unreachable_us + LIST_CHANGE_BOUND_US >= RENEWED_US + S + 2 * CALL_TIMEOUT_US + MIN_SPREAD_US
+    )
 
 
-# The module without the lease
+# The decision module without a valid lease
 
 
-def test_without_the_lease_jobs_are_queued_then_rejected_at_their_queue_deadline() -> None:
+def test_jobs_without_a_lease_are_queued_then_rejected_at_their_queue_deadline() -> None:
     node = Node()
     node.do(api.ListLeaseChanged(False))
     assert not only(node.ask(), api.Send)
     assert not only(node.listed(api.ListKind.CHANGES, api.Worker("w9")), api.Send)
-    (refusal,) = only(node.do(api.TimerFired("held"), 5 * S), api.Reject)
-    assert refusal.job == 1 and refusal.why is api.RejectionReason.NO_WORKER
+    (rejection,) = only(node.do(api.TimerFired("held"), 5 * S), api.Reject)
+    assert rejection.job == 1 and rejection.why is api.RejectionReason.NO_WORKER
 
 
-def test_with_the_lease_queued_jobs_are_sent_by_the_new_list() -> None:
+def test_queued_jobs_are_sent_by_the_current_list_when_the_lease_is_renewed() -> None:
     node = Node(workers=2)
     node.do(api.ListLeaseChanged(False))
     node.ask()
-    gone = api.Worker("w0", state=api.WorkerState.REMOVED)
-    assert not only(node.listed(api.ListKind.CHANGES, gone), api.Send)
+    removed = api.Worker("w0", state=api.WorkerState.REMOVED)
+    assert not only(node.listed(api.ListKind.CHANGES, removed), api.Send)
     assert sent_to(node.do(api.ListLeaseChanged(True))) == "w1"
 
 
-def test_an_attempt_not_written_without_the_lease_is_no_fault_of_its_worker() -> None:
+def test_attempt_not_written_without_a_lease_does_not_count_against_its_worker() -> None:
     node = Node(workers=2)
     worker = sent_to(node.ask())
     node.do(api.ListLeaseChanged(False))
@@ -185,7 +189,7 @@
     assert send.job == 1 and worker in ("w0", "w1")
 
 
-def test_a_start_ahead_of_our_clock_means_one_slow_start_and_no_longer() -> None:
+def test_start_time_in_the_future_causes_one_slow_start_of_normal_length() -> None:
     node = Node(workers=2)
     hour = 3600 * S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
@@ -194,18 +198,17 @@
     until = record.slow_start_until_us
     node.now += S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
-    assert record.slow_start_until_us == until  # told again, it did not start again
+    assert record.slow_start_until_us == until  # listed again, the worker has not restarted
 
 
-# Stalls
+# Stalls of the process
 
 
-def test_a_heartbeat_that_is_late_by_more_than_drains_allow_is_a_stall() -> None:
-    stall_detector = StallDetector(HEARD)
-    assert not stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US)
-    assert stall_detector.is_stalled(HEARD + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 1)
-    stall_detector.record_heartbeat(HEARD + S)
-    assert not stall_detector.is_stalled(HEARD + S + HEARTBEAT_INTERVAL_US)
-    assert (
-        HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 150 * MS < 500 * MS
-    )  # what is not noticed is within the grace of drains
+def test_heartbeat_delay_above_the_maximum_is_a_stall() -> None:
+    stall_detector = StallDetector(RENEWED_US)
+    assert not stall_detector.is_stalled(RENEWED_US + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US)
+    assert stall_detector.is_stalled(RENEWED_US + HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 1)
+    stall_detector.record_heartbeat(RENEWED_US + S)
+    assert not stall_detector.is_stalled(RENEWED_US + S + HEARTBEAT_INTERVAL_US)
+    # A pause too short to be detected must fit into the 0.5 s grace period of drains.
+    assert HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US + 150 * MS < 500 * MS
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -1,4 +1,4 @@
-"""The ordinary path: age-priced rotation."""
+"""The age-priced rotation: the choice of workers without failures."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 from .conftest import MS, Node, sent_to
 
 
-def test_equal_speeds_are_round_robin() -> None:
+def test_workers_of_equal_speed_get_jobs_in_round_robin_order() -> None:
     node = Node(5)
     picks = []
     for _ in range(25):
@@ -17,27 +17,31 @@
     assert picks[:5] * 5 == picks
 
 
-def test_a_fast_worker_gets_more_in_proportion() -> None:
+def test_fast_worker_gets_more_jobs_without_starving_others() -> None:
     node = Node(3)
     picks: Counter[str] = Counter()
     for i in range(600):
-        where = sent_to(node.ask(10 * MS))
+        address = sent_to(node.ask(10 * MS))
         if i >= 100:
-            picks[where] += 1
-        node.end(node.jobs, took_us=30 * MS if where == "w0" else 90 * MS, after_us=5 * MS)
-    # three times as fast; the age counts by the speed twice
+            picks[address] += 1
+        node.end(node.jobs, took_us=30 * MS if address == "w0" else 90 * MS, after_us=5 * MS)
+    # w0 is three times as fast as the others, and the age weight depends on the speed twice.
     assert 3.0 < picks["w0"] / picks["w1"] < 10
     assert picks["w1"] > 30 and picks["w2"] > 30
 
 
-def test_a_node_with_few_jobs_out_weighs_ages_by_the_logarithm_of_q_alone() -> None:
-    """Kinds that differ by half got loads that differ by more than twice, and a fleet swung between them."""
+def test_age_weight_with_few_jobs_in_flight_is_not_divided_by_job_time() -> None:
+    """Guards against load that oscillates between kinds of machine.
+
+    With the weights divided by job time, kinds that differed by half got loads that differed by more than a
+    factor of 2.
+    """
     workers = [api.Worker(f"w{i}", kind=i % 2) for i in range(60)]
     node = Node(workers, fleet_size=200, reports_start=True)
     for _ in range(300):
-        where = sent_to(node.ask(200 * MS))
+        address = sent_to(node.ask(200 * MS))
         node.do(api.JobStarted(node.jobs, 0), MS)
-        node.end(node.jobs, took_us=(300 if int(where[1:]) % 2 else 900) * MS, after_us=5 * MS)
+        node.end(node.jobs, took_us=(300 if int(address[1:]) % 2 else 900) * MS, after_us=5 * MS)
     assert node.balancer.state.few_in_flight
     fast, slow = (
         [w for w in node.balancer.workers.values() if w.entry.kind == kind and w.own_time.count > 1]
@@ -48,16 +52,16 @@
     assert 1.0 < ratio <= 3.0
 
 
-def test_start_phase_comes_from_the_seed() -> None:
+def test_initial_order_of_workers_depends_on_the_seed() -> None:
     orders = {tuple(sent_to(node.ask(MS)) for _ in range(4)) for node in (Node(4, seed=i) for i in range(6))}
     assert len(orders) > 1
 
 
-def test_a_worker_without_completions_is_seeded_by_the_list_weight() -> None:
+def test_worker_without_completions_uses_the_endpoint_list_weight_as_prior() -> None:
     node = Node([api.Worker("a", weight=1.0), api.Worker("b", weight=4.0), api.Worker("c", weight=1.0)])
     for _ in range(3):
-        where = sent_to(node.ask(10 * MS))
-        if where == "a":
+        address = sent_to(node.ask(10 * MS))
+        if address == "a":
             node.end(node.jobs)
     workers = node.balancer.workers
     assert workers["b"].age_weight < workers["a"].age_weight == workers["c"].age_weight
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -6,7 +6,7 @@
 from robinhill.placement.statistics import DecayingMean, follow_low_quantile
 
 
-def test_a_mean_decays_over_its_window_and_follows_its_prior_while_it_has_few_samples() -> None:
+def test_decaying_mean_forgets_old_samples_and_is_near_its_prior_with_few_samples() -> None:
     mean = DecayingMean()
     assert mean.with_prior(7.0) == 7.0
     mean.add(0, 4.0, 1000)
@@ -14,13 +14,13 @@
     for at in range(10):
         mean.add(at, 4.0, 1000)
     assert 4.0 < mean.with_prior(7.0) < 4.6
-    mean.add(50_000, 10.0, 1000)  # long after: what was before counts for nothing
+    mean.add(50_000, 10.0, 1000)  # so much later that earlier samples have no weight left
     assert mean.value == pytest.approx(10.0) and mean.count == pytest.approx(1.0)
     assert ZoneWait().cost_factor == ZoneWait().new_connection_factor == 1.0
 
 
-def test_a_low_quantile_falls_quickly_and_rises_slowly() -> None:
+def test_low_quantile_falls_fast_and_rises_slowly() -> None:
     assert follow_low_quantile(1.0, 0.0) == pytest.approx(0.7) and follow_low_quantile(
         1.0, 2.0
     ) == pytest.approx(1.05)
-    assert follow_low_quantile(1.0, 100.0) == pytest.approx(1.05), "one huge sample counts as one"
+    assert follow_low_quantile(1.0, 100.0) == pytest.approx(1.05), "the step of one huge sample is limited"
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,11 +1,11 @@
-"""Tags of timers, which are handed over with the jobs that they are about."""
+"""Tags of timers, which are handed over to a successor process together with their jobs."""
 
 import pytest
 
 from robinhill.placement import exported_state, timers
 
 
-def test_tags_are_parsed_back_and_are_those_of_older_versions() -> None:
+def test_tags_round_trip_and_match_older_versions() -> None:
     progress = timers.AttemptTimer(timers.AttemptCheck.PROGRESS, 12, 0)
     overdue = timers.AttemptTimer(timers.AttemptCheck.OVERDUE, 12, 3)
     assert (progress.tag, overdue.tag) == ("look 12 0", "overdue 12 3")
@@ -15,11 +15,11 @@
 @pytest.mark.parametrize(
     "tag", [timers.QUEUE_CHECK, timers.LIST_POLL, "", "look", "look 1", "later 1 2", "look 1 2 3"]
 )
-def test_a_tag_that_is_about_no_attempt_is_ignored(tag: str) -> None:
+def test_parse_ignores_a_tag_without_a_known_attempt_check(tag: str) -> None:
     assert timers.parse(tag) is None and not exported_state.is_timer_of_job(tag, 1)
 
 
-def test_a_timer_belongs_to_its_job_alone() -> None:
+def test_timer_belongs_only_to_the_job_in_its_tag() -> None:
     assert exported_state.is_timer_of_job("look 1 2", 1) and exported_state.is_timer_of_job("overdue 1 0", 1)
     assert not exported_state.is_timer_of_job("look 11 1", 1) and not exported_state.is_timer_of_job(
         "look 2 1", 1
