--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -18,7 +18,7 @@
 # better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
-ERROR_POWER = 8
+ERROR_COST_EXPONENT = 8
 MAX_PROVEN_ERROR_SHARE = 0.1  # above this share a worker is not proven for jobs that must not run twice
 TIGHT_FIT_RANK = 2
 
@@ -112,7 +112,7 @@
         if now < worker.slow_start_until_us:
             cost *= self.estimates.slow_start_share(now, worker)
         factor = criteria.unbound_factor if worker.serves_bound_classes else 1.0
-        cost *= (1 - worker.error_share) ** ERROR_POWER * factor if criteria.few_arrivals else factor
+        cost *= (1 - worker.error_share) ** ERROR_COST_EXPONENT * factor if criteria.few_arrivals else factor
         rejected = worker.class_backoff_until_us.get(criteria.job_class, 0) > now
         # After an ejection, a worker is first tried with jobs that may run twice.
         if rejected or now < worker.suspected_until_us or (worker.consecutive_ejections and criteria.unsafe):
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -64,14 +64,14 @@
         for address, worker in list(state.workers.items()):
             unlisted = event.kind is not api.ListKind.CHANGES and address not in listed
             if unlisted or worker.entry.state is api.WorkerState.REMOVED:
-                self.close(state.workers.pop(address))
+                self.stop_using(state.workers.pop(address))
         state.estimates.update_usable_workers(state.workers.values())
 
     def _update_worker(self, now: int, entry: api.Worker, listed: int) -> None:
         state = self.state
         worker = state.workers.get(entry.address)
         if worker and (worker.entry.kind, worker.entry.zone) != (entry.kind, entry.zone):
-            self.close(worker)  # another machine now has this address
+            self.stop_using(worker)  # another machine now has this address
             worker = None
         restarted = worker is None or entry.started_us > worker.entry.started_us
         if worker is None:
@@ -83,7 +83,7 @@
         if restarted:
             self.slow_start.begin(now, worker, turn)
         if entry.state is not api.WorkerState.READY:
-            self.close(worker)
+            self.stop_using(worker)
         elif worker.ejected_until_us == inf:
             worker.readmit(now)
             worker.last_send = state.sends - 1 - int(worker.tie_breaker * turn)
@@ -94,7 +94,7 @@
         )
         self.weights.update_worker(worker)
 
-    def close(self, worker: WorkerRecord) -> None:
+    def stop_using(self, worker: WorkerRecord) -> None:
         """Stop sending to a worker that drains or was removed, and close its idle connections."""
         worker.ejected_until_us = inf
         if worker.connection_used_us and self.state.settings.close_within_us is not None:
@@ -102,8 +102,8 @@
             self.state.actions.append(api.CloseIdle(worker.entry.address))
 
     def on_connection_idle(self, now: int, worker: WorkerRecord) -> None:
-        """Record that the connection of an ended attempt is idle; close it if its worker was closed."""
+        """Record that the connection of an ended attempt is idle; close it if the worker is draining or removed."""
         listed = self.state.workers.get(worker.entry.address, worker)
         listed.connection_used_us = now
         if listed.ejected_until_us == inf:
-            self.close(listed)
+            self.stop_using(listed)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -41,9 +41,7 @@
 
 
 def test_slow_start_share_grows_with_the_time_since_the_start() -> None:
-    estimates = (
-        started_estimates()
-    )  # the test settings have a slow start of 9 s that begins at a share of 0.3
+    estimates = started_estimates()  # with the test settings, slow start takes 9 s and begins at 0.3
     worker = WorkerRecord(api.Worker("w"), 0.0, ZoneWait(), S, slow_start_until_us=9 * S)
     assert estimates.slow_start_share(0, worker) == pytest.approx(0.3)
     assert estimates.slow_start_share(9 * S, worker) == pytest.approx(1.0)
