--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -15,8 +15,8 @@
 SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_EXPONENT = 8
 ZONE_COST_EXPONENT = 8
-# With few arrivals a scheduler learns late that a zone is full. A higher exponent would then make all schedulers
-# move to the next zone together.
+# With few arrivals a scheduler learns late that a zone is full. A higher exponent would then make all
+# schedulers move to the next zone together.
 ZONE_COST_EXPONENT_FEW_ARRIVALS = 2
 
 
@@ -67,9 +67,9 @@
         unit_us = 4 * tick_us + state.job_times.mean_us
         waits = state.estimates.zone_waits(tick_us, price * unit_us)
         handshake_us = settings.handshake_price * unit_us
-        power = ZONE_COST_EXPONENT_FEW_ARRIVALS if state.few_arrivals else ZONE_COST_EXPONENT
+        exponent = ZONE_COST_EXPONENT_FEW_ARRIVALS if state.few_arrivals else ZONE_COST_EXPONENT
         for wait, zone in zip(waits, zones.values(), strict=True):
-            zone.cost_factor = (min(waits) / wait) ** power if price else 1.0
+            zone.cost_factor = (min(waits) / wait) ** exponent if price else 1.0
             connected_share = wait / (wait + handshake_us)
             zone.new_connection_factor = zone.cost_factor * connected_share**CONNECTION_COST_EXPONENT
 
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -102,7 +102,7 @@
             self.state.actions.append(api.CloseIdle(worker.entry.address))
 
     def on_connection_idle(self, now: int, worker: WorkerRecord) -> None:
-        """Record that the connection of an ended attempt is idle; close it if the worker is draining or removed."""
+        """Record that an attempt's connection is idle; close it if the worker is draining or removed."""
         listed = self.state.workers.get(worker.entry.address, worker)
         listed.connection_used_us = now
         if listed.ejected_until_us == inf:
