--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -3,6 +3,8 @@
 The cost of a worker is ln(q) times its age. The age is the number of own sends since the last one to that
 worker; q is the chance that the last own job there still runs when the next job arrives. Weights change
 slowly, and recomputing them for each job would dominate the cost of a decision, so they are cached.
+
+"Own" jobs and sends are those of this scheduler. Jobs of bound classes may go to certain workers only.
 """
 
 from math import log1p
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -1,6 +1,6 @@
 """Outlier detection: ejection of failing workers, health checks of silent workers, and lost answers.
 
-Only this scheduler's own jobs count as evidence about a worker. The ejection time doubles with each
+Only jobs of this scheduler ("own" jobs) count as evidence about a worker. The ejection time doubles with each
 consecutive ejection, and at most half of all workers are ejected at a time.
 """
 
@@ -11,7 +11,7 @@
 from robinhill.placement.records import Attempt, WorkerRecord
 
 MIN_MAX_EJECTION_US = 4_000_000  # the longest ejection is this, or half the slow-start window if longer
-SILENT_EJECTIONS = 3  # ejections counted at least for a worker that fails its health checks: longer backoff
+SILENT_EJECTIONS = 3  # minimum count of earlier ejections for a worker that fails its health checks
 MAX_FAILURE_SHARE = 0.4
 HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
 
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -1,7 +1,7 @@
 """Overload control: concurrency limits of workers, and load shedding.
 
-Both follow the waits of own jobs at workers. A worker's limit grows by one while jobs start without a wait
-and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
+Both follow the waits at workers of this scheduler's own jobs. A worker's limit grows by one while jobs start
+without a wait and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
 """
 
 from robinhill.placement.decision_state import DecisionState
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -39,13 +39,13 @@
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
 
     def schedule_overdue_check(self, attempt: Attempt) -> None:
-        """Set a timer to check, once a started attempt is overdue, if its worker has completed any job."""
+        """Set a timer to check, when a started attempt is overdue, if its worker completed any job since."""
         if usual_us := self.state.job_times.class_baseline_us[attempt.job.request.job_class]:
             wait_us = int(OVERDUE_FACTOR * usual_us)
             self.state.set_attempt_timer(wait_us, timers.AttemptCheck.OVERDUE, attempt)
 
     def _worth_cancelling(self, job: JobRecord) -> bool:
-        """Whether wasted work is cheap enough to cancel late attempts, as some of them keep running."""
+        """Whether wasted work is cheap enough to cancel attempts, some of which keep running unused."""
         state, safe = self.state, job.klass.repeat is api.Repeat.SAFE
         mean_us = state.job_times.mean_us
         wasted_us = state.job_times.class_mean_us[job.request.job_class] if safe else mean_us
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -5,8 +5,10 @@
 
 PRIOR_WEIGHT = 2.0  # weight of the prior, in samples
 SMOOTHING_SAMPLES = 32
-QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3  # share of the difference to a higher, and to a lower sample
-MAX_QUANTILE_STEP = 1.0  # upper limit of that difference, so that one huge sample has a limited effect
+# An estimated quantile moves by these shares of its difference to a higher sample, and to a lower one. The
+# difference is limited, so that one huge sample counts as one.
+QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3
+MAX_QUANTILE_STEP = 1.0
 
 
 @dataclass(slots=True, eq=False)
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -23,7 +23,7 @@
 QUEUED_CALL_MIN_US = 1_500_000  # a call that fails sooner has not waited in discovery's queue
 SPREAD_PER_SCHEDULER_US = 50_000  # random delay of calls after a failure; doubles with each further failure
 MAX_SPREAD_DOUBLINGS = 6
-MIN_SPREAD_US = 250_000  # shortest random delay, also after the first half of the change bound
+MIN_SPREAD_US = 250_000  # window of random delays once the first half of the change bound has passed
 AGENT_BACKOFF_US = 100_000  # calls to an agent must succeed within the 0.5 s grace period of drains
 MAX_AGENT_BACKOFF_US = 200_000
 # When an unanswered call ends, discovery counts as unreachable until this long ago. The value lets the lease
@@ -39,7 +39,7 @@
     rng: random.Random
     fleet_size: int
     change_bound_us: int = LIST_CHANGE_BOUND_US
-    due_us: int = 0  # deadline for the next list, given when discovery was last known to be unreachable
+    due_us: int = 0  # deadline for receiving the next list; an outage of discovery extends it
     last_received_us: int = 0  # last complete list or empty line of the open call; 0: none yet
     called_us: int = 0  # when the last call began
     failed_calls: int = 0  # consecutive failures
@@ -91,8 +91,9 @@
     def _unreachable_since_us(self, now_us: int, answered: bool) -> int | None:
         """Last time at which discovery may have been unreachable (us); None if the call reached it.
 
-        A caller cannot distinguish an outage of discovery from an overload, as calls fail alike. So a failed
-        call counts as an outage. Otherwise each outage of discovery would stop the whole fleet from serving.
+        A caller cannot distinguish an outage of discovery from an overload, as calls fail alike. So a call
+        that discovery has not answered counts as an outage. Otherwise each outage of discovery would stop the
+        whole fleet from serving.
         """
         timed_out = now_us - self.called_us >= CALL_TIMEOUT_US
         if self.last_received_us or (answered and not (self.lists_pushed and timed_out)):
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -2,6 +2,7 @@
 
 Among the eligible workers of the lowest rank, the one with the lowest cost x * ln(q) gets the job. The age x
 is the number of own sends since the last one to that worker; factors raise the cost for failures and waits.
+"Own" jobs and sends are those of this scheduler.
 """
 
 from dataclasses import dataclass
