--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -265,8 +265,8 @@
         for job in queued:
             saturated = not available or job.request.job_class in saturated_classes
             if now < job.queue_deadline_us and saturated:
-                # The job stays queued without a choice: choosing a worker for each job of a long queue at each
-                # event would be too slow.
+                # The job stays queued. Choosing a worker for each job of a long queue at each event would be
+                # too slow.
                 self.queue.jobs.append(job)
             elif self.jobs.get(job.request.job) is job:
                 self.place(now, job)
