--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -74,7 +74,7 @@
         self._handlers[type(event)](now, event)
         return actions
 
-    def avoided(self, now: int) -> set[str]:
+    def avoided_workers(self, now: int) -> set[str]:
         """Addresses of the workers that are ejected or suspected because of their own failures. Read-only."""
         return {address for address, worker in self.workers.items() if worker.is_avoided(now)}
 
@@ -134,13 +134,13 @@
         if attempt is None:
             return
         attempt.last_progress_us = attempt.worker.last_response_us = now
-        if attempt.worker.waiting is attempt:
+        if attempt.worker.unstarted_attempt is attempt:
             self._on_start(now, attempt)
 
     def _on_start(self, now: int, attempt: Attempt) -> None:
         worker, delay_us = attempt.worker, now - attempt.sent_us
         self.retries.schedule_overdue_check(attempt)
-        worker.waiting = None
+        worker.unstarted_attempt = None
         worker.min_start_delay_us = min(worker.min_start_delay_us or delay_us, delay_us)
         self.overload.adapt(now, attempt, delay_us - worker.min_start_delay_us, delay_us)
         self._place_queued(now)
@@ -158,7 +158,7 @@
             return
         worker = attempt.worker
         worker.in_flight.discard(attempt.key)
-        worker.waiting = None if worker.waiting is attempt else worker.waiting
+        worker.unstarted_attempt = None if worker.unstarted_attempt is attempt else worker.unstarted_attempt
         attempt.job.attempts_in_flight -= 1
         if worker.concurrency_limit < 1 and outcome is not api.Outcome.FULL:
             self.overload.pause_after_attempt(now, worker)
@@ -218,7 +218,7 @@
         key, group = (job.request.job, job.attempts), klass.group_of(worker.entry)
         attempt = self.attempts[key] = Attempt(key, worker, now, job, len(worker.in_flight), group)
         worker.in_flight.add(key)
-        worker.waiting = attempt if self.settings.reports_start else None
+        worker.unstarted_attempt = attempt if self.settings.reports_start else None
         self.slow_start.spend_credit(worker)
         job.attempts += 1
         job.attempts_in_flight += 1
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -182,7 +182,7 @@
         waiting = asyncio.ensure_future(work)
         try:
             while not waiting.done():
-                left_us = self.schedule.silent_at_us() - self.clock.now_us()
+                left_us = self.schedule.silence_deadline_us() - self.clock.now_us()
                 await asyncio.wait([waiting], timeout=max(0, left_us) / 1e6)
                 # After a stall of this process a message may be here that was not read in time.
                 stalled = self.catch_up is not None and self.catch_up.is_catching_up()
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -520,7 +520,7 @@
         self.metrics.active = len(self.in_flight) + queued
         listed = {destination.instance_id: destination for destination in self.table.listed()}
         restricted = {name for name, d in listed.items() if self.restrictions.applies_to(d, name)}
-        avoided = self.balancer.avoided(self.clock.now_us())
+        avoided = self.balancer.avoided_workers(self.clock.now_us())
         self.metrics.pool_size = len(listed)
         self.metrics.pool_ejected = len(listed.keys() & (restricted | avoided))
         return Answer(200, self.metrics.text(self.clock.now_us()).encode())
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -152,10 +152,10 @@
 
 def _export_attempt(attempt: Attempt) -> ExportedAttempt:
     worker = attempt.worker
-    waiting = worker.waiting is attempt
+    waiting = worker.unstarted_attempt is attempt
     worker.in_flight.discard(attempt.key)
     if waiting:
-        worker.waiting = None
+        worker.unstarted_attempt = None
     return {
         "address": worker.entry.address,
         "attempt": attempt.key[1],
@@ -175,7 +175,7 @@
     # `_import_worker` lowered the limit for each attempt in flight at the predecessor; `export_job` does not.
     worker.concurrency_limit += 0.0 if own else 1.0
     if exported["waiting"]:
-        worker.waiting = attempt
+        worker.unstarted_attempt = attempt
 
 
 def _removed_worker(address: str) -> WorkerRecord:
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -40,7 +40,7 @@
     slow_start_until_us: int = 0  # latest end of the slow start
     ejected_until_us: float = 0  # infinite while the endpoint list does not show the worker as ready
     in_flight: set[AttemptKey] = field(default_factory=set)  # own attempts at this worker
-    waiting: "Attempt | None" = None  # the attempt in flight whose start has not been reported
+    unstarted_attempt: "Attempt | None" = None  # the attempt in flight whose start has not been reported
     concurrency_limit: float = 1.0  # own jobs that run without a wait; below 1: one at a time, with pauses
     min_start_delay_us: float = 0.0  # shortest time from send to reported start: the network delay
     own_unit_time: float = 0.0  # low quantile of time per unit of work, from own jobs here
@@ -70,7 +70,7 @@
         """Readmit the worker: its earlier failures, ejections and attempts no longer count."""
         self.ejected_until_us, self.readmitted_us = 0, now
         self.consecutive_ejections, self.failure_share, self.suspected_until_us = 0, 0.0, 0
-        self.in_flight, self.waiting, self.class_backoff_until_us = set(), None, {}
+        self.in_flight, self.unstarted_attempt, self.class_backoff_until_us = set(), None, {}
 
     def add_success(self, now: int) -> None:
         """Record a completed job, which lowers the failure shares and ends a suspicion of lost answers."""
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -67,7 +67,7 @@
     def _cancel_due_us(self, now: int, attempt: Attempt) -> float:
         """Time at which to cancel the attempt in the current state (us); infinite: never."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
-        if attempt.worker.waiting is attempt:
+        if attempt.worker.unstarted_attempt is attempt:
             if state.few_in_flight and klass.repeat is api.Repeat.SAFE:
                 # Another choice would have no more information, and the cancelled attempt may keep running.
                 return inf
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -65,7 +65,7 @@
         """Record that a complete list or an empty line was received; an incomplete list does not count."""
         self.last_received_us, self.failed_calls = now_us, 0
 
-    def silent_at_us(self) -> int:
+    def silence_deadline_us(self) -> int:
         """Time at which the open call or watch counts as broken unless a message is received before (us)."""
         if self.last_received_us:
             return self.last_received_us + WATCH_SILENCE_TIMEOUT_US
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -144,7 +144,7 @@
 
     def has_capacity(self, now: int, worker: WorkerRecord) -> bool:
         """Whether the worker has capacity, by own jobs alone: load reports and health checks do not count."""
-        if worker.waiting:
+        if worker.unstarted_attempt:
             return False  # an own job has not started: the worker is full, frozen or unreachable
         limit = 1 if worker.consecutive_ejections else worker.concurrency_limit
         if len(worker.in_flight) < limit:
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -72,7 +72,7 @@
                 continue
             schedule.record_call(-100 * S)
             schedule.record_received(-chance.randrange(2 * S))
-            ended = 0 if ending == "reset" else schedule.silent_at_us()
+            ended = 0 if ending == "reset" else schedule.silence_deadline_us()
             put(ended + schedule.record_lost(ended), "call", number)
         while queue:
             now, _, what, number = heapq.heappop(queue)
--- a/tests/test_exported_state.py
+++ b/tests/test_exported_state.py
@@ -51,8 +51,8 @@
     old = Node(3)
     worker = sent_to(old.ask(after_us=10 * MS))
     old.end(old.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
-    assert worker in old.balancer.avoided(old.now)
-    assert successor(old).balancer.avoided(old.now) == {worker}
+    assert worker in old.balancer.avoided_workers(old.now)
+    assert successor(old).balancer.avoided_workers(old.now) == {worker}
 
 
 def test_exported_job_ends_in_the_successor_and_frees_its_capacity() -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -132,7 +132,7 @@
     started(node, 1)
     node.end(1, took_us=200 * MS)
     before = worker.job_time_us
-    while node.balancer.attempts or worker.waiting is None:
+    while node.balancer.attempts or worker.unstarted_attempt is None:
         if sent_to(node.ask(MS)) != worker.entry.address:
             started(node, node.jobs)
             node.end(node.jobs, took_us=200 * MS)
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -184,7 +184,7 @@
     worker = sent_to(node.ask())
     node.do(api.ListLeaseChanged(False))
     assert not only(node.end(1, api.Outcome.CONNECT_FAILED, MS), api.Send)
-    assert not node.balancer.avoided(node.now)
+    assert not node.balancer.avoided_workers(node.now)
     (send,) = only(node.do(api.ListLeaseChanged(True)), api.Send)
     assert send.job == 1 and worker in ("w0", "w1")
 
--- a/tests/test_list_watcher.py
+++ b/tests/test_list_watcher.py
@@ -55,7 +55,7 @@
         schedule = WatchSchedule(False, random.Random(seed), fleet_size)
         schedule.record_call(0)
         schedule.record_received(10_000_000)  # and right after it the watch falls silent
-        now = schedule.silent_at_us()
+        now = schedule.silence_deadline_us()
         first = now + schedule.record_lost(now)
         assert (
             first <= 10_000_000 + watch_schedule.LIST_CHANGE_BOUND_US // 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -397,7 +397,7 @@
     until_sent_to(node, "w0")
     assert node.now - back <= 2.2 * S
     node.end(lost, O.RESET, 25 * S)
-    assert not node.balancer.avoided(node.now)
+    assert not node.balancer.avoided_workers(node.now)
 
 
 def test_many_nodes_do_not_meet_a_worker_taken_back_together() -> None:
