--- a/robinhill/control/__init__.py
+++ b/robinhill/control/__init__.py
@@ -1,6 +1,6 @@
 """The control group's state machines: voters replicate shared state, schedulers observe them. No I/O.
 
-A voter (`voter`) is one replica of the state; a majority of voters accepts each change. A scheduler is an
-observer (`observer`): it has a read replica, a lease that says how fresh it is, and no vote. Sockets, clocks
-and disk are in `robinhill.net.control_group`.
+A voter (`voter`) holds one replica of the state; a change is accepted once a majority of voters has stored
+it. A scheduler is an observer (`observer`): it has a read replica, a lease that bounds the replica's age, and
+no vote. `robinhill.net.control_group` provides the sockets, clocks and disk.
 """
--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -1,4 +1,5 @@
-"""What the state machines of the control group ask of their caller, which owns the sockets and the clock."""
+"""Actions that the state machines of the control group return. The caller owns sockets and clock, and carries
+them out."""
 
 from dataclasses import dataclass
 
@@ -6,12 +7,12 @@
 from robinhill.mesh.records import Record
 
 Link = int
-"""Identifies a connection: a number that the caller chooses and never reuses within a process."""
+"""Identifier of a connection; the caller chooses it and never reuses it within a process."""
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Write ``data`` as one message; messages of a link stay in order."""
+    """Write ``data`` as one message. The messages of a link are written in the order of their actions."""
 
     link: Link
     data: bytes
@@ -19,14 +20,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Connect:
-    """Open a connection to a voter; report the result by ``linked`` or ``failed``."""
+    """Open a connection to a voter, and report the result by calling ``linked`` or ``failed``."""
 
     voter: str
 
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """Close a connection once its queued messages are written. ``unlinked`` is not called for it."""
+    """Close a connection once its queued messages are written. The caller doesn't call ``unlinked`` for it.
+
+    ``why``: reason for the log.
+    """
 
     link: Link
     why: str
@@ -34,10 +38,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """The replica has stored ``records``.
+    """The replica has stored ``records``, and the caller applies them.
 
-    An observer applies them before it carries out the next action, which may confirm them; a voter saves its
-    replica within a second or two. ``rejected`` is for the log.
+    The caller of an observer applies them before it carries out the next action, which may confirm them. The
+    caller of a voter saves the replica within a second or two. ``rejected`` is for the log.
     """
 
     records: tuple[Record, ...]
@@ -46,7 +50,8 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """The lease began or expired. ``age_us``: age of the newest known majority state; None: never known."""
+    """An observer's lease became valid or expired. ``age_us``: age of the newest known majority state; None:
+    none was ever known."""
 
     valid: bool
     age_us: int | None
@@ -54,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LaggingObservers:
-    """Observers and voters that are not known to have applied a change: their number, and some names."""
+    """Observers and voters that may not have applied a change: their number, and some of their names."""
 
     count: int
     names: tuple[str, ...]
@@ -65,9 +70,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Progressed:
-    """A tracked change has progressed; ``number`` is what ``write`` returned for it.
+    """The progress of a tracked change. ``number`` is the number that ``write`` returned for the change.
 
-    ``accepted``: it can't be forgotten any more; ``in_force``: no scheduler can act without it.
+    ``accepted``: a majority of voters has stored it (with kinds that serve: this voter), so it can't be lost
+    any more. ``in_force``: no scheduler can act without knowing it.
     """
 
     number: int
@@ -78,12 +84,12 @@
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """This voter counts for majorities from now on."""
+    """This voter has caught up, and counts for majorities from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class VotersSettled:
-    """All voters use the newest list of voters; the lists before it no longer count."""
+    """All voters use the newest list of voters; this voter has dropped the earlier lists."""
 
 
 Action = Send | Connect | Disconnect | Apply | LeaseChanged | Progressed | CaughtUp | VotersSettled
--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -1,19 +1,19 @@
-"""When to connect to a voter again: exponential backoff with jitter, and the timeout of connection
-attempts."""
+"""Schedules connection attempts to voters: exponential backoff with jitter, and a timeout for each
+attempt."""
 
 from dataclasses import dataclass
 from random import Random
 
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
-"""A quarter of the 4 s in which a region must be synchronized again once a partition heals."""
+"""A quarter of the 4 s within which a region must be synchronized again after a partition heals."""
 
 CONNECT_TIMEOUT_US = 1_000_000
-"""A connection attempt without a result for this long counts as failed."""
+"""A connection attempt without a result for longer than this counts as failed."""
 
 
 @dataclass(slots=True)
-class _State:
+class _VoterState:
     backoff_us: int = 0
     due_us: int = 0
     connecting_since_us: int | None = None
@@ -24,7 +24,7 @@
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._states: dict[str, _State] = {}
+        self._states: dict[str, _VoterState] = {}
 
     @property
     def connecting(self) -> frozenset[str]:
@@ -32,37 +32,39 @@
         return frozenset(name for name, one in self._states.items() if one.connecting_since_us is not None)
 
     def due_us(self, voter: str) -> int:
-        """When the next attempt may start."""
+        """Time at which the next attempt to this voter may start."""
         state = self._states.get(voter)
         return state.due_us if state is not None else 0
 
     def connect(self, mono_us: int, voter: str) -> None:
-        """A connection attempt starts now."""
+        """Record that a connection attempt starts now."""
         self._state(voter).connecting_since_us = mono_us
 
     def connected(self, voter: str) -> None:
-        """The attempt succeeded: the next backoff starts from the minimum."""
+        """Record that the attempt succeeded; the next backoff starts from the minimum."""
         self._states.pop(voter, None)
 
     def failed(self, mono_us: int, voter: str) -> None:
-        """The attempt failed or the connection ended: wait between half of the doubled backoff and all of
-        it."""
+        """Record that the attempt failed or the connection ended.
+
+        The backoff doubles, up to `MAX_BACKOFF_US`; jitter shortens the wait by up to half of it.
+        """
         state = self._state(voter)
         state.connecting_since_us = None
         state.backoff_us = min(MAX_BACKOFF_US, 2 * state.backoff_us or MIN_BACKOFF_US)
         state.due_us = mono_us + self._rng.randint(state.backoff_us // 2, state.backoff_us)
 
     def expire(self, mono_us: int) -> None:
-        """Fail the attempts that have timed out."""
+        """Record the attempts that have timed out as failed."""
         for name, state in self._states.items():
             since_us = state.connecting_since_us
             if since_us is not None and mono_us - since_us > CONNECT_TIMEOUT_US:
                 self.failed(mono_us, name)
 
     def expires_us(self) -> int | None:
-        """When the oldest attempt in flight times out."""
-        since = [at for one in self._states.values() if (at := one.connecting_since_us) is not None]
-        return min(since) + CONNECT_TIMEOUT_US + 1 if since else None
+        """Time at which the oldest attempt in flight times out; None if there is none."""
+        since_us = [at for state in self._states.values() if (at := state.connecting_since_us) is not None]
+        return min(since_us) + CONNECT_TIMEOUT_US + 1 if since_us else None
 
-    def _state(self, voter: str) -> _State:
-        return self._states.setdefault(voter, _State())
+    def _state(self, voter: str) -> _VoterState:
+        return self._states.setdefault(voter, _VoterState())
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -1,8 +1,8 @@
-"""What a voter sends to one observer: ranges that differ, changes, and heartbeat replies after them.
+"""A voter's change feed to one observer: ranges that differ, changes, and heartbeat replies after them.
 
-The send window is bounded in messages that the observer has not confirmed: the cursor of a slow observer
-stays behind, and later it gets the newest value of each record. A heartbeat is replied to once all is sent
-that was known when it was read.
+The send window limits the number of messages that the observer has not confirmed. When the window is full,
+the feed's cursor stays where it is, and the observer later receives only the newest value of each record. The
+feed replies to a heartbeat once it has sent all changes that were known when the heartbeat was read.
 """
 
 from dataclasses import dataclass
@@ -14,27 +14,32 @@
 from robinhill.mesh.records import Record
 
 MAX_UNCONFIRMED_MESSAGES = 8
-"""The send window: with `SOFT_MAX_MESSAGE_BYTES` some 256 KB by observer."""
+"""Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Digests as of a time further from ours are compared with digests as of our time, and so differ."""
+"""If the time of an observer's digests differs more from ours, they are compared with digests as of our time,
+which makes ranges differ whose records expired between the two times."""
 
 DIGEST_BYTES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class _PendingReply:
-    """A heartbeat's reply, due once all changes up to ``position`` and urgent ones up to ``urgent`` are
-    sent."""
+    """The reply to a heartbeat, due once all changes up to ``position`` are sent, and urgent ones up to
+    ``urgent_position``."""
 
     number: int
     age_us: int
     position: int
-    urgent: int
+    urgent_position: int
 
 
 class ChangeFeed:
-    """The cursor of one observer's link. ``synchronized``: all that the voter had at some moment is sent."""
+    """The change feed to one observer's link.
+
+    ``synchronized``: the observer was sent the voter's complete state as of some position, and receives the
+    changes since. ``sent``: number of messages with records sent on this link.
+    """
 
     def __init__(self, log: ChangeLog) -> None:
         self.log = log
@@ -45,13 +50,13 @@
         self._confirmed = 0
         self._differing_ranges: list[int] = []
         self._current_range = 0
-        self._unsent_records: list[Record] | None = None  # of the current range
-        self._compared_position: int | None = None  # of the comparison under way
+        self._unsent_records: list[Record] | None = None  # of the current range; None: no range is begun
+        self._compared_position: int | None = None  # of the comparison in progress; None: there is none
         self._pending_reply: _PendingReply | None = None
 
     @property
     def comparing(self) -> bool:
-        """Whether a comparison is under way."""
+        """Whether a comparison is in progress."""
         return self._compared_position is not None
 
     @property
@@ -61,14 +66,16 @@
         return sent and self._confirmed == self.sent
 
     def resume(self, position: int) -> None:
-        """The observer has all changes of this voter up to ``position``."""
+        """Feed changes from ``position``; the observer has all earlier changes of this voter."""
         self.synchronized = True
         self._cursor = self._urgent_cursor = position
 
     def compare(self, now_us: int, digests: Digests) -> None:
-        """Begin to send the ranges that differ. Raises JoinRefused for a wrong number of digests."""
+        """Begin to send the ranges whose digests differ. Raises JoinRefused for a wrong number of digests."""
         if len(digests.digests) != RANGES * DIGEST_BYTES:
-            raise JoinRefused("digests of 256 ranges were awaited")
+            raise JoinRefused(
+                f"the digests have {len(digests.digests)} bytes, expected {RANGES * DIGEST_BYTES}"
+            )
         if self.synchronized and not self.idle:
             self._compared_position = 0
             return
@@ -85,18 +92,20 @@
             self._cursor = self._urgent_cursor = self._compared_position
 
     def heartbeat(self, number: int, age_us: int | None) -> None:
-        """A heartbeat was read. ``age_us``: age of the majority's state that the voter knows; None: of
-        none."""
-        if self._pending_reply is None:  # else the observer's next heartbeat is replied to
+        """Queue the reply to a heartbeat that was just read, unless another reply is pending.
+
+        ``age_us``: age of the majority's state that the voter knows; None: it knows none.
+        """
+        if self._pending_reply is None:  # otherwise a later heartbeat is replied to
             position, urgent = self.log.replica.head, self.log.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
     def confirm(self, count: int) -> None:
-        """The observer has received ``count`` messages with records on this link."""
+        """Advance the send window: the observer has received ``count`` messages with records on this link."""
         self._confirmed = max(self._confirmed, min(count, self.sent))
 
     def draw(self) -> tuple[list[bytes], bool]:
-        """Messages that may be sent now, and whether a heartbeat reply is among them."""
+        """Return the encoded messages that may be sent now, and whether a heartbeat reply is among them."""
         messages: list[bytes] = []
         while (data := self._draw_records()) is not None:
             messages.append(data)
@@ -138,7 +147,7 @@
         return data
 
     def _draw_range_parts(self) -> list[RangePart]:
-        """Parts of ranges that differ, up to the size of one message."""
+        """Return the next parts of the ranges that differ, up to the size of one message."""
         parts: list[RangePart] = []
         size_bytes = count = 0
         while size_bytes < SOFT_MAX_MESSAGE_BYTES and count < MAX_RECORDS_PER_MESSAGE:
@@ -168,7 +177,7 @@
         pending = self._pending_reply
         if pending is None or not self.synchronized:
             return None
-        if self._cursor < pending.position or self._urgent_cursor < pending.urgent:
+        if self._cursor < pending.position or self._urgent_cursor < pending.urgent_position:
             return None
         self._pending_reply = None
         return write(HeartbeatReply(pending.number, pending.age_us, self._cursor))
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -1,6 +1,6 @@
-"""A voter's changes in order, as observers read them: each by its own cursor, urgent kinds ahead of others.
+"""The log of a voter's changes. Each observer's feed reads it from its own cursor, urgent kinds first.
 
-Nothing is queued by observer. A message is encoded once for all observers with the same cursor.
+The log has no queue for each observer. A message is encoded once for all observers with the same cursor.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,22 +12,21 @@
 
 MAX_RECORDS_PER_MESSAGE = 256
 SOFT_MAX_MESSAGE_BYTES = 32 << 10
-"""Keys and values in a message, past which no record is added."""
+"""Size of a message's keys and values at which no further record is added."""
 
 RecordName = tuple[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class EncodedChanges:
-    """A message that advances a reader to ``cursor``. ``data`` is None where nothing need be sent for
-    that."""
+    """A message that advances a reader to ``cursor``; ``data`` is None if no record needs to be sent."""
 
     data: bytes | None
     cursor: int
 
 
 class ChangeLog:
-    """The changes of a `Replica`. ``note`` must follow each change before anything else is read."""
+    """The changes of a `Replica`. The caller must call `note` after each change, before it reads the log."""
 
     def __init__(self, replica: Replica, urgent_kinds: Collection[str]) -> None:
         self.replica = replica
@@ -35,13 +34,13 @@
         self.urgent_head = 0
         self.bulk_head = 0
         self.messages_encoded = 0
-        self._urgent_positions: dict[RecordName, int] = {}  # ascending
+        self._urgent_positions: dict[RecordName, int] = {}  # in ascending order of positions
         self._encoded: dict[tuple[int, bool], EncodedChanges] = {}  # by cursor and urgency
         for record in replica.snapshot():
             self.note([record])
 
     def note(self, records: Iterable[Record]) -> None:
-        """These records have changed."""
+        """Record at the replica's head position that these records have changed."""
         for record in records:
             if record.kind in self.urgent_kinds:
                 self._urgent_positions.pop(record.name, None)
@@ -51,11 +50,14 @@
         self._encoded.clear()
 
     def head(self, urgent: bool) -> int:
-        """The position of the last urgent change, or of the last other one."""
+        """Position of the last urgent change; with ``urgent`` False, of the last change of another kind."""
         return self.urgent_head if urgent else self.bulk_head
 
     def after(self, cursor: int, urgent: bool) -> EncodedChanges:
-        """The next message for a reader at ``cursor``. All urgent changes must be read before others."""
+        """Return the next message for a reader at ``cursor``.
+
+        A reader must read all urgent changes before it reads others.
+        """
         key = cursor, urgent
         if (changes := self._encoded.get(key)) is None:
             changes = self._urgent_after(cursor) if urgent else self._bulk_after(cursor)
@@ -63,7 +65,7 @@
         return changes
 
     def collected(self) -> None:
-        """The replica has dropped expired records."""
+        """Drop the positions of records that the replica has removed as expired."""
         record = self.replica.record
         positions = self._urgent_positions
         self._urgent_positions = {name: at for name, at in positions.items() if record(*name) is not None}
@@ -78,7 +80,7 @@
             if (record := self.replica.record(*name)) is not None:
                 records.append(record)
                 size_bytes += _size_bytes(record)
-            # A message ends only between two positions, as its cursor covers all changes at one.
+            # A message must not split the changes at one position, as its cursor covers all of them.
             may_end = index + 1 < len(names) and names[index + 1][1] > at
             full = len(records) >= MAX_RECORDS_PER_MESSAGE or size_bytes >= SOFT_MAX_MESSAGE_BYTES
             if may_end and full:
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -1,10 +1,10 @@
-"""Changes that this voter was given, tracked until they are in force at all schedulers.
+"""Tracks the changes that were written at this voter until they are in force at all schedulers.
 
-Changes that come close together share a batch: one barrier to each other voter, one status from it. A change
-is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); with kinds that serve, as
-soon as it is stored here. It is *in force* once each voter has reported that none of its observers lags; and,
-for kinds that hold, once the bound has passed since it was accepted, as then every lease that does not cover
-it has expired.
+Changes that are written in quick succession share a batch, which takes one barrier to each other voter and
+one status from it. A change is *accepted* once a majority of voters has stored it
+(`robinhill.mesh.acceptance`); under `serve`, as soon as this voter has stored it. An accepted change is *in
+force* once each voter has reported that none of its observers lags. Under `hold` it is also in force once the
+bound has passed since it was accepted, as every lease that does not cover the change has expired by then.
 """
 
 from dataclasses import dataclass, field
@@ -19,17 +19,17 @@
 from robinhill.mesh.records import Stamp
 
 BATCH_INTERVAL_US = 20_000
-"""Least time between the barriers of two batches of the same sort."""
+"""Minimum interval between the barriers of two batches of equal urgency and mode."""
 
 MAX_BATCHES = 1_024
 MAX_TRACKED_CHANGES = 8_192
-"""Past these the oldest accepted batch is dropped: under `serve` a scheduler that was killed is waited for
-until an operator reports that it no longer runs."""
+"""At either limit the oldest accepted batch is dropped. Without a limit batches could accumulate: under
+`serve` they wait for a scheduler that was killed until an operator reports that it no longer runs."""
 
 
 @dataclass(slots=True, frozen=True)
 class BatchStatus:
-    """Progress of a batch, as it is reported for each of its changes."""
+    """Progress of a batch, which is reported for each of its changes."""
 
     accepted: bool
     in_force: bool
@@ -40,9 +40,10 @@
 class ChangeBatch:
     """Changes that share a barrier.
 
-    ``position``: of the last of them in this voter's log. ``sealed``: its barriers are sent, no change is
-    added any more. ``queried``: voters that were sent its barrier on their present link. ``lagging``: the
-    last status by voter. ``dirty``: something has changed since the last report.
+    ``position``: position of the last change in this voter's log. ``stamp``: identifies the batch in
+    `Acceptance`. ``sealed``: its barriers are due, so no change is added any more. ``queried``: voters that
+    were sent the barrier on their present link. ``lagging``: the last reported status of each voter.
+    ``dirty``: the status may have changed since the last report.
     """
 
     number: int
@@ -62,10 +63,10 @@
 
 
 class CommitTracker:
-    """All batches that are not in force yet at one voter. Times: monotonic microseconds."""
+    """The batches of one voter that are not in force yet. Times are monotonic microseconds."""
 
-    def __init__(self, me: str, incarnation: int, bound_us: int, quorum: Quorum) -> None:
-        self.me = me
+    def __init__(self, own_name: str, incarnation: int, bound_us: int, quorum: Quorum) -> None:
+        self.own_name = own_name
         self.incarnation = incarnation
         self.quorum = quorum
         self.acceptance = Acceptance(quorum)
@@ -73,13 +74,13 @@
         self._lease_us = with_slack(bound_us)
         self._tracked_changes = 0
         self._last_number = 0
-        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # by urgency and hold
+        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # by urgent and hold
         self._ended: list[ChangeBatch] = []
 
     # Changes
 
     def ensure_capacity(self) -> None:
-        """Make room for a change by dropping the oldest accepted batch; to be called before a write.
+        """At a limit, drop the oldest accepted batch. The caller calls this before each write.
 
         Raises ChangesFull where none is accepted.
         """
@@ -89,14 +90,14 @@
             if batch.sealed and (batch.accepted_us is not None or not batch.hold):
                 self._drop(batch)
                 return
-        raise ChangesFull(f"{self._tracked_changes} changes are waited for, none of them accepted")
+        raise ChangesFull(f"{self._tracked_changes} changes are pending, and none of them is accepted yet")
 
     def track(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
-        """Track a change that was stored here at ``position``, the last one of its urgency in the log."""
+        """Track a change that was stored here at ``position``, the log's head for changes of its urgency."""
         batch = self._newest.get((urgent, hold))
         if batch is None or batch.sealed:
             self._last_number += 1
-            stamp = Stamp(self._last_number, 0, self.me, self.incarnation)
+            stamp = Stamp(self._last_number, 0, self.own_name, self.incarnation)
             batch = ChangeBatch(self._last_number, urgent, hold, mono_us, position, [], stamp)
             self.batches[batch.number] = self._newest[urgent, hold] = batch
             self.acceptance.follow(mono_us, stamp)
@@ -105,7 +106,11 @@
         self._tracked_changes += 1
 
     def seal_due_batches(self, mono_us: int) -> list[ChangeBatch]:
-        """Seal the batches whose barriers are due: at once where none was sent shortly before."""
+        """Seal and return the batches whose barriers are due.
+
+        A batch is due at once unless an earlier one of equal urgency and mode was opened less than
+        `BATCH_INTERVAL_US` ago.
+        """
         due = [
             batch
             for batch in self._newest.values()
@@ -116,7 +121,7 @@
         return due
 
     def next_us(self) -> int | None:
-        """When the clock alone changes something."""
+        """Time at which the next batch is due to be sealed, or is in force as all leases have expired."""
         times = [self._seal_due_us(batch) for batch in self._newest.values() if not batch.sealed]
         times += [
             batch.accepted_us + self._lease_us
@@ -125,11 +130,13 @@
         ]
         return min(times, default=None)
 
-    # What voters report
+    # Statuses of voters
 
     def batches_to_query(self, voter: str, written: int) -> list[ChangeBatch]:
-        """Batches whose barrier is to be sent to a voter now: changes up to ``written`` are sent before
-        it."""
+        """Return the batches whose barrier must now be sent to a voter, and mark them as queried.
+
+        ``written``: position up to which all changes were sent to the voter.
+        """
         due = [
             batch
             for batch in self.batches.values()
@@ -140,19 +147,19 @@
         return due
 
     def record_own_status(self, mono_us: int, number: int, tracked: TrackedPosition, counts: bool) -> None:
-        """Record how many of our own observers lag; ``counts``: we count for majorities."""
+        """Record how many observers of this voter lag. ``counts``: this voter counts for majorities."""
         batch = self.batches.get(number)
         if batch is None:
-            return  # dropped during the same call
-        batch.lagging[self.me] = tracked.lagging()
+            return  # the batch was dropped during the same call
+        batch.lagging[self.own_name] = tracked.lagging()
         batch.dirty = True
         if counts:
-            self._confirmed(mono_us, batch, self.me, self.incarnation)
+            self._confirmed(mono_us, batch, self.own_name, self.incarnation)
 
     def record_status(self, mono_us: int, voter: str, status: BarrierStatus) -> None:
         """Record that another voter has stored a batch, and how many of its observers lag.
 
-        `voter_restarted` must have been called for the incarnations in it before.
+        The caller must have called `voter_restarted` for the incarnations in the status before.
         """
         batch = self.batches.get(status.number)
         if batch is None or voter not in self.quorum.names:
@@ -163,28 +170,34 @@
             self._confirmed(mono_us, batch, voter, status.incarnation)
 
     def voter_restarted(self, voter: str, incarnation: int) -> None:
-        """A voter has a new incarnation: what an earlier one confirmed no longer counts."""
+        """Discard the confirmations of a voter's earlier incarnations."""
         self.acceptance.started(voter, incarnation)
 
     def voter_unlinked(self, voter: str) -> None:
-        """The link to a voter is lost: its last status may no longer be true once it is back."""
+        """Discard the statuses of a voter whose link is lost, as they may be outdated once it reconnects.
+
+        Its barriers are sent again on the next link.
+        """
         for batch in self.batches.values():
             batch.queried.discard(voter)
             batch.lagging.pop(voter, None)
             batch.dirty = True
 
     def reconfigured(self, mono_us: int) -> None:
-        """The list of voters has changed."""
+        """Evaluate the acceptance of all batches again, as the list of voters has changed."""
         accepted = set(self.acceptance.review(mono_us))
         for batch in self.batches.values():
             batch.dirty = True
             if batch.stamp in accepted:
                 batch.accepted_us = mono_us
 
-    # What is reported
+    # Reports
 
     def collect_progress(self, mono_us: int) -> list[Progressed]:
-        """Changes whose status differs from the last report; batches that are in force are dropped."""
+        """Return the progress of changes whose status has changed since the last report.
+
+        Batches that are in force are dropped.
+        """
         reports: list[Progressed] = []
         for batch in list(self.batches.values()):
             if not batch.dirty and not self._leases_expired(mono_us, batch):
@@ -203,7 +216,10 @@
         return reports
 
     def take_ended(self) -> list[ChangeBatch]:
-        """Batches that were dropped since the last call, in force or not: their barriers end."""
+        """Remove and return the batches that were dropped since the last call, in force or not.
+
+        The caller ends their barriers.
+        """
         ended, self._ended = self._ended, []
         return ended
 
@@ -214,12 +230,12 @@
         return BatchStatus(accepted, in_force, NONE_LAGGING if in_force else lagging)
 
     def _lagging(self, batch: ChangeBatch) -> LaggingObservers:
-        """Observers that lag, and voters without a status."""
-        unknown = sorted(self.quorum.names - batch.lagging.keys())
-        names = [f"voter {name}" for name in unknown]
+        """The lagging observers of all voters, and the voters that have not reported a status."""
+        unreported = sorted(self.quorum.names - batch.lagging.keys())
+        names = [f"voter {name}" for name in unreported]
         for lagging in sorted(batch.lagging.values(), key=lambda one: (one.count, one.names)):
             names += lagging.names
-        count = len(unknown) + sum(lagging.count for lagging in batch.lagging.values())
+        count = len(unreported) + sum(lagging.count for lagging in batch.lagging.values())
         return LaggingObservers(count, tuple(names[:MAX_LAGGING_NAMES]))
 
     def _leases_expired(self, mono_us: int, batch: ChangeBatch) -> bool:
@@ -246,6 +262,6 @@
         self._tracked_changes -= len(batch.changes)
         self.acceptance.forget(batch.stamp)
         self._ended.append(batch)
-        sort = batch.urgent, batch.hold
-        if self._newest.get(sort) is batch and not batch.sealed:
-            del self._newest[sort]
+        urgent_and_hold = batch.urgent, batch.hold
+        if self._newest.get(urgent_and_hold) is batch and not batch.sealed:
+            del self._newest[urgent_and_hold]
--- a/robinhill/control/errors.py
+++ b/robinhill/control/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the control group. Each has a stable ``code`` and advice for an operator."""
+"""Errors of the control group. Each class has a stable ``code`` and advice for the operator."""
 
 from robinhill.mesh.errors import MeshError
 
 
 class VotersMalformed(MeshError):
-    """The operators' file is wrong about voters. ``key`` names the faulty key."""
+    """A key of the operators' file that configures voters has an invalid value. ``key`` names it."""
 
     code = "VotersMalformed"
-    advice = "mend the key that is named in the operators' file, the same on all hosts, and start again"
+    advice = "correct the named key in the operators' file, identically on all hosts, and restart"
 
     def __init__(self, key: str, what: str, advice: str) -> None:
         self.key = key
@@ -15,21 +15,21 @@
 
 
 class VotersNotOneAtATime(MeshError):
-    """More than one voter was added or removed at once, or the previous change has not settled."""
+    """A reload adds or removes more than one voter, or the previous change of the list has not settled."""
 
     code = "VotersNotOneAtATime"
-    advice = "add or remove one voter, reload all voters, and go on once the change has settled"
+    advice = "add or remove one voter at a time, reload all voters, and wait until the change has settled"
 
 
 class JoinRefused(MeshError):
-    """An observer or voter was rejected, or sent a malformed or unexpected message."""
+    """The join of an observer was rejected, or a link carried a malformed or unexpected message."""
 
     code = "JoinRefused"
-    advice = "give all voters and schedulers the same installation, mesh.bound_ms and mesh.on_lost"
+    advice = "configure the same installation, mesh.bound_ms and mesh.on_lost on all voters and schedulers"
 
 
 class ChangesFull(MeshError):
-    """Too many changes are tracked, and none of them is accepted yet."""
+    """The limit of tracked changes is reached, and none of them is accepted yet, so none can be dropped."""
 
     code = "ChangesFull"
-    advice = "wait until changes that are under way are in force, then ask again"
+    advice = "wait until pending changes are in force, then retry"
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -1,9 +1,9 @@
-"""Messages on links of the control group: MessagePack arrays with a tag, on ordered links.
+"""Messages on links of the control group: tagged MessagePack arrays. Links deliver messages in order.
 
 There are two kinds of links: between two voters (`MeshData` carries the frames of `robinhill.mesh.session`),
-and from an observer to a voter. A position is the number of a change in one incarnation of one voter and
-means nothing elsewhere. Times are microseconds; ``at_us`` is Unix time. The order of fields and the tags are
-the protocol and never change.
+and from an observer to a voter. A position is the sequence number of a change in the log of one incarnation
+of one voter; positions of different logs can't be compared. Times are microseconds; ``at_us`` is Unix time.
+The order of fields and the tags define the wire format and never change.
 """
 
 from typing import NamedTuple
@@ -14,25 +14,25 @@
 from robinhill.mesh.records import Record
 
 PROTOCOL = 1
-GOODBYE = 1 << 62
-"""Number of a join that is later than any other of the same incarnation: the observer has left."""
+GOODBYE_JOIN_NUMBER = 1 << 62
+"""Stands for the join of an observer that said goodbye: higher than any real number of its incarnation."""
 
 MAX_MESSAGE_BYTES = 1 << 20
-"""A reader closes a link that sends more."""
+"""The receiver closes a link on which a larger message arrives."""
 
 MAX_LAGGING_NAMES = 16
-"""Names of lagging observers in a message; the count is always complete."""
+"""Limit of the names of lagging observers in a message; their count is always complete."""
 
 
 class VoterIncarnation(NamedTuple):
-    """A process of a voter."""
+    """One process of a voter: a restart has a higher incarnation."""
 
     name: str
     incarnation: int
 
 
 class ObserverJoin(NamedTuple):
-    """The join of an observer's process to a voter; joins of one incarnation are numbered in order."""
+    """The join of an observer's process to a voter; ``number`` increases with each join of an incarnation."""
 
     name: str
     incarnation: int
@@ -49,8 +49,11 @@
 
 
 class VoterStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """The sender's own state. ``counts``: it counts for majorities. ``voters``: digest of the list of voters
-    that it uses. ``incarnations``: of the voters that it knows, its own among them."""
+    """The sender's own state.
+
+    ``counts``: the sender counts for majorities. ``voters``: digest of the list of voters that the sender
+    uses. ``incarnations``: the newest incarnation that the sender knows of each voter, itself included.
+    """
 
     incarnation: int
     counts: bool
@@ -59,10 +62,12 @@
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="barrier"):
-    """Asks how many observers of the receiver have not applied all that it has stored when it reads this.
+    """Asks how many of the receiver's observers have not applied all that the receiver stores at present.
 
-    Sent after the changes that it covers, on an ordered link. ``urgent``: only changes of urgent kinds
-    matter. ``hold``: an observer whose lease has expired need not be waited for."""
+    The sender has sent the changes that the barrier covers before it on the same ordered link. ``urgent``:
+    only changes of urgent kinds matter. ``hold``: the receiver doesn't wait for observers whose leases have
+    expired.
+    """
 
     number: int
     urgent: bool
@@ -74,7 +79,7 @@
     them yet.
 
     ``counts``: the sender counted for majorities and had rejected no record. ``incarnations``: as in
-    `VoterStatus`, since a confirmation counts only together with them.
+    `VoterStatus`; the receiver records them before it counts the confirmation.
     """
 
     number: int
@@ -86,22 +91,24 @@
 
 
 class BarrierEnd(msgspec.Struct, frozen=True, array_like=True, tag="unbar"):
-    """No further status of this barrier is needed."""
+    """The sender needs no further status of this barrier."""
 
     number: int
 
 
 class Migrated(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """These observers are synchronized with the sender, or have left: a voter that knows them by an earlier
-    join need not wait for them."""
+    """These observers are synchronized with the sender, or said goodbye to it. A voter that knows one of them
+    by an earlier join stops waiting for it."""
 
     observers: tuple[ObserverJoin, ...]
 
 
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
-    """The sender waits for these observers, which disconnected without a goodbye. A voter that knows a later
-    join replies with `Migrated`: so a `Migrated` that was lost, or overtook the join, does no lasting
-    harm."""
+    """The sender waits for these observers, which disconnected without a goodbye.
+
+    A voter that knows a later join of one of them replies with `Migrated`. This repairs the loss of an
+    earlier `Migrated`, or its arrival before the join that it supersedes.
+    """
 
     observers: tuple[ObserverJoin, ...]
 
@@ -110,11 +117,13 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag="join"):
-    """The first message on a link.
+    """The first message on a link; a second one on a spare link makes it the primary link.
 
-    ``voter``, ``voter_incarnation``, ``position``: the observer has all changes of that voter up to the
-    position; position -1: of no voter. ``spare``: only heartbeat replies are wanted. ``number`` counts the
-    joins of this incarnation of the observer, so that voters know which of two is the later."""
+    ``voter``, ``voter_incarnation``, ``position``: the observer has all changes of that voter's incarnation
+    up to the position; -1: it has no complete changes of any voter. ``spare``: the observer wants heartbeat
+    replies only. ``number`` counts the joins of this incarnation of the observer, so that voters can tell
+    the later of two joins.
+    """
 
     protocol: int
     installation: str
@@ -137,16 +146,21 @@
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
-    """Records of the observer that the voter may lack. ``number`` 0: found by a comparison; else a change
-    that the observer wrote, whose `Progress` it wants."""
+    """Records of the observer that the voter may lack.
+
+    ``number`` 0: a comparison found them, and no `Progress` is wanted. Otherwise it identifies a change that
+    the observer wrote, and the voter reports its `Progress`.
+    """
 
     number: int
     records: tuple[Record, ...]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Asks for a `HeartbeatReply` once all is sent that the voter knows when it reads this. ``number`` 0:
-    reply at once, no lease depends on it."""
+    """Requests a `HeartbeatReply` after all changes that the voter knows when it reads the heartbeat.
+
+    ``number`` 0: no lease depends on the reply, and the voter replies at once.
+    """
 
     number: int
 
@@ -154,8 +168,8 @@
 class Applied(msgspec.Struct, frozen=True, array_like=True, tag="applied"):
     """The observer has applied all changes up to ``position``, and all urgent ones up to ``urgent``.
 
-    ``received``: number of `RangeRecords`, `Compared` and `Changes` received on this link; it opens the
-    voter's send window.
+    ``received``: number of `RangeRecords`, `Compared` and `Changes` messages received on this link; it
+    advances the voter's send window.
     """
 
     received: int
@@ -164,14 +178,15 @@
 
 
 class Goodbye(msgspec.Struct, frozen=True, array_like=True, tag="goodbye"):
-    """The observer has sent its last job: no change needs to wait for it any more."""
+    """The observer sends no more jobs, so no change needs to wait for it."""
 
 
 # To an observer
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """Accepts a join. ``resumed``: changes follow from the position that the join named."""
+    """Accepts a join. ``resumed``: the voter sends changes from the position in the join, without a
+    comparison."""
 
     voter: str
     incarnation: int
@@ -179,11 +194,11 @@
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag="compare"):
-    """The voter has capacity for a comparison now: send digests."""
+    """Requests the observer's `Digests`: the voter has capacity for a comparison now."""
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
-    """Records of one range that differed; ``last``: the range is complete."""
+    """Some records of one range whose digests differed; ``last``: the voter has sent the whole range."""
 
     index: int
     records: tuple[Record, ...]
@@ -191,20 +206,23 @@
 
 
 class RangeRecords(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """Some of the voter's records in ranges that differed."""
+    """Some of the voter's records in ranges whose digests differed."""
 
     parts: tuple[RangePart, ...]
 
 
 class Compared(msgspec.Struct, frozen=True, array_like=True, tag="compared"):
-    """All ranges that differed are sent: with them the observer has all that the voter had at ``position``.
-    0: nothing was compared, as changes were in flight."""
+    """Ends a comparison: with the ranges sent, the observer has all that the voter had at ``position``.
+
+    ``position`` 0: the voter skipped the comparison because changes were in flight.
+    """
 
     position: int
 
 
 class Changes(msgspec.Struct, frozen=True, array_like=True, tag="changes"):
-    """The newest values of what changed up to ``position``; ``urgent``: of urgent kinds only."""
+    """The newest values of the records that changed up to ``position``; ``urgent``: only those of urgent
+    kinds."""
 
     position: int
     urgent: bool
@@ -212,9 +230,11 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """When the voter read heartbeat ``number``, it knew what a majority of voters knew ``age_us`` before; -1:
-    it knew no majority. All that it knew then is in the changes up to ``position``, which were sent
-    before."""
+    """When the voter read heartbeat ``number``, it knew a majority's state that was ``age_us`` old.
+
+    ``age_us`` -1: it knew no majority's state. The changes up to ``position``, which the voter sent before
+    the reply, include all that it knew when it read the heartbeat.
+    """
 
     number: int
     age_us: int
@@ -222,8 +242,8 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """Progress of an offered change. ``lagging_count``: observers and voters that are not known to have
-    applied it; ``lagging_names``: some of them."""
+    """Progress of an offered change. ``lagging_count``: number of observers and voters that may not have
+    applied it; ``lagging_names``: some of their names."""
 
     number: int
     accepted: bool
@@ -233,7 +253,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """The voter rejects the observer and closes the link; ``why`` is for the operator."""
+    """The voter rejects the observer and closes the link; ``why`` is the reason for the operator."""
 
     why: str
 
@@ -248,15 +268,15 @@
 
 
 def write(message: AnyMessage) -> bytes:
-    """Encode a message."""
+    """Encode a message as MessagePack."""
     return _encoder.encode(message)
 
 
 def read(data: bytes) -> AnyMessage:
     """Decode a message. Raises JoinRefused for one that is malformed or too large."""
     if len(data) > MAX_MESSAGE_BYTES:
-        raise JoinRefused(f"a message has {len(data)} bytes, at most {MAX_MESSAGE_BYTES} may come")
+        raise JoinRefused(f"a message has {len(data)} bytes, the limit is {MAX_MESSAGE_BYTES}")
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
-        raise JoinRefused(f"a message can't be read: {e}") from e
+        raise JoinRefused(f"a message can't be decoded: {e}") from e
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -1,38 +1,39 @@
-"""How far a voter's observers have applied its changes, and which of them a change still waits for.
+"""Tracks the positions that a voter's observers have applied, and the observers that a change still waits
+for.
 
-An observer can only have got its lease through a voter. So once *each* voter reports that all of its
-observers have applied a change, no scheduler can act without it. A voter waits for an observer that is
-linked, and for one that disconnected without a goodbye, until
+An observer can only obtain its lease from a voter. So once *each* voter reports that all of its observers
+have applied a change, no scheduler can act without knowing the change. A voter waits for an observer that is
+linked, or that disconnected without a goodbye, until
 
-- it has confirmed the change, here or to another voter that reports so (`moved_away`);
-- a later incarnation of the same name has joined: the earlier process has ended;
-- under `hold`, its lease must have expired: a lease lasts at most the bound from the voter's last reply;
+- the observer has confirmed the change, here or to another voter that reports so (`migrated_away`);
+- a later incarnation of the same name has joined, which implies that the earlier process has ended;
+- under `hold`, its lease has certainly expired: a lease lasts at most the bound after the voter's last reply;
 - an operator reports that the scheduler no longer runs (`remove`).
 
-Observers of an earlier incarnation of this voter, of which it knows nothing, are waited for as long as their
-leases may last.
+A restarted voter doesn't know the observers of its earlier incarnation. It waits until all leases that the
+earlier incarnation may have renewed have expired.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
 from robinhill.control.actions import LaggingObservers, Link
-from robinhill.control.messages import GOODBYE, MAX_LAGGING_NAMES, ObserverJoin
+from robinhill.control.messages import GOODBYE_JOIN_NUMBER, MAX_LAGGING_NAMES, ObserverJoin
 from robinhill.cordon.propagation import with_slack
 
 MAX_DEPARTED = 4_096
-"""Observers that are remembered after they disconnected without a goodbye."""
+"""Limit of the observers that are retained after they disconnected without a goodbye."""
 
 MAX_DEPARTED_PER_QUERY = 64
-"""Of those, how many other voters are queried about at a time."""
+"""Limit of the departed observers in one query to the other voters."""
 
 UNKNOWN_OBSERVERS = "observers of an earlier start"
-"""Stands in a waiting set for all observers of this voter's earlier incarnation."""
+"""Placeholder in a waiting set for all observers of this voter's earlier incarnation."""
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class BarrierId:
-    """A barrier: the voter that asks, and the number that it chose."""
+    """Identifies a barrier by the voter that sent it, and the number that this voter chose."""
 
     origin: str
     number: int
@@ -42,9 +43,9 @@
 class ObserverState:
     """An observer that has joined this voter.
 
-    ``link`` is None once it has disconnected. ``leased_us``: its lease lasts at most the bound from then on.
-    ``position``, ``urgent``: it has applied all changes, and all urgent ones, up to there; -1: none are
-    confirmed to this incarnation of the voter.
+    ``link`` is None once the observer has disconnected. ``leased_us``: the last time at which this voter may
+    have renewed its lease. ``position``: it has applied all changes up to this position; ``urgent_position``:
+    the same for urgent changes; -1: it has confirmed none to this incarnation of the voter.
     """
 
     name: str
@@ -53,17 +54,21 @@
     leased_us: int
     join: int = 0
     position: int = -1
-    urgent: int = -1
+    urgent_position: int = -1
     synchronized: bool = False
 
     def has_applied(self, tracked: "TrackedPosition") -> bool:
-        """Whether it has confirmed the changes of a tracked position."""
-        return (self.urgent if tracked.urgent else self.position) >= tracked.position
+        """Whether the observer has confirmed the changes up to a tracked position."""
+        return (self.urgent_position if tracked.urgent else self.position) >= tracked.position
 
 
 @dataclass(slots=True)
 class TrackedPosition:
-    """A position that observers are to apply, and the names of those that have not."""
+    """A position in the log, and the names of the observers that have not yet applied the changes up to it.
+
+    ``urgent``: only changes of urgent kinds matter. ``hold``: the wait for an observer also ends once its
+    lease has expired.
+    """
 
     position: int
     urgent: bool
@@ -71,14 +76,14 @@
     waiting: set[str] = field(default_factory=set)
 
     def lagging(self) -> LaggingObservers:
-        """The observers that are waited for, with as many names as a message may have."""
+        """The number of observers in the waiting set, with as many names as a message may have."""
         return LaggingObservers(len(self.waiting), tuple(sorted(self.waiting)[:MAX_LAGGING_NAMES]))
 
 
 class ObserverProgress:
-    """The observers of one voter. Times: monotonic microseconds.
+    """The observers of one voter. Times are monotonic microseconds.
 
-    ``dirty``: tracked positions whose waiting set has changed; the caller clears it.
+    ``dirty``: barriers whose tracked position has a changed waiting set; the caller clears it.
     """
 
     def __init__(self, started_us: int, bound_us: int) -> None:
@@ -87,15 +92,18 @@
         self.tracked: dict[BarrierId, TrackedPosition] = {}
         self.dirty: set[BarrierId] = set()
         self._unknown_until_us = started_us + self.lease_us
-        self._departed: dict[str, None] = {}  # the least recently queried first
-        self._goodbyes: dict[str, ObserverJoin] = {}  # the oldest first
+        self._departed: dict[str, None] = {}  # least recently queried first
+        self._goodbyes: dict[str, ObserverJoin] = {}  # oldest first
 
     # Observers
 
     def joined(
         self, mono_us: int, name: str, incarnation: int, join: int, link: Link
     ) -> ObserverState | None:
-        """An observer has joined; None for an incarnation or join that a later one has replaced."""
+        """Record the join of an observer. Returns None for a join that a later one has superseded.
+
+        A later incarnation replaces the earlier one, for which no change waits any more.
+        """
         known = self.observers.get(name)
         if known is not None and (known.incarnation, known.join) > (incarnation, join):
             return None
@@ -110,16 +118,20 @@
         return known
 
     def reset_position(self, name: str) -> None:
-        """An observer compares anew: what it confirmed here before no longer counts."""
+        """Discard the positions that an observer has confirmed here, as it starts a new comparison."""
         observer = self.observers[name]
-        observer.position = observer.urgent = -1
+        observer.position = observer.urgent_position = -1
         observer.synchronized = False
 
-    def applied(self, mono_us: int, name: str, position: int, urgent: int) -> bool:
-        """An observer has applied changes up to these positions. True if this synchronizes it."""
+    def applied(self, mono_us: int, name: str, position: int, urgent_position: int) -> bool:
+        """Record that an observer has applied all changes up to ``position``, and all urgent ones up to
+        ``urgent_position``.
+
+        Returns True if this is the first position that it confirms since its last comparison began.
+        """
         observer = self.observers[name]
         observer.position = max(observer.position, position)
-        observer.urgent = max(observer.urgent, urgent, position)
+        observer.urgent_position = max(observer.urgent_position, urgent_position, position)
         for barrier, tracked in self.tracked.items():
             if name in tracked.waiting and observer.has_applied(tracked):
                 self._stop_waiting(barrier, tracked, name)
@@ -130,11 +142,14 @@
         return True
 
     def heartbeat_answered(self, mono_us: int, name: str) -> None:
-        """A reply to a heartbeat of this observer is sent now."""
+        """Record that a heartbeat reply, which may renew this observer's lease, is sent now."""
         self.observers[name].leased_us = mono_us
 
     def link_lost(self, name: str, link: Link) -> None:
-        """An observer has disconnected without a goodbye."""
+        """Record that an observer has disconnected without a goodbye; changes still wait for it.
+
+        Beyond `MAX_DEPARTED` the least recently queried departed observer is removed.
+        """
         observer = self.observers.get(name)
         if observer is None or observer.link != link:
             return
@@ -144,7 +159,7 @@
             self.remove(next(iter(self._departed)))
 
     def remove(self, name: str) -> None:
-        """No change needs to wait for this observer any more."""
+        """Remove an observer, and end the wait of all changes for it."""
         self.observers.pop(name, None)
         self._departed.pop(name, None)
         for barrier, tracked in self.tracked.items():
@@ -152,7 +167,10 @@
                 self._stop_waiting(barrier, tracked, name)
 
     def remove_expired(self, mono_us: int) -> None:
-        """Remove disconnected observers whose leases have expired; only where all kinds `hold`."""
+        """Remove disconnected observers whose leases have expired.
+
+        The caller may use this only where the mode of all kinds is `hold`.
+        """
         for name in [name for name in self._departed if self._lease_expired(mono_us, name)]:
             self.remove(name)
 
@@ -167,8 +185,10 @@
     # Observers of other voters
 
     def migrated_away(self, name: str, incarnation: int, join: int) -> bool:
-        """An observer is synchronized with another voter by this join. True if it was known here by an
-        earlier one."""
+        """Remove an observer that is synchronized with another voter by a later join than the one known here.
+
+        Returns whether it was removed.
+        """
         observer = self.observers.get(name)
         if observer is None or (observer.incarnation, observer.join) >= (incarnation, join):
             return False
@@ -176,9 +196,9 @@
         return True
 
     def record_goodbye(self, name: str, incarnation: int) -> None:
-        """An observer has left through this voter."""
+        """Record that an observer said goodbye to this voter, and remove it."""
         self._goodbyes.pop(name, None)
-        self._goodbyes[name] = ObserverJoin(name, incarnation, GOODBYE)
+        self._goodbyes[name] = ObserverJoin(name, incarnation, GOODBYE_JOIN_NUMBER)
         if len(self._goodbyes) > MAX_DEPARTED:
             del self._goodbyes[next(iter(self._goodbyes))]
         observer = self.observers.get(name)
@@ -186,7 +206,10 @@
             self.remove(name)
 
     def departed_to_query(self, mono_us: int) -> tuple[ObserverJoin, ...]:
-        """Some observers that disconnected longer ago than a lease lasts; each call returns the next ones."""
+        """Return departed observers whose leases have expired, to query the other voters about them.
+
+        Returns at most `MAX_DEPARTED_PER_QUERY`, the least recently queried first.
+        """
         expired = [name for name in self._departed if self._lease_expired(mono_us, name)]
         names = expired[:MAX_DEPARTED_PER_QUERY]
         for name in names:
@@ -198,7 +221,10 @@
         )
 
     def newer_joins(self, queried: Iterable[ObserverJoin]) -> tuple[ObserverJoin, ...]:
-        """Of these observers of another voter, the later joins that are synchronized here, and goodbyes."""
+        """Return the later joins that are known here of another voter's departed observers.
+
+        A later join is one that is linked and synchronized here, or a goodbye.
+        """
         newer: list[ObserverJoin] = []
         for join in queried:
             latest = self._goodbyes.get(join.name)
@@ -215,7 +241,7 @@
     def track(
         self, mono_us: int, barrier: BarrierId, position: int, *, urgent: bool, hold: bool
     ) -> TrackedPosition:
-        """Begin to wait until all observers have applied this position."""
+        """Wait until all observers have applied the changes up to this position."""
         tracked = TrackedPosition(position, urgent, hold)
         for name, observer in self.observers.items():
             expired = hold and mono_us >= observer.leased_us + self.lease_us
@@ -228,7 +254,7 @@
         return tracked
 
     def untrack(self, barrier: BarrierId) -> None:
-        """The position is of no interest any more."""
+        """Stop tracking the position of a barrier, whether observers lag or not."""
         self.tracked.pop(barrier, None)
         self.dirty.discard(barrier)
 
@@ -238,7 +264,11 @@
             self.untrack(barrier)
 
     def expire_waits(self, mono_us: int) -> None:
-        """Stop waiting for observers whose leases have expired."""
+        """End the waits that expired leases allow.
+
+        They are the wait for observers of this voter's earlier incarnation, and under `hold` the wait for any
+        observer whose lease has expired.
+        """
         for barrier, tracked in self.tracked.items():
             if UNKNOWN_OBSERVERS in tracked.waiting and mono_us >= self._unknown_until_us:
                 self._stop_waiting(barrier, tracked, UNKNOWN_OBSERVERS)
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -173,7 +173,7 @@
 
     def _handle_goodbye(self, link: Link, session: ObserverSession) -> None:
         self.observer_progress.record_goodbye(session.name, session.incarnation)
-        self._note_migrated(session, wire.GOODBYE)
+        self._note_migrated(session, wire.GOODBYE_JOIN_NUMBER)
         self.closed(link)
         self._outbox.disconnect(link, "it said goodbye")
 
--- a/robinhill/control/operator_options.py
+++ b/robinhill/control/operator_options.py
@@ -1,4 +1,4 @@
-"""Maps the operators' file to the options of voters and observers; faults are raised as ConfigError."""
+"""Maps the operators' file to the options of voters and observers; invalid keys raise ConfigError."""
 
 from collections.abc import Callable
 
@@ -17,32 +17,32 @@
 
 
 def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
-    """Check what is the same for all processes. Returns warnings; raises ConfigError."""
+    """Validate the voter keys that all processes share. Returns warnings; raises ConfigError."""
     return options_of_voter(mesh, min(mesh.voters)).warnings
 
 
 def options_of_voter(mesh: MeshOptions, name: str) -> ControlOptions:
-    """The options of a voter. Raises ConfigError."""
+    """Read the options of the voter ``name``. Raises ConfigError."""
     keys = _keys(mesh)
-    return _checked(lambda: voter_options(keys, name, names_of(kinds())))
+    return _with_config_errors(lambda: voter_options(keys, name, names_of(kinds())))
 
 
 def options_of_observer(mesh: MeshOptions, name: str) -> ControlOptions:
-    """The options of a scheduler as an observer. Raises ConfigError."""
+    """Read the options of the scheduler ``name``, which is an observer. Raises ConfigError."""
     keys = _keys(mesh)
     place = Place(mesh.region, mesh.zone)
-    return _checked(lambda: observer_options(keys, name, place, names_of(kinds())))
+    return _with_config_errors(lambda: observer_options(keys, name, place, names_of(kinds())))
 
 
 def address_of(options: ControlOptions, voter: str) -> Address:
-    """Where a voter listens."""
+    """Return the address on which a voter listens."""
     host, _, port = options.voters[voter].address.rpartition(":")
     return Address(host.strip("[]"), int(port))
 
 
 def _keys(mesh: MeshOptions) -> VotersKeys:
     if mesh.peers:
-        raise ConfigError("mesh.peers", "can't be named beside mesh.voters; take one of the two out")
+        raise ConfigError("mesh.peers", "can't be named beside mesh.voters; remove one of the two keys")
     return VotersKeys(
         voters=mesh.voters,
         regions=mesh.regions,
@@ -53,9 +53,9 @@
     )
 
 
-def _checked(read: Callable[[], ControlOptions]) -> ControlOptions:
+def _with_config_errors(validate: Callable[[], ControlOptions]) -> ControlOptions:
     try:
-        return read()
+        return validate()
     except VotersMalformed as e:
         what = e.what.removeprefix(f"{e.key}: ")
         raise ConfigError(e.key, f"{what}; {e.advice}") from e
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -1,4 +1,4 @@
-"""Options of the control group: the operators' keys on voters, typed and checked. Reads no file."""
+"""Options of the control group: validates the voter keys of the operators' file. Reads no file itself."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -12,27 +12,28 @@
 from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
-"""Voters are linked each to each, and a write costs a message to each."""
+"""Limits the cost of the full mesh: each pair of voters has a link, and a write sends a message to each."""
 
 HEARTBEATS_PER_BOUND = 4
-"""An observer's heartbeats within the bound: the lease survives the loss of two."""
+"""Heartbeats that an observer sends within the bound; the lease survives the loss of two."""
 
 PINGS_PER_BOUND = 16
-"""A voter's pings to each other voter within the bound; their interval adds to the age of a lease."""
+"""Pings that a voter sends to each other voter within the bound; their interval adds to a lease's age."""
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
-    """The region and zone of a process; empty where the file does not name them."""
+    """The region and zone of a process; each is empty where the operators' file does not set it."""
 
     region: str = ""
     zone: str = ""
 
 
 class VotersKeys(Struct, frozen=True):
-    """The keys of `mesh` that concern voters, not checked yet. Without ``voters`` there is no control group.
+    """The unvalidated keys of `mesh` that configure voters. Without ``voters`` there is no control group.
 
     ``regions``: the zones of each region of the installation; where it is empty, any region is valid.
-    ``on_lost_by_kind``: whether records of a kind are used without a lease; other kinds go by ``on_lost``.
+    ``on_lost_by_kind``: whether a scheduler without a lease uses records of a kind; ``on_lost`` is the
+    default for all other kinds.
     """
 
     voters: dict[Name, VoterPlace] = {}
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlOptions:
-    """The checked options of one voter or observer. Times in microseconds."""
+    """The validated options of one voter or observer. Times are microseconds."""
 
     name: str
     installation: str
@@ -58,55 +59,59 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this process is a voter; else it is an observer."""
+        """Whether this process is a voter; otherwise it is an observer."""
         return self.name in self.voters
 
     @property
     def heartbeat_us(self) -> int:
-        """Interval of an observer's heartbeats."""
+        """Interval between an observer's heartbeats to its primary voter."""
         return self.bound_us // HEARTBEATS_PER_BOUND
 
     @property
     def ping_us(self) -> int:
-        """Interval of a voter's pings to another."""
+        """Interval between a voter's pings to each other voter."""
         return self.bound_us // PINGS_PER_BOUND
 
     @property
     def modes(self) -> str:
-        """All modes as one text, which an observer's join must have in common with the voter."""
+        """All modes as one text; a voter rejects the join of an observer whose text differs."""
         kinds = sorted(self.on_lost_by_kind.items())
         return ",".join([self.on_lost.value, *(f"{kind}={mode.value}" for kind, mode in kinds)])
 
     def mode_of(self, kind: str) -> Mode:
-        """Whether records of a kind are used without a lease."""
+        """The mode that applies to records of a kind while there is no lease."""
         return self.on_lost_by_kind.get(kind, self.on_lost)
 
 
 def voter_options(keys: VotersKeys, name: str, kinds: Sequence[str] = ()) -> ControlOptions:
-    """The options of a voter. Raises VotersMalformed, also where ``name`` is no voter."""
+    """Validate the keys for the voter ``name``. Raises VotersMalformed, also where ``name`` is no voter."""
     if name not in keys.voters:
         raise VotersMalformed(
-            "mesh.voters", f"{name!r} is not among them", "name it there, or start it as a scheduler (run)"
+            "mesh.voters", f"{name!r} is not among them", "add it there, or start it as a scheduler (run)"
         )
     place = keys.voters[name]
-    return _checked(keys, name, Place(place.region, place.zone), kinds)
+    return _validated(keys, name, Place(place.region, place.zone), kinds)
 
 
 def observer_options(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str] = ()) -> ControlOptions:
-    """The options of an observer. Raises VotersMalformed, also where ``name`` is a voter."""
+    """Validate the keys for the observer ``name``. Raises VotersMalformed, also where ``name`` is a voter."""
     if name in keys.voters:
         raise VotersMalformed(
-            "mesh.voters", f"{name!r} is this scheduler's own name", "give the scheduler another GW_NAME"
+            "mesh.voters",
+            f"{name!r} is this scheduler's own name",
+            "set GW_NAME to a name that no voter has",
         )
     if keys.voters and place.region and place.region not in _regions(keys):
         raise VotersMalformed(
-            "mesh.region", f"{place.region!r} is no known region", f"use one of {_listed(_regions(keys))}"
+            "mesh.region",
+            f"{place.region!r} is no known region",
+            f"use one of {_sorted_text(_regions(keys))}",
         )
-    return _checked(keys, name, place, kinds)
+    return _validated(keys, name, place, kinds)
 
 
-def _checked(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str]) -> ControlOptions:
-    _check_number(keys)
+def _validated(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str]) -> ControlOptions:
+    _check_voter_count(keys)
     _check_addresses(keys)
     _check_places(keys)
     _check_kinds(keys, kinds)
@@ -122,10 +127,12 @@
     )
 
 
-def _check_number(keys: VotersKeys) -> None:
+def _check_voter_count(keys: VotersKeys) -> None:
     if not 1 <= len(keys.voters) <= MAX_VOTERS:
         raise VotersMalformed(
-            "mesh.voters", f"{len(keys.voters)} are named", f"name 1 to {MAX_VOTERS}, an odd number"
+            "mesh.voters",
+            f"{len(keys.voters)} are named",
+            f"name 1 to {MAX_VOTERS} voters, preferably an odd number",
         )
 
 
@@ -136,12 +143,12 @@
             raise VotersMalformed(
                 f"mesh.voters.{name}.address",
                 f"{voter.address} is named {counted[voter.address]} times",
-                "give each voter an address of its own",
+                "use a different address for each voter",
             )
         if not 0 < int(voter.address.rpartition(":")[2]) < 65_536:
             raise VotersMalformed(
                 f"mesh.voters.{name}.address",
-                f"the port of {voter.address} is none",
+                f"the port of {voter.address} is out of range",
                 "use a port from 1 to 65535",
             )
 
@@ -152,13 +159,13 @@
             raise VotersMalformed(
                 f"mesh.voters.{name}.region",
                 f"{voter.region!r} is no known region",
-                f"use one of {_listed(keys.regions)}, or add it to mesh.regions",
+                f"use one of {_sorted_text(keys.regions)}, or add it to mesh.regions",
             )
         if keys.regions and voter.zone not in keys.regions[voter.region]:
             raise VotersMalformed(
                 f"mesh.voters.{name}.zone",
                 f"{voter.zone!r} is no zone of {voter.region!r}",
-                f"use one of {_listed(keys.regions[voter.region])}, or add it to mesh.regions",
+                f"use one of {_sorted_text(keys.regions[voter.region])}, or add it to mesh.regions",
             )
 
 
@@ -166,7 +173,9 @@
     for kind in keys.on_lost_by_kind:
         if kinds and kind not in kinds:
             raise VotersMalformed(
-                f"mesh.on_lost_by_kind.{kind}", "no records are of that kind", f"use one of {_listed(kinds)}"
+                f"mesh.on_lost_by_kind.{kind}",
+                f"there is no record kind {kind!r}",
+                f"use one of {_sorted_text(kinds)}",
             )
 
 
@@ -174,8 +183,8 @@
     number = len(keys.voters)
     if number % 2 == 0:
         return [
-            f"mesh.voters: {number} voters stand the loss of no more than {number - 1} would; "
-            "add one or remove one"
+            f"mesh.voters: {number} voters tolerate no more failures than {number - 1} would; "
+            "add or remove one voter"
         ]
     return []
 
@@ -184,5 +193,5 @@
     return sorted(keys.regions) or sorted({voter.region for voter in keys.voters.values()})
 
 
-def _listed(names: Mapping[str, object] | Sequence[str]) -> str:
+def _sorted_text(names: Mapping[str, object] | Sequence[str]) -> str:
     return ", ".join(sorted(names))
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -1,4 +1,4 @@
-"""Actions that the parts of one state machine collect during a call, in their order."""
+"""Collects the actions that the parts of one state machine produce during a call, in order."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """A voter's counters since its start."""
+    """A voter's counters since its process started."""
 
     bytes_to_voters: int = 0
     bytes_to_observers: int = 0
@@ -18,31 +18,31 @@
 
 
 class Outbox:
-    """The actions of an observer."""
+    """Collects the actions of an observer."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
 
     def add(self, action: Action) -> None:
-        """Append any action."""
+        """Append an action."""
         self._actions.append(action)
 
     def send(self, link: Link, message: wire.AnyMessage) -> None:
-        """Encode and send a message."""
+        """Encode a message and append the action that sends it."""
         self._actions.append(Send(link, wire.write(message)))
 
     def disconnect(self, link: Link, why: str) -> None:
-        """Close a connection; ``why`` is for the log."""
+        """Append the action that closes a connection; ``why`` is the reason for the log."""
         self._actions.append(Disconnect(link, why))
 
     def take(self) -> list[Action]:
-        """Remove and return all actions since the last call."""
+        """Remove and return all actions collected since the last call."""
         actions, self._actions = self._actions, []
         return actions
 
 
 class VoterOutbox(Outbox):
-    """The actions of a voter, with counts of the bytes that it sends."""
+    """Collects the actions of a voter, and counts the bytes that it sends."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         self.send_encoded_to_observer(link, [wire.write(message)])
 
     def send_encoded_to_observer(self, link: Link, encoded: Sequence[bytes]) -> None:
-        """Send messages to an observer that are encoded already."""
+        """Send messages that are already encoded to an observer."""
         for data in encoded:
             self.metrics.bytes_to_observers += len(data)
             self._actions.append(Send(link, data))
--- a/robinhill/control/pending_offers.py
+++ b/robinhill/control/pending_offers.py
@@ -1,5 +1,5 @@
-"""Changes that an observer wrote itself, kept until they are in force, to be offered again to another
-voter."""
+"""Changes that an observer wrote itself, retained until they are in force so that the observer can offer them
+to another voter after a failover."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,11 +8,11 @@
 from robinhill.mesh.records import Record
 
 MAX_PENDING_OFFERS = 1_024
-"""Past this the oldest accepted offer is dropped."""
+"""At this limit a new offer evicts the oldest accepted one."""
 
 
 class PendingOffers:
-    """Offers that are not in force yet, in the order of their numbers."""
+    """The offers whose changes are not in force yet, in ascending order of their numbers."""
 
     def __init__(self) -> None:
         self._records: dict[int, tuple[Record, ...]] = {}
@@ -26,7 +26,7 @@
         return (Offer(number, records) for number, records in self._records.items())
 
     def ensure_capacity(self) -> None:
-        """Make room for an offer by dropping the oldest accepted one.
+        """At the limit, evict the oldest accepted offer.
 
         Raises ChangesFull where none is accepted.
         """
@@ -34,21 +34,21 @@
             return
         accepted = next((number for number in self._records if number in self._accepted), None)
         if accepted is None:
-            raise ChangesFull(f"{len(self._records)} changes are waited for, none of them accepted")
+            raise ChangesFull(f"{len(self._records)} changes are pending, and none of them is accepted yet")
         self.drop(accepted)
 
     def add(self, records: Iterable[Record]) -> Offer:
-        """Add a change of these records."""
+        """Add a change of these records, and return its offer."""
         self._last_number += 1
         offer = Offer(self._last_number, tuple(records))
         self._records[offer.number] = offer.records
         return offer
 
     def accepted(self, number: int) -> None:
-        """A majority of voters has stored the change."""
+        """Record that a majority of voters has stored the change, so its offer may be evicted."""
         self._accepted.add(number)
 
     def drop(self, number: int) -> None:
-        """The change is in force, or of no interest any more."""
+        """Remove an offer whose change is in force, or whose progress is no longer needed."""
         self._records.pop(number, None)
         self._accepted.discard(number)
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -9,14 +9,14 @@
 from robinhill.mesh.records import Kind
 
 URGENT_KINDS = frozenset({CORDON})
-"""Kinds whose changes are sent ahead of all others."""
+"""Kinds whose changes voters send to observers ahead of all others."""
 
 
 def kinds() -> tuple[Kind[Any], ...]:
-    """All kinds, as each replica of the group registers them."""
+    """Return all record kinds that each replica of the group registers."""
     return (cordon_kind(), DRAIN_KIND, EVIDENCE_KIND, request_kind(MAX_RETRY_WINDOW_US))
 
 
 def names_of(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
-    """The names of kinds, as the operators' file uses them."""
+    """Return the names of record kinds, as they are spelled in the operators' file."""
     return tuple(kind.name for kind in registered)
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -1,5 +1,5 @@
-"""Which voter an observer joins: of its own zone first, then of its region, then any; equals in random
-order."""
+"""Chooses the voter that an observer joins: voters of its zone first, then of its region, then all others.
+Voters at the same distance are in random order."""
 
 from collections.abc import Collection, Mapping
 from random import Random
@@ -12,7 +12,7 @@
 
 
 class VoterSelection:
-    """The voters in order of preference, and when each may be connected to. Times: monotonic microseconds."""
+    """The voters in order of preference, with the backoff of each. Times are monotonic microseconds."""
 
     def __init__(self, voters: Mapping[str, VoterPlace], place: Place, rng: Random) -> None:
         self.backoff = Backoff(rng)
@@ -22,13 +22,16 @@
         self.reconfigure(voters)
 
     def reconfigure(self, voters: Mapping[str, VoterPlace]) -> None:
-        """Use another list of voters."""
+        """Replace the list of voters."""
         shuffled = sorted(voters)
         self._rng.shuffle(shuffled)
         self.order = tuple(sorted(shuffled, key=lambda name: self._distance(voters[name])))
 
     def next(self, mono_us: int, linked: Collection[str]) -> str | None:
-        """The best voter that is due and not linked; None also while an attempt is in flight."""
+        """Return the most preferred voter without a link whose backoff has ended.
+
+        None if there is no such voter, or while a connection attempt to any voter is in flight.
+        """
         self.backoff.expire(mono_us)
         if self.backoff.connecting:
             return None
@@ -38,7 +41,8 @@
         return None
 
     def due_us(self, linked: Collection[str]) -> int | None:
-        """When `next` may return a voter: an attempt times out or a backoff ends; None: all are linked."""
+        """Time at which `next` may return a voter, as an attempt times out or a backoff ends; None: all are
+        linked."""
         if self.backoff.connecting:
             return self.backoff.expires_us()
         return min((self.backoff.due_us(name) for name in self.order if name not in linked), default=None)
--- a/tests/test_control_options.py
+++ b/tests/test_control_options.py
@@ -42,9 +42,9 @@
 
 
 def test_a_voter_must_be_among_them_and_a_scheduler_must_not() -> None:
-    with pytest.raises(VotersMalformed, match=r"mesh.voters: 's1' is not among them; name it there"):
+    with pytest.raises(VotersMalformed, match=r"mesh.voters: 's1' is not among them; add it there"):
         voter_options(keys(), "s1")
-    with pytest.raises(VotersMalformed, match=r"'v1' is this scheduler's own name; give"):
+    with pytest.raises(VotersMalformed, match=r"'v1' is this scheduler's own name; set GW_NAME"):
         observer_options(keys(), "v1", Place())
 
 
@@ -78,5 +78,5 @@
         keys(on_lost="hold", on_lost_by_kind={"drain": "serve"}), "v0", ["cordon", "drain"]
     )
     assert options.mode_of("cordon") is Mode.HOLD and options.mode_of("drain") is Mode.SERVE
-    with pytest.raises(VotersMalformed, match=r"mesh.on_lost_by_kind.drain: no records are of that kind"):
+    with pytest.raises(VotersMalformed, match=r"mesh.on_lost_by_kind.drain: there is no record kind 'drain'"):
         voter_options(keys(on_lost_by_kind={"drain": "serve"}), "v0", ["cordon"])
