--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -1,7 +1,9 @@
-"""Changes under way at a voter: barriers to other voters, their statuses, and progress to whoever wrote.
+"""Coordinates the changes tracked at a voter: exchanges barriers and statuses with the other voters, and
+reports progress to the writer of each change.
 
-Joins the `CommitTracker` (are our changes in force?) and `ObserverProgress` (which of our observers lag
-behind changes, ours and other voters'?). Owns who asked for each change; stores no record.
+Connects the `CommitTracker`, which determines whether this voter's changes are in force, with
+`ObserverProgress`, which tracks the observers that lag behind changes of this and other voters. Keeps the
+requester of each change, but no records.
 """
 
 from collections.abc import Callable
@@ -16,23 +18,25 @@
 from robinhill.control.voter_links import GreetedVoter, VoterLinks
 
 STATUS_INTERVAL_US = 50_000
-"""Least time between two statuses of a barrier, unless no observer lags any more."""
+"""Minimum interval between two statuses of a barrier while observers lag."""
 
 
 @dataclass(slots=True, frozen=True)
 class Requester:
-    """Who asked for a change: an observer by its link, with its own number of the change; None: our
-    caller."""
+    """The origin of a change: an observer's link and the observer's own number of the change.
+
+    ``link`` None: the caller of the state machine wrote the change.
+    """
 
     link: Link | None
     number: int
 
 
-OUR_CALLER = Requester(None, 0)
+LOCAL_CALLER = Requester(None, 0)
 
 
 class ChangeCoordinator:
-    """All changes under way at one voter. ``counts``: whether this voter counts for majorities."""
+    """Coordinates the changes tracked at one voter. ``counts``: whether this voter counts for majorities."""
 
     def __init__(
         self,
@@ -58,20 +62,20 @@
         self._status_sent_us: dict[BarrierId, int] = {}
 
     def track(self, mono_us: int, requester: Requester, position: int, *, urgent: bool, hold: bool) -> int:
-        """Track a change that was stored at ``position``. Returns its number."""
+        """Track a change that was stored at ``position``. Returns the number of the change."""
         self._last_change += 1
         self._requesters[self._last_change] = requester
         self.commit_tracker.track(mono_us, self._last_change, position, urgent=urgent, hold=hold)
         return self._last_change
 
     def report_untracked(self, link: Link, number: int, why: str) -> None:
-        """Tell an observer that its change is not tracked here; it spreads all the same."""
+        """Report to an observer that its change is not tracked here; the change is replicated regardless."""
         progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
         self._outbox.send_to_observer(link, progress)
 
     def handle_barrier(self, mono_us: int, origin: str, barrier: wire.Barrier) -> None:
-        """Another voter asks which of our observers lag behind what we have stored now."""
-        position = self._sessions.log.head(barrier.urgent)
+        """Track which of this voter's observers lag behind its log's head, as another voter requests."""
+        position = self._sessions.changelog.head(barrier.urgent)
         self.observer_progress.track(
             mono_us,
             BarrierId(origin, barrier.number),
@@ -81,21 +85,24 @@
         )
 
     def end_barrier(self, origin: str, end: wire.BarrierEnd) -> None:
-        """Another voter needs no further status of its barrier."""
+        """Stop sending another voter statuses of its barrier."""
         self.observer_progress.untrack(BarrierId(origin, end.number))
 
     def voter_unlinked(self, name: str) -> None:
-        """The link to a voter has ended: its barriers are sent again once it is back."""
+        """Discard the statuses of a voter whose link has ended, and its own barriers here.
+
+        Both sides send their barriers again on the next link.
+        """
         self.commit_tracker.voter_unlinked(name)
         self.observer_progress.untrack_matching(lambda barrier: barrier.origin == name)
 
     def resend_statuses(self) -> None:
-        """Our statuses mean something else from now on: send them all again."""
+        """Send all statuses again: this voter has begun to count for majorities, or is complete again."""
         self.observer_progress.dirty.update(self.observer_progress.tracked)
 
     def send_barriers(self, voter: GreetedVoter) -> None:
-        """Send a voter the barriers that are due, after the changes that they cover."""
-        for batch in self.commit_tracker.batches_to_query(voter.name, voter.written):
+        """Send a voter the barriers of all batches whose changes were sent to it."""
+        for batch in self.commit_tracker.batches_to_query(voter.name, voter.written_position):
             self._outbox.send_to_voter(voter.link, wire.Barrier(batch.number, batch.urgent, batch.hold))
 
     def advance(self, mono_us: int) -> None:
@@ -112,7 +119,7 @@
             )
 
     def _send_due_statuses(self, mono_us: int) -> None:
-        """Send the statuses that have changed: at once where no observer lags any more, else at intervals."""
+        """Send the statuses that have changed, at once if no observer lags, otherwise at intervals."""
         tracked, dirty = self.observer_progress.tracked, self.observer_progress.dirty
         for barrier in sorted(dirty):
             last_us = self._status_sent_us.get(barrier, mono_us - STATUS_INTERVAL_US)
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -41,8 +41,8 @@
     changes since. ``sent``: number of messages with records sent on this link.
     """
 
-    def __init__(self, log: ChangeLog) -> None:
-        self.log = log
+    def __init__(self, changelog: ChangeLog) -> None:
+        self.changelog = changelog
         self.synchronized = False
         self.sent = 0
         self._cursor = 0
@@ -62,7 +62,7 @@
     @property
     def idle(self) -> bool:
         """Whether all changes are sent and confirmed."""
-        sent = self._cursor >= self.log.bulk_head and self._urgent_cursor >= self.log.urgent_head
+        sent = self._cursor >= self.changelog.bulk_head and self._urgent_cursor >= self.changelog.urgent_head
         return sent and self._confirmed == self.sent
 
     def resume(self, position: int) -> None:
@@ -80,14 +80,14 @@
             self._compared_position = 0
             return
         near = abs(digests.at_us - now_us) <= MAX_CLOCK_DIFFERENCE_US
-        ours = self.log.replica.ranges(digests.at_us if near else now_us)
+        ours = self.changelog.replica.ranges(digests.at_us if near else now_us)
         theirs = [
             int.from_bytes(digests.digests[start : start + DIGEST_BYTES], "big")
             for start in range(0, RANGES * DIGEST_BYTES, DIGEST_BYTES)
         ]
         self._differing_ranges = [index for index in range(RANGES) if theirs[index] != ours[index]]
         self._unsent_records = None
-        self._compared_position = self.log.replica.head
+        self._compared_position = self.changelog.replica.head
         if not self.synchronized:
             self._cursor = self._urgent_cursor = self._compared_position
 
@@ -97,7 +97,7 @@
         ``age_us``: age of the majority's state that the voter knows; None: it knows none.
         """
         if self._pending_reply is None:  # otherwise a later heartbeat is replied to
-            position, urgent = self.log.replica.head, self.log.urgent_head
+            position, urgent = self.changelog.replica.head, self.changelog.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
     def confirm(self, count: int) -> None:
@@ -124,13 +124,13 @@
         return data
 
     def _draw_changes(self) -> bytes | None:
-        while self._urgent_cursor < self.log.urgent_head:
-            changes = self.log.after(self._urgent_cursor, True)
+        while self._urgent_cursor < self.changelog.urgent_head:
+            changes = self.changelog.after(self._urgent_cursor, True)
             self._urgent_cursor = changes.cursor
             if changes.data is not None:
                 return changes.data
-        while self._cursor < self.log.replica.head:
-            changes = self.log.after(self._cursor, False)
+        while self._cursor < self.changelog.replica.head:
+            changes = self.changelog.after(self._cursor, False)
             self._cursor = changes.cursor
             if changes.data is not None:
                 return changes.data
@@ -162,7 +162,7 @@
     def _draw_range_part(self, capacity_bytes: int) -> RangePart:
         if self._unsent_records is None:
             self._current_range = self._differing_ranges.pop()
-            self._unsent_records = self.log.replica.in_range(self._current_range)
+            self._unsent_records = self.changelog.replica.in_range(self._current_range)
         drawn: list[Record] = []
         while self._unsent_records and capacity_bytes > 0:
             record = self._unsent_records.pop()
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -132,15 +132,15 @@
 
     # Statuses of voters
 
-    def batches_to_query(self, voter: str, written: int) -> list[ChangeBatch]:
+    def batches_to_query(self, voter: str, written_position: int) -> list[ChangeBatch]:
         """Return the batches whose barrier must now be sent to a voter, and mark them as queried.
 
-        ``written``: position up to which all changes were sent to the voter.
+        ``written_position``: position up to which all changes were sent to the voter.
         """
         due = [
             batch
             for batch in self.batches.values()
-            if batch.sealed and voter not in batch.queried and written >= batch.position
+            if batch.sealed and voter not in batch.queried and written_position >= batch.position
         ]
         for batch in due:
             batch.queried.add(voter)
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -1,13 +1,15 @@
-"""An observer of the control group as a state machine: it handles messages and time, and returns actions. No
-I/O.
+"""An observer of the control group, as a state machine without I/O: it processes messages and time, and
+returns actions.
 
 A scheduler is an observer: it has a replica, in memory only, and no vote. It has a link to a primary voter,
-which sends all changes and renews its lease, and a spare link to another (`observer_links`). It never goes
-back in time: its replica only grows by merging (`replica_sync`), the moment of its lease only advances
-(`lease`), and a new voter's replies count once both have exchanged what the other lacked.
-
-All times are microseconds: ``now_us`` Unix time that never steps back, ``mono_us`` this process's monotonic
-clock. After each call carry out the returned actions in order; call `tick` at `next_us` at the latest.
+which sends all changes and renews the lease, and a spare link to another voter (`observer_links`). Its state
+never moves back in time: its replica only grows by merging (`replica_sync`), the time as of which its lease
+holds only advances (`lease`), and replies of a new voter count only once the observer and the voter have
+exchanged the records that the other lacked.
+
+All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
+monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
+`next_us` at the latest.
 """
 
 from dataclasses import dataclass
@@ -35,15 +37,15 @@
 from robinhill.mesh.replica import Replica
 
 COLLECT_INTERVAL_US = 1_000_000
-"""Between two collections of expired records."""
+"""Interval at which expired records are collected."""
 
 
 @dataclass(slots=True, frozen=True)
 class ObserverStatus:
-    """What may be done with records of a kind.
+    """The usability of one kind's records for scheduling.
 
-    ``may_act``: jobs may be sent by them; ``stale``: there is no lease; ``age_us``: age of the newest known
-    majority state, None: never known.
+    ``may_act``: the scheduler may send jobs according to them. ``stale``: there is no valid lease.
+    ``age_us``: age of the newest known majority state; None: none was ever known.
     """
 
     may_act: bool
@@ -52,7 +54,7 @@
 
 
 class Observer:
-    """One observer. ``rng`` jitters reconnections and repairs."""
+    """One observer. ``rng`` jitters reconnections and the comparisons that repair the replica."""
 
     def __init__(
         self, options: ControlOptions, incarnation: int, replica: Replica, rng: Random, mono_us: int
@@ -66,20 +68,20 @@
         self._links = ObserverLinks(options, incarnation, self._outbox, rng)
         self._sync = ReplicaSync(replica, self._outbox, rng, mono_us)
         self._offers = PendingOffers()
-        self._reported_lease = False
-        self._lease_lost_us = mono_us  # since when there has been no lease, or the observer runs
-        self._collect_us = mono_us + COLLECT_INTERVAL_US
+        self._reported_valid = False  # whether the last `LeaseChanged` reported a valid lease
+        self._lease_changed_us = mono_us  # time of the last `LeaseChanged`, or of the observer's start
+        self._collect_due_us = mono_us + COLLECT_INTERVAL_US
 
     # Links
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
-        """The first call."""
+        """Begin to connect to voters. Must be the first call."""
         return self.tick(now_us, mono_us)
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
-        """A connection that `Connect` asked for is open."""
+        """Join a voter on a connection that `Connect` has opened, or close the connection if not needed."""
         if not self._links.opened(mono_us, link, voter):
-            self._outbox.disconnect(link, "it is not needed")
+            self._outbox.disconnect(link, "the connection is no longer needed")
             return self._outbox.take()
         if self._links.primary is None:
             self._make_primary(now_us, mono_us, link)
@@ -88,16 +90,16 @@
         return self._finish(mono_us)
 
     def failed(self, mono_us: int, voter: str) -> None:
-        """A connection that `Connect` asked for could not be opened."""
+        """Start the backoff of a voter to which `Connect` could not open a connection."""
         self._links.selection.backoff.failed(mono_us, voter)
 
     def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
-        """A connection was lost, or closed by the other side."""
+        """Remove a connection that was lost, or closed by the other side."""
         self._closed(now_us, mono_us, link)
         return self._finish(mono_us)
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """A message was received. A link with a malformed or unexpected one is closed."""
+        """Process a received message; a malformed or unexpected one closes the link."""
         if link in self._links.by_link:
             try:
                 self._dispatch(now_us, mono_us, link, wire.read(data))
@@ -110,9 +112,10 @@
     def write(
         self, now_us: int, mono_us: int, kind: str, key: str, value: object
     ) -> tuple[int, Record, list[Action]]:
-        """Write a record and offer it to the voters. Returns the change's number in `Progressed`.
+        """Write a record and offer it to the primary voter, once synchronized with it.
 
-        Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
+        Returns the change's number in `Progressed`, and the record. Raises ChangesFull or StateFull, or
+        KeyError for an unregistered kind; nothing is changed then.
         """
         self._offers.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
@@ -123,39 +126,39 @@
         return offer.number, record, self._finish(mono_us)
 
     def abandon(self, number: int) -> None:
-        """Progress of this change is of no interest any more; the change itself stays and spreads."""
+        """Stop reporting the progress of a change; the change itself stays, and is replicated."""
         self._offers.drop(number)
 
     def has_lease(self, mono_us: int) -> bool:
-        """Whether a majority's state not older than the bound is known. Cheap enough for each send."""
+        """Whether the known majority's state is not older than the bound. Cheap enough for each job."""
         return self.lease.is_valid(mono_us)
 
     def status(self, kind: str, mono_us: int) -> ObserverStatus:
-        """What may be done with records of a kind now."""
-        leased = self.lease.is_valid(mono_us)
-        may_act = leased or self.options.mode_of(kind) is Mode.SERVE
-        return ObserverStatus(may_act, not leased, self.lease.age_us(mono_us))
+        """Return whether the scheduler may act on records of a kind now, and the age of its state."""
+        valid = self.lease.is_valid(mono_us)
+        may_act = valid or self.options.mode_of(kind) is Mode.SERVE
+        return ObserverStatus(may_act, not valid, self.lease.age_us(mono_us))
 
     def goodbye(self) -> list[Action]:
-        """The last job is sent: leave the voters. Nothing may be sent to workers from now on."""
+        """Say goodbye to the voters after the last job. The caller must not send jobs from now on."""
         self._links.stop("goodbye")
         return self._outbox.take()
 
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
-        """Use another list of voters."""
+        """Use a new list of voters, and close the links to voters that it doesn't contain."""
         self.options = self._links.options = options
         self._links.selection.reconfigure(options.voters)
-        for link, one in list(self._links.by_link.items()):
-            if one.voter not in options.voters:
-                self._drop(now_us, mono_us, link, f"{one.voter} is no voter any more")
+        for link, state in list(self._links.by_link.items()):
+            if state.voter not in options.voters:
+                self._drop(now_us, mono_us, link, f"{state.voter} was removed from the list of voters")
         return self.tick(now_us, mono_us)
 
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Time has passed."""
-        if mono_us >= self._collect_us:
-            self._collect_us = mono_us + COLLECT_INTERVAL_US
+        """Do all work that is due by now."""
+        if mono_us >= self._collect_due_us:
+            self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self.replica.collect(now_us)
         if not self._links.stopped:
             self._drop_silent_links(now_us, mono_us)
@@ -167,11 +170,11 @@
         return self._finish(mono_us)
 
     def next_us(self, mono_us: int) -> int:
-        """When `tick` is due at the latest (monotonic)."""
-        times = [self._collect_us, *self._links.heartbeats_due_us()]
+        """Monotonic time at which `tick` is due at the latest."""
+        times = [self._collect_due_us, *self._links.heartbeats_due_us()]
         if self._links.primary is not None and self._sync.needs_confirmation():
             times.append(self._sync.confirm_due_us)
-        if self._reported_lease:
+        if self._reported_valid:
             times.append(self.lease.until_us() + 1)
         if (connect_us := self._links.connect_due_us(synchronized=self.synchronized)) is not None:
             times.append(connect_us)
@@ -181,35 +184,36 @@
 
     @property
     def voter(self) -> str | None:
-        """The primary voter, if there is one."""
+        """Name of the primary voter; None without a primary link."""
         return self._links.primary_voter
 
     @property
     def spare_voter(self) -> str | None:
-        """The voter of the spare link, if there is one."""
+        """Name of the voter on the spare link; None without one."""
         return self._links.spare_voter
 
     @property
     def primary_changes(self) -> int:
-        """How often this observer has joined a primary voter."""
+        """How often this observer has joined a primary voter since its start."""
         return self._links.primary_changes
 
     @property
     def synchronized(self) -> bool:
-        """Whether the replica has all that the primary voter had at some moment."""
+        """Whether the replica has the primary voter's complete state as of some position, and follows its
+        changes."""
         return self._sync.synchronized
 
     # Messages
 
     def _dispatch(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        one = self._links.by_link[link]
-        one.last_received_us = mono_us
+        state = self._links.by_link[link]
+        state.last_received_us = mono_us
         if isinstance(message, wire.HeartbeatReply):
-            one.majority_age_us = message.age_us if message.age_us >= 0 else None
+            state.majority_age_us = message.age_us if message.age_us >= 0 else None
         if isinstance(message, wire.Refused):
-            raise JoinRefused(f"{one.voter} refused us: {message.why}")
+            raise JoinRefused(f"voter {state.voter} rejected this observer: {message.why}")
         if isinstance(message, wire.Welcome):
-            one.welcomed = True
+            state.welcomed = True
         if link == self._links.primary:
             self._handle_from_primary(now_us, mono_us, link, message)
 
@@ -218,7 +222,7 @@
             case wire.Welcome(resumed=True):
                 self._complete_sync(mono_us, link)
             case wire.Welcome():
-                self._sync.start_over(message.voter, message.incarnation)
+                self._sync.reset_position(message.voter, message.incarnation)
             case wire.Compare():
                 self._sync.send_digests(now_us, link)
             case wire.RangeRecords():
@@ -234,10 +238,10 @@
             case wire.Progress():
                 self._handle_progress(message)
             case _:
-                raise JoinRefused(f"{type(message).__name__} came, which voters don't send to observers")
+                raise JoinRefused(f"received {type(message).__name__}, which voters don't send to observers")
 
     def _handle_heartbeat_reply(self, reply: wire.HeartbeatReply) -> None:
-        self._sync.reached(reply.position, urgent=False)
+        self._sync.advance_position(reply.position, urgent=False)
         if not self._sync.rejected:
             self.lease.reply_received(reply.number, reply.age_us)
 
@@ -251,10 +255,10 @@
         lagging = LaggingObservers(progress.lagging_count, progress.lagging_names)
         self._outbox.add(Progressed(progress.number, progress.accepted, progress.in_force, lagging))
 
-    # Consequences
+    # Confirmations, lease and heartbeats
 
     def _finish(self, mono_us: int) -> list[Action]:
-        """Everything that follows from a call."""
+        """Confirm applied changes, report a change of the lease, and return the actions of the call."""
         if self._links.primary is not None:
             self._sync.confirm(mono_us, self._links.primary)
         self._report_lease(mono_us)
@@ -262,14 +266,17 @@
 
     def _report_lease(self, mono_us: int) -> None:
         valid = self.lease.is_valid(mono_us)
-        if valid != self._reported_lease:
-            self._reported_lease = valid
-            self._lease_lost_us = mono_us
+        if valid != self._reported_valid:
+            self._reported_valid = valid
+            self._lease_changed_us = mono_us
             self._outbox.add(LeaseChanged(valid, self.lease.age_us(mono_us)))
 
     def _complete_sync(self, mono_us: int, link: Link) -> None:
-        """The replica is synchronized: offer pending changes; the voter's replies count from now on."""
-        self._sync.complete(mono_us)
+        """Follow the voter's changes once the replica is synchronized with it.
+
+        Offers the pending changes, and renews the lease by replies to heartbeats that are sent from now on.
+        """
+        self._sync.complete_sync(mono_us)
         for offer in self._offers:
             self._outbox.send(link, offer)
         self.lease.start_counting()
@@ -282,33 +289,37 @@
     # The primary voter
 
     def _make_primary(self, now_us: int, mono_us: int, link: Link) -> None:
-        """Join the voter of this link: its replies don't count until the replica is synchronized with it."""
-        without_lease_us = mono_us - self._lease_lost_us
+        """Join the voter of this link; its replies renew no lease until the replica is synchronized with it.
+
+        Clears the replica first if there was no lease for so long that it may contain records which other
+        processes have dropped as expired.
+        """
+        without_lease_us = mono_us - self._lease_changed_us
         if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, without_lease_us):
             self._sync.clear(without_lease_us)
-        self._sync.begin()
+        self._sync.begin_sync()
         self.lease.reset()
         self._links.make_primary(mono_us, link, self._sync.feed_position)
 
     def _fail_over(self, now_us: int, mono_us: int) -> None:
         primary = self._links.primary
         if primary is not None and self._links.should_fail_over(mono_us, self.lease.age_us(mono_us)):
-            self._drop(now_us, mono_us, primary, "it does not renew the lease")
+            self._drop(now_us, mono_us, primary, "the primary voter does not renew the lease")
 
     def _drop_silent_links(self, now_us: int, mono_us: int) -> None:
         for link in list(self._links.by_link):
             if self._links.is_silent(mono_us, link):
-                self._drop(now_us, mono_us, link, "nothing came for half of the bound")
+                self._drop(now_us, mono_us, link, "no message received for at least half of mesh.bound_ms")
 
     def _drop(self, now_us: int, mono_us: int, link: Link, why: str) -> None:
         self._outbox.disconnect(link, why)
         self._closed(now_us, mono_us, link)
 
     def _closed(self, now_us: int, mono_us: int, link: Link) -> None:
-        """A link has ended; the spare one takes the place of the primary one."""
+        """Remove a link; the spare link replaces the primary one if that has ended."""
         if not self._links.closed(mono_us, link):
             return
-        self._sync.stop()
+        self._sync.stop_sync()
         self.lease.reset()
         spare = self._links.take_spare()
         if spare is not None:
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -1,7 +1,7 @@
-"""An observer's links: a primary voter, which sends changes and renews the lease, and a spare one.
+"""An observer's links: one to the primary voter, which sends changes and renews the lease, and a spare one.
 
-Chooses voters, joins them, sends heartbeats, and decides when a link is silent and when to fail over. Knows
-nothing of records. Times are monotonic microseconds.
+Chooses voters, joins them, sends heartbeats, and detects silent links and the need for a failover. This
+module is independent of records. Times are monotonic microseconds.
 """
 
 from collections.abc import Iterator
@@ -17,14 +17,19 @@
 from robinhill.control.voter_selection import VoterSelection
 
 SILENT_TIMEOUTS_PER_BOUND = 2
+"""A primary link without a message for the bound divided by this is closed as silent."""
+
 SPARE_HEARTBEAT_INTERVALS = 2
-"""The spare voter is sent a heartbeat once in so many intervals of the primary one."""
+"""Interval between heartbeats to the spare voter, in heartbeat intervals of the primary voter."""
 
 
 @dataclass(slots=True)
 class ObserverLink:
-    """A link to a voter. ``majority_age_us``: age of the majority's state that the voter last reported; None:
-    it knew none, or has not replied."""
+    """A link to a voter.
+
+    ``welcomed``: the voter has accepted a join on this link. ``majority_age_us``: age of the majority's state
+    in the voter's last heartbeat reply; None: the voter knew none, or has not replied yet.
+    """
 
     voter: str
     last_received_us: int
@@ -34,7 +39,7 @@
 
 
 class ObserverLinks:
-    """The links of one observer. ``primary_changes`` counts how often a link became the primary one."""
+    """The links of one observer. ``primary_changes``: how often a link became the primary one."""
 
     def __init__(self, options: ControlOptions, incarnation: int, outbox: Outbox, rng: Random) -> None:
         self.options = options
@@ -51,23 +56,23 @@
 
     @property
     def primary_voter(self) -> str | None:
-        """The voter that this observer has joined."""
+        """Name of the voter on the primary link; None without one."""
         return self.by_link[self.primary].voter if self.primary is not None else None
 
     @property
     def spare_voter(self) -> str | None:
-        """The voter of the spare link."""
+        """Name of the voter on the spare link; None without one."""
         return self.by_link[self.spare].voter if self.spare is not None else None
 
     @property
     def voters(self) -> set[str]:
-        """All voters with a link."""
-        return {one.voter for one in self.by_link.values()}
+        """Names of all voters with a link."""
+        return {state.voter for state in self.by_link.values()}
 
     # Connections
 
     def connect(self, mono_us: int, *, synchronized: bool) -> None:
-        """Connect to a primary voter; once synchronized, to a spare one."""
+        """Connect to a voter if there is no primary link, or no spare link while synchronized."""
         if not self._needs_link(synchronized):
             return
         voter = self.selection.next(mono_us, self.voters)
@@ -76,11 +81,11 @@
             self._outbox.add(Connect(voter))
 
     def connect_due_us(self, *, synchronized: bool) -> int | None:
-        """When `connect` may do something; None: nothing is due."""
+        """Time at which `connect` may start an attempt or time one out; None: no link is needed."""
         return self.selection.due_us(self.voters) if self._needs_link(synchronized) else None
 
     def opened(self, mono_us: int, link: Link, voter: str) -> bool:
-        """A connection is open. False: no link to this voter is needed."""
+        """Register an open connection. Returns False if no link to this voter is needed."""
         self.selection.backoff.connected(voter)
         complete = self.primary is not None and self.spare is not None
         if self.stopped or complete or voter not in self.options.voters or voter in self.voters:
@@ -89,23 +94,23 @@
         return True
 
     def make_spare(self, link: Link, feed_position: FeedPosition) -> None:
-        """Use an open link as the spare one."""
+        """Join the voter of an open link as the spare voter."""
         self.spare = link
         self._join(link, feed_position, spare=True)
 
     def make_primary(self, mono_us: int, link: Link, feed_position: FeedPosition) -> None:
-        """Use an open link as the primary one."""
+        """Join the voter of an open or spare link as the primary voter."""
         self.primary = link
         self._primary_since_us = mono_us
         self.primary_changes += 1
         self._join(link, feed_position, spare=False)
 
     def closed(self, mono_us: int, link: Link) -> bool:
-        """A link has ended. True if it was the primary one."""
-        one = self.by_link.pop(link, None)
-        if one is None:
+        """Remove a link and start the backoff of its voter. Returns whether it was the primary link."""
+        state = self.by_link.pop(link, None)
+        if state is None:
             return False
-        self.selection.backoff.failed(mono_us, one.voter)
+        self.selection.backoff.failed(mono_us, state.voter)
         if link == self.spare:
             self.spare = None
         if link != self.primary:
@@ -114,12 +119,12 @@
         return True
 
     def take_spare(self) -> Link | None:
-        """The spare link, which is to become the primary one."""
+        """Remove and return the spare link, so that the caller can make it the primary one."""
         spare, self.spare = self.spare, None
         return spare
 
     def stop(self, why: str) -> None:
-        """Say goodbye to all voters; no link is needed from now on."""
+        """Say goodbye to all voters, close all links, and open none from now on."""
         self.stopped = True
         for link in list(self.by_link):
             self._outbox.send(link, wire.Goodbye())
@@ -150,31 +155,36 @@
     # Heartbeats and failover
 
     def send_heartbeats(self, mono_us: int, lease: ObserverLease, *, synchronized: bool) -> None:
-        """Send heartbeats that are due: they renew the lease at the primary voter, and probe the spare
-        one."""
-        for link, one in self.by_link.items():
-            if mono_us < one.next_heartbeat_us or not one.welcomed:
+        """Send the heartbeats that are due.
+
+        Those to the primary voter renew the lease; those to the spare voter check that it is reachable.
+        """
+        for link, state in self.by_link.items():
+            if mono_us < state.next_heartbeat_us or not state.welcomed:
                 continue
             primary = link == self.primary
             intervals = 1 if primary else SPARE_HEARTBEAT_INTERVALS
-            one.next_heartbeat_us = mono_us + intervals * self.options.heartbeat_us
+            state.next_heartbeat_us = mono_us + intervals * self.options.heartbeat_us
             number = lease.heartbeat_sent(mono_us) if primary and synchronized else 0
             self._outbox.send(link, wire.Heartbeat(number))
 
     def heartbeats_due_us(self) -> Iterator[int]:
-        """When the next heartbeat of each link is due."""
-        return (one.next_heartbeat_us for one in self.by_link.values() if one.welcomed)
+        """Times at which the next heartbeat of each link is due."""
+        return (state.next_heartbeat_us for state in self.by_link.values() if state.welcomed)
 
     def is_silent(self, mono_us: int, link: Link) -> bool:
-        """Whether nothing was received on a link for too long; the spare one is sent fewer heartbeats."""
+        """Whether no message was received on a link for longer than its timeout.
+
+        The timeout of the spare link is longer, as it carries fewer heartbeats.
+        """
         timeout_us = self.options.bound_us // SILENT_TIMEOUTS_PER_BOUND
         if link != self.primary:
             timeout_us += SPARE_HEARTBEAT_INTERVALS * self.options.heartbeat_us
         return mono_us - self.by_link[link].last_received_us > timeout_us
 
     def should_fail_over(self, mono_us: int, lease_age_us: int | None) -> bool:
-        """Whether the primary voter has not renewed the lease for half of the bound, while the spare one
-        knows a majority's state that is newer."""
+        """Whether the primary voter has not renewed the lease for half of the bound, while the spare voter
+        knows a majority's state that is newer than that."""
         if self.primary is None or self.spare is None:
             return False
         half_us = self.options.bound_us // 2
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -1,7 +1,7 @@
 """A voter's links from observers: joins, comparisons, change feeds, heartbeats and goodbyes.
 
-Knows nothing of other voters: the caller sends them what `take_moved` returns. Times are microseconds,
-``mono_us`` monotonic and ``now_us`` Unix time.
+This module has no links to other voters; the caller sends them the message that `take_migrated` returns.
+Times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,14 +18,15 @@
 from robinhill.cordon.propagation import Mode
 
 MAX_COMPARISONS = 64
-"""Observers that may be synchronized at the same time; others are queued."""
+"""Limit of the observers that are synchronized at the same time; others are queued."""
 
 
 @dataclass(slots=True)
 class ObserverSession:
     """A link from an observer.
 
-    ``feed`` is None on a spare link. ``comparing``: it was granted a comparison, one of `MAX_COMPARISONS`.
+    ``join``: number of its last join. ``feed`` is None on a spare link. ``comparing``: it holds one of the
+    `MAX_COMPARISONS` slots for comparisons.
     """
 
     name: str
@@ -37,43 +38,46 @@
 
 
 class ObserverSessions:
-    """The observers of one voter. ``age_us``: age of the majority's state that the voter knows."""
+    """The links from the observers of one voter. ``age_us``: age of the majority's state that it knows."""
 
     def __init__(
         self,
         options: ControlOptions,
         incarnation: int,
-        log: ChangeLog,
+        changelog: ChangeLog,
         observer_progress: ObserverProgress,
         age_us: Callable[[int], int | None],
         outbox: VoterOutbox,
     ) -> None:
         self.options = options
         self.incarnation = incarnation
-        self.log = log
+        self.changelog = changelog
         self.observer_progress = observer_progress
         self._age_us = age_us
         self._by_link: dict[Link, ObserverSession] = {}
-        self._migrated: dict[str, wire.ObserverJoin] = {}  # since the last `take_moved`
+        self._migrated: dict[str, wire.ObserverJoin] = {}  # since the last `take_migrated`
         self._outbox = outbox
         self._comparison_queue: dict[Link, None] = {}
         self._comparing: set[Link] = set()
 
     @property
     def by_link(self) -> Mapping[Link, ObserverSession]:
-        """All sessions, spare ones among them."""
+        """The sessions of all links, including spare ones."""
         return self._by_link
 
     # Messages
 
     def open(self, mono_us: int, link: Link, join: wire.Join) -> None:
-        """A link begins with a join. Raises JoinRefused."""
+        """Open a session on a link whose first message is a join. Raises JoinRefused."""
         self._check(join)
         self._by_link[link] = ObserverSession(join.name, join.incarnation, join.number, mono_us)
         self._join(mono_us, link, join)
 
     def received(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        """Handle any later message but an offer. Raises JoinRefused for one that observers don't send."""
+        """Process any later message other than an offer.
+
+        Raises JoinRefused for a malformed or outdated join, or a message that observers don't send.
+        """
         session = self._by_link[link]
         feed = session.feed if self._is_current(link, session) else None
         match message:
@@ -89,20 +93,22 @@
             case wire.Digests() if feed is not None:
                 self._handle_digests(now_us, mono_us, link, session, feed, message)
             case wire.Applied() | wire.Digests():
-                return  # the observer has joined by another link meanwhile
+                return  # ignored: the observer has joined on another link meanwhile, or this link is spare
             case _:
-                raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't")
+                raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't send")
 
     def _check(self, join: wire.Join) -> None:
         options = self.options
         if join.protocol != wire.PROTOCOL:
-            raise JoinRefused(f"{join.name} speaks protocol {join.protocol}, we speak {wire.PROTOCOL}")
+            raise JoinRefused(f"{join.name} uses protocol {join.protocol}, this voter uses {wire.PROTOCOL}")
         if join.installation != options.installation:
-            raise JoinRefused(f"{join.name} is of installation {join.installation!r}")
+            raise JoinRefused(
+                f"{join.name} is of installation {join.installation!r}, expected {options.installation!r}"
+            )
         if (join.bound_us, join.on_lost) != (options.bound_us, options.modes):
-            raise JoinRefused(f"{join.name} has another mesh.bound_ms or mesh.on_lost than we")
+            raise JoinRefused(f"mesh.bound_ms or mesh.on_lost of {join.name} differs from this voter's")
         if join.name in options.voters:
-            raise JoinRefused(f"{join.name} is the name of a voter")
+            raise JoinRefused(f"the observer's name {join.name} is the name of a voter")
 
     def _join(self, mono_us: int, link: Link, join: wire.Join) -> None:
         session = self._by_link[link]
@@ -112,10 +118,10 @@
             return
         known = self.observer_progress.observers.get(join.name)
         if known is not None and known.link is not None and known.link != link:
-            self.drop(known.link, f"{join.name} has connected anew")
+            self.drop(known.link, f"superseded by a new connection of {join.name}")
         if self.observer_progress.joined(mono_us, join.name, join.incarnation, join.number, link) is None:
-            raise JoinRefused(f"a later start of {join.name} has joined")
-        session.feed = ChangeFeed(self.log)
+            raise JoinRefused(f"a later incarnation or join of {join.name} is known")
+        session.feed = ChangeFeed(self.changelog)
         resumed = self._may_resume(join)
         self._outbox.send_to_observer(link, wire.Welcome(self.options.name, self.incarnation, resumed))
         if resumed:
@@ -126,12 +132,12 @@
         self._grant_comparisons()
 
     def _may_resume(self, join: wire.Join) -> bool:
-        """Whether the observer has all changes of this incarnation of ours up to a position."""
-        ours = join.voter == self.options.name and join.voter_incarnation == self.incarnation
-        return ours and 0 <= join.position <= self.log.replica.head
+        """Whether the observer has all changes of this voter's present incarnation up to some position."""
+        same_log = join.voter == self.options.name and join.voter_incarnation == self.incarnation
+        return same_log and 0 <= join.position <= self.changelog.replica.head
 
     def _grant_comparisons(self) -> None:
-        """Request digests from queued observers, as many as may be synchronized at once."""
+        """Request digests from queued observers while there are free slots for comparisons."""
         while self._comparison_queue and len(self._comparing) < MAX_COMPARISONS:
             link = next(iter(self._comparison_queue))
             del self._comparison_queue[link]
@@ -164,7 +170,7 @@
 
     def _handle_heartbeat(self, mono_us: int, link: Link, session: ObserverSession, number: int) -> None:
         age_us = self._age_us(mono_us)
-        if session.feed is None or not number:  # no lease depends on it
+        if session.feed is None or not number:  # no lease depends on the reply
             reply = wire.HeartbeatReply(number, -1 if age_us is None else age_us, 0)
             self._outbox.send_to_observer(link, reply)
             return
@@ -175,18 +181,18 @@
         self.observer_progress.record_goodbye(session.name, session.incarnation)
         self._note_migrated(session, wire.GOODBYE_JOIN_NUMBER)
         self.closed(link)
-        self._outbox.disconnect(link, "it said goodbye")
+        self._outbox.disconnect(link, "the observer said goodbye")
 
     # Changes
 
     def flush(self, mono_us: int) -> None:
-        """Send all observers what has changed."""
+        """Send all observers the changes that their send windows allow."""
         for link, session in self._by_link.items():
             self._send_changes(mono_us, link, session)
 
     def take_migrated(self) -> wire.Migrated | None:
-        """Observers that were synchronized here, or have left, since the last call; None if there are
-        none."""
+        """Return the message that names the observers which were synchronized here, or said goodbye, since
+        the last call; None if there are none."""
         if not self._migrated:
             return None
         migrated = wire.Migrated(tuple(sorted(self._migrated.values())))
@@ -210,33 +216,33 @@
             self._grant_comparisons()
 
     def _is_current(self, link: Link, session: ObserverSession) -> bool:
-        """Whether this is the observer's newest link that is no spare one; others get no changes."""
+        """Whether this is the observer's newest primary link; changes are sent on no other."""
         observer = self.observer_progress.observers.get(session.name)
         return observer is not None and observer.link == link
 
-    # Links that end
+    # Closing of links
 
     def migrated_away(self, join: wire.ObserverJoin) -> None:
-        """An observer is synchronized with another voter; a link that it still has here is outdated."""
+        """Remove an observer that is synchronized with another voter, and close its outdated link here."""
         observer = self.observer_progress.observers.get(join.name)
-        known = self.observer_progress.migrated_away(join.name, join.incarnation, join.number)
-        if known and observer is not None and observer.link is not None:
-            self.drop(observer.link, f"{join.name} has another voter now")
+        removed = self.observer_progress.migrated_away(join.name, join.incarnation, join.number)
+        if removed and observer is not None and observer.link is not None:
+            self.drop(observer.link, f"{join.name} is synchronized with another voter")
 
     def remove(self, name: str) -> None:
-        """An operator reports that a scheduler no longer runs."""
+        """Remove an observer that no longer runs, as an operator reports, and close its link."""
         observer = self.observer_progress.observers.get(name)
         if observer is not None and observer.link is not None:
-            self.drop(observer.link, f"an operator says that {name} runs no more")
+            self.drop(observer.link, f"an operator reported that {name} no longer runs")
         self.observer_progress.remove(name)
 
     def drop(self, link: Link, why: str) -> None:
-        """Close a link; ``why`` is for the log."""
+        """Close a link; ``why`` is the reason for the log."""
         self.closed(link)
         self._outbox.disconnect(link, why)
 
     def closed(self, link: Link) -> None:
-        """A link has ended."""
+        """Remove the session of a link that has ended, and reuse its slot for comparisons."""
         session = self._by_link.pop(link, None)
         if session is None:
             return
@@ -252,7 +258,6 @@
         return [link for link, one in self._by_link.items() if mono_us - one.last_received_us > timeout_us]
 
     def expire_departed(self, mono_us: int) -> None:
-        """Forget disconnected observers whose leases have expired, where no kind of record serves without
-        one."""
+        """Remove disconnected observers whose leases have expired, if the mode of all kinds is `hold`."""
         if self.options.on_lost is Mode.HOLD and Mode.SERVE not in self.options.on_lost_by_kind.values():
             self.observer_progress.remove_expired(mono_us)
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -1,8 +1,9 @@
 """Synchronization of an observer's replica with its primary voter: comparisons, changes, confirmations.
 
-A comparison exchanges digests; the voter sends the ranges that differ, and the observer offers what the voter
-lacks. From then on the replica is *synchronized* and follows the voter's changes. It never goes back in time,
-as it only grows by merging. Knows nothing of connections and leases.
+In a comparison the observer sends digests, the voter sends the ranges that differ, and the observer offers
+the records that the voter lacks. From then on the replica is *synchronized* and follows the voter's changes.
+The replica never moves back in time, as it only grows by merging. This module is independent of connections
+and leases.
 """
 
 from collections.abc import Iterable
@@ -17,17 +18,17 @@
 from robinhill.mesh.replica import Replica
 
 CONFIRM_INTERVAL_US = 10_000
-"""Least time between two confirmations."""
+"""Minimum interval between two confirmations."""
 
 MAX_RECORDS_PER_OFFER = 64
 SOFT_MAX_OFFER_BYTES = 32 << 10
-"""Values in one offer of what the voter lacks, past which no record is added."""
+"""Size of the values in one offer of missing records at which no further record is added."""
 
 REPAIR_INTERVAL_US = 30_000_000
-"""Most time between two comparisons; each sends two kilobytes of digests."""
+"""Maximum interval between two comparisons; each sends two kilobytes of digests."""
 
 REPAIR_RETRY_US = 5_000_000
-"""The same while a record is rejected here."""
+"""Maximum interval between two comparisons after this replica has rejected a record."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
 
@@ -36,61 +37,73 @@
 
 @dataclass(slots=True)
 class FeedPosition:
-    """The observer has all changes of one incarnation of a voter up to ``position``, urgent ones up to
-    ``urgent``; -1: of no voter."""
+    """The observer's position in the changes of one incarnation of a voter.
+
+    It has all changes up to ``position``, and the urgent ones up to ``urgent_position``; -1: it does not have
+    the voter's complete state as of any position.
+    """
 
     voter: str = ""
     incarnation: int = 0
     position: int = -1
-    urgent: int = -1
+    urgent_position: int = -1
 
 
 class ReplicaSync:
-    """One observer's replica and its position in the primary voter's changes. Times: monotonic microseconds.
+    """One observer's replica and its position in the primary voter's changes.
 
-    ``feed_position`` is that of the voter before until a comparison with the new one is complete.
+    ``mono_us`` is monotonic time and ``now_us`` Unix time, in microseconds. ``feed_position`` refers to the
+    previous voter until the new one has replied to the join.
     """
 
     def __init__(self, replica: Replica, outbox: Outbox, rng: Random, mono_us: int) -> None:
         self.replica = replica
         self.synchronized = False
         self.feed_position = FeedPosition()
-        self.rejected = False  # a record was rejected: the replica lacks something that the voter has
+        self.rejected = False  # whether the replica lacks a record of the voter that was rejected here
         self.confirm_due_us = mono_us
         self._outbox = outbox
         self._rng = rng
         self._rejected_in_comparison = False
         self._messages_received = 0
         self._confirmed = wire.Applied(0, -1, -1)
-        self._compared_names: dict[int, set[RecordName]] = {}  # by range that is not complete yet
+        # Names of the voter's records that are also stored here, for each range not completely received yet.
+        self._compared_names: dict[int, set[RecordName]] = {}
         self._missing_at_voter: dict[RecordName, None] = {}
         self._repair_due_us = 0
 
     # The primary voter
 
-    def clear(self, away_us: int) -> None:
-        """The replica is outdated: other processes may have dropped what it has. It starts empty."""
-        self.replica.clear(away_us)
+    def clear(self, without_lease_us: int) -> None:
+        """Drop outdated records, which other processes may have dropped as expired, and the position.
+
+        ``without_lease_us``: how long there has been no lease.
+        """
+        self.replica.clear(without_lease_us)
         self.feed_position = FeedPosition()
 
-    def begin(self) -> None:
-        """The observer has joined a voter by a new link."""
+    def begin_sync(self) -> None:
+        """Reset the state of the previous link, as the observer joins a voter by a new one."""
         self.synchronized = False
         self._messages_received = 0
-        self._confirmed = wire.Applied(0, self.feed_position.position, self.feed_position.urgent)
+        self._confirmed = wire.Applied(0, self.feed_position.position, self.feed_position.urgent_position)
         self._compared_names.clear()
         self._missing_at_voter.clear()
 
-    def stop(self) -> None:
-        """The link to the primary voter has ended."""
+    def stop_sync(self) -> None:
+        """End the synchronization, as the link to the primary voter has ended."""
         self.synchronized = False
 
-    def start_over(self, voter: str, incarnation: int) -> None:
-        """The voter does not resume: a comparison follows."""
+    def reset_position(self, voter: str, incarnation: int) -> None:
+        """Discard the position, as the voter doesn't resume from it; a comparison follows."""
         self.feed_position = FeedPosition(voter, incarnation)
 
-    def complete(self, mono_us: int) -> None:
-        """The replica has all that the voter had at some moment, and the voter was sent what it lacked."""
+    def complete_sync(self, mono_us: int) -> None:
+        """Mark the replica as synchronized, and schedule the next comparison.
+
+        The replica has the voter's complete state as of some position, and the voter was sent the records
+        that it lacked.
+        """
         self.synchronized = True
         self._confirmed = NOT_CONFIRMED
         self.confirm_due_us = mono_us
@@ -99,7 +112,7 @@
     # Comparison
 
     def send_digests(self, now_us: int, link: Link) -> None:
-        """Begin a comparison."""
+        """Begin a comparison by sending the replica's digests."""
         digests = b"".join(value.to_bytes(8, "big") for value in self.replica.ranges(now_us))
         self._compared_names.clear()
         self._missing_at_voter.clear()
@@ -107,29 +120,35 @@
         self._outbox.send(link, wire.Digests(now_us, digests))
 
     def receive_ranges(self, now_us: int, ranges: wire.RangeRecords) -> None:
-        """Merge the voter's records of ranges that differ, and note what it lacks of complete ones."""
+        """Merge the voter's records of ranges that differ, and determine the records that it lacks.
+
+        Only ranges that were received completely show which records the voter lacks.
+        """
         self._messages_received += 1
         for part in ranges.parts:
             self._receive_range_part(now_us, part)
 
     def finish_comparison(self, link: Link, position: int) -> None:
-        """All ranges that differ were received; ``position`` 0: the voter has compared nothing."""
+        """Offer the records that the voter lacks, as all ranges that differ were received.
+
+        ``position`` 0: the voter skipped the comparison.
+        """
         self._messages_received += 1
         self._offer_missing(link)
         if position > 0 or not self.synchronized:
             self.rejected = self._rejected_in_comparison
-            self.reached(position, urgent=False)
+            self.advance_position(position, urgent=False)
 
     def repair(self, now_us: int, mono_us: int, link: Link) -> None:
-        """Compare again where that is due."""
+        """Begin another comparison if one is due, sooner if this replica has rejected a record."""
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
         if self.synchronized and mono_us >= self._repair_due_us:
             self._schedule_repair(mono_us, REPAIR_RETRY_US if self.rejected else REPAIR_INTERVAL_US)
             self.send_digests(now_us, link)
 
-    def _schedule_repair(self, mono_us: int, longest_us: int) -> None:
-        self._repair_due_us = mono_us + self._rng.randint(longest_us // 2, longest_us)
+    def _schedule_repair(self, mono_us: int, max_interval_us: int) -> None:
+        self._repair_due_us = mono_us + self._rng.randint(max_interval_us // 2, max_interval_us)
 
     def _receive_range_part(self, now_us: int, part: wire.RangePart) -> None:
         compared = self._compared_names.setdefault(part.index, set())
@@ -150,7 +169,7 @@
             record = self.replica.record(*name)
             if record is not None:
                 records.append(record)
-            size_bytes = sum(len(one.value) for one in records)
+            size_bytes = sum(len(offered.value) for offered in records)
             if len(records) >= MAX_RECORDS_PER_OFFER or size_bytes >= SOFT_MAX_OFFER_BYTES:
                 self._outbox.send(link, wire.Offer(0, tuple(records)))
                 records.clear()
@@ -161,17 +180,20 @@
     # Changes
 
     def receive_changes(self, now_us: int, changes: wire.Changes) -> None:
-        """Merge changes of the voter."""
+        """Merge changes that the voter sent, and advance the position."""
         self._messages_received += 1
         self._merge(now_us, changes.records)
-        self.reached(changes.position, urgent=changes.urgent)
+        self.advance_position(changes.position, urgent=changes.urgent)
 
-    def reached(self, position: int, *, urgent: bool) -> None:
-        """All changes up to ``position`` were received; with ``urgent`` only those of urgent kinds."""
+    def advance_position(self, position: int, *, urgent: bool) -> None:
+        """Record that all changes up to ``position`` were received; with ``urgent`` only the urgent ones.
+
+        The position does not advance while a record is rejected.
+        """
         if self.rejected:
             return  # a position past a rejected record can't be confirmed
         feed = self.feed_position
-        feed.urgent = max(feed.urgent, position)
+        feed.urgent_position = max(feed.urgent_position, position)
         if not urgent:
             feed.position = max(feed.position, position)
 
@@ -185,20 +207,24 @@
     # Confirmations
 
     def needs_confirmation(self) -> bool:
-        """Whether the voter does not know yet how far this replica is."""
+        """Whether the replica's position or the number of received messages has changed since the last
+        confirmation."""
         confirmed, feed = self._confirmed, self.feed_position
         return (
             confirmed.received != self._messages_received
             or confirmed.position != feed.position
-            or confirmed.urgent != feed.urgent
+            or confirmed.urgent != feed.urgent_position
         )
 
     def confirm(self, mono_us: int, link: Link) -> None:
-        """Confirm what is applied: at once, but not more often than at `CONFIRM_INTERVAL_US`."""
+        """Confirm the received messages and, once synchronized, the applied changes to the voter.
+
+        Does nothing if the voter knows them, or within `CONFIRM_INTERVAL_US` of the last confirmation.
+        """
         if not self.needs_confirmation() or mono_us < self.confirm_due_us:
             return
         feed = self.feed_position
-        self._confirmed = wire.Applied(self._messages_received, feed.position, feed.urgent)
+        self._confirmed = wire.Applied(self._messages_received, feed.position, feed.urgent_position)
         self.confirm_due_us = mono_us + CONFIRM_INTERVAL_US
         if self.synchronized:
             self._outbox.send(link, self._confirmed)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -1,11 +1,13 @@
-"""A voter of the control group as a state machine: it handles messages and time, and returns actions. No I/O.
+"""A voter of the control group, as a state machine without I/O: it processes messages and time, and returns
+actions.
 
-Voters replicate records among themselves, each linked to each (`voter_links`); only voters count for
-majorities. Each observer joins one voter and is fed its changes (`observer_sessions`). A change that was
+Voters replicate records among themselves over a full mesh of links (`voter_links`); only voters count for
+majorities. Each observer joins one voter, which sends it all changes (`observer_sessions`). A change that was
 written here is tracked until it is in force at all schedulers (`change_coordinator`).
 
-All times are microseconds: ``now_us`` Unix time that never steps back, ``mono_us`` this process's monotonic
-clock. After each call carry out the returned actions in order; call `tick` at `next_us` at the latest.
+All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
+monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
+`next_us` at the latest.
 """
 
 from collections.abc import Collection, Iterable
@@ -14,7 +16,7 @@
 from robinhill.control import messages as wire
 from robinhill.control.actions import Action, Apply, CaughtUp, Link, VotersSettled
 from robinhill.control.change_coordinator import (
-    OUR_CALLER,
+    LOCAL_CALLER,
     STATUS_INTERVAL_US,
     ChangeCoordinator,
     Requester,
@@ -36,14 +38,15 @@
 from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
 
 FLUSH_INTERVAL_US = 5_000
-"""Least time between two rounds of changes to observers; the first is sent at once."""
+"""Minimum interval between two rounds of changes to observers; a change after a longer pause is sent at
+once."""
 
 COLLECT_INTERVAL_US = 1_000_000
-"""Between two collections of expired records and silent links."""
+"""Interval at which expired records are collected and silent links closed."""
 
 
 class Voter:
-    """One voter. ``replica`` may hold what was read from disk. ``rng`` jitters reconnections."""
+    """One voter. ``replica`` may hold records that were read from disk. ``rng`` jitters reconnections."""
 
     def __init__(
         self,
@@ -58,7 +61,7 @@
         self.name = options.name
         self.incarnation = incarnation
         self.replica = replica
-        self.log = ChangeLog(replica, urgent_kinds)
+        self.changelog = ChangeLog(replica, urgent_kinds)
         self.freshness = Freshness(self.name, options.voters, options.bound_us)
         self.freshness.started(self.name, incarnation)
         self.commit_tracker = CommitTracker(self.name, incarnation, options.bound_us, self.freshness.quorum)
@@ -68,7 +71,7 @@
             options, incarnation, replica, self.freshness, rng, self._outbox, self._is_sent_by_another
         )
         self._sessions = ObserverSessions(
-            options, incarnation, self.log, self.observer_progress, self.age_us, self._outbox
+            options, incarnation, self.changelog, self.observer_progress, self.age_us, self._outbox
         )
         self._changes = ChangeCoordinator(
             self.name,
@@ -80,40 +83,41 @@
             self._outbox,
             lambda: self.counts,
         )
-        self._pending_links: dict[Link, int] = {}  # without a message yet; accepted at
+        # Accepted links on which no message was received yet, with the time of their acceptance.
+        self._pending_links: dict[Link, int] = {}
         self._flushed_us = mono_us - FLUSH_INTERVAL_US
         self._flush_pending = False
-        self._collect_us = mono_us + COLLECT_INTERVAL_US
-        self._expire_waits_us = mono_us
+        self._collect_due_us = mono_us + COLLECT_INTERVAL_US
+        self._expire_waits_due_us = mono_us
 
     # Links
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
-        """The first call."""
+        """Begin to dial the other voters. Must be the first call; a single voter is caught up at once."""
         if len(self._voter_links.names) == 1:
-            self._start_counting()
+            self._mark_caught_up()
         return self.tick(now_us, mono_us)
 
     def accepted(self, mono_us: int, link: Link) -> None:
-        """A connection was accepted; its first message identifies the other side."""
+        """Register an accepted connection; its first message identifies the process on the other side."""
         self._pending_links[link] = mono_us
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
-        """A connection that `Connect` asked for is open."""
+        """Start a session with a voter on a connection that `Connect` has opened."""
         self._voter_links.dialed(mono_us, link, voter)
         return self._finish(now_us, mono_us)
 
     def failed(self, mono_us: int, voter: str) -> None:
-        """A connection that `Connect` asked for could not be opened."""
+        """Start the backoff of a voter to which `Connect` could not open a connection."""
         self._voter_links.failed(mono_us, voter)
 
     def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
-        """A connection was lost, or closed by the other side."""
+        """Remove a connection that was lost, or closed by the other side."""
         self._closed(mono_us, link)
         return self._finish(now_us, mono_us)
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """A message was received. A link with a malformed or unexpected one is rejected."""
+        """Process a received message; a malformed or unexpected one closes the link."""
         head = self.replica.head
         try:
             self._dispatch(now_us, mono_us, link, wire.read(data))
@@ -127,23 +131,26 @@
     def write(
         self, now_us: int, mono_us: int, kind: str, key: str, value: object
     ) -> tuple[int, Record, list[Action]]:
-        """Write a record and track the change. Returns its number in `Progressed`.
+        """Write a record and track the change. Returns the change's number in `Progressed`, and the record.
 
-        Raises ChangesFull, StateFull; KeyError for a kind that is not registered. Nothing is changed then.
+        Raises ChangesFull or StateFull, or KeyError for an unregistered kind; nothing is changed then.
         """
         self.commit_tracker.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
         self._note_changes([record])
-        number = self._track(mono_us, [record], OUR_CALLER)
+        number = self._track(mono_us, [record], LOCAL_CALLER)
         return number, record, self._finish(now_us, mono_us)
 
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
-        """Use another list of voters, which differs by one. Raises VotersNotOneAtATime."""
+        """Use a new list of voters, which may differ from the present one by one voter.
+
+        Raises VotersNotOneAtATime if it differs by more, or the previous change has not settled.
+        """
         changed = frozenset(options.voters) ^ frozenset(self.options.voters)
         if len(changed) > 1:
             raise VotersNotOneAtATime(f"{', '.join(sorted(changed))} would be added or removed at once")
         if changed and len(self.freshness.quorum.lists) > 1:
-            raise VotersNotOneAtATime("the change before has not settled")
+            raise VotersNotOneAtATime("the previous change of the list of voters has not settled")
         self.options = self._sessions.options = options
         if changed:
             self._voter_links.reconfigure(options)
@@ -153,21 +160,21 @@
         return self._finish(now_us, mono_us)
 
     def confirm_complete(self, now_us: int, mono_us: int) -> list[Action]:
-        """An operator confirms that nothing is in force that this voter does not know: it counts."""
-        self._start_counting()
+        """Count for majorities: an operator confirms that this voter knows all changes that are in force."""
+        self._mark_caught_up()
         return self._finish(now_us, mono_us)
 
     def remove_observer(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
-        """An operator reports that a scheduler no longer runs: no change waits for it."""
+        """End all waits for a scheduler that no longer runs, as an operator reports."""
         self._sessions.remove(observer)
         return self._finish(now_us, mono_us)
 
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Time has passed."""
-        if mono_us >= self._collect_us:
-            self._collect_us = mono_us + COLLECT_INTERVAL_US
+        """Do all work that is due by now."""
+        if mono_us >= self._collect_due_us:
+            self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self._collect(now_us, mono_us)
         self._voter_links.connect(mono_us)
         if self._voter_links.settle(mono_us):
@@ -176,8 +183,8 @@
         return self._finish(now_us, mono_us)
 
     def next_us(self, mono_us: int) -> int:
-        """When `tick` is due at the latest (monotonic)."""
-        times = [self._collect_us, *self._voter_links.next_us()]
+        """Monotonic time at which `tick` is due at the latest."""
+        times = [self._collect_due_us, *self._voter_links.next_us()]
         if self._flush_pending:
             times.append(self._flushed_us + FLUSH_INTERVAL_US)
         if (commit_us := self.commit_tracker.next_us()) is not None:
@@ -188,7 +195,7 @@
 
     def _collect(self, now_us: int, mono_us: int) -> None:
         if self.replica.collect(now_us):
-            self.log.collected()
+            self.changelog.collected()
         self._drop_silent_links(mono_us)
         self._sessions.expire_departed(mono_us)
         if departed := self.observer_progress.departed_to_query(mono_us):
@@ -197,7 +204,7 @@
     # Status
 
     def age_us(self, mono_us: int) -> int | None:
-        """Age of the majority's state that this voter knows; None if it knows none."""
+        """Age of the majority's state that this voter knows, for observers; None if it knows none."""
         return self._voter_links.ages.age_us(mono_us)
 
     @property
@@ -207,17 +214,17 @@
 
     @property
     def linked_voters(self) -> tuple[str, ...]:
-        """Voters with a link that is up, ascending."""
+        """Names of the voters that have greeted on a link, in ascending order."""
         return tuple(sorted(self._voter_links.link_of))
 
     @property
     def linked_observers(self) -> int:
-        """Observers that have joined this voter, synchronized or not; spare links are not counted."""
-        return sum(one.feed is not None for one in self._sessions.by_link.values())
+        """Number of observers that have joined this voter, synchronized or not, without spare links."""
+        return sum(session.feed is not None for session in self._sessions.by_link.values())
 
     @property
     def metrics(self) -> Metrics:
-        """Counts since the start."""
+        """Counters since the process started."""
         return self._outbox.metrics
 
     # Messages
@@ -242,7 +249,7 @@
             self._voter_links.accepted(mono_us, link)
             self._handle_from_voter(now_us, mono_us, link, message)
         else:
-            raise JoinRefused(f"a link began with {type(message).__name__}")
+            raise JoinRefused(f"a link began with {type(message).__name__}, expected Join or MeshData")
 
     def _handle_from_voter(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
         voter = self._voter_links.by_link[link]
@@ -250,7 +257,7 @@
         if isinstance(message, wire.MeshData):
             for event in voter.session.receive(now_us, mono_us, message.data):
                 self._handle_session_event(mono_us, link, event)
-        elif voter.name is not None:  # before the greeting it is not known whose message it is
+        elif voter.name is not None:  # before the greeting the sender of the message is unknown
             self._handle_voter_message(mono_us, voter, voter.name, message)
 
     def _handle_voter_message(
@@ -275,7 +282,7 @@
                 if newer and name in self._voter_links.link_of:
                     self._outbox.send_to_voter(self._voter_links.link_of[name], wire.Migrated(newer))
             case _:
-                raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't")
+                raise JoinRefused(f"{name} sent {type(message).__name__}, which voters don't send to voters")
 
     def _handle_session_event(self, mono_us: int, link: Link, event: Event) -> None:
         voter = self._voter_links.by_link[link]
@@ -291,7 +298,7 @@
 
     def _handle_greeting(self, mono_us: int, link: Link, voter: wire.VoterIncarnation) -> None:
         if (earlier := self._voter_links.link_of.get(voter.name)) is not None:
-            self._drop(mono_us, earlier, f"{voter.name} has connected anew")
+            self._drop(mono_us, earlier, f"superseded by a new connection of {voter.name}")
         self._voter_links.greeted(link, voter.name)
         self._record_incarnations([voter])
         if joins := self.observer_progress.synchronized_joins():
@@ -300,7 +307,7 @@
     def _handle_session_answer(self, voter: VoterLink) -> None:
         incomplete = self._voter_links.incomplete
         if not self.counts and not incomplete and self.freshness.may_catch_up():
-            self._start_counting()
+            self._mark_caught_up()
         if voter.name is not None and incomplete.recovered(voter.name, voter.session):
             self._changes.resend_statuses()
 
@@ -323,24 +330,27 @@
             return
         self._track(mono_us, offer.records, Requester(link, offer.number))
 
-    # Changes and their consequences
+    # Tracking and sending of changes
 
     def _note_changes(self, records: Iterable[Record], rejected: Iterable[RejectedRecord] = ()) -> None:
         applied = Apply(tuple(records), tuple(rejected))
         if applied.records:
-            self.log.note(applied.records)
+            self.changelog.note(applied.records)
             self._flush_pending = True
         if applied.records or applied.rejected:
             self._outbox.add(applied)
 
     def _track(self, mono_us: int, records: Iterable[Record], requester: Requester) -> int:
-        """Track a change of these records, by the least urgent and strictest of their kinds."""
+        """Track a change of these records. Returns its number.
+
+        The change is urgent if all its kinds are urgent, and tracked under `hold` if the mode of any kind is.
+        """
         kinds = {record.kind for record in records}
-        urgent = kinds <= self.log.urgent_kinds
+        urgent = kinds <= self.changelog.urgent_kinds
         hold = any(self.options.mode_of(kind) is Mode.HOLD for kind in kinds)
-        return self._changes.track(mono_us, requester, self.log.head(urgent), urgent=urgent, hold=hold)
+        return self._changes.track(mono_us, requester, self.changelog.head(urgent), urgent=urgent, hold=hold)
 
-    def _start_counting(self) -> None:
+    def _mark_caught_up(self) -> None:
         if self.counts:
             return
         self.freshness.caught_up = True
@@ -350,17 +360,20 @@
     def _is_sent_by_another(self, origin: str) -> bool:
         """Whether a voter other than this one sends the changes of an origin to all voters."""
         observer = self.observer_progress.observers.get(origin)
-        ours = observer is not None and observer.link is not None
-        return origin != self.name and not ours
+        linked_here = observer is not None and observer.link is not None
+        return origin != self.name and not linked_here
 
     def _finish(self, now_us: int, mono_us: int, *, pump: bool = True) -> list[Action]:
-        """Everything that follows from a call; ``pump``: other voters may be concerned."""
-        if mono_us >= self._expire_waits_us:
-            self._expire_waits_us = mono_us + STATUS_INTERVAL_US
+        """Advance changes, send pending messages, and return the actions of the call.
+
+        ``pump``: send pending messages to the other voters too.
+        """
+        if mono_us >= self._expire_waits_due_us:
+            self._expire_waits_due_us = mono_us + STATUS_INTERVAL_US
             self.observer_progress.expire_waits(mono_us)
         self._changes.advance(mono_us)
         if pump:
-            # Barriers follow the changes that they cover.
+            # Barriers must be sent after the changes that they cover.
             for voter in self._voter_links.pump(now_us, mono_us):
                 self._changes.send_barriers(voter)
         self._flush(mono_us)
@@ -374,7 +387,7 @@
             self._flushed_us = mono_us
             self._sessions.flush(mono_us)
 
-    # Links that end
+    # Closing of links
 
     def _reject(self, mono_us: int, link: Link, why: str) -> None:
         self.metrics.refused += 1
@@ -397,4 +410,4 @@
         pending = [link for link, at in self._pending_links.items() if mono_us - at > self.options.bound_us]
         voters, observers = self._voter_links.silent_links(mono_us), self._sessions.silent_links(mono_us)
         for link in (*pending, *voters, *observers):
-            self._drop(mono_us, link, "nothing came for longer than the bound")
+            self._drop(mono_us, link, "no message received for longer than mesh.bound_ms")
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -1,7 +1,7 @@
 """A voter's links to the other voters: dialing, replication sessions, incarnations, and lists of voters.
 
-Knows nothing of changes and observers. Times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix
-time.
+This module is independent of tracked changes and observers. Times are microseconds, ``mono_us`` monotonic and
+``now_us`` Unix time.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -25,8 +25,8 @@
 class VoterLink:
     """A link to another voter.
 
-    ``dialed``: the voter that we connected to; None where it connected. ``name`` is None until it has
-    greeted. ``status``: its last; ``sent_status``: our last to it.
+    ``dialed``: the voter that we connected to; None if the other voter connected. ``name`` is None until the
+    other voter has greeted. ``status``: the last status received; ``sent_status``: the last status sent.
     """
 
     session: Session
@@ -37,33 +37,35 @@
     sent_status: wire.VoterStatus | None = None
 
     @property
-    def written(self) -> int:
-        """The position up to which all our changes are sent to the voter, ahead of whatever is sent next; 0
-        while it is not yet known what else it lacks."""
+    def written_position(self) -> int:
+        """Position up to which all our changes were sent to the voter, ahead of any later message.
+
+        0 until the first comparison has determined which records the voter lacks, and these are sent.
+        """
         anti_entropy = self.session.anti_entropy
         return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
 
 
 class GreetedVoter(NamedTuple):
-    """A link whose voter is known. ``written``: position up to which our changes are sent to it."""
+    """A link on which a voter has greeted. ``written_position``: our changes were sent there up to it."""
 
     link: Link
     name: str
-    written: int
+    written_position: int
 
 
 class _RequiredRounds(NamedTuple):
-    """Comparisons of a session after which a voter is complete again."""
+    """The number of a session's comparisons after which a voter may be complete again."""
 
     session: Session
     rounds: int
 
 
 class IncompleteVoters:
-    """Voters that sent a record which was rejected here: we don't have all that they know.
+    """Voters that sent a record which was rejected here, so that we lack some of their state.
 
-    While there is one, what we know of other voters is of no use to anybody else. A voter is removed once a
-    comparison that began later finds no difference.
+    While there is such a voter, we must not report the ages of our knowledge of other voters, as these would
+    vouch for state that we lack. A voter is removed once a comparison that began later finds no difference.
     """
 
     def __init__(self) -> None:
@@ -76,12 +78,15 @@
         return voter in self._required
 
     def record_rejected(self, voter: str, session: Session) -> None:
-        """A record that this voter sent was rejected."""
-        # The next comparison to end may have begun before.
+        """Mark a voter as incomplete, as a record that it sent was rejected."""
+        # Two rounds, as the next comparison to end may have begun before the rejection.
         self._required[voter] = _RequiredRounds(session, session.anti_entropy.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
-        """Whether we have all that this voter has by now. True once."""
+        """Whether a comparison shows that we have all records of this voter again.
+
+        Returns True once: the voter is complete from then on.
+        """
         if voter not in self._required:
             return False
         required = self._required[voter]
@@ -94,7 +99,7 @@
 
 
 class ReportableAges:
-    """What sessions report of `Freshness`: while a voter is incomplete here, only about ourselves."""
+    """The ages that sessions report from `Freshness`: only our own while any voter is incomplete here."""
 
     def __init__(self, freshness: Freshness, incomplete: IncompleteVoters) -> None:
         self.pinged = freshness.pinged
@@ -103,24 +108,24 @@
         self._incomplete = incomplete
 
     def ages(self, mono_us: int) -> Mapping[str, int]:
-        """Age of our knowledge of each voter that counts, in microseconds."""
+        """Age of our knowledge of each voter that counts for majorities, in microseconds."""
         return self._reportable(self._freshness.ages(mono_us))
 
     def starting_ages(self, mono_us: int) -> Mapping[str, int]:
-        """The same of voters that do not count yet."""
+        """Age of our knowledge of each voter that doesn't count for majorities yet, in microseconds."""
         return self._reportable(self._freshness.starting_ages(mono_us))
 
     def age_us(self, mono_us: int) -> int | None:
-        """Age of the majority's state that we know, for observers; None: of none."""
+        """Age of the majority's state that we know, for observers; None: we know none."""
         return None if self._incomplete else self._freshness.age_us(mono_us)
 
     def _reportable(self, ages: Mapping[str, int]) -> Mapping[str, int]:
-        me = self._freshness.me
-        return {name: age for name, age in ages.items() if name == me} if self._incomplete else ages
+        own_name = self._freshness.me
+        return {name: age for name, age in ages.items() if name == own_name} if self._incomplete else ages
 
 
 class VoterLinks:
-    """The other voters.
+    """The links of one voter to the other voters.
 
     ``sent_by_another``: whether a voter other than this one sends the changes of an origin to all voters.
     """
@@ -147,17 +152,17 @@
         self._outbox = outbox
         self._sent_by_another = sent_by_another
         self._backoff = Backoff(rng)
-        self._agreed_since_us: int | None = None  # since when all voters use the newest list
+        self._agreed_since_us: int | None = None  # time since which all voters use the newest list
 
     @property
     def names(self) -> frozenset[str]:
-        """The voters of all lists that count, this one among them."""
+        """Names of the voters in all lists in use, including this one."""
         return self.freshness.quorum.names
 
     # Links
 
     def connect(self, mono_us: int) -> None:
-        """Dial the voters that are due."""
+        """Dial the voters without a link whose backoff has ended."""
         self._backoff.expire(mono_us)
         for name in self._to_dial():
             if mono_us >= self._backoff.due_us(name):
@@ -165,30 +170,30 @@
                 self._outbox.add(Connect(name))
 
     def dialed(self, mono_us: int, link: Link, name: str) -> None:
-        """A connection that we asked for is open."""
+        """Start a session on a connection that we dialed, or close it if the voter was removed meanwhile."""
         if name not in self.names:
             self._backoff.connected(name)
-            self._outbox.disconnect(link, f"{name} is no voter any more")
+            self._outbox.disconnect(link, f"{name} was removed from the list of voters")
             return
         self.by_link[link] = VoterLink(self._session(opens=True), mono_us, name)
 
     def accepted(self, mono_us: int, link: Link) -> None:
-        """A voter has connected to us."""
+        """Start a session on a connection that another voter opened."""
         self.by_link[link] = VoterLink(self._session(opens=False), mono_us)
 
     def failed(self, mono_us: int, name: str) -> None:
-        """A connection that we asked for could not be opened."""
+        """Start the backoff of a voter that could not be dialed."""
         self._backoff.failed(mono_us, name)
 
     def greeted(self, link: Link, name: str) -> None:
-        """The other side of a link is this voter. Its earlier link must have ended before."""
+        """Record which voter greeted on a link. The caller must have closed that voter's earlier link."""
         voter = self.by_link[link]
         voter.name = name
         self.link_of[name] = link
         self._backoff.connected(voter.dialed or name)
 
     def closed(self, mono_us: int, link: Link) -> str | None:
-        """A link has ended. Returns the voter's name where it has no other."""
+        """Remove a link. Returns the voter's name if this was its current link."""
         voter = self.by_link.pop(link, None)
         if voter is None:
             return None
@@ -202,19 +207,20 @@
     def silent_links(self, mono_us: int) -> list[Link]:
         """Links on which nothing was received for longer than the bound."""
         timeout_us = self.options.bound_us
-        return [link for link, one in self.by_link.items() if mono_us - one.last_received_us > timeout_us]
+        return [link for link, voter in self.by_link.items() if mono_us - voter.last_received_us > timeout_us]
 
     def next_us(self) -> Iterator[int]:
-        """When something is due though nothing is received before."""
-        yield from (one.session.next_us() for one in self.by_link.values())
+        """Times at which a session or a connection attempt is due."""
+        yield from (voter.session.next_us() for voter in self.by_link.values())
         yield from (self._backoff.due_us(name) for name in self._to_dial())
 
     # Messages
 
     def pump(self, now_us: int, mono_us: int) -> Iterator[GreetedVoter]:
-        """Send what sessions have to send, then our status where it has changed.
+        """Send the pending frames of all sessions, then our status where it has changed.
 
-        Yields each link whose voter has greeted; what the caller sends then follows what was sent here.
+        Yields each link on which a voter has greeted, once its frames are sent; messages that the caller then
+        sends follow them.
         """
         status = self._status()
         for link, voter in self.by_link.items():
@@ -225,7 +231,7 @@
             if voter.sent_status != status:
                 voter.sent_status = status
                 self._outbox.send_to_voter(link, status)
-            yield GreetedVoter(link, voter.name, voter.written)
+            yield GreetedVoter(link, voter.name, voter.written_position)
 
     def send_to_all(self, message: wire.VoterMessage) -> None:
         """Send a message to each voter that has greeted."""
@@ -237,26 +243,28 @@
     def record_incarnations(
         self, incarnations: Iterable[wire.VoterIncarnation]
     ) -> list[wire.VoterIncarnation]:
-        """Record incarnations that another process knows. Returns those that are newer than known here."""
-        newer = [one for one in incarnations if one.name in self.names and self._is_newer(one)]
-        for one in newer:
-            self._incarnations[one.name] = one
-            self.freshness.started(one.name, one.incarnation)
+        """Record the incarnations that another voter reports. Returns those that were not known here yet."""
+        newer = [voter for voter in incarnations if voter.name in self.names and self._is_newer(voter)]
+        for voter in newer:
+            self._incarnations[voter.name] = voter
+            self.freshness.started(voter.name, voter.incarnation)
         return newer
 
     def known_incarnations(self) -> tuple[wire.VoterIncarnation, ...]:
-        """The newest incarnation of each voter that is known here, by name."""
+        """The newest known incarnation of each voter, sorted by name."""
         return tuple(sorted(self._incarnations.values()))
 
     def reconfigure(self, options: ControlOptions) -> None:
-        """Use another list of voters, beside those before until `settle`."""
+        """Add a new list of voters; majorities of the earlier lists are required too until `settle`."""
         self.options = options
         self.freshness.reconfigure(options.voters)
         self._agreed_since_us = None
 
     def settle(self, mono_us: int) -> bool:
-        """Drop all lists but the newest once all voters have used it for longer than a lease lasts. Returns
-        whether they were dropped now."""
+        """Drop all lists but the newest once all voters have used it for longer than a lease lasts.
+
+        Returns whether this call dropped them.
+        """
         lists = self.freshness.quorum.lists
         if len(lists) == 1:
             return False
@@ -271,9 +279,9 @@
         self.freshness.settled()
         return True
 
-    def _is_newer(self, one: wire.VoterIncarnation) -> bool:
-        known = self._incarnations.get(one.name)
-        return one.incarnation > (known.incarnation if known is not None else 0)
+    def _is_newer(self, voter: wire.VoterIncarnation) -> bool:
+        known = self._incarnations.get(voter.name)
+        return voter.incarnation > (known.incarnation if known is not None else 0)
 
     def _uses_list(self, name: str, digest: bytes) -> bool:
         link = self.link_of.get(name)
@@ -292,6 +300,6 @@
         return session
 
     def _to_dial(self) -> list[str]:
-        """Voters that we connect to: of two the one with the smaller name does."""
+        """Return the voters to dial. Of each pair, the voter with the smaller name dials the other."""
         linking = self.link_of.keys() | self._backoff.connecting
         return [name for name in self.options.voters if name > self.options.name and name not in linking]
--- a/tests/test_control_feed.py
+++ b/tests/test_control_feed.py
@@ -12,13 +12,13 @@
 
     def __init__(self, notes: int = 0) -> None:
         self.replica = Replica("v", 1, [number_kind(CORDON), number_kind(NOTE)])
-        self.log = ChangeLog(self.replica, URGENT)
-        self.feed = ChangeFeed(self.log)
+        self.changelog = ChangeLog(self.replica, URGENT)
+        self.feed = ChangeFeed(self.changelog)
         for i in range(notes):
             self.write(NOTE, f"n{i}")
 
     def write(self, kind: str, key: str, value: int = 1) -> None:
-        self.log.note([self.replica.write(EPOCH_US, kind, key, value)])
+        self.changelog.note([self.replica.write(EPOCH_US, kind, key, value)])
 
     def draw(self) -> list[object]:
         return [read(data) for data in self.feed.draw()[0]]
@@ -101,12 +101,12 @@
 
 def test_messages_are_encoded_once_for_all() -> None:
     rig = Rig()
-    feeds = [ChangeFeed(rig.log) for _ in range(100)]
+    feeds = [ChangeFeed(rig.changelog) for _ in range(100)]
     for feed in feeds:
         feed.resume(0)
     rig.write(NOTE, "n")
     drawn = {feed.draw()[0][0] for feed in feeds}
-    assert len(drawn) == 1 and rig.log.messages_encoded == 1
+    assert len(drawn) == 1 and rig.changelog.messages_encoded == 1
 
 
 def test_urgent_changes_beyond_one_message_are_sent_in_order() -> None:
