--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -73,9 +73,7 @@
     def compare(self, now_us: int, digests: Digests) -> None:
         """Begin to send the ranges whose digests differ. Raises JoinRefused for a wrong number of digests."""
         if len(digests.digests) != RANGES * DIGEST_BYTES:
-            raise JoinRefused(
-                f"the digests have {len(digests.digests)} bytes, expected {RANGES * DIGEST_BYTES}"
-            )
+            raise JoinRefused("Digests has the wrong length: expected 8 bytes for each of 256 ranges")
         if self.synchronized and not self.idle:
             self._compared_position = 0
             return
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -16,8 +16,8 @@
 from robinhill.control.replica_sync import FeedPosition
 from robinhill.control.voter_selection import VoterSelection
 
+# The primary link is closed as silent if no message is received on it for the bound divided by this number.
 SILENT_TIMEOUTS_PER_BOUND = 2
-"""A primary link without a message for the bound divided by this is closed as silent."""
 
 SPARE_HEARTBEAT_INTERVALS = 2
 """Interval between heartbeats to the spare voter, in heartbeat intervals of the primary voter."""
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -102,9 +102,7 @@
         if join.protocol != wire.PROTOCOL:
             raise JoinRefused(f"{join.name} uses protocol {join.protocol}, this voter uses {wire.PROTOCOL}")
         if join.installation != options.installation:
-            raise JoinRefused(
-                f"{join.name} is of installation {join.installation!r}, expected {options.installation!r}"
-            )
+            raise JoinRefused(f"{join.name} is of installation {join.installation!r}, unlike this voter")
         if (join.bound_us, join.on_lost) != (options.bound_us, options.modes):
             raise JoinRefused(f"mesh.bound_ms or mesh.on_lost of {join.name} differs from this voter's")
         if join.name in options.voters:
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -174,7 +174,7 @@
         if kinds and kind not in kinds:
             raise VotersMalformed(
                 f"mesh.on_lost_by_kind.{kind}",
-                f"there is no record kind {kind!r}",
+                "there is no record kind of this name",
                 f"use one of {_sorted_text(kinds)}",
             )
 
