--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -104,7 +104,9 @@
         if join.installation != options.installation:
             raise JoinRefused(f"{join.name} is of installation {join.installation!r}, unlike this voter")
         if (join.bound_us, join.on_lost) != (options.bound_us, options.modes):
-            raise JoinRefused(f"mesh.bound_ms or mesh.on_lost of {join.name} differs from this voter's")
+            raise JoinRefused(
+                f"mesh.bound_ms or a mesh.on_lost mode of {join.name} differs from this voter's"
+            )
         if join.name in options.voters:
             raise JoinRefused(f"the observer's name {join.name} is the name of a voter")
 
--- a/tests/test_control_lease.py
+++ b/tests/test_control_lease.py
@@ -1,73 +1,73 @@
-"""An observer's lease, and the voter's replies that renew it."""
+"""An observer's lease: renewal by heartbeat replies, and expiry at the bound."""
 
 from robinhill.control.lease import MAX_UNANSWERED_HEARTBEATS, ObserverLease
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-def lease() -> ObserverLease:
-    found = ObserverLease(4 * SECOND)
-    found.start_counting()
-    return found
+def synchronized_lease() -> ObserverLease:
+    lease = ObserverLease(4 * SECOND_US)
+    lease.start_counting()
+    return lease
 
 
-def test_there_is_no_lease_before_a_reply() -> None:
-    fresh = lease()
-    assert not fresh.is_valid(0) and fresh.age_us(0) is None and fresh.until_us() == NEVER
-    fresh.heartbeat_sent(0)
-    assert not fresh.is_valid(0)
+def test_lease_is_invalid_before_the_first_reply() -> None:
+    lease = synchronized_lease()
+    assert not lease.is_valid(0) and lease.age_us(0) is None and lease.until_us() == NEVER
+    lease.heartbeat_sent(0)
+    assert not lease.is_valid(0)
 
 
-def test_the_lease_counts_from_the_writing_of_the_heartbeat() -> None:
-    fresh = lease()
-    number = fresh.heartbeat_sent(10 * SECOND)
-    assert fresh.reply_received(number, 2 * SECOND)
-    allowance = 2 * SECOND // RATE_ALLOWANCE
-    assert fresh.as_of_us == 8 * SECOND - allowance
-    assert fresh.is_valid(12 * SECOND - allowance) and not fresh.is_valid(12 * SECOND - allowance + 1)
-    assert fresh.until_us() == 12 * SECOND - allowance
+def test_lease_as_of_is_the_heartbeat_write_time_less_the_reported_age() -> None:
+    lease = synchronized_lease()
+    number = lease.heartbeat_sent(10 * SECOND_US)
+    assert lease.reply_received(number, 2 * SECOND_US)
+    allowance = 2 * SECOND_US // RATE_ALLOWANCE
+    assert lease.as_of_us == 8 * SECOND_US - allowance
+    assert lease.is_valid(12 * SECOND_US - allowance) and not lease.is_valid(12 * SECOND_US - allowance + 1)
+    assert lease.until_us() == 12 * SECOND_US - allowance
 
 
-def test_a_reply_without_a_majority_renews_nothing() -> None:
-    fresh = lease()
-    assert not fresh.reply_received(fresh.heartbeat_sent(0), -1)
-    assert not fresh.is_valid(0)
+def test_reply_of_a_voter_that_knows_no_majority_does_not_renew_the_lease() -> None:
+    lease = synchronized_lease()
+    assert not lease.reply_received(lease.heartbeat_sent(0), -1)
+    assert not lease.is_valid(0)
 
 
-def test_unknown_and_duplicate_replies_are_ignored() -> None:
-    fresh = lease()
-    number = fresh.heartbeat_sent(0)
-    assert not fresh.reply_received(number + 1, 0)
-    assert fresh.reply_received(number, 0)
-    fresh.as_of_us = None
-    assert not fresh.reply_received(number, 0)
+def test_replies_with_unknown_or_duplicate_numbers_are_ignored() -> None:
+    lease = synchronized_lease()
+    number = lease.heartbeat_sent(0)
+    assert not lease.reply_received(number + 1, 0)
+    assert lease.reply_received(number, 0)
+    lease.as_of_us = None
+    assert not lease.reply_received(number, 0)
 
 
-def test_the_moment_never_goes_back() -> None:
-    fresh = lease()
-    fresh.reply_received(fresh.heartbeat_sent(SECOND), 0)
-    assert not fresh.reply_received(fresh.heartbeat_sent(2 * SECOND), 3 * SECOND)
-    assert fresh.as_of_us == SECOND
+def test_reply_with_an_older_state_does_not_move_the_lease_back() -> None:
+    lease = synchronized_lease()
+    lease.reply_received(lease.heartbeat_sent(SECOND_US), 0)
+    assert not lease.reply_received(lease.heartbeat_sent(2 * SECOND_US), 3 * SECOND_US)
+    assert lease.as_of_us == SECOND_US
 
 
-def test_replies_count_only_while_synchronized() -> None:
-    fresh = lease()
-    before = fresh.heartbeat_sent(0)
-    fresh.reset()
-    fresh.start_counting()
-    assert not fresh.reply_received(before, 0)
-    fresh.reset()
-    during = fresh.heartbeat_sent(SECOND)
-    assert not fresh.reply_received(during, 0)
-    fresh.start_counting()
-    assert not fresh.reply_received(during, 0)
-    assert fresh.reply_received(fresh.heartbeat_sent(2 * SECOND), 0)
+def test_replies_to_heartbeats_sent_before_synchronization_are_ignored() -> None:
+    lease = synchronized_lease()
+    earlier = lease.heartbeat_sent(0)
+    lease.reset()
+    lease.start_counting()
+    assert not lease.reply_received(earlier, 0)
+    lease.reset()
+    unsynchronized = lease.heartbeat_sent(SECOND_US)
+    assert not lease.reply_received(unsynchronized, 0)
+    lease.start_counting()
+    assert not lease.reply_received(unsynchronized, 0)
+    assert lease.reply_received(lease.heartbeat_sent(2 * SECOND_US), 0)
 
 
-def test_unanswered_heartbeats_are_bounded() -> None:
-    fresh = lease()
-    first = fresh.heartbeat_sent(0)
+def test_reply_to_a_heartbeat_beyond_the_in_flight_limit_is_ignored() -> None:
+    lease = synchronized_lease()
+    first = lease.heartbeat_sent(0)
     for at in range(MAX_UNANSWERED_HEARTBEATS):
-        fresh.heartbeat_sent(at)
-    assert not fresh.reply_received(first, 0)
+        lease.heartbeat_sent(at)
+    assert not lease.reply_received(first, 0)
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -1,93 +1,96 @@
-"""Which observers a voter waits for until a change is in force."""
+"""The observers that a voter waits for until a change is in force."""
 
 from robinhill.control.observer_progress import MAX_DEPARTED, UNKNOWN_OBSERVERS, BarrierId, ObserverProgress
 from robinhill.cordon.propagation import with_slack
 
-BOUND = 1_000_000
-LATER = with_slack(BOUND)  # after the start observers of an earlier one are waited for no more
+BOUND_US = 1_000_000
+LEASES_EXPIRED_US = with_slack(
+    BOUND_US
+)  # the leases of an earlier incarnation's observers have expired by then
 
 
-def observer_progress(*names: str) -> ObserverProgress:
-    found = ObserverProgress(0, BOUND)
+def synchronized_observers(*names: str) -> ObserverProgress:
+    progress = ObserverProgress(0, BOUND_US)
     for link, name in enumerate(names):
-        found.joined(LATER, name, 1, 1, link)
-        found.applied(LATER, name, 5, 5)
-    return found
+        progress.joined(LEASES_EXPIRED_US, name, 1, 1, link)
+        progress.applied(LEASES_EXPIRED_US, name, 5, 5)
+    return progress
 
 
-def waiting(found: ObserverProgress, hold: bool = True) -> set[str]:
-    return found.track(LATER, BarrierId("v", 1), 6, urgent=False, hold=hold).waiting
+def track_position(progress: ObserverProgress, hold: bool = True) -> set[str]:
+    """Track a position that no observer has applied, and return its waiting set."""
+    return progress.track(LEASES_EXPIRED_US, BarrierId("v", 1), 6, urgent=False, hold=hold).waiting
 
 
-def test_observers_are_waited_for_until_they_confirm() -> None:
-    found = observer_progress("a", "b")
-    left = waiting(found)
-    assert left == {"a", "b"}
-    found.applied(LATER, "a", 6, 6)
-    found.applied(LATER, "b", 5, 9)
-    assert left == {"b"}
-    found.remove("b")
-    assert not left
+def test_observer_is_waited_for_until_it_confirms_or_is_removed() -> None:
+    progress = synchronized_observers("a", "b")
+    waiting = track_position(progress)
+    assert waiting == {"a", "b"}
+    progress.applied(LEASES_EXPIRED_US, "a", 6, 6)
+    progress.applied(LEASES_EXPIRED_US, "b", 5, 9)
+    assert waiting == {"b"}
+    progress.remove("b")
+    assert not waiting
 
 
-def test_urgent_changes_have_a_position_of_their_own() -> None:
-    found = observer_progress("a")
-    left = found.track(LATER, BarrierId("v", 1), 6, urgent=True, hold=True).waiting
-    found.applied(LATER, "a", 5, 6)
-    assert not left
+def test_urgent_position_ends_the_wait_for_urgent_changes() -> None:
+    progress = synchronized_observers("a")
+    waiting = progress.track(LEASES_EXPIRED_US, BarrierId("v", 1), 6, urgent=True, hold=True).waiting
+    progress.applied(LEASES_EXPIRED_US, "a", 5, 6)
+    assert not waiting
 
 
-def test_a_disconnected_observer_is_waited_for_until_its_lease_expires() -> None:
-    found = observer_progress("a")
-    left = waiting(found)
-    found.link_lost("a", 0)
-    found.expire_waits(LATER + with_slack(BOUND) - 1)
-    assert left == {"a"}
-    found.expire_waits(LATER + with_slack(BOUND))
-    assert not left
+def test_disconnected_observer_is_waited_for_until_its_lease_expires() -> None:
+    progress = synchronized_observers("a")
+    waiting = track_position(progress)
+    progress.link_lost("a", 0)
+    progress.expire_waits(LEASES_EXPIRED_US + with_slack(BOUND_US) - 1)
+    assert waiting == {"a"}
+    progress.expire_waits(LEASES_EXPIRED_US + with_slack(BOUND_US))
+    assert not waiting
 
 
-def test_under_serve_only_a_message_ends_the_wait() -> None:
-    found = observer_progress("a", "b", "c")
-    left = waiting(found, hold=False)
+def test_under_serve_the_wait_outlasts_the_lease_until_removal_restart_or_migration() -> None:
+    progress = synchronized_observers("a", "b", "c")
+    waiting = track_position(progress, hold=False)
     for link, name in enumerate("abc"):
-        found.link_lost(name, link)
-    found.expire_waits(100 * BOUND)
-    assert left == {"a", "b", "c"}
-    found.remove("a")
-    found.joined(LATER, "b", 2, 1, 9)
-    assert left == {"c"}
-    found.migrated_away("c", 1, 2)
-    assert not left
+        progress.link_lost(name, link)
+    progress.expire_waits(100 * BOUND_US)
+    assert waiting == {"a", "b", "c"}
+    progress.remove("a")
+    progress.joined(LEASES_EXPIRED_US, "b", 2, 1, 9)
+    assert waiting == {"c"}
+    progress.migrated_away("c", 1, 2)
+    assert not waiting
 
 
-def test_an_earlier_join_elsewhere_is_ignored() -> None:
-    found = observer_progress("a")
-    found.joined(LATER, "a", 1, 3, 7)
-    left = waiting(found)
-    assert not found.migrated_away("a", 1, 2) and left == {"a"}
-    assert found.migrated_away("a", 1, 4) and not left
+def test_migration_by_an_earlier_join_is_ignored() -> None:
+    progress = synchronized_observers("a")
+    progress.joined(LEASES_EXPIRED_US, "a", 1, 3, 7)
+    waiting = track_position(progress)
+    assert not progress.migrated_away("a", 1, 2) and waiting == {"a"}
+    assert progress.migrated_away("a", 1, 4) and not waiting
 
 
-def test_an_earlier_incarnation_may_not_join() -> None:
-    found = observer_progress()
-    found.joined(LATER, "a", 2, 1, 1)
-    assert found.joined(LATER, "a", 1, 5, 2) is None
+def test_join_of_an_earlier_incarnation_is_rejected() -> None:
+    progress = synchronized_observers()
+    progress.joined(LEASES_EXPIRED_US, "a", 2, 1, 1)
+    assert progress.joined(LEASES_EXPIRED_US, "a", 1, 5, 2) is None
 
 
-def test_observers_of_an_earlier_incarnation_are_waited_for() -> None:
-    found = ObserverProgress(0, BOUND)
-    left = found.track(1, BarrierId("v", 1), 6, urgent=False, hold=False).waiting
-    assert left == {UNKNOWN_OBSERVERS}
-    found.expire_waits(LATER)
-    assert not left
+def test_restarted_voter_waits_for_its_unknown_observers_until_their_leases_expire() -> None:
+    progress = ObserverProgress(0, BOUND_US)
+    waiting = progress.track(1, BarrierId("v", 1), 6, urgent=False, hold=False).waiting
+    assert waiting == {UNKNOWN_OBSERVERS}
+    progress.expire_waits(LEASES_EXPIRED_US)
+    assert not waiting
 
 
-def test_departed_observers_are_bounded() -> None:
-    found = ObserverProgress(0, BOUND)
+def test_number_of_departed_observers_is_limited() -> None:
+    progress = ObserverProgress(0, BOUND_US)
     for i in range(MAX_DEPARTED + 10):
-        found.joined(0, f"s{i}", 1, 1, i)
-        found.link_lost(f"s{i}", i)
-    assert len(found.observers) == MAX_DEPARTED
-    found.remove_expired(with_slack(BOUND))
-    assert not found.observers
+        progress.joined(0, f"s{i}", 1, 1, i)
+        progress.link_lost(f"s{i}", i)
+    assert len(progress.observers) == MAX_DEPARTED
+    progress.remove_expired(with_slack(BOUND_US))
+    assert not progress.observers
