--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -72,8 +72,8 @@
 class Progressed:
     """The progress of a tracked change. ``number`` is the number that ``write`` returned for the change.
 
-    ``accepted``: a majority of voters has stored it (with kinds that serve: this voter), so it can't be lost
-    any more. ``in_force``: no scheduler can act without knowing it.
+    ``accepted``: a majority of voters has stored the change, so it can't be lost any more; under `serve` one
+    voter that has stored it is enough. ``in_force``: no scheduler can act without knowing the change.
     """
 
     number: int
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -17,8 +17,8 @@
 """Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""If the time of an observer's digests differs more from ours, they are compared with digests as of our time,
-which makes ranges differ whose records expired between the two times."""
+"""Maximum difference of the clocks at which the voter computes its digests as of the observer's time. Beyond
+it they are as of the voter's own time, so ranges differ in which records expired between the two times."""
 
 DIGEST_BYTES = 8
 
@@ -73,7 +73,7 @@
     def compare(self, now_us: int, digests: Digests) -> None:
         """Begin to send the ranges whose digests differ. Raises JoinRefused for a wrong number of digests."""
         if len(digests.digests) != RANGES * DIGEST_BYTES:
-            raise JoinRefused("Digests has the wrong length: expected 8 bytes for each of 256 ranges")
+            raise JoinRefused("the digests have the wrong length, expected 8 bytes for each of 256 ranges")
         if self.synchronized and not self.idle:
             self._compared_position = 0
             return
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -1,6 +1,7 @@
-"""Tracks the changes that were written at this voter until they are in force at all schedulers.
+"""Tracks the changes that this voter receives from its caller or its observers until they are in force at all
+schedulers.
 
-Changes that are written in quick succession share a batch, which takes one barrier to each other voter and
+Changes that arrive in quick succession share a batch, which takes one barrier to each other voter and
 one status from it. A change is *accepted* once a majority of voters has stored it
 (`robinhill.mesh.acceptance`); under `serve`, as soon as this voter has stored it. An accepted change is *in
 force* once each voter has reported that none of its observers lags. Under `hold` it is also in force once the
@@ -90,7 +91,7 @@
             if batch.sealed and (batch.accepted_us is not None or not batch.hold):
                 self._drop(batch)
                 return
-        raise ChangesFull(f"{self._tracked_changes} changes are pending, and none of them is accepted yet")
+        raise ChangesFull(f"{self._tracked_changes} changes are pending, none of them accepted")
 
     def track(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
         """Track a change that was stored here at ``position``, the log's head for changes of its urgency."""
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -22,7 +22,8 @@
 from robinhill.cordon.propagation import with_slack
 
 MAX_DEPARTED = 4_096
-"""Limit of the observers that are retained after they disconnected without a goodbye."""
+"""Limit of the observers that are retained after a disconnect without a goodbye, and of the retained
+goodbyes."""
 
 MAX_DEPARTED_PER_QUERY = 64
 """Limit of the departed observers in one query to the other voters."""
@@ -177,9 +178,9 @@
     def synchronized_joins(self) -> tuple[ObserverJoin, ...]:
         """The joins of linked observers that are synchronized with this voter."""
         return tuple(
-            ObserverJoin(one.name, one.incarnation, one.join)
-            for one in self.observers.values()
-            if one.link is not None and one.synchronized
+            ObserverJoin(observer.name, observer.incarnation, observer.join)
+            for observer in self.observers.values()
+            if observer.link is not None and observer.synchronized
         )
 
     # Observers of other voters
@@ -216,8 +217,8 @@
             del self._departed[name]
             self._departed[name] = None
         return tuple(
-            ObserverJoin(one.name, one.incarnation, one.join)
-            for one in map(self.observers.__getitem__, names)
+            ObserverJoin(observer.name, observer.incarnation, observer.join)
+            for observer in map(self.observers.__getitem__, names)
         )
 
     def newer_joins(self, queried: Iterable[ObserverJoin]) -> tuple[ObserverJoin, ...]:
--- a/robinhill/control/pending_offers.py
+++ b/robinhill/control/pending_offers.py
@@ -34,7 +34,7 @@
             return
         accepted = next((number for number in self._records if number in self._accepted), None)
         if accepted is None:
-            raise ChangesFull(f"{len(self._records)} changes are pending, and none of them is accepted yet")
+            raise ChangesFull(f"{len(self._records)} changes are pending, none of them accepted")
         self.drop(accepted)
 
     def add(self, records: Iterable[Record]) -> Offer:
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -2,8 +2,9 @@
 actions.
 
 Voters replicate records among themselves over a full mesh of links (`voter_links`); only voters count for
-majorities. Each observer joins one voter, which sends it all changes (`observer_sessions`). A change that was
-written here is tracked until it is in force at all schedulers (`change_coordinator`).
+majorities. Each observer joins one voter, which sends it all changes (`observer_sessions`). A voter tracks
+the changes that it receives from its caller or its observers until they are in force at all schedulers
+(`change_coordinator`).
 
 All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
 monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -47,7 +47,7 @@
 
 
 class GreetedVoter(NamedTuple):
-    """A link on which a voter has greeted. ``written_position``: our changes were sent there up to it."""
+    """A link on which a voter has greeted. ``written_position``: as in `VoterLink`."""
 
     link: Link
     name: str
@@ -64,8 +64,9 @@
 class IncompleteVoters:
     """Voters that sent a record which was rejected here, so that we lack some of their state.
 
-    While there is such a voter, we must not report the ages of our knowledge of other voters, as these would
-    vouch for state that we lack. A voter is removed once a comparison that began later finds no difference.
+    While there is such a voter, our knowledge of other voters must not be reported, as other processes would
+    conclude that we have state which we lack. A voter is removed once a comparison that began after the
+    rejection finds no difference.
     """
 
     def __init__(self) -> None:
--- a/tests/test_control_observer_progress.py
+++ b/tests/test_control_observer_progress.py
@@ -4,9 +4,9 @@
 from robinhill.cordon.propagation import with_slack
 
 BOUND_US = 1_000_000
-LEASES_EXPIRED_US = with_slack(
-    BOUND_US
-)  # the leases of an earlier incarnation's observers have expired by then
+
+# By this time the leases of the observers of the earlier incarnation have expired.
+LEASES_EXPIRED_US = with_slack(BOUND_US)
 
 
 def synchronized_observers(*names: str) -> ObserverProgress:
