--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -1,8 +1,8 @@
-"""What a voter sends to one observer: ranges that differ, changes, and heartbeat replies after them.
+"""A voter's change feed to one observer: ranges that differ, changes, and heartbeat replies after them.
 
-The send window is bounded in messages that the observer has not confirmed: the cursor of a slow observer
-stays behind, and later it gets the newest value of each record. A heartbeat is replied to once all is sent
-that was known when it was read.
+The send window limits the number of messages that the observer has not confirmed. When the window is full,
+the feed's cursor stays where it is, and the observer later receives only the newest value of each record. The
+feed replies to a heartbeat once it has sent all changes that were known when the heartbeat was read.
 """
 
 from dataclasses import dataclass
@@ -14,30 +14,35 @@
 from robinhill.mesh.records import Record
 
 MAX_UNCONFIRMED_MESSAGES = 8
-"""The send window: with `SOFT_MAX_MESSAGE_BYTES` some 256 KB by observer."""
+"""Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Digests as of a time further from ours are compared with digests as of our time, and so differ."""
+"""Maximum difference of the clocks at which the voter computes its digests as of the observer's time. Beyond
+it they are as of the voter's own time, so ranges differ in which records expired between the two times."""
 
 DIGEST_BYTES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class _PendingReply:
-    """A heartbeat's reply, due once all changes up to ``position`` and urgent ones up to ``urgent`` are
-    sent."""
+    """The reply to a heartbeat, due once all changes up to ``position`` are sent, and urgent ones up to
+    ``urgent_position``."""
 
     number: int
     age_us: int
     position: int
-    urgent: int
+    urgent_position: int
 
 
 class ChangeFeed:
-    """The cursor of one observer's link. ``synchronized``: all that the voter had at some moment is sent."""
+    """The change feed to one observer's link.
 
-    def __init__(self, log: ChangeLog) -> None:
-        self.log = log
+    ``synchronized``: the observer was sent the voter's complete state as of some position, and receives the
+    changes since. ``sent``: number of messages with records sent on this link.
+    """
+
+    def __init__(self, changelog: ChangeLog) -> None:
+        self.changelog = changelog
         self.synchronized = False
         self.sent = 0
         self._cursor = 0
@@ -45,58 +50,60 @@
         self._confirmed = 0
         self._differing_ranges: list[int] = []
         self._current_range = 0
-        self._unsent_records: list[Record] | None = None  # of the current range
-        self._compared_position: int | None = None  # of the comparison under way
+        self._unsent_records: list[Record] | None = None  # of the current range; None: no range is begun
+        self._compared_position: int | None = None  # of the comparison in progress; None: there is none
         self._pending_reply: _PendingReply | None = None
 
     @property
     def comparing(self) -> bool:
-        """Whether a comparison is under way."""
+        """Whether a comparison is in progress."""
         return self._compared_position is not None
 
     @property
     def idle(self) -> bool:
         """Whether all changes are sent and confirmed."""
-        sent = self._cursor >= self.log.bulk_head and self._urgent_cursor >= self.log.urgent_head
+        sent = self._cursor >= self.changelog.bulk_head and self._urgent_cursor >= self.changelog.urgent_head
         return sent and self._confirmed == self.sent
 
     def resume(self, position: int) -> None:
-        """The observer has all changes of this voter up to ``position``."""
+        """Feed changes from ``position``; the observer has all earlier changes of this voter."""
         self.synchronized = True
         self._cursor = self._urgent_cursor = position
 
     def compare(self, now_us: int, digests: Digests) -> None:
-        """Begin to send the ranges that differ. Raises JoinRefused for a wrong number of digests."""
+        """Begin to send the ranges whose digests differ. Raises JoinRefused for a wrong number of digests."""
         if len(digests.digests) != RANGES * DIGEST_BYTES:
-            raise JoinRefused("digests of 256 ranges were awaited")
+            raise JoinRefused("the digests have the wrong length, expected 8 bytes for each of 256 ranges")
         if self.synchronized and not self.idle:
             self._compared_position = 0
             return
         near = abs(digests.at_us - now_us) <= MAX_CLOCK_DIFFERENCE_US
-        ours = self.log.replica.ranges(digests.at_us if near else now_us)
+        ours = self.changelog.replica.ranges(digests.at_us if near else now_us)
         theirs = [
             int.from_bytes(digests.digests[start : start + DIGEST_BYTES], "big")
             for start in range(0, RANGES * DIGEST_BYTES, DIGEST_BYTES)
         ]
         self._differing_ranges = [index for index in range(RANGES) if theirs[index] != ours[index]]
         self._unsent_records = None
-        self._compared_position = self.log.replica.head
+        self._compared_position = self.changelog.replica.head
         if not self.synchronized:
             self._cursor = self._urgent_cursor = self._compared_position
 
     def heartbeat(self, number: int, age_us: int | None) -> None:
-        """A heartbeat was read. ``age_us``: age of the majority's state that the voter knows; None: of
-        none."""
-        if self._pending_reply is None:  # else the observer's next heartbeat is replied to
-            position, urgent = self.log.replica.head, self.log.urgent_head
+        """Queue the reply to a heartbeat that was just read, unless another reply is pending.
+
+        ``age_us``: age of the majority's state that the voter knows; None: it knows none.
+        """
+        if self._pending_reply is None:  # otherwise a later heartbeat is replied to
+            position, urgent = self.changelog.replica.head, self.changelog.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
     def confirm(self, count: int) -> None:
-        """The observer has received ``count`` messages with records on this link."""
+        """Advance the send window: the observer has received ``count`` messages with records on this link."""
         self._confirmed = max(self._confirmed, min(count, self.sent))
 
     def draw(self) -> tuple[list[bytes], bool]:
-        """Messages that may be sent now, and whether a heartbeat reply is among them."""
+        """Return the encoded messages that may be sent now, and whether a heartbeat reply is among them."""
         messages: list[bytes] = []
         while (data := self._draw_records()) is not None:
             messages.append(data)
@@ -115,13 +122,13 @@
         return data
 
     def _draw_changes(self) -> bytes | None:
-        while self._urgent_cursor < self.log.urgent_head:
-            changes = self.log.after(self._urgent_cursor, True)
+        while self._urgent_cursor < self.changelog.urgent_head:
+            changes = self.changelog.after(self._urgent_cursor, True)
             self._urgent_cursor = changes.cursor
             if changes.data is not None:
                 return changes.data
-        while self._cursor < self.log.replica.head:
-            changes = self.log.after(self._cursor, False)
+        while self._cursor < self.changelog.replica.head:
+            changes = self.changelog.after(self._cursor, False)
             self._cursor = changes.cursor
             if changes.data is not None:
                 return changes.data
@@ -138,7 +145,7 @@
         return data
 
     def _draw_range_parts(self) -> list[RangePart]:
-        """Parts of ranges that differ, up to the size of one message."""
+        """Return the next parts of the ranges that differ, up to the size of one message."""
         parts: list[RangePart] = []
         size_bytes = count = 0
         while size_bytes < SOFT_MAX_MESSAGE_BYTES and count < MAX_RECORDS_PER_MESSAGE:
@@ -153,7 +160,7 @@
     def _draw_range_part(self, capacity_bytes: int) -> RangePart:
         if self._unsent_records is None:
             self._current_range = self._differing_ranges.pop()
-            self._unsent_records = self.log.replica.in_range(self._current_range)
+            self._unsent_records = self.changelog.replica.in_range(self._current_range)
         drawn: list[Record] = []
         while self._unsent_records and capacity_bytes > 0:
             record = self._unsent_records.pop()
@@ -168,7 +175,7 @@
         pending = self._pending_reply
         if pending is None or not self.synchronized:
             return None
-        if self._cursor < pending.position or self._urgent_cursor < pending.urgent:
+        if self._cursor < pending.position or self._urgent_cursor < pending.urgent_position:
             return None
         self._pending_reply = None
         return write(HeartbeatReply(pending.number, pending.age_us, self._cursor))
