--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -115,7 +115,7 @@
 
     def seal(self) -> "Observer":
         lease = self.lease
-        at_lease = lease.as_of_us, lease._last_number, tuple(lease._in_flight), lease._counting
+        at_lease = lease.as_of_us, lease._last_number, tuple(lease._in_flight), lease._accepts_replies
         self.fingerprint = hash((at_lease, self.voter, self.synchronized, self.holds, self.up, self.down))
         return self
 
@@ -162,7 +162,7 @@
     def _observer(self, voter: int) -> Observer:
         lease = self.wrong.lease(BOUND_US)
         if voter != NOWHERE:
-            lease.start_counting()
+            lease.accept_replies()
         return Observer(lease, voter).seal()
 
     def _voter(self, name: str, starts: list[int], counts: bool, names: frozenset[str]) -> Scheduler:
@@ -256,7 +256,7 @@
         observer.voter, observer.synchronized = voter, False
         observer.up, observer.down = (Message("join"),), ()
         if self.wrong.unsynced:
-            observer.lease._counting = True
+            observer.lease._accepts_replies = True
             observer.up = ()
         following = self._with_observer(state, f"observer {at} moves to {self.names[voter]}", at, observer)
         following.extra = state.extra._replace(moves=state.extra.moves - 1)
@@ -296,7 +296,7 @@
         if message.what == "sync":
             observer.holds = message.holds if self.wrong.replaces else observer.holds or message.holds
             observer.synchronized = True
-            observer.lease.start_counting()
+            observer.lease.accept_replies()
             observer.up = (*observer.up, Message("offer", observer.holds))
         else:
             observer.holds |= message.holds
--- a/robinhill/control/lease.py
+++ b/robinhill/control/lease.py
@@ -42,21 +42,21 @@
         self.as_of_us: int | None = None
         self._last_number = 0
         self._in_flight: deque[SentHeartbeat] = deque(maxlen=MAX_UNANSWERED_HEARTBEATS)
-        self._counting = False
+        self._accepts_replies = False
 
     def reset(self) -> None:
-        """Ignore replies until `start_counting`, because the voter or the link has changed."""
-        self._counting = False
+        """Ignore replies until `accept_replies`, because the voter or the link has changed."""
+        self._accepts_replies = False
         self._in_flight.clear()
 
-    def start_counting(self) -> None:
+    def accept_replies(self) -> None:
         """Renew the lease by replies to heartbeats that are sent from now on.
 
         The caller calls this once the replica is synchronized with the voter and the voter was sent the
         records that it lacked. Replies to earlier heartbeats stay ignored, as the voter may have read those
         while it knew less than the observer.
         """
-        self._counting = True
+        self._accepts_replies = True
         self._in_flight.clear()
 
     def heartbeat_sent(self, mono_us: int) -> int:
@@ -74,7 +74,7 @@
         ``age_us``: age of the majority's state that the voter knew when it read the heartbeat; negative: it
         knew no majority's state.
         """
-        if not self._counting or all(number != one.number for one in self._in_flight):
+        if not self._accepts_replies or all(number != one.number for one in self._in_flight):
             return False
         written_us = self._pop_in_flight(number)
         if age_us < 0:
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -279,7 +279,7 @@
         self._sync.complete_sync(mono_us)
         for offer in self._offers:
             self._outbox.send(link, offer)
-        self.lease.start_counting()
+        self.lease.accept_replies()
         self._links.by_link[link].next_heartbeat_us = mono_us
         self._send_heartbeats(mono_us)
 
--- a/robinhill/control/operator_options.py
+++ b/robinhill/control/operator_options.py
@@ -11,7 +11,7 @@
     observer_options,
     voter_options,
 )
-from robinhill.control.record_kinds import kinds, names_of
+from robinhill.control.record_kinds import kind_names, kinds
 from robinhill.cordon.propagation import Mode
 from robinhill.mesh.options import MeshOptions
 
@@ -24,17 +24,17 @@
 def options_of_voter(mesh: MeshOptions, name: str) -> ControlOptions:
     """Read the options of the voter ``name``. Raises ConfigError."""
     keys = _keys(mesh)
-    return _with_config_errors(lambda: voter_options(keys, name, names_of(kinds())))
+    return _with_config_errors(lambda: voter_options(keys, name, kind_names(kinds())))
 
 
 def options_of_observer(mesh: MeshOptions, name: str) -> ControlOptions:
     """Read the options of the scheduler ``name``, which is an observer. Raises ConfigError."""
     keys = _keys(mesh)
     place = Place(mesh.region, mesh.zone)
-    return _with_config_errors(lambda: observer_options(keys, name, place, names_of(kinds())))
+    return _with_config_errors(lambda: observer_options(keys, name, place, kind_names(kinds())))
 
 
-def address_of(options: ControlOptions, voter: str) -> Address:
+def voter_address(options: ControlOptions, voter: str) -> Address:
     """Return the address on which a voter listens."""
     host, _, port = options.voters[voter].address.rpartition(":")
     return Address(host.strip("[]"), int(port))
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -17,6 +17,6 @@
     return (cordon_kind(), DRAIN_KIND, EVIDENCE_KIND, request_kind(MAX_RETRY_WINDOW_US))
 
 
-def names_of(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
+def kind_names(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
     """Return the names of record kinds, as they are spelled in the operators' file."""
     return tuple(kind.name for kind in registered)
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -12,9 +12,9 @@
 from robinhill.config_types import Address, ConfigError
 from robinhill.control.actions import Action, Apply, LeaseChanged, Progressed
 from robinhill.control.observer import Observer
-from robinhill.control.operator_options import address_of, options_of_observer
+from robinhill.control.operator_options import options_of_observer, voter_address
 from robinhill.control.options import ControlOptions
-from robinhill.control.record_kinds import kinds, names_of
+from robinhill.control.record_kinds import kind_names, kinds
 from robinhill.cordon.propagation import Mode
 from robinhill.cordon.value import NAME as CORDON
 from robinhill.mesh.options import MeshOptions
@@ -65,7 +65,7 @@
         self.inbound = inbound
         # A file is left by a scheduler that shared with peers; as an observer it saves no records.
         folder = config.folder if mesh.folder else None
-        recovery = recover(folder, mesh.installation, self.name, clock.now_us(), names_of(kinds()))
+        recovery = recover(folder, mesh.installation, self.name, clock.now_us(), kind_names(kinds()))
         self.snapshot_store = recovery.store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
@@ -277,4 +277,4 @@
             log.error("state_not_saved", extra={"file": "mesh.state", "why": str(e)})
 
     def _address_of(self, voter: str) -> Address:
-        return address_of(self.options, voter)
+        return voter_address(self.options, voter)
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -16,7 +16,7 @@
 from robinhill.config_types import Address, ConfigError
 from robinhill.control.actions import Action, Apply, CaughtUp, Progressed, VotersSettled
 from robinhill.control.errors import VotersNotOneAtATime
-from robinhill.control.operator_options import address_of, options_of_voter
+from robinhill.control.operator_options import options_of_voter, voter_address
 from robinhill.control.options import ControlOptions
 from robinhill.control.record_kinds import URGENT_KINDS
 from robinhill.control.voter import Voter
@@ -254,4 +254,4 @@
         return self.replica.snapshot(persistent_only=True)
 
     def _address_of(self, voter: str) -> Address:
-        return address_of(self.options, voter)
+        return voter_address(self.options, voter)
--- a/tests/test_control_lease.py
+++ b/tests/test_control_lease.py
@@ -8,7 +8,7 @@
 
 def synchronized_lease() -> ObserverLease:
     lease = ObserverLease(4 * SECOND_US)
-    lease.start_counting()
+    lease.accept_replies()
     return lease
 
 
@@ -55,12 +55,12 @@
     lease = synchronized_lease()
     earlier = lease.heartbeat_sent(0)
     lease.reset()
-    lease.start_counting()
+    lease.accept_replies()
     assert not lease.reply_received(earlier, 0)
     lease.reset()
     unsynchronized = lease.heartbeat_sent(SECOND_US)
     assert not lease.reply_received(unsynchronized, 0)
-    lease.start_counting()
+    lease.accept_replies()
     assert not lease.reply_received(unsynchronized, 0)
     assert lease.reply_received(lease.heartbeat_sent(2 * SECOND_US), 0)
 
