--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -1,16 +1,19 @@
-"""Which workers to cordon without an operator, by the observations of several schedulers.
-
-A worker is a suspect if a quorum of observers, and more than half of those that observe it at all, find it an
-outlier: beyond an absolute threshold, and beyond the same threshold measured from the baseline. The baseline
-is the highest of the observer's own median over similar workers and of the medians over fleet, zone, machine
-type and cell: where all are slower, a suspect must be slower still. Where more of such a group than
-COMMON_CAUSE_SHARE are beyond the absolute threshold, by half a quorum's observations, the cause is what they
-have in common, and a cordon does not cure that: no worker of the group is proposed. The observations of one
-that finds more workers bad than MAX_ACCUSED_SHARE are discarded: the fault is likely its own.
-
-The same evidence gives the same proposals at every scheduler. One of them proposes at once, in an order that
-differs by worker; the next ones do so only if it has not. The budget is applied where proposals are read, see
-``budget``. No input or output. Times are Unix microseconds.
+"""Detection of workers to cordon automatically, from the observations of several schedulers.
+
+A worker is a suspect if a quorum of observers, and more than half of all observers of the worker, find it an
+outlier: its amount is above an absolute threshold, and exceeds the baseline by a margin derived from the same
+threshold. The baseline is the highest of the observer's own median over similar workers and the medians over
+fleet, zone, machine type and cell. So in a group that is slow as a whole, a suspect must be slower still.
+
+If more than COMMON_CAUSE_SHARE of such a group is above the absolute threshold, according to half a quorum of
+observers each, the cause is common to the group. Cordons don't remove a common cause, so no worker of the
+group is proposed. If an observer reports more than MAX_OVER_THRESHOLD_SHARE of its workers above a threshold,
+the fault is likely its own, and its observations are discarded.
+
+The same evidence gives the same proposals at every scheduler. For each worker the schedulers have a different
+order: the first proposes the cordon at once, and each later one only if no earlier one has done so by its
+turn. The budget is applied by the readers of proposals, see ``budget``. No input or output. Times are Unix
+microseconds.
 """
 
 import math
@@ -28,17 +31,18 @@
 from robinhill.cordon.value import AUTOMATIC_ID_PREFIX, CordonSet, Reason, is_cordon_id
 
 MULTIPLE_CAUSES = frozenset({"lagging", "slow"})
-"""Causes whose amounts are multiples of what was expected; those of the others are shares."""
+"""Causes whose amounts are multiples of the expected time. The amounts of the other causes are shares."""
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """What an observer measured of a worker up to ``at_us``, be it good or bad.
+    """An observer's measurement of a worker up to ``at_us``, whether the worker is healthy or not.
 
-    ``amount`` is by cause: for 'silent' and 'failing' the share of attempts, for 'slow' and 'lagging' the
-    time taken as a multiple of what was expected. ``baseline`` is the observer's median of the same over
-    workers of the same zone and machine type (over all, where it knows fewer than four), ``worker_count`` the
-    number of workers that it observed. A single failure makes no observation.
+    The meaning of ``amount`` depends on the cause: for 'silent' and 'failing' it is the share of attempts,
+    for 'slow' and 'lagging' the time taken as a multiple of the expected time. ``baseline`` is the observer's
+    median amount over workers of the same zone and machine type, or over all workers if it knows fewer than
+    four of these. ``worker_count`` is the number of workers that it observed. A single failure is not
+    reported as an observation.
     """
 
     observer: str
@@ -52,9 +56,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DetectionOptions:
-    """Thresholds of detection, to be set alike at all schedulers.
+    """Thresholds of detection; all schedulers must have the same values.
 
-    ``quorum``: how many observers must agree. ``duration_us``: how long a first automatic cordon lasts.
+    ``quorum``: the number of observers that must agree. ``duration_us``: the duration of a worker's first
+    automatic cordon.
     """
 
     quorum: int = limits.DEFAULT_QUORUM
@@ -67,17 +72,20 @@
 
     def __post_init__(self) -> None:
         if self.quorum < 2:
-            raise ValueError("a quorum needs two observers at least")
+            raise ValueError("quorum must be at least 2")
         if not (0 < self.silent_share <= 1 and 0 < self.failing_share <= 1):
-            raise ValueError("shares must be above 0 and at most 1")
+            raise ValueError("silent_share and failing_share must be above 0 and at most 1")
         if not (self.lagging_multiple > 1 and self.slow_multiple > 1):
-            raise ValueError("multiples must be above 1")
+            raise ValueError("lagging_multiple and slow_multiple must be above 1")
         max_duration_us = limits.MAX_AUTOMATIC_DURATION_US
         if not (self.max_observation_age_us > 0 and 0 < self.duration_us <= max_duration_us):
-            raise ValueError(f"times must be above 0, and a cordon lasts {max_duration_us} us at most")
+            raise ValueError(
+                f"max_observation_age_us and duration_us must be above 0, and duration_us at most"
+                f" {max_duration_us}"
+            )
 
     def threshold(self, cause: str) -> float:
-        """Return the amount from which on a worker is bad against a baseline without faults."""
+        """Return the lowest amount that makes a worker an outlier among workers without faults."""
         return {
             "silent": self.silent_share,
             "failing": self.failing_share,
@@ -86,7 +94,7 @@
         }[cause]
 
     def is_outlier(self, cause: str, amount: float, baseline: float) -> bool:
-        """Return whether an amount is bad against the baseline of the other workers."""
+        """Return whether an amount is above the threshold both by itself and relative to the baseline."""
         threshold = self.threshold(cause)
         if cause in MULTIPLE_CAUSES:
             return amount >= threshold * max(baseline, 1.0)
@@ -95,7 +103,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Suspect:
-    """A worker that a quorum finds bad; ``since_us`` is when the quorum was complete."""
+    """A worker that a quorum of observers finds an outlier.
+
+    ``since_us`` is when the quorum was complete. ``amount`` is the observers' median for ``cause``.
+    """
 
     worker: str
     cause: str
@@ -105,7 +116,7 @@
 
 
 class ObservationKey(NamedTuple):
-    """What a newer observation replaces: the one of the same observer, worker and cause."""
+    """Identifies the observation that a newer one replaces."""
 
     observer: str
     worker: str
@@ -114,11 +125,11 @@
 
 @dataclass(slots=True)
 class _WorkerEvidence:
-    """Fresh observations of one worker."""
+    """The usable observations of one worker."""
 
-    observers: set[str]  # all that observe it
-    over_threshold: set[str]  # those that find it beyond the absolute threshold
-    outlying: dict[str, list[Observation]]  # by cause: those that find it an outlier
+    observers: set[str]  # all observers of the worker
+    over_threshold: set[str]  # observers that measured an amount above the absolute threshold
+    outlying: dict[str, list[Observation]]  # by cause: observations that make the worker an outlier
 
 
 def find_suspects(
@@ -129,20 +140,22 @@
     evidence_after_us: Mapping[str, int] | None = None,
     cordoned: AbstractSet[str] = frozenset(),
 ) -> tuple[Suspect, ...]:
-    """Return the workers that a quorum finds bad, by ascending ID.
+    """Return the workers that a quorum of observers finds outliers, by ascending ID.
 
-    ``evidence_after_us``: by worker, up to when observations of it are used up. ``cordoned``: workers that
-    have an automatic cordon already and so get no new evidence; they count towards a common cause.
+    ``evidence_after_us``: by worker, the time up to which its observations no longer count as evidence.
+    ``cordoned``: workers that already have an automatic cordon and so get no new evidence; they count towards
+    a common cause.
     """
-    # Used-up evidence still counts for its observer and for the groups' baselines.
+    # Observations before ``evidence_after_us`` still count in the check of their observer and in baselines.
     latest = _discard_unreliable(_find_latest(now_us, observations, workers, options), options)
     evidence = _collect_evidence(latest, workers, options, evidence_after_us or {})
-    unwell = {worker for worker, each in evidence.items() if _is_unwell(each, options)}
-    affected_groups = _find_common_causes(cordoned | unwell, workers)
+    unhealthy = {worker for worker, each in evidence.items() if _is_unhealthy(each, options)}
+    affected_groups = _find_common_causes(cordoned | unhealthy, workers)
     return tuple(
         suspect
         for worker, each in sorted(evidence.items())
-        if (suspect := _judge(worker, each, options)) and affected_groups.isdisjoint(_groups(worker, workers))
+        if (suspect := _make_suspect(worker, each, options))
+        and affected_groups.isdisjoint(_groups(worker, workers))
     )
 
 
@@ -155,10 +168,10 @@
     workers: Mapping[str, Location],
     options: DetectionOptions | None = None,
 ) -> tuple[tuple[str, Reason], ...]:
-    """Return what this scheduler is to propose now: targets and reasons, for ``value.set_cordon``.
+    """Return the automatic cordons that this scheduler should set now, as targets and reasons.
 
-    ``items`` are all cordons, by target; ``alive`` the schedulers that may propose. A worker that has an
-    automatic cordon, or had one lifted by an operator lately, gets none.
+    ``items`` are all cordons, by target; ``alive`` are the schedulers that may propose. There is no proposal
+    for a worker that has an automatic cordon, or that an operator lifted one from within LIFT_COOLDOWN_US.
     """
     options, others = options or DetectionOptions(), frozenset(alive) - {own_name}
     histories = {worker: _read_history(now_us, items.get(f"worker/{worker}")) for worker in workers}
@@ -176,7 +189,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _History:
-    """A worker's automatic cordons up to now; ``times`` counts those in a row that have ended."""
+    """Summary of a worker's automatic cordons; ``times`` counts the recent ones in a row that have ended."""
 
     is_active: bool
     evidence_after_us: int
@@ -189,7 +202,7 @@
     reasons = [entry.reason for entry in value.entries if entry.reason.automatic]
     ended = [reason for reason in reasons if reason.has_ended(now_us)]
     recent = [reason.times for reason in ended if reason.until_us + limits.REPEAT_WINDOW_US > now_us]
-    # A lift by a clock that is far ahead must not prevent automatic cordons until then.
+    # A lift that was dated by a clock far ahead must not prevent automatic cordons until that time.
     lifted_us = value.lifted_us if value.lifted_us <= now_us + limits.MAX_CLOCK_SKEW_US else 0
     cooldown_end_us = lifted_us + limits.LIFT_COOLDOWN_US if lifted_us else 0
     evidence_after_us = max([cooldown_end_us, *(reason.until_us for reason in ended)])
@@ -206,7 +219,7 @@
         cordon_id = f"{AUTOMATIC_ID_PREFIX}{suspect.cause}-{digest}"
     return Reason(
         id=cordon_id,
-        text=f"{suspect.cause} ({suspect.amount:.3g}) as {len(suspect.observers)} schedulers see it",
+        text=f"{suspect.cause} ({suspect.amount:.3g}), reported by {len(suspect.observers)} schedulers",
         by=own_name,
         since_us=now_us,
         until_us=now_us + min(doubled_us, limits.MAX_AUTOMATIC_DURATION_US),
@@ -218,13 +231,13 @@
 
 
 def _turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
-    """Return this scheduler's place in the worker's own order of schedulers, the late ones together."""
+    """Return this scheduler's place in the order of schedulers for a worker, at most MAX_PROPOSAL_TURNS."""
 
-    def draw(name: str) -> bytes:
+    def rank(name: str) -> bytes:
         return blake2s(f"{worker}\0{name}".encode(), digest_size=8).digest()
 
-    own = draw(own_name)
-    return min(sum(draw(name) < own for name in others), limits.MAX_PROPOSAL_TURNS)
+    own_rank = rank(own_name)
+    return min(sum(rank(name) < own_rank for name in others), limits.MAX_PROPOSAL_TURNS)
 
 
 def _find_latest(
@@ -233,7 +246,7 @@
     workers: Mapping[str, Location],
     options: DetectionOptions,
 ) -> dict[ObservationKey, Observation]:
-    """Return the last valid observation by each key."""
+    """Return the latest valid observation for each key."""
     latest: dict[ObservationKey, Observation] = {}
     for each in observations:
         if each.worker not in workers or not _is_valid(now_us, each, options):
@@ -258,17 +271,20 @@
 def _discard_unreliable(
     latest: dict[ObservationKey, Observation], options: DetectionOptions
 ) -> dict[ObservationKey, Observation]:
-    """Leave out observers that find too many of the workers bad that they observe, by their own count."""
-    accused: dict[str, set[str]] = defaultdict(set)
+    """Discard all observations of observers that report too large a share of their workers over a threshold.
+
+    The number of an observer's workers is the highest ``worker_count`` of its observations.
+    """
+    over_threshold: dict[str, set[str]] = defaultdict(set)
     worker_counts: dict[str, int] = {}
     for key, each in latest.items():
         worker_counts[key.observer] = max(worker_counts.get(key.observer, 0), each.worker_count)
         if each.amount >= options.threshold(key.cause):
-            accused[key.observer].add(key.worker)
+            over_threshold[key.observer].add(key.worker)
     unreliable = {
         observer
-        for observer, found in accused.items()
-        if len(found) > max(1, limits.MAX_ACCUSED_SHARE * worker_counts[observer])
+        for observer, workers in over_threshold.items()
+        if len(workers) > max(1, limits.MAX_OVER_THRESHOLD_SHARE * worker_counts[observer])
     }
     return {key: each for key, each in latest.items() if key.observer not in unreliable}
 
@@ -279,7 +295,7 @@
     options: DetectionOptions,
     evidence_after_us: Mapping[str, int],
 ) -> dict[str, _WorkerEvidence]:
-    """Return the evidence on each worker that is not used up."""
+    """Return the evidence about each worker from its observations after ``evidence_after_us``."""
     baselines = _find_baselines(latest, workers)
     evidence: dict[str, _WorkerEvidence] = {}
     for key, each in sorted(latest.items()):
@@ -296,15 +312,15 @@
     return evidence
 
 
-def _is_unwell(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
-    """Return whether half a quorum, and half of its observers, find a worker beyond the threshold."""
+def _is_unhealthy(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
+    """Return whether half a quorum, and most of its observers, find a worker above the threshold."""
     over, observers = len(evidence.over_threshold), len(evidence.observers)
     return 2 * over >= options.quorum and 2 * over > observers
 
 
-def _judge(worker: str, evidence: _WorkerEvidence, options: DetectionOptions) -> Suspect | None:
-    """Return a worker as a suspect, None if no quorum finds it an outlier."""
-    observers: dict[str, int] = {}  # each counts once, from its first observation on
+def _make_suspect(worker: str, evidence: _WorkerEvidence, options: DetectionOptions) -> Suspect | None:
+    """Return a worker as a suspect; None if no quorum of observers finds it an outlier."""
+    observers: dict[str, int] = {}  # by observer: the time of its first observation that finds an outlier
     outlying = [each for observations in evidence.outlying.values() for each in observations]
     for each in sorted(outlying, key=lambda each: each.at_us):
         observers.setdefault(each.observer, each.at_us)
@@ -321,7 +337,7 @@
 
 
 def _groups(worker: str, workers: Mapping[str, Location]) -> Sequence[str]:
-    """Return the groups that a worker may share a cause with, the whole fleet as ''."""
+    """Return the groups of workers that a worker belongs to: '' for the fleet, and its group targets."""
     return "", *targets_of(worker, workers[worker])[1:]
 
 
@@ -336,7 +352,10 @@
 def _find_baselines(
     latest: dict[ObservationKey, Observation], workers: Mapping[str, Location]
 ) -> dict[str, dict[str, float]]:
-    """Return, by cause, the median of each group that is large enough; unobserved workers count as well."""
+    """Return, by cause, the median of each group of at least MIN_GROUP_SIZE workers.
+
+    Workers without an observation count as healthy.
+    """
     amounts: dict[str, dict[str, list[float]]] = {cause: defaultdict(list) for cause in CAUSES}
     for key, each in latest.items():
         amounts[key.cause][key.worker].append(each.amount)
@@ -356,10 +375,10 @@
     return baselines
 
 
-def _find_common_causes(unwell: AbstractSet[str], workers: Mapping[str, Location]) -> set[str]:
-    """Return the groups of which so many are unwell or cordoned that the cause is common to them."""
+def _find_common_causes(unhealthy: AbstractSet[str], workers: Mapping[str, Location]) -> set[str]:
+    """Return the groups in which more than COMMON_CAUSE_SHARE of the workers are unhealthy or cordoned."""
     counts: dict[str, int] = defaultdict(int)
-    for worker in unwell:
+    for worker in unhealthy:
         for group in _groups(worker, workers):
             counts[group] += 1
     sizes = _group_sizes(workers)
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -1,14 +1,14 @@
-"""Errors about cordons, each with what was wrong and what an operator can do."""
+"""Errors of calls about cordons. Each says what was wrong and has advice for the operator."""
 
 from collections.abc import Sequence
 
 from robinhill.errors import RobinhillError
 
-MAX_NAMES_SHOWN = 8  # an error is read on a terminal
+MAX_NAMES_SHOWN = 8  # keeps an error short enough to read on a terminal
 
 
 def name_some(names: Sequence[str], none: str = "none") -> str:
-    """Return the first few of a list of names, and how many more there are."""
+    """Return the first MAX_NAMES_SHOWN names as text and the number of the others; ``none`` for no names."""
     if not names:
         return none
     rest = f" and {len(names) - MAX_NAMES_SHOWN} more" if len(names) > MAX_NAMES_SHOWN else ""
@@ -22,64 +22,66 @@
 
 
 class CordonMalformed(CordonError):
-    """The call is invalid: its ID, target, reason or end. Nothing was changed."""
+    """The ID, target, reason or end of a cordon in the call is invalid. Nothing was changed."""
 
     code = "CordonMalformed"
-    advice = "name a target (worker/ID, zone/NAME, kind/NAME or cell/NUMBER), a reason, an end ahead of now"
+    advice = "give a target (worker/ID, zone/NAME, kind/NAME or cell/NUMBER), a reason and an end after now"
 
 
 class CordonUnknown(CordonError):
-    """No cordon has the ID that was named; the error names those that exist."""
+    """No active cordon has the ID in the call; the error names the existing IDs."""
 
     code = "CordonUnknown"
-    advice = "look at the list: it may have ended, be lifted, or not be known here yet"
+    advice = "list the cordons: this one may have ended, been lifted, or not yet reached this process"
 
     def __init__(self, cordon_id: str, known: Sequence[str]) -> None:
-        super().__init__(f"no cordon is called {cordon_id!r}; there are: {name_some(known)}")
+        super().__init__(f"no cordon is called {cordon_id!r}; active cordons: {name_some(known)}")
         self.cordon_id = cordon_id
 
 
 class CordonElsewhere(CordonError):
-    """The ID is in use for another target. Nothing was changed."""
+    """The cordon's ID is in use for another target. Nothing was changed."""
 
     code = "CordonElsewhere"
     advice = "lift that cordon first, or choose another ID"
 
     def __init__(self, cordon_id: str, target: str, present: Sequence[str]) -> None:
-        super().__init__(f"{cordon_id!r} can't be for {target!r}: it is for {name_some(present)}")
+        super().__init__(
+            f"{cordon_id!r} can't be set for {target!r}: the ID is in use at {name_some(present)}"
+        )
         self.cordon_id, self.present = cordon_id, tuple(present)
 
 
 class CordonsFull(CordonError):
-    """A target has as many reasons as it may."""
+    """A target already has the maximum number of reasons."""
 
     code = "CordonsFull"
-    advice = "lift what is no longer needed, or use an ID that is there already"
+    advice = "lift cordons that are no longer needed, or replace one by using its ID"
 
 
 class CordonBudgetSpent(CordonError):
-    """An automatic cordon is not in force: it would leave out more of the fleet or of a zone than allowed."""
+    """An automatic cordon is not in effect: it would exceed the budget's share of the fleet or of a zone."""
 
     code = "CordonBudgetSpent"
-    advice = "look why so many are bad; cordon it yourself, which no budget forbids, or raise the budget"
+    advice = "find out why so many workers are bad; cordon them yourself, which no budget limits, or raise it"
 
 
 class NotAccepted(CordonError):
-    """By the deadline no majority of the schedulers was known to hold the change; it goes on spreading."""
+    """At the deadline no majority of the schedulers was known to hold the change; it continues to spread."""
 
     code = "NotAccepted"
-    advice = "see which schedulers are down or cut off; the list tells when it is accepted"
+    advice = "check which schedulers are down or unreachable; the listing shows when it is accepted"
 
     def __init__(self, what: str, missing: Sequence[str]) -> None:
-        super().__init__(f"{what} is stored here but not accepted; not heard from: {name_some(missing)}")
+        super().__init__(f"{what} is stored here but not accepted; not confirmed by: {name_some(missing)}")
         self.missing = tuple(missing)
 
 
 class BoundNotMet(CordonError):
-    """By the deadline some schedulers had not confirmed the change; it is accepted and goes on spreading."""
+    """At the deadline some schedulers had not confirmed the accepted change; it continues to spread."""
 
     code = "BoundNotMet"
-    advice = "those that are named may still act as before: see whether they run, or stop them"
+    advice = "the named schedulers may still act without the change: check whether they run, or stop them"
 
     def __init__(self, what: str, unconfirmed: Sequence[str]) -> None:
         super().__init__(f"{what} is accepted but not in force; unconfirmed: {name_some(unconfirmed)}")
@@ -87,7 +89,7 @@
 
 
 class TooManyCalls(CordonError):
-    """Too many changes are tracked at once. Nothing was changed."""
+    """Callers wait for the maximum number of changes. Nothing was changed."""
 
     code = "TooManyCalls"
-    advice = "call without wait=, or wait till calls that are under way have ended"
+    advice = "call without wait=, or retry when other calls have ended"
--- a/robinhill/cordon/peer_state.py
+++ b/robinhill/cordon/peer_state.py
@@ -1,18 +1,18 @@
-"""What a scheduler knows of one of its peers: its last acknowledgement, its link and its incarnation."""
+"""A scheduler's record of one of its peers: the last acknowledgement, the link and the incarnation."""
 
 from dataclasses import dataclass
 
 from robinhill.cordon.propagation import ProcessStatus
 from robinhill.mesh.acknowledgements import Acknowledgement
 
-GONE_AFTER_US = 5_000_000  # without a link for longer, a scheduler is gone and no longer suspect
+GONE_AFTER_US = 5_000_000  # a peer that has had no link for longer is "gone", before that "suspect"
 
 
 @dataclass(slots=True)
 class PeerState:
-    """What is known of another scheduler.
+    """The state of another scheduler as known here.
 
-    ``link_changed_us`` is when its link last came up or went down, 0 before the first time.
+    ``link_changed_us`` is when the link to it last came up or went down; 0 before the first link.
     """
 
     acknowledgement: Acknowledgement | None = None
@@ -22,12 +22,12 @@
 
     @property
     def current_acknowledgement(self) -> Acknowledgement | None:
-        """Its last acknowledgement, if its present process wrote it."""
+        """The peer's last acknowledgement; None if an earlier process of the peer wrote it."""
         last = self.acknowledgement
         return last if last and last.incarnation >= self.incarnation else None
 
     def status(self, mono_us: int) -> ProcessStatus:
-        """Return what is known of its process."""
+        """Return the status of the peer's process at ``mono_us``."""
         current = self.current_acknowledgement
         if current and current.left:
             return ProcessStatus.LEFT
@@ -39,10 +39,10 @@
         return ProcessStatus.GONE if gone else ProcessStatus.SUSPECT
 
     def is_lagging(self, target: str, digest: bytes | None, combined_digest: bytes) -> bool:
-        """Return whether it is not known to have applied a target's cordons as they are in this copy.
+        """Return whether the peer is not known to have applied a target's cordons as held in this copy.
 
-        ``digest`` is this copy's of the target, ``combined_digest`` that of all its cordons. A peer that has
-        left sends nothing more, whatever it had applied, and does not lag.
+        ``digest`` is this copy's digest of the target's cordons, ``combined_digest`` its digest of all
+        cordons. A peer that has left does not lag, whatever it had applied: it sends nothing more.
         """
         current = self.current_acknowledgement
         if current is None:
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -1,19 +1,24 @@
-"""How far one change of cordons has come: stored, accepted, in force, and who has not confirmed it.
+"""The propagation of a change of cordons: its stage, and the schedulers that have not confirmed the change.
 
-A *set* goes received -> stored here -> accepted -> in force. It is accepted under ``hold`` once a majority of
-the configured schedulers holds it (the mesh counts them), under ``serve`` as soon as it is stored here. It is
-in force once each scheduler that could still send has confirmed, *after its last send to the target's
-workers*, that it holds the change; or its process has ended; or it is known to run under ``hold`` and the
-bound has passed since a majority was known to hold the change (docs/mesh.md explains why no send can come
-later; a scheduler that changes to ``serve`` while cut off breaks that, so all must run in the same mode). A
-*lift* is in force once each scheduler has confirmed it: one that is cut off keeps the worker cordoned,
-however long.
+Setting a cordon passes the stages received, stored (at this process), accepted and in force. Under ``hold``
+the change is accepted once a majority of the configured schedulers holds it (the mesh counts them), under
+``serve`` as soon as it is stored here. It is in force once one of the following is true of each scheduler:
 
-That a scheduler is unreachable (suspect, gone) proves nothing: it may send on the far side of a broken link.
-Nor does a confirmation of one process count for the next process of that name, which may have lost its state.
+- it has confirmed, *after its last send to the target's workers*, that it holds the change;
+- its process has ended;
+- it is known to run under ``hold``, and the bound has passed since a majority was known to hold the change.
+  docs/mesh.md explains why no send can follow. A scheduler that changes to ``serve`` while it is partitioned
+  breaks this rule, so all schedulers must run in the same mode.
+
+Lifting a cordon is in force once each scheduler has confirmed the lift. A partitioned scheduler keeps the
+worker cordoned for as long as the partition lasts.
+
+An unreachable scheduler (suspect or gone) can't be assumed to have stopped: it may still send on its side of
+the partition. A confirmation does not count for a later process of the same scheduler, which may have lost
+its state.
 
 No input or output. Times are microseconds of this process's monotonic clock (``mono_us``) and are never
-compared with another process's.
+compared with times of another process.
 """
 
 from collections.abc import Iterable, Sequence
@@ -25,28 +30,28 @@
 
 
 class Mode(Enum):
-    """What a scheduler does without a lease, when it may not know the latest cordons."""
+    """Whether a scheduler sends attempts while it has no lease, when it may not know the latest cordons."""
 
     SERVE = "serve"
-    """It goes on sending."""
+    """The scheduler continues to send."""
     HOLD = "hold"
-    """It sends nothing new."""
+    """The scheduler sends no new attempts."""
 
 
 class ProcessStatus(Enum):
-    """What is known of a scheduler's process. The values are part of operators' answers."""
+    """State of a scheduler's process as known here. Replies to operators contain the values."""
 
     UNKNOWN = "not heard from since this scheduler started"
     ALIVE = "alive"
     SUSPECT = "suspect"
     GONE = "gone"
-    """Without a link for some time; it may still run."""
+    """There has been no link to the process for some time; it may still run."""
     LEFT = "left"
-    """It acknowledged its end after its last send."""
+    """The process announced its end in an acknowledgement that it wrote after its last send."""
 
 
 class PropagationStage(IntEnum):
-    """How far a change has come; a change never returns to an earlier stage."""
+    """Stage of a change's propagation; a change never returns to an earlier stage."""
 
     RECEIVED = 0
     STORED = 1
@@ -56,9 +61,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Scheduler:
-    """One scheduler as known here.
+    """The state of one scheduler as known here.
 
-    ``mode`` and ``bound_us`` are as it acknowledged them, None and 0 before its first acknowledgement.
+    ``mode`` and ``bound_us`` are from the scheduler's acknowledgement; None and 0 before the first one.
     """
 
     name: str
@@ -70,22 +75,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Unconfirmed:
-    """A scheduler that may still act as before the change, and why."""
+    """A scheduler that may still act without the change, and the reason (``why``)."""
 
     name: str
     why: str
 
 
 def with_slack(bound_us: int) -> int:
-    """Return the bound, extended by clock drift and by the time that a send may be on its way."""
+    """Return the bound plus margins for clock drift and for a send that is still on its way to a worker."""
     return bound_us + int(bound_us * limits.CLOCK_DRIFT_SHARE) + limits.SEND_SLACK_US
 
 
 class Propagation:
     """The propagation of one change to all schedulers.
 
-    ``schedulers`` are all that are configured, this one (``own_name``) included. ``deadline_us`` is until
-    when the caller waits for the change to be in force, None if it does not wait.
+    ``schedulers`` are all configured schedulers, including this one (``own_name``). ``deadline_us`` is when
+    the caller stops waiting for the change to be in force; None if no caller waits.
     """
 
     def __init__(
@@ -108,42 +113,42 @@
         self._schedulers = {s.name: s for s in schedulers}
         if own_name not in self._schedulers:
             raise ValueError(f"{own_name} is not among the schedulers")
-        self._confirmed_incarnations: dict[str, int] = {}  # by scheduler: the latest that confirmed
+        self._confirmed_incarnations: dict[str, int] = {}  # by scheduler: latest incarnation that confirmed
 
     def mark_stored(self, mono_us: int) -> None:
-        """Record that the change is written here (and on disk, where there is one)."""
+        """Record that the change is written at this process, and on disk if state is kept on disk."""
         self.stage = max(self.stage, PropagationStage.STORED)
         self.advance(mono_us)
 
     def mark_accepted(self, mono_us: int) -> None:
-        """Record that a majority holds the change. It stays accepted, whatever becomes of the majority."""
+        """Record that a majority holds the change. It remains accepted even if the majority is lost."""
         if self.majority_since_us is None:
             self.majority_since_us = mono_us
         self.advance(mono_us)
 
     def record_confirmation(self, mono_us: int, name: str, incarnation: int) -> None:
-        """Record that a scheduler's dispatcher has applied the change, after its last send without it."""
+        """Record that a scheduler's dispatcher applied the change and sends nothing more without it."""
         if name in self._schedulers:
             known = self._confirmed_incarnations.get(name, incarnation)
             self._confirmed_incarnations[name] = max(incarnation, known)
         self.advance(mono_us)
 
     def update_scheduler(self, mono_us: int, scheduler: Scheduler) -> None:
-        """Record the state of a scheduler. One that was not known has to confirm too, as it will send."""
+        """Record the state of a scheduler. A new scheduler must confirm the change too, as it will send."""
         known = self._schedulers.get(scheduler.name)
         if known is None or scheduler.incarnation >= known.incarnation:
             self._schedulers[scheduler.name] = scheduler
         self.advance(mono_us)
 
     def remove_scheduler(self, mono_us: int, name: str) -> None:
-        """Forget a scheduler that operators removed from the configuration: it no longer runs."""
+        """Remove a scheduler that operators removed from the configuration because it no longer runs."""
         if name != self.own_name:
             self._schedulers.pop(name, None)
             self._confirmed_incarnations.pop(name, None)
         self.advance(mono_us)
 
     def advance(self, mono_us: int) -> PropagationStage:
-        """Advance as far as the known facts allow, and return the stage."""
+        """Advance the stage as far as the recorded state allows, and return it."""
         if self.stage is PropagationStage.STORED and self._is_accepted():
             self.stage = PropagationStage.ACCEPTED
         if self.stage is PropagationStage.ACCEPTED and not self.unconfirmed(mono_us):
@@ -151,14 +156,17 @@
         return self.stage
 
     def unconfirmed(self, mono_us: int) -> tuple[Unconfirmed, ...]:
-        """Return the schedulers that may still act as before, by name; none once in force."""
+        """Return the schedulers that may still act without the change, sorted by name; none once in force."""
         if self.stage is PropagationStage.IN_FORCE:
             return ()
-        found = (self._check_scheduler(s, mono_us) for _, s in sorted(self._schedulers.items()))
-        return tuple(unconfirmed for unconfirmed in found if unconfirmed is not None)
+        checked = (self._check_scheduler(s, mono_us) for _, s in sorted(self._schedulers.items()))
+        return tuple(unconfirmed for unconfirmed in checked if unconfirmed is not None)
 
     def next_deadline_us(self) -> int | None:
-        """Return when the passing of time alone may change something next, None if it can't."""
+        """Return when the caller's wait or the last awaited lease ends, whichever is first; None if neither.
+
+        At that time the state may change without a further event.
+        """
         if self.stage is PropagationStage.IN_FORCE:
             return None
         deadlines = [] if self.deadline_us is None else [self.deadline_us]
@@ -170,7 +178,7 @@
         return min(deadlines, default=None)
 
     def failure(self, mono_us: int, missing: Sequence[str] = ()) -> CordonError | None:
-        """Return the error for a caller that no longer waits, None if the change is in force.
+        """Return the error for a caller whose wait has ended; None if the change is in force.
 
         ``missing`` are the schedulers that are not known to hold the change.
         """
@@ -184,16 +192,19 @@
         return self.mode is Mode.SERVE or self.majority_since_us is not None
 
     def _has_confirmed(self, scheduler: Scheduler) -> bool:
-        """Return whether the scheduler's present process, or a later one, has confirmed."""
+        """Return whether the scheduler's current process, or a later one, has confirmed the change."""
         confirmed = self._confirmed_incarnations.get(scheduler.name)
         return confirmed is not None and confirmed >= scheduler.incarnation
 
     def _is_bound_by_lease(self, scheduler: Scheduler) -> bool:
-        """Return whether the scheduler stops by itself once its lease has expired."""
+        """Return whether the expiry of the scheduler's lease ends its sends without the change.
+
+        It does not for a lift, nor for a scheduler that is not known to run under ``hold``.
+        """
         return not self.is_lift and scheduler.mode is Mode.HOLD and scheduler.bound_us > 0
 
     def _check_scheduler(self, scheduler: Scheduler, mono_us: int) -> Unconfirmed | None:
-        """Return why a scheduler may still act as before, None if it can't."""
+        """Return why a scheduler may still act without the change; None if it can't."""
         status = scheduler.status
         if status is ProcessStatus.LEFT or self._has_confirmed(scheduler):
             return None
@@ -201,16 +212,16 @@
             since_us = self.majority_since_us
             if since_us is not None and mono_us >= since_us + with_slack(scheduler.bound_us):
                 return None
-            return Unconfirmed(scheduler.name, f"{status.value}, its lease may last")
+            return Unconfirmed(scheduler.name, f"{status.value}, its lease may not have expired")
         if scheduler.name in self._confirmed_incarnations:
-            return Unconfirmed(scheduler.name, f"{status.value}, started again since it confirmed")
+            return Unconfirmed(scheduler.name, f"{status.value}, restarted after it confirmed")
         return Unconfirmed(scheduler.name, status.value)
 
 
 class Propagations:
-    """A bounded table of propagations, by key: the dot of a cordon, or a key that the caller chose.
+    """A bounded table of propagations. The key is the dot of a cordon, or chosen by the caller for a lift.
 
-    At capacity, propagations that are in force are evicted first, then those that no caller waits for.
+    At capacity, propagations that are in force are evicted first, then propagations without a waiting caller.
     """
 
     def __init__(self, capacity: int = limits.MAX_PROPAGATIONS) -> None:
@@ -218,25 +229,28 @@
         self._by_key: dict[str, Propagation] = {}
 
     def add(self, key: str, propagation: Propagation) -> None:
-        """Add a propagation. Raises TooManyCalls if a caller waits for each one in the table."""
+        """Add a propagation. Raises TooManyCalls if the table is full and callers wait for all of it."""
         if key not in self._by_key:
             self.reserve()
         self._by_key[key] = propagation
 
     def reserve(self) -> None:
-        """Evict one if the table is full; to be called before the change is written. Raises TooManyCalls."""
+        """Evict a propagation if the table is full; call this before a change is written.
+
+        Raises TooManyCalls if callers wait for all propagations in the table.
+        """
         if len(self._by_key) < self.capacity:
             return
         in_force = [k for k, p in self._by_key.items() if p.stage is PropagationStage.IN_FORCE]
         evictable = in_force or [k for k, p in self._by_key.items() if p.deadline_us is None]
         if not evictable:
-            raise TooManyCalls(f"{self.capacity} changes are waited for")
+            raise TooManyCalls(f"callers already wait for {self.capacity} changes, the maximum")
         del self._by_key[evictable[0]]
 
     def end_waits(self, mono_us: int) -> tuple[str, ...]:
         """End the waits of callers whose change is in force or whose deadline has passed.
 
-        Returns the keys, the oldest first. Each wait ends once.
+        Returns the keys of these propagations, oldest first. Each wait ends once.
         """
         ended = []
         for key, propagation in self._by_key.items():
@@ -249,7 +263,7 @@
         return tuple(ended)
 
     def get(self, key: str) -> Propagation | None:
-        """Return the propagation of this key, None if there is none."""
+        """Return the propagation with this key; None if there is none."""
         return self._by_key.get(key)
 
     def pending(self) -> tuple[Propagation, ...]:
@@ -257,6 +271,6 @@
         return tuple(p for p in self._by_key.values() if p.stage is not PropagationStage.IN_FORCE)
 
     def next_deadline_us(self) -> int | None:
-        """Return when the passing of time alone may change something next, None if it can't."""
+        """Return the earliest deadline of the pending propagations; None if none has a deadline."""
         deadlines = (propagation.next_deadline_us() for propagation in self.pending())
         return min((us for us in deadlines if us is not None), default=None)
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -1,9 +1,9 @@
-"""Tracks how far this process's changes of cordons have come, by the acknowledgements of all schedulers.
+"""Tracks the propagation of this process's changes of cordons by the acknowledgements of all schedulers.
 
-A scheduler's acknowledgement (`mesh.acknowledgements`) carries digests of the cordons that its dispatcher has
-applied. Copies only grow, so a scheduler that has applied a value which was in this copy at the change or
-later has applied the change. A value that was only in other copies confirms nothing, which is safe: once
-copies are equal, so are the digests.
+A scheduler's acknowledgement (`mesh.acknowledgements`) contains digests of the cordons that its dispatcher
+has applied. Merging never removes information from a copy. A scheduler that has applied a value which this
+copy held at the change or later has therefore applied the change. A digest of a value that this copy never
+held confirms nothing. That is safe: the digests become equal once the copies are.
 
 No input or output: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of this
 process's monotonic clock.
@@ -27,15 +27,15 @@
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
-MAX_DIGESTS = 256  # later digests of a change that still confirm it
+MAX_DIGESTS = 256  # how many of the latest digests, per change and target, still confirm the change
 MODES = {mode.value for mode in Mode}
 
 
 @dataclass(slots=True, eq=False)
 class TrackedChange:
-    """A change that was written here, with the digests since then that confirm it.
+    """A change that this process wrote, and the digests that confirm it in a scheduler's acknowledgement.
 
-    ``stamps`` and ``digests`` are by target; ``overall_digests`` are of all cordons.
+    ``stamps`` and ``digests`` are by target; ``overall_digests`` are digests of all cordons together.
     """
 
     key: str
@@ -55,10 +55,10 @@
 
 
 class PropagationTracker:
-    """All changes of this process that are tracked, and what is known of the other schedulers.
+    """The tracked changes of this process, and the known state of the other schedulers.
 
-    ``applied`` holds the digests of this process's copy; ``recent_targets`` are the targets that changed
-    last, the latest at the end.
+    ``applied`` holds the digests of this process's copy; ``recent_targets`` are the most recently changed
+    targets, the latest at the end.
     """
 
     def __init__(self, own_name: str, mode: Mode, bound_us: int, quorum: Quorum) -> None:
@@ -73,7 +73,7 @@
         self._changes: dict[str, TrackedChange] = {}
 
     def reconfigure(self, mono_us: int, names: Iterable[str]) -> None:
-        """Take over a new list of configured schedulers."""
+        """Apply a new list of configured schedulers, and drop the state of removed ones."""
         configured = set(names) - {self.own_name}
         for removed in sorted(self.peers.keys() - configured):
             del self.peers[removed]
@@ -88,7 +88,7 @@
     # Changes
 
     def record_value(self, target: str, value: bytes) -> None:
-        """Record that a value, encoded, is now in this copy."""
+        """Record that this copy now holds the encoded ``value`` for a target."""
         digest = self.applied.put(target, value)
         self.recent_targets.pop(target, None)
         self.recent_targets[target] = None
@@ -110,9 +110,10 @@
         deadline_us: int | None,
         stored: bool,
     ) -> TrackedChange:
-        """Track a change that was just written here; call it before `record_value`. Raises TooManyCalls.
+        """Track a change that this process has just written; call this before `record_value`.
 
-        ``stored`` is whether this process's copy counts as stored, see `mark_all_stored`.
+        ``stored``: whether a change that this process holds counts as stored, see `mark_all_stored`. Raises
+        TooManyCalls.
         """
         description = f"the lift of {cordon_id}" if is_lift else cordon_id
         schedulers = [self.scheduler(mono_us, name) for name in sorted({*self.peers, self.own_name})]
@@ -131,7 +132,7 @@
         return change
 
     def get(self, key: str) -> TrackedChange | None:
-        """Return the change of this key, None if it is not tracked."""
+        """Return the change with this key; None if it is not tracked."""
         return self._changes.get(key)
 
     def pending(self) -> list[TrackedChange]:
@@ -140,17 +141,17 @@
         return [change for change in self._changes.values() if change.propagation.stage is not in_force]
 
     def mark_all_stored(self, mono_us: int) -> None:
-        """Record that this process counts for majorities: what it holds counts as stored from now on."""
+        """Mark all changes as stored, as this process now counts for majorities."""
         for change in self._changes.values():
             change.propagation.mark_stored(mono_us)
 
     def missing_holders(self, change: TrackedChange) -> tuple[str, ...]:
-        """Return the schedulers that are not known to hold a change, by name."""
+        """Return the names of the schedulers that are not known to hold a change, ascending."""
         missing = {name for stamp in change.stamps.values() for name in self.acceptance.unconfirmed(stamp)}
         return tuple(sorted(missing))
 
     def _forget_evicted(self) -> None:
-        """Forget changes whose propagation was evicted."""
+        """Stop tracking the changes whose propagation was evicted."""
         for key in [k for k in self._changes if self.propagations.get(k) is None]:
             for stamp in self._changes.pop(key).stamps.values():
                 self.acceptance.forget(stamp)
@@ -174,7 +175,7 @@
     # Schedulers
 
     def record_acknowledgement(self, mono_us: int, name: str, acknowledgement: Acknowledgement) -> None:
-        """Record the acknowledgement of a scheduler, this one included."""
+        """Record an acknowledgement of a peer or of this scheduler itself."""
         if name == self.own_name:
             self._confirm_changes(mono_us, name, acknowledgement)
         elif (peer := self.peers.get(name)) is not None:
@@ -185,7 +186,7 @@
                 self._confirm_changes(mono_us, name, acknowledgement)
 
     def record_start(self, mono_us: int, name: str, incarnation: int) -> bool:
-        """Record the incarnation of a peer. Returns whether it is a restart that was not known."""
+        """Record the incarnation of a peer. Returns whether it shows a restart that was not known yet."""
         peer = self.peers[name]
         if incarnation <= peer.incarnation:
             return False
@@ -201,7 +202,7 @@
             self._update_propagations(mono_us, name)
 
     def scheduler(self, mono_us: int, name: str) -> Scheduler:
-        """Return a configured scheduler in the form that propagations use."""
+        """Return the current state of a configured scheduler, as propagations use it."""
         if name == self.own_name:
             return Scheduler(name, self.incarnation, ProcessStatus.ALIVE, self.mode, self.bound_us)
         peer = self.peers[name]
@@ -209,13 +210,14 @@
         current = peer.current_acknowledgement
         if current is None:
             return Scheduler(name, peer.incarnation, status)
-        mode = Mode(current.mode) if current.mode in MODES else None  # of a newer version: without a lease
+        # A mode that only newer versions know is treated as a mode without a lease.
+        mode = Mode(current.mode) if current.mode in MODES else None
         return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
 
     def lagging_peers(self, target: str) -> tuple[str, ...]:
-        """Return the peers that are not known to have applied this copy's cordons of a target, by name.
+        """Return the names of the peers that are not known to have applied a target's cordons as held here.
 
-        A peer that has left sends nothing more, whatever it had applied, and does not lag.
+        The names ascend. A peer that has left is not among them: it sends nothing more.
         """
         digest, combined_digest = self.applied.get(target), self.applied.combined
         return tuple(
--- a/tests/test_cordon_propagation.py
+++ b/tests/test_cordon_propagation.py
@@ -34,7 +34,7 @@
     assert call.advance(4) is PropagationStage.ACCEPTED
     confirm(call, 5, "s2", "s3")
     error = call.failure(6)
-    assert isinstance(error, BoundNotMet) and "s4 (alive, its lease may last)" in str(error)
+    assert isinstance(error, BoundNotMet) and "s4 (alive, its lease may not have expired)" in str(error)
     confirm(call, 7, "s4")
     assert call.advance(7) is PropagationStage.IN_FORCE
     assert call.failure(8) is None and not call.unconfirmed(8)
@@ -93,7 +93,7 @@
         5, Scheduler("s1", 1, ProcessStatus.LEFT, Mode.SERVE)
     )  # late, of the former process
     confirm(call, 5, "s1")
-    assert [u.why for u in call.unconfirmed(5)] == ["alive, started again since it confirmed", "alive"]
+    assert [u.why for u in call.unconfirmed(5)] == ["alive, restarted after it confirmed", "alive"]
     confirm(call, 6, "s1", incarnation=2)
     confirm(call, 6, "s1")
     call.update_scheduler(7, Scheduler("s4", 1, ProcessStatus.LEFT, Mode.SERVE))
--- a/tests/test_cordon_replies.py
+++ b/tests/test_cordon_replies.py
@@ -45,8 +45,8 @@
 def test_a_change_that_was_waited_for_in_vain_has_an_error_with_its_code() -> None:
     answer = make_answer(503, CHANGE.with_error(NotAccepted("m1", ["s2"])))
     error = (
-        b',"error":"m1 is stored here but not accepted; not heard from: s2",'
-        b'"advice":"see which schedulers are down or cut off; the list tells when it is accepted",'
+        b',"error":"m1 is stored here but not accepted; not confirmed by: s2",'
+        b'"advice":"check which schedulers are down or unreachable; the listing shows when it is accepted",'
         b'"type":"NotAccepted"'
     )
     assert (answer.status, answer.body) == (503, CHANGE_JSON % (b"", error))
--- a/tests/test_cordon_value.py
+++ b/tests/test_cordon_value.py
@@ -119,7 +119,7 @@
     value = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
     with pytest.raises(ValueError, match="not new"):
         set_cordon(value, operator_reason("m2"), Dot("a", 1, 1), NOW)
-    with pytest.raises(CordonUnknown, match=r"m1.*look at the list"):
+    with pytest.raises(CordonUnknown, match=r"m1.*list the cordons"):
         find_targets([("zone/z", value)], "m7", NOW)
 
 
--- a/tests/test_cordon_views.py
+++ b/tests/test_cordon_views.py
@@ -58,5 +58,5 @@
     status, reply = summarize_change(2, "m1", ["zone/z0"], call, index, waited=False)
     assert status == 202 and not reply.error and reply.warnings == ("no worker is left in zone 'z0'",)
     status, reply = summarize_change(2, "m1", ["zone/z0"], call, index, waited=True)
-    assert status == 504 and "s0 (alive" in reply.error and "may still act as before" in reply.error
+    assert status == 504 and "s0 (alive" in reply.error and "may still act without the change" in reply.error
     assert summarize_change(9 * S, "m1", [], call, index, waited=True)[0] == 200
