--- a/robinhill/cordon/__init__.py
+++ b/robinhill/cordon/__init__.py
@@ -1,1 +1,1 @@
-"""Cordons: workers that no scheduler sends anything new to. Decisions only, without input or output."""
+"""Cordons mark workers that schedulers send no new attempts to. No input or output in this package."""
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -1,9 +1,9 @@
-"""How many workers automatic cordons may take out of service, decided alike by every copy.
+"""The budget: how many workers automatic cordons may take out of service.
 
-An automatic reason is a proposal. Every copy ranks all proposals by the same total order and admits them in
-turn as long as no share is exceeded; the rest wait. So no copy ever cordons more than the budget, in whatever
-order the proposals of several schedulers reach it, and copies with the same proposals and workers admit the
-same ones. No scheduler has to ask before it proposes.
+An automatic reason is a proposal. Every copy ranks all proposals by the same total order and admits each one
+that does not exceed a share of the budget; the others wait. So no copy ever cordons more than the budget, in
+whatever order the proposals of several schedulers arrive. Copies with the same proposals and workers admit
+the same proposals, so schedulers need no coordination before they propose.
 """
 
 from collections import Counter
@@ -16,14 +16,14 @@
 from robinhill.cordon.value import Entry
 
 CAUSES = ("silent", "failing", "lagging", "slow")
-"""Causes of automatic cordons, the worst first. Causes that only newer peers know rank after them."""
+"""Causes of automatic cordons, most severe first. Causes that only newer versions know rank after these."""
 
-ROUNDING = 1e-9  # 0.1 * 30 is below 3 as a float
+ROUNDING = 1e-9  # a product such as 0.1 * 30 may be slightly below the integer as a float
 
 
 @dataclass(slots=True, frozen=True)
 class Location:
-    """Where a listed worker is: the names of its zone and machine type, the number of its cell."""
+    """Placement of a listed worker: the names of its zone and machine type, and the number of its cell."""
 
     zone: str = ""
     machine_type: str = ""
@@ -32,9 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """Shares of the workers that operators have not cordoned; must be the same at all schedulers.
+    """Maximum shares of workers with automatic cordons; must be the same at all schedulers.
 
-    They are rounded down: with a tenth and nine workers there are no automatic cordons.
+    They are shares of the workers that operators have not cordoned. The resulting number of workers is
+    rounded down: with a share of 0.1 and nine workers there are no automatic cordons.
     """
 
     fleet_share: float = limits.FLEET_SHARE
@@ -43,7 +44,7 @@
     def __post_init__(self) -> None:
         for share in (self.fleet_share, self.zone_share):
             if not 0 <= share < 1:
-                raise ValueError("a share must be at least 0 and below 1")
+                raise ValueError("fleet_share and zone_share must be at least 0 and below 1")
 
     def admit(
         self,
@@ -52,10 +53,10 @@
         workers: Mapping[str, Location],
         operator_cordoned: AbstractSet[str],
     ) -> set[tuple[str, str]]:
-        """Return the (target, ID) of the proposals, given by target, that are within the budget.
+        """Return the (target, ID) pairs of the proposals that are within the budget.
 
-        ``matching`` are the workers of each target. Among equal causes the older proposal goes first, so a
-        newer one never displaces it.
+        ``proposals`` are pairs of target and entry; ``matching`` are the workers of each target. Among
+        proposals with the same cause the older is admitted first, so a newer one never displaces it.
         """
         free = [location.zone for worker, location in workers.items() if worker not in operator_cordoned]
         fleet_capacity = floor(self.fleet_share * len(free) + ROUNDING)
--- a/robinhill/cordon/codec.py
+++ b/robinhill/cordon/codec.py
@@ -1,7 +1,7 @@
-"""The encoding of a target's cordons for peers and files, and the rules for values from elsewhere.
+"""The encoding of a target's cordons for peers and files, and the validation of values from peers and files.
 
-The encoding is canonical: a value has one form. `decode` rejects any other, and what no writer that keeps to
-the limits could have written.
+The encoding is canonical: each value has exactly one encoding. `decode` rejects any other encoding, and
+values that no writer within the limits could have produced.
 """
 
 import msgspec
@@ -25,30 +25,36 @@
 
 
 def encode(value: CordonSet) -> bytes:
-    """Return the canonical encoding: equal values have equal bytes, as all their parts are ordered."""
+    """Return the canonical encoding. Equal values have equal bytes, as all parts of a value are ordered."""
     return _encoder.encode(value)
 
 
 def decode(data: bytes) -> CordonSet:
-    """Return a value of a peer or a file. Raises ForeignState if it is not canonical, too large or newer."""
+    """Decode a value from a peer or a file.
+
+    Raises ForeignState if the encoding is not canonical, exceeds a limit or is of another version.
+    """
     try:
         if (version := _head.decode(data).version) != VERSION:
-            raise ForeignState(f"a cordon of version {version}, not {VERSION}")
+            raise ForeignState(f"the cordons of a target are of version {version}, expected {VERSION}")
         value = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as e:
-        raise ForeignState(f"a cordon can't be read: {e}") from e
+        raise ForeignState(f"the cordons of a target can't be decoded: {e}") from e
     if (violation := _find_violation(value)) or encode(value) != data:
-        raise ForeignState(f"a cordon is damaged: {violation or 'not in canonical form'}")
+        raise ForeignState(f"the cordons of a target are invalid: {violation or 'not in canonical form'}")
     return value
 
 
 def cordon_kind() -> Kind[CordonSet]:
-    """Return the kind of the replica's records, by target. None is evicted; new targets are rejected."""
+    """Return the replica's record kind for cordons, keyed by target.
+
+    At the limit MAX_TARGETS no record is evicted; records of new targets are rejected.
+    """
     return Kind(NAME, encode, decode, merge, lifetime_us=limits.RECORD_LIFETIME_US, bound=limits.MAX_TARGETS)
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """The part that all versions share."""
+    """The first field of the encoding, which all versions share."""
 
     version: int
 
@@ -59,42 +65,42 @@
 
 
 def _find_violation(value: CordonSet) -> str:
-    """Return which rule a value from elsewhere breaks, '' if none."""
+    """Return which rule a value from a peer or file violates; '' if none."""
     return (
         _find_size_violation(value)
         or _find_order_violation(value)
-        or next((found for seen in value.seen if (found := _find_seen_violation(seen))), "")
+        or next((violation for seen in value.seen if (violation := _find_seen_violation(seen))), "")
         or _find_entries_violation(value)
-        or ("" if 0 <= value.lifted_us <= limits.MAX_INTEGER else "times out of bounds")
+        or ("" if 0 <= value.lifted_us <= limits.MAX_INTEGER else "lifted_us is out of range")
     )
 
 
 def _find_size_violation(value: CordonSet) -> str:
     if len(value.entries) > limits.MAX_ENTRIES or len(value.seen) > limits.MAX_WRITERS:
-        return "too many entries"
+        return "too many entries or writers"
     if sum(len(s.ranges) for s in value.seen) > limits.MAX_RANGES:
-        return "too many ranges"
+        return "too many counter ranges"
     return ""
 
 
 def _find_order_violation(value: CordonSet) -> str:
     writers = [s.writer for s in value.seen]
     if writers != sorted(set(writers)):
-        return "writers out of order"
+        return "writers are not in ascending order"
     dots = [e.dot for e in value.entries]
     if dots != sorted(set(dots)):
-        return "entries out of order"
+        return "entries are not in ascending order"
     return ""
 
 
 def _find_seen_violation(seen: SeenDots) -> str:
     ranges = seen.ranges
     if not is_line(seen.origin, limits.MAX_NAME_CHARS):
-        return "a name out of bounds"
+        return "a writer's name is too long or not one line"
     if not ranges or ranges != join_ranges(ranges) or any(low > high for low, high in ranges):
-        return "ranges out of order"
+        return "counter ranges are missing, overlap or are not in ascending order"
     if not (ranges[0][0] >= 1 and ranges[-1][1] <= limits.MAX_INTEGER):
-        return "counters out of bounds"
+        return "a counter is out of range"
     return ""
 
 
@@ -102,7 +108,7 @@
     seen = by_writer(value.seen)
     for entry in value.entries:
         if not has_seen(seen, entry.dot):
-            return "an entry that was not seen"
+            return "the dot of an entry is not among the seen dots"
         if violation := _find_reason_violation(entry.reason):
             return violation
     return ""
@@ -110,11 +116,11 @@
 
 def _find_reason_violation(reason: Reason) -> str:
     if not is_cordon_id(reason.id) or not is_line(reason.text, limits.MAX_TEXT_CHARS):
-        return "an ID or text out of bounds"
+        return "the ID or text of a reason is invalid"
     if not all(is_line(name, limits.MAX_NAME_CHARS) for name in (reason.by, reason.cause, *reason.observers)):
-        return "a name out of bounds"
+        return "a name or cause in a reason is too long or not one line"
     if not (0 <= reason.since_us <= limits.MAX_INTEGER and 0 <= reason.until_us <= limits.MAX_INTEGER):
-        return "times out of bounds"
+        return "since_us or until_us of a reason is out of range"
     if len(reason.observers) > limits.MAX_OBSERVERS or (reason.automatic and not reason.until_us):
-        return "an automatic reason out of bounds"
+        return "a reason has too many observers, or is automatic and has no end"
     return ""
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -1,7 +1,7 @@
 """Index of one scheduler's cordons: which listed workers are cordoned, and by which reasons.
 
-Derived from the values of all targets and from the list of workers; it decides which automatic cordons are
-within the budget, and never changes a value.
+The index is derived from the values of all targets and from the list of workers. It decides which automatic
+cordons are within the budget, and never changes a value.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkersCordoned:
-    """These listed workers, ascending, get nothing new from now on; their jobs in flight go on."""
+    """Listed workers, ascending, that get no new attempts from now on; attempts in flight continue."""
 
     workers: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class WorkersUncordoned:
-    """These listed workers, ascending, may serve again, in slow start from ``started_us`` on."""
+    """Listed workers, ascending, that may get attempts again; their slow start begins at ``started_us``."""
 
     workers: tuple[str, ...]
     started_us: int
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True, frozen=True)
 class IndexUpdate:
-    """What an update changed, in order. ``next_end_us``: when the next cordon ends; 0: none has an end."""
+    """The changes of an update, in order. ``next_end_us``: when the next cordon ends; 0 if none ever does."""
 
     events: tuple[WorkersCordoned | WorkersUncordoned, ...]
     next_end_us: int
 
 
 def targets_of(worker_id: str, location: Location) -> tuple[str, str, str, str]:
-    """Return the targets whose cordons apply to a worker, its own first."""
+    """Return the targets that include a worker: the worker itself first, then its zone, kind and cell."""
     return (
         f"worker/{worker_id}",
         f"zone/{location.zone}",
@@ -49,24 +49,24 @@
 
 
 class CordonIndex:
-    """One scheduler's view of all cordons; its size is that of the listed workers and the active reasons."""
+    """One scheduler's view of all cordons. Its size grows with the listed workers and the active reasons."""
 
     def __init__(self, budget: Budget | None = None) -> None:
         self.budget = budget or Budget()
         self.workers: dict[str, Location] = {}
         self._matching: dict[str, set[str]] = {}  # listed workers, by target
         self._active: dict[str, tuple[Entry, ...]] = {}  # by target
-        self._admitted: set[tuple[str, str]] = set()  # automatic cordons in the budget: target and ID
+        self._admitted: set[tuple[str, str]] = set()  # target and ID of automatic cordons within the budget
         self._reasons: dict[str, tuple[Reason, ...]] = {}  # by cordoned worker
-        self._uncordoned_us: dict[str, int] = {}  # by listed worker: when its last cordon ended
+        self._uncordoned_us: dict[str, int] = {}  # by listed worker: the time when its last cordon ended
 
     def update(
         self, now_us: int, items: Iterable[tuple[str, CordonSet]], workers: Mapping[str, Location]
     ) -> IndexUpdate:
-        """Take over all cordons, by target, and all listed workers.
+        """Replace the index's contents by all cordons, given by target, and all listed workers.
 
-        A cordon applies to workers that are listed later, too. A worker that leaves the list counts as
-        neither cordoned nor uncordoned.
+        A cordon also applies to workers that are listed later. A worker that is removed from the list is
+        reported neither as cordoned nor as uncordoned.
         """
         before = self._reasons
         if self.workers != workers:
@@ -89,7 +89,7 @@
         return IndexUpdate(tuple(events), min((us for us in ends if us), default=0))
 
     def reasons(self, worker_id: str) -> tuple[Reason, ...]:
-        """Return the reasons why a listed worker is cordoned; none if it is not."""
+        """Return the reasons for which a listed worker is cordoned; empty if it is not cordoned."""
         return self._reasons.get(worker_id, ())
 
     def cordoned_workers(self) -> AbstractSet[str]:
@@ -97,11 +97,11 @@
         return self._reasons.keys()
 
     def started_us(self, worker_id: str, listed_us: int) -> int:
-        """Return from when on a worker's slow start counts: its start, or the end of its last cordon."""
+        """Return when a worker's slow start begins: ``listed_us``, or the end of its last cordon if later."""
         return max(listed_us, self._uncordoned_us.get(worker_id, 0))
 
     def matching(self, target: str) -> AbstractSet[str]:
-        """Return the listed workers of a target."""
+        """Return the listed workers that a target includes."""
         return self._matching.get(target, NO_WORKERS)
 
     def active(self) -> tuple[tuple[str, Entry], ...]:
@@ -109,7 +109,7 @@
         return tuple((target, entry) for target in sorted(self._active) for entry in self._active[target])
 
     def is_in_effect(self, target: str, reason: Reason) -> bool:
-        """Return whether an active reason cordons its workers: not if it is automatic and over the budget."""
+        """Return whether an active reason cordons its workers. An automatic one over the budget does not."""
         return not reason.automatic or (target, reason.id) in self._admitted
 
     def check_budget(self) -> None:
@@ -119,27 +119,31 @@
             raise CordonBudgetSpent(f"{len(over)} automatic cordons are over the budget: {name_some(over)}")
 
     def warnings(self, target: str) -> tuple[str, ...]:
-        """Return warnings for an operator who cordons a target: what is left without any worker."""
+        """Return warnings for an operator who cordons a target.
+
+        They name each zone and machine type in which the cordon leaves no available worker. There is also a
+        warning if no listed worker matches the target.
+        """
         matching = self.matching(target)
         if not matching:
             return (self._warn_of_no_match(target),)
         unavailable = self._reasons.keys() | matching
-        left = [location for worker, location in self.workers.items() if worker not in unavailable]
-        if not left:
-            return ("no worker is left: nothing new can be placed at all",)
+        available = [location for worker, location in self.workers.items() if worker not in unavailable]
+        if not available:
+            return ("no worker is left: no new job can be placed",)
         cordoned = [self.workers[worker] for worker in matching]
-        zones = sorted({each.zone for each in cordoned} - {each.zone for each in left})
-        types = sorted({each.machine_type for each in cordoned} - {each.machine_type for each in left})
+        zones = sorted({each.zone for each in cordoned} - {each.zone for each in available})
+        types = sorted({each.machine_type for each in cordoned} - {each.machine_type for each in available})
         return (
             *(f"no worker is left in zone {zone!r}" for zone in zones),
-            *(f"no worker of kind {name!r} is left: classes that need it can't run" for name in types),
+            *(f"no worker of kind {name!r} is left: job classes that need it can't run" for name in types),
         )
 
     def _warn_of_no_match(self, target: str) -> str:
         scope = target.partition("/")[0]
         known = sorted(t.partition("/")[2] for t in self._matching if t.startswith(f"{scope}/"))
-        listed = "" if scope == "worker" else f"; listed are: {name_some(known)}"
-        return f"no listed worker is of {target}: it holds once one comes{listed}"
+        listed = "" if scope == "worker" else f"; listed workers have: {name_some(known)}"
+        return f"no listed worker matches {target}: the cordon applies to workers listed later{listed}"
 
     def _index_workers(self, workers: Mapping[str, Location]) -> None:
         self.workers = dict(workers)
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -1,11 +1,11 @@
-"""The cordons of one target as a replicated value: its reasons, each with the dot of the write that made it.
+"""The cordons of one target as a replicated value: its reasons, each with the dot of the write that set it.
 
 Copies merge as an observed-remove set without tombstones (Bieniusa et al., "An optimized conflict-free
-replicated set", 2012). Every write of a reason gets a *dot* that is never used again. A value holds the
-entries that are active, by dot, and the dots that it has *seen*: those of its entries and of all that were
-removed. An entry is in the merge of two copies if both hold it, or if one holds it and the other has not seen
-its dot. So a lift removes what its copy has seen and nothing else: a cordon that is set elsewhere at the same
-time stays.
+replicated set", 2012). Every write of a reason gets a unique *dot*, which is never reused. A value holds the
+entries that are active, by dot, and the dots that it has *seen*: the dots of its entries and of all removed
+entries. The merge of two copies has an entry if both hold it, or if one holds it and the other has not seen
+its dot. So a lift removes only entries that its copy has seen: a cordon that another scheduler sets at the
+same time remains.
 
 Targets are 'worker/ID', 'zone/NAME', 'kind/NAME' and 'cell/NUMBER'. Times are Unix microseconds. Values are
 immutable: `set_cordon`, `lift_cordon` and `merge` return new ones. No input or output.
@@ -21,16 +21,16 @@
 
 NAME = "cordon"
 VERSION = 1
-AUTOMATIC_ID_PREFIX = "auto-"  # reserved: no ID of an operator's begins with it
-_LINE = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]*")  # isprintable() differs by Python's version
+AUTOMATIC_ID_PREFIX = "auto-"  # reserved: operators can't set a cordon whose ID begins with it
+_LINE = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]*")  # str.isprintable() differs by Python version
 _ID = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._:@-]{{0,{limits.MAX_ID_CHARS - 1}}}")
 _TARGET = re.compile(r"(worker|zone|kind)/\S(.*\S)?|cell/(0|-?[1-9][0-9]{0,17})")
 
-CounterRange = tuple[int, int]  # first and last counter, both included
+CounterRange = tuple[int, int]  # first and last counter, both inclusive
 
 
 class Dot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The identity of one write; ``counter`` grows with each write of a process, whatever the target."""
+    """The identity of one write. ``counter`` increases with each write of a process, to whatever target."""
 
     origin: str
     incarnation: int
@@ -38,7 +38,7 @@
 
     @property
     def writer(self) -> tuple[str, int]:
-        """The process: its scheduler's name and its incarnation."""
+        """The process that wrote: its scheduler's name and its incarnation."""
         return self.origin, self.incarnation
 
     def __str__(self) -> str:
@@ -46,10 +46,11 @@
 
 
 class Reason(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Why a target is cordoned. ``until_us`` 0: until it is lifted.
+    """Why a target is cordoned. ``until_us`` is the end of the cordon; 0: it lasts until it is lifted.
 
-    ``by`` is the operator who set it, or the scheduler that proposed it. Of automatic ones: ``cause`` (what
-    was observed), ``observers`` (by whom) and ``times`` (how often in a row the worker was cordoned).
+    ``by`` is the operator who set the cordon, or the scheduler that proposed it. Automatic reasons also have
+    ``cause`` (the observed fault), ``observers`` (the schedulers that observed it) and ``times`` (the number
+    of consecutive automatic cordons of the worker, this one included).
     """
 
     id: str
@@ -63,19 +64,19 @@
     times: int = 1
 
     def has_ended(self, now_us: int) -> bool:
-        """Return whether its end has passed."""
+        """Return whether the reason has an end that has passed."""
         return 0 < self.until_us <= now_us
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A reason and the dot that wrote it."""
+    """A reason and the dot of the write that set it."""
 
     dot: Dot
     reason: Reason
 
 
 class SeenDots(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The dots of one process that a value has seen, as disjoint ranges, ascending."""
+    """The dots of one process that a value has seen, as disjoint ascending ranges of counters."""
 
     origin: str
     incarnation: int
@@ -83,14 +84,15 @@
 
     @property
     def writer(self) -> tuple[str, int]:
-        """The process: its scheduler's name and its incarnation."""
+        """The process that wrote: its scheduler's name and its incarnation."""
         return self.origin, self.incarnation
 
 
 class CordonSet(msgspec.Struct, frozen=True, array_like=True):
-    """The cordons of one target; entries and writers ascend.
+    """The cordons of one target; entries and writers are in ascending order.
 
-    ``lifted_us``: when an operator last lifted an automatic reason, or 0; evidence of before then is used up.
+    ``lifted_us``: when an operator last lifted an automatic reason, or 0. Observations from before that time
+    are no evidence for a new automatic cordon.
     """
 
     version: int = VERSION
@@ -105,7 +107,7 @@
 def active_entries(value: CordonSet, now_us: int) -> tuple[Entry, ...]:
     """Return the active entries, one for each ID, by ascending ID.
 
-    Where an ID was written twice concurrently, both are active and the one with the later end is returned.
+    If an ID was written twice concurrently, both entries are active; the one with the later end is returned.
     """
     active = [e for e in value.entries if not e.reason.has_ended(now_us)]
     if len(active) < 2:
@@ -119,7 +121,10 @@
 
 
 def find_targets(items: CordonItems, cordon_id: str, now_us: int) -> tuple[str, ...]:
-    """Return the targets with an active ID, ascending. Raises CordonUnknown, which names the other IDs."""
+    """Return the targets at which an ID is active, ascending.
+
+    Raises CordonUnknown, which names the active IDs, if the ID is active at no target.
+    """
     found, known = set(), set()
     for target, value in items:
         for entry in active_entries(value, now_us):
@@ -132,7 +137,7 @@
 
 
 def check_id_is_free(items: CordonItems, cordon_id: str, target: str, now_us: int) -> None:
-    """Raise CordonElsewhere if an ID is active at other targets but not at this one."""
+    """Raise CordonElsewhere if an ID is active at other targets but not at ``target``."""
     try:
         present = find_targets(items, cordon_id, now_us)
     except CordonUnknown:
@@ -142,17 +147,17 @@
 
 
 def set_cordon(present: CordonSet | None, reason: Reason, dot: Dot, now_us: int) -> CordonSet:
-    """Return the value with a reason, which replaces those of the same ID that were seen here.
+    """Return the value with a reason added, which replaces the reasons of the same ID in this copy.
 
-    Setting a reason again is a write of its own, so that it survives a concurrent lift; the reason then keeps
-    its first ``since_us``. ``dot`` must be larger than all that this process wrote. Raises CordonMalformed or
-    CordonsFull.
+    Setting a reason again is a separate write, so that the reason survives a concurrent lift; it keeps the
+    ``since_us`` of the first write. ``dot`` must be larger than all earlier dots of this process. Raises
+    CordonMalformed or CordonsFull.
     """
     check_reason(reason, now_us)
     value = _without_expired(present or CordonSet(), now_us)
     before = [e for e in value.entries if e.reason.id == reason.id]
     if len({e.reason.id for e in value.entries} | {reason.id}) > limits.MAX_REASONS:
-        raise CordonsFull(f"the target has {limits.MAX_REASONS} reasons already")
+        raise CordonsFull(f"the target already has {limits.MAX_REASONS} reasons, the maximum")
     active_since = [e.reason.since_us for e in before if not e.reason.has_ended(now_us)]
     reason = msgspec.structs.replace(reason, since_us=min([reason.since_us, *active_since]))
     entries = [e for e in value.entries if e.reason.id != reason.id]
@@ -164,7 +169,10 @@
 
 
 def lift_cordon(present: CordonSet | None, cordon_id: str, now_us: int) -> CordonSet:
-    """Return the value without an ID: its dots that were seen here are removed. Raises CordonUnknown."""
+    """Return the value without the reasons of an ID that this copy has seen.
+
+    Raises CordonUnknown if the ID is not active in this copy.
+    """
     value = _without_expired(present or CordonSet(), now_us)
     active = active_entries(value, now_us)
     removed = [e for e in active if e.reason.id == cordon_id]
@@ -179,7 +187,10 @@
 
 
 def merge(one: CordonSet, other: CordonSet) -> CordonSet:
-    """Return the merge of two copies: commutative, associative, idempotent; see the module's docstring."""
+    """Return the merge of two copies by the rule in the module's docstring.
+
+    The operation is commutative, associative and idempotent.
+    """
     if one == other:
         return one
     own_entries, other_entries = _by_dot(one), _by_dot(other)
@@ -188,7 +199,7 @@
     for dot in own_entries.keys() | other_entries.keys():
         a, b = own_entries.get(dot), other_entries.get(dot)
         if a is not None and b is not None:
-            entries.append(max(a, b))  # equal, unless a writer is faulty
+            entries.append(max(a, b))  # both are equal unless a writer is faulty
         elif a is not None and not has_seen(other_seen, dot):
             entries.append(a)
         elif b is not None and not has_seen(own_seen, dot):
@@ -203,35 +214,43 @@
 
 
 def needs_renewal(value: CordonSet, expires_us: int, now_us: int, *, is_last_writer: bool) -> bool:
-    """Return whether a record must be written anew with the same value, as a reason outlasts the record.
+    """Return whether a record must be rewritten with the same value, because a reason outlasts the record.
 
-    ``expires_us`` is when the record expires. Its last writer renews it with half of its lifetime to go, any
-    other scheduler with a quarter, in case the last writer no longer runs.
+    ``expires_us`` is when the record expires. The last writer of the record renews it when half of the
+    record's lifetime remains. Any other scheduler renews it when a quarter remains, in case the last writer
+    no longer runs.
     """
     outlasts = any(e.reason.until_us == 0 or e.reason.until_us > expires_us for e in value.entries)
     return outlasts and expires_us < now_us + limits.RECORD_LIFETIME_US // (2 if is_last_writer else 4)
 
 
 def check_target(target: str) -> str:
-    """Return the target. Raises CordonMalformed."""
+    """Return the target unchanged. Raises CordonMalformed if it is not a valid target."""
     if len(target) > limits.MAX_TARGET_CHARS or not _LINE.fullmatch(target) or not _TARGET.fullmatch(target):
-        raise CordonMalformed(f"{target[:80]!r} is no target")
+        raise CordonMalformed(f"{target[:80]!r} is not a valid target")
     return target
 
 
 def check_id(cordon_id: str, *, automatic: bool = False) -> str:
-    """Return the ID. Raises CordonMalformed, also where only automatic reasons may have it."""
+    """Return the ID unchanged.
+
+    Raises CordonMalformed if the ID is invalid, or has the prefix of automatic cordons while ``automatic`` is
+    false, or the other way round.
+    """
     if not is_cordon_id(cordon_id):
         raise CordonMalformed(
-            f"{cordon_id[:80]!r} is no ID of at most {limits.MAX_ID_CHARS} from a-z, 0-9, ._:@-"
+            f"{cordon_id[:80]!r} is not a valid ID; expected at most {limits.MAX_ID_CHARS} characters from"
+            " A-Z, a-z, 0-9 and ._:@-, beginning with a letter or digit"
         )
     if cordon_id.startswith(AUTOMATIC_ID_PREFIX) is not automatic:
-        raise CordonMalformed(f"IDs of automatic cordons, and no others, begin with {AUTOMATIC_ID_PREFIX!r}")
+        raise CordonMalformed(
+            f"the ID prefix {AUTOMATIC_ID_PREFIX!r} is for automatic cordons only, which must have it"
+        )
     return cordon_id
 
 
 def is_line(text: str, max_chars: int) -> bool:
-    """Return whether a text is one line of at most so many characters."""
+    """Return whether a text is a single line of at most ``max_chars`` characters."""
     return len(text) <= max_chars and _LINE.fullmatch(text) is not None
 
 
@@ -241,31 +260,39 @@
 
 
 def check_reason(reason: Reason, now_us: int) -> None:
-    """Raise CordonMalformed if a reason can't be written now; `codec.decode` accepts more from peers."""
+    """Raise CordonMalformed if a reason is invalid in a new write.
+
+    `codec.decode` has looser rules for values from peers; for example, it accepts reasons that have ended.
+    """
     check_id(reason.id, automatic=reason.automatic)
     if not reason.text.strip() or not is_line(reason.text, limits.MAX_TEXT_CHARS):
         raise CordonMalformed(f"the reason must be one line of 1 to {limits.MAX_TEXT_CHARS} characters")
     if not is_line(reason.by, limits.MAX_NAME_CHARS):
         raise CordonMalformed(
-            f"who asks must be named in one line of at most {limits.MAX_NAME_CHARS} characters"
+            f"the operator's name (by) must be one line of at most {limits.MAX_NAME_CHARS} characters"
         )
     if reason.until_us < 0 or reason.has_ended(now_us):
-        raise CordonMalformed("the end is over already")
+        raise CordonMalformed("the end of the cordon is in the past")
     if reason.until_us > now_us + limits.MAX_DURATION_US:
-        raise CordonMalformed("the end is more than a year ahead; leave it out for none")
+        raise CordonMalformed("the end is more than a year ahead; for a cordon without an end, give none")
     if reason.automatic and not reason.until_us:
         raise CordonMalformed("an automatic cordon must have an end")
     if len(reason.observers) > limits.MAX_OBSERVERS or not 1 <= reason.times <= limits.MAX_INTEGER:
-        raise CordonMalformed("the automatic part of the reason is out of bounds")
+        raise CordonMalformed(
+            "an automatic cordon has too many observers, or its repeat count is out of range"
+        )
 
 
 def _end_order(entry: Entry) -> tuple[bool, int, Entry]:
-    """Return the order by which one entry represents an ID: the latest end, and no end above all."""
+    """Return the sort key that selects one of several entries of an ID: no end ranks above the latest end."""
     return entry.reason.until_us == 0, entry.reason.until_us, entry
 
 
 def _without_expired(value: CordonSet, now_us: int) -> CordonSet:
-    """Return the value without reasons that ended so long ago that no clock finds them active."""
+    """Return the value without reasons that ended more than ENDED_RETENTION_US ago.
+
+    Despite clock skew, no scheduler regards these reasons as active.
+    """
     remaining = tuple(e for e in value.entries if not e.reason.has_ended(now_us - limits.ENDED_RETENTION_US))
     if len(remaining) == len(value.entries):
         return value
@@ -277,17 +304,17 @@
 
 
 def by_writer(seen: Sequence[SeenDots]) -> dict[tuple[str, int], tuple[CounterRange, ...]]:
-    """Return the ranges of the dots that were seen, by writer."""
+    """Return the counter ranges of the seen dots, by writer."""
     return {s.writer: s.ranges for s in seen}
 
 
 def has_seen(seen: dict[tuple[str, int], tuple[CounterRange, ...]], dot: Dot) -> bool:
-    """Return whether a dot is among those that were seen, given by writer."""
+    """Return whether a dot is among the seen dots, which are given as counter ranges by writer."""
     return any(low <= dot.counter <= high for low, high in seen.get(dot.writer, ()))
 
 
 def join_ranges(ranges: Iterable[CounterRange]) -> tuple[CounterRange, ...]:
-    """Return the same counters in as few ranges as possible."""
+    """Return the fewest ascending ranges that contain the same counters as ``ranges``."""
     joined: list[CounterRange] = []
     for low, high in sorted(ranges):
         if joined and low <= joined[-1][1] + 1:
@@ -298,15 +325,15 @@
 
 
 def _with_dot(seen: Sequence[SeenDots], dot: Dot) -> tuple[SeenDots, ...]:
-    """Return the dots that were seen, with one that this process writes now.
+    """Return the seen dots with a new dot of this process added.
 
-    A process knows all its own writes, so it wrote nothing to this target between its last dot and this one:
-    the counters between them count as seen, and one range per writer is enough.
+    A process knows all its own writes, so it wrote nothing to this target between its last dot and ``dot``.
+    The counters between them are therefore added as seen as well, so that one range per writer is enough.
     """
     ranges_by_writer = by_writer(seen)
     ranges = ranges_by_writer.get(dot.writer, ())
     last = ranges[-1][1] if ranges else dot.counter - 1
     if dot.counter <= last:
-        raise ValueError(f"{dot} is not new: its writer is at {last}")
+        raise ValueError(f"the dot {dot} is not new: the last counter of its writer is {last}")
     ranges_by_writer[dot.writer] = join_ranges((*ranges, (last + 1, dot.counter)))
     return tuple(SeenDots(*writer, ranges_by_writer[writer]) for writer in sorted(ranges_by_writer))
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -1,11 +1,12 @@
-"""The JSON of operators' calls about cordons: parsing of requests, views of cordons. Times are in RFC 3339.
+"""The JSON of operators' calls about cordons: request parsing and views of cordons. Times are in RFC 3339.
 
     PUT /ops/cordons/ID     {"target": "zone/a", "reason": "...", "by": "...", "until": TIME}
     DELETE /ops/cordons/ID
-    GET /ops/cordons        a ``Listing``
+    GET /ops/cordons        returns a ``Listing``
 
-A PUT may have ``for_s`` in place of ``until``, or neither. ``?wait=SECONDS`` of the first two waits until the
-change is in force. The keys are part of the operators' interface: a field that is renamed keeps its key.
+A PUT may have ``for_s`` (the duration in seconds) in place of ``until``, or neither. With ``?wait=SECONDS``,
+a PUT or DELETE waits until the change is in force. The JSON keys are part of the operators' interface: a
+field that is renamed keeps its key.
 """
 
 import math
@@ -46,20 +47,20 @@
     PropagationStage.IN_FORCE: "in force",
 }
 OVER_BUDGET = "over budget"
-"""State of an automatic cordon that exceeds the budget."""
+"""State of an automatic cordon that is not in effect because it exceeds the budget."""
 NOT_TRACKED = "held here"
-"""State of a cordon that another scheduler wrote, and tracks."""
+"""State of a cordon that another scheduler set. That scheduler tracks its propagation."""
 
 
 class UnconfirmedView(msgspec.Struct, frozen=True):
-    """A scheduler that may still act as before a change, and why."""
+    """A scheduler that may still act without a change, and the reason (``why``)."""
 
     scheduler: str
     why: str
 
 
 class CordonView(msgspec.Struct, frozen=True):
-    """One cordon. ``workers``: how many listed ones it applies to. ``origin``: who wrote it."""
+    """One cordon. ``workers``: how many listed workers it applies to. ``origin``: the process that set it."""
 
     id: str
     target: str
@@ -84,7 +85,10 @@
 
 
 class ChangeSummary(msgspec.Struct, frozen=True):
-    """The result of a PUT or DELETE. ``error``: why a wait ended before it was in force, what to do."""
+    """The result of a PUT or DELETE.
+
+    ``error``: if the wait ended before the change was in force, the reason and what the operator can do.
+    """
 
     id: str
     targets: tuple[str, ...]
@@ -95,7 +99,7 @@
 
 
 class PutBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a PUT."""
+    """The JSON body of a PUT. ``for_s``: the duration of the cordon in seconds."""
 
     target: str
     reason: str
@@ -105,44 +109,44 @@
 
 
 def read_put(cordon_id: str, body: bytes, now_us: int) -> tuple[str, Reason]:
-    """Return the target and reason of a PUT. Raises CordonMalformed."""
+    """Parse the body of a PUT and return its target and reason. Raises CordonMalformed."""
     if len(body) > limits.MAX_BODY_BYTES:
-        raise CordonMalformed(f"the body is longer than {limits.MAX_BODY_BYTES} bytes")
+        raise CordonMalformed(f"the request body is longer than {limits.MAX_BODY_BYTES} bytes")
     try:
         put = _put_decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as e:
-        raise CordonMalformed(f"the body can't be read: {e}") from e
+        raise CordonMalformed(f"the request body is not valid: {e}") from e
     reason = Reason(cordon_id, put.reason, put.by, now_us, _read_end_us(put, now_us))
     check_reason(reason, now_us)
     return check_target(put.target), reason
 
 
 def _read_end_us(put: PutBody, now_us: int) -> int:
-    """Return when the cordon ends, 0 for no end."""
+    """Return the end of the cordon as Unix microseconds; 0 if it has none."""
     if put.until is not None and put.for_s is not None:
-        raise CordonMalformed("until and for_s exclude each other")
+        raise CordonMalformed("the request has both until and for_s; give at most one of them")
     if put.until is not None:
         return max((put.until - _EPOCH) // _MICROSECOND, 1)
     if put.for_s is not None:
         if not (math.isfinite(put.for_s) and 0 < put.for_s * 1e6 <= limits.MAX_DURATION_US):
-            raise CordonMalformed("for_s must be above 0 and at most a year")
+            raise CordonMalformed("for_s must be above 0 and at most 366 days")
         return now_us + math.ceil(put.for_s * 1e6)
     return 0
 
 
 def read_wait(text: str) -> int:
-    """Return the seconds of ``?wait=`` as microseconds, 0 for an empty text. Raises CordonMalformed."""
+    """Return the value of ``?wait=`` in microseconds; 0 if it is empty. Raises CordonMalformed."""
     try:
         seconds = float(text or 0)
     except ValueError:
         seconds = math.nan
     if not 0 <= seconds * 1e6 <= limits.MAX_WAIT_US:
-        raise CordonMalformed(f"wait= must be seconds from 0 to {limits.MAX_WAIT_US // limits.SECOND_US}")
+        raise CordonMalformed(f"wait= must be 0 to {limits.MAX_WAIT_US // limits.SECOND_US} seconds")
     return round(seconds * 1e6)
 
 
 def list_cordons(mono_us: int, index: CordonIndex, propagations: Propagations) -> Listing:
-    """Return the listing for a GET."""
+    """Return the body of the answer to a GET: all active cordons and the cordoned workers."""
     cordons = tuple(
         _view_cordon(mono_us, target, entry, index, propagations) for target, entry in index.active()
     )
@@ -184,7 +188,11 @@
     waited: bool,
     missing: Sequence[str] = (),
 ) -> tuple[int, ChangeSummary]:
-    """Return HTTP status and body for a PUT or DELETE: 200 in force, 202 not yet; 503, 504 after a wait."""
+    """Return the HTTP status and body of the answer to a PUT or DELETE.
+
+    The status is 200 if the change is in force. Otherwise it is 202 if the caller did not wait; after a wait
+    it is 503 if the change is not accepted and 504 if it is accepted.
+    """
     failure = propagation.failure(mono_us, missing)
     state, unconfirmed = _view_propagation(mono_us, propagation)
     warnings: tuple[str, ...] = ()
@@ -196,7 +204,7 @@
 
 
 def view_unconfirmed(mono_us: int, propagation: Propagation) -> tuple[UnconfirmedView, ...]:
-    """Return the schedulers that have not confirmed a change."""
+    """Return the schedulers that may still act without a change, and why."""
     return tuple(UnconfirmedView(each.name, each.why) for each in propagation.unconfirmed(mono_us))
 
 
@@ -206,7 +214,7 @@
 
 
 def _to_datetime(unix_us: int) -> datetime:
-    """Return Unix microseconds as a datetime; the latest possible one for times beyond it."""
+    """Convert Unix microseconds to a datetime; a time beyond the range of datetimes becomes the last one."""
     try:
         return _EPOCH + timedelta(microseconds=unix_us)
     except OverflowError:
--- a/tests/test_cordon_index.py
+++ b/tests/test_cordon_index.py
@@ -60,7 +60,7 @@
     index.update(
         NOW, [cordons_of("zone/z0", operator_reason()), cordons_of("zone/z1", operator_reason())], FLEET
     )
-    assert index.warnings("zone/z2") == ("no worker is left: nothing new can be placed at all",)
+    assert index.warnings("zone/z2") == ("no worker is left: no new job can be placed",)
     two = {"a": Location("z0"), "b": Location("z1")}
     index.update(NOW, [], two)
     assert index.warnings("worker/a") == ("no worker is left in zone 'z0'",)
--- a/tests/test_cordon_value.py
+++ b/tests/test_cordon_value.py
@@ -152,6 +152,6 @@
             decode(encode(hostile))
     with pytest.raises(ForeignState, match="canonical"):
         decode(words[:-1] + b"\xcc\x00")  # a zero in two bytes
-    with pytest.raises(ForeignState, match="version 2"):
+    with pytest.raises(ForeignState, match="version 2, expected 1"):
         decode(encode(CordonSet(version=2)))
     assert cordon_kind().decode(words) == copies[0]
