--- a/robinhill/net/cordons/__init__.py
+++ b/robinhill/net/cordons/__init__.py
@@ -1,6 +1,5 @@
-"""Cordons at one process: operators' calls, what is in force here, what the dispatcher is notified of.
+"""Cordons at one process: operators' calls, the cordons in effect here, and notifications to the dispatcher.
 
-`actor` is the part of a scheduler that shares state with peers, `group_member` that of a member of the
-control group. The other modules are theirs, or common to both (`operator_calls`, `cordon_records`,
-`replies`).
+A scheduler that shares state with peers uses `actor`; a member of the control group uses `group_member`. Both
+use `operator_calls`, `cordon_records` and `replies`; each of the other modules belongs to one of them.
 """
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -1,7 +1,7 @@
-"""Writes this scheduler's own acknowledgement, from which other schedulers know what it has applied.
+"""Writes this scheduler's own acknowledgement, which tells other schedulers which cordons it has applied.
 
-It owns the acknowledgement's sequence number and the starts of peers that it passes on. It decides nothing
-about the other schedulers' acknowledgements.
+This module owns the acknowledgement's sequence number and the list of peer starts in it. It does not handle
+the other schedulers' acknowledgements.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-STARTS_DELAY_S = 0.05  # starts of peers that come together are passed on in one acknowledgement
+STARTS_DELAY_S = 0.05  # batches the starts of several peers into one acknowledgement
 
 
 class AcknowledgementWriter:
-    """Writes the record of this scheduler's name; ``written_us``: when it last did, Unix time."""
+    """Writes the acknowledgement record of this scheduler; ``written_us``: Unix time of the last write."""
 
     def __init__(
         self,
@@ -40,25 +40,26 @@
         self.clock = clock
         self.written_us = 0
         self._sequence = 0
-        self._peer_starts: dict[str, int] = {}  # incarnations by name, the latest at the end
+        self._peer_starts: dict[str, int] = {}  # incarnations by peer, the most recent start at the end
         self._timer: asyncio.TimerHandle | None = None
 
     def record_start(self, name: str, incarnation: int) -> None:
-        """Pass on the start of a peer with the next acknowledgements."""
+        """Include the start of a peer in the next acknowledgements, as long as it is a recent one."""
         self._peer_starts.pop(name, None)
         self._peer_starts[name] = incarnation
         if len(self._peer_starts) > acknowledgements.MAX_RECENT_CHANGES:
             del self._peer_starts[next(iter(self._peer_starts))]
 
     def schedule(self, write: Callable[[], None]) -> None:
-        """Call ``write`` shortly, unless that is scheduled already."""
+        """Call ``write`` after STARTS_DELAY_S, unless a call is already scheduled."""
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(STARTS_DELAY_S, write)
 
     def write(self, mono_us: int, applied_digest: bytes, *, serving: bool, left: bool = False) -> None:
-        """Write the acknowledgement; the digest is that of the cordons which the dispatcher has applied.
+        """Write the acknowledgement.
 
-        ``serving``: it takes clients. ``left``: it sends nothing more.
+        ``applied_digest``: digest of the cordons that the dispatcher has applied. ``serving``: this scheduler
+        accepts clients. ``left``: it sends nothing more.
         """
         self.stop()
         self._sequence += 1
@@ -84,13 +85,13 @@
         self.tracker.record_acknowledgement(mono_us, self.fleet.own_name, acknowledgement)
 
     def stop(self) -> None:
-        """Cancel what is scheduled."""
+        """Cancel the scheduled write, if any."""
         if self._timer:
             self._timer.cancel()
             self._timer = None
 
     def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
-        """Return the digests of the targets that changed last, none while later changes are not applied."""
+        """Return the digests of the last changed targets; empty if changes are not applied yet."""
         applied = self.tracker.applied
         if applied_digest != applied.combined:
             return ()
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -1,12 +1,12 @@
-"""The actor of the cordons of a scheduler that shares state with peers.
+"""The actor for cordons at a scheduler that shares state with peers.
 
-It owns what follows from a change of the shared state: which cordons are in effect here, what the dispatcher
-is notified of, what this scheduler acknowledges, and the maintenance of records. The parts are in modules of
-their own; this one passes events from peers, from the dispatcher and from operators on to them.
+It handles the effects of a change of the shared state: the cordons in effect here, the notifications to the
+dispatcher, this scheduler's acknowledgements, and the maintenance of records. Other modules implement these
+parts; the actor passes events from peers, from the dispatcher and from operators on to them.
 
-What comes from peers is applied at once (`receive_records`) and not by the mailbox: the last check before a
-send asks `may_send`, and an answer that renews the lease must never be known here before the cordon that came
-ahead of it.
+Records from peers are applied at once (`receive_records`) instead of through the mailbox. The last check
+before a send calls `may_send`, and an answer from a peer may renew the lease. That answer must not take
+effect before a cordon that the peer sent ahead of it.
 """
 
 import asyncio
@@ -43,20 +43,20 @@
 log = logging.getLogger(__name__)
 
 MIN_MAINTENANCE_DELAY_US = 5_000
-REACHABLE_US = 10_000_000  # a scheduler seen alive within this is worth connecting to
+REACHABLE_US = 10_000_000  # a scheduler from which state was received this recently counts as reachable
 RENEWAL_INTERVAL_US = 3_600_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class CordonsApplied:
-    """The dispatcher and all endpoints have applied the notification of this number."""
+    """The dispatcher and all endpoints have applied the notification with this number."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerListChanged:
-    """Discovery lists other workers."""
+    """The list of workers from discovery has changed."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,11 +68,11 @@
 
 
 class CordonActor(Actor[CordonMessage]):
-    """The cordons of one scheduler.
+    """The actor that handles the cordons of one scheduler.
 
-    ``on_change`` is called when the replica has changed and peers are to get it; ``on_newer_incarnation``
-    with a later incarnation of this scheduler's own name; ``on_serving`` once this scheduler may take
-    clients.
+    ``on_change`` is called after this scheduler wrote to the replica, so that the change is sent to peers.
+    ``on_newer_incarnation`` is called with an incarnation of this scheduler's own name that is later than its
+    own. ``on_serving`` is called once this scheduler may accept clients.
     """
 
     def __init__(
@@ -107,10 +107,10 @@
         )
         self._catch_up = CatchUp(fleet, self.tracker, mono_us())
         self._transition = PeerListTransition(fleet, freshness, self.tracker)
-        self._next_end_us = 0  # Unix time of the next cordon's end, 0 for none
+        self._next_end_us = 0  # Unix time when the next cordon ends; 0 if none has an end
         self._renewal_due_us = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_us = 0  # monotonic, 0: no timer runs
+        self._timer_due_us = 0  # monotonic time when the maintenance timer expires; 0 if it is not running
 
     @property
     def incarnation(self) -> int:
@@ -119,11 +119,11 @@
 
     @property
     def serving(self) -> bool:
-        """Whether this scheduler may take clients."""
+        """Whether this scheduler may accept clients."""
         return self._catch_up.serving
 
     def start(self) -> None:
-        """Start, with what the replica holds already."""
+        """Start the actor, and apply the records that the replica already holds."""
         super().start()
         self._catch_up.start(mono_us())
         for record in self.replica.snapshot():
@@ -145,7 +145,7 @@
                 self._maintain()
 
     def stop(self) -> None:
-        """Stop, and answer the calls that wait."""
+        """Stop the actor, cancel its timers and answer the waiting calls."""
         super().stop()
         self._writer.stop()
         if self._timer:
@@ -155,44 +155,49 @@
     # Before each send
 
     def may_send(self, worker: ListedEndpoint) -> bool:
-        """Return whether a worker may get something new at this moment; for the last check before a write."""
+        """Return whether an attempt may be sent to a worker now; used for the last check before a write."""
         return not covers(self._notifier.targets, worker) and self.holds_lease()
 
     def holds_lease(self) -> bool:
-        """Return whether this scheduler may send at all: under ``hold`` only while it can't be behind."""
+        """Return whether this scheduler may send at all; under ``hold`` this needs a valid lease.
+
+        Under ``serve`` it always may.
+        """
         return self.fleet.sends_without_lease or self.freshness.holds_lease(mono_us())
 
-    # From peers, at once
+    # Events from peers, handled at once
 
     def receive_records(self, received: RecordsReceived) -> None:
-        """Apply records that were received from a peer and are in the replica now."""
+        """Apply records that were received from a peer and are already in the replica."""
         log_rejected(received.rejected)
         if sum([self._apply(record) for record in received.records]):
             self._update()
         self._review()
 
     def record_greeting(self, name: str, incarnation: int) -> None:
-        """Record that a link to a peer is up."""
+        """Record that a link to a peer was established, and the peer's incarnation."""
         self._record_start(name, incarnation)
         self.tracker.record_link(mono_us(), name, True)
 
     def record_lost_link(self, name: str) -> None:
-        """Record that there is no link to a peer now."""
+        """Record that the link to a peer was lost."""
         self.tracker.record_link(mono_us(), name, False)
 
     def record_answer(self, name: str) -> None:
-        """Record that a peer has answered a ping, and that all that it knew before is here."""
+        """Record that a peer has answered a ping, so that its whole state before the answer is here."""
         self._catch_up.record_answer(name)
         if not self.freshness.caught_up and self.freshness.may_catch_up():
-            self.confirm_complete("learned from others")
+            self.confirm_complete("received the state of peers")
         if not self.serving:
             self._serve_if_ready(mono_us())
         if not self._notifier.has_lease:
             self._notifier.notify_lease(self.holds_lease())
 
     def confirm_complete(self, why: str) -> None:
-        """Confirm that all that was ever accepted is here: this scheduler counts for majorities from now
-        on."""
+        """Confirm that this copy holds every change that was ever accepted.
+
+        From now on this scheduler counts for majorities. ``why`` goes into the log.
+        """
         self.freshness.caught_up = True
         log.info("counts_for_majorities", extra={"why": why, "seconds": self._catch_up.age_s(mono_us())})
         self.tracker.mark_all_stored(mono_us())
@@ -200,10 +205,10 @@
         self._notifier.notify_lease(self.holds_lease())
         self._review()
 
-    # Of this process
+    # Calls from this process
 
     def reconfigure(self, options: MeshOptions, names: Iterable[str]) -> None:
-        """Take over a new list of schedulers."""
+        """Apply new mesh options and a new list of schedulers."""
         self.fleet.reconfigure(options, names)
         self.tracker.reconfigure(mono_us(), self.fleet.names)
         for name in self.fleet.names:
@@ -214,25 +219,25 @@
         self._review()
 
     def renew(self, incarnation: int) -> None:
-        """Go on under a later incarnation."""
+        """Continue under a later incarnation, and acknowledge under it."""
         self.replica.clock.incarnation = incarnation
         self.tracker.incarnation = incarnation
         self._write_acknowledgement()
 
     def leave(self) -> None:
-        """Acknowledge, for the last time, that this process sends nothing more."""
+        """Write the last acknowledgement, which states that this process sends nothing more."""
         self._write_acknowledgement(left=True)
 
     def status(self) -> StatusReply:
-        """Return the status of this copy, for operators and for comparison of copies."""
+        """Return the status of this copy, for operators and for the comparison of copies."""
         return self._report.status(mono_us(), serving=self.serving)
 
     def metrics(self) -> list[str]:
-        """Return figures as lines, without their prefix."""
+        """Return the metrics as lines (NAME:VALUE|g), without the common prefix."""
         return self._report.metrics(mono_us(), self._catch_up.duration_us)
 
     def reachable(self) -> set[str]:
-        """Return the schedulers of which something was received lately, directly or through others."""
+        """Return the schedulers whose state was received recently, directly or through other schedulers."""
         since_us = mono_us() - max(REACHABLE_US, 3 * self.fleet.bound_us)
         as_of = {name: self.freshness.as_of(name) for name in self.fleet.names}
         return {name for name, us in as_of.items() if us is not None and us > since_us}
@@ -240,7 +245,7 @@
     # Changes of the shared state
 
     def _apply(self, record: Record) -> bool:
-        """Apply one record of the replica. Returns whether it is of cordons."""
+        """Apply one record of the replica. Returns whether the record is about cordons."""
         if record.kind == value.NAME:
             self.tracker.record_value(record.key, record.value)
             return True
@@ -251,7 +256,7 @@
         return False
 
     def _apply_written(self, records: Sequence[Record]) -> None:
-        """Apply cordons that were written here."""
+        """Apply records of cordons that this process has written, and send them to peers."""
         for record in records:
             self._apply(record)
         self._update()
@@ -259,7 +264,7 @@
         self._review()
 
     def _record_acknowledgement(self, name: str, acknowledgement: Acknowledgement) -> None:
-        """Record a peer's acknowledgement, or what a former process of this scheduler's name has left."""
+        """Record a peer's acknowledgement, or one by another process with this scheduler's name."""
         if name == self.fleet.own_name:
             if acknowledgement.incarnation > self.incarnation:
                 self.on_newer_incarnation(acknowledgement.incarnation)
@@ -284,15 +289,15 @@
             self._writer.schedule(self._write_acknowledgement)
 
     def _update(self) -> None:
-        """Derive what is cordoned, and notify the dispatcher, which confirms it."""
-        # Collected first: digests depend on the latest Unix time that the replica was given.
+        """Update the index of cordons, and notify the dispatcher, which confirms the notification."""
+        # Expired records are collected first: digests depend on the latest Unix time passed to the replica.
         self.replica.collect(self.clock.now_us())
         workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
         self._next_end_us = self.index.update(self.clock.now_us(), self._records.items(), workers).next_end_us
         self._notifier.notify_cordons(cordoned_targets(self.index), self.tracker.applied.combined)
 
     def _record_applied(self, number: int) -> None:
-        # A later change was notified under a later number, and is acknowledged with that one.
+        # A later change has a later notification, and is acknowledged when that one is applied.
         if self._notifier.confirm_applied(number):
             self._write_acknowledgement()
             self._review()
@@ -309,7 +314,7 @@
     # Maintenance
 
     def _maintain(self) -> None:
-        """Do what is due by time alone."""
+        """Do all work that is due at this time, and schedule the next maintenance."""
         now_us, unix_us = mono_us(), self.clock.now_us()
         self._timer_due_us = 0
         self._notifier.notify_lease(self.holds_lease())
@@ -326,7 +331,7 @@
         self._review()
 
     def _renew_records(self, unix_us: int) -> None:
-        """Write anew the records that a cordon outlasts, and forget digests of expired ones."""
+        """Rewrite the records that a cordon outlasts, and drop the digests of expired records."""
         targets = self.tracker.applied.keys()
         for target in targets:
             record = self.replica.record(value.NAME, target)
@@ -340,7 +345,7 @@
                 self.on_change()
 
     def _review(self) -> None:
-        """Answer the calls that have come far enough, and schedule the next maintenance."""
+        """Answer the calls whose wait is over, and schedule the next maintenance."""
         now_us = mono_us()
         self._calls.review(now_us)
         self._schedule_maintenance(now_us)
--- a/robinhill/net/cordons/catch_up.py
+++ b/robinhill/net/cordons/catch_up.py
@@ -1,6 +1,6 @@
-"""When a scheduler that has started may take clients: once it is likely to know what is cordoned.
+"""Decides when a scheduler that has started may accept clients: once it likely knows all cordons.
 
-Not to be confused with counting for majorities, which `Freshness.may_catch_up` decides.
+Whether the scheduler counts for majorities is a separate decision, see `Freshness.may_catch_up`.
 """
 
 import logging
@@ -12,32 +12,36 @@
 
 
 class CatchUp:
-    """``serving``: this scheduler takes clients; ``duration_us``: how long it took until then."""
+    """The catch-up phase of a scheduler.
+
+    ``serving``: this scheduler accepts clients. ``duration_us``: the time from the start until then; None
+    before.
+    """
 
     def __init__(self, fleet: Fleet, tracker: PropagationTracker, started_us: int) -> None:
         self.fleet = fleet
         self.tracker = tracker
         self.serving = False
         self.duration_us: int | None = None
-        self._answered: set[str] = set()  # peers whose state was received since the start
+        self._answered: set[str] = set()  # peers whose whole state was received since the start
         self._started_us = started_us
 
     def start(self, mono_us: int) -> None:
-        """Begin: time runs from now on."""
+        """Start the catch-up phase; its timeout counts from ``mono_us``."""
         self._started_us = mono_us
 
     def age_s(self, mono_us: int) -> float:
-        """Return the seconds since the start."""
+        """Return the seconds since the start of the catch-up phase."""
         return (mono_us - self._started_us) / 1e6
 
     def record_answer(self, name: str) -> None:
-        """Record that all that a peer knew is here."""
+        """Record that a peer's whole state has been received."""
         self._answered.add(name)
 
     def serve_if_ready(self, mono_us: int) -> bool:
-        """Begin to serve once a serving peer or all peers have answered, or time is up.
+        """Begin to serve once a serving peer or all peers have answered, or after ``catch_up_ms``.
 
-        Returns whether it begins.
+        Returns whether this call made the scheduler begin to serve.
         """
         age_s = self.age_s(mono_us)
         complete = self._is_complete()
--- a/robinhill/net/cordons/change_waits.py
+++ b/robinhill/net/cordons/change_waits.py
@@ -1,4 +1,4 @@
-"""Operators' calls at a member of the control group that wait for their change to come far enough."""
+"""Operators' calls at a member of the control group that wait until their change is accepted or in force."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class ChangeWait:
-    """A call that waits for its change to be in force, or else only to be accepted."""
+    """A call that waits until its change is in force (``until_in_force``), or only until it is accepted."""
 
     change: PendingChange
     until_in_force: bool
@@ -21,12 +21,12 @@
 
     @property
     def fulfilled(self) -> bool:
-        """Whether the change has come as far as the call waits for."""
+        """Whether the change has reached the state that the call waits for."""
         return self.change.in_force if self.until_in_force else self.change.accepted
 
 
 class ChangeWaits:
-    """All calls that wait. ``describe`` returns how far a change has come."""
+    """All waiting calls. ``describe`` returns the body of the answer about a change."""
 
     def __init__(self, describe: Callable[[PendingChange], ChangeReply]) -> None:
         self._describe = describe
@@ -35,7 +35,7 @@
     def add(
         self, change: PendingChange, reply: asyncio.Future[Answer], timeout_us: int, *, until_in_force: bool
     ) -> None:
-        """Answer a call once its change has come far enough, at the latest after the timeout."""
+        """Answer a call once its change is in force or accepted, or when the timeout has passed."""
         wait = ChangeWait(change, until_in_force, reply)
         if wait.fulfilled:
             reply.set_result(make_answer(200, self._describe(change)))
@@ -45,13 +45,13 @@
         self._waits.append(wait)
 
     def review(self, change: PendingChange) -> None:
-        """Answer the calls for which a change has come far enough."""
+        """Answer the calls whose wait for a change is fulfilled; called when the change has progressed."""
         for wait in [w for w in self._waits if w.change is change]:
             if wait.fulfilled:
                 self._end(wait, 200)
 
     def stop(self) -> None:
-        """Answer all calls, as this process ends."""
+        """Answer all waiting calls with status 503, because this process ends."""
         for wait in list(self._waits):
             self._end(wait, 503)
 
--- a/robinhill/net/cordons/cordon_records.py
+++ b/robinhill/net/cordons/cordon_records.py
@@ -1,6 +1,7 @@
-"""The cordons in a process's replica, and the changes that operators' calls make of them.
+"""Reads the cordons in a process's replica, and prepares the changes that operators' calls request.
 
-Reads the replica and never writes it: the caller writes a change's values, each as its kind of process does.
+This module never writes the replica. The caller writes the values of a change, because a scheduler with peers
+and a member of the control group write in different ways.
 """
 
 import logging
@@ -19,7 +20,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CordonChange:
-    """The change that a call asks for. ``values``: the new ones by target; ``cordon``: None for a lift."""
+    """A change that a call requests.
+
+    ``values`` are the new values by target; ``cordon`` is the reason that is set, None for a lift.
+    """
 
     cordon_id: str
     values: dict[str, CordonSet]
@@ -27,16 +31,16 @@
 
     @property
     def is_lift(self) -> bool:
-        """Whether it lifts a cordon, and does not set one."""
+        """Whether the change lifts a cordon; otherwise it sets one."""
         return self.cordon is None
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """The targets that it changes."""
+        """The targets whose values the change replaces."""
         return tuple(self.values)
 
     def write_log(self) -> None:
-        """Log the change, once it is written."""
+        """Log the change; call this after its values are written."""
         if self.cordon is None:
             log.info("cordon_lifted", extra={"id": self.cordon_id, "targets": ",".join(self.targets)})
             return
@@ -47,14 +51,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NewCordon:
-    """A reason that is set, and the dot of its write."""
+    """A reason that a change sets, and the dot of the write."""
 
     reason: Reason
     dot: Dot
 
 
 class CordonRecords:
-    """The cordons of a replica. ``origin`` and ``incarnation`` are those of this process's writes."""
+    """The cordons of a replica. ``origin`` and ``incarnation`` identify this process in its dots."""
 
     def __init__(self, replica: Replica, clock: Clock, origin: str, incarnation: Callable[[], int]) -> None:
         self.replica = replica
@@ -64,24 +68,24 @@
         self._counter = 0
 
     def items(self) -> list[tuple[str, CordonSet]]:
-        """Return all cordons, by target."""
+        """Return the cordons of all targets, as pairs of target and value."""
         return cast(list[tuple[str, CordonSet]], self.replica.items(value.NAME))
 
     def get(self, target: str) -> CordonSet | None:
-        """Return the cordons of a target, None if there never were any."""
+        """Return the cordons of a target; None if the replica has no record of the target."""
         return cast(CordonSet | None, self.replica.value(value.NAME, target))
 
     def next_number(self) -> int:
-        """Return a number that this process has not used yet."""
+        """Return the next number of this process's counter, which is unique within the process."""
         self._counter += 1
         return self._counter
 
     def prepare_change(self, call: CordonCall) -> CordonChange:
-        """Return the change that a PUT or DELETE asks for. Raises CordonError."""
+        """Return the change that a PUT or DELETE requests, without writing it. Raises CordonError."""
         return self._prepare_set(call) if call.method == "PUT" else self._prepare_lift(call)
 
     def needs_renewal(self, target: str, present: CordonSet, now_us: int) -> bool:
-        """Return whether the record of a target must be written anew, as a cordon outlasts it."""
+        """Return whether the record of a target must be rewritten now, because a cordon outlasts it."""
         record = self.replica.record(value.NAME, target)
         if record is None:
             return False
--- a/robinhill/net/cordons/dispatcher_notifier.py
+++ b/robinhill/net/cordons/dispatcher_notifier.py
@@ -1,7 +1,7 @@
-"""Notifies the dispatcher of cordons and of the lease, and keeps what it has confirmed.
+"""Notifies the dispatcher of cordons and of the lease, and records which cordons it has confirmed.
 
-It owns the targets that are cordoned at this process from this moment on. It decides neither which they are
-nor whether there is a lease.
+This module owns the set of targets that are cordoned at this process now. Other modules decide which targets
+these are, and whether there is a lease.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 
 class DispatcherNotifier:
-    """``on_applied`` is called with a notification's number once the dispatcher and all endpoints have
-    applied it.
+    """Sends notifications to the dispatcher by ``notify``.
 
-    ``targets`` are the cordoned targets now; ``applied_digest`` is that of the cordons which the dispatcher
-    has confirmed; ``has_lease`` is as it was notified last.
+    ``on_applied`` is called with a notification's number once the dispatcher and all endpoints have applied
+    it. ``targets`` are the targets that are cordoned now; ``applied_digest`` is the digest of the cordons
+    that the dispatcher last confirmed; ``has_lease`` is the lease state in the last notification.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._pending_digests: dict[int, bytes] = {}  # by number of the notification
 
     def notify_cordons(self, targets: frozenset[str], digest: bytes) -> None:
-        """Cordon these targets; ``digest`` is that of the cordons they are from."""
+        """Replace the cordoned targets; ``digest`` is the digest of the cordons that they derive from."""
         self.targets = targets
         self._number += 1
         number = self._number
@@ -43,7 +43,7 @@
         self._notify(CordonsChanged(lambda worker: covers(targets, worker), lambda: self._on_applied(number)))
 
     def confirm_applied(self, number: int) -> bool:
-        """Record that the dispatcher has applied a notification. Returns whether that changes the digest."""
+        """Record that the dispatcher applied a notification. Returns whether ``applied_digest`` changed."""
         digest = self._pending_digests.pop(number)
         if digest == self.applied_digest:
             return False
@@ -51,7 +51,7 @@
         return True
 
     def notify_lease(self, has_lease: bool) -> None:
-        """Notify the dispatcher if the lease began or ended."""
+        """Notify the dispatcher if the lease was acquired or lost since the last notification."""
         if has_lease is not self.has_lease:
             self.has_lease = has_lease
             self._notify(SendLeaseChanged())
--- a/robinhill/net/cordons/fleet.py
+++ b/robinhill/net/cordons/fleet.py
@@ -1,4 +1,4 @@
-"""The configured schedulers, as the parts of this process share them."""
+"""The configured schedulers and mesh options, shared by the parts of this process that handle cordons."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,10 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """``names`` are all configured schedulers, ascending, ``own_name`` included; it changes with a reload."""
+    """The configured schedulers and options; both change when the configuration is reloaded.
+
+    ``names`` are all configured schedulers, ascending, including ``own_name``.
+    """
 
     own_name: str
     names: tuple[str, ...]
@@ -16,14 +19,14 @@
 
     @property
     def bound_us(self) -> int:
-        """How old knowledge of a majority may be for the lease."""
+        """The maximum age of the knowledge of a majority with which this scheduler holds the lease."""
         return self.options.bound_ms * 1000
 
     @property
     def sends_without_lease(self) -> bool:
-        """Whether this scheduler goes on sending without a lease."""
+        """Whether this scheduler continues to send while it holds no lease."""
         return self.options.on_lost == "serve"
 
     def reconfigure(self, options: MeshOptions, names: Iterable[str]) -> None:
-        """Take over new options."""
+        """Replace the options and the names of the configured schedulers."""
         self.options, self.names = options, tuple(sorted(names))
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -1,7 +1,7 @@
-"""Cordons at a member of the control group, voter or scheduler: operators' calls, and what is cordoned now.
+"""Cordons at a member of the control group (voter or scheduler): operators' calls and the cordoned targets.
 
-It owns the index and the changes that were asked for here; the voter or observer owns the records. Used from
-the driver's mailbox alone.
+This module owns the index and the changes that were requested here; the voter or observer owns the records.
+It is only used from the mailbox of the driver.
 """
 
 import logging
@@ -43,20 +43,20 @@
 
 
 class Writer(Protocol):
-    """A voter or an observer, which takes changes."""
+    """A voter or an observer, which accepts changes."""
 
     def write(
         self, now_us: int, mono_us: int, kind: str, key: str, value: object
     ) -> tuple[int, Record, list[Action]]:
-        """Write a value; returns the number of the change, its record and what is to be done."""
+        """Write a value. Returns the number of the change, its record and the actions to perform."""
 
 
 class GroupCordons:
-    """The cordons of one member.
+    """The cordons at one member of the control group.
 
-    ``perform`` carries out actions of the writer; ``listed_workers`` are those that discovery lists here,
-    None at a voter, which knows none. ``abandon`` is called with the number of a change that is no longer
-    tracked.
+    ``perform`` carries out the actions that the writer returns. ``listed_workers`` returns the workers that
+    discovery lists here; None at a voter, which has no list of workers. ``abandon`` is called with the number
+    of a record that is no longer tracked.
     """
 
     def __init__(
@@ -82,10 +82,10 @@
         self._records = CordonRecords(replica, clock, options.name, lambda: incarnation)
         self._waits = ChangeWaits(self._describe)
 
-    # What is cordoned
+    # Cordoned targets
 
     def update(self) -> frozenset[str]:
-        """Derive the targets that are cordoned now from the replica, and return them."""
+        """Update the index from the replica, and return the targets that are cordoned now."""
         workers = {}
         if self.listed_workers:
             workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
@@ -95,7 +95,7 @@
         return self.targets
 
     def renew_records(self) -> None:
-        """Write anew the records of cordons that last for longer than their record."""
+        """Rewrite the records that a cordon outlasts. Stops at the first write that is rejected."""
         now_us = self.clock.now_us()
         for target, present in self._records.items():
             if not self._records.needs_renewal(target, present, now_us):
@@ -110,23 +110,24 @@
     # Operators' calls
 
     def call(self, call: CordonCall) -> None:
-        """Carry out a call; it is answered once what it waits for has happened."""
+        """Carry out a call. A call for a change is answered once its wait is fulfilled or timed out."""
         handle_call(call, self, HTTP_STATUS)
 
     def record_progress(self, report: Progressed) -> None:
-        """Record that a change that was asked for here has come further."""
+        """Record the progress of a change that was requested here, and answer calls that waited for it."""
         change = self.changes.record_progress(report)
         if change is not None:
             self._waits.review(change)
 
     def stop(self) -> None:
-        """Answer the calls that wait, as this process ends."""
+        """Answer the waiting calls, because this process ends."""
         self._waits.stop()
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return one cordon, or all for ''. Raises CordonUnknown.
+        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown.
 
-        How far a cordon has come is known where it was set, or once it was asked for by its ID.
+        The progress of a cordon is known at the member where it was set, and at a member that was called with
+        the cordon's ID, because that call starts to track it.
         """
         self.update()
         listing = views.list_cordons(mono_us(), self.index, Propagations())
@@ -138,7 +139,7 @@
         return ListingReply(tuple(cordons), listing.cordoned_workers)
 
     def change(self, call: CordonCall) -> None:
-        """Write the change that a call asks for, and answer the call once it has come far enough."""
+        """Write the requested change, and answer the call once the change is in force or accepted."""
         wait_us = call.wait_us
         requested = self._records.prepare_change(call)
         dots = () if requested.cordon is None else (str(requested.cordon.dot),)
@@ -151,7 +152,7 @@
     def _write(self, change: PendingChange, values: dict[str, CordonSet]) -> None:
         for target, new in values.items():
             number, _, actions = self.writer.write(self.clock.now_us(), mono_us(), value.NAME, target, new)
-            self.changes.track(change, number)  # before the actions, which may report its progress already
+            self.changes.track(change, number)  # must come first, as an action may report progress at once
             self.perform(actions)
         for number in self.changes.abandon_excess():
             self.abandon(number)
@@ -168,7 +169,7 @@
             in_force=change.in_force,
             ms=(mono_us() - change.began_us) / 1000,
             lagging_count=0 if change.in_force else change.lagging_count,
-            unconfirmed=tuple(UnconfirmedView(name, "it is not known to go by it") for name in names),
+            unconfirmed=tuple(UnconfirmedView(name, "not known to have applied it") for name in names),
             warnings=warnings if knows_workers and not change.is_lift else UNSET,
         )
 
@@ -177,12 +178,12 @@
         if change is None and track:
             change = self._track_present(view, dot)
         if change is None:
-            return make_cordon_reply(view, (f"not followed here: ask {dot.origin}",))
+            return make_cordon_reply(view, (f"not tracked here: see {dot.origin}",))
         lagging = () if change.in_force else change.lagging_names or ("not yet known",)
         return make_cordon_reply(view, lagging, change.state)
 
     def _track_present(self, view: CordonView, dot: Dot) -> PendingChange:
-        """Track a cordon that was set elsewhere, by writing its present value once more."""
+        """Track a cordon that was set at another member, by writing its current value again."""
         present = self._records.get(view.target)
         assert present is not None
         change = PendingChange(view.id, (view.target,), False, mono_us(), (str(dot),))
--- a/robinhill/net/cordons/mesh_calls.py
+++ b/robinhill/net/cordons/mesh_calls.py
@@ -1,6 +1,6 @@
-"""Operators' calls at a scheduler that shares state with peers: it writes changes, tracks and answers them.
+"""Operators' calls at a scheduler that shares state with peers: writes and tracks changes, answers calls.
 
-It owns the calls that wait. What else follows from a change is up to the actor, by ``on_written``.
+This module owns the waiting calls. The actor handles all other effects of a change in ``on_written``.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class CallWait:
-    """A call that waits until its change has reached a stage."""
+    """A call that waits until its change has reached ``stage``, or until ``deadline_us``."""
 
     change: TrackedChange
     stage: PropagationStage
@@ -40,7 +40,10 @@
 
 
 class MeshCalls:
-    """Carries out calls. ``mono_us`` reads the monotonic clock."""
+    """Carries out operators' calls.
+
+    ``mono_us`` reads the monotonic clock; ``on_written`` is called with the records that a change wrote.
+    """
 
     def __init__(
         self,
@@ -63,15 +66,18 @@
 
     @property
     def clock(self) -> Clock:
-        """The clock of records."""
+        """The clock for the times in records."""
         return self.records.clock
 
     def handle(self, call: CordonCall) -> None:
-        """Carry out a call; it is answered by `review` once it has come far enough."""
+        """Carry out a call. A call that changes cordons is answered later, by `review`."""
         handle_call(call, self, views.HTTP_STATUS)
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return one cordon, or all for '', and the status of each scheduler. Raises CordonUnknown."""
+        """Return the cordon with an ID, or all cordons for '', and the status of each scheduler.
+
+        Raises CordonUnknown.
+        """
         now_us = self.mono_us()
         listing = views.list_cordons(now_us, self.index, self.tracker.propagations)
         cordons = tuple(
@@ -81,12 +87,12 @@
         return ListingReply(cordons, listing.cordoned_workers, self.report.schedulers(now_us))
 
     def change(self, call: CordonCall) -> None:
-        """Write the change that a call asks for, and track it."""
+        """Write the change that a call requests, and track its propagation."""
         requested = self.records.prepare_change(call)
         key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_number()}"
         wait_us = call.wait_us
         now_us = self.mono_us()
-        self.tracker.propagations.reserve()  # a call that is rejected must not have written anything
+        self.tracker.propagations.reserve()  # may reject the call, which must happen before any write
         replica, unix_us = self.records.replica, self.clock.now_us()
         written = [
             replica.write(unix_us, value.NAME, target, new) for target, new in requested.values.items()
@@ -105,7 +111,7 @@
         requested.write_log()
 
     def review(self, now_us: int) -> None:
-        """Answer calls whose change has come far enough, or whose time is up."""
+        """Answer the calls whose change has reached its stage, or whose deadline has passed."""
         for wait in list(self._waits):
             reached = wait.change.propagation.advance(now_us) >= wait.stage
             if wait.reply.done():
@@ -115,17 +121,17 @@
                 self._answer(wait, now_us, reached=reached)
 
     def deadlines_us(self) -> Iterable[int]:
-        """Return when `review` is due, by the monotonic clock."""
+        """Yield the times when `review` is due, by the monotonic clock."""
         yield from (wait.deadline_us for wait in self._waits)
         next_us = self.tracker.propagations.next_deadline_us()
         if next_us is not None:
             yield next_us
 
     def stop(self) -> None:
-        """Answer all calls, as this process ends."""
+        """Answer all waiting calls with status 503, because this process ends."""
         for wait in self._waits:
             if not wait.reply.done():
-                wait.reply.set_result(make_answer(503, ErrorReply("this scheduler ends")))
+                wait.reply.set_result(make_answer(503, ErrorReply("this scheduler is shutting down")))
 
     def _wait(self, call: CordonCall, change: TrackedChange, now_us: int, wait_us: int | None) -> None:
         if wait_us is None:
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -1,5 +1,7 @@
-"""Operators' calls about cordons: the message, its errors, and what a call's targets are. For both kinds of
-process; it carries out nothing itself, see `mesh_calls` and `group_member`.
+"""Operators' calls about cordons: the message, the answers to failed calls, and helpers for targets.
+
+Schedulers with peers and members of the control group both use this module. The calls are carried out in
+`mesh_calls` and `group_member`.
 """
 
 import asyncio
@@ -22,7 +24,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CordonCall:
-    """An operator's call. ``wait`` is the query's parameter; None: it waits only to be accepted."""
+    """An operator's call.
+
+    ``wait`` is the query parameter of that name; if it is None, a change is answered once it is accepted.
+    """
 
     method: str
     cordon_id: str
@@ -32,24 +37,27 @@
 
     @property
     def wait_us(self) -> int | None:
-        """How long to wait until the change is in force. Raises CordonMalformed."""
+        """The maximum time to wait until the change is in force; None without ``wait``.
+
+        Raises CordonMalformed.
+        """
         return views.read_wait(self.wait.removesuffix("s")) if self.wait is not None else None
 
 
 class CallHandler(Protocol):
-    """What carries out calls at a process."""
+    """The part of a process that carries out calls."""
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return one cordon, or all for ''. Raises CordonUnknown."""
+        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown."""
 
     def change(self, call: CordonCall) -> None:
-        """Write a change; the call is answered once it has come as far as the caller waits for."""
+        """Write the requested change, and answer once it has reached the state that the caller waits for."""
 
 
 def handle_call(call: CordonCall, handler: CallHandler, statuses: Mapping[type[RobinhillError], int]) -> None:
-    """Carry out a call, and answer it at once where it shows cordons or fails.
+    """Carry out a call. A GET and a call that fails are answered at once.
 
-    ``statuses`` are the HTTP statuses of errors.
+    ``statuses`` maps error classes to HTTP statuses.
     """
     if call.reply.done():
         return
@@ -64,7 +72,7 @@
 
 
 def select_cordons(cordons: Sequence[CordonView], cordon_id: str) -> Sequence[CordonView]:
-    """Return the cordons with an ID, all for ''. Raises CordonUnknown where there is none."""
+    """Return the cordons with an ID, or all cordons for ''. Raises CordonUnknown if none has the ID."""
     if not cordon_id:
         return cordons
     selected = [cordon for cordon in cordons if cordon.id == cordon_id]
@@ -74,22 +82,22 @@
 
 
 def cordoned_targets(index: CordonIndex) -> frozenset[str]:
-    """Return the targets that are cordoned now."""
+    """Return the targets with a cordon that is in effect."""
     return frozenset(target for target, entry in index.active() if index.is_in_effect(target, entry.reason))
 
 
 def location_of(endpoint: ListedEndpoint) -> Location:
-    """Return where a worker is."""
+    """Return the zone, machine type and cell of a listed worker."""
     return Location(endpoint.zone, endpoint.machine_type, endpoint.cell)
 
 
 def covers(targets: frozenset[str], endpoint: ListedEndpoint) -> bool:
-    """Return whether targets apply to a worker. Cheap enough to be asked before each send."""
+    """Return whether a worker is in one of the targets. Cheap enough to be called before each send."""
     if not targets:
         return False
     return not targets.isdisjoint(targets_of(endpoint.instance_id, location_of(endpoint)))
 
 
 def change_warnings(index: CordonIndex, targets: Sequence[str]) -> tuple[str, ...]:
-    """Return the warnings about all targets of a cordon, by ascending target."""
+    """Return the index's warnings about the targets of a cordon, ordered by target."""
     return tuple(warning for target in sorted(targets) for warning in index.warnings(target))
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -1,7 +1,7 @@
-"""The transition from former lists of schedulers to the present one.
+"""The transition from earlier lists of schedulers to the current one.
 
-Majorities of the former lists are needed, too, until all schedulers have been known to use the present one
-for as long as the bound.
+Until all schedulers are known to have used the current list for the length of the bound, decisions also need
+majorities of the earlier lists.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class PeerListTransition:
-    """Ends the transition in ``freshness`` when that is safe."""
+    """Ends the transition in ``freshness`` once all schedulers have agreed on the list for the bound."""
 
     def __init__(self, fleet: Fleet, freshness: Freshness, tracker: PropagationTracker) -> None:
         self.fleet = fleet
@@ -24,7 +24,7 @@
         self._agreed_since_us: int | None = None
 
     def review(self, mono_us: int) -> None:
-        """End the transition if all have agreed for long enough."""
+        """End the transition if all schedulers have used the current list for longer than the bound."""
         if len(self.freshness.quorum.lists) == 1:
             return
         if not self._all_agree():
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -1,7 +1,7 @@
-"""Changes of cordons that were asked for at a member of the control group, and how far each has come.
+"""Changes of cordons that were requested at a member of the control group, and the progress of each.
 
-A change is *accepted* once it can't be forgotten, and *in force* once no scheduler can act without it. It is
-written as one record for each of its targets; each record's number is that of its progress reports.
+A change is *accepted* once it can no longer be lost, and *in force* once no scheduler can act without it. It
+is written as one record for each of its targets. A progress report refers to a record by its number.
 No sockets.
 """
 
@@ -11,8 +11,8 @@
 from robinhill.control.actions import Progressed
 
 MAX_PENDING_RECORDS = 512
-"""Tracked at once; beyond it the oldest that no caller waits for are abandoned, and take effect all the
-same."""
+"""The maximum number of tracked records. Beyond it the oldest records without a waiting caller are no longer
+tracked; they take effect all the same."""
 
 STORED, ACCEPTED, IN_FORCE = "stored", "accepted", "in force"
 
@@ -21,8 +21,9 @@
 class PendingChange:
     """A change that one call has written.
 
-    ``began_us``: monotonic. ``dots``: of the reasons that it set. ``waiters``: how many callers wait for it.
-    ``progress``: the last report of each record, by number; None before the first.
+    ``began_us``: the time of the call, monotonic. ``dots``: the dots of the reasons that the change set.
+    ``waiters``: the number of callers that wait for the change. ``progress``: the last report of each record,
+    by the record's number; None before the first report.
     """
 
     cordon_id: str
@@ -35,29 +36,29 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether all its records are accepted."""
+        """Whether all records of the change are accepted."""
         return all(last is not None and (last.accepted or last.in_force) for last in self.progress.values())
 
     @property
     def in_force(self) -> bool:
-        """Whether all its records are in force."""
+        """Whether all records of the change are in force."""
         return all(last is not None and last.in_force for last in self.progress.values())
 
     @property
     def state(self) -> str:
-        """How far it has come, as operators' answers name it."""
+        """The state of the change as answers to operators name it."""
         if self.in_force:
             return IN_FORCE
         return ACCEPTED if self.accepted else STORED
 
     @property
     def lagging_count(self) -> int:
-        """How many voters and schedulers are not known to have applied it."""
+        """The number of voters and schedulers that are not known to have applied the change."""
         return max((last.lagging.count for last in self._reports()), default=0)
 
     @property
     def lagging_names(self) -> tuple[str, ...]:
-        """Some of those that are not known to have applied it, ascending."""
+        """Names of some voters and schedulers that are not known to have applied the change, ascending."""
         return tuple(sorted({name for last in self._reports() for name in last.lagging.names}))
 
     def _reports(self) -> Iterable[Progressed]:
@@ -65,21 +66,21 @@
 
 
 class PendingChanges:
-    """All changes of this process that are tracked, or whose cordon is active."""
+    """The changes of this process that are tracked, or that set a cordon which is still active."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, PendingChange] = {}
         self._by_dot: dict[str, PendingChange] = {}
 
     def track(self, change: PendingChange, number: int) -> None:
-        """Track one record of a change by its number."""
+        """Track the record ``number`` of a change."""
         change.progress[number] = None
         self._by_number[number] = change
         for dot in change.dots:
             self._by_dot[dot] = change
 
     def record_progress(self, report: Progressed) -> PendingChange | None:
-        """Record a progress report. Returns its change, None if that is not tracked."""
+        """Record a progress report. Returns the change concerned; None if the record is not tracked."""
         change = self._by_number.get(report.number)
         if change is None:
             return None
@@ -89,7 +90,7 @@
         return change
 
     def find_by_dot(self, dot: str) -> PendingChange | None:
-        """Return the change that set the reason with this dot, None if it is not known here."""
+        """Return the change that set the reason with this dot; None if it is not known here."""
         return self._by_dot.get(dot)
 
     def pending_count(self) -> int:
@@ -97,7 +98,10 @@
         return len({id(change) for change in self._by_number.values()})
 
     def abandon_excess(self) -> list[int]:
-        """Stop tracking the oldest records above the limit that no caller waits for; return their numbers."""
+        """Stop tracking the oldest records beyond MAX_PENDING_RECORDS that no caller waits for.
+
+        Returns the numbers of these records.
+        """
         excess = len(self._by_number) - MAX_PENDING_RECORDS
         if excess <= 0:
             return []
@@ -107,7 +111,7 @@
         return idle
 
     def forget_ended(self, active_dots: Collection[str]) -> None:
-        """Forget changes that are in force and whose reason is no longer active."""
+        """Remove the changes that are in force and whose reason is no longer active."""
         for dot, change in list(self._by_dot.items()):
             if dot not in active_dots and change.in_force:
                 del self._by_dot[dot]
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -1,6 +1,6 @@
-"""The bodies of answers to operators about cordons, as JSON.
+"""The JSON bodies of answers to operators about cordons.
 
-Field names and their order are part of the operators' interface; a field that is UNSET is left out. Views of
+Field names and their order are part of the operators' interface; a field that is UNSET is omitted. Views of
 single cordons are in `robinhill.cordon.views`.
 """
 
@@ -24,7 +24,7 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Why a call failed, and what the operator can do."""
+    """Why a call failed (``error``), advice for the operator, and the code of the error (``type``)."""
 
     error: str
     advice: str | UnsetType = UNSET
@@ -32,10 +32,11 @@
 
 
 class ChangeReply(msgspec.Struct, frozen=True):
-    """How far a change has come.
+    """The progress of a change.
 
-    ``ms``: time since the call. ``lagging_count``: at a member of the control group, how many of its members
-    are not known to have applied the change. ``error``, ``advice`` and ``type``: of a call that timed out.
+    ``ms``: time since the call. ``lagging_count``: at a member of the control group, the number of members
+    that are not known to have applied the change. ``error``, ``advice`` and ``type`` are set if the call's
+    wait ended before the change had reached the state that it waited for.
     """
 
     id: str
@@ -63,7 +64,11 @@
 
 
 class SchedulerReply(msgspec.Struct, frozen=True):
-    """The status of one scheduler, as known here; ``knowledge_age_ms`` is None if it was never known."""
+    """The status of one scheduler as known here.
+
+    ``counts``: whether it counts for majorities. ``same_list``: whether it uses this scheduler's list of
+    schedulers. ``knowledge_age_ms``: the age of what is known of its state; None if nothing was ever known.
+    """
 
     name: str
     state: str
@@ -75,7 +80,7 @@
 
 
 class ListingReply(msgspec.Struct, frozen=True):
-    """Active cordons, the listed workers that are cordoned, and all schedulers."""
+    """Active cordons, the listed workers that are cordoned, and the status of all schedulers."""
 
     cordons: tuple[CordonReply, ...]
     cordoned_workers: tuple[str, ...] = msgspec.field(name="held")
@@ -83,7 +88,11 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """The status of a scheduler's copy of the shared state. Ages are None where nothing was known yet."""
+    """The status of a scheduler's copy of the shared state.
+
+    ``counts``: whether the scheduler counts for majorities. ``majority_age_ms``: the age of its knowledge of
+    a majority; None if it has none yet.
+    """
 
     name: str
     incarnation: int
@@ -99,22 +108,22 @@
 
 
 def make_cordon_reply(view: CordonView, lagging: tuple[str, ...], state: str | None = None) -> CordonReply:
-    """Return a view with the schedulers that lag; ``state`` replaces the view's where it is given."""
+    """Return a reply with a cordon's view and its lagging schedulers; ``state`` replaces the view's state."""
     reply = CordonReply(**msgspec.structs.asdict(view), lagging=lagging)
     return reply if state is None else msgspec.structs.replace(reply, state=state)
 
 
 def make_error_reply(error: RobinhillError) -> ErrorReply:
-    """Return the body for an error."""
+    """Return the body of an answer that reports an error."""
     return ErrorReply(error.what, error.advice, error.code)
 
 
 def make_answer(status: int, body: Reply) -> Answer:
-    """Return an HTTP answer: one line of JSON."""
+    """Return an HTTP answer with a body of one line of JSON."""
     return Answer(status, msgspec.json.encode(body) + b"\n")
 
 
 def status_answer(fields: Mapping[str, object]) -> Answer:
-    """A status as JSON, without the fields that are None."""
+    """Return an HTTP answer with the fields of a status as JSON, without those that are None."""
     known = {key: value for key, value in fields.items() if value is not None}
     return Answer(200, msgspec.json.encode(known) + b"\n")
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -1,4 +1,4 @@
-"""How a scheduler that shares state with peers reports on itself and on the fleet: status and metrics."""
+"""Status and metrics of a scheduler that shares state with peers, and the known status of its peers."""
 
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation_tracker import PropagationTracker
@@ -11,7 +11,7 @@
 
 
 class StatusReport:
-    """Reads the state of the other parts, and changes none of it."""
+    """Builds status replies and metrics from the state of the other parts, without changing it."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.clock = clock
 
     def status(self, mono_us: int, *, serving: bool) -> StatusReply:
-        """Return the status of this copy; its digest only while it serves."""
+        """Return the status of this scheduler's copy, with the copy's digest only while it serves."""
         age_us = self.freshness.age_us(mono_us)
         return StatusReply(
             name=self.fleet.own_name,
@@ -44,11 +44,11 @@
         )
 
     def schedulers(self, mono_us: int) -> tuple[SchedulerReply, ...]:
-        """Return all configured schedulers, this one included."""
+        """Return the status of all configured schedulers, including this one."""
         return tuple(self._scheduler(name, mono_us) for name in self.fleet.names)
 
     def metrics(self, mono_us: int, catch_up_us: int | None) -> list[str]:
-        """Return figures as lines, without their prefix."""
+        """Return the metrics as lines (NAME:VALUE|g), without the common prefix."""
         age_us = self.freshness.age_us(mono_us)
         targets = self.tracker.applied.keys()
         lagging = {name for target in targets for name in self.tracker.lagging_peers(target)}
--- a/tests/test_cordon_replies.py
+++ b/tests/test_cordon_replies.py
@@ -71,7 +71,7 @@
 
 
 def test_an_error_has_its_advice_and_code_where_it_has_them() -> None:
-    assert make_answer(503, ErrorReply("this scheduler ends")).body == b'{"error":"this scheduler ends"}\n'
+    assert make_answer(503, ErrorReply("shutting down")).body == b'{"error":"shutting down"}\n'
     reply = make_error_reply(NotAccepted("m1", []))
     assert (reply.type, reply.advice) == ("NotAccepted", NotAccepted.advice)
     assert reply.error.startswith("m1 is stored here")
