--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -180,7 +180,7 @@
     proposals = []
     for suspect in find_suspects(now_us, observations, workers, options, evidence_after_us, cordoned):
         worker = suspect.worker
-        due_us = suspect.since_us + limits.PROPOSAL_TURN_US * _turn(worker, own_name, others)
+        due_us = suspect.since_us + limits.PROPOSAL_TURN_US * _proposal_turn(worker, own_name, others)
         if worker not in cordoned and now_us >= due_us:
             reason = _make_reason(now_us, own_name, suspect, histories[worker].times + 1, options)
             proposals.append((f"worker/{worker}", reason))
@@ -230,7 +230,7 @@
     )
 
 
-def _turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
+def _proposal_turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
     """Return this scheduler's place in the order of schedulers for a worker, at most MAX_PROPOSAL_TURNS."""
 
     def rank(name: str) -> bytes:
@@ -252,7 +252,7 @@
         if each.worker not in workers or not _is_valid(now_us, each, options):
             continue
         key = ObservationKey(each.observer, each.worker, each.cause)
-        if key not in latest or _order(each) > _order(latest[key]):
+        if key not in latest or _recency(each) > _recency(latest[key]):
             latest[key] = each
     return latest
 
@@ -264,7 +264,7 @@
     return all(math.isfinite(n) and n >= 0 for n in (observation.amount, observation.baseline))
 
 
-def _order(observation: Observation) -> tuple[int, float, float, int]:
+def _recency(observation: Observation) -> tuple[int, float, float, int]:
     return observation.at_us, observation.amount, observation.baseline, observation.worker_count
 
 
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -7,7 +7,7 @@
 MAX_NAMES_SHOWN = 8  # keeps an error short enough to read on a terminal
 
 
-def name_some(names: Sequence[str], none: str = "none") -> str:
+def format_names(names: Sequence[str], none: str = "none") -> str:
     """Return the first MAX_NAMES_SHOWN names as text and the number of the others; ``none`` for no names."""
     if not names:
         return none
@@ -35,7 +35,7 @@
     advice = "list the cordons: this one may have ended, been lifted, or not yet reached this process"
 
     def __init__(self, cordon_id: str, known: Sequence[str]) -> None:
-        super().__init__(f"no cordon is called {cordon_id!r}; active cordons: {name_some(known)}")
+        super().__init__(f"no cordon is called {cordon_id!r}; active cordons: {format_names(known)}")
         self.cordon_id = cordon_id
 
 
@@ -47,7 +47,7 @@
 
     def __init__(self, cordon_id: str, target: str, present: Sequence[str]) -> None:
         super().__init__(
-            f"{cordon_id!r} can't be set for {target!r}: the ID is in use at {name_some(present)}"
+            f"{cordon_id!r} can't be set for {target!r}: the ID is in use at {format_names(present)}"
         )
         self.cordon_id, self.present = cordon_id, tuple(present)
 
@@ -73,7 +73,7 @@
     advice = "check which schedulers are down or unreachable; the listing shows when it is accepted"
 
     def __init__(self, what: str, missing: Sequence[str]) -> None:
-        super().__init__(f"{what} is stored here but not accepted; not confirmed by: {name_some(missing)}")
+        super().__init__(f"{what} is stored here but not accepted; not confirmed by: {format_names(missing)}")
         self.missing = tuple(missing)
 
 
@@ -84,7 +84,7 @@
     advice = "the named schedulers may still act without the change: check whether they run, or stop them"
 
     def __init__(self, what: str, unconfirmed: Sequence[str]) -> None:
-        super().__init__(f"{what} is accepted but not in force; unconfirmed: {name_some(unconfirmed)}")
+        super().__init__(f"{what} is accepted but not in force; unconfirmed: {format_names(unconfirmed)}")
         self.unconfirmed = tuple(unconfirmed)
 
 
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from robinhill.cordon.budget import Budget, Location
-from robinhill.cordon.errors import CordonBudgetSpent, name_some
+from robinhill.cordon.errors import CordonBudgetSpent, format_names
 from robinhill.cordon.value import CordonSet, Entry, Reason, active_entries
 
 NO_WORKERS: frozenset[str] = frozenset()
@@ -116,7 +116,7 @@
         """Raise CordonBudgetSpent if automatic cordons are over the budget."""
         over = [target for target, entry in self.active() if not self.is_in_effect(target, entry.reason)]
         if over:
-            raise CordonBudgetSpent(f"{len(over)} automatic cordons are over the budget: {name_some(over)}")
+            raise CordonBudgetSpent(f"{len(over)} automatic cordons exceed the budget: {format_names(over)}")
 
     def warnings(self, target: str) -> tuple[str, ...]:
         """Return warnings for an operator who cordons a target.
@@ -142,7 +142,7 @@
     def _warn_of_no_match(self, target: str) -> str:
         scope = target.partition("/")[0]
         known = sorted(t.partition("/")[2] for t in self._matching if t.startswith(f"{scope}/"))
-        listed = "" if scope == "worker" else f"; listed workers have: {name_some(known)}"
+        listed = "" if scope == "worker" else f"; listed workers have: {format_names(known)}"
         return f"no listed worker matches {target}: the cordon applies to workers listed later{listed}"
 
     def _index_workers(self, workers: Mapping[str, Location]) -> None:
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -115,7 +115,7 @@
     by_id: dict[str, Entry] = {}
     for entry in active:
         other = by_id.get(entry.reason.id)
-        if other is None or _end_order(entry) > _end_order(other):
+        if other is None or _end_sort_key(entry) > _end_sort_key(other):
             by_id[entry.reason.id] = entry
     return tuple(by_id[key] for key in sorted(by_id))
 
@@ -283,7 +283,7 @@
         )
 
 
-def _end_order(entry: Entry) -> tuple[bool, int, Entry]:
+def _end_sort_key(entry: Entry) -> tuple[bool, int, Entry]:
     """Return the sort key that selects one of several entries of an ID: no end ranks above the latest end."""
     return entry.reason.until_us == 0, entry.reason.until_us, entry
 
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -172,7 +172,7 @@
         log_rejected(received.rejected)
         if sum([self._apply(record) for record in received.records]):
             self._update()
-        self._review()
+        self._answer_and_reschedule()
 
     def record_greeting(self, name: str, incarnation: int) -> None:
         """Record that a link to a peer was established, and the peer's incarnation."""
@@ -203,7 +203,7 @@
         self.tracker.mark_all_stored(mono_us())
         self._write_acknowledgement()
         self._notifier.notify_lease(self.holds_lease())
-        self._review()
+        self._answer_and_reschedule()
 
     # Calls from this process
 
@@ -216,7 +216,7 @@
             if isinstance(acknowledgement, Acknowledgement):
                 self._record_acknowledgement(name, acknowledgement)
         self._write_acknowledgement()
-        self._review()
+        self._answer_and_reschedule()
 
     def renew(self, incarnation: int) -> None:
         """Continue under a later incarnation, and acknowledge under it."""
@@ -261,7 +261,7 @@
             self._apply(record)
         self._update()
         self.on_change()
-        self._review()
+        self._answer_and_reschedule()
 
     def _record_acknowledgement(self, name: str, acknowledgement: Acknowledgement) -> None:
         """Record a peer's acknowledgement, or one by another process with this scheduler's name."""
@@ -300,7 +300,7 @@
         # A later change has a later notification, and is acknowledged when that one is applied.
         if self._notifier.confirm_applied(number):
             self._write_acknowledgement()
-            self._review()
+            self._answer_and_reschedule()
 
     def _write_acknowledgement(self, left: bool = False) -> None:
         self._writer.write(mono_us(), self._notifier.applied_digest, serving=self.serving, left=left)
@@ -324,11 +324,11 @@
             self._update()
         if unix_us - self._writer.written_us > acknowledgements.REWRITE_INTERVAL_US:
             self._write_acknowledgement()
-        self._transition.review(now_us)
+        self._transition.end_if_settled(now_us)
         if now_us >= self._renewal_due_us:
             self._renewal_due_us = now_us + RENEWAL_INTERVAL_US
             self._renew_records(unix_us)
-        self._review()
+        self._answer_and_reschedule()
 
     def _renew_records(self, unix_us: int) -> None:
         """Rewrite the records that a cordon outlasts, and drop the digests of expired records."""
@@ -344,10 +344,10 @@
                 self._update()
                 self.on_change()
 
-    def _review(self) -> None:
+    def _answer_and_reschedule(self) -> None:
         """Answer the calls whose wait is over, and schedule the next maintenance."""
         now_us = mono_us()
-        self._calls.review(now_us)
+        self._calls.answer_due(now_us)
         self._schedule_maintenance(now_us)
 
     def _schedule_maintenance(self, now_us: int) -> None:
--- a/robinhill/net/cordons/change_waits.py
+++ b/robinhill/net/cordons/change_waits.py
@@ -44,7 +44,7 @@
         wait.timer = asyncio.get_running_loop().call_later(timeout_us / 1e6, self._time_out, wait)
         self._waits.append(wait)
 
-    def review(self, change: PendingChange) -> None:
+    def answer_fulfilled(self, change: PendingChange) -> None:
         """Answer the calls whose wait for a change is fulfilled; called when the change has progressed."""
         for wait in [w for w in self._waits if w.change is change]:
             if wait.fulfilled:
--- a/robinhill/net/cordons/cordon_records.py
+++ b/robinhill/net/cordons/cordon_records.py
@@ -75,7 +75,7 @@
         """Return the cordons of a target; None if the replica has no record of the target."""
         return cast(CordonSet | None, self.replica.value(value.NAME, target))
 
-    def next_number(self) -> int:
+    def next_counter(self) -> int:
         """Return the next number of this process's counter, which is unique within the process."""
         self._counter += 1
         return self._counter
@@ -96,7 +96,7 @@
         now_us = self.clock.now_us()
         target, reason = views.read_put(call.cordon_id, call.body, now_us)
         value.check_id_is_free(self.items(), reason.id, target, now_us)
-        dot = Dot(self.origin, self.incarnation(), self.next_number())
+        dot = Dot(self.origin, self.incarnation(), self.next_counter())
         new = value.set_cordon(self.get(target), reason, dot, now_us)
         return CordonChange(reason.id, {target: new}, NewCordon(reason, dot))
 
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -117,7 +117,7 @@
         """Record the progress of a change that was requested here, and answer calls that waited for it."""
         change = self.changes.record_progress(report)
         if change is not None:
-            self._waits.review(change)
+            self._waits.answer_fulfilled(change)
 
     def stop(self) -> None:
         """Answer the waiting calls, because this process ends."""
--- a/robinhill/net/cordons/mesh_calls.py
+++ b/robinhill/net/cordons/mesh_calls.py
@@ -70,7 +70,7 @@
         return self.records.clock
 
     def handle(self, call: CordonCall) -> None:
-        """Carry out a call. A call that changes cordons is answered later, by `review`."""
+        """Carry out a call. A call that changes cordons is answered later, by `answer_due`."""
         handle_call(call, self, views.HTTP_STATUS)
 
     def show(self, cordon_id: str) -> ListingReply:
@@ -89,7 +89,7 @@
     def change(self, call: CordonCall) -> None:
         """Write the change that a call requests, and track its propagation."""
         requested = self.records.prepare_change(call)
-        key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_number()}"
+        key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_counter()}"
         wait_us = call.wait_us
         now_us = self.mono_us()
         self.tracker.propagations.reserve()  # may reject the call, which must happen before any write
@@ -110,7 +110,7 @@
         self.on_written(written)
         requested.write_log()
 
-    def review(self, now_us: int) -> None:
+    def answer_due(self, now_us: int) -> None:
         """Answer the calls whose change has reached its stage, or whose deadline has passed."""
         for wait in list(self._waits):
             reached = wait.change.propagation.advance(now_us) >= wait.stage
@@ -121,7 +121,7 @@
                 self._answer(wait, now_us, reached=reached)
 
     def deadlines_us(self) -> Iterable[int]:
-        """Yield the times when `review` is due, by the monotonic clock."""
+        """Yield the times when `answer_due` is due, by the monotonic clock."""
         yield from (wait.deadline_us for wait in self._waits)
         next_us = self.tracker.propagations.next_deadline_us()
         if next_us is not None:
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -23,7 +23,7 @@
         self.tracker = tracker
         self._agreed_since_us: int | None = None
 
-    def review(self, mono_us: int) -> None:
+    def end_if_settled(self, mono_us: int) -> None:
         """End the transition if all schedulers have used the current list for longer than the bound."""
         if len(self.freshness.quorum.lists) == 1:
             return
--- a/tests/test_cordon_actor_parts.py
+++ b/tests/test_cordon_actor_parts.py
@@ -97,14 +97,14 @@
     peers = tracker(freshness)
     transition = PeerListTransition(fleet(), freshness, peers)
     for name in ("b", "c"):
-        transition.review(0)
+        transition.end_if_settled(0)
         peers.record_acknowledgement(0, name, acknowledgement())
-    transition.review(SECOND_US)
+    transition.end_if_settled(SECOND_US)
     peers.record_acknowledgement(2 * SECOND_US, "b", acknowledgement(names=("a", "b")))
-    transition.review(2 * SECOND_US)
+    transition.end_if_settled(2 * SECOND_US)
     peers.record_acknowledgement(3 * SECOND_US, "b", acknowledgement())
-    transition.review(3 * SECOND_US)
-    transition.review(6 * SECOND_US)
+    transition.end_if_settled(3 * SECOND_US)
+    transition.end_if_settled(6 * SECOND_US)
     assert len(freshness.quorum.lists) == 2, "b went back meanwhile: the bound counts from its return"
-    transition.review(6 * SECOND_US + 1)
+    transition.end_if_settled(6 * SECOND_US + 1)
     assert len(freshness.quorum.lists) == 1
