--- a/tests/cordons.py
+++ b/tests/cordons.py
@@ -1,4 +1,4 @@
-"""Values that tests of cordons share: a fleet, reasons, a propagation."""
+"""Shared values and helpers for tests of cordons: a fleet, reasons, cordons and a propagation."""
 
 from typing import Any
 
@@ -20,8 +20,8 @@
     set_cordon,
 )
 
-S = 1_000_000
-NOW = 1_800_000_000 * S
+SECOND_US = 1_000_000
+NOW = 1_800_000_000 * SECOND_US
 DETERMINISTIC = settings(max_examples=150, deadline=None, derandomize=True)
 
 
@@ -39,27 +39,29 @@
 
 
 def automatic_reason(worker: str, cause: str = "slow", since_us: int = NOW) -> Reason:
-    return Reason(f"auto-{cause}-{worker}", "bad", "s1", since_us, NOW + 60 * S, True, cause, ("s1", "s2"))
+    return Reason(
+        f"auto-{cause}-{worker}", "bad", "s1", since_us, NOW + 60 * SECOND_US, True, cause, ("s1", "s2")
+    )
 
 
-def cordons_of(target: str, *given: Reason, origin: str = "s1") -> tuple[str, CordonSet]:
+def cordons_of(target: str, *reasons: Reason, origin: str = "s1") -> tuple[str, CordonSet]:
     value = CordonSet()
-    for count, reason in enumerate(given, 1):
+    for count, reason in enumerate(reasons, 1):
         value = set_cordon(value, reason, Dot(origin, 1, count), NOW)
     return target, value
 
 
 def schedulers(mode: Mode | None = Mode.HOLD, count: int = 5) -> list[Scheduler]:
-    return [Scheduler(f"s{i}", 1, ProcessStatus.ALIVE, mode, 3 * S) for i in range(count)]
+    return [Scheduler(f"s{i}", 1, ProcessStatus.ALIVE, mode, 3 * SECOND_US) for i in range(count)]
 
 
-def new_propagation(mode: Mode = Mode.HOLD, **more: Any) -> Propagation:
-    made = Propagation("cordon m1", "s0", mode, schedulers(mode), **more)
-    assert made.advance(0) is PropagationStage.RECEIVED
-    made.mark_stored(1)
-    return made
+def new_propagation(mode: Mode = Mode.HOLD, **options: Any) -> Propagation:
+    propagation = Propagation("cordon m1", "s0", mode, schedulers(mode), **options)
+    assert propagation.advance(0) is PropagationStage.RECEIVED
+    propagation.mark_stored(1)
+    return propagation
 
 
-def confirm(call: Propagation, mono_us: int, *names: str, incarnation: int = 1) -> None:
+def confirm(propagation: Propagation, mono_us: int, *names: str, incarnation: int = 1) -> None:
     for name in names:
-        call.record_confirmation(mono_us, name, incarnation)
+        propagation.record_confirmation(mono_us, name, incarnation)
--- a/tests/test_cordon_automatic.py
+++ b/tests/test_cordon_automatic.py
@@ -1,4 +1,4 @@
-"""Automatic cordons: suspects by quorum, common causes, turns and durations."""
+"""Automatic cordons: suspects by quorum, common causes, order of proposals, durations and cooldown."""
 
 from typing import Any
 
@@ -13,88 +13,115 @@
     lift_cordon,
     set_cordon,
 )
-from tests.cordons import DETERMINISTIC, FLEET, NOW, S
+from tests.cordons import DETERMINISTIC, FLEET, NOW, SECOND_US
 
 
-def seen(observer: int, worker: str, cause: str = "slow", amount: float = 5.0, **more: Any) -> Observation:
+def observation(
+    observer: int, worker: str, cause: str = "slow", amount: float = 5.0, **more: Any
+) -> Observation:
     fields = {
         "baseline": 1.0 if cause in ("slow", "lagging") else 0.0,
         "worker_count": 30,
-        "at_us": NOW - 10 * S,
+        "at_us": NOW - 10 * SECOND_US,
     }
     return Observation(f"s{observer}", worker, cause, amount, **{**fields, **more})
 
 
-def found(observations: list[Observation], now_us: int = NOW, **items: CordonSet) -> list[str]:
-    given = {f"worker/{w}": value for w, value in items.items()}
-    proposals = propose(now_us, "s1", ["s1", "s2", "s3"], observations, given, FLEET)
+def proposed_workers(observations: list[Observation], now_us: int = NOW, **items: CordonSet) -> list[str]:
+    by_target = {f"worker/{w}": value for w, value in items.items()}
+    proposals = propose(now_us, "s1", ["s1", "s2", "s3"], observations, by_target, FLEET)
     for _, reason in proposals:
-        set_cordon(None, reason, Dot("s1", 1, 1), now_us)  # it may be written
+        set_cordon(None, reason, Dot("s1", 1, 1), now_us)  # raises if the reason is invalid
     return [target.partition("/")[2] for target, _ in proposals]
 
 
-def test_a_quorum_of_observers_that_each_count_once_makes_a_suspect() -> None:
-    three = [seen(i, "w01") for i in range(3)]
-    assert found(three) == ["w01"]
-    assert found([*three[:2], seen(1, "w01", at_us=NOW), seen(1, "w01", "failing", 1.0)]) == []
-    assert found([*three[:2], seen(3, "w01", "silent", 1.0)]) == ["w01"], "it is bad by either cause"
-    assert found([*three, *(seen(i, "w01", amount=1.0) for i in range(3, 6))]) == [], (
-        "as many find it healthy"
+def test_suspect_needs_a_quorum_of_distinct_observers_with_valid_observations() -> None:
+    three = [observation(i, "w01") for i in range(3)]
+    assert proposed_workers(three) == ["w01"]
+    assert (
+        proposed_workers(
+            [*three[:2], observation(1, "w01", at_us=NOW), observation(1, "w01", "failing", 1.0)]
+        )
+        == []
     )
-    assert found([*three[:2], seen(2, "w01", amount=1.0, at_us=NOW), three[2]]) == [], "the last one counts"
-    for spoilt in ({"at_us": NOW - 31 * S}, {"at_us": NOW + 3600 * S}, {"baseline": float("nan")}):
-        assert found([*three[:2], seen(2, "w01", **spoilt)]) == []
-    assert found([seen(i, "gone") for i in range(3)]) == []
-
-
-def test_an_observer_that_finds_too_many_bad_is_discarded() -> None:
-    two = [seen(i, "w01") for i in range(2)]
-    assert found([*two, *(seen(2, w) for w in sorted(FLEET)[:8])]) == []
-    assert found([*two, *(seen(2, w) for w in sorted(FLEET)[:7])]) == ["w01"]
-    assert found([*two, *(seen(2, w, worker_count=8) for w in sorted(FLEET)[:3])]) == [], (
-        "of those that it observed"
+    assert proposed_workers([*three[:2], observation(3, "w01", "silent", 1.0)]) == ["w01"], (
+        "causes may differ"
+    )
+    assert proposed_workers([*three, *(observation(i, "w01", amount=1.0) for i in range(3, 6))]) == [], (
+        "as many observers find it healthy"
+    )
+    assert proposed_workers([*three[:2], observation(2, "w01", amount=1.0, at_us=NOW), three[2]]) == [], (
+        "the latest observation counts"
+    )
+    for invalid_fields in (
+        {"at_us": NOW - 31 * SECOND_US},
+        {"at_us": NOW + 3600 * SECOND_US},
+        {"baseline": float("nan")},
+    ):
+        assert proposed_workers([*three[:2], observation(2, "w01", **invalid_fields)]) == []
+    assert proposed_workers([observation(i, "gone") for i in range(3)]) == []
+
+
+def test_observer_that_reports_too_many_outliers_is_discarded() -> None:
+    two = [observation(i, "w01") for i in range(2)]
+    assert proposed_workers([*two, *(observation(2, w) for w in sorted(FLEET)[:8])]) == []
+    assert proposed_workers([*two, *(observation(2, w) for w in sorted(FLEET)[:7])]) == ["w01"]
+    assert proposed_workers([*two, *(observation(2, w, worker_count=8) for w in sorted(FLEET)[:3])]) == [], (
+        "the share is of the workers that it observed"
     )
 
 
 @DETERMINISTIC
 @given(st.sets(st.sampled_from(sorted(FLEET)), min_size=10), st.sampled_from(CAUSES), st.floats(0.9, 9.0))
-def test_a_shared_slowdown_cordons_nobody(slow: set[str], cause: str, amount: float) -> None:
-    observations = [seen(3 * n + i, w, cause, amount) for n, w in enumerate(sorted(slow)) for i in range(3)]
-    assert found(observations) == [], "though each observer sees one worker, and thinks that it alone is bad"
+def test_shared_slowdown_cordons_no_worker(slow: set[str], cause: str, amount: float) -> None:
+    observations = [
+        observation(3 * n + i, w, cause, amount) for n, w in enumerate(sorted(slow)) for i in range(3)
+    ]
+    assert proposed_workers(observations) == [], "although each observer reports only one worker"
 
 
-def test_in_a_slower_zone_only_a_worker_slower_still_is_an_outlier() -> None:
+def test_outlier_in_a_slow_zone_must_exceed_the_baseline_of_the_zone() -> None:
     zone = [w for w in FLEET if FLEET[w].zone == "z1" and w != "w01"]
-    slower = [seen(3 * n + i, w, amount=2.0) for n, w in enumerate(zone) for i in range(3)]
-    assert found([*slower, *(seen(i, "w01", amount=5.9) for i in range(3))]) == []
-    assert found([*slower, *(seen(i, "w01", amount=6.0) for i in range(3))]) == ["w01"]
-    assert found([seen(i, "w01", baseline=2.0) for i in range(3)]) == [], "as all like it are"
-    ill = [seen(3 * n + i, w) for n, w in enumerate(zone[:3]) for i in range(2)]
-    assert found([*ill, *(seen(i, "w01", amount=99.0) for i in range(3))]) == [], "not alone"
+    slower = [observation(3 * n + i, w, amount=2.0) for n, w in enumerate(zone) for i in range(3)]
+    assert proposed_workers([*slower, *(observation(i, "w01", amount=5.9) for i in range(3))]) == []
+    assert proposed_workers([*slower, *(observation(i, "w01", amount=6.0) for i in range(3))]) == ["w01"]
+    assert proposed_workers([observation(i, "w01", baseline=2.0) for i in range(3)]) == [], (
+        "similar workers are as slow"
+    )
+    unhealthy = [observation(3 * n + i, w) for n, w in enumerate(zone[:3]) for i in range(2)]
+    assert proposed_workers([*unhealthy, *(observation(i, "w01", amount=99.0) for i in range(3))]) == [], (
+        "the cause is common to the zone"
+    )
 
 
-def test_automatic_cordons_end_pause_after_a_lift_and_last_longer_in_a_row() -> None:
-    observations = [seen(i, "w01") for i in range(3)]
+def test_automatic_cordon_duration_doubles_and_a_lift_starts_a_cooldown() -> None:
+    observations = [observation(i, "w01") for i in range(3)]
     ((target, reason),) = propose(NOW, "s1", ["s1"], observations, {}, FLEET)
-    assert reason.automatic and reason.until_us == NOW + 300 * S and reason.observers == ("s0", "s1", "s2")
+    assert (
+        reason.automatic
+        and reason.until_us == NOW + 300 * SECOND_US
+        and reason.observers == ("s0", "s1", "s2")
+    )
     value = set_cordon(None, reason, Dot("s1", 1, 1), NOW)
-    assert found(observations, w01=value) == []
+    assert proposed_workers(observations, w01=value) == []
     lifted = lift_cordon(value, reason.id, NOW)
-    fresh = [seen(i, "w01", at_us=NOW + 100 * S) for i in range(3)]
-    assert found(fresh, NOW + 110 * S, w01=lifted) == [], "an operator knows better, for a while"
-    later = [seen(i, "w01", at_us=NOW + 1000 * S) for i in range(3)]
-    assert found(later, NOW + 1010 * S, w01=lifted) == ["w01"]
-    ((_, again),) = propose(NOW + 1010 * S, "s1", ["s1"], later, {target: value}, FLEET)
-    assert again.times == 2 and again.until_us == NOW + 1610 * S
+    fresh = [observation(i, "w01", at_us=NOW + 100 * SECOND_US) for i in range(3)]
+    assert proposed_workers(fresh, NOW + 110 * SECOND_US, w01=lifted) == [], (
+        "within the cooldown after an operator's lift"
+    )
+    later = [observation(i, "w01", at_us=NOW + 1000 * SECOND_US) for i in range(3)]
+    assert proposed_workers(later, NOW + 1010 * SECOND_US, w01=lifted) == ["w01"]
+    ((_, again),) = propose(NOW + 1010 * SECOND_US, "s1", ["s1"], later, {target: value}, FLEET)
+    assert again.times == 2 and again.until_us == NOW + 1610 * SECOND_US
 
 
-def test_schedulers_propose_in_turn() -> None:
+def test_schedulers_propose_one_after_the_other() -> None:
     names = [f"s{i}" for i in range(200)]
-    observations = [seen(i, "w01", at_us=NOW) for i in range(3)]
-    at_once = [n for n in names if propose(NOW, n, names, observations, {}, FLEET)]
-    assert len(at_once) == 1
-    rest = [n for n in names if n not in at_once]
+    observations = [observation(i, "w01", at_us=NOW) for i in range(3)]
+    first = [n for n in names if propose(NOW, n, names, observations, {}, FLEET)]
+    assert len(first) == 1
+    rest = [n for n in names if n not in first]
     assert len([n for n in rest if propose(NOW, n, rest, observations, {}, FLEET)]) == 1, (
-        "the next, if it is gone"
+        "the next scheduler proposes if the first is not alive"
     )
-    assert all(propose(NOW + 5 * S, n, names, observations, {}, FLEET) for n in names)
+    assert all(propose(NOW + 5 * SECOND_US, n, names, observations, {}, FLEET) for n in names)
--- a/tests/test_cordon_index.py
+++ b/tests/test_cordon_index.py
@@ -1,4 +1,4 @@
-"""The index of cordons: what is in effect, warnings, and the budget of automatic cordons."""
+"""The index of cordons: cordoned workers, warnings to operators, and the budget of automatic cordons."""
 
 import pytest
 from hypothesis import given
@@ -14,32 +14,34 @@
     merge,
     set_cordon,
 )
-from tests.cordons import DETERMINISTIC, FLEET, NOW, S, automatic_reason, cordons_of, operator_reason
+from tests.cordons import DETERMINISTIC, FLEET, NOW, SECOND_US, automatic_reason, cordons_of, operator_reason
 
 
-def test_index_reports_cordoned_workers_and_slow_start_after_the_end() -> None:
+def test_index_update_reports_cordoned_workers_and_slow_start_after_a_cordon_ends() -> None:
     index = CordonIndex()
     zone = cordons_of("zone/z0", operator_reason("power"))
     change = index.update(
         NOW, [zone, cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
     )
     tens = tuple(w for w in FLEET if FLEET[w].zone == "z0")
-    assert change == IndexUpdate((WorkersCordoned(tens),), NOW + 60 * S)
+    assert change == IndexUpdate((WorkersCordoned(tens),), NOW + 60 * SECOND_US)
     assert {r.id for r in index.reasons("w00")} == {"power", "disk", "auto-slow-w00"}
     assert not index.reasons("w01")
-    later = NOW + 60 * S  # the automatic one has ended
+    later = NOW + 60 * SECOND_US  # when the automatic cordon ends
     change = index.update(
         later, [cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
     )
     assert change == IndexUpdate((WorkersUncordoned(tens[1:], later),), 0)
     assert [r.id for r in index.reasons("w00")] == ["disk"]
     assert index.started_us("w03", NOW) == later and index.started_us("w01", NOW) == NOW
-    assert index.started_us("w03", later + S) == later + S, "it started once more since"
+    assert index.started_us("w03", later + SECOND_US) == later + SECOND_US, (
+        "the worker restarted after its cordon ended"
+    )
     rest = {w: p for w, p in FLEET.items() if w != "w00"}
-    assert index.update(later, [], rest).events == (), "who has left the list is not lifted"
+    assert index.update(later, [], rest).events == (), "an unlisted worker is not uncordoned"
 
 
-def test_a_cordon_applies_to_workers_that_are_listed_later() -> None:
+def test_cordon_applies_to_workers_that_are_listed_later() -> None:
     index, items = (
         CordonIndex(),
         [cordons_of("worker/new", operator_reason()), cordons_of("cell/9", operator_reason("c"))],
@@ -49,7 +51,7 @@
     assert index.update(NOW, items, grown).events == (WorkersCordoned(("new", "other")),)
 
 
-def test_warnings_name_what_is_left_without_workers() -> None:
+def test_warnings_name_zones_and_kinds_without_available_workers() -> None:
     index = CordonIndex()
     index.update(NOW, [cordons_of("zone/z0", operator_reason())], FLEET)
     assert index.warnings("worker/w01") == ()
@@ -68,7 +70,7 @@
 
 @DETERMINISTIC
 @given(st.data())
-def test_no_copy_exceeds_the_budget_and_all_orders_agree(data: st.DataObject) -> None:
+def test_budget_is_never_exceeded_and_does_not_depend_on_the_order_of_proposals(data: st.DataObject) -> None:
     budget = Budget(fleet_share=0.1, zone_share=0.2)
     proposals = data.draw(
         st.lists(
@@ -83,28 +85,28 @@
         cordons_of(f"worker/{w}", operator_reason())
         for w in data.draw(st.sets(st.sampled_from(sorted(FLEET))))
     ]
-    out = {target.partition("/")[2] for target, _ in manual}
+    operator_cordoned = {target.partition("/")[2] for target, _ in manual}
     writes = [
         (f"worker/{w}", set_cordon(None, automatic_reason(w, cause, NOW - since), Dot(origin, 1, n), NOW))
         for n, (w, cause, since, origin) in enumerate(proposals, 1)
     ]
-    ends = []
+    outcomes = []
     for _ in range(2):
-        index, held = CordonIndex(budget), dict(manual)
+        index, items = CordonIndex(budget), dict(manual)
         for target, value in data.draw(st.permutations(writes)):
-            held[target] = merge(held[target], value) if target in held else value
-            index.update(NOW, held.items(), FLEET)
-            automatic = index.cordoned_workers() - out
-            free = [w for w in FLEET if w not in out]
+            items[target] = merge(items[target], value) if target in items else value
+            index.update(NOW, items.items(), FLEET)
+            automatic = index.cordoned_workers() - operator_cordoned
+            free = [w for w in FLEET if w not in operator_cordoned]
             assert len(automatic) <= 0.1 * len(free)
             for zone in ("z0", "z1", "z2"):
-                mine = [w for w in free if FLEET[w].zone == zone]
-                assert len(automatic & set(mine)) <= 0.2 * len(mine)
-        ends.append({w: index.reasons(w) for w in FLEET})
-    assert ends[0] == ends[1]
+                in_zone = [w for w in free if FLEET[w].zone == zone]
+                assert len(automatic & set(in_zone)) <= 0.2 * len(in_zone)
+        outcomes.append({w: index.reasons(w) for w in FLEET})
+    assert outcomes[0] == outcomes[1]
 
 
-def test_over_the_budget_the_worst_and_oldest_are_in_effect_and_the_rest_wait() -> None:
+def test_budget_admits_the_most_severe_and_oldest_proposals() -> None:
     index = CordonIndex(Budget(0.1, 0.2))
     slow = [
         cordons_of(f"worker/{w}", automatic_reason(w, "slow", NOW + n))
@@ -118,4 +120,4 @@
     index.update(NOW, [*slow, silent, cordons_of("zone/z9", automatic_reason("z9"))], FLEET)
     assert index.cordoned_workers() == {"w01", "w05", "w04"}
     index.update(NOW, [*slow, cordons_of("zone/z0", automatic_reason("z0", "silent"))], FLEET)
-    assert index.cordoned_workers() == {"w05", "w04", "w03"}, "a whole zone never fits, and bars nobody else"
+    assert index.cordoned_workers() == {"w05", "w04", "w03"}, "a zone exceeds the budget and is skipped"
--- a/tests/test_cordon_replies.py
+++ b/tests/test_cordon_replies.py
@@ -1,4 +1,4 @@
-"""Bodies of answers about cordons: literal keys, in the order that operators have always read."""
+"""Bodies of answers about cordons: the keys and their order are part of the operators' interface."""
 
 from datetime import UTC, datetime
 
@@ -31,18 +31,18 @@
 )
 
 
-def test_a_lift_at_a_scheduler_with_peers_has_neither_warnings_nor_a_count() -> None:
+def test_reply_to_lift_at_scheduler_with_peers_omits_warnings_and_lagging_count() -> None:
     assert make_answer(200, CHANGE).body == CHANGE_JSON % (b"", b"")
 
 
-def test_a_cordon_at_a_group_member_has_a_count_and_warnings_even_if_empty() -> None:
+def test_reply_to_cordon_at_group_member_has_lagging_count_and_empty_warnings() -> None:
     reply = ChangeReply(
         CHANGE.id, CHANGE.targets, CHANGE.state, False, False, 1.5, 2, CHANGE.unconfirmed, warnings=()
     )
     assert make_answer(200, reply).body == CHANGE_JSON % (b'"behind":2,', b',"warnings":[]')
 
 
-def test_a_change_that_was_waited_for_in_vain_has_an_error_with_its_code() -> None:
+def test_reply_after_an_unfulfilled_wait_has_error_advice_and_code() -> None:
     answer = make_answer(503, CHANGE.with_error(NotAccepted("m1", ["s2"])))
     error = (
         b',"error":"m1 is stored here but not accepted; not confirmed by: s2",'
@@ -52,7 +52,7 @@
     assert (answer.status, answer.body) == (503, CHANGE_JSON % (b"", error))
 
 
-def test_a_listing_has_cordons_workers_and_schedulers() -> None:
+def test_listing_reply_has_cordons_workers_and_schedulers() -> None:
     since = datetime(2026, 12, 3, tzinfo=UTC)
     view = CordonView("m1", "zone/a", "disk", "ada", since, None, False, "", (), 3, "s1", "held here")
     scheduler = SchedulerReply("s1", "alive", 7, "hold", True, True, None)
@@ -70,14 +70,14 @@
     )
 
 
-def test_an_error_has_its_advice_and_code_where_it_has_them() -> None:
+def test_error_reply_omits_unset_advice_and_code() -> None:
     assert make_answer(503, ErrorReply("shutting down")).body == b'{"error":"shutting down"}\n'
     reply = make_error_reply(NotAccepted("m1", []))
     assert (reply.type, reply.advice) == ("NotAccepted", NotAccepted.advice)
     assert reply.error.startswith("m1 is stored here")
 
 
-def test_each_process_status_has_the_name_that_operators_know() -> None:
+def test_process_status_names_in_replies() -> None:
     assert [PROCESS_STATUS_NAMES[status] for status in ProcessStatus] == [
         "unheard", "alive", "suspect", "gone", "left",
     ]  # fmt: skip
--- a/tests/test_cordon_value.py
+++ b/tests/test_cordon_value.py
@@ -1,4 +1,4 @@
-"""The cordons of a target: merge of copies, set and lift, renewal, and the rules of the encoding."""
+"""The cordons of a target: merging copies, setting and lifting, renewal, and validation of the encoding."""
 
 from itertools import permutations
 
@@ -29,7 +29,7 @@
 from tests.cordons import (
     DETERMINISTIC,
     NOW,
-    S,
+    SECOND_US,
     active_ids,
     operator_reason,
 )
@@ -37,14 +37,14 @@
 
 @st.composite
 def histories(draw: st.DrawFn) -> list[CordonSet]:
-    """Copies at three writers after writes, lifts and merges in any order."""
+    """Generate the copies of three writers after sets, lifts and merges in any order."""
     copies, count = [CordonSet(), CordonSet(), CordonSet()], 0
     for _ in range(draw(st.integers(1, 14))):
         i, j = draw(st.tuples(st.integers(0, 2), st.integers(0, 2)))
         cordon_id = draw(st.sampled_from(["a", "b"]))
         match draw(st.sampled_from(["set", "set", "lift", "merge"])):
             case "set":
-                count += draw(st.integers(1, 3))  # other targets take counters too
+                count += draw(st.integers(1, 3))  # writes to other targets use counters too
                 copies[i] = set_cordon(copies[i], operator_reason(cordon_id), Dot(f"s{i}", 1, count), NOW)
             case "lift" if cordon_id in active_ids(copies[i]):
                 copies[i] = lift_cordon(copies[i], cordon_id, NOW)
@@ -55,7 +55,7 @@
 
 @DETERMINISTIC
 @given(histories())
-def test_copies_merge_to_the_same_in_any_order_and_grouping(copies: list[CordonSet]) -> None:
+def test_merge_is_commutative_associative_and_idempotent(copies: list[CordonSet]) -> None:
     a, b, c = copies
     assert merge(a, b) == merge(b, a)
     assert merge(merge(a, b), c) == merge(a, merge(b, c))
@@ -64,32 +64,36 @@
     assert len(together) == 1
     whole = decode(together.pop())
     assert all(merge(whole, x) == whole for x in copies)
-    assert all(len(s.ranges) == 1 for s in whole.seen), "a writer's own dots are one range"
+    assert all(len(s.ranges) == 1 for s in whole.seen), "the dots of each writer are one range"
 
 
-def test_a_lift_removes_only_what_it_has_seen() -> None:
+def test_lift_removes_only_entries_that_its_copy_has_seen() -> None:
     at_a = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
     at_b = lift_cordon(at_a, "m1", NOW)
     again = set_cordon(at_a, operator_reason(), Dot("a", 1, 2), NOW)  # set again while b lifts it
     assert active_ids(merge(at_b, again)) == ["m1"]
-    assert active_ids(merge(at_b, at_a)) == [], "the one that it saw does not come back"
+    assert active_ids(merge(at_b, at_a)) == [], "the lifted entry does not reappear"
     assert active_ids(lift_cordon(merge(at_b, again), "m1", NOW)) == []
 
 
-def test_setting_a_cordon_again_keeps_its_start_and_a_new_end_replaces_the_old() -> None:
+def test_setting_a_cordon_again_keeps_its_start_and_replaces_its_end() -> None:
     first = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
-    again = set_cordon(first, operator_reason(since_us=NOW + S), Dot("b", 1, 1), NOW + S)
-    assert [e.reason for e in active_entries(again, NOW + S)] == [operator_reason()]
-    shorter = set_cordon(again, operator_reason(until_us=NOW + 5 * S), Dot("a", 1, 2), NOW + S)
-    assert active_ids(shorter, NOW + 4 * S) == ["m1"] and active_ids(shorter, NOW + 5 * S) == []
-    longer = set_cordon(again, operator_reason(until_us=NOW + 9 * S), Dot("b", 1, 2), NOW + S)
-    (entry,) = active_entries(merge(shorter, longer), NOW + S)
-    assert entry.reason.until_us == NOW + 9 * S, "of two at once the longer holds"
+    again = set_cordon(first, operator_reason(since_us=NOW + SECOND_US), Dot("b", 1, 1), NOW + SECOND_US)
+    assert [e.reason for e in active_entries(again, NOW + SECOND_US)] == [operator_reason()]
+    shorter = set_cordon(
+        again, operator_reason(until_us=NOW + 5 * SECOND_US), Dot("a", 1, 2), NOW + SECOND_US
+    )
+    assert (
+        active_ids(shorter, NOW + 4 * SECOND_US) == ["m1"] and active_ids(shorter, NOW + 5 * SECOND_US) == []
+    )
+    longer = set_cordon(again, operator_reason(until_us=NOW + 9 * SECOND_US), Dot("b", 1, 2), NOW + SECOND_US)
+    (entry,) = active_entries(merge(shorter, longer), NOW + SECOND_US)
+    assert entry.reason.until_us == NOW + 9 * SECOND_US, "of concurrent writes the later end applies"
 
 
-def test_records_are_renewed_in_time_while_a_reason_outlasts_them() -> None:
+def test_record_needs_renewal_while_a_reason_outlasts_it() -> None:
     endless, short = (
-        set_cordon(None, operator_reason(until_us=us), Dot("a", 1, 1), NOW) for us in (0, NOW + 9 * S)
+        set_cordon(None, operator_reason(until_us=us), Dot("a", 1, 1), NOW) for us in (0, NOW + 9 * SECOND_US)
     )
     half, quarter = NOW + RECORD_LIFETIME_US // 2, NOW + RECORD_LIFETIME_US // 4
     for value, expires_us, is_last_writer, expected in (
@@ -97,14 +101,14 @@
         (endless, half, True, False),
         (endless, quarter - 1, False, True),
         (endless, quarter, False, False),
-        (short, NOW + 9 * S, True, False),
-        (short, NOW + 8 * S, True, True),
+        (short, NOW + 9 * SECOND_US, True, False),
+        (short, NOW + 8 * SECOND_US, True, True),
     ):
         assert needs_renewal(value, expires_us, NOW, is_last_writer=is_last_writer) is expected
 
 
 def test_invalid_reasons_are_rejected() -> None:
-    for wrong in (
+    for invalid in (
         operator_reason(""),
         operator_reason("auto-x"),
         operator_reason("a b"),
@@ -113,7 +117,7 @@
         operator_reason(until_us=NOW),
     ):
         with pytest.raises(CordonMalformed):
-            set_cordon(None, wrong, Dot("a", 1, 1), NOW)
+            set_cordon(None, invalid, Dot("a", 1, 1), NOW)
     with pytest.raises(CordonMalformed, match="must have an end"):
         set_cordon(None, Reason("auto-x", "slow", "s1", NOW, automatic=True), Dot("a", 1, 1), NOW)
     value = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
@@ -125,11 +129,11 @@
 
 @DETERMINISTIC
 @given(histories(), st.data())
-def test_damaged_values_are_rejected(copies: list[CordonSet], data: st.DataObject) -> None:
-    words = encode(copies[0])
-    at = data.draw(st.integers(0, len(words) - 1))
-    damaged = words[:at] + bytes([words[at] ^ data.draw(st.integers(1, 255))]) + words[at + 1 :]
-    for candidate in (damaged, words[:at], words + b"\0"):
+def test_decode_rejects_damaged_and_invalid_values(copies: list[CordonSet], data: st.DataObject) -> None:
+    encoded = encode(copies[0])
+    at = data.draw(st.integers(0, len(encoded) - 1))
+    damaged = encoded[:at] + bytes([encoded[at] ^ data.draw(st.integers(1, 255))]) + encoded[at + 1 :]
+    for candidate in (damaged, encoded[:at], encoded + b"\0"):
         try:
             assert encode(decode(candidate)) == candidate
         except ForeignState:
@@ -151,7 +155,7 @@
         with pytest.raises(ForeignState):
             decode(encode(hostile))
     with pytest.raises(ForeignState, match="canonical"):
-        decode(words[:-1] + b"\xcc\x00")  # a zero in two bytes
+        decode(encoded[:-1] + b"\xcc\x00")  # zero encoded in two bytes instead of one
     with pytest.raises(ForeignState, match="version 2, expected 1"):
         decode(encode(CordonSet(version=2)))
-    assert cordon_kind().decode(words) == copies[0]
+    assert cordon_kind().decode(encoded) == copies[0]
