--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -18,7 +18,7 @@
 CAUSES = ("silent", "failing", "lagging", "slow")
 """Causes of automatic cordons, most severe first. Causes that only newer versions know rank after these."""
 
-ROUNDING = 1e-9  # a product such as 0.1 * 30 may be slightly below the integer as a float
+ROUNDING = 1e-9  # a float product may be slightly too small: 0.29 * 100 is 28.999999999999996
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -63,7 +63,7 @@
     """An automatic cordon is not in effect: it would exceed the budget's share of the fleet or of a zone."""
 
     code = "CordonBudgetSpent"
-    advice = "find out why so many workers are bad; cordon them yourself, which no budget limits, or raise it"
+    advice = "see why so many workers are bad; cordon them yourself (no budget applies) or raise the budget"
 
 
 class NotAccepted(CordonError):
