--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -28,8 +28,8 @@
 MAX_DURATION_US = 366 * DAY_US
 MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations dated further into the future are ignored
 
-# Margins added to the propagation bound. NTP slews a clock by at most 500 ppm.
-# SEND_SLACK_US covers a send that the lease allowed and that is still on its way to the worker.
+# Margins added to the propagation bound. NTP slews a clock by at most 500 ppm. SEND_SLACK_US covers a send
+# that the lease allowed and that is still on its way to the worker.
 CLOCK_DRIFT_SHARE = 0.001
 SEND_SLACK_US = 20_000
 MAX_PROPAGATIONS = 1_024
--- a/tests/test_cordon_index.py
+++ b/tests/test_cordon_index.py
@@ -23,15 +23,15 @@
     change = index.update(
         NOW, [zone, cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
     )
-    tens = tuple(w for w in FLEET if FLEET[w].zone == "z0")
-    assert change == IndexUpdate((WorkersCordoned(tens),), NOW + 60 * SECOND_US)
+    in_z0 = tuple(w for w in FLEET if FLEET[w].zone == "z0")
+    assert change == IndexUpdate((WorkersCordoned(in_z0),), NOW + 60 * SECOND_US)
     assert {r.id for r in index.reasons("w00")} == {"power", "disk", "auto-slow-w00"}
     assert not index.reasons("w01")
     later = NOW + 60 * SECOND_US  # when the automatic cordon ends
     change = index.update(
         later, [cordons_of("worker/w00", operator_reason("disk"), automatic_reason("w00"))], FLEET
     )
-    assert change == IndexUpdate((WorkersUncordoned(tens[1:], later),), 0)
+    assert change == IndexUpdate((WorkersUncordoned(in_z0[1:], later),), 0)
     assert [r.id for r in index.reasons("w00")] == ["disk"]
     assert index.started_us("w03", NOW) == later and index.started_us("w01", NOW) == NOW
     assert index.started_us("w03", later + SECOND_US) == later + SECOND_US, (
@@ -47,8 +47,8 @@
         [cordons_of("worker/new", operator_reason()), cordons_of("cell/9", operator_reason("c"))],
     )
     assert index.update(NOW, items, FLEET).events == ()
-    grown = {**FLEET, "new": Location("z0"), "other": Location("z0", cell=9)}
-    assert index.update(NOW, items, grown).events == (WorkersCordoned(("new", "other")),)
+    with_new_workers = {**FLEET, "new": Location("z0"), "other": Location("z0", cell=9)}
+    assert index.update(NOW, items, with_new_workers).events == (WorkersCordoned(("new", "other")),)
 
 
 def test_warnings_name_zones_and_kinds_without_available_workers() -> None:
@@ -63,8 +63,8 @@
         NOW, [cordons_of("zone/z0", operator_reason()), cordons_of("zone/z1", operator_reason())], FLEET
     )
     assert index.warnings("zone/z2") == ("no worker is left: no new job can be placed",)
-    two = {"a": Location("z0"), "b": Location("z1")}
-    index.update(NOW, [], two)
+    two_workers = {"a": Location("z0"), "b": Location("z1")}
+    index.update(NOW, [], two_workers)
     assert index.warnings("worker/a") == ("no worker is left in zone 'z0'",)
 
 
--- a/tests/test_cordon_value.py
+++ b/tests/test_cordon_value.py
@@ -62,18 +62,18 @@
     assert merge(a, a) == a and merge(merge(a, b), b) == merge(a, b)
     together = {encode(merge(merge(x, y), z)) for x, y, z in permutations(copies)}
     assert len(together) == 1
-    whole = decode(together.pop())
-    assert all(merge(whole, x) == whole for x in copies)
-    assert all(len(s.ranges) == 1 for s in whole.seen), "the dots of each writer are one range"
+    merged = decode(together.pop())
+    assert all(merge(merged, x) == merged for x in copies)
+    assert all(len(s.ranges) == 1 for s in merged.seen), "the dots of each writer are one range"
 
 
 def test_lift_removes_only_entries_that_its_copy_has_seen() -> None:
-    at_a = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
-    at_b = lift_cordon(at_a, "m1", NOW)
-    again = set_cordon(at_a, operator_reason(), Dot("a", 1, 2), NOW)  # set again while b lifts it
-    assert active_ids(merge(at_b, again)) == ["m1"]
-    assert active_ids(merge(at_b, at_a)) == [], "the lifted entry does not reappear"
-    assert active_ids(lift_cordon(merge(at_b, again), "m1", NOW)) == []
+    copy_a = set_cordon(None, operator_reason(), Dot("a", 1, 1), NOW)
+    copy_b = lift_cordon(copy_a, "m1", NOW)
+    again = set_cordon(copy_a, operator_reason(), Dot("a", 1, 2), NOW)  # set again while b lifts it
+    assert active_ids(merge(copy_b, again)) == ["m1"]
+    assert active_ids(merge(copy_b, copy_a)) == [], "the lifted entry does not reappear"
+    assert active_ids(lift_cordon(merge(copy_b, again), "m1", NOW)) == []
 
 
 def test_setting_a_cordon_again_keeps_its_start_and_replaces_its_end() -> None:
@@ -140,7 +140,7 @@
             pass
     entry, dot = Entry(Dot("a", 1, 1), operator_reason()), (SeenDots("a", 1, ((1, 1),)),)
     long = Entry(Dot("a", 1, 1), operator_reason(text="x" * 201))
-    for hostile in (
+    for invalid_value in (
         CordonSet(entries=(entry,)),
         CordonSet(entries=(entry, entry), seen=dot),
         CordonSet(entries=(long,), seen=dot),
@@ -153,7 +153,7 @@
         CordonSet(lifted_us=-1),
     ):
         with pytest.raises(ForeignState):
-            decode(encode(hostile))
+            decode(encode(invalid_value))
     with pytest.raises(ForeignState, match="canonical"):
         decode(encoded[:-1] + b"\xcc\x00")  # zero encoded in two bytes instead of one
     with pytest.raises(ForeignState, match="version 2, expected 1"):
