--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -219,7 +219,7 @@
         cordon_id = f"{AUTOMATIC_ID_PREFIX}{suspect.cause}-{digest}"
     return Reason(
         id=cordon_id,
-        text=f"{suspect.cause} ({suspect.amount:.3g}), reported by {len(suspect.observers)} schedulers",
+        text=f"{suspect.cause} ({suspect.amount:.3g}) as {len(suspect.observers)} schedulers see it",
         by=own_name,
         since_us=now_us,
         until_us=now_us + min(doubled_us, limits.MAX_AUTOMATIC_DURATION_US),
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -178,7 +178,7 @@
         if change is None and track:
             change = self._track_present(view, dot)
         if change is None:
-            return make_cordon_reply(view, (f"not tracked here: see {dot.origin}",))
+            return make_cordon_reply(view, (f"not followed here: ask {dot.origin}",))
         lagging = () if change.in_force else change.lagging_names or ("not yet known",)
         return make_cordon_reply(view, lagging, change.state)
 
