--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -174,12 +174,12 @@
             self._update()
         self._answer_and_reschedule()
 
-    def record_greeting(self, name: str, incarnation: int) -> None:
+    def record_link_up(self, name: str, incarnation: int) -> None:
         """Record that a link to a peer was established, and the peer's incarnation."""
         self._record_start(name, incarnation)
         self.tracker.record_link(mono_us(), name, True)
 
-    def record_lost_link(self, name: str) -> None:
+    def record_link_lost(self, name: str) -> None:
         """Record that the link to a peer was lost."""
         self.tracker.record_link(mono_us(), name, False)
 
@@ -218,7 +218,7 @@
         self._write_acknowledgement()
         self._answer_and_reschedule()
 
-    def renew(self, incarnation: int) -> None:
+    def adopt_incarnation(self, incarnation: int) -> None:
         """Continue under a later incarnation, and acknowledge under it."""
         self.replica.clock.incarnation = incarnation
         self.tracker.incarnation = incarnation
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -123,7 +123,7 @@
     return Answer(status, msgspec.json.encode(body) + b"\n")
 
 
-def status_answer(fields: Mapping[str, object]) -> Answer:
+def make_status_answer(fields: Mapping[str, object]) -> Answer:
     """Return an HTTP answer with the fields of a status as JSON, without those that are None."""
     known = {key: value for key, value in fields.items() if value is not None}
     return Answer(200, msgspec.json.encode(known) + b"\n")
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -32,7 +32,7 @@
 from robinhill.net.cordons.actor import CordonActor, WorkerListChanged
 from robinhill.net.cordons.fleet import Fleet
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.cordons.replies import status_answer
+from robinhill.net.cordons.replies import make_status_answer
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
@@ -167,7 +167,7 @@
     def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
         """A link to a peer is up; ``peer_us``: its Unix time in its hello."""
         self.clock.observe(name, peer_us)
-        self.cordons.record_greeting(name, incarnation)
+        self.cordons.record_link_up(name, incarnation)
 
     def ping_answered(self, name: str) -> None:
         """A peer has answered a ping."""
@@ -175,7 +175,7 @@
 
     def link_lost(self, name: str) -> None:
         """The link to a peer was closed."""
-        self.cordons.record_lost_link(name)
+        self.cordons.record_link_lost(name)
 
     def _renew_incarnation(self, incarnation: int) -> None:
         """Peers know a newer incarnation of our name: this host's clock was set back, or the name is not
@@ -185,7 +185,7 @@
             return
         self._renewed_s = time.monotonic()
         log.warning("newer_incarnation_known", extra={"as": self.name, "incarnation": incarnation})
-        self.cordons.renew(incarnation + 1)
+        self.cordons.adopt_incarnation(incarnation + 1)
         self.peers.tell(self._peer_configuration(self.options))
 
     # Operators
@@ -203,7 +203,7 @@
             "refused": self.peers.rejections,
             "clock_corrected_ms": self.clock.offset_us / 1000,
         }
-        return status_answer(msgspec.to_builtins(self.cordons.status()) | own)
+        return make_status_answer(msgspec.to_builtins(self.cordons.status()) | own)
 
     def confirm_complete(self) -> Answer:
         """An operator confirms that nothing is in force that this scheduler does not know."""
