--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -1,7 +1,7 @@
-"""The platform's messages as typed values: each is decoded once and encoded once, here, without I/O.
+"""Decodes and encodes the platform's messages as typed values, without I/O.
 
-The protocol's own header, path and field names appear in this module alone; everywhere else the values carry
-the field's terms. What is not as the protocol says raises `MalformedError`.
+The platform's header, path and field names appear in this module alone; the rest of the program uses the
+general terms of job scheduling. A message that violates the protocol raises `MalformedError`.
 """
 
 import math
@@ -17,7 +17,7 @@
 from yarl import URL
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_COST_US = 3_600_000_000  # an hour; sums of absurd guesses must stay sums
+MAX_COST_US = 3_600_000_000  # one hour; keeps sums of estimates meaningful when a client sends an absurd one
 
 REQUEST_ID = "X-Request-ID"
 CLASS = "X-Priority-Class"
@@ -27,27 +27,30 @@
 COST = "X-Cost"
 KEY = "Idempotency-Key"
 NOT_PROCESSED = "X-Not-Processed"
-# Headers of a request that go on to its endpoint as they came.
-PASSED_ON = (REQUEST_ID, CLASS, RETRIED, KEY, "X-Route-Key", "X-Attrs", "Content-Type", "Content-Encoding")
-ONCE = (REQUEST_ID, CLASS, TIMEOUT, TENANT, COST, KEY)
+# Request headers that are forwarded to the endpoint unchanged.
+FORWARDED = (REQUEST_ID, CLASS, RETRIED, KEY, "X-Route-Key", "X-Attrs", "Content-Type", "Content-Encoding")
+SINGLE_VALUE_HEADERS = (REQUEST_ID, CLASS, TIMEOUT, TENANT, COST, KEY)
 
-_TIMEOUT_FORM = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])", re.ASCII)
+_TIMEOUT_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])", re.ASCII)
 _UNITS_US = {"m": 1000, "u": 1}
-_COST_FORM = re.compile(r"\d{1,15}(?:\.\d{1,6})?", re.ASCII)
-_LENGTH_FORM = re.compile(r"\d{1,18}", re.ASCII)
-_TARGET_FORM = re.compile(r"/[!\"$-~]*", re.ASCII)
-_INSTANCE_FORM = re.compile(r"[!-~]{1,256}", re.ASCII)
+_COST_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,6})?", re.ASCII)
+_LENGTH_PATTERN = re.compile(r"\d{1,18}", re.ASCII)
+_TARGET_PATTERN = re.compile(r"/[!\"$-~]*", re.ASCII)
+_INSTANCE_PATTERN = re.compile(r"[!-~]{1,256}", re.ASCII)
 _JSON_TOKEN = re.compile(rb'[][{}]|"(?:[^"\\]|\\.)*"')
-_ID_FORM = re.compile(r"[!-~]{1,128}", re.ASCII)
+_ID_PATTERN = re.compile(r"[!-~]{1,128}", re.ASCII)
 
 
 class MalformedError(Exception):
-    """A peer's message is not what the protocol says."""
+    """A peer's message violates the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class JobRequest:
-    """A client's request as received; ``target`` is path and query, ``cost_us`` an estimate (0: none)."""
+    """A client's request as received.
+
+    ``target`` is the path with its query; ``cost_us`` is the client's estimate of the work (0: no estimate).
+    """
 
     id: str
     job_class: int
@@ -58,17 +61,24 @@
     headers: tuple[tuple[str, str], ...]
     tenant: str = ""
     cost_us: int = 0
-    key: str = ""  # the idempotency key; empty where the client gives none
+    key: str = ""  # the idempotency key; empty if the client sends none
 
 
 def check_framing(headers: MultiMapping[str]) -> None:
-    """Reject a request whose end two parsers may see at different places (request smuggling)."""
+    """Reject ambiguous framing: two parsers could disagree where the request ends (request smuggling).
+
+    Raises MalformedError.
+    """
     lengths, codings = headers.getall("Content-Length", []), headers.getall("Transfer-Encoding", [])
     if len(lengths) + len(codings) > 1:
-        raise MalformedError("Content-Length or Transfer-Encoding, once")
-    plain = all(_LENGTH_FORM.fullmatch(x) for x in lengths) and all(x.lower() == "chunked" for x in codings)
-    if not plain:
-        raise MalformedError("Content-Length must be digits, Transfer-Encoding chunked")
+        raise MalformedError(
+            "more than one Content-Length or Transfer-Encoding header; at most one of the two is allowed"
+        )
+    well_formed = all(_LENGTH_PATTERN.fullmatch(x) for x in lengths) and all(
+        x.lower() == "chunked" for x in codings
+    )
+    if not well_formed:
+        raise MalformedError("Content-Length must be 1 to 18 digits, or Transfer-Encoding must be 'chunked'")
 
 
 def decode_request(
@@ -78,28 +88,35 @@
     classes: tuple[str, ...],
     deadlines_us: tuple[int, ...],
 ) -> JobRequest:
-    """Decode a client's request; without a time-out it gets the deadline of its class."""
-    for key in ONCE:
+    """Decode a client's request; one without a timeout header gets the deadline of its class.
+
+    Raises MalformedError.
+    """
+    for key in SINGLE_VALUE_HEADERS:
         if len(headers.getall(key, [])) > 1:
-            raise MalformedError(f"{key} must stand once")
+            raise MalformedError(f"header {key} is repeated; at most one is allowed")
     wire_id = headers.get(REQUEST_ID, "")
-    if not _ID_FORM.fullmatch(wire_id):
-        raise MalformedError(f"{REQUEST_ID} must be 1 to 128 printable characters")
-    if not _TARGET_FORM.fullmatch(target):
-        raise MalformedError("the target must be a path of printable characters")
+    if not _ID_PATTERN.fullmatch(wire_id):
+        raise MalformedError(
+            f"header {REQUEST_ID} must be 1 to 128 printable ASCII characters without spaces"
+        )
+    if not _TARGET_PATTERN.fullmatch(target):
+        raise MalformedError("the request target must be a path of printable ASCII characters without '#'")
     first = target[1:].partition("?")[0].partition("/")[0]
     name = headers.get(CLASS, first)
     if name not in classes or name != first:
-        raise MalformedError(f"{CLASS} and path must name one class of this deployment: {name[:64]!r}")
+        raise MalformedError(
+            f"header {CLASS} and the first path segment must name the same known job class, got {name[:64]!r}"
+        )
     job_class = classes.index(name)
     left = parse_timeout(headers[TIMEOUT]) if TIMEOUT in headers else deadlines_us[job_class]
-    # The decision module compares each request with the longest time-out seen: one absurd value would make
-    # all later ones look late.
+    # The decision module compares each request with the longest timeout seen so far: one absurd value would
+    # make all later requests look late.
     left = min(left, deadlines_us[job_class])
-    passed = tuple((key, headers[key]) for key in PASSED_ON if key in headers)
+    passed = tuple((key, headers[key]) for key in FORWARDED if key in headers)
     if not all(value.isprintable() for _, value in passed):
-        # Bytes that are not UTF-8: the client library would silently drop them and forward the rest.
-        raise MalformedError("a header holds what is not printable text")
+        # When forwarding, the HTTP client library would silently drop bytes that are not valid UTF-8.
+        raise MalformedError("a forwarded header contains characters that are not printable")
     return JobRequest(
         wire_id, job_class, left, headers.get(RETRIED) == "1", target, body, passed,
         headers.get(TENANT, ""), parse_cost(headers.get(COST, "")), headers.get(KEY, ""),
@@ -107,21 +124,24 @@
 
 
 def parse_cost(text: str) -> int:
-    """An estimate of the work in microseconds; 0 where the text is no number."""
-    return min(int(float(text)), MAX_COST_US) if _COST_FORM.fullmatch(text) else 0
+    """Parse an estimate of the work in microseconds; 0 if the text is not a number."""
+    return min(int(float(text)), MAX_COST_US) if _COST_PATTERN.fullmatch(text) else 0
 
 
 def parse_timeout(text: str) -> int:
-    """``480m`` (milliseconds) or ``480000u`` (microseconds) as microseconds."""
-    if not (form := _TIMEOUT_FORM.fullmatch(text.strip())):
-        raise MalformedError(f"{TIMEOUT} must be a number and m or u, is {text[:32]!r}")
-    if not (left_us := int(float(form[1]) * _UNITS_US[form[2]])):
-        raise MalformedError(f"{TIMEOUT} leaves no time")
+    """Convert ``480m`` (milliseconds) or ``480000u`` (microseconds) to microseconds.
+
+    Raises MalformedError for any other form and for a timeout of less than a microsecond.
+    """
+    if not (match := _TIMEOUT_PATTERN.fullmatch(text.strip())):
+        raise MalformedError(f"header {TIMEOUT} must be a number followed by m or u, got {text[:32]!r}")
+    if not (left_us := int(float(match[1]) * _UNITS_US[match[2]])):
+        raise MalformedError(f"header {TIMEOUT} must be at least one microsecond")
     return left_us
 
 
 def encode_handed_over_request(request: JobRequest) -> dict[str, object]:
-    """Encode a request for another process of this scheduler; the body may hold any bytes."""
+    """Encode a request for another process of this scheduler; latin-1 keeps every byte of the body."""
     return {
         "id": request.id,
         "job_class": request.job_class,
@@ -143,12 +163,12 @@
 
 
 def cancellation_target(wire_id: str) -> str:
-    """The path that cancels a job at a worker."""
+    """The path of the call that cancels a job on a worker."""
     return f"/jobs/{quote(wire_id, safe='')}"
 
 
 def format_timeout(left_us: int) -> str:
-    """Microseconds as the value of a time-out header, at least 1."""
+    """Format microseconds as the value of a timeout header; values below 1 become 1."""
     return f"{max(1, left_us)}u"
 
 
@@ -159,25 +179,25 @@
     status: int
     body: bytes
     retry_after_us: int = 0
-    close: bool = False  # its connection closes after it
+    close: bool = False  # whether to close the connection after this answer
 
     def headers(self) -> dict[str, str]:
-        """The headers beside those of every response."""
+        """The headers of this answer, in addition to those that every response carries."""
         return {"Retry-After": f"{self.retry_after_us / 1e6:.3f}"} if self.retry_after_us else {}
 
 
 def served(result: str) -> Answer:
-    """A worker's result for the client."""
+    """The answer that carries a worker's result to the client."""
     return Answer(200, result.encode())
 
 
 def fail_fast(retry_after_us: int = 0) -> Answer:
-    """Rejected without effect: a retry is safe."""
+    """The answer to a request rejected before it ran; the client may safely retry."""
     return Answer(503, b"refused, safe to try again\n", retry_after_us)
 
 
 def quota_exceeded(retry_after_us: int = 0) -> Answer:
-    """Rejected since its tenant's quota is used up; a retry is safe."""
+    """The answer to a request rejected because its tenant's quota is used up; the client may safely retry."""
     return Answer(429, b"refused, your share is used up; safe to try again later\n", retry_after_us)
 
 
@@ -192,7 +212,7 @@
 
 
 class JobState(Enum):
-    """What a worker reports of a job."""
+    """A job's state as its worker reports it."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -204,7 +224,10 @@
 
 @dataclass(slots=True, frozen=True)
 class JobEvent:
-    """A worker's callback about a job; ``source`` is the worker's id, ``share`` the part done (0 to 1)."""
+    """A worker's callback about a job.
+
+    ``source`` is the worker's id, ``share`` the completed fraction of the job (0 to 1).
+    """
 
     id: str
     source: str
@@ -214,21 +237,21 @@
 
 
 def decode_job_event(body: bytes) -> JobEvent:
-    """Decode the body of a call to /v1/job-events."""
+    """Decode the body of a call to /v1/job-events; raises MalformedError."""
     return decode_job_event_object(_load(body))
 
 
 def decode_job_event_object(data: dict[str, object]) -> JobEvent:
-    """Decode such a callback from its JSON object."""
+    """Decode a worker's callback from its JSON object; raises MalformedError."""
     wire_id, source, result = data.get("id"), data.get("from"), data.get("result", "")
     if not (isinstance(wire_id, str) and isinstance(source, str)):
-        raise MalformedError("id and from must be text")
+        raise MalformedError("fields id and from of a job event must be strings")
     try:
         state = JobState(data.get("state"))
     except ValueError:
-        raise MalformedError(f"unknown state {str(data.get('state'))[:32]!r}") from None
+        raise MalformedError(f"unknown job state {str(data.get('state'))[:32]!r}") from None
     if state is JobState.DONE and not isinstance(data.get("result"), str):
-        raise MalformedError("done needs a result")
+        raise MalformedError("a job event of state done must have a string in field result")
     share = _number(data.get("share", 0.0), "share")
     return JobEvent(wire_id, source, state, share, result if isinstance(result, str) else "")
 
@@ -245,7 +268,7 @@
 
 
 class Lifecycle(Enum):
-    """The state of a worker on discovery's endpoint list."""
+    """A worker's state on the endpoint list of discovery."""
 
     ACTIVE = "active"
     DRAINING = "leaving"
@@ -254,7 +277,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """One entry of the endpoint list; ``instance_id`` is its identity, ``host_port`` may change."""
+    """One entry of the endpoint list; ``instance_id`` identifies the worker, its ``host_port`` may change."""
 
     instance_id: str
     host_port: str
@@ -267,16 +290,24 @@
 
 
 def decode_instance_id(body: bytes) -> str:
-    """Decode the body of an operator's call: a worker's id, perhaps with white space round it."""
+    """Decode a worker's id from the body of an operator's call; surrounding white space is ignored.
+
+    Raises MalformedError.
+    """
     text = body.decode(errors="replace").strip()
-    if not _INSTANCE_FORM.fullmatch(text):
-        raise MalformedError("the body must be a worker's id")
+    if not _INSTANCE_PATTERN.fullmatch(text):
+        raise MalformedError(
+            "the body must be a worker's id: 1 to 256 printable ASCII characters without spaces"
+        )
     return text
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The endpoint list at a version: complete with ``reset``, else changes to the version before."""
+    """One message of the endpoint list: with ``reset`` the complete list, else changes to the version before.
+
+    ``generation`` is the version of the list after this message.
+    """
 
     generation: int
     reset: bool
@@ -284,20 +315,24 @@
 
 
 class WatchEventReader:
-    """Splits the stream of a watch into watch events: lists, which may span many lines, and empty lines.
+    """Splits the stream of a watch into watch events: endpoint lists, which may span lines, and empty lines.
 
-    Reads may end anywhere: an event is complete with the line that closes its outermost bracket. ``limit``:
-    the largest event in bytes; a larger one raises MalformedError.
+    Chunks of the stream may end anywhere: an event is complete with the line that closes its outermost
+    bracket. ``limit`` is the largest event in bytes; a larger one raises MalformedError.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._line = bytearray()  # since the last line break
+        self._line = bytearray()  # bytes since the last line break
         self._value = bytearray()  # complete lines of an incomplete event
-        self._depth = 0
+        self._depth = 0  # brackets open in those lines
 
     def feed(self, data: bytes) -> Iterator[EndpointList | None]:
-        """The lists that are complete now, in order; None for each empty line between them."""
+        """Add a chunk of the stream; yield the lists that it completes, in order.
+
+        Yields None for each empty line between them. Raises MalformedError for a malformed list and for one
+        that exceeds the limit.
+        """
         *lines, rest = data.split(b"\n")
         for line in lines:
             self._line += line
@@ -311,27 +346,30 @@
                 yield decode_endpoint_list(_load(value))
         self._line += rest
         if len(self._line) + len(self._value) > self.limit:
-            raise MalformedError(f"a list of more than {self.limit} bytes")
+            raise MalformedError(f"an event of the watch exceeds the limit of {self.limit} bytes")
 
     def _add(self, line: bytes) -> None:
         self._value += line + b"\n"
-        # Brackets inside strings don't count, and no string spans a line break.
+        # Brackets inside strings don't count; a JSON string cannot contain a raw line break, so that matching
+        # strings line by line is enough.
         for token in _JSON_TOKEN.findall(line):
             self._depth += (token in b"{[") - (token in b"}]")
 
 
 def decode_endpoint_list(data: object) -> EndpointList:
-    """Decode discovery's endpoint list."""
+    """Decode an endpoint list of discovery; raises MalformedError."""
     if not isinstance(data, dict):
-        raise MalformedError("must be an object")
+        raise MalformedError("the endpoint list must be a JSON object")
     generation, reset, instances = data.get("generation"), data.get("reset", False), data.get("instances", [])
     if type(generation) is not int or type(reset) is not bool or not isinstance(instances, list):
-        raise MalformedError("generation must be a whole number, reset true or false, instances a list")
+        raise MalformedError(
+            "in the endpoint list, generation must be an integer, reset a boolean and instances a list"
+        )
     return EndpointList(generation, reset, tuple(decode_listed_endpoint(x) for x in instances))
 
 
 def encode_listed_endpoint(d: ListedEndpoint) -> dict[str, object]:
-    """Encode an entry in discovery's form, for another process of this scheduler."""
+    """Encode an entry for another process of this scheduler, in the format of discovery's list."""
     return {
         "instanceId": d.instance_id,
         "hostPort": d.host_port,
@@ -345,19 +383,23 @@
 
 
 def decode_listed_endpoint(data: object) -> ListedEndpoint:
-    """Decode one entry of the endpoint list."""
+    """Decode one entry of the endpoint list; raises MalformedError."""
     if not isinstance(data, dict):
-        raise MalformedError("instances must hold objects")
+        raise MalformedError("each entry of instances must be a JSON object")
     texts = [data.get(key) for key in ("instanceId", "hostPort", "zone", "machineType")]
     if not all(isinstance(x, str) for x in texts):
-        raise MalformedError("instanceId, hostPort, zone and machineType must be text")
+        raise MalformedError(
+            "fields instanceId, hostPort, zone and machineType of an instance must be strings"
+        )
     instance_id, host_port, zone, machine_type = map(str, texts)
     if not instance_id or not _is_host_port(host_port):
-        raise MalformedError(f"needs an instanceId and host:port, has {host_port[:64]!r}")
+        raise MalformedError(
+            f"instanceId is empty, or hostPort is not host:port, got hostPort {host_port[:64]!r}"
+        )
     try:
         lifecycle = Lifecycle(data.get("lifecycle"))
     except ValueError:
-        raise MalformedError(f"unknown lifecycle {str(data.get('lifecycle'))[:32]!r}") from None
+        raise MalformedError(f"unknown lifecycle state {str(data.get('lifecycle'))[:32]!r}") from None
     started_us = int(_number(data.get("startedAtMs", 0), "startedAtMs") * 1000)
     cell, weight = int(_number(data.get("cell", 0), "cell")), _number(data.get("weight", 1.0), "weight")
     return ListedEndpoint(instance_id, host_port, zone, machine_type, cell, lifecycle, weight, started_us)
@@ -375,13 +417,13 @@
     try:
         value = orjson.loads(data)
     except orjson.JSONDecodeError as e:
-        raise MalformedError(f"not JSON: {e}") from e
+        raise MalformedError(f"invalid JSON: {e}") from e
     if not isinstance(value, dict):
-        raise MalformedError("must be an object")
+        raise MalformedError("the message must be a JSON object")
     return value
 
 
 def _number(value: object, name: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise MalformedError(f"{name} must be a number")
+        raise MalformedError(f"field {name} must be a finite number")
     return value
