--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -1,8 +1,7 @@
 """The interface of the decision module: settings, events and actions.
 
-Times are whole microseconds of the caller's clock, which only ever advances.
-Every event goes to ``Balancer.handle(now_us, event)``, which returns actions
-to be carried out at once and in order.
+Times are whole microseconds of the caller's monotonic clock. The caller passes each event to
+``Balancer.handle(now_us, event)`` and carries out the returned actions immediately, in their order.
 """
 
 from dataclasses import dataclass, field
@@ -10,7 +9,11 @@
 
 
 class Repeat(Enum):
-    """What a second run of a job would do."""
+    """Whether a job may run a second time.
+
+    SAFE: a second run does no harm. KEYED: workers drop repeats by idempotency key. UNSAFE: a second run may
+    do harm.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +21,7 @@
 
 
 class Scope(Enum):
-    """The workers that drop each other's repeats of a keyed job."""
+    """Which workers drop each other's repeats of a keyed job: all, those of one zone or those of one cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,11 +47,12 @@
 
 
 _NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-ANSWERED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL})  # by the worker itself: it is alive
+# Outcomes reported by the worker itself, which prove that it is alive.
+ANSWERED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL})
 
 
 class WorkerState(IntEnum):
-    """A worker's state on the list."""
+    """A worker's state on the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -56,7 +60,11 @@
 
 
 class ListKind(IntEnum):
-    """What a list event holds."""
+    """The kind of a ``WorkersListed`` event.
+
+    CHANGES: changes to the list before. FULL: the complete list. CACHED: a complete list known from earlier.
+    FAILED: the list could not be fetched.
+    """
 
     CHANGES = 0
     FULL = 1
@@ -65,22 +73,26 @@
 
 
 class SettingError(ValueError):
-    """A field of the settings is out of range: ``name`` is the field, ``what`` the values it may have."""
+    """A setting has an invalid value; ``name`` is its field, ``requirement`` says which values are valid."""
 
-    def __init__(self, name: str, what: str) -> None:
-        super().__init__(f"{name}: {what}")
+    def __init__(self, name: str, requirement: str) -> None:
+        super().__init__(f"{name}: {requirement}")
         self.name = name
-        self.what = what
+        self.requirement = requirement
 
 
-def _require(good: bool, name: str, what: str) -> None:
-    if not good:
-        raise SettingError(name, what)
+def _require(condition: bool, name: str, requirement: str) -> None:
+    if not condition:
+        raise SettingError(name, requirement)
 
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """One class of job; with ``kinds`` or ``zones`` it may go to workers of these alone."""
+    """One class of jobs.
+
+    ``kinds`` and ``zones`` restrict its jobs to workers of these machine types and zones (None: any).
+    ``memory_us``: how long workers remember the idempotency keys of its jobs.
+    """
 
     latency_objective_us: int
     deadline_us: int
@@ -104,29 +116,29 @@
         _require(isinstance(self.scope, Scope), "scope", "must be a Scope")
         for name in ("kinds", "zones"):
             places = getattr(self, name)
-            _require(places is None or all(type(x) is int for x in places), name, "must hold numbers")
+            _require(places is None or all(type(x) is int for x in places), name, "must hold only integers")
 
     @property
     def bound(self) -> bool:
-        """Whether it may go to some workers only."""
+        """Whether jobs of this class are restricted to workers of some machine types or zones."""
         return self.kinds is not None or self.zones is not None
 
     @property
     def dropped_everywhere(self) -> bool:
-        """Whether any worker drops a repeat of such a job."""
+        """Whether every worker drops a repeat of a job of this class, wherever the job ran first."""
         return self.repeat is Repeat.KEYED and self.scope is Scope.ALL
 
     def group_of(self, worker: "Worker") -> int:
-        """The group of workers that drop each other's repeats of such a job; -1: all of them."""
+        """The zone or cell of a worker, within which repeats are dropped; -1 if every worker drops them."""
         return {Scope.ZONE: worker.zone, Scope.CELL: worker.cell}.get(self.scope, -1)
 
     def open_to(self, worker: "Worker") -> bool:
-        """Whether the settings allow this class at a worker."""
+        """Whether jobs of this class may run on a worker of this machine type and zone."""
         kinds, zones = self.kinds, self.zones
         return (kinds is None or worker.kind in kinds) and (zones is None or worker.zone in zones)
 
 
-_NOT_NEGATIVE = (  # fields of the settings, in the order in which they are checked
+_NON_NEGATIVE_FIELDS = (  # fields of ``Settings``, in the order in which they are checked
     "drain_grace_us",
     "connect_timeout_us",
     "max_retry_after_us",
@@ -139,10 +151,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a scheduler is configured with at its start.
+    """The configuration of a scheduler at its start.
 
-    ``full_may_have_run``: a worker may answer 'full' for work that it had begun. ``close_within_us``: idle
-    connections to a draining worker must be closed within it (None: they need not be).
+    ``full_may_have_run``: a worker may answer 'full' for a job that it has already begun.
+    ``close_within_us``: the time within which idle connections to a draining worker must be closed (None:
+    they may stay open).
     """
 
     classes: tuple[JobClass, ...]
@@ -154,7 +167,7 @@
     must_subscribe: bool = False
     poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    slow_start_floor: float = 0.5  # share of its full speed that a worker has as it starts
+    slow_start_floor: float = 0.5  # share of its full speed at which a worker starts
     slow_start_us: int = 10_000_000
     fall_multiple: float = 2.0
     tip_after_us: int = 1_000_000
@@ -175,14 +188,14 @@
     close_within_us: int | None = None
 
     def __post_init__(self) -> None:
-        _require(len(self.classes) > 0, "classes", "at least one is needed")
+        _require(len(self.classes) > 0, "classes", "must contain at least one class")
         _require(self.fleet_size >= 1, "fleet_size", "must be 1 or more")
         _require(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
         _require(0 < self.slow_start_floor <= 1, "slow_start_floor", "must be above 0 and at most 1")
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         for name in ("slow_start_us", "tip_after_us", "poll_interval_us"):
             _require(getattr(self, name) > 0, name, "must be above 0")
-        for name in _NOT_NEGATIVE:
+        for name in _NON_NEGATIVE_FIELDS:
             _require(getattr(self, name) >= 0, name, "must not be negative")
         _require(isinstance(self.full_may_have_run, bool), "full_may_have_run", "must be true or false")
         close = self.close_within_us
@@ -191,7 +204,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """One entry of the endpoint list; ``started_us`` 0 means long ago."""
+    """One entry of the endpoint list; ``started_us`` is 0 for a worker that started long ago."""
 
     address: str
     zone: int = 0
@@ -206,8 +219,8 @@
 class Request:
     """A client's request.
 
-    ``group``: an earlier request of its key may have run there and is repeated nowhere else before
-    ``group_until_us`` (0: there was none).
+    ``group``: the zone or cell in which an earlier request with the same idempotency key may have run. Until
+    ``group_until_us`` this request may be sent only to workers of that group (0: there was no such request).
     """
 
     job: int
@@ -225,7 +238,7 @@
 
 @dataclass(slots=True)
 class WorkersListed:
-    """The endpoint list, changes to it, or that polling it failed."""
+    """The endpoint list or changes to it were received, or polling the list failed."""
 
     kind: ListKind
     workers: list[Worker] = field(default_factory=list)
@@ -233,7 +246,7 @@
 
 @dataclass(slots=True)
 class Arrived:
-    """A client's request has reached this scheduler."""
+    """This scheduler has received a client's request."""
 
     request: Request
 
@@ -248,7 +261,7 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """Progress of a running attempt; ``share`` of it is done (0 to 1)."""
+    """Progress of a running attempt; ``share`` is its completed fraction (0 to 1)."""
 
     job: int
     attempt: int
@@ -257,7 +270,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer has begun to flow to the client; the attempt is now the client's."""
+    """The worker's answer has begun to stream to the client, so that the job can no longer be retried."""
 
     job: int
     attempt: int
@@ -265,7 +278,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over; ``final`` if the request is answered."""
+    """An attempt has ended; ``final`` if the client's request has already been answered."""
 
     job: int
     attempt: int
@@ -283,14 +296,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer requested by ``SetTimer`` has expired."""
 
     tag: str
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The result of a health check; ``alive`` if the worker answered at all, even as draining."""
+    """A health check has ended; ``alive`` if the worker answered at all, even if it is draining."""
 
     address: str
     alive: bool
@@ -298,7 +311,7 @@
 
 @dataclass(slots=True)
 class ListLeaseChanged:
-    """The lease on the endpoint list is held again, or lost: nothing is sent without it."""
+    """The lease on the endpoint list was acquired or lost; without it no attempt is sent."""
 
     held: bool
 
@@ -322,7 +335,11 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a job count 0, 1, 2 ... (timeout 0: until the client's deadline)."""
+    """Start an attempt of a job on a worker.
+
+    Attempts of a job are numbered from 0 in the order of their sends. ``timeout_us`` 0: the attempt may last
+    until the client's deadline.
+    """
 
     job: int
     address: str
@@ -330,17 +347,17 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is rejected; for log lines and figures alone."""
+    """Why a request is rejected; used in log lines and metrics alone."""
 
-    NO_WORKER = "no_worker"  # no worker had capacity for as long as queueing made sense
-    OVERLOAD = "overload"  # own waits show an overload: load is shed
-    ATTEMPTS_SPENT = "attempts_spent"  # as many as a request may have
-    ATTEMPT_ENDED = "attempt_ended"  # its last attempt ended with no time or place for another
+    NO_WORKER = "no_worker"  # no worker had capacity while the request could still wait in the queue
+    OVERLOAD = "overload"  # load shedding: the waits of this scheduler's own jobs show an overload
+    ATTEMPTS_SPENT = "attempts_spent"  # the request has used the maximum number of attempts
+    ATTEMPT_ENDED = "attempt_ended"  # its last attempt ended with no time or worker left for another
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, a retry does no harm."""
+    """Answer a request finally as rejected: a retry by the client does no harm."""
 
     job: int
     retry_in_us: int = 0
@@ -349,14 +366,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, it may have run."""
+    """Answer a request finally as failed: its job may have run."""
 
     job: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt."""
+    """Cancel a running attempt."""
 
     job: int
     attempt: int
@@ -364,7 +381,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Request a ``TimerFired`` with this tag."""
+    """Request a ``TimerFired`` event with this tag after ``after_us``."""
 
     after_us: int
     tag: str
@@ -377,7 +394,7 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Check whether a worker answers."""
+    """Start a health check of a worker; its result is a ``HealthCheckEnded`` event."""
 
     address: str
 
@@ -391,7 +408,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -1,4 +1,4 @@
-"""Start-up options, in the simulator's words, as the module's settings; for the adapter and the program."""
+"""Translates start-up options, which use the platform's names, into the settings of the decision module."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
 SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
-# Names in errors of the fields that are called otherwise by the settings' keys.
+# Fields of the settings whose keys in the options have other names, and the names that errors use for them.
 ERROR_NAMES = {
     "latency_objective_us": "aim_us",
     "poll_interval_us": "ask_every_us",
@@ -19,25 +19,28 @@
 }
 
 
-def read_places(names: Json, setting: str, needed: int = -1) -> frozenset[int] | None:
-    """The kinds or zones that a class is bound to; a missing list and one that names none leave it free."""
-    if names is not None and not (isinstance(names, list) and all(type(x) is int for x in names)):
-        raise ValueError(f"{setting}: must be a list of numbers")
-    places = frozenset(names) if names else None
-    if needed < 0:
+def read_places(numbers: Json, setting: str, required: int = -1) -> frozenset[int] | None:
+    """The machine types or zones that a class is restricted to; None, no restriction, if the list is empty.
+
+    ``required`` is a further restriction, to this number alone (-1: none). Raises ValueError.
+    """
+    if numbers is not None and not (isinstance(numbers, list) and all(type(x) is int for x in numbers)):
+        raise ValueError(f"{setting}: must be a list of integers")
+    places = frozenset(numbers) if numbers else None
+    if required < 0:
         return places
-    return frozenset({needed}) if places is None else places & {needed}
+    return frozenset({required}) if places is None else places & {required}
 
 
 def read_settings(options: dict[str, Json]) -> api.Settings:
-    """Translate the start message's options; unknown keys are skipped.
+    """Translate the options of the start message; unknown keys are ignored.
 
-    Raises ValueError for a value out of range, under the name that operators know it by.
+    Raises ValueError for a value out of range; its message uses the name that operators know.
     """
     try:
         return _read_settings(options)
     except api.SettingError as e:
-        raise ValueError(f"{ERROR_NAMES.get(e.name, e.name)}: {e.what}") from e
+        raise ValueError(f"{ERROR_NAMES.get(e.name, e.name)}: {e.requirement}") from e
 
 
 def _read_settings(options: dict[str, Json]) -> api.Settings:
