--- a/robinhill/__init__.py
+++ b/robinhill/__init__.py
@@ -1,4 +1,4 @@
-"""robinhill: decides, for a dispatcher pushing jobs to workers, where each job goes."""
+"""robinhill: a job scheduler: for a dispatcher that pushes jobs to workers, it chooses a worker for each."""
 
 from robinhill.api import Settings
 from robinhill.logic import Balancer
--- a/robinhill/__main__.py
+++ b/robinhill/__main__.py
@@ -1,4 +1,4 @@
-"""The program; without words it runs one scheduler, as the environment configures it."""
+"""The program; without arguments it runs one scheduler, which the environment configures."""
 
 import sys
 
--- a/robinhill/adapter.py
+++ b/robinhill/adapter.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's protocol and hosts many balancers. No decisions are made here."""
+"""Connects balancers to the simulator: decodes its messages to events and encodes actions to its commands."""
 
 import gc
 import sys
@@ -23,36 +23,38 @@
     "recalled": api.Outcome.CANCELLED,
     "superseded": api.Outcome.NOT_SENT,
 }
-ALIVE = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)  # of a health check
+ALIVE_RESULTS = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)  # health checks
 
 
 class WireError(Exception):
-    """The input does not follow the simulator's protocol."""
+    """The input violates the simulator's protocol."""
 
 
 def read_worker(row: list[Json]) -> api.Worker:
-    """Translate one directory entry."""
+    """Decode one entry of an endpoint list; raises WireError."""
     weight, cell, started, address, zone, state, kind = row[:7]
     if not isinstance(address, str):
-        raise WireError("an executor is not named by text")
+        raise WireError("the address of a worker must be a string")
     return api.Worker(address, zone, api.WorkerState(state), started or 0, weight, kind or 0, cell or 0)
 
 
 class Host:
-    """Many balancers behind one stream of batches."""
+    """Runs the balancers of all nodes in one stream of batches."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, Balancer] = {}
-        self.pools: dict[int, list[api.Worker]] = {}
-        self.readers: dict[str, Callable[[list[Json]], api.Event | None]] = {
+        self.balancers: dict[int, Balancer] = {}
+        self.endpoint_lists: dict[int, list[api.Worker]] = {}
+        self.decoders: dict[str, Callable[[list[Json]], api.Event | None]] = {
             "Request": self._request,
             "Done": lambda m: api.AttemptEnded(m[1], m[3], OUTCOMES[m[2]], m[5], bool(m[4])),
-            "UpdateOf": self._note,
+            "UpdateOf": self._job_update,
             "UnderWay": lambda m: api.StreamStarted(m[1], m[2]),
             "ClientGone": lambda m: api.ClientDisconnected(m[1]),
             "Elapsed": lambda m: api.TimerFired(m[1]),
-            "Targets": lambda m: api.WorkersListed(api.ListKind(m[1]), self.pools[m[3]] if m[1] != 3 else []),
-            "Sampled": lambda m: api.HealthCheckEnded(m[1], m[2] in ALIVE),
+            "Targets": lambda m: api.WorkersListed(
+                api.ListKind(m[1]), self.endpoint_lists[m[3]] if m[1] != 3 else []
+            ),
+            "Sampled": lambda m: api.HealthCheckEnded(m[1], m[2] in ALIVE_RESULTS),
             "Inbox": lambda _: None,
         }
 
@@ -60,69 +62,77 @@
     def _request(m: list[Json]) -> api.Event:
         job, team, attrs, hint = m[1], m[2], m[3] or 0, m[4]
         if type(job) is not int or type(m[6]) is not int or type(m[9]) is not int:
-            raise WireError("a request needs a job, a band and its time left")
+            raise WireError("the job, job class and remaining time of a Request must be integers")
         hint = hint if hint and attrs & 1 else 0
         return api.Arrived(api.Request(job, m[6], m[9], team or 0, hint, bool(attrs & 2)))
 
     @staticmethod
-    def _note(m: list[Json]) -> api.Event:
+    def _job_update(m: list[Json]) -> api.Event:
         if m[4] == 1:
             return api.JobStarted(m[1], m[2])
         return api.JobProgress(m[1], m[2], m[5] or 0.0)
 
-    def _read(self, node: int, m: list[Json]) -> api.Event | Balancer | None:
-        """Turn one message into an event, a new balancer or nothing."""
+    def _decode(self, node: int, m: list[Json]) -> api.Event | Balancer | None:
+        """Decode one message to an event or to a new balancer; None if it calls for neither.
+
+        Raises WireError.
+        """
         try:
             name = m[0]
             if name == "Pool":
-                self.pools[m[1]] = [read_worker(row) for row in m[2]]
+                self.endpoint_lists[m[1]] = [read_worker(row) for row in m[2]]
                 return None
             if name == "Launch":
                 return Balancer(read_settings(m[2]), int(m[1]))
             if name == "Exit":
-                self.nodes.pop(node, None)
+                self.balancers.pop(node, None)
                 return None
-            if name not in self.readers:
+            if name not in self.decoders:
                 raise WireError(f"unknown message {name!r}")
-            if node not in self.nodes:
-                raise WireError(f"{name} for node {node}, which has not been launched")
-            return self.readers[name](m)
+            if node not in self.balancers:
+                raise WireError(f"message {name} for node {node}, which is not running")
+            return self.decoders[name](m)
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as e:
-            raise WireError(f"missing {e}" if isinstance(e, KeyError) else str(e)) from e
+            raise WireError(f"missing or unknown key {e}" if isinstance(e, KeyError) else str(e)) from e
 
-    def _message(self, now: int, node: int, m: list[Json], cmds: list[Json]) -> None:
-        event = self._read(node, m)
+    def _handle(self, now: int, node: int, m: list[Json], cmds: list[Json]) -> None:
+        event = self._decode(node, m)
         if event is None:
             if m[0] == "Exit":
                 cmds.clear()
             return
         if isinstance(event, Balancer):
-            self.nodes[node] = event
+            self.balancers[node] = event
             actions = event.start(now)
         else:
-            actions = self.nodes[node].handle(now, event)
-        cmds.extend(_WRITERS[type(action)](action) for action in actions)
+            actions = self.balancers[node].handle(now, event)
+        cmds.extend(_ENCODERS[type(action)](action) for action in actions)
 
     def batch(self, line: bytes) -> bytes:
-        """Answer one batch."""
+        """Handle one batch of messages and return the reply with the commands of all nodes.
+
+        Raises WireError.
+        """
         try:
             data = orjson.loads(line)
             now, groups = data["sim-time-us"], [(g["node"], g["msgs"]) for g in data["nodes"]]
         except (orjson.JSONDecodeError, KeyError, TypeError) as e:
-            raise WireError(f"not a batch: {e}") from e
+            raise WireError(f"not a batch of messages: {e}") from e
         if type(now) is not int or not all(type(n) is int and isinstance(ms, list) for n, ms in groups):
-            raise WireError("not a batch: the clock, a node or its messages are of the wrong type")
+            raise WireError(
+                "not a batch: sim-time-us and each node must be integers, and the msgs of a node a list"
+            )
         replies = []
         for node, messages in groups:
             cmds: list[Json] = []
             for m in messages:
-                self._message(now, node, m, cmds)
+                self._handle(now, node, m, cmds)
             if cmds:
                 replies.append({"node": node, "cmds": cmds})
         return orjson.dumps({"nodes": replies}) + b"\n"
 
 
-_WRITERS: dict[type, Callable[[Any], list[Json]]] = {
+_ENCODERS: dict[type, Callable[[Any], list[Json]]] = {
     api.Send: lambda a: ["Route", a.job, a.address, a.timeout_us],
     api.Reject: lambda a: ["Reject", a.job, a.retry_in_us],
     api.Fail: lambda a: ["FinishError", a.job],
@@ -136,7 +146,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to batches, one a line, until the input ends; raises WireError."""
     host = Host()
     for line in source:
         sink.write(host.batch(line))
@@ -144,7 +154,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; malformed input ends with one plain line and code 2."""
+    """Run on standard input and output; on malformed input print one line to standard error and return 2."""
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
     try:
--- a/robinhill/config_types.py
+++ b/robinhill/config_types.py
@@ -1,10 +1,10 @@
-"""What every reader of configuration shares: the error for a faulty key, and addresses."""
+"""Types shared by all modules that read configuration: the error for an invalid key, and addresses."""
 
 from dataclasses import dataclass
 
 
 class ConfigError(Exception):
-    """A key of the configuration is missing or wrong."""
+    """A key of the configuration is missing or invalid; ``key`` is its path, ``what`` describes the fault."""
 
     def __init__(self, key: str, what: str) -> None:
         super().__init__(f"{key}: {what}")
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """A host and a port to listen on or to call."""
+    """A host and a port to listen on or to connect to."""
 
     host: str
     port: int
--- a/robinhill/errors.py
+++ b/robinhill/errors.py
@@ -1,11 +1,12 @@
-"""The base of the errors that operators may meet: each says what happened and what can be done about it."""
+"""The base class of errors that operators may see: each says what failed and how an operator can react."""
 
 
 class RobinhillError(Exception):
-    """Something failed that an operator may have to act on.
+    """A failure that an operator may have to act on.
 
-    Subclasses set ``advice``: one plain sentence on what an operator can do. ``str(error)`` holds both.
-    ``code`` names the kind of error in answers to operators; it stays when a class is renamed.
+    ``what`` describes the failure. Subclasses set ``advice``: one plain sentence on what an operator can do.
+    ``str(error)`` contains both. ``code`` names the kind of error in answers to operators; it must not change
+    when a class is renamed.
     """
 
     code: str = "RobinhillError"
--- a/robinhill/logs.py
+++ b/robinhill/logs.py
@@ -1,5 +1,6 @@
-"""Log lines: key=value pairs or JSON, one line each, to standard error. structlog's formatter over
-``logging``.
+"""Formats log records as single lines of key=value pairs or JSON, written to standard error.
+
+The program logs with ``logging``; structlog's formatter renders the records.
 """
 
 import logging
@@ -16,75 +17,79 @@
 
 
 class LogOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' file on log lines."""
+    """The section ``log`` of the operators' file."""
 
     format: Literal["keyvalue", "json"] = "keyvalue"
     level: Literal["debug", "info", "warning", "error"] = "info"
     lines_a_second: int = DEFAULT_LINES_PER_SECOND
 
 
-def _head(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Add time, level and logger; the trace of an error as one value."""
+def _add_record_fields(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """Add time, level and logger to an event, and the traceback of an exception as the value ``error``."""
     record: logging.LogRecord = event["_record"]
-    moment = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
-    event["time"] = f"{moment}.{int(record.msecs):03d}Z"
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
+    event["time"] = f"{timestamp}.{int(record.msecs):03d}Z"
     event["level"], event["logger"] = record.levelname.lower(), record.name
     if event.pop("exc_info", None) and record.exc_info:
         event["error"] = logging.Formatter().formatException(record.exc_info)
     return event
 
 
-def _texts(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Turn every value into text, so that renderers agree on booleans, None and empty values."""
+def _values_to_text(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """Convert every value to text: the logfmt renderer treats booleans, None and empty values specially."""
     for key, value in event.items():
         event[key] = f"{value:.6g}" if isinstance(value, float) else str(value)
     return event
 
 
 def formatter(form: str = "keyvalue") -> ProcessorFormatter:
-    """``time=... level=... logger=... event=...`` and then whatever the call gave as ``extra``."""
+    """A formatter for lines of ``time=... level=... logger=... event=...`` and the fields given as ``extra``.
+
+    ``form`` is ``keyvalue`` or ``json``.
+    """
     render: Processor
     if form == "json":
         render = structlog.processors.JSONRenderer(default=str, ensure_ascii=False)
     else:
         render = structlog.processors.LogfmtRenderer(key_order=FIRST_KEYS, bool_as_flag=False)
-    shown: list[Processor] = [] if form == "json" else [_texts]
+    conversions: list[Processor] = [] if form == "json" else [_values_to_text]
     return ProcessorFormatter(
-        foreign_pre_chain=[ExtraAdder(), _head],
-        processors=[ProcessorFormatter.remove_processors_meta, *shown, render],
+        foreign_pre_chain=[ExtraAdder(), _add_record_fields],
+        processors=[ProcessorFormatter.remove_processors_meta, *conversions, render],
         use_get_message=True,
     )
 
 
 class Throttle(logging.Filter):
-    """Passes so many lines of one event a second; the next line says in ``kept_back`` how many were dropped.
+    """Limits the lines of each event to ``lines_a_second``: a flood of bad requests must not use up the CPU.
 
-    So a flood of bad requests can't spend the processor on its log lines. Errors always pass.
+    The next line of the event that passes has the count of dropped lines in its field ``kept_back``. Lines of
+    level error and above always pass.
     """
 
     def __init__(self, lines_a_second: int) -> None:
         super().__init__()
         self.lines_a_second = lines_a_second
-        self._seen: dict[str, tuple[int, int, int]] = {}  # second, lines passed in it, lines dropped
+        self._counts_by_event: dict[str, tuple[int, int, int]] = {}  # second, lines passed, lines dropped
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line passes."""
+        """Return whether to write the line, and set its ``kept_back`` if lines were dropped before it."""
         if record.levelno >= logging.ERROR:
             return True
-        second, passed, dropped = self._seen.get(record.msg, (0, 0, 0))
+        second, passed, dropped = self._counts_by_event.get(record.msg, (0, 0, 0))
         if int(record.created) != second:
             second, passed = int(record.created), 0
         if passed >= self.lines_a_second:
-            self._seen[record.msg] = (second, passed, dropped + 1)
+            self._counts_by_event[record.msg] = (second, passed, dropped + 1)
             return False
         if dropped:
             record.kept_back = dropped
-        self._seen[record.msg] = (second, passed + 1, 0)
+        self._counts_by_event[record.msg] = (second, passed + 1, 0)
         return True
 
 
 def configure(options: LogOptions | None = None) -> None:
-    """Send all log lines to standard error in this form."""
+    """Configure ``logging`` to write all log lines to standard error with these options."""
     options = options or LogOptions()
     handler = logging.StreamHandler()
     handler.setFormatter(formatter(options.format))
