--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -337,8 +337,8 @@
 class Send:
     """Start an attempt of a job on a worker.
 
-    Attempts of a job are numbered from 0 in the order of their sends. ``timeout_us`` 0: the attempt may last
-    until the client's deadline.
+    Attempts of a job are numbered 0, 1, 2 ... in the order of their sends. ``timeout_us`` 0: the attempt may
+    last until the client's deadline.
     """
 
     job: int
