--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Bad configuration ends the program with one line that names the key."""
+"""Invalid configuration ends the program with one line that names the key; valid configuration is usable."""
 
 import asyncio
 import copy
@@ -30,16 +30,16 @@
 ENTRY = {"instanceId": "s-1", "hostPort": "h:1", "zone": "a", "machineType": "b", "lifecycle": "gone"}
 
 
-def start(folder: Path, given: dict[str, Any], env: dict[str, str], passed: tuple[int, ...] = ()) -> str:
-    """The one line that the program ends with."""
+def start(folder: Path, given: dict[str, Any], env: dict[str, str], inherited: tuple[int, ...] = ()) -> str:
+    """Start the program with an invalid configuration; return the one line that it ends with."""
     path = folder / "config.json"
     path.write_text(json.dumps(given))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "robinhill"], env={"GW_CONFIG": str(path)} | env, cwd=ROOT, text=True,
-        capture_output=True, check=False, pass_fds=passed,
+        capture_output=True, check=False, pass_fds=inherited,
     )  # fmt: skip
-    assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
-    return done.stderr
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1, completed.stderr
+    return completed.stderr
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
         ({}, {"TMPDIR": "/no/such/folder"}, "TMPDIR"),
         ({}, {"GW_SOCKET_FD": "four"}, "GW_SOCKET_FD"),
         ({}, {"GW_SOCKET_FD": "99"}, "GW_SOCKET_FD"),
-        ({}, {"GW_SOCKET_FD": "2"}, "GW_SOCKET_FD"),  # no socket
+        ({}, {"GW_SOCKET_FD": "2"}, "GW_SOCKET_FD"),  # not a socket
         ({"seed": "xyz"}, {}, "seed"),
         ({"limits": {"sockets": 3}}, {}, "limits.sockets"),
         ({"known": {"generation": 1, "reset": True, "instances": [ENTRY]}}, {}, "known"),
@@ -66,7 +66,7 @@
         ({"settings": {"guarantees": {"cold-us": 0}}}, {}, "settings"),
     ],
 )
-def test_the_faulty_key_is_named(
+def test_invalid_configuration_is_reported_with_its_key(
     changes: dict[str, Any], env: dict[str, str], key: str, tmp_path: Path
 ) -> None:
     given = copy.deepcopy(GIVEN)
@@ -74,20 +74,20 @@
     assert start(tmp_path, given, env).startswith(f"robinhill: {key}: ")
 
 
-def test_an_inherited_socket_must_listen(tmp_path: Path) -> None:
+def test_inherited_socket_that_is_not_listening_is_rejected(tmp_path: Path) -> None:
     with socket.socket() as idle:
         line = start(tmp_path, GIVEN, {"GW_SOCKET_FD": str(idle.fileno())}, (idle.fileno(),))
-    assert line.startswith("robinhill: GW_SOCKET_FD: ") and "listen" in line
+    assert line.startswith("robinhill: GW_SOCKET_FD: ") and "a socket that is not listening" in line
 
 
-def test_an_address_in_use_is_a_faulty_listen(tmp_path: Path) -> None:
+def test_address_in_use_is_reported_as_a_fault_of_gw_listen(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         line = start(tmp_path, GIVEN, {"GW_LISTEN": f"127.0.0.1:{taken.getsockname()[1]}"})
     assert line.startswith("robinhill: GW_LISTEN: can't listen on 127.0.0.1:")
 
 
-SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
-EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+DEPLOYMENTS = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
+REPEAT_KEYS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 MISSING = object()
 FAULTS: tuple[Any, ...] = (
     MISSING, None, True, "x", "", [], {}, [[]], [{}], ["x"], -1, 0, 0.5, 1e300, 10**18, 10**30, math.nan,
@@ -95,7 +95,7 @@
 
 
 def settings_of(path: Path) -> dict[str, Any]:
-    """What an instance of a deployment would be told at its start, of each range the lowest."""
+    """The settings of a scheduler in a deployment; of each range the lowest value."""
 
     def first(value: Any) -> Any:
         return value[0] if isinstance(value, list) else value
@@ -109,7 +109,7 @@
     classes = [
         {
             "name": c["name"], "aim-us": us(c["aim_ms"]), "hard-limit-us": us(c["deadline_ms"]),
-            "worth": c["worth"], "late-worth": c["late_worth"], "repeat": EFFECTS[c["effect"]],
+            "worth": c["worth"], "late-worth": c["late_worth"], "repeat": REPEAT_KEYS[c["effect"]],
             "dedup-scope": c.get("group", "all"), "memory-span-us": us(c.get("window_ms", 5000)),
             "stream": False,
         }
@@ -147,12 +147,12 @@
     return configuration.load({"GW_CONFIG": str(path)})
 
 
-def drive(settings: api.Settings, turns: int) -> None:
-    """Ask the module for decisions of every kind; it must not fail."""
+def drive(settings: api.Settings, rounds: int) -> None:
+    """Pass events of every kind to a balancer; it must not raise an exception."""
     balancer, now = Balancer(settings, 7), 10**12
     timers: list[str] = []
 
-    def tell(event: api.Event, after_us: int = 1000) -> list[api.Action]:
+    def deliver(event: api.Event, after_us: int = 1000) -> list[api.Action]:
         nonlocal now
         now += after_us
         actions = balancer.handle(now, event)
@@ -161,25 +161,25 @@
 
     balancer.start(now)
     listed = [api.Worker(f"w{i}", i % 2, kind=i % 2, started_us=(i == 0) * (now - 1000)) for i in range(3)]
-    tell(api.WorkersListed(api.ListKind.FULL, listed))
+    deliver(api.WorkersListed(api.ListKind.FULL, listed))
     job, outcomes = 0, list(api.Outcome)
-    for turn in range(turns):
-        for number, klass in enumerate(settings.classes):
+    for round_number in range(rounds):
+        for class_number, klass in enumerate(settings.classes):
             job += 1
-            request = api.Request(job, number, klass.deadline_us, work_hint_us=turn % 2 * 1000)
-            actions, attempt = tell(api.Arrived(request)), 0
+            request = api.Request(job, class_number, klass.deadline_us, work_hint_us=round_number % 2 * 1000)
+            actions, attempt = deliver(api.Arrived(request)), 0
             while sends := [a for a in actions if isinstance(a, api.Send) and a.job == job]:
-                tell(api.JobStarted(job, attempt))
-                outcome = outcomes[(turn + attempt) % len(outcomes)]
+                deliver(api.JobStarted(job, attempt))
+                outcome = outcomes[(round_number + attempt) % len(outcomes)]
                 over = outcome is api.Outcome.COMPLETED
-                actions = tell(api.AttemptEnded(job, attempt, outcome, 50_000, over), 50_000)
+                actions = deliver(api.AttemptEnded(job, attempt, outcome, 50_000, over), 50_000)
                 attempt += len(sends)
         due, timers = timers, []
         for tag in due[:4]:
-            tell(api.TimerFired(tag), 10_000)
-    tell(api.WorkersListed(api.ListKind.CHANGES, [api.Worker("w1", state=api.WorkerState.DRAINING)]))
-    tell(api.WorkersListed(api.ListKind.FAILED))
-    tell(api.ClientDisconnected(job))
+            deliver(api.TimerFired(tag), 10_000)
+    deliver(api.WorkersListed(api.ListKind.CHANGES, [api.Worker("w1", state=api.WorkerState.DRAINING)]))
+    deliver(api.WorkersListed(api.ListKind.FAILED))
+    deliver(api.ClientDisconnected(job))
 
 
 def paths(value: Any, start: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
@@ -191,8 +191,8 @@
         yield from paths(inner, (*start, key))
 
 
-@pytest.mark.parametrize("site", SITES, ids=lambda path: path.stem)
-def test_a_deployment_of_our_own_is_read_as_it_is_written(site: Path, tmp_path: Path) -> None:
+@pytest.mark.parametrize("site", DEPLOYMENTS, ids=lambda path: path.stem)
+def test_settings_of_each_deployment_are_read_and_usable(site: Path, tmp_path: Path) -> None:
     settings = settings_of(site)
     config = read(settings, tmp_path)
     assert list(config.classes) == [c["name"] for c in tomllib.loads(site.read_text())["class"]]
@@ -200,21 +200,21 @@
     drive(config.settings, len(api.Outcome))
 
 
-@pytest.mark.parametrize("site", SITES, ids=lambda path: path.stem)
-def test_whatever_a_setting_is_it_is_refused_in_a_line_or_the_module_can_go_by_it(
+@pytest.mark.parametrize("site", DEPLOYMENTS, ids=lambda path: path.stem)
+def test_any_value_of_any_setting_is_rejected_in_one_line_or_usable_by_the_balancer(
     site: Path, tmp_path: Path
 ) -> None:
     given, driven = settings_of(site), set[api.Settings]()
     for path in paths(given):
         for fault in FAULTS:
             settings = copy.deepcopy(given)
-            holder: Any = settings
+            container: Any = settings
             for key in path[:-1]:
-                holder = holder[key]
+                container = container[key]
             if fault is MISSING:
-                del holder[path[-1]]
+                del container[path[-1]]
             else:
-                holder[path[-1]] = fault
+                container[path[-1]] = fault
             try:
                 config = read(settings, tmp_path)
             except ConfigError as e:
@@ -226,11 +226,11 @@
             try:
                 drive(config.settings, 2)
             except Exception as e:
-                raise AssertionError(f"{path} = {fault!r} was read") from e
+                raise AssertionError(f"{path} = {fault!r} was accepted, but the balancer raises") from e
 
 
 @pytest.mark.parametrize(
-    "changes, taken",
+    "changes, expected",
     [
         ({"guarantees": {"ask-every-us": 2_000_000.4}}, ("poll_interval_us", 2_000_000)),
         ({"policy-limits": {"connect-timeout-us": 250_000.0}}, ("connect_timeout_us", 250_000)),
@@ -240,16 +240,16 @@
         ({"guarantees": {"let-go-in-us": 300_000.0}}, ("close_within_us", 300_000)),
     ],
 )
-def test_what_can_be_meant_is_not_refused(
-    changes: dict[str, Any], taken: tuple[str, Any], tmp_path: Path
+def test_floats_nulls_and_unknown_keys_are_accepted(
+    changes: dict[str, Any], expected: tuple[str, Any], tmp_path: Path
 ) -> None:
     settings = copy.deepcopy(SETTINGS)
     merge(settings, changes)
-    value = getattr(read(settings, tmp_path).settings, taken[0])
-    assert value == taken[1] and type(value) is type(taken[1])
+    value = getattr(read(settings, tmp_path).settings, expected[0])
+    assert value == expected[1] and type(value) is type(expected[1])
 
 
-def class_of(**changes: Any) -> dict[str, Any]:
+def class_options(**changes: Any) -> dict[str, Any]:
     return {"name": "x", "aim-us": 1, "hard-limit-us": 2, "repeat": "retryable"} | changes
 
 
@@ -259,22 +259,22 @@
         ({"policy-limits": {"connect-timeout-us": 0}}, "settings.policy-limits.connect-timeout-us"),
         ({"policy-limits": {"cancelling": "no"}}, "settings.policy-limits.cancelling"),
         ({"guarantees": {"cold-us": 1e300}}, "settings.guarantees.cold-us"),
-        ({"classes": [class_of(), class_of()]}, "settings.classes[1].name"),
-        ({"classes": [class_of(repeat="often")]}, "settings.classes[0].repeat"),
-        ({"classes": [class_of(**{"dedup-scope": "rack"})]}, "settings.classes[0].dedup-scope"),
-        ({"classes": [class_of(stream=1)]}, "settings.classes[0].stream"),
+        ({"classes": [class_options(), class_options()]}, "settings.classes[1].name"),
+        ({"classes": [class_options(repeat="often")]}, "settings.classes[0].repeat"),
+        ({"classes": [class_options(**{"dedup-scope": "rack"})]}, "settings.classes[0].dedup-scope"),
+        ({"classes": [class_options(stream=1)]}, "settings.classes[0].stream"),
         ({"specifics": {"class-stretch": [1, "x"]}}, "settings.specifics.class-stretch[1]"),
         ({"tenants": [{"name": "a", "quota-per-s": "x"}]}, "settings.tenants[0].quota-per-s"),
     ],
 )
-def test_a_setting_that_means_nothing_is_refused_by_its_key(
+def test_invalid_setting_is_rejected_with_its_full_key(
     changes: dict[str, Any], key: str, tmp_path: Path
 ) -> None:
     settings = copy.deepcopy(SETTINGS)
     merge(settings, changes)
-    with pytest.raises(ConfigError) as refused:
+    with pytest.raises(ConfigError) as rejected:
         read(settings, tmp_path)
-    assert refused.value.key == key
+    assert rejected.value.key == key
 
 
 @pytest.mark.parametrize(
@@ -288,7 +288,7 @@
         ({"guarantees": {"cold-us": 0}}, "cold_us: must be above 0"),
     ],
 )
-def test_a_value_out_of_range_is_named_as_operators_know_it(changes: dict[str, Any], error: str) -> None:
+def test_error_for_a_value_out_of_range_uses_the_operators_name(changes: dict[str, Any], error: str) -> None:
     settings = copy.deepcopy(SETTINGS)
     settings["classes"][0] |= changes.get("classes", [{}])[0]
     merge(settings, {key: value for key, value in changes.items() if key != "classes"})
@@ -296,23 +296,25 @@
         read_settings(settings)
 
 
-def test_a_known_list_beyond_all_times_is_refused(tmp_path: Path) -> None:
+def test_known_endpoint_with_an_overflowing_start_time_is_rejected(tmp_path: Path) -> None:
     entry = ENTRY | {"lifecycle": "active", "startedAtMs": 1e306}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GIVEN | {"known": {"generation": 1, "reset": True, "instances": [entry]}}))
-    with pytest.raises(ConfigError) as refused:
+    with pytest.raises(ConfigError) as rejected:
         configuration.load({"GW_CONFIG": str(path)})
-    assert refused.value.key == "known"
+    assert rejected.value.key == "known"
 
 
-@pytest.mark.parametrize("fault", [{"guarantees": {"cold-us": 0}}, {"classes": [class_of(), class_of()]}])
-def test_a_faulty_setting_on_a_reload_changes_nothing(
+@pytest.mark.parametrize(
+    "fault", [{"guarantees": {"cold-us": 0}}, {"classes": [class_options(), class_options()]}]
+)
+def test_reload_with_an_invalid_setting_changes_nothing(
     fault: dict[str, Any], tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     settings = copy.deepcopy(SETTINGS)
     merge(settings, fault)
 
-    async def play() -> None:
+    async def reload() -> None:
         before = read(SETTINGS, tmp_path)
         scheduler = Scheduler(before, {"GW_CONFIG": str(tmp_path / "config.json")})
         changed = GIVEN | {"settings": settings, "discovery": "127.0.0.1:3"}
@@ -322,4 +324,4 @@
         assert scheduler.config is before and not scheduler.list_watcher._mailbox
         assert [r.getMessage() for r in caplog.records] == ["reload_failed"]
 
-    asyncio.run(play())
+    asyncio.run(reload())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error that operators may meet says what they can do, and is in the on-call page's table."""
+"""Every error that operators may see has advice and a row in the table of the on-call page."""
 
 import importlib
 import pkgutil
@@ -10,27 +10,30 @@
 from robinhill.errors import RobinhillError
 
 PAGE = Path(__file__).parent.parent / "docs" / "oncall.md"
-BASES = {"MeshError", "CordonError", "GangError"}  # group others; none is ever raised by itself
+BASES = {"MeshError", "CordonError", "GangError"}  # base classes that are never raised
 
 
 def errors() -> dict[str, type[RobinhillError]]:
-    """All subclasses that the package defines, by code; modules that define one say its base's name."""
+    """All subclasses of RobinhillError in the package, by code.
+
+    Python knows subclasses only of imported modules, so this imports each module that defines a derived class.
+    """
     for module in pkgutil.walk_packages(robinhill.__path__, "robinhill."):
         spec = find_spec(module.name)
         if spec and spec.origin and re.search(r"^class \w+\(", Path(spec.origin).read_text(), re.M):
             importlib.import_module(module.name)
     found: dict[str, type[RobinhillError]] = {}
-    left = list(RobinhillError.__subclasses__())
-    while left:
-        error = left.pop()
-        left += error.__subclasses__()
+    pending = list(RobinhillError.__subclasses__())
+    while pending:
+        error = pending.pop()
+        pending += error.__subclasses__()
         if error.__module__.startswith("robinhill."):
-            assert found.setdefault(error.code, error) is error, f"two errors are called {error.code}"
+            assert found.setdefault(error.code, error) is error, f"two errors have the code {error.code}"
     return found
 
 
-def told() -> dict[str, str]:
-    """The page's table of errors: name and advice."""
+def listed_advice() -> dict[str, str]:
+    """The advice for each error in the table of the on-call page, by error code."""
     (table,) = re.findall(r"^\| error \|.*\n\| ---.*\n((?:\|.*\n)+)", PAGE.read_text(), re.M)
     rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in table.splitlines()]
     names = [re.fullmatch(r"`(\w+)`", row[0]) for row in rows]
@@ -38,13 +41,13 @@
     return {name[1]: row[-1] for name, row in zip(names, rows, strict=True) if name}
 
 
-def test_each_error_has_advice_but_for_bases_that_are_never_raised() -> None:
+def test_each_error_has_advice_except_base_classes_that_are_never_raised() -> None:
     found = errors()
     assert {name for name, error in found.items() if not error.advice} == BASES
     text = "\n".join(path.read_text() for path in Path(robinhill.__path__[0]).rglob("*.py"))
     assert not [name for name in BASES if re.search(rf"raise {name}\b", text)]
 
 
-def test_the_on_call_page_lists_each_error_with_its_advice() -> None:
+def test_on_call_page_lists_each_error_with_its_advice() -> None:
     found = {name: error for name, error in errors().items() if name not in BASES}
-    assert told() == {name: error.advice for name, error in found.items()}
+    assert listed_advice() == {name: error.advice for name, error in found.items()}
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: a flood costs little, and its size is told."""
+"""The throttle of log lines: a flood of one event is cut off, and the number of dropped lines is logged."""
 
 import logging
 
@@ -6,16 +6,16 @@
 
 
 def record(level: int, created: float) -> logging.LogRecord:
-    made = logging.LogRecord("x", level, "x.py", 1, "malformed", (), None)
-    made.created = created
-    return made
+    log_record = logging.LogRecord("x", level, "x.py", 1, "malformed", (), None)
+    log_record.created = created
+    return log_record
 
 
-def test_a_flood_of_one_event_is_cut_and_counted() -> None:
+def test_throttle_drops_lines_above_the_limit_and_reports_their_number() -> None:
     throttle = Throttle(2)
     passed = [throttle.filter(record(logging.WARNING, 7.0 + i / 10)) for i in range(5)]
     assert passed == [True, True, False, False, False]
     assert throttle.filter(record(logging.ERROR, 7.9))
-    late = record(logging.WARNING, 8.1)
-    assert throttle.filter(late) and "event=malformed kept_back=3" in formatter().format(late)
-    assert throttle.filter(again := record(logging.WARNING, 8.2)) and not hasattr(again, "kept_back")
+    next_second = record(logging.WARNING, 8.1)
+    assert throttle.filter(next_second) and "event=malformed kept_back=3" in formatter().format(next_second)
+    assert throttle.filter(following := record(logging.WARNING, 8.2)) and not hasattr(following, "kept_back")
