--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random traffic against a checker that knows the rules; the checker itself is tested too."""
+"""Random traffic for one balancer, whose actions a checker verifies; the checker itself is tested too."""
 
 import random
 
@@ -12,80 +12,92 @@
 O = api.Outcome  # noqa: E741
 
 
-class RuleBrokenError(AssertionError):
-    """A rule was broken."""
+class RuleViolationError(AssertionError):
+    """An action, or a missing one, violates a rule of the decision module."""
 
 
 class Checker:
-    """Follows one node's actions and raises on the first broken rule."""
+    """Verifies the actions of one balancer; raises RuleViolationError for the first that violates a rule."""
 
     def __init__(self, config: api.Settings) -> None:
         self.config = config
-        self.open: dict[int, tuple[api.Request, int]] = {}
-        self.tries: dict[int, list[dict[str, object]]] = {}
+        self.unanswered: dict[int, tuple[api.Request, int]] = {}
+        self.attempts: dict[int, list[dict[str, object]]] = {}
         self.workers: dict[str, api.Worker] = {}
-        self.told: dict[str, int] = {}
-        self.used: dict[str, int] = {}
+        self.draining_since: dict[str, int] = {}
+        self.last_used: dict[str, int] = {}
 
     def listed(self, now: int, kind: api.ListKind, workers: list[api.Worker]) -> None:
         if kind is api.ListKind.FULL:
             for address in set(self.workers) - {w.address for w in workers}:
-                self.told.setdefault(address, now)
+                self.draining_since.setdefault(address, now)
         for w in workers:
             self.workers[w.address] = w
             if w.state is api.WorkerState.READY:
-                self.told.pop(w.address, None)
+                self.draining_since.pop(w.address, None)
             else:
-                self.told.setdefault(w.address, now)
+                self.draining_since.setdefault(w.address, now)
 
-    def risky(self, job: int) -> list[dict[str, object]]:
+    def possibly_run(self, job: int) -> list[dict[str, object]]:
+        """The attempts of a job that may have run on their workers."""
         late = self.config.full_may_have_run
         return [
-            t for t in self.tries[job]
+            t for t in self.attempts[job]
             if t["outcome"] is None or not t["outcome"].never_ran or (late and t["outcome"] is O.FULL)  # type: ignore
         ]  # fmt: skip
 
-    def idle(self, now: int, address: str) -> None:
-        """The last send or outcome at a worker, from which on its idle connections count."""
-        self.used[address] = now
-
-    def unclosed(self, now: int) -> None:
-        within = self.config.close_within_us
-        for address, used in self.used.items():
-            if within is not None and address in self.told and now > max(used, self.told[address]) + within:
-                raise RuleBrokenError(f"{address} drains with idle connections open")
+    def record_connection_use(self, now: int, address: str) -> None:
+        """Record the last send or outcome at a worker: its connections may be idle from then on."""
+        self.last_used[address] = now
+
+    def check_idle_connections(self, now: int) -> None:
+        limit_us = self.config.close_within_us
+        for address, used_at in self.last_used.items():
+            if (
+                limit_us is not None
+                and address in self.draining_since
+                and now > max(used_at, self.draining_since[address]) + limit_us
+            ):
+                raise RuleViolationError(
+                    f"idle connections to {address} were not closed in time after its drain began"
+                )
 
-    def act(self, now: int, action: api.Action) -> None:
+    def check_action(self, now: int, action: api.Action) -> None:
         if isinstance(action, api.Send):
-            self.send(now, action)
-            self.idle(now, action.address)
+            self.check_send(now, action)
+            self.record_connection_use(now, action.address)
         elif isinstance(action, api.CloseIdle):
-            self.used.pop(action.address, None)
+            self.last_used.pop(action.address, None)
         elif isinstance(action, api.Reject | api.Fail):
-            if action.job not in self.open:
-                raise RuleBrokenError("a second final answer")
-            request, _ = self.open.pop(action.job)
+            if action.job not in self.unanswered:
+                raise RuleViolationError("a request got a second final answer")
+            request, _ = self.unanswered.pop(action.job)
             c = self.config.classes[request.job_class]
             free = c.repeat is api.Repeat.SAFE or (c.repeat is api.Repeat.KEYED and c.scope is api.Scope.ALL)
-            if isinstance(action, api.Reject) and not free and self.risky(action.job):
-                raise RuleBrokenError("refused although it may have run")
+            if isinstance(action, api.Reject) and not free and self.possibly_run(action.job):
+                raise RuleViolationError("a request was rejected although its job may have run")
 
-    def send(self, now: int, action: api.Send) -> None:
-        if action.job not in self.open:
-            raise RuleBrokenError("sent for a finished request")
-        request, _ = self.open[action.job]
+    def check_send(self, now: int, action: api.Send) -> None:
+        if action.job not in self.unanswered:
+            raise RuleViolationError("an attempt was sent for a request already answered")
+        request, _ = self.unanswered[action.job]
         c, w = self.config.classes[request.job_class], self.workers[action.address]
-        if action.address in self.told and now > self.told[action.address] + self.config.drain_grace_us:
-            raise RuleBrokenError("sent to a draining worker")
+        if (
+            action.address in self.draining_since
+            and now > self.draining_since[action.address] + self.config.drain_grace_us
+        ):
+            raise RuleViolationError("an attempt was sent to a draining worker after the grace period")
         if w.kind not in (c.kinds or {w.kind}) or w.zone not in (c.zones or {w.zone}):
-            raise RuleBrokenError("sent where the class must not go")
-        if len(self.tries[action.job]) >= self.config.max_attempts:
-            raise RuleBrokenError("too many attempts")
-        for t in self.risky(action.job):
+            raise RuleViolationError("an attempt was sent to a worker that its class must not use")
+        if len(self.attempts[action.job]) >= self.config.max_attempts:
+            raise RuleViolationError("a job has more attempts than max_attempts allows")
+        for t in self.possibly_run(action.job):
             if t["outcome"] is None and not self.config.parallel_attempts:
-                raise RuleBrokenError("two attempts at once")
+                raise RuleViolationError(
+                    "two attempts of a job are in flight although parallel attempts are disabled"
+                )
             if c.repeat is api.Repeat.UNSAFE:
-                raise RuleBrokenError("unsafe work sent twice")
+                raise RuleViolationError("an unsafe job was sent again although it may have run")
             if c.repeat is api.Repeat.KEYED:
                 old = t["worker"]
                 assert isinstance(old, api.Worker)
@@ -95,18 +107,18 @@
                     api.Scope.CELL: w.cell == old.cell,
                 }
                 if not groups[c.scope] or now > int(str(t["at"])) + c.memory_us:
-                    raise RuleBrokenError("keyed work sent out of its group or window")
-        self.tries[action.job].append({"worker": w, "at": now, "outcome": None})
+                    raise RuleViolationError("a keyed job was sent outside of its group or window")
+        self.attempts[action.job].append({"worker": w, "at": now, "outcome": None})
 
-    def late(self, now: int) -> None:
-        for job, (_, deadline) in self.open.items():
-            pending = any(t["outcome"] is None for t in self.tries[job])
+    def check_deadlines(self, now: int) -> None:
+        for job, (_, deadline) in self.unanswered.items():
+            pending = any(t["outcome"] is None for t in self.attempts[job])
             if now > deadline + 8 * MS and not pending:
-                raise RuleBrokenError(f"job {job} has no answer in time")
+                raise RuleViolationError(f"job {job} has no answer at its deadline")
 
 
-def play(seed: int) -> tuple[int, list[str]]:
-    """One random day of one node; returns how many requests were answered, and the transcript."""
+def simulate_day(seed: int) -> tuple[int, list[str]]:
+    """Run one balancer under random traffic; return the number of requests and the log of its actions."""
     rng = random.Random(seed)
     repeats = [rng.choice(list(api.Repeat)) for _ in range(3)]
     classes = tuple(
@@ -121,32 +133,32 @@
                       close_within_us=rng.choice([None, 20 * MS]))  # fmt: skip
     node, checker, now, jobs = Balancer(config, seed), Checker(config), 100 * S, 0
     timers: list[tuple[int, str]] = []
-    out: dict[tuple[int, int], tuple[int, int]] = {}
+    in_flight: dict[tuple[int, int], tuple[int, int]] = {}
     log: list[str] = []
 
-    def give(event: api.Event) -> None:
+    def deliver(event: api.Event) -> None:
         for action in node.handle(now, event):
             log.append(f"{now} {action}")
-            checker.act(now, action)
+            checker.check_action(now, action)
             if isinstance(action, api.SetTimer):
                 timers.append((now + action.after_us, action.tag))
             elif isinstance(action, api.Send):
-                attempt = len(checker.tries[action.job]) - 1
-                until = min(checker.open[action.job][1], now + (action.timeout_us or 10 * S))
-                out[(action.job, attempt)] = (now, until)
-            elif isinstance(action, api.Cancel) and (action.job, action.attempt) in out:
+                attempt = len(checker.attempts[action.job]) - 1
+                until = min(checker.unanswered[action.job][1], now + (action.timeout_us or 10 * S))
+                in_flight[(action.job, attempt)] = (now, until)
+            elif isinstance(action, api.Cancel) and (action.job, action.attempt) in in_flight:
                 finish((action.job, action.attempt), O.CANCELLED)
 
     def finish(key: tuple[int, int], outcome: api.Outcome) -> None:
-        sent, _ = out.pop(key)
-        attempt = checker.tries[key[0]][key[1]]
+        sent, _ = in_flight.pop(key)
+        attempt = checker.attempts[key[0]][key[1]]
         attempt["outcome"] = outcome
-        checker.idle(now, attempt["worker"].address)  # type: ignore[attr-defined]
-        final = key[0] not in checker.open
+        checker.record_connection_use(now, attempt["worker"].address)  # type: ignore[attr-defined]
+        final = key[0] not in checker.unanswered
         if outcome is O.COMPLETED and not final:
-            checker.open.pop(key[0])
+            checker.unanswered.pop(key[0])
             final = True
-        give(api.AttemptEnded(key[0], key[1], outcome, now - sent, final))
+        deliver(api.AttemptEnded(key[0], key[1], outcome, now - sent, final))
 
     def listed(kind: api.ListKind) -> None:
         states = [api.WorkerState.READY] * 6 + [api.WorkerState.DRAINING]
@@ -157,7 +169,7 @@
             for i in names
         ]  # fmt: skip
         checker.listed(now, kind, workers)
-        give(api.WorkersListed(kind, workers))
+        deliver(api.WorkersListed(kind, workers))
 
     node.start(now)
     listed(api.ListKind.FULL)
@@ -165,40 +177,40 @@
         now += rng.randint(0, 8 * MS)
         for due, tag in sorted(t for t in timers if t[0] <= now):
             timers.remove((due, tag))
-            give(api.TimerFired(tag))
-        for key in [k for k, (_, until) in out.items() if until <= now]:
+            deliver(api.TimerFired(tag))
+        for key in [k for k, (_, until) in in_flight.items() if until <= now]:
             finish(key, O.TIMEOUT)
-        checker.late(now)
-        checker.unclosed(now)
+        checker.check_deadlines(now)
+        checker.check_idle_connections(now)
         roll = rng.random()
         if roll < 0.4 and step < 1300:
             jobs += 1
             left = rng.choice([50 * MS, 300 * MS, S])
             request = api.Request(jobs, rng.randrange(3), left, work_hint_us=rng.choice([0, 30 * MS]))
-            checker.open[jobs], checker.tries[jobs] = (request, now + left), []
-            give(api.Arrived(request))
-        elif roll < 0.75 and out:
-            key = rng.choice(list(out))
-            give(api.JobStarted(*key))
-            if key in out and rng.random() < 0.7:
+            checker.unanswered[jobs], checker.attempts[jobs] = (request, now + left), []
+            deliver(api.Arrived(request))
+        elif roll < 0.75 and in_flight:
+            key = rng.choice(list(in_flight))
+            deliver(api.JobStarted(*key))
+            if key in in_flight and rng.random() < 0.7:
                 finish(
                     key,
                     rng.choice([O.COMPLETED] * 4 + [O.ERROR, O.FULL, O.CONNECT_FAILED, O.RESET, O.NOT_SENT]),
                 )
-        elif roll < 0.77 and checker.open:
-            gone = rng.choice(list(checker.open))
-            del checker.open[gone]
-            give(api.ClientDisconnected(gone))
+        elif roll < 0.77 and checker.unanswered:
+            disconnected = rng.choice(list(checker.unanswered))
+            del checker.unanswered[disconnected]
+            deliver(api.ClientDisconnected(disconnected))
         elif roll < 0.80:
             listed(rng.choice([api.ListKind.CHANGES, api.ListKind.FULL]))
-    assert not checker.open
+    assert not checker.unanswered
     return jobs, log
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_rules_hold_on_random_days(seed: int) -> None:
-    jobs, log = play(seed)
-    assert jobs > 300 and log == play(seed)[1]
+def test_random_traffic_violates_no_rule_and_replays_identically(seed: int) -> None:
+    jobs, log = simulate_day(seed)
+    assert jobs > 300 and log == simulate_day(seed)[1]
 
 
 A = api.Worker("a", zone=0)
@@ -207,62 +219,62 @@
 def checker_with_job(**changes: object) -> Checker:
     checker = Checker(settings(classes=(klass(**changes),), max_attempts=2))
     checker.listed(0, api.ListKind.FULL, [A, api.Worker("b", zone=1)])
-    checker.open[1], checker.tries[1] = (api.Request(1, 0, S), S), []
+    checker.unanswered[1], checker.attempts[1] = (api.Request(1, 0, S), S), []
     return checker
 
 
-def test_the_checker_sees_broken_rules() -> None:
+def test_checker_reports_violations_of_attempt_and_answer_rules() -> None:
     checker = checker_with_job(repeat=api.Repeat.UNSAFE)
-    checker.act(0, api.Send(1, "a"))
-    with pytest.raises(RuleBrokenError, match="two attempts"):
-        checker.act(1, api.Send(1, "b"))
-    with pytest.raises(RuleBrokenError, match="refused"):
-        checker.act(1, api.Reject(1))
+    checker.check_action(0, api.Send(1, "a"))
+    with pytest.raises(RuleViolationError, match="two attempts of a job are in flight"):
+        checker.check_action(1, api.Send(1, "b"))
+    with pytest.raises(RuleViolationError, match="rejected although its job may have run"):
+        checker.check_action(1, api.Reject(1))
     checker = checker_with_job(repeat=api.Repeat.UNSAFE)
-    checker.tries[1].append({"worker": A, "at": 0, "outcome": O.ERROR})
-    with pytest.raises(RuleBrokenError, match="unsafe"):
-        checker.act(1, api.Send(1, "b"))
+    checker.attempts[1].append({"worker": A, "at": 0, "outcome": O.ERROR})
+    with pytest.raises(RuleViolationError, match="unsafe job"):
+        checker.check_action(1, api.Send(1, "b"))
     checker = checker_with_job(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE)
-    checker.tries[1].append({"worker": A, "at": 0, "outcome": O.RESET})
-    with pytest.raises(RuleBrokenError, match="group"):
-        checker.act(1, api.Send(1, "b"))
-    with pytest.raises(RuleBrokenError, match="window"):
-        checker.act(3 * S, api.Send(1, "a"))
+    checker.attempts[1].append({"worker": A, "at": 0, "outcome": O.RESET})
+    with pytest.raises(RuleViolationError, match="outside of its group"):
+        checker.check_action(1, api.Send(1, "b"))
+    with pytest.raises(RuleViolationError, match="outside of its group or window"):
+        checker.check_action(3 * S, api.Send(1, "a"))
     checker = checker_with_job()
     checker.listed(0, api.ListKind.CHANGES, [api.Worker("a", state=api.WorkerState.DRAINING)])
-    with pytest.raises(RuleBrokenError, match="draining"):
-        checker.act(S, api.Send(1, "a"))
-    with pytest.raises(RuleBrokenError, match="no answer"):
-        checker.late(2 * S)
-    checker.act(1, api.Fail(1))
-    with pytest.raises(RuleBrokenError, match="second final"):
-        checker.act(1, api.Fail(1))
+    with pytest.raises(RuleViolationError, match="draining worker"):
+        checker.check_action(S, api.Send(1, "a"))
+    with pytest.raises(RuleViolationError, match="has no answer at its deadline"):
+        checker.check_deadlines(2 * S)
+    checker.check_action(1, api.Fail(1))
+    with pytest.raises(RuleViolationError, match="second final answer"):
+        checker.check_action(1, api.Fail(1))
 
 
-def test_the_checker_sees_the_further_rules_broken() -> None:
+def test_checker_reports_violations_of_class_restriction_late_full_and_idle_connection_rules() -> None:
     for bound in ({"kinds": frozenset({1})}, {"zones": frozenset({1})}):
-        with pytest.raises(RuleBrokenError, match="must not go"):
-            checker_with_job(**bound).act(0, api.Send(1, "a"))
+        with pytest.raises(RuleViolationError, match="must not use"):
+            checker_with_job(**bound).check_action(0, api.Send(1, "a"))
     for late in (False, True):
         checker = checker_with_job(repeat=api.Repeat.UNSAFE)
         checker.config = settings(classes=checker.config.classes, full_may_have_run=late)
-        checker.tries[1].append({"worker": A, "at": 0, "outcome": O.FULL})
+        checker.attempts[1].append({"worker": A, "at": 0, "outcome": O.FULL})
         if late:
-            with pytest.raises(RuleBrokenError, match="unsafe"):
-                checker.act(1, api.Send(1, "b"))
-            with pytest.raises(RuleBrokenError, match="refused"):
-                checker.act(1, api.Reject(1))
+            with pytest.raises(RuleViolationError, match="unsafe job"):
+                checker.check_action(1, api.Send(1, "b"))
+            with pytest.raises(RuleViolationError, match="rejected although its job may have run"):
+                checker.check_action(1, api.Reject(1))
         else:
-            checker.act(1, api.Send(1, "b"))
+            checker.check_action(1, api.Send(1, "b"))
     checker = checker_with_job()
     checker.config = settings(classes=checker.config.classes, close_within_us=S)
-    checker.act(0, api.Send(1, "a"))
+    checker.check_action(0, api.Send(1, "a"))
     checker.listed(0, api.ListKind.CHANGES, [api.Worker("a", state=api.WorkerState.DRAINING)])
-    checker.unclosed(S)
-    with pytest.raises(RuleBrokenError, match="idle"):
-        checker.unclosed(S + 1)
-    checker.act(S, api.CloseIdle("a"))
-    checker.unclosed(2 * S)
-    checker.idle(2 * S, "a")  # an outcome there: the connection is idle again
-    with pytest.raises(RuleBrokenError, match="idle"):
-        checker.unclosed(4 * S)
+    checker.check_idle_connections(S)
+    with pytest.raises(RuleViolationError, match="idle connections"):
+        checker.check_idle_connections(S + 1)
+    checker.check_action(S, api.CloseIdle("a"))
+    checker.check_idle_connections(2 * S)
+    checker.record_connection_use(2 * S, "a")  # an outcome leaves an idle connection again
+    with pytest.raises(RuleViolationError, match="idle connections"):
+        checker.check_idle_connections(4 * S)
