--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -16,7 +16,7 @@
 def errors() -> dict[str, type[RobinhillError]]:
     """All subclasses of RobinhillError in the package, by code.
 
-    Python knows subclasses only of imported modules, so this imports each module that defines a derived class.
+    Subclasses are known only after their module is imported: this imports each module with a derived class.
     """
     for module in pkgutil.walk_packages(robinhill.__path__, "robinhill."):
         spec = find_spec(module.name)
