--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; ``final`` if the client's request has already been answered."""
+    """An attempt has ended; ``final`` if the request has its answer, by this outcome or an earlier one."""
 
     job: int
     attempt: int
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -58,11 +58,11 @@
 
 def options(**changes: Any) -> dict[str, Any]:
     """A copy of ``OPTIONS`` with changed keys of the first class or of the guarantees."""
-    read: dict[str, Any] = orjson.loads(orjson.dumps(OPTIONS))
+    merged: dict[str, Any] = orjson.loads(orjson.dumps(OPTIONS))
     for name, value in changes.items():
         name = name.replace("_", "-")
-        (read["classes"][0] if name in ("runs-in", "shapes-allowed") else read["guarantees"])[name] = value
-    return read
+        (merged["classes"][0] if name in ("runs-in", "shapes-allowed") else merged["guarantees"])[name] = value
+    return merged
 
 
 def test_optional_restrictions_and_guarantees_become_settings() -> None:
@@ -70,9 +70,9 @@
     assert defaults.classes[0].kinds is None and defaults.classes[0].zones is None
     assert defaults.close_within_us is None and not defaults.full_may_have_run
     changed = options(runs_in=[0, 2], shapes_allowed=[1], let_go_in_us=0, late_shedding=True)
-    read = adapter.read_settings(changed)
-    assert read.classes[0].zones == frozenset({0, 2}) and read.classes[0].kinds == frozenset({1})
-    assert read.close_within_us == 0 and read.full_may_have_run
+    settings = adapter.read_settings(changed)
+    assert settings.classes[0].zones == frozenset({0, 2}) and settings.classes[0].kinds == frozenset({1})
+    assert settings.close_within_us == 0 and settings.full_may_have_run
     both = options(shapes_allowed=[0, 1])
     both["specifics"] = {"class-kind": [1]}
     assert adapter.read_settings(both).classes[0].kinds == frozenset({1})
@@ -81,8 +81,8 @@
 def test_empty_or_missing_list_does_not_restrict_a_class() -> None:
     empty_lists: tuple[Any, ...] = ([], None)
     for empty in empty_lists:
-        read = adapter.read_settings(options(runs_in=empty, shapes_allowed=empty))
-        assert read.classes[0].kinds is None and read.classes[0].zones is None
+        settings = adapter.read_settings(options(runs_in=empty, shapes_allowed=empty))
+        assert settings.classes[0].kinds is None and settings.classes[0].zones is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -114,7 +114,7 @@
         for job, (_, deadline) in self.unanswered.items():
             pending = any(t["outcome"] is None for t in self.attempts[job])
             if now > deadline + 8 * MS and not pending:
-                raise RuleViolationError(f"job {job} has no answer at its deadline")
+                raise RuleViolationError(f"job {job} has no answer after its deadline")
 
 
 def simulate_day(seed: int) -> tuple[int, list[str]]:
@@ -244,14 +244,14 @@
     checker.listed(0, api.ListKind.CHANGES, [api.Worker("a", state=api.WorkerState.DRAINING)])
     with pytest.raises(RuleViolationError, match="draining worker"):
         checker.check_action(S, api.Send(1, "a"))
-    with pytest.raises(RuleViolationError, match="has no answer at its deadline"):
+    with pytest.raises(RuleViolationError, match="has no answer after its deadline"):
         checker.check_deadlines(2 * S)
     checker.check_action(1, api.Fail(1))
     with pytest.raises(RuleViolationError, match="second final answer"):
         checker.check_action(1, api.Fail(1))
 
 
-def test_checker_reports_violations_of_class_restriction_late_full_and_idle_connection_rules() -> None:
+def test_checker_reports_violations_of_restriction_full_and_idle_connection_rules() -> None:
     for bound in ({"kinds": frozenset({1})}, {"zones": frozenset({1})}):
         with pytest.raises(RuleViolationError, match="must not use"):
             checker_with_job(**bound).check_action(0, api.Send(1, "a"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -360,7 +360,7 @@
 
 
 def sent_in_slow_start(nodes: int) -> int:
-    """The number of jobs that all nodes together send to restarted workers during their slow start."""
+    """The number of jobs that all nodes together send to newly started workers during their slow start."""
     new = [api.Worker(f"new{i}", started_us=START + 60 * S) for i in range(6)]
     removed = [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(6)]
     workers = [api.Worker(f"w{i}") for i in range(10)]
