--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -58,11 +58,11 @@
 
 def options(**changes: Any) -> dict[str, Any]:
     """A copy of ``OPTIONS`` with changed keys of the first class or of the guarantees."""
-    merged: dict[str, Any] = orjson.loads(orjson.dumps(OPTIONS))
+    copy: dict[str, Any] = orjson.loads(orjson.dumps(OPTIONS))
     for name, value in changes.items():
         name = name.replace("_", "-")
-        (merged["classes"][0] if name in ("runs-in", "shapes-allowed") else merged["guarantees"])[name] = value
-    return merged
+        (copy["classes"][0] if name in ("runs-in", "shapes-allowed") else copy["guarantees"])[name] = value
+    return copy
 
 
 def test_optional_restrictions_and_guarantees_become_settings() -> None:
