--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -407,7 +407,7 @@
     until_sent_to(node, "w0")
     assert node.now - readmitted_us <= 2.2 * S
     node.end(lost, O.RESET, 25 * S)
-    assert not node.balancer.avoided(node.now)
+    assert not node.balancer.avoided_workers(node.now)
 
 
 def test_many_nodes_do_not_send_to_a_readmitted_worker_at_the_same_time() -> None:
