--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -119,12 +119,12 @@
             _require(places is None or all(type(x) is int for x in places), name, "must hold only integers")
 
     @property
-    def bound(self) -> bool:
+    def restricted(self) -> bool:
         """Whether jobs of this class are restricted to workers of some machine types or zones."""
         return self.kinds is not None or self.zones is not None
 
     @property
-    def dropped_everywhere(self) -> bool:
+    def deduplicated_by_all_workers(self) -> bool:
         """Whether every worker drops a repeat of a job of this class, wherever the job ran first."""
         return self.repeat is Repeat.KEYED and self.scope is Scope.ALL
 
@@ -132,7 +132,7 @@
         """The zone or cell of a worker, within which repeats are dropped; -1 if every worker drops them."""
         return {Scope.ZONE: worker.zone, Scope.CELL: worker.cell}.get(self.scope, -1)
 
-    def open_to(self, worker: "Worker") -> bool:
+    def allows_worker(self, worker: "Worker") -> bool:
         """Whether jobs of this class may run on a worker of this machine type and zone."""
         kinds, zones = self.kinds, self.zones
         return (kinds is None or worker.kind in kinds) and (zones is None or worker.zone in zones)
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -47,7 +47,7 @@
         f"{path}: platform's file",
         f"  scheduler {read.name}, one of {read.settings.fleet_size}",
         f"  listens at {read.listen}, operators at {read.ops or 'no address'}",
-        f"  discovery at {read.discovery}, {len(read.known.destinations)} workers known",
+        f"  discovery at {read.discovery}, {len(read.known.endpoints)} workers known",
         f"  descriptors {read.sockets}, of them {read.client_sockets()} for clients",
         f"  classes {classes}",
     ]
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -132,15 +132,15 @@
     )
 
 
-def load(env: Mapping[str, str] = os.environ, *, again: bool = False) -> Config:
+def load(env: Mapping[str, str] = os.environ, *, reloading: bool = False) -> Config:
     """Read the configuration from the environment and the files that it names; raises ConfigError.
 
-    ``again`` says that a running program reloads its configuration: the file's address of discovery then
+    ``reloading`` says that a running program reloads its configuration: the file's address of discovery then
     overrides the environment's.
     """
     document = _document(env)
     discovery = document.get("discovery")
-    if not (again and discovery is not None):
+    if not (reloading and discovery is not None):
         discovery = env.get("GW_DISCOVERY") or discovery
     ops = env.get("GW_OPS") or document.get("ops")
     options = _without_nulls(document.get("settings"))
@@ -150,7 +150,7 @@
     return Config(
         name=_text(env.get("GW_NAME") or document.get("name"), "GW_NAME"),
         listen=_address(env.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
-        discovery=_address(discovery, "discovery" if again else "GW_DISCOVERY"),
+        discovery=_address(discovery, "discovery" if reloading else "GW_DISCOVERY"),
         socket_fd=_socket_fd(env.get("GW_SOCKET_FD")),
         ops=_address(ops, "GW_OPS" if env.get("GW_OPS") else "ops") if ops is not None else None,
         seed=_seed(document.get("seed", "0")),
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -106,7 +106,7 @@
         if hint_us and self.job_times.mean_us:
             objective_us += int(max(0.0, klass.stretch * hint_us - expected_us))
         priority_weight = klass.priority_weight / (1.0 if self.settings.value_by_work else expected_us)
-        self.estimates.add_work(expected_us, priority_weight, klass.bound)
+        self.estimates.add_work(expected_us, priority_weight, klass.restricted)
         job.order, job.latest_start_us = -priority_weight, int(now + objective_us)
         job.queue_deadline_us = now + min(left_us - 1, self._useful_wait_us(job, objective_us, expected_us))
         job.queue_deadline_us = min(job.queue_deadline_us, job.group_until_us or job.queue_deadline_us)
@@ -240,7 +240,7 @@
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
         klass = job.klass
-        harmless = klass.repeat is api.Repeat.SAFE or klass.dropped_everywhere
+        harmless = klass.repeat is api.Repeat.SAFE or klass.deduplicated_by_all_workers
         if (job.may_have_run or job.attempts_in_flight) and not harmless:
             self.state.actions.append(api.Fail(job.request.job))
             return
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -345,7 +345,7 @@
             self.handover.keep(request)  # the attempt to release is over; its endpoint may never answer
         self._record_ending(request, ended)
         if ended.result is not None:
-            self._answer(ended.job, protocol.served(ended.result))
+            self._answer(ended.job, protocol.result_answer(ended.result))
         final = not request.answer_pending
         self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, final))
         self.in_flight.remove_if_over(request)
@@ -458,7 +458,7 @@
         if message.cached:
             kind = api.ListKind.CACHED
         self.table.apply(received, complete)
-        workers = [self.table.worker(destination) for destination in received.destinations]
+        workers = [self.table.worker(destination) for destination in received.endpoints]
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
             self.list_lease.renew(message.received_us, received.generation)
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -79,10 +79,10 @@
     def apply(self, received: EndpointList, complete: bool) -> None:
         """Take a complete list, which removes whom it does not name, or changes to the one in use."""
         if complete:
-            names = {destination.instance_id for destination in received.destinations}
+            names = {destination.instance_id for destination in received.endpoints}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
                 self.update(replace(removed, lifecycle=Lifecycle.REMOVED))
-        for destination in received.destinations:
+        for destination in received.endpoints:
             self.update(destination)
 
     def update(self, destination: ListedEndpoint) -> None:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -221,7 +221,7 @@
     def reload(self) -> None:
         """Take the file's new values; a faulty one changes nothing. Requests in flight go on as they are."""
         try:
-            new = configuration.load(self.env, again=True)
+            new = configuration.load(self.env, reloading=True)
         except ConfigError as e:
             log.error("reload_failed", extra={"key": e.key, "why": e.what})
             return
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -29,7 +29,7 @@
         self.state = state
         self.weighted_rate = 0.0  # rate of own jobs at the last recomputation of all weights
         self.unbound_factor = 1.0  # cost factor of unbound work at workers that serve bound classes
-        self._has_bound_classes = any(klass.bound for klass in state.settings.classes)
+        self._has_bound_classes = any(klass.restricted for klass in state.settings.classes)
 
     def update_for_choice(self, now: int) -> None:
         """Recompute the weights and factors that are out of date. Called before each choice of a worker."""
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -55,7 +55,7 @@
         Of workers with equal costs, the one whose last own job was sent earlier is chosen.
         """
         self.weights.update_for_choice(now)
-        state, klass, bound = self.state, job.klass, job.klass.bound
+        state, klass, bound = self.state, job.klass, job.klass.restricted
         criteria = _Criteria(
             job=job,
             job_class=job.request.job_class,
@@ -89,7 +89,7 @@
                 continue  # the remaining factors can only raise the cost
             if now < worker.ejected_until_us or now < worker.backoff_until_us:
                 continue
-            if (bound and not klass.open_to(worker.entry)) or (
+            if (bound and not klass.allows_worker(worker.entry)) or (
                 worker.in_flight and not has_capacity(now, worker)
             ):
                 continue
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -90,7 +90,7 @@
         elif restarted:
             worker.ejected_until_us = 0
         worker.serves_bound_classes = any(
-            klass.bound and klass.open_to(entry) for klass in state.settings.classes
+            klass.restricted and klass.allows_worker(entry) for klass in state.settings.classes
         )
         self.weights.update_worker(worker)
 
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -186,7 +186,7 @@
         return {"Retry-After": f"{self.retry_after_us / 1e6:.3f}"} if self.retry_after_us else {}
 
 
-def served(result: str) -> Answer:
+def result_answer(result: str) -> Answer:
     """The answer that carries a worker's result to the client."""
     return Answer(200, result.encode())
 
@@ -311,7 +311,7 @@
 
     generation: int
     reset: bool
-    destinations: tuple[ListedEndpoint, ...]
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 class WatchEventReader:
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -25,7 +25,7 @@
     entry = {"instanceId": "s-1", "hostPort": "h:1", "zone": "a", "machineType": "b", "lifecycle": "active"}
     entry |= {"startedAtMs": time.time_ns() // 1_000_000}  # type: ignore[dict-item]
     received = protocol.decode_endpoint_list({"generation": 1, "reset": True, "instances": [entry]})
-    assert abs(Clock().now_us() - received.destinations[0].started_us) < 60_000_000
+    assert abs(Clock().now_us() - received.endpoints[0].started_us) < 60_000_000
 
 
 def test_log_record_is_formatted_as_one_line_of_key_value_pairs() -> None:
