--- a/robinhill/net/workers/__init__.py
+++ b/robinhill/net/workers/__init__.py
@@ -1,1 +1,1 @@
-"""One actor for each worker: attempts, cancellations, health checks, connections."""
+"""One actor for each worker, which runs its attempts, cancellations, health checks and connections."""
--- a/robinhill/net/workers/attempt.py
+++ b/robinhill/net/workers/attempt.py
@@ -1,7 +1,4 @@
-"""An attempt at a worker as its endpoint knows it.
-
-State only: endpoint, client and connection change it.
-"""
+"""The state of one attempt at a worker, which ``endpoint``, ``client`` and ``connection`` update."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,16 +14,21 @@
 
 
 class Phase(Enum):
-    """How far an attempt has come."""
+    """The progress of an attempt's HTTP exchange."""
 
-    CONNECTING = auto()  # nothing of it is written
-    WRITTEN = auto()  # some of it may be
+    CONNECTING = auto()  # no byte of the request is written
+    WRITTEN = auto()  # the request may be written, in part or completely
     ACCEPTED = auto()  # the worker has answered 202
 
 
 @dataclass(slots=True, eq=False)
 class WorkerAttempt:
-    """One attempt; times are microseconds of the process's clock."""
+    """One attempt at a worker, from its start to its end or release.
+
+    Times are microseconds of the process's clock. The attempt expires at ``until_us``, the client's deadline
+    is ``deadline_us``, and no byte is written from ``write_until_us`` on or once ``wanted`` returns False,
+    which means that the client has disconnected.
+    """
 
     job: int
     number: int
@@ -37,21 +39,21 @@
     write_until_us: int = 0
     wanted: Callable[[], bool] = lambda: True
     phase: Phase = Phase.CONNECTING
-    connection: "WorkerConnection | None" = None  # where it was written
+    connection: "WorkerConnection | None" = None  # on which the request was written
     fully_written: bool = False
     exchange: asyncio.Task[Any] | None = None
     timer: asyncio.TimerHandle | None = None
-    over: bool = False
+    ended: bool = False
     cancel_requested: bool = False
 
     @property
     def active(self) -> bool:
-        """Whether it is neither over nor being cancelled."""
-        return not self.over and not self.cancel_requested
+        """Whether the attempt has neither ended nor a cancel in progress."""
+        return not self.ended and not self.cancel_requested
 
 
 class NotWrittenError(Exception):
-    """An attempt may not be sent any more, and not a byte of it was; ``outcome`` is how it ends."""
+    """An attempt may no longer be sent, and no byte of it was written; it ends with ``outcome``."""
 
     def __init__(self, outcome: Outcome) -> None:
         super().__init__(outcome.value)
--- a/robinhill/net/workers/client.py
+++ b/robinhill/net/workers/client.py
@@ -1,7 +1,7 @@
 """The HTTP calls to one worker: a job's POST, its DELETE, and health checks.
 
-What an answer or its absence proves about a job is decided here, by the protocol's table; what follows from
-it is the endpoint's part.
+This module maps the worker's response, or the lack of one, to the outcome of an attempt as the protocol
+defines it; the endpoint acts on the outcome.
 """
 
 import asyncio
@@ -22,13 +22,14 @@
 log = logging.getLogger(__name__)
 
 HEALTH_CHECK_TIMEOUT_S = 1.0
-LINGER_S = 2.0  # how long a connection waits for the 202 of a job that is over, or for an answer's end
-_REJECTED = (503, 504)  # with the header NOT_PROCESSED: the job did not run
-_MALFORMED = (aiohttp.ClientPayloadError, aiohttp.ClientResponseError)
+# How long an exchange waits for the 202 of an attempt that has ended, or for the end of a response's body.
+LINGER_S = 2.0
+_REJECTION_STATUSES = (503, 504)  # with the header NOT_PROCESSED, they state that the job did not run
+_MALFORMED_RESPONSE_ERRORS = (aiohttp.ClientPayloadError, aiohttp.ClientResponseError)
 
 
 class WorkerClient:
-    """Owns the connections to one worker."""
+    """The HTTP client of one worker, which owns the connections to it."""
 
     def __init__(
         self, instance_id: str, host_port: str, connect_timeout_s: float, max_idle_s: float, metrics: Metrics
@@ -42,19 +43,19 @@
 
     def _new_session(self) -> aiohttp.ClientSession:
         session = aiohttp.ClientSession(
-            connector=WorkerConnector(self.max_idle_s, self.note_close),
+            connector=WorkerConnector(self.max_idle_s, self.record_close),
             request_class=GuardedRequest,
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=self.connect_timeout_s),
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             auto_decompress=False,
         )
-        # aiohttp sends idempotent requests again after a broken connection; nothing may be sent twice here.
+        # aiohttp retries idempotent requests whose connection breaks; no request may be sent twice here.
         session._retry_connection = False
         return session
 
-    def note_close(self, reason: str) -> None:
-        """Count connections that end from this side."""
+    def record_close(self, reason: str) -> None:
+        """Count and log a connection that this side closes."""
         self.metrics.closes[f"worker.{reason}"] += 1
         log.debug("connection_closed", extra={"endpoint": self.instance_id, "why": reason})
 
@@ -62,11 +63,11 @@
         return URL(f"http://{self.host_port}{target}", encoded=True)
 
     async def submit(self, attempt: WorkerAttempt, guard: WriteGuard) -> Outcome | None:
-        """POST the job; how the attempt has ended, or None if the worker has accepted it."""
+        """POST the job; returns the attempt's outcome, or None if the worker has accepted the job."""
         current_attempt.set((guard, attempt))
         try:
-            guard.check(attempt)
-            response = await self._post(attempt, guard.time_left(attempt))
+            guard.check_sendable(attempt)
+            response = await self._post(attempt, guard.timeout_header(attempt))
         except NotWrittenError as e:
             log.debug("attempt_unwritten", extra=self._log_fields(attempt, str(e)))
             return e.outcome
@@ -74,32 +75,32 @@
             return self._failed(attempt, e)
         return self._outcome_of(attempt, response)
 
-    async def _post(self, attempt: WorkerAttempt, time_left: str) -> ClientResponse:
+    async def _post(self, attempt: WorkerAttempt, timeout_header: str) -> ClientResponse:
         request = attempt.request
         headers = dict(request.headers)
-        headers[protocol.TIMEOUT] = time_left
+        headers[protocol.TIMEOUT] = timeout_header
         async with self.session.post(
             self._url(request.target), data=request.body, headers=headers, allow_redirects=False
         ) as response:
             connection = attempt.connection
             if not attempt.fully_written and connection is not None:
-                self.note_close("early_answer")
+                self.record_close("early_answer")
                 connection.close()
-                raise aiohttp.ClientPayloadError("an answer before the request was whole")
-            # Noted before the rest of the answer: a cancel from now on is a DELETE.
+                raise aiohttp.ClientPayloadError("worker responded before the request was fully written")
+            # The phase is set before the body is read, so that a cancel from now on sends a DELETE.
             if response.status == 202:
                 attempt.phase = Phase.ACCEPTED
                 await _discard_body(response)
-            elif response.status in (500, *_REJECTED):
+            elif response.status in (500, *_REJECTION_STATUSES):
                 async with asyncio.timeout(LINGER_S):
                     await _discard_body(response)
             elif connection is not None:
-                self.note_close("unexpected_answer")
-                connection.close()  # the worker may have the job, and is to give it up
+                self.record_close("unexpected_answer")
+                connection.close()  # the worker may have the job; the close makes it drop the job
         return response
 
     def _failed(self, attempt: WorkerAttempt, error: Exception) -> Outcome | None:
-        malformed = isinstance(error, _MALFORMED) or type(error) is TimeoutError
+        malformed = isinstance(error, _MALFORMED_RESPONSE_ERRORS) or type(error) is TimeoutError
         event = "malformed_response" if malformed else "attempt_connection_failed"
         level = logging.WARNING if malformed else logging.DEBUG
         log.log(level, event, extra=self._log_fields(attempt, repr(error)))
@@ -111,7 +112,7 @@
         status = response.status
         if status == 202:
             return None
-        if status in _REJECTED and response.headers.get(protocol.NOT_PROCESSED) == "1":
+        if status in _REJECTION_STATUSES and response.headers.get(protocol.NOT_PROCESSED) == "1":
             return Outcome.FULL
         if status != 500:
             extra = {"endpoint": self.instance_id, "status": status, "id": attempt.request.id}
@@ -122,7 +123,10 @@
         return {"id": attempt.request.id, "endpoint": f"endpoint {self.instance_id}", "why": why}
 
     async def cancel(self, request_id: str) -> bool:
-        """DELETE a job; whether the worker has answered, so that no such job is running there any more."""
+        """DELETE a job; True if the worker has confirmed that the job no longer runs there.
+
+        Any status below 500 confirms it.
+        """
         timeout = aiohttp.ClientTimeout(total=self.connect_timeout_s)
         url = self._url(protocol.cancellation_target(request_id))
         try:
@@ -130,7 +134,7 @@
                 await _discard_body(response)
                 if response.status < 500:
                     return True
-                why = str(response.status)  # it does not tell what became of the job
+                why = str(response.status)  # a server error leaves the state of the job unknown
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             why = repr(e)
         extra = {"endpoint": self.instance_id, "id": request_id, "why": why}
@@ -138,7 +142,10 @@
         return False
 
     async def is_alive(self) -> bool:
-        """Whether the worker answers a health check at all: one that drains answers 503 and finishes jobs."""
+        """Whether the worker answers a health check, with any status.
+
+        A draining worker answers 503 and still finishes its jobs, so that it counts as alive.
+        """
         timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_TIMEOUT_S, sock_connect=self.connect_timeout_s)
         try:
             async with self.session.get(self._url("/health"), timeout=timeout) as response:
@@ -148,8 +155,8 @@
             return False
 
     def replace_session(self) -> aiohttp.ClientSession:
-        """Use new connections from now on; the old session is the caller's to close."""
-        self.note_close("idle")
+        """Use new connections from now on; returns the old session, which the caller closes."""
+        self.record_close("idle")
         old, self.session = self.session, self._new_session()
         return old
 
@@ -158,16 +165,19 @@
         await self.session.close()
 
 
-async def close_after(session: aiohttp.ClientSession, carried: Iterable[asyncio.Task[Any]]) -> None:
-    """Close a session once the tasks that use it are over."""
-    if tasks := list(carried):
+async def close_after(session: aiohttp.ClientSession, pending: Iterable[asyncio.Task[Any]]) -> None:
+    """Close a session once the tasks that use it are done."""
+    if tasks := list(pending):
         await asyncio.wait(tasks)
     await session.close()
 
 
 async def _discard_body(response: ClientResponse) -> None:
-    """Read a body that nobody needs; one that is longer than allowed ends its connection."""
-    left = protocol.MAX_BODY_BYTES
+    """Read and discard a response's body, so that its connection can be reused.
+
+    Raises ClientPayloadError, which closes the connection, where the body exceeds ``MAX_BODY_BYTES``.
+    """
+    remaining = protocol.MAX_BODY_BYTES
     async for data in response.content.iter_any():
-        if (left := left - len(data)) < 0:
-            raise aiohttp.ClientPayloadError(f"a body of more than {protocol.MAX_BODY_BYTES} bytes")
+        if (remaining := remaining - len(data)) < 0:
+            raise aiohttp.ClientPayloadError(f"response body exceeds {protocol.MAX_BODY_BYTES} bytes")
--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -1,7 +1,7 @@
-"""Connections to a worker: aiohttp's, with the checks that a job is never sent twice or after its time.
+"""Connections to a worker: aiohttp's, with checks that a job is sent neither twice nor after its expiry.
 
-A connection that receives what no request asked for is ended. Right before the first byte of an attempt is
-written, its ``WriteGuard`` is asked once more whether it may be sent.
+A connection that receives data outside a response is closed. Right before the first byte of an attempt is
+written, the attempt's ``WriteGuard`` checks again whether it may be sent.
 """
 
 import asyncio
@@ -25,22 +25,22 @@
 
 
 class WriteGuard(Protocol):
-    """Who is asked right before an attempt is written, and notified of it."""
+    """Decides right before an attempt is written whether it may be sent, and is notified of the write."""
 
-    async def caught_up(self) -> None:
-        """Return once this process has handled what was sent to it while it stood still."""
+    async def wait_until_caught_up(self) -> None:
+        """Wait until this process has handled the messages that arrived while it was stalled."""
 
-    def check(self, attempt: WorkerAttempt) -> None:
+    def check_sendable(self, attempt: WorkerAttempt) -> None:
         """Raise NotWrittenError if the attempt may not be sent now."""
 
-    def time_left(self, attempt: WorkerAttempt) -> str:
-        """The timeout header: how long this scheduler waits from now on."""
+    def timeout_header(self, attempt: WorkerAttempt) -> str:
+        """The value of the timeout header: how much longer this scheduler waits for the attempt."""
 
-    def note_send(self, attempt: WorkerAttempt) -> None:
-        """The attempt is about to be written."""
+    def record_send(self, attempt: WorkerAttempt) -> None:
+        """Called when the attempt is about to be written."""
 
-    def note_fully_written(self, attempt: WorkerAttempt) -> None:
-        """The attempt's last byte is written."""
+    def record_fully_written(self, attempt: WorkerAttempt) -> None:
+        """Called when the attempt's last byte is written."""
 
 
 current_attempt: ContextVar[tuple[WriteGuard, WorkerAttempt] | None] = ContextVar(
@@ -49,37 +49,37 @@
 
 
 class WorkerConnection(ResponseHandler):
-    """A connection to a worker, which may send only answers: anything else ends it.
+    """A connection to a worker, which is aborted if the worker sends data that answers no request.
 
-    aiohttp would keep such bytes and take them for the answer to the next request.
+    aiohttp would buffer such data and parse it as the response to the next request.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, note_close: Callable[[str], None]) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, record_close: Callable[[str], None]) -> None:
         super().__init__(loop)
-        self.note_close = note_close
-        self._awaits_answer = False
+        self.record_close = record_close
+        self._expects_response = False
 
     @property
     def reusable(self) -> bool:
-        """Whether it may carry another request."""
-        return self.is_connected() and not self.should_close and not self._has_unread()
+        """Whether the connection may carry another request; aborts it if it holds unsolicited data."""
+        return self.is_connected() and not self.should_close and not self._abort_if_unread()
 
     def begin_exchange(self) -> None:
-        """A request is about to be written."""
-        self._awaits_answer = True
+        """Accept data from now on: a request is about to be written."""
+        self._expects_response = True
 
     def end_exchange(self) -> None:
-        """The answer has ended."""
-        self._awaits_answer = False
+        """Treat data as unsolicited from now on: the response is complete."""
+        self._expects_response = False
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of an answer."""
-        if self._awaits_answer or not data:
+        """Pass a response's data on to the HTTP parser; abort the connection on unsolicited data."""
+        if self._expects_response or not data:
             super().data_received(data)
         elif self.is_connected():
             self._abort()
 
-    def _has_unread(self) -> bool:
+    def _abort_if_unread(self) -> bool:
         assert self.transport
         if not unread_bytes(self.transport):
             return False
@@ -88,22 +88,22 @@
 
     def _abort(self) -> None:
         assert self.transport
-        self.note_close("unasked_answer")
+        self.record_close("unasked_answer")
         peer = self.transport.get_extra_info("peername") or ("?", 0)
         log.warning("unsolicited_response", extra={"endpoint": f"{peer[0]}:{peer[1]}"})
         self.transport.abort()
 
 
-def _new_connection(loop: asyncio.AbstractEventLoop, note_close: Callable[[str], None]) -> ResponseHandler:
-    return WorkerConnection(loop, note_close)
+def _new_connection(loop: asyncio.AbstractEventLoop, record_close: Callable[[str], None]) -> ResponseHandler:
+    return WorkerConnection(loop, record_close)
 
 
 class WorkerConnector(aiohttp.TCPConnector):
-    """Reuses open connections as long as they may carry another request."""
+    """A connection pool without a limit, which reuses only connections that are ``reusable``."""
 
-    def __init__(self, max_idle_s: float, note_close: Callable[[str], None]) -> None:
+    def __init__(self, max_idle_s: float, record_close: Callable[[str], None]) -> None:
         super().__init__(limit=0, limit_per_host=0, keepalive_timeout=max_idle_s)
-        self._factory = partial(_new_connection, asyncio.get_running_loop(), note_close)
+        self._factory = partial(_new_connection, asyncio.get_running_loop(), record_close)
 
     async def _get(self, key: ConnectionKey, traces: list[Any]) -> Connection | None:
         while connection := await super()._get(key, traces):
@@ -114,43 +114,47 @@
 
 
 class GuardedRequest(aiohttp.ClientRequest):
-    """Checks again, once a connection is there, whether the attempt may be sent.
+    """A request that checks again, once it has a connection, whether its attempt may be sent.
 
-    A connect takes up to its timeout, in which the worker may have begun to drain, the client may have left
-    or the attempt's time may be up. Up to here nothing is written, which proves that a job never ran.
+    A connect may take as long as its timeout. Meanwhile the worker may begin to drain, the client may
+    disconnect, or the attempt may expire. Until this check nothing is written, so that an attempt which fails
+    it provably never ran.
     """
 
     async def send(self, conn: Connection) -> ClientResponse:
-        """Write the request."""
+        """Write the request.
+
+        Raises NotWrittenError where the attempt may no longer be sent or the connection is unusable.
+        """
         connection = conn.protocol
         assert isinstance(connection, WorkerConnection)
         if current := current_attempt.get():
             guard, attempt = current
-            await guard.caught_up()
-            guard.check(attempt)
-            if not connection.reusable:  # a new one may have ended or received bytes by now
+            await guard.wait_until_caught_up()
+            guard.check_sendable(attempt)
+            if not connection.reusable:  # also a new connection may have closed or received data by now
                 raise NotWrittenError(Outcome.CONNECT_FAILED)
             attempt.connection = connection
             attempt.phase = Phase.WRITTEN
-            # The connect has taken a part of what the client had left.
-            self.headers[protocol.TIMEOUT] = guard.time_left(attempt)
-            guard.note_send(attempt)
+            # The header is computed again, as the connect has used up some of the client's time.
+            self.headers[protocol.TIMEOUT] = guard.timeout_header(attempt)
+            guard.record_send(attempt)
         connection.begin_exchange()
         conn.add_callback(connection.end_exchange)
         response = await super().send(conn)
         if not self.body:
-            self._note_fully_written()
+            self._record_fully_written()
         return response
 
     async def write_bytes(self, writer: Any, conn: Connection, content_length: int | None = None) -> None:
-        """Write the body."""
+        """Write the body, and record the request as fully written if the connection has not failed."""
         await super().write_bytes(writer, conn, content_length)
         if conn.protocol is not None and conn.protocol.exception() is None:
-            self._note_fully_written()
+            self._record_fully_written()
 
     @staticmethod
-    def _note_fully_written() -> None:
-        if current := current_attempt.get():  # none for cancels and health checks
+    def _record_fully_written() -> None:
+        if current := current_attempt.get():  # None for cancels and health checks
             guard, attempt = current
             attempt.fully_written = True
-            guard.note_fully_written(attempt)
+            guard.record_fully_written(attempt)
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -1,6 +1,7 @@
-"""An endpoint: the actor that owns the attempts at one worker, their timeouts, cancels and health checks.
+"""The endpoint actor, which owns the attempts at one worker with their timeouts, cancels and health checks.
 
-HTTP is in client.py, the checks at the moment of a write in connection.py. It does not choose what to send.
+``client`` makes the HTTP calls, and ``connection`` runs this actor's checks right before each write. Which
+requests are sent to the worker is the dispatcher's decision.
 """
 
 import asyncio
@@ -38,14 +39,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IDLE_SHARE = 0.6  # of the worker's own limit: no send may meet its close of an idle connection
+# Share of the worker's keep-alive time after which an idle connection is closed here. It is below 1 so that
+# no request is sent while the worker closes the same idle connection.
+MAX_IDLE_SHARE = 0.6
 MAX_REMEMBERED_ENDINGS = 4096
-_ENDINGS = {JobState.FAILED: Outcome.ERROR, JobState.RETURNED: Outcome.FULL, JobState.LOST: Outcome.RESET}
+_OUTCOMES = {JobState.FAILED: Outcome.ERROR, JobState.RETURNED: Outcome.FULL, JobState.LOST: Outcome.RESET}
 
 
 @dataclass(slots=True, frozen=True)
-class _AttemptOver:
-    """What became of an attempt, as its exchange or its cancel found."""
+class _AttemptFinished:
+    """The outcome of an attempt, as determined by its HTTP exchange or by its cancel."""
 
     attempt: WorkerAttempt
     outcome: Outcome
@@ -53,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _AttemptExpired:
-    """An attempt's time is up."""
+    """An attempt has reached its ``until_us``."""
 
     attempt: WorkerAttempt
 
 
 @dataclass(slots=True, frozen=True)
 class _CallDone:
-    """A cancel or a health check is over."""
+    """The task of a cancel or a health check is done."""
 
     task: asyncio.Task[None]
 
@@ -76,7 +79,7 @@
     | JobEvent
     | CheckHealth
     | CloseIdleConnections
-    | _AttemptOver
+    | _AttemptFinished
     | _AttemptExpired
     | _CallDone
 )
@@ -84,17 +87,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPolicy:
-    """What allows attempts to be sent, checked right before each write."""
+    """The conditions for sending an attempt, which are evaluated right before each write."""
 
     may_send: Callable[[ListedEndpoint], bool] | None = (
-        None  # by cordons and their lease; None: there are none
+        None  # whether the cordons and their lease allow sends to the worker; None: cordons are not in use
     )
-    list_lease: ListLease | None = None  # on the endpoint list; None: any list may be used
-    catch_up: CatchUp | None = None  # after a stall; None: stalls are not detected
+    list_lease: ListLease | None = None  # the lease on the endpoint list; None: no lease is required
+    catch_up: CatchUp | None = None  # delays sends after a stall; None: stalls are not detected
 
 
 class Endpoint(Actor[EndpointMessage]):
-    """One worker of the endpoint list."""
+    """The actor for one worker of the endpoint list; it also is the ``WriteGuard`` of its attempts."""
 
     def __init__(
         self,
@@ -119,9 +122,10 @@
             destination.instance_id, destination.host_port, connect_timeout_s, max_idle_s, metrics
         )
         self.attempts: dict[str, WorkerAttempt] = {}
-        # (request, state) of calls that ended an attempt here: repeated, they are about that attempt.
+        # (request id, state) of the callbacks that ended an attempt here. A callback that repeats one of them
+        # is a retransmission about the earlier attempt.
         self.endings: dict[tuple[str, JobState], None] = {}
-        self.calls: set[asyncio.Task[None]] = set()  # cancels and health checks under way
+        self.calls: set[asyncio.Task[None]] = set()  # running cancels and health checks
         self._handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
             JobEvent: self._on_job_event,
@@ -133,7 +137,7 @@
             ListedEndpoint: self._on_listed,
             CheckHealth: self._on_check_health,
             CloseIdleConnections: lambda _: self._close_idle_connections(),
-            _AttemptOver: lambda message: self._end(message.attempt, message.outcome),
+            _AttemptFinished: lambda message: self._end(message.attempt, message.outcome),
             _AttemptExpired: lambda message: self._on_expired(message.attempt),
             _CallDone: self._on_call_done,
         }
@@ -142,16 +146,16 @@
         """Handle one message."""
         self._handlers[type(message)](message)
 
-    # Checks at the moment of a write (WriteGuard)
+    # Checks right before a write (WriteGuard)
 
-    async def caught_up(self) -> None:
-        """Return once this process has handled what was sent to it while it stood still."""
-        # Each turn of the loop reads what is unread, so there is nothing else to wait for.
+    async def wait_until_caught_up(self) -> None:
+        """Wait until this process has handled the messages that arrived while it was stalled."""
+        # Each iteration of the event loop reads available data, so that polling once an iteration is enough.
         while self.policy.catch_up and self.policy.catch_up.is_catching_up():  # noqa: ASYNC110
             await asyncio.sleep(0)
 
-    def check(self, attempt: WorkerAttempt) -> None:
-        """Raise NotWrittenError if an attempt of which nothing is written may not be sent now."""
+    def check_sendable(self, attempt: WorkerAttempt) -> None:
+        """Raise NotWrittenError if the attempt, of which no byte is written, may not be sent now."""
         now, list_lease = self.clock.now_us(), self.policy.list_lease
         if not attempt.wanted():
             raise NotWrittenError(Outcome.NOT_SENT)
@@ -160,22 +164,22 @@
         if not attempt.active:
             raise NotWrittenError(Outcome.CANCELLED)
         if list_lease and not list_lease.is_valid(now):
-            raise NotWrittenError(Outcome.CONNECT_FAILED)  # which does not count against the worker
-        # A repeat that comes after its window would be a second effect.
-        if not self._is_open() or now >= attempt.write_until_us:
+            raise NotWrittenError(Outcome.CONNECT_FAILED)  # does not count as a failure of the worker
+        # Workers run a repeat of a keyed request again once its deduplication window has passed.
+        if not self._accepts_sends() or now >= attempt.write_until_us:
             raise NotWrittenError(Outcome.CONNECT_FAILED)
 
-    def _is_open(self) -> bool:
+    def _accepts_sends(self) -> bool:
         may_send = self.policy.may_send
         active = self.destination.lifecycle is Lifecycle.ACTIVE
         return active and (may_send is None or may_send(self.destination))
 
-    def time_left(self, attempt: WorkerAttempt) -> str:
-        """The timeout header of an attempt: how long this scheduler waits from now on."""
+    def timeout_header(self, attempt: WorkerAttempt) -> str:
+        """The value of the attempt's timeout header: how much longer this scheduler waits for the attempt."""
         return protocol.format_timeout(attempt.until_us - self.clock.now_us())
 
-    def note_send(self, attempt: WorkerAttempt) -> None:
-        """Count and log by which list an attempt is sent."""
+    def record_send(self, attempt: WorkerAttempt) -> None:
+        """Count and log the origin of the endpoint list on whose basis the attempt is sent."""
         list_lease = self.policy.list_lease
         if list_lease is None:
             return
@@ -188,7 +192,7 @@
             }
             log.debug("attempt_sent", extra=fields | list_lease.log_fields(self.clock.now_us()))
 
-    def note_fully_written(self, _: WorkerAttempt) -> None:
+    def record_fully_written(self, _: WorkerAttempt) -> None:
         """Count an attempt whose last byte is written."""
         self.metrics.attempts_sent += 1
 
@@ -217,18 +221,19 @@
 
     async def _exchange(self, attempt: WorkerAttempt) -> None:
         if outcome := await self.client.submit(attempt, self):
-            self.tell(_AttemptOver(attempt, outcome))
+            self.tell(_AttemptFinished(attempt, outcome))
 
     def _end(self, attempt: WorkerAttempt, outcome: Outcome, result: str | None = None) -> None:
-        """Report the end of an attempt; the first one counts, whatever else comes is late."""
-        if attempt.over:
+        """End the attempt and report its outcome; later calls for the same attempt have no effect."""
+        if attempt.ended:
             return
-        attempt.over = True
+        attempt.ended = True
         if attempt.timer:
             attempt.timer.cancel()
         exchange = attempt.exchange
         if exchange and not exchange.done():
-            # Its 202 may still come and free the connection; from a silent worker it never does.
+            # The connection becomes reusable if the 202 still arrives. A silent worker never sends it, which
+            # is why the wait is limited.
             linger_s = 0.0 if attempt.phase is Phase.CONNECTING else LINGER_S
             asyncio.get_running_loop().call_later(linger_s, exchange.cancel)
         if self.attempts.get(attempt.request.id) is attempt:
@@ -240,7 +245,7 @@
     def _on_job_event(self, event: JobEvent) -> None:
         attempt = self.attempts.get(event.id)
         if attempt is None or attempt.phase is Phase.CONNECTING:
-            return  # late, repeated or unknown: it is about no attempt in flight here
+            return  # late, repeated or unknown: the callback concerns no attempt in flight here
         if event.state is JobState.STARTED:
             self.report(AttemptProgress(attempt.job, attempt.number))
         elif event.state is JobState.RUNNING:
@@ -248,8 +253,9 @@
         elif event.state is JobState.DONE:
             self._end(attempt, Outcome.COMPLETED, event.result)
         else:
-            outcome = _ENDINGS[event.state]
-            # The same call about a second attempt here may be the first one's, repeated: it proves nothing.
+            outcome = _OUTCOMES[event.state]
+            # A callback with the same id and state as an earlier attempt's may be a retransmission of that
+            # callback. It does not prove that this attempt never ran.
             if outcome.never_ran and (event.id, event.state) in self.endings:
                 outcome = Outcome.RESET
             self._remember_ending(event.id, event.state)
@@ -263,17 +269,19 @@
     # Timeouts and cancels
 
     def _on_expired(self, attempt: WorkerAttempt) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
         if attempt.until_us >= attempt.deadline_us:
-            # The client's answer is due now, and no attempt follows. The cancel is under way before the end
-            # is reported: a removed endpoint without calls is closed, and no DELETE may follow that.
+            # The client's deadline is reached, and no further attempt is made. The cancel is spawned before
+            # the end is reported, because a removed endpoint without calls is closed, after which no DELETE
+            # can be sent.
             if not attempt.cancel_requested:
                 self._spawn_call(self._cancel_at_worker(attempt), f"cancel {attempt.request.id}")
             self._end(attempt, Outcome.TIMEOUT)
         else:
             self._cancel(attempt, Outcome.TIMEOUT)
-            # A cancel takes its time where the worker is silent, and the client's answer is due in time.
+            # A cancel at a silent worker lasts until its timeout, and the client must be answered by its
+            # deadline: the timer is set again to end the attempt then.
             attempt.until_us = attempt.deadline_us
             self._set_timer(attempt)
 
@@ -284,42 +292,47 @@
 
     def _abandon_unwritten(self, message: AbandonUnwritten) -> None:
         for attempt in list(self.attempts.values()):
-            found = (attempt.job, attempt.number) == (message.job, message.attempt)
-            if found and attempt.phase is Phase.CONNECTING and not attempt.cancel_requested:
+            matches = (attempt.job, attempt.number) == (message.job, message.attempt)
+            if matches and attempt.phase is Phase.CONNECTING and not attempt.cancel_requested:
                 self._end(attempt, Outcome.NOT_SENT)
 
     def _cancel(self, attempt: WorkerAttempt, outcome: Outcome) -> None:
-        """Cancel at the worker first, report afterwards: the request must not be in flight twice."""
+        """Cancel the attempt at the worker, then report its outcome.
+
+        The order keeps the request from being in flight twice: its next attempt starts after the report.
+        """
         if attempt.active:
             attempt.cancel_requested = True
             self._spawn_call(self._cancel_at_worker(attempt, outcome), f"cancel {attempt.request.id}")
 
     async def _cancel_at_worker(self, attempt: WorkerAttempt, outcome: Outcome | None = None) -> None:
-        """DELETE the job if it was written, and close the connection if no 202 has come; then report.
+        """DELETE the job if it was written, close the connection if no 202 arrived, then report the outcome.
 
-        Closing a connection while its 202 is on the way cancels nothing, and nobody sees that 202 any more:
-        so the answer to DELETE is awaited first, with the connection open. DELETE uses another connection and
-        may arrive before the job itself: then it is repeated after the close.
+        Closing a connection while its 202 is in transit does not cancel the job, and the 202 is lost. The
+        connection therefore stays open until the DELETE is answered. The DELETE uses another connection and
+        may overtake the job's POST; it is repeated after the close for that case. Without ``outcome``,
+        nothing is reported.
         """
         exchange, written = attempt.exchange, attempt.phase is Phase.WRITTEN
         request_id = attempt.request.id
         answered = attempt.phase is Phase.CONNECTING or await self.client.cancel(request_id)
         if attempt.phase is not Phase.ACCEPTED and exchange and not exchange.done():
-            self.client.note_close("given_up")
+            self.client.record_close("given_up")
             exchange.cancel()
             await asyncio.wait([exchange])
-            await asyncio.sleep(0)  # the socket closes in the turn after its transport
+            await asyncio.sleep(0)  # asyncio closes the socket one loop iteration after its transport
         if written and answered:
             answered = await self.client.cancel(request_id)
         if not answered and attempt.phase is Phase.ACCEPTED:
-            # The worker has the job and may never have seen the cancel: a retry would be a second run.
+            # The worker has accepted the job and may not have received the cancel. A timeout is reported, as
+            # a retry could run the job twice.
             outcome = outcome and Outcome.TIMEOUT
         if outcome:
-            self.tell(_AttemptOver(attempt, outcome))
+            self.tell(_AttemptFinished(attempt, outcome))
 
-    def _spawn_call(self, work: Coroutine[Any, Any, None], name: str) -> None:
-        """Run a cancel or a health check; the endpoint keeps its connections until it is over."""
-        task = self.supervisor.spawn(work, name)
+    def _spawn_call(self, call: Coroutine[Any, Any, None], name: str) -> None:
+        """Run a cancel or a health check; the endpoint does not retire until it is done."""
+        task = self.supervisor.spawn(call, name)
         self.calls.add(task)
         task.add_done_callback(lambda done: self.tell(_CallDone(done)))
 
@@ -333,7 +346,7 @@
         attempt = self.attempts.get(message.request_id)
         released = None
         if attempt and attempt.phase is Phase.ACCEPTED and attempt.active:
-            attempt.over = True
+            attempt.ended = True
             if attempt.timer:
                 attempt.timer.cancel()
             del self.attempts[message.request_id]
@@ -372,7 +385,7 @@
         self._retire_if_removed()
 
     def _on_check_health(self, _: CheckHealth) -> None:
-        # A removed one may be closed at any moment, and its connections with it.
+        # A removed endpoint may be closed with its connections at any time, so that no check is started.
         if self.destination.lifecycle is Lifecycle.REMOVED:
             self.report(HealthCheckEnded(self.destination.instance_id, False))
         else:
@@ -383,12 +396,12 @@
         self.report(HealthCheckEnded(self.destination.instance_id, alive))
 
     def _close_idle_connections(self) -> None:
-        """Use new connections; the old ones are closed once what they carry is over."""
+        """Switch to new connections; the old ones are closed once all exchanges and calls on them end."""
         old = self.client.replace_session()
         exchanges = (attempt.exchange for attempt in self.attempts.values())
-        carried = [exchange for exchange in exchanges if exchange and not exchange.done()]
-        carried += self.calls  # a cancel that this broke would count as unanswered
-        self.supervisor.spawn(close_after(old, carried), f"close {self.name}")
+        pending = [exchange for exchange in exchanges if exchange and not exchange.done()]
+        pending += self.calls  # a cancel whose connection is closed here would count as unanswered
+        self.supervisor.spawn(close_after(old, pending), f"close {self.name}")
 
     def _retire_if_removed(self) -> None:
         if self.destination.lifecycle is Lifecycle.REMOVED and not self.attempts and not self.calls:
--- a/robinhill/net/workers/messages.py
+++ b/robinhill/net/workers/messages.py
@@ -1,6 +1,6 @@
 """The messages between the dispatcher and the endpoint of one worker.
 
-Values only. Times are microseconds of the process's clock; ``attempt`` counts the attempts of a job from 0.
+Times are microseconds of the process's clock; ``attempt`` is the attempt's index within its job, from 0.
 """
 
 from collections.abc import Callable
@@ -14,9 +14,11 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; it is given up at ``until_us``, and over at the client's deadline.
+    """Start an attempt.
 
-    Nothing of it is written from ``write_until_us`` on, nor once ``wanted`` returns that its client has left.
+    At ``until_us`` the attempt is cancelled at the worker; at the client's ``deadline_us`` it ends at the
+    latest. No byte is written from ``write_until_us`` on, or once ``wanted`` returns False, which means that
+    the client has disconnected.
     """
 
     job: int
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonUnwritten:
-    """An attempt's client has left: the attempt ends if nothing of it is written yet."""
+    """End an attempt whose client has disconnected, provided that no byte of it is written."""
 
     job: int
     attempt: int
@@ -46,17 +48,20 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Request the worker's health."""
+    """Check the worker's health; answered by ``HealthCheckEnded``."""
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close the connections that carry nothing."""
+    """Use new connections from now on; the old ones are closed once all exchanges on them have ended."""
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseAttempt:
-    """Give a request's attempt up to another process, if the worker has accepted it."""
+    """Release a request's attempt for another process, if the worker has accepted the attempt.
+
+    Answered by ``AttemptReleased``.
+    """
 
     job: int
     request_id: str
@@ -64,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResumeAttempt:
-    """Go on with an attempt that another process has released; its worker has accepted it."""
+    """Continue an attempt that another process has released, and that its worker has accepted."""
 
     job: int
     attempt: int
@@ -76,7 +81,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReturned:
-    """The worker has returned a request to another process: the same call again proves nothing."""
+    """The worker has returned a request to another process of this scheduler.
+
+    A callback here that returns the same request may be a retransmission of the one there, so that it does
+    not prove that a later attempt never ran.
+    """
 
     request_id: str
 
@@ -86,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgress:
-    """The worker has begun to run an attempt; with ``share``, that much of it (0 to 1) is done."""
+    """The worker runs an attempt; ``share`` is the completed fraction from 0 to 1, if it was reported."""
 
     job: int
     attempt: int
@@ -95,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over; ``result`` is set if and only if it was served."""
+    """An attempt has ended; ``result`` is set if and only if the worker completed the job."""
 
     job: int
     attempt: int
@@ -106,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """The result of a health check."""
+    """A health check has ended; ``alive`` is whether the worker answered it."""
 
     instance_id: str
     alive: bool
@@ -114,14 +123,17 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRetired:
-    """An endpoint that has been removed from the list has no attempt in flight any more."""
+    """An endpoint that was removed from the list has no attempt and no call in flight, and may be closed."""
 
     instance_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptReleased:
-    """What became of a ``ReleaseAttempt``: the attempt, forgotten here, or None while it can't go."""
+    """The reply to ``ReleaseAttempt``: the attempt, which this endpoint no longer tracks, or None.
+
+    None means that the attempt can't be released now.
+    """
 
     job: int
     attempt: ResumeAttempt | None
