--- a/robinhill/net/discovery/__init__.py
+++ b/robinhill/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch on discovery's endpoint list, and what is read of it after a stall."""
+"""The watch on the endpoint list of discovery, and catching up with its messages after a stall."""
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -1,6 +1,7 @@
-"""After a stall of this process: messages of discovery are read before anything is decided or sent.
+"""Detection of stalls of this process, and of the moment when the backlog from a stall has been read.
 
-This module notices the stall and says when all is read; what waits for that is up to the actors that ask it.
+Discovery may have sent messages during the stall. They must be handled before requests are decided or sent;
+the actors that query this module delay those actions accordingly.
 """
 
 import asyncio
@@ -12,59 +13,67 @@
 
 log = logging.getLogger(__name__)
 
-# Turns of the event loop: from bytes in the kernel to a message in the dispatcher's mailbox, also on a
-# connection that has not been accepted yet; and from there to the endpoint actors.
-READ_TURNS = 10
-WRITE_TURNS = 4
-MAX_TURNS = 10_000  # a peer that never stops writing must not block this process for ever
+# Iterations of the event loop that received data needs from the kernel to the dispatcher's mailbox, also on
+# a connection that has not been accepted yet.
+READ_ITERATIONS = 10
+WRITE_ITERATIONS = 4  # that a message needs from the dispatcher's mailbox to the endpoint actors
+MAX_ITERATIONS = 10_000  # a peer that sends without end must not delay this process forever
 
 
 class CatchUp:
-    """Notices that this process was paused, and when it has read what was written meanwhile."""
+    """Detects that this process was stalled, and determines when the backlog from the stall has been read."""
 
     def __init__(self, clock: Clock, has_unread_data: Callable[[], bool]) -> None:
-        """``has_unread_data``: whether messages of discovery wait in the kernel."""
+        """``has_unread_data`` returns whether the kernel holds unread messages from discovery."""
         self.clock = clock
         self.has_unread_data = has_unread_data
         self.stall_detector = StallDetector(clock.now_us())
-        self.turns = 0  # of the loop since the stall; 0: there was none, or all is read
-        self.quiet_turns = 0  # the last of these, without unread data
+        # Event loop iterations since a stall was detected; 0 without a stall, or once it is caught up with.
+        self.iterations = 0
+        self.quiet_iterations = 0  # consecutive iterations up to now without unread data
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to record heartbeats."""
+        """Start to record a heartbeat every ``HEARTBEAT_INTERVAL_US``."""
         self.stall_detector.record_heartbeat(self.clock.now_us())
         self._schedule()
 
     def close(self) -> None:
-        """Record no more heartbeats."""
+        """Stop recording heartbeats."""
         if self._timer:
             self._timer.cancel()
 
     def has_unread_input(self) -> bool:
-        """Whether messages that were written during a stall may still be unread."""
-        return self.is_catching_up() and self.quiet_turns < READ_TURNS
+        """Whether messages that arrived during a stall may still be unread."""
+        return self.is_catching_up() and self.quiet_iterations < READ_ITERATIONS
 
     def is_catching_up(self) -> bool:
-        """Whether messages written during a stall may be unread, or not have reached all actors yet."""
-        if not self.turns and self._timer and self.stall_detector.is_stalled(now := self.clock.now_us()):
+        """Whether messages that arrived during a stall may be unread or may not have reached all actors.
+
+        This call also detects the stall, and starts to count event loop iterations if there was one.
+        """
+        if not self.iterations and self._timer and self.stall_detector.is_stalled(now := self.clock.now_us()):
             stalled_us = now - self.stall_detector.last_heartbeat_us
             log.info("process_stalled", extra={"for_ms": stalled_us // 1000})
-            self.turns, self.quiet_turns = 1, 0
-            asyncio.get_running_loop().call_soon(self._count_turn)
-        return self.turns > 0
+            self.iterations, self.quiet_iterations = 1, 0
+            asyncio.get_running_loop().call_soon(self._count_iteration)
+        return self.iterations > 0
 
     def earliest_arrival_us(self) -> int:
-        """The earliest moment at which what is read now can have arrived: now, unless after a stall."""
+        """The earliest time at which data that is read now can have arrived.
+
+        This is the last heartbeat before the stall while the process catches up, and the current time
+        otherwise.
+        """
         return self.stall_detector.last_heartbeat_us if self.is_catching_up() else self.clock.now_us()
 
-    def _count_turn(self) -> None:
-        self.turns += 1
-        self.quiet_turns = 0 if self.has_unread_data() else self.quiet_turns + 1
-        if self.quiet_turns < READ_TURNS + WRITE_TURNS and self.turns < MAX_TURNS:
-            asyncio.get_running_loop().call_soon(self._count_turn)
+    def _count_iteration(self) -> None:
+        self.iterations += 1
+        self.quiet_iterations = 0 if self.has_unread_data() else self.quiet_iterations + 1
+        if self.quiet_iterations < READ_ITERATIONS + WRITE_ITERATIONS and self.iterations < MAX_ITERATIONS:
+            asyncio.get_running_loop().call_soon(self._count_iteration)
             return
-        self.turns = 0
+        self.iterations = 0
         self.stall_detector.record_heartbeat(self.clock.now_us())
 
     def _record_heartbeat(self) -> None:
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -1,7 +1,7 @@
-"""The actor that watches discovery's endpoint list and reports what it receives.
+"""The actor that watches discovery's endpoint list and reports each received list and failure.
 
-It owns the one open call to discovery. When the next call begins is up to ``placement.watch_schedule``, and
-what a list means is up to whoever gets the reports.
+It owns the single open call to discovery. ``placement.watch_schedule`` determines when the next call begins,
+and the receivers of the reports interpret the lists.
 """
 
 import asyncio
@@ -32,29 +32,30 @@
 LeaseEvent = ListConfirmed | DiscoveryUnreachable | DiscoveryAddressChanged
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_LIST_BYTES = 4 << 20  # some 20,000 workers
+MAX_LIST_BYTES = 4 << 20  # enough for about 20,000 workers
 HTTP_OK = 200
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeAddress:
-    """Watch discovery at this address from now on."""
+    """Close the current watch and watch discovery at this address."""
 
     discovery: Address
 
 
 class WatchSilentError(Exception):
-    """No complete message came in the time that the schedule allows."""
+    """Discovery sent no complete message before the schedule's silence deadline."""
 
 
-def _ignore(event: LeaseEvent) -> None:
-    """For callers that keep no lease on the list."""
+def _discard_event(event: LeaseEvent) -> None:
+    """Discard a lease event, for callers that have no lease on the list."""
 
 
 class EndpointListWatcher(Actor[ChangeAddress]):
-    """Keeps one call to discovery open at a time, from the start on.
+    """Keeps exactly one call to discovery open, or scheduled, from the start on.
 
-    A failed call or ended watch is reported as a list of None, except for silent ones and for agents.
+    The end of a call or watch is reported as ``EndpointListReceived(None)``, unless discovery was silent or
+    the lists are pushed by an agent.
     """
 
     def __init__(
@@ -65,30 +66,31 @@
         clock: Clock,
         supervisor: Supervisor,
         report_list: Callable[[EndpointListReceived], None],
-        report_lease_event: Callable[[LeaseEvent], None] = _ignore,
+        report_lease_event: Callable[[LeaseEvent], None] = _discard_event,
     ) -> None:
         super().__init__("endpoint list", supervisor)
         self.discovery = discovery
-        self.version: int | None = version  # of the last list from this address; None: there was none
+        self.version: int | None = version  # of the last list from this address; None: no list received yet
         self.schedule = schedule
         self.clock = clock
         self.report_list = report_list
         self.report_lease_event = report_lease_event
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
-        self._answered = False  # discovery has begun to send its list on the open call
+        self._response_started = False  # discovery has answered the open call with status 200
         self._transport: asyncio.BaseTransport | None = None  # of the open call's connection
         self._watch_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to watch, at the time that the schedule gives."""
+        """Start the actor, and open the watch after the schedule's initial wait."""
         super().start()
         self._open_watch(self.schedule.start(self.clock.now_us()))
 
     def receive(self, message: ChangeAddress) -> None:
-        """Leave the old address at once, and get the complete list of the new one.
+        """Cancel the watch on the old address at once, and request the complete list from the new one.
 
-        A cancelled watch reports nothing, so its end is no failure of the new one. A version counts the
-        changes at one discovery; another address may count otherwise, and answer "no changes" for ever.
+        A cancelled watch reports nothing, so that its end does not count as a failure of the new address.
+        The version is reset, as each discovery server numbers its own changes: a server that is sent the
+        version of another one may report "no changes" forever.
         """
         if message.discovery == self.discovery:
             return
@@ -100,7 +102,7 @@
         self._open_watch(0)
 
     def has_unread_data(self) -> bool:
-        """Whether messages of discovery wait in the kernel."""
+        """Whether the kernel holds unread data from discovery."""
         if self._transport is None or self._transport.is_closing():
             return False
         return unread_bytes(self._transport) > 0
@@ -112,19 +114,19 @@
         while True:
             await asyncio.sleep(wait_us / 1e6)
             self.schedule.record_call(self.clock.now_us())
-            self._answered, self._transport = False, None
-            is_silent, why = False, "ended"
+            self._response_started, self._transport = False, None
+            is_silent, why = False, "discovery ended the watch"
             try:
                 await self._call()
             except WatchSilentError:
-                is_silent, why = True, "silent"
-            except Exception as e:  # whatever discovery sends must cost this call alone
+                is_silent, why = True, "discovery sent no complete message before the silence deadline"
+            except Exception as e:  # malformed data from discovery must end only this call, not the actor
                 why = f"{type(e).__name__}: {e}"
-            wait_us = self._lost(is_silent, why)
+            wait_us = self._on_watch_end(is_silent, why)
 
-    def _lost(self, is_silent: bool, why: str) -> int:
-        """Report the end of a call or watch; return the wait before the next call."""
-        wait_us = self.schedule.record_lost(self.clock.now_us(), self._answered)
+    def _on_watch_end(self, is_silent: bool, why: str) -> int:
+        """Report the end of a call or watch; returns the wait before the next call in microseconds."""
+        wait_us = self.schedule.record_lost(self.clock.now_us(), self._response_started)
         if self.schedule.unreachable_us is not None:
             self.report_lease_event(
                 DiscoveryUnreachable(self.schedule.called_us, self.schedule.unreachable_us)
@@ -140,29 +142,30 @@
             query["after"] = str(self.version)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            # Else aiohttp repeats a call that ends without an answer at once, at every scheduler.
+            # aiohttp would retry a call that ends without a response at once, bypassing the schedule's wait,
+            # and all schedulers would do so at the same time.
             session._retry_connection = False
             url = f"http://{self.discovery}/v1/endpoints"
             call = session.get(url, params=query, allow_redirects=False)
-            async with await self._unless_silent(call) as response:
-                self._answered = response.status == HTTP_OK
+            async with await self._await_until_silence_deadline(call) as response:
+                self._response_started = response.status == HTTP_OK
                 self._transport = response.connection.transport if response.connection else None
                 if response.status != HTTP_OK:
-                    raise protocol.MalformedError(f"status {response.status}")
+                    raise protocol.MalformedError(f"discovery answered with status {response.status}")
                 await self._read_events(response.content)
 
     async def _read_events(self, content: aiohttp.StreamReader) -> None:
         reader, is_first = protocol.WatchEventReader(MAX_LIST_BYTES), True
-        while data := await self._unless_silent(content.readany()):
+        while data := await self._await_until_silence_deadline(content.readany()):
             for event in reader.feed(data):
                 self.schedule.record_received(self.clock.now_us())
                 if event:
-                    self._list_received(event)
+                    self._on_list(event)
                 else:
-                    self._unchanged(is_first)
+                    self._on_unchanged(is_first)
                 is_first = False
 
-    def _list_received(self, event: protocol.EndpointList) -> None:
+    def _on_list(self, event: protocol.EndpointList) -> None:
         self.version = event.generation
         self.report_list(EndpointListReceived(event, received_us=self.schedule.last_received_us))
         log.info(
@@ -170,26 +173,34 @@
             extra={"generation": event.generation, "reset": event.reset, "count": len(event.destinations)},
         )
 
-    def _unchanged(self, is_first: bool) -> None:
-        """An empty line: nothing has changed since the version that the call named, if it named one."""
+    def _on_unchanged(self, is_first: bool) -> None:
+        """Handle an empty line, which confirms that the list is unchanged since ``version``.
+
+        The first line of a call is also reported as an empty list of changes, from which the dispatcher
+        learns that discovery has answered.
+        """
         if self.version is not None:
             self.report_lease_event(ListConfirmed(self.version, self.schedule.last_received_us))
-        if is_first:  # the call has been answered
+        if is_first:
             self.report_list(EndpointListReceived(protocol.EndpointList(self.version or 0, False, ())))
 
-    async def _unless_silent(self, work: Awaitable[Result]) -> Result:
-        """The result; cancels the work and raises ``WatchSilentError`` when the schedule's time is over."""
-        waiting = asyncio.ensure_future(work)
+    async def _await_until_silence_deadline(self, operation: Awaitable[Result]) -> Result:
+        """Await an operation, and return its result.
+
+        Raises ``WatchSilentError``, and cancels the operation, once the schedule's silence deadline has
+        passed.
+        """
+        future = asyncio.ensure_future(operation)
         try:
-            while not waiting.done():
-                left_us = self.schedule.silence_deadline_us() - self.clock.now_us()
-                await asyncio.wait([waiting], timeout=max(0, left_us) / 1e6)
-                # After a stall of this process a message may be here that was not read in time.
+            while not future.done():
+                remaining_us = self.schedule.silence_deadline_us() - self.clock.now_us()
+                await asyncio.wait([future], timeout=max(0, remaining_us) / 1e6)
+                # After a stall of this process, a message that arrived in time may still be unread.
                 stalled = self.catch_up is not None and self.catch_up.is_catching_up()
-                if not waiting.done() and left_us <= 0 and not stalled:
+                if not future.done() and remaining_us <= 0 and not stalled:
                     raise WatchSilentError
-            return waiting.result()
+            return future.result()
         finally:
-            if not waiting.done():
-                waiting.cancel()
-                await asyncio.gather(waiting, return_exceptions=True)
+            if not future.done():
+                future.cancel()
+                await asyncio.gather(future, return_exceptions=True)
