--- a/robinhill/net/clients/__init__.py
+++ b/robinhill/net/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: connections, their limits, and the requests on them."""
+"""The HTTP server for clients: connections, their limits, and the requests on them."""
--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -1,7 +1,7 @@
-"""One client connection: its phases, their time limits, and how it closes or goes to another process.
+"""One client connection: its phases, their time limits, its close and its hand-over to another process.
 
-HTTP is aiohttp's, whose connection class is extended: it would wait for a request as long as the peer likes,
-and close with unread data. Which connections are accepted and evicted is `listener`'s.
+aiohttp handles HTTP. Its connection class is extended here because it waits for a request without a time
+limit, and closes connections while data is unread. ``listener`` accepts and evicts connections.
 """
 
 import asyncio
@@ -22,48 +22,49 @@
 log = logging.getLogger(__name__)
 
 REQUEST_TIMEOUT_S = 2.5  # from a request's first byte, or from the accept, to its last byte
-REQUEST_GRACE_S = 0.05  # for data that arrives in the instant of the timeout
-LINGER_S = 3.0  # for which further data is read and discarded after the last answer
-MIN_SILENCE_S = 0.25  # before a connection without a request may be evicted: one may be in transit
-# Stands for a request that another process has read already, so that aiohttp goes through its usual steps.
-ADOPTED_REQUEST = b"POST / HTTP/1.1\r\nHost: -\r\nContent-Length: 0\r\n\r\n"
+REQUEST_GRACE_S = 0.05  # extension of the timeout for data that arrives at the same moment
+LINGER_S = 3.0  # how long further data is read and discarded after the last response
+# How long a connection without a request is silent before it may be evicted, as a request may be in transit.
+MIN_SILENCE_S = 0.25
+# Placeholder for a request that another process has already read, which makes aiohttp call the handler.
+PLACEHOLDER_REQUEST = b"POST / HTTP/1.1\r\nHost: -\r\nContent-Length: 0\r\n\r\n"
 REQUEST_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 EXCESS_DATA_RESPONSE = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class _Phase(Enum):
-    WAITING = auto()  # for a request, or the rest of one
+    WAITING = auto()  # for a request, or for the rest of a request
     BUSY = auto()  # a complete request is being answered
     IDLE = auto()  # between requests
-    CLOSING = auto()  # the last answer is written; further data is discarded
+    CLOSING = auto()  # the last response is written; further data is discarded
 
 
 class CloseReason(Enum):
-    """Why this side closes a client's connection; the value is in log lines and metrics."""
+    """Why this side closes a client's connection; the value is written to log lines and metrics."""
 
-    ANSWERED = "answered"  # after an answer with Connection: close, or after the keep-alive time
-    EXCESS_DATA = "excess"  # more followed a request than is buffered
-    REQUEST_TIMEOUT = "late"  # no complete request arrived in time
-    RETIRED = "retired"  # idle while this scheduler is drained or superseded
+    ANSWERED = "answered"  # a response with Connection: close was written, or the keep-alive time expired
+    EXCESS_DATA = "excess"  # the peer sent more data after a request than is buffered
+    REQUEST_TIMEOUT = "late"  # no complete request arrived within REQUEST_TIMEOUT_S
+    RETIRED = "retired"  # the connection was idle while this scheduler was drained or superseded
     SHUTDOWN = "leaving"  # this process shuts down
-    CAPACITY = "room"  # its descriptor is needed for others
-    HANDED_OVER = "handed_over"  # another process goes on with it
+    CAPACITY = "room"  # its descriptor was needed for a new connection
+    HANDED_OVER = "handed_over"  # another process has taken over the connection
 
 
 class EvictionRank(IntEnum):
-    """How cheaply a connection can be closed for the sake of a new one; lower values go first."""
+    """The cost of closing a connection to make room for a new one; lower ranks are evicted first."""
 
-    LINGERING = 0  # its last answer is written
+    LINGERING = 0  # its last response is written
     SILENT = 1  # no request has arrived
-    IDLE = 2  # between requests, none of which was of use
-    TOO_YOUNG = 3  # a request or its answer may be in transit
-    IDLE_SERVED = 4  # between requests of a client that would have to connect again
+    IDLE = 2  # between requests; so far the peer sent only readiness checks or malformed requests
+    TOO_YOUNG = 3  # a request or its response may be in transit
+    IDLE_SERVED = 4  # between requests of a client or worker that would have to connect again
 
 
 class _LingeringTransport:
-    """A transport whose close goes on reading for a while.
+    """A transport whose ``close`` keeps reading until the peer closes or ``LINGER_S`` has passed.
 
-    A close with unread bytes becomes a TCP reset, which can destroy the answer on its way to the peer.
+    A close with unread data sends a TCP reset, which can destroy the response in transit to the peer.
     """
 
     def __init__(self, transport: asyncio.Transport, connection: "Connection") -> None:
@@ -74,18 +75,18 @@
         return getattr(self._transport, name)
 
     def close(self) -> None:
-        """Close after what is written, once the peer has closed or the linger time is over."""
+        """Flush written data, then close once the peer has closed or the linger time has passed."""
         self._connection.close_gracefully(CloseReason.ANSWERED)
 
     def pause_reading(self) -> None:
-        """Apply the server's backpressure as far as it does not hide the peer's close."""
+        """Apply the server's backpressure, except where that would hide the peer's close."""
         self._connection.pause()
 
 
 class Connection(web.RequestHandler):
-    """One connection of a client, or of a worker that calls back.
+    """One connection of a client, or of a worker that sends callbacks.
 
-    It owns the phase, the time limit of each phase and how the connection closes. HTTP itself is aiohttp's.
+    It owns the connection's phase, the time limit of each phase and the close. aiohttp handles HTTP.
     """
 
     __slots__ = (
@@ -96,38 +97,38 @@
     def __init__(self, listener: "Listener", loop: asyncio.AbstractEventLoop, **kwargs: Any) -> None:
         super().__init__(listener, loop=loop, **kwargs)
         self.listener = listener
-        self.has_served = False  # it has carried a job or a worker's callback
-        self.carries_callbacks = False  # it is a worker's
+        self.has_served = False  # whether it has carried a job, a worker's callback or an operator's call
+        self.carries_callbacks = False  # whether the peer is a worker
         self._adopted_request: object = None  # a request that the predecessor process has read
         self._adoption_begun: asyncio.Future[bool] | None = (
-            None  # resolved with whether that is answered here
+            None  # resolved with whether the adopted request is answered here
         )
         self.handed_over = False  # another process owns the connection now
-        self.dropped = False  # its descriptor closes in the loop's next iteration
+        self.dropped = False  # the descriptor closes in the event loop's next iteration
         self._phase, self._phase_start = _Phase.WAITING, loop.time()
-        self._has_new_bytes = False  # bytes were received that belong to no request yet
-        self._discards_excess = False  # more followed a request than is buffered
+        self._has_new_bytes = False  # data was received that no handled request contains
+        self._discards_excess = False  # the peer sent more data after a request than is buffered
         self._raw_transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for the first request."""
+        """Register the connection, and start the time limit for its first request."""
         self._raw_transport = cast(asyncio.Transport, transport)
         self._await_request()
         self.listener.open.add(self)
         super().connection_made(cast(asyncio.Transport, _LingeringTransport(self._raw_transport, self)))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop all timers and tell whoever waits for an adopted request."""
+        """Stop the timer, and report an adopted request that was not started as not answered."""
         self._raw_transport = None
         self._enter_phase(_Phase.CLOSING)
         self.listener.open.discard(self)
         if self._adoption_begun and not self._adoption_begun.done():
-            self._adoption_begun.set_result(False)  # the server has not started it
+            self._adoption_begun.set_result(False)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Pass data on to the HTTP parser, unless it is to be discarded."""
+        """Pass data on to the HTTP parser; discard it on a closing connection or behind excess data."""
         if self._phase is _Phase.CLOSING:
             self._phase_start = self._loop.time()
             return
@@ -142,10 +143,11 @@
     def begin_answer(self, serves: bool) -> None:
         """Enter the phase in which a complete request is answered.
 
-        Raises ConnectionResetError where the connection is being closed already.
+        With ``serves``, the connection is among the last to be evicted from now on. Raises
+        ConnectionResetError if the connection is already closing.
         """
         if self._phase is _Phase.CLOSING:
-            raise ConnectionResetError("the connection is being closed")
+            raise ConnectionResetError("request can't be answered: its connection is already closing")
         self.has_served |= serves
         self._has_new_bytes = False
         self._enter_phase(_Phase.BUSY)
@@ -157,18 +159,21 @@
             self._discard_excess()
 
     def pause(self) -> None:
-        """Apply backpressure; while a request is answered, discard what follows instead."""
+        """Stop reading; while a request is being answered, discard further data instead."""
         if self._raw_transport and self._phase is _Phase.BUSY:
             self._discard_excess()
         elif self._raw_transport:
             self._raw_transport.pause_reading()
 
     def _discard_excess(self) -> None:
-        """Go on reading and buffer nothing: only so is the peer's close seen while it is answered."""
+        """Read and discard all further data.
+
+        A paused transport would not detect that the peer closes while its request is being answered.
+        """
         assert self._raw_transport
         log.warning(
             "malformed",
-            extra={"peer": self.peer_address(), "status": 400, "why": "too much behind a request"},
+            extra={"peer": self.peer_address(), "status": 400, "why": "too much data after a request"},
         )
         self._discards_excess = self._has_new_bytes = True
         self._messages.clear()
@@ -177,7 +182,7 @@
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write the answer, then enter the phase that follows from what else was received."""
+        """Write the response, then close after excess data, or wait for the rest of a request, or go idle."""
         finished = await super().finish_response(request, resp, start_time)
         if self._discards_excess and self._raw_transport and self._phase is _Phase.BUSY:
             if finished[0].keep_alive:
@@ -199,7 +204,7 @@
         """Answer a malformed request with one line of text, and log it."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
-        return reject(request, status, (message or "not HTTP").partition("\n")[0])
+        return reject(request, status, (message or "request is not valid HTTP").partition("\n")[0])
 
     def close_gracefully(self, reason: CloseReason) -> None:
         """Flush and send FIN, then discard data until the peer closes or ``LINGER_S`` has passed."""
@@ -213,25 +218,26 @@
         self._timer = self._loop.call_later(LINGER_S, self._raw_transport.abort)
 
     def drop(self) -> None:
-        """Close at once; only for connections that `eviction_rank` offers."""
+        """Close at once; only for connections to which `eviction_rank` gives a rank."""
         self.dropped = True
         if self._raw_transport:
             self._record_close(CloseReason.CAPACITY)
             self._raw_transport.abort()
 
     def eviction_rank(self, now: float) -> tuple[EvictionRank, float] | None:
-        """How cheaply this connection can be closed, lower first; None while it carries a request.
+        """The eviction rank of this connection and the start of its phase; None if it can't be evicted.
 
-        The second part is when its phase began. Idle connections that have carried jobs rank last: their
-        clients lose nothing, but must connect again. They are kept while younger ones need only a moment.
+        Connections with lower pairs are evicted first; a connection with a complete request is not evicted.
+        Idle connections that have carried jobs rank last: their clients lose no request, but must connect
+        again. They even rank behind connections that are too young, which become evictable soon.
         """
         if self._raw_transport is None or self.dropped or self._phase is _Phase.BUSY:
             return None
         if self._phase is not _Phase.CLOSING and self._has_complete_request():
-            return None  # it was silent for long enough, but no longer is
+            return None  # its request is complete, but the phase has not changed yet
         unsent = self._raw_transport.get_write_buffer_size() and now - self._phase_start < LINGER_S
         if unsent or self._has_unread_bytes():
-            return EvictionRank.TOO_YOUNG, self._phase_start  # a close would truncate or reset its answer
+            return EvictionRank.TOO_YOUNG, self._phase_start  # a close would truncate or reset its response
         if self._phase is _Phase.CLOSING:
             return self._rank_once_silent(EvictionRank.LINGERING, now)
         if self._phase is _Phase.WAITING:
@@ -243,21 +249,21 @@
         return rank if silent else EvictionRank.TOO_YOUNG, self._phase_start
 
     def close_if_idle(self, now: float) -> None:
-        """Close the connection if it is a client's and idle."""
+        """Close the connection gracefully if it is idle and belongs to a client, not to a worker."""
         if not self.carries_callbacks and self.is_idle(now):
             self.close_gracefully(CloseReason.RETIRED)
 
     def is_idle(self, now: float) -> bool:
-        """Whether it carries no request and has no unread data."""
-        quiet = self._phase is _Phase.IDLE or (
+        """Whether the connection carries no request, not even in part, and has no unread data."""
+        silent = self._phase is _Phase.IDLE or (
             self._phase is _Phase.WAITING
             and not self._has_new_bytes
             and now - self._phase_start >= MIN_SILENCE_S
         )
-        return quiet and not self._messages and not self._has_unread_bytes()
+        return silent and not self._messages and not self._has_unread_bytes()
 
     def has_pending_work(self, now: float) -> bool:
-        """Whether a request is here, in part or complete, or may be in transit, or an answer is unsent."""
+        """Whether a request was received in part or whole or may be in transit, or a response is unsent."""
         if self._raw_transport is None:
             return False
         if self._phase is _Phase.CLOSING:
@@ -265,7 +271,10 @@
         return not self.is_idle(now)
 
     def pause_for_handover(self) -> bool:
-        """Stop reading so that another process can take it; False if it can't be handed over now."""
+        """Stop reading for a hand-over; False if the connection can't be handed over now.
+
+        A connection is handed over only while its request is being answered and no further data was read.
+        """
         if (
             self._raw_transport is None
             or self._phase is not _Phase.BUSY
@@ -277,12 +286,15 @@
         return True
 
     def resume_after_handover(self) -> None:
-        """Read again: the hand-over did not take place."""
+        """Resume reading after a hand-over that did not take place."""
         if self._raw_transport:
             self._raw_transport.resume_reading()
 
     def duplicate_descriptor(self) -> int | None:
-        """A descriptor for another process; None if it has closed or no descriptor is available."""
+        """Duplicate the descriptor for another process.
+
+        Returns None if the connection has closed or no descriptor is available.
+        """
         if self._raw_transport is None:
             return None
         try:
@@ -292,15 +304,18 @@
             return None
 
     async def adopt(self, request: object) -> bool:
-        """Answer a request that another process has read; False if the peer closes before that starts."""
+        """Start to answer a request that another process has read.
+
+        Returns False if the connection closes before the answer is started.
+        """
         if self._raw_transport is None:
             return False
         self._adopted_request, self._adoption_begun = request, self._loop.create_future()
-        self.data_received(ADOPTED_REQUEST)
+        self.data_received(PLACEHOLDER_REQUEST)
         return await self._adoption_begun
 
     def take_adopted_request(self) -> object:
-        """The adopted request, once, with its answer begun; None where there is none."""
+        """Remove and return the adopted request, and begin its answer; None if no request is adopted."""
         if (request := self._adopted_request) is None:
             return None
         self._adopted_request = None
@@ -310,7 +325,7 @@
         return request
 
     def release(self) -> None:
-        """Close our descriptor only: another process has the connection now."""
+        """Close this process's descriptor after a hand-over; the connection itself stays open."""
         self.handed_over = True
         if self._raw_transport:
             self._record_close(CloseReason.HANDED_OVER)
@@ -321,7 +336,7 @@
         log.debug("connection_closed", extra={"peer": self.peer_address(), "why": reason.value})
 
     def _has_unread_bytes(self) -> bool:
-        """Whether the kernel holds data that was not read yet."""
+        """Whether the kernel holds unread data of this connection."""
         return self._raw_transport is not None and unread_bytes(self._raw_transport) > 0
 
     def _enter_phase(self, phase: _Phase) -> None:
@@ -335,7 +350,10 @@
         self._timer = self._loop.call_later(REQUEST_TIMEOUT_S, self._on_request_timeout)
 
     def _on_request_timeout(self, grace: bool = True) -> None:
-        """Close a connection on which no complete request has arrived in time."""
+        """Close the connection if no complete request has arrived, with status 408 after part of one.
+
+        With ``grace``, unread data extends the timeout once by ``REQUEST_GRACE_S``.
+        """
         if self._raw_transport is None or self._phase is not _Phase.WAITING:
             return
         if self._has_complete_request() or (grace and self._has_unread_bytes()):
@@ -343,18 +361,18 @@
             return
         if self._has_new_bytes:
             log.warning(
-                "malformed", extra={"peer": self.peer_address(), "status": 408, "why": "half a request"}
+                "malformed", extra={"peer": self.peer_address(), "status": 408, "why": "incomplete request"}
             )
             self._raw_transport.write(REQUEST_TIMEOUT_RESPONSE)
         self.close_gracefully(CloseReason.REQUEST_TIMEOUT)
 
     def _has_complete_request(self) -> bool:
-        """Whether a complete request was read that its handler has not started."""
+        """Whether a complete request was read whose answer has not begun."""
         if self._messages:
             return self._messages[0][1].is_eof()
         if self._current_request is not None:
             return self._current_request.content.is_eof()
-        return self._has_new_bytes and self._waiter is None  # its handler is about to start
+        return self._has_new_bytes and self._waiter is None  # aiohttp is about to call the handler
 
     def _process_keepalive(self) -> None:
         """Close after the keep-alive time, unless the connection is no longer idle."""
@@ -369,19 +387,19 @@
 
 
 def unread_bytes(transport: asyncio.BaseTransport) -> int:
-    """Bytes in the kernel's receive buffer."""
+    """The number of unread bytes in the kernel's receive buffer."""
     fd = transport.get_extra_info("socket").fileno()
     return int(struct.unpack("i", fcntl.ioctl(fd, termios.FIONREAD, b"\0" * 4))[0])
 
 
 def connection_of(request: web.BaseRequest) -> Connection:
-    """The connection that a request came on."""
+    """The connection on which a request arrived."""
     assert isinstance(request.protocol, Connection)
     return request.protocol
 
 
 def reject(request: web.BaseRequest, status: int, reason: str) -> web.Response:
-    """An error answer as one line of text, logged; the connection closes after it."""
+    """Log a malformed request, and return an error response of one line that closes the connection."""
     log.warning("malformed", extra={"peer": request.remote, "status": status, "why": reason})
     response = web.Response(status=status, text=reason + "\n")
     response.force_close()
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -1,7 +1,7 @@
-"""The clients' side: jobs, the front's readiness check, and the workers' callbacks, on one address.
+"""The HTTP server for clients' jobs, the front's readiness checks and workers' callbacks, on one address.
 
-It decodes requests, passes them on and writes each one's final answer; it decides nothing about jobs. While a
-successor process takes over, it hands connections with pending requests to that process.
+The server decodes requests, passes them on, and writes the final answer to each; it makes no decisions about
+jobs. While a successor process takes over, it hands connections with pending requests to that process.
 """
 
 import asyncio
@@ -33,23 +33,23 @@
 
 JOB_EVENTS = "/v1/job-events"
 READY = "/ready"
-READINESS_SETTLE_S = 0.5  # for which the front still opens connections after a readiness check that failed
+READINESS_SETTLE_S = 0.5  # how long the front still opens connections after a failed readiness check
 IDLE_SWEEP_INTERVAL_S = 0.25
-SHUTDOWN_RETRY_AFTER_US = 700_000  # two retries at this interval outlast another scheduler's restart
+SHUTDOWN_RETRY_AFTER_US = 700_000  # two retries at this interval outlast the restart of another scheduler
 
 Json = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class _PendingRequest:
-    """A request whose answer a connection waits for."""
+    """A request for whose answer a connection waits."""
 
     request: JobRequest
     reply: asyncio.Future[Answer]
 
 
 class Inbound:
-    """Serves the clients' address; each request goes to admission control or to the dispatcher."""
+    """Serves the clients' address, and passes each request to admission control or to the dispatcher."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         deliver: Callable[[JobEvent], Awaitable[None]],
         identify_caller: "Callable[[MultiMapping[str], str | None], Caller | None] | None" = None,
     ) -> None:
-        self.identify_caller = identify_caller  # None: there is no admission control
+        self.identify_caller = identify_caller  # None: admission control is not in use
         self.config = config
         self.supervisor = supervisor
         self.clock = clock
@@ -70,14 +70,14 @@
         self.deliver = deliver
         self.deadlines_us = tuple(c.deadline_us for c in config.settings.classes)
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
-        self.awaiting_endpoint_list = False  # discovery has not answered yet: requests are queued
-        self.catching_up = False  # with the other schedulers' records, where they are shared
+        self.awaiting_endpoint_list = False  # discovery has not answered yet, and requests are queued
+        self.catching_up = False  # records of other schedulers, where they are shared, are not yet received
         self.drained_by_operators = False
         self._idle_sweep: asyncio.Task[None] | None = None
-        self.serving = False  # it accepts connections
-        self.superseded = False  # another process accepts connections in its place
+        self.serving = False  # this process has begun to accept connections
+        self.superseded = False  # another process accepts connections instead of this one
         self.pending: dict[Connection, _PendingRequest] = {}
-        self.shutting_down = False  # each answer closes its connection
+        self.shutting_down = False  # each response closes its connection
         self.closed_to_new = False  # new requests are rejected
         self.pending_count = 0
         self.none_pending = asyncio.Event()
@@ -90,12 +90,15 @@
         self.metrics.closes[f"client.{why.value}"] += 1
 
     def start(self, sock: socket.socket) -> None:
-        """Accept connections on a listening socket."""
+        """Start to accept connections on a listening socket."""
         self.serving = True
         self._listener.listen(sock)
 
     async def close(self) -> None:
-        """Reject new requests, flush answers and close; at once where requests are still pending."""
+        """Reject new requests and close all connections.
+
+        Connections are drained first, unless requests are still pending.
+        """
         self.shutting_down = self.closed_to_new = True
         if not self.pending_count:
             await self._listener.drain()
@@ -105,15 +108,16 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.rel_url.raw_path
         if request.method == "GET" and path == READY:
-            # The connection closes after the check: kept alive, it would only take a descriptor.
-            # A successor has the same address: a failed check here would keep clients from it.
+            # The connection closes after the check, as an idle connection would only occupy a descriptor.
+            # A superseded process reports itself as ready: its successor has the same address, and a failed
+            # check here would make the front stop sending clients to that address.
             ready = self.ready or (self.superseded and not self.drained_by_operators)
             return self._respond(Answer(200 if ready else 503, b"", close=True))
         if adopted := connection_of(request).take_adopted_request():
             assert isinstance(adopted, _PendingRequest)
             return await self._answer(connection_of(request), adopted)
         if request.method != "POST":
-            return reject(request, 405, "jobs come by POST")
+            return reject(request, 405, "method not allowed: submit jobs with POST")
         if path == JOB_EVENTS:
             event = protocol.decode_job_event(await request.read())
             connection = connection_of(request)
@@ -135,7 +139,10 @@
         )
 
     def drain(self, start: bool) -> None:
-        """Fail readiness checks and close idle connections, or stop doing so; no request is rejected."""
+        """Start or stop a drain by an operator.
+
+        During a drain, readiness checks fail and idle connections are closed; no request is rejected.
+        """
         self.drained_by_operators = start
         if self._idle_sweep:
             self._idle_sweep.cancel()
@@ -148,7 +155,7 @@
             await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
 
     async def _job(self, request: web.BaseRequest) -> web.StreamResponse:
-        # After a stall it may have arrived at any time since the loop last ran.
+        # After a stall of this process, the request may have arrived at any time since the last heartbeat.
         arrived_us = self.catch_up.earliest_arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
         job = protocol.decode_request(
@@ -192,11 +199,14 @@
     # Hand-over between two processes
 
     def set_budget(self, budget: int) -> None:
-        """Change the budget of connections, and evict idle ones down to it."""
+        """Set the maximum number of open connections, and evict connections down to it where possible."""
         self._listener.set_budget(budget)
 
     def set_superseded(self, superseded: bool, budget: int) -> None:
-        """Leave new connections to another process, or accept them again; ``budget``: at most so many."""
+        """Stop accepting connections in favor of another process, or accept them again.
+
+        ``budget`` is the maximum number of open connections of this process from now on.
+        """
         self.superseded = superseded
         self.set_budget(budget)
         if self.serving:
@@ -204,7 +214,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether no request is pending, received in part or possibly in transit."""
+        """Whether no request is pending, in part received or possibly in transit, and no response unsent."""
         now = asyncio.get_running_loop().time()
         return not self.pending_count and not any(c.has_pending_work(now) for c in self._listener.open)
 
@@ -213,18 +223,19 @@
         release: Callable[[JobRequest], Awaitable[Json | None]],
         send: Callable[[Json, int, JobRequest, asyncio.Future[Answer]], Awaitable[bool]],
     ) -> None:
-        """Hand pending requests to another process, as far as that is possible now; close idle connections.
+        """Close idle connections, and hand each pending request that can be released to another process.
 
-        ``release`` gives a request's state, None while it must stay; ``send`` passes it on with the
-        connection's descriptor and says whether the other process has it.
+        ``release`` returns a request's state, or None if the request can't be released now. ``send`` passes
+        that state on with the connection's descriptor, and returns whether the other process has accepted it.
         """
         self._listener.close_idle()
         for connection, pending in list(self.pending.items()):
             if not self.superseded:
-                return  # the other process has ended
+                return  # the other process has exited, and this one serves again
             if not connection.pause_for_handover():
                 continue
-            if (fd := connection.duplicate_descriptor()) is None:  # before anything is released
+            # The descriptor is duplicated before the request is released, as the duplication can fail.
+            if (fd := connection.duplicate_descriptor()) is None:
                 connection.resume_after_handover()
                 continue
             state = await release(pending.request)
@@ -237,7 +248,7 @@
                 connection.resume_after_handover()
 
     async def adopt(self, request: JobRequest, reply: asyncio.Future[Answer], fd: int) -> None:
-        """Answer a request that another process has handed over, on its connection's descriptor."""
+        """Answer a request that another process has handed over; ``fd`` is its connection's descriptor."""
         if not await self._listener.adopt(fd, _PendingRequest(request, reply)):
             self.report(ClientDisconnected(request))
 
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -1,6 +1,7 @@
-"""Accepts client connections within a budget of descriptors, and evicts the cheapest ones to keep to it.
+"""Accepts client connections within a budget of descriptors, and evicts the cheapest ones to stay within it.
 
-aiohttp's server is extended, which accepts without a limit. What happens on one connection is `connection`'s.
+aiohttp's server is extended here because it accepts connections without a limit. ``connection`` handles each
+connection once it is accepted.
 """
 
 import asyncio
@@ -29,17 +30,19 @@
 
 LISTEN_BACKLOG_CONNECTIONS = 1024
 KEEPALIVE_S = 75.0
-ACCEPT_BATCH_CONNECTIONS = 16  # accepted or closed in one iteration, so that floods don't starve other work
-ACCEPT_PAUSE_S = 0.05  # while no descriptor is free
+# Maximum of connections accepted or evicted in one loop iteration, so that floods don't starve other work.
+ACCEPT_BATCH_CONNECTIONS = 16
+ACCEPT_PAUSE_S = 0.05  # wait before accepting again when no descriptor is free
 DRAIN_POLL_S = 0.01
 DRAIN_TIMEOUT_S = REQUEST_TIMEOUT_S + REQUEST_GRACE_S
-PEER_CLOSE_WAIT_S = 0.25  # for peers to close first: a process that exits resets connections with unread data
+# How long a drain waits for peers to close first. A process that exits resets connections with unread data.
+PEER_CLOSE_WAIT_S = 0.25
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class Listener(web.Server):
-    """Accepts connections within a budget of descriptors, and evicts the cheapest to keep to it."""
+    """A server that limits its open connections to ``budget`` by evicting the cheapest ones."""
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
             auto_decompress=False,
             access_log=None,
             keepalive_timeout=KEEPALIVE_S,
-            lingering_time=0,  # `Connection.close_gracefully` lingers
+            lingering_time=0,  # `Connection.close_gracefully` lingers instead of aiohttp
         )
         self.handler = handler
         self.on_close = on_close
@@ -68,23 +71,23 @@
         self.supervisor = supervisor
         self.open: set[Connection] = set()
         self.accepting = False
-        self._connecting = 0  # accepted, but not in `open` yet
+        self._connecting = 0  # number of accepted connections that are not in `open` yet
         self._socket: socket.socket | None = None
 
     def __call__(self) -> Connection:
-        """A protocol for a new transport, as asyncio asks for one."""
+        """Create the protocol for a new transport; asyncio calls this as its protocol factory."""
         return Connection(self, self._loop, **self._kwargs)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """The handler's answer, or the error for a request that can't be read."""
-        too_large = f"a body holds at most {self.max_body} bytes"
+        """Return the handler's response, or an error response to a malformed or too large request."""
+        too_large = f"request body exceeds {self.max_body} bytes"
         try:
             protocol.check_framing(request.headers)
             if (request.content_length or 0) > self.max_body:
-                return reject(request, 413, too_large)  # before its body is read
+                return reject(request, 413, too_large)  # before the body is read
             if request.headers.get("Expect", "").lower() == "100-continue":
                 await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                request.writer.output_size = 0  # the answer itself has not started
+                request.writer.output_size = 0  # aiohttp must not consider the response itself as started
             return await self.handler(request)
         except protocol.MalformedError as e:
             return reject(request, 400, str(e))
@@ -94,26 +97,29 @@
             return reject(request, 400, str(e).partition("\n")[0])
 
     def listen(self, sock: socket.socket) -> None:
-        """Accept on a listening, non-blocking socket, which is owned from now on."""
+        """Accept on a listening, non-blocking socket, of which the listener takes ownership."""
         self._socket = sock
         self.accept(True)
 
-    def accept(self, on: bool) -> None:
-        """Accept new connections, or leave them to another process that listens on the same socket."""
-        self.accepting = on
-        if on:
-            self._resume()
+    def accept(self, enabled: bool) -> None:
+        """Start to accept new connections, or stop, as another process accepts on the same socket."""
+        self.accepting = enabled
+        if enabled:
+            self._resume_accepting()
         elif self._socket:
             self._loop.remove_reader(self._socket)
 
     def set_budget(self, budget: int) -> None:
-        """Change the budget of connections, and evict idle ones down to it."""
+        """Set the maximum number of open connections, and evict connections down to it where possible."""
         self.budget = budget
         while sum(not c.dropped for c in self.open) > budget and self._evict():
             pass
 
     async def adopt(self, fd: int, request: object) -> bool:
-        """Take over a connection with a pending request from another process; False if it has closed."""
+        """Take over a connection with a pending request from another process.
+
+        Returns False if the connection closes before its answer is started.
+        """
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
         try:
@@ -133,11 +139,11 @@
             connection.close_gracefully(CloseReason.SHUTDOWN)
 
     async def drain(self) -> None:
-        """Close idle connections, wait until busy ones are answered or ``DRAIN_TIMEOUT_S``, then `close`."""
+        """Close idle connections, wait for pending work up to ``DRAIN_TIMEOUT_S``, then `close`."""
         started = last_pending = self._loop.time()
         while True:
             if self._socket and self.accepting:
-                self._accept()  # a close resets what is in the kernel's queue
+                self._accept()  # closing the socket would reset the connections in the kernel's accept queue
             now = self._loop.time()
             for connection in list(self.open):
                 if connection.is_idle(now):
@@ -152,44 +158,44 @@
         self.close()
 
     def close_idle(self) -> None:
-        """Close idle connections of clients."""
+        """Close the idle connections of clients gracefully; those of workers stay open."""
         now = self._loop.time()
         for connection in list(self.open):
             connection.close_if_idle(now)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._socket and self.accepting:
             self._loop.add_reader(self._socket, self._accept)
 
-    def _pause(self) -> None:
-        """Leave new connections in the kernel's queue for ``ACCEPT_PAUSE_S``."""
+    def _pause_accepting(self) -> None:
+        """Leave new connections in the kernel's accept queue for ``ACCEPT_PAUSE_S``."""
         if self._socket:
             self._loop.remove_reader(self._socket)
-            self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
+            self._loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
     def _accept(self) -> None:
         assert self._socket
         for _ in range(ACCEPT_BATCH_CONNECTIONS):
             if len(self.open) + self._connecting >= self.budget:
-                # A dropped connection has its descriptor until the loop's next iteration.
+                # A dropped connection keeps its descriptor until the event loop's next iteration.
                 if not self._free_capacity():
-                    self._pause()
+                    self._pause_accepting()
                 return
             try:
                 sock, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as e:
-                # Out of descriptors in spite of the budget, or of memory. asyncio's own server would retry at
-                # once with a traceback for each connection of its backlog.
+                # The process is out of descriptors in spite of the budget, or out of memory. asyncio's own
+                # server would retry at once, and log a traceback for each connection of its backlog.
                 log.error("accept_failed", extra={"why": str(e), "open": len(self.open)})
                 self._free_capacity()
-                self._pause()
+                self._pause_accepting()
                 return
             self._connecting += 1
-            self.supervisor.spawn(self._admit(sock), "admit")
+            self.supervisor.spawn(self._connect_accepted(sock), "admit")
 
-    async def _admit(self, sock: socket.socket) -> None:
+    async def _connect_accepted(self, sock: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(self, sock)
         except OSError:
@@ -198,11 +204,14 @@
             self._connecting -= 1
 
     def _free_capacity(self) -> bool:
-        """Whether there will be a free descriptor in the loop's next iteration."""
+        """Evict connections; returns whether a descriptor becomes free in the event loop's next iteration."""
         return self._evict() or any(c.dropped for c in self.open)
 
     def _evict(self) -> bool:
-        """Drop the cheapest connections, at most a batch; False where none can be dropped now."""
+        """Drop up to ``ACCEPT_BATCH_CONNECTIONS`` of the cheapest connections; False if none can be dropped.
+
+        If only idle connections that have served requests are left, a single one is dropped.
+        """
         now = self._loop.time()
         ranked = [(rank, c) for c in self.open if (rank := c.eviction_rank(now)) is not None]
         ranked.sort(key=lambda pair: pair[0])
@@ -211,23 +220,23 @@
         if not evicted and not self._connecting and only_served:
             evicted = [
                 c for _, c in ranked[:1]
-            ]  # a connection that is being accepted may be silent and go first
+            ]  # only while none is being accepted, as such a connection may stay silent and is evicted first
         for connection in evicted:
             connection.drop()
         return bool(evicted)
 
 
 def inherit(fd: int) -> socket.socket:
-    """The listening socket that the platform owns: never bound, shut down or unlinked here."""
+    """Duplicate a listening socket that the platform owns; it is never bound, shut down or unlinked here."""
     sock = socket.socket(fileno=os.dup(fd))
     sock.setblocking(False)
     return sock
 
 
 def bind(address: Address, key: str) -> socket.socket:
-    """A listening socket of our own.
+    """Create a listening socket that this process owns.
 
-    Raises ConfigError, which names the setting ``key``, where the address can't be listened on.
+    Raises ConfigError, which names the setting ``key``, if the address can't be listened on.
     """
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     try:
