--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -1,4 +1,4 @@
-"""A probe is one GET /health; the module asks for none by itself, so no exchange shows it."""
+"""The endpoint's health check: one GET /health, which the exchange tests never trigger."""
 
 import asyncio
 
@@ -16,15 +16,15 @@
     "status, alive",
     [("200 OK", True), ("503 Service Unavailable", True), ("", False)],
 )
-def test_a_probe_tells_whether_the_endpoint_is_alive(status: str, alive: bool) -> None:
-    """One that drains says 503 and finishes what it has. Taken for dead, its jobs were moved and began anew:
-    169 times in 30 s of a fleet's release (join+vast)."""
+def test_health_check_reports_any_answer_as_alive(status: str, alive: bool) -> None:
+    """A draining worker answers 503 and finishes its jobs. When that counted as dead, its jobs were moved and
+    restarted, 169 times within 30 s of a release of the fleet (scenario join+vast)."""
 
-    async def probe() -> tuple[bytes, EndpointReport]:
-        asked: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+    async def check_health() -> tuple[bytes, EndpointReport]:
+        request_line: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
         async def worker(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.set_result(await reader.readline())
+            request_line.set_result(await reader.readline())
             if status:
                 writer.write(f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n".encode())
                 await writer.drain()
@@ -32,16 +32,18 @@
 
         server = await asyncio.start_server(worker, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        told: asyncio.Future[EndpointReport] = asyncio.get_running_loop().create_future()
+        report: asyncio.Future[EndpointReport] = asyncio.get_running_loop().create_future()
         destination = ListedEndpoint("s-1", f"{host}:{port}", "a", "b", 0, Lifecycle.ACTIVE, 1.0, 0)
         supervisor, metrics = Supervisor(), Metrics(())
-        endpoint = Endpoint(destination, supervisor, Clock(), 5_000_000, 15_000_000, metrics, told.set_result)
+        endpoint = Endpoint(
+            destination, supervisor, Clock(), 5_000_000, 15_000_000, metrics, report.set_result
+        )
         endpoint.start()
         endpoint.tell(CheckHealth())
-        found = await asked, await told
+        received = await request_line, await report
         await supervisor.close()
         await endpoint.close()
         server.close()
-        return found
+        return received
 
-    assert asyncio.run(probe()) == (b"GET /health HTTP/1.1\r\n", HealthCheckEnded("s-1", alive))
+    assert asyncio.run(check_health()) == (b"GET /health HTTP/1.1\r\n", HealthCheckEnded("s-1", alive))
