--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -214,7 +214,10 @@
 
     @property
     def settled(self) -> bool:
-        """Whether no request is pending, in part received or possibly in transit, and no response unsent."""
+        """Whether no request is pending, partially received or possibly in transit.
+
+        Responses that are not fully sent also count as pending.
+        """
         now = asyncio.get_running_loop().time()
         return not self.pending_count and not any(c.has_pending_work(now) for c in self._listener.open)
 
--- a/robinhill/net/workers/attempt.py
+++ b/robinhill/net/workers/attempt.py
@@ -17,7 +17,7 @@
     """The progress of an attempt's HTTP exchange."""
 
     CONNECTING = auto()  # no byte of the request is written
-    WRITTEN = auto()  # the request may be written, in part or completely
+    WRITE_STARTED = auto()  # the request may be written, in part or completely
     ACCEPTED = auto()  # the worker has answered 202
 
 
@@ -25,9 +25,9 @@
 class WorkerAttempt:
     """One attempt at a worker, from its start to its end or release.
 
-    Times are microseconds of the process's clock. The attempt expires at ``until_us``, the client's deadline
-    is ``deadline_us``, and no byte is written from ``write_until_us`` on or once ``wanted`` returns False,
-    which means that the client has disconnected.
+    Times are microseconds of the process's clock. The attempt expires at ``until_us``, and the client's
+    deadline is ``deadline_us``. No byte is written from ``write_until_us`` on, or once ``client_waiting``
+    returns False, which means that the client has disconnected or was answered.
     """
 
     job: int
@@ -37,7 +37,7 @@
     deadline_us: int
     sent_us: int
     write_until_us: int = 0
-    wanted: Callable[[], bool] = lambda: True
+    client_waiting: Callable[[], bool] = lambda: True
     phase: Phase = Phase.CONNECTING
     connection: "WorkerConnection | None" = None  # on which the request was written
     fully_written: bool = False
--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -135,7 +135,7 @@
             if not connection.reusable:  # also a new connection may have closed or received data by now
                 raise NotWrittenError(Outcome.CONNECT_FAILED)
             attempt.connection = connection
-            attempt.phase = Phase.WRITTEN
+            attempt.phase = Phase.WRITE_STARTED
             # The header is computed again, as the connect has used up some of the client's time.
             self.headers[protocol.TIMEOUT] = guard.timeout_header(attempt)
             guard.record_send(attempt)
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -124,7 +124,7 @@
         self.attempts: dict[str, WorkerAttempt] = {}
         # (request id, state) of the callbacks that ended an attempt here. A callback that repeats one of them
         # is a retransmission about the earlier attempt.
-        self.endings: dict[tuple[str, JobState], None] = {}
+        self.ending_callbacks: dict[tuple[str, JobState], None] = {}
         self.calls: set[asyncio.Task[None]] = set()  # running cancels and health checks
         self._handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
@@ -157,7 +157,7 @@
     def check_sendable(self, attempt: WorkerAttempt) -> None:
         """Raise NotWrittenError if the attempt, of which no byte is written, may not be sent now."""
         now, list_lease = self.clock.now_us(), self.policy.list_lease
-        if not attempt.wanted():
+        if not attempt.client_waiting():
             raise NotWrittenError(Outcome.NOT_SENT)
         if now >= attempt.until_us:
             raise NotWrittenError(Outcome.TIMEOUT)
@@ -208,7 +208,7 @@
             deadline_us=message.deadline_us,
             sent_us=self.clock.now_us(),
             write_until_us=message.write_until_us,
-            wanted=message.wanted,
+            client_waiting=message.client_waiting,
         )
         self.attempts[request.id] = attempt
         self._set_timer(attempt)
@@ -256,15 +256,15 @@
             outcome = _OUTCOMES[event.state]
             # A callback with the same id and state as an earlier attempt's may be a retransmission of that
             # callback. It does not prove that this attempt never ran.
-            if outcome.never_ran and (event.id, event.state) in self.endings:
+            if outcome.never_ran and (event.id, event.state) in self.ending_callbacks:
                 outcome = Outcome.RESET
             self._remember_ending(event.id, event.state)
             self._end(attempt, outcome)
 
     def _remember_ending(self, request_id: str, state: JobState) -> None:
-        self.endings[request_id, state] = None
-        if len(self.endings) > MAX_REMEMBERED_ENDINGS:
-            del self.endings[next(iter(self.endings))]
+        self.ending_callbacks[request_id, state] = None
+        if len(self.ending_callbacks) > MAX_REMEMBERED_ENDINGS:
+            del self.ending_callbacks[next(iter(self.ending_callbacks))]
 
     # Timeouts and cancels
 
@@ -313,7 +313,7 @@
         may overtake the job's POST; it is repeated after the close for that case. Without ``outcome``,
         nothing is reported.
         """
-        exchange, written = attempt.exchange, attempt.phase is Phase.WRITTEN
+        exchange, written = attempt.exchange, attempt.phase is Phase.WRITE_STARTED
         request_id = attempt.request.id
         answered = attempt.phase is Phase.CONNECTING or await self.client.cancel(request_id)
         if attempt.phase is not Phase.ACCEPTED and exchange and not exchange.done():
--- a/robinhill/net/workers/messages.py
+++ b/robinhill/net/workers/messages.py
@@ -17,8 +17,8 @@
     """Start an attempt.
 
     At ``until_us`` the attempt is cancelled at the worker; at the client's ``deadline_us`` it ends at the
-    latest. No byte is written from ``write_until_us`` on, or once ``wanted`` returns False, which means that
-    the client has disconnected.
+    latest. No byte is written from ``write_until_us`` on, or once ``client_waiting`` returns False, which
+    means that the client has disconnected or was answered.
     """
 
     job: int
@@ -27,7 +27,7 @@
     until_us: int
     deadline_us: int
     write_until_us: int
-    wanted: Callable[[], bool]
+    client_waiting: Callable[[], bool]
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_endings_workers.py
+++ b/tests/test_endings_workers.py
@@ -145,14 +145,16 @@
             self.reports.put_nowait,
         )  # fmt: skip
         self.endpoint.start()
-        self.wanted = True
+        self.client_waiting = True
 
     def dispatch(self, name: str, until_us: int = CLIENT_TIMEOUT_US, **changes: int) -> None:
         now = self.clock.now_us()
         limits = {"deadline_us": CLIENT_TIMEOUT_US, "write_until_us": CLIENT_TIMEOUT_US} | changes
         limits = {key: now + value for key, value in limits.items()}
-        wanted: Callable[[], bool] = lambda: self.wanted  # noqa: E731
-        self.endpoint.tell(StartAttempt(int(name[1:]), 0, job(name), now + until_us, wanted=wanted, **limits))
+        client_waiting: Callable[[], bool] = lambda: self.client_waiting  # noqa: E731
+        self.endpoint.tell(
+            StartAttempt(int(name[1:]), 0, job(name), now + until_us, client_waiting=client_waiting, **limits)
+        )
 
     async def ended_attempt(self) -> tuple[int, Outcome]:
         report = await self.reports.get()
@@ -209,7 +211,7 @@
             connects = HeldConnects()
             rig.dispatch("j1", until_us=2_000_000, write_until_us=1_000_000)
             await connects.started.wait()
-            rig.wanted = condition != "client"
+            rig.client_waiting = condition != "client"
             rig.clock.ahead_us = {"client": 0, "window": 1_000_001, "time": 2_000_001}[condition]
             connects.proceed.set()
             peer = await rig.worker.accept()
