--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -56,7 +56,7 @@
 
     LINGERING = 0  # its last response is written
     SILENT = 1  # no request has arrived
-    IDLE = 2  # between requests; so far the peer sent only readiness checks or malformed requests
+    IDLE = 2  # between requests, none of which was a job, a worker's callback or an operator's call
     TOO_YOUNG = 3  # a request or its response may be in transit
     IDLE_SERVED = 4  # between requests of a client or worker that would have to connect again
 
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -174,7 +174,7 @@
         )
 
     def _on_unchanged(self, is_first: bool) -> None:
-        """Handle an empty line, which confirms that the list is unchanged since ``version``.
+        """Handle an empty line, which confirms that the list is unchanged since ``version``, if there is one.
 
         The first line of a call is also reported as an empty list of changes, from which the dispatcher
         learns that discovery has answered.
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -122,8 +122,8 @@
             destination.instance_id, destination.host_port, connect_timeout_s, max_idle_s, metrics
         )
         self.attempts: dict[str, WorkerAttempt] = {}
-        # (request id, state) of the callbacks that ended an attempt here. A callback that repeats one of them
-        # is a retransmission about the earlier attempt.
+        # (request id, state) of the callbacks that ended an attempt here. A later callback with the same pair
+        # may be a retransmission about the earlier attempt.
         self.ending_callbacks: dict[tuple[str, JobState], None] = {}
         self.calls: set[asyncio.Task[None]] = set()  # running cancels and health checks
         self._handlers: dict[type, Callable[[Any], None]] = {
