--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -170,7 +170,7 @@
         self.report_list(EndpointListReceived(event, received_us=self.schedule.last_received_us))
         log.info(
             "endpoint_list_received",
-            extra={"generation": event.generation, "reset": event.reset, "count": len(event.destinations)},
+            extra={"generation": event.generation, "reset": event.reset, "count": len(event.endpoints)},
         )
 
     def _on_unchanged(self, is_first: bool) -> None:
