--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -78,7 +78,7 @@
         self.superseded = False  # another process accepts connections instead of this one
         self.pending: dict[Connection, _PendingRequest] = {}
         self.shutting_down = False  # each response closes its connection
-        self.closed_to_new = False  # new requests are rejected
+        self.rejects_new_requests = False  # new requests are rejected
         self.pending_count = 0
         self.none_pending = asyncio.Event()
         self.none_pending.set()
@@ -99,7 +99,7 @@
 
         Connections are drained first, unless requests are still pending.
         """
-        self.shutting_down = self.closed_to_new = True
+        self.shutting_down = self.rejects_new_requests = True
         if not self.pending_count:
             await self._listener.drain()
         self._listener.close()
@@ -167,7 +167,7 @@
             else None
         )
         connection_of(request).begin_answer(serves=True)
-        if self.closed_to_new:
+        if self.rejects_new_requests:
             settings = self.config.settings
             refusal = protocol.fail_fast(
                 min(SHUTDOWN_RETRY_AFTER_US, settings.max_retry_after_us) * settings.retry_after
@@ -213,7 +213,7 @@
             self._listener.accept(not superseded)
 
     @property
-    def settled(self) -> bool:
+    def is_quiescent(self) -> bool:
         """Whether no request is pending, partially received or possibly in transit.
 
         Responses that are not fully sent also count as pending.
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -226,7 +226,7 @@
         return bool(evicted)
 
 
-def inherit(fd: int) -> socket.socket:
+def duplicate_listening_socket(fd: int) -> socket.socket:
     """Duplicate a listening socket that the platform owns; it is never bound, shut down or unlinked here."""
     sock = socket.socket(fileno=os.dup(fd))
     sock.setblocking(False)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -530,10 +530,10 @@
         async with program() as (here, listen):
             sock = socket.create_connection((listen.host, listen.port))
             connection = await only(here.inbound._listener)
-            assert not here.inbound.settled
+            assert not here.inbound.is_quiescent
             connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
             here.inbound._listener.close_idle()
-            assert here.inbound.settled
+            assert here.inbound.is_quiescent
             sock.close()
 
     run(play)
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -613,7 +613,7 @@
             await old.start()
             client = await here.running(old, "j1")
             drain = asyncio.create_task(old.drain())
-            await until(lambda: old.inbound.closed_to_new)
+            await until(lambda: old.inbound.rejects_new_requests)
             relay = await here.relay()
             await relay.take_over()
             message, fd = await relay.adopt()
