--- a/robinhill/mesh/errors.py
+++ b/robinhill/mesh/errors.py
@@ -4,41 +4,50 @@
 
 
 class MeshError(RobinhillError):
-    """Replication with other schedulers failed."""
+    """Base class: replication with other schedulers failed."""
 
     code = "MeshError"
 
 
 class PeerRejected(MeshError):
-    """A peer was rejected: wrong installation or protocol, our own name, or a malformed message."""
+    """A peer belongs to another installation, has our own name, or sent an unsupported or malformed message.
+
+    The link to it is closed.
+    """
 
     code = "PeerRefused"
-    advice = "check that both name the same installation, that names differ and that versions are close"
+    advice = "check that both schedulers have the same installation, different names and compatible versions"
 
 
 class PeerUnreachable(MeshError):
-    """No link to a peer can be established."""
+    """The connection to a peer can't be established."""
 
     code = "PeerUnreachable"
-    advice = "look whether it runs and whether its address in the operators' file can be reached from here"
+    advice = "check that the peer runs and that its address in the operators' file can be reached from here"
 
 
 class ForeignState(MeshError):
-    """A record or file is of another installation, damaged or of an unreadable version; it is not used."""
+    """A record or file is damaged, has an unsupported version or belongs to another installation.
+
+    It is not used.
+    """
 
     code = "ForeignState"
-    advice = "nothing is lost that peers still hold; keep the file that was set aside for the developers"
+    advice = "records that peers still store are not lost; keep the quarantined file for the developers"
 
 
 class FutureStamp(MeshError):
-    """A record's timestamp is further in the future than clocks may differ; its effect is bounded."""
+    """A record's timestamp is further in the future than the clocks of two hosts may differ.
+
+    The record is rejected, or is stored with a limited effect (`clocks`).
+    """
 
     code = "FutureStamp"
-    advice = "set the clock of the host that is named, and start its scheduler again"
+    advice = "correct the clock of the host that is named, and restart its scheduler"
 
 
 class StateFull(MeshError):
-    """A kind of state is at its bound; a new record was rejected."""
+    """A kind of record has reached its maximum count or size; a new record was rejected."""
 
     code = "StateFull"
-    advice = "lift what is no longer needed, or raise the bound in the operators' file on all schedulers"
+    advice = "remove entries that are no longer needed, or raise the limit in the file of all schedulers"
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -1,6 +1,6 @@
-"""Settings of replication between schedulers, as the operators' file has them. Units are in the keys.
+"""Settings of replication between schedulers, as in the operators' file. The names of the keys end in units.
 
-The one module of the mesh that a scheduler without peers imports: it must stay small.
+This is the only module of the mesh that a scheduler without peers imports, so it must stay small.
 """
 
 from typing import Annotated, Literal
@@ -10,7 +10,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 HostPort = Annotated[str, Meta(max_length=128, pattern=r"^.+:[0-9]{1,5}$")]
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]{1,64}$")]
-MAX_FULL_MESH_PEERS = 16  # up to here every scheduler has a link to every other
+MAX_FULL_MESH_PEERS = 16  # with up to this many peers every scheduler has a link to every other
 MAX_PEERS = 999
 
 
@@ -23,18 +23,19 @@
 
 
 class MeshOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """Which schedulers replicate to each other, and how late a cordon may take effect. Off without ``peers``.
-
-    ``peers`` may include this scheduler, so that all use the same file. ``name`` defaults to the scheduler's
-    own, ``listen`` to its address among ``peers``. ``bound_ms``: how long after its acceptance a cordon may
-    be unknown to a dispatcher that still sends. ``on_lost``: what a scheduler without a lease does: continue
-    to ``serve``, or ``hold`` new work. ``catch_up_ms``: how long a scheduler that has just started waits for
-    state of its peers before it serves without. ``folder``: whether its own snapshot is saved in $TMPDIR.
-    ``gang_*``: headers by which jobs name their gang.
-
-    ``voters``: the control group, in place of ``peers`` (docs/control.md); ``regions``: all regions of the
-    installation and their zones, to validate locations; ``region`` and ``zone``: the location of this
-    scheduler; ``on_lost_by_kind``: overrides ``on_lost`` for records of a kind.
+    """Which schedulers replicate to each other, and how late a cordon may take effect.
+
+    Replication is disabled without ``peers``, which may include this scheduler, so that all schedulers can
+    use the same file. ``name`` defaults to the scheduler's name, ``listen`` to its address among ``peers``.
+    ``bound_ms``: the longest time after the acceptance of a cordon during which a dispatcher that does not
+    know it may still send. ``on_lost``: whether a scheduler without a lease continues to ``serve`` or holds
+    new work (``hold``). ``catch_up_ms``: how long a scheduler that has just started waits for the state of
+    its peers before it serves without that state. ``folder``: whether the scheduler saves a snapshot of its
+    copy in $TMPDIR. ``gang_*``: headers in which a job names its gang, the size of the gang and its index.
+
+    ``voters``: the control group, which replaces ``peers`` (docs/control.md). ``regions``: all regions of the
+    installation and their zones, to validate locations. ``region`` and ``zone``: the location of this
+    scheduler. ``on_lost_by_kind``: overrides ``on_lost`` for the kinds of records named.
     """
 
     installation: Name = "robinhill"
@@ -57,20 +58,21 @@
 
     def __post_init__(self) -> None:
         if len(self.peers) > MAX_PEERS:
-            raise ValueError(f"peers: at most {MAX_PEERS}")
+            raise ValueError(f"peers: {len(self.peers)} entries, at most {MAX_PEERS} are allowed")
         for key, address in (("listen", self.listen), *self.peers.items()):
             if address is not None and not 0 < int(address.rpartition(":")[2]) < 65536:
-                raise ValueError(f"{key}: the port of {address!r} lies outside 1 to 65535")
+                raise ValueError(f"{key}: the port of {address!r} is not in the range 1 to 65535")
 
     def others(self, own: str) -> dict[str, str]:
-        """The configured peers without the scheduler of this name."""
+        """Return the configured peers except the scheduler named ``own``, sorted by name."""
         return {name: self.peers[name] for name in sorted(self.peers) if name != own}
 
     @property
     def interval_us(self) -> int:
         """The interval between pings on a link.
 
-        Each link on the way adds at most one interval to the age of knowledge: one in a full mesh, at most
-        four among 200 schedulers. The rest of the bound is for network delay.
+        Each link on the path from one scheduler to another adds at most one interval to the age of what the
+        second knows about the first. A path has one link in a full mesh, and at most four among 200
+        schedulers. The rest of the bound is for network delay.
         """
         return self.bound_ms * 1000 // (3 if len(self.peers) <= MAX_FULL_MESH_PEERS else 6)
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -5,23 +5,22 @@
 from robinhill.mesh.errors import MeshError
 
 MAX_UNSETTLED_LISTS = 4
-"""Lists between a change and the moment when all know of it; more points to a loop in some script."""
+"""The most lists in force at a time: more changes in a row suggest that a script reconfigures in a loop."""
 
 
 class ListsUnsettled(MeshError):
-    """The list of schedulers was changed repeatedly before the previous change was known everywhere."""
+    """The list of schedulers was changed several times before all schedulers knew of the first change."""
 
     code = "ListsUnsettled"
-    advice = "give all schedulers the same list, and wait until none is named as having the old one"
+    advice = "give all schedulers the same list, and wait until none is reported with the old one"
 
 
 class Quorum:
-    """The lists in force: one, or several between a change and the moment when all know of it.
+    """The lists of schedulers in force: one, or several from a change until all schedulers know of it.
 
-    A majority is one in *every* list in force. A majority of the old list shares a member with one of both
-    lists, and one of both with one of the new list; one of the old and one of the new alone need not share
-    any. Source: joint consensus in Ongaro and Ousterhout, "In
-    search of an understandable consensus algorithm", 2014.
+    A quorum is a majority of *every* list in force. A majority of the old list alone need not share a member
+    with a majority of the new list alone, but each of them shares one with a majority of both lists. Source:
+    joint consensus in Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014.
     """
 
     def __init__(self, me: str, peers: Iterable[str]) -> None:
@@ -30,7 +29,7 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """All schedulers of all lists in force, ourselves included."""
+        """The schedulers of all lists in force, including this one."""
         return frozenset().union(*self._lists)
 
     @property
@@ -39,33 +38,41 @@
         return self._lists
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Require majorities of this list too. Raises ListsUnsettled at ``MAX_UNSETTLED_LISTS``."""
+        """Require a majority of this list too.
+
+        Raises ListsUnsettled if more than ``MAX_UNSETTLED_LISTS`` would be in force.
+        """
         new = frozenset(peers) | {self.me}
         if new == self._lists[-1]:
             return
         lists = (*(one for one in self._lists if one != new), new)
         if len(lists) > MAX_UNSETTLED_LISTS:
-            raise ListsUnsettled(f"{len(lists)} lists of schedulers are not settled")
+            raise ListsUnsettled(
+                f"{len(lists)} lists of schedulers would be in force, the limit is {MAX_UNSETTLED_LISTS}"
+            )
         self._lists = lists
 
     def settled(self) -> None:
-        """Only the newest list counts from now on.
+        """Drop all lists but the newest, so that majorities of the older ones are no longer needed.
 
-        Safe once no scheduler can act on a majority of an older list alone. That is so when the newest list,
-        spread as a record like any other, was accepted (`Acceptance`, under the lists of this object) longer
-        ago than the lease's bound: whoever sends or accepts later knows it and has called `reconfigure`.
+        This is safe once no scheduler can act on a majority of an older list alone. That holds when the
+        newest list, which spreads as a record like any other, was accepted (`Acceptance`, under the lists of
+        this object) longer ago than the bound of the lease: every scheduler that sends or accepts after that
+        knows the newest list and has called `reconfigure`.
         """
         self._lists = self._lists[-1:]
 
     def met(self, present: Collection[str]) -> bool:
-        """Whether these names are a majority of every list."""
+        """Whether the schedulers in ``present`` include a majority of every list in force."""
         return all(sum(name in present for name in one) >= majority(len(one)) for one in self._lists)
 
     def floor(self, moments: Mapping[str, int], mine: bool) -> int | None:
-        """The moment as of which a majority is known: the least of the lists' majority-th latest.
+        """Return the latest moment as of which a majority of every list is known.
 
-        ``moments``: those of other schedulers among `names`; ``mine``: whether we count ourselves, always as
-        of now. None if too few are known; `NOW` if we alone are a majority, so that no moment limits.
+        For one list this is the oldest moment of the majority with the most recent moments; for several
+        lists, the earliest of these. ``moments``: by name of another scheduler among `names`, the moment as
+        of which it is known. ``mine``: whether this scheduler counts towards the majorities too, as of now.
+        None if fewer than a majority are known; `NOW` if this scheduler alone is a majority.
         """
         floor = NOW
         for one in self._lists:
@@ -82,9 +89,9 @@
 
 
 NOW = 1 << 62
-"""A moment that never lies in the past."""
+"""Stands for the present in comparisons of moments: later than any time of the monotonic clock."""
 
 
-def majority(of: int) -> int:
-    """The smallest number such that any two groups of that size share a member."""
-    return of // 2 + 1
+def majority(size: int) -> int:
+    """Return the smallest size for which any two subsets of a group of ``size`` members share a member."""
+    return size // 2 + 1
