--- a/robinhill/mesh/acceptance.py
+++ b/robinhill/mesh/acceptance.py
@@ -1,5 +1,7 @@
-"""Which changes of this scheduler are confirmed by a majority, and which schedulers have not confirmed
-them."""
+"""Tracks which changes a majority of schedulers has confirmed, and which schedulers have not confirmed them.
+
+A change that a majority has confirmed is *accepted*.
+"""
 
 from dataclasses import dataclass, field
 
@@ -7,24 +9,25 @@
 from robinhill.mesh.records import Stamp
 
 MAX_TRACKED_CHANGES = 4_096
-"""Beyond it the oldest change is dropped and counts as not accepted; the operator may repeat the request."""
+"""Above this limit the oldest change is dropped and reported as not accepted; operators may repeat it."""
 
 
 @dataclass(slots=True)
 class _TrackedChange:
-    followed_us: int
-    confirmed_by: dict[str, int] = field(default_factory=dict)  # scheduler: its incarnation
+    tracked_since_us: int
+    confirmed_by: dict[str, int] = field(default_factory=dict)  # scheduler -> incarnation that confirmed
     accepted_us: int | None = None
 
 
 class Acceptance:
-    """Tracks changes until they are accepted; they stay accepted then.
-
-    A confirmation counts if its writer was caught up (`Freshness.caught_up`) *when it wrote it*: one that
-    stored the change before it caught up confirms again afterwards. It counts only until a newer incarnation
-    of its writer is known. Incarnations must therefore arrive before what was confirmed later: they spread as
-    records do, and a confirmation follows, on each link that relays it, everything that its writer knew.
-    The reasons for both are given in `freshness`.
+    """Counts the confirmations of changes. An accepted change stays accepted.
+
+    A confirmation counts if the scheduler that wrote it was caught up (`Freshness.caught_up`) *at that
+    moment*: a scheduler that stored the change before it caught up confirms the change again afterwards. The
+    confirmation counts only until a newer incarnation of that scheduler is known. The news of an incarnation
+    must therefore arrive before any confirmation that was written with knowledge of it. That is so because
+    incarnations spread like records, and each link that relays a confirmation first delivers everything that
+    its writer knew. The reasons for both rules are given in `freshness`.
     """
 
     def __init__(self, quorum: Quorum) -> None:
@@ -33,7 +36,10 @@
         self._incarnations: dict[str, int] = {}
 
     def follow(self, mono_us: int, stamp: Stamp) -> None:
-        """Track a change that was stored here; confirmed by ourselves too once we are caught up."""
+        """Track a change that this scheduler has stored.
+
+        The caller adds this scheduler's own confirmation with `confirmed`, once this scheduler is caught up.
+        """
         if stamp in self._changes:
             return
         while len(self._changes) >= MAX_TRACKED_CHANGES:
@@ -41,7 +47,10 @@
         self._changes[stamp] = _TrackedChange(mono_us)
 
     def started(self, peer: str, incarnation: int) -> None:
-        """An incarnation of a peer became known: confirmations of earlier ones no longer count."""
+        """Record an incarnation of a peer; confirmations by its earlier incarnations no longer count.
+
+        Changes that are accepted already stay accepted.
+        """
         if incarnation <= self._incarnations.get(peer, 0):
             return
         if peer not in self._quorum.names:
@@ -52,44 +61,52 @@
                 del change.confirmed_by[peer]
 
     def confirmed(self, mono_us: int, peer: str, incarnation: int, stamp: Stamp) -> bool:
-        """A caught-up peer has stored this change. True if it is accepted by that, for the first time."""
+        """Record that a caught-up scheduler has stored a change.
+
+        Returns whether the change has become accepted by this confirmation.
+        """
         change = self._changes.get(stamp)
-        return change is not None and self._count(mono_us, peer, incarnation, change)
+        return change is not None and self._add_confirmation(mono_us, peer, incarnation, change)
 
     def confirmed_through(self, mono_us: int, peer: str, incarnation: int, head: Stamp) -> list[Stamp]:
-        """A caught-up peer has stored all changes of ``head``'s origin and incarnation up to it.
+        """Record that a caught-up scheduler has stored all changes by ``head``'s origin up to ``head``.
 
-        Returns the changes that are accepted by that.
+        Changes by other incarnations of the origin are not included.
+        Returns the changes that have become accepted by this confirmation.
         """
         return [
             stamp
             for stamp, change in self._changes.items()
             if (stamp.origin, stamp.incarnation) == (head.origin, head.incarnation)
             and stamp <= head
-            and self._count(mono_us, peer, incarnation, change)
+            and self._add_confirmation(mono_us, peer, incarnation, change)
         ]
 
     def accepted_us(self, stamp: Stamp) -> int | None:
-        """When (monotonic) a change was accepted; None if it is not, or is not tracked."""
+        """Return when (monotonic) a change was accepted; None if it is not accepted or not tracked."""
         change = self._changes.get(stamp)
         return change.accepted_us if change is not None else None
 
     def unconfirmed(self, stamp: Stamp) -> list[str]:
-        """Names of who has not confirmed a change, sorted; all if it is not tracked."""
+        """Return the names of schedulers that have not confirmed a change, sorted; all if it is untracked."""
         change = self._changes.get(stamp)
         return sorted(self._quorum.names - (change.confirmed_by.keys() if change is not None else set()))
 
     def open_us(self, mono_us: int) -> int:
-        """For how long the oldest change has not been accepted; 0 if there is none."""
-        pending = [one for one in self._changes.values() if one.accepted_us is None]
-        return max((mono_us - one.followed_us for one in pending), default=0)
+        """Return how long the oldest unaccepted change has been tracked; 0 if all are accepted."""
+        pending = [change for change in self._changes.values() if change.accepted_us is None]
+        return max((mono_us - change.tracked_since_us for change in pending), default=0)
 
     def forget(self, stamp: Stamp) -> None:
         """Stop tracking a change."""
         self._changes.pop(stamp, None)
 
     def review(self, mono_us: int) -> list[Stamp]:
-        """The list of schedulers has changed: the changes that are accepted by that."""
+        """Re-evaluate all changes after the list of schedulers has changed.
+
+        Confirmations by schedulers that were removed are dropped. Returns the changes that have become
+        accepted.
+        """
         names = self._quorum.names
         for removed in self._incarnations.keys() - names:
             del self._incarnations[removed]
@@ -98,7 +115,7 @@
                 del change.confirmed_by[removed]
         return [stamp for stamp, change in self._changes.items() if self._accept(mono_us, change)]
 
-    def _count(self, mono_us: int, peer: str, incarnation: int, change: _TrackedChange) -> bool:
+    def _add_confirmation(self, mono_us: int, peer: str, incarnation: int, change: _TrackedChange) -> bool:
         if peer not in self._quorum.names or incarnation < self._incarnations.get(peer, 0):
             return False
         self.started(peer, incarnation)
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -1,7 +1,7 @@
-"""Acknowledgements: one record by each scheduler, with its incarnation and the changes that it has applied.
+"""Acknowledgements: one record for each scheduler, with its incarnation and the changes that it has applied.
 
-Only the scheduler of that name writes the record, so the merge rule is: the later incarnation wins, within
-one incarnation the larger sequence number.
+Only the scheduler itself writes its record. Two versions merge to the one with the larger incarnation, or
+within one incarnation to the one with the larger sequence number.
 """
 
 import hashlib
@@ -16,21 +16,22 @@
 VERSION = 1
 LIFETIME_US = 7 * 86_400_000_000  # longer than the repair of a scheduler takes
 REWRITE_INTERVAL_US = 86_400_000_000
-MAX_ACKNOWLEDGEMENTS = 4_096  # schedulers, with those of former names
-MAX_RECENT_CHANGES = 8  # named one by one; the digest of all changes covers the others
+MAX_ACKNOWLEDGEMENTS = 4_096  # one for each scheduler, including names that are no longer configured
+MAX_RECENT_CHANGES = 8  # listed one by one; the digest over all changes covers the others
 DIGEST_BYTES = 8
 MAX_BYTES = 4_096
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
-    """What one scheduler has applied. ``sequence`` counts its acknowledgements in this incarnation.
-
-    ``mode`` and ``bound_us``: its settings ``on_lost`` and ``bound_ms``. ``caught_up``: it counted for
-    majorities when it wrote this. ``serving``: it accepts clients. ``left``: its last acknowledgement,
-    written after its last send. ``names_digest``: digest of its list of schedulers. ``applied_digest``:
-    digest of all cordons that its dispatcher applies, after its last send to the workers concerned;
-    ``recent_digests``: the same by target, of the last changes. ``incarnations``: those of other schedulers
-    that it learned of last.
+    """The state that one scheduler has applied. ``sequence`` counts its acknowledgements in this incarnation.
+
+    ``mode`` and ``bound_us``: its settings ``on_lost`` and ``bound_ms``. ``caught_up``: whether it counted
+    towards majorities when it wrote the acknowledgement. ``serving``: whether it accepts clients. ``left``:
+    whether this is its last acknowledgement, written at shutdown after its last send. ``names_digest``:
+    digest of its list of schedulers. ``applied_digest``: digest of all cordons that its dispatcher applies;
+    the dispatcher sends nothing more to the workers concerned after that. ``recent_digests``: the digests of
+    the cordons that changed last, by target. ``incarnations``: the incarnations of other schedulers that it
+    learned of last.
     """
 
     version: int
@@ -52,33 +53,39 @@
 
 
 def merge(one: Acknowledgement, other: Acknowledgement) -> Acknowledgement:
-    """The later acknowledgement.
+    """Return the later of two acknowledgements of a scheduler.
 
-    Two with the same sequence number are of two processes with one name, or damaged: every copy then keeps
-    the same one of them.
+    Two that differ but have the same sequence number come from two processes with one name, or one is
+    damaged; comparing the encoded values makes every copy retain the same one.
     """
     return max(one, other, key=lambda each: (each.incarnation, each.sequence, encode(each)))
 
 
 def encode(acknowledgement: Acknowledgement) -> bytes:
-    """The value of the record."""
+    """Encode an acknowledgement as the value of a record."""
     return _encoder.encode(acknowledgement)
 
 
 def decode(data: bytes) -> Acknowledgement:
-    """A peer's acknowledgement; raises ForeignState if it is malformed or of another version."""
+    """Decode an acknowledgement. Raises ForeignState if it is malformed or has another version."""
     try:
         acknowledgement = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as e:
-        raise ForeignState(f"an acknowledgement can't be read: {e}") from e
+        raise ForeignState(f"an acknowledgement can't be decoded: {e}") from e
     version, in_bounds = acknowledgement.version, len(data) <= MAX_BYTES
     if version != VERSION or not in_bounds or acknowledgement.incarnation < 0 or acknowledgement.sequence < 0:
-        raise ForeignState(f"an acknowledgement is of version {version}, or out of bounds")
+        raise ForeignState(
+            f"an acknowledgement has version {version} (expected {VERSION}), {len(data)} bytes"
+            f" (at most {MAX_BYTES}), or a negative incarnation or sequence"
+        )
     return acknowledgement
 
 
 def acknowledgement_kind() -> Kind[Acknowledgement]:
-    """The kind, by name of the scheduler; the ones written longest ago are evicted first."""
+    """Return the kind of acknowledgement records, whose keys are the names of schedulers.
+
+    The records written longest ago are evicted first.
+    """
     return Kind(
         NAME, encode, decode, merge, LIFETIME_US, MAX_ACKNOWLEDGEMENTS,
         evict=lambda record: (record.stamp.wall_us, record.key),
@@ -86,7 +93,7 @@
 
 
 def digest(*parts: bytes) -> bytes:
-    """A digest of these parts, each with its length."""
+    """Return a digest over ``parts``, each preceded by its length."""
     hashed = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         hashed.update(len(part).to_bytes(4, "big") + part)
@@ -94,7 +101,7 @@
 
 
 def list_digest(names: Iterable[str]) -> bytes:
-    """The digest of the configured schedulers, to find those with another list."""
+    """Return a digest of the configured schedulers, by which schedulers with another list are detected."""
     return digest(*(name.encode() for name in sorted(names)))
 
 
@@ -106,25 +113,25 @@
         self._combined = 0
 
     def put(self, key: str, value: bytes) -> bytes:
-        """Apply a value; its digest."""
+        """Store the digest of a value that was applied, and return it."""
         new = digest(key.encode(), value)
         self._combined ^= int.from_bytes(new, "big") ^ int.from_bytes(self._by_key.get(key, b""), "big")
         self._by_key[key] = new
         return new
 
     def drop(self, key: str) -> None:
-        """The record of this key has expired."""
+        """Remove the digest of an expired record; unknown keys are ignored."""
         self._combined ^= int.from_bytes(self._by_key.pop(key, b""), "big")
 
     def keys(self) -> tuple[str, ...]:
-        """All keys."""
+        """Return the keys of all applied values."""
         return tuple(self._by_key)
 
     def get(self, key: str) -> bytes | None:
-        """The digest of one value."""
+        """Return the digest of the value of ``key``; None if there is none."""
         return self._by_key.get(key)
 
     @property
     def combined(self) -> bytes:
-        """The digest over all values, whatever their order."""
+        """The digest over all values; it does not depend on the order in which they were applied."""
         return self._combined.to_bytes(DIGEST_BYTES, "big")
