--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -1,8 +1,9 @@
-"""Anti-entropy over one link: rounds that find which records the peer lacks, by digests of ranges.
+"""Anti-entropy over one link: rounds that compare digests of ranges to find which records the peer lacks.
 
-One side opens rounds, the other answers. Each then has both vectors of digests and knows which ranges differ;
-it writes the record versions of those, and finds by the peer's versions which records the peer lacks. What is
-lacking is only listed here (``pending``); the session pushes it.
+One side opens each round with its range digests, and the other side answers with its own. Each side then
+knows which ranges differ, sends the versions of its records in those ranges, and compares the versions of the
+peer with its own to find which records the peer lacks. Those records are only listed here (``pending``); the
+session pushes them.
 """
 
 from collections.abc import Sequence
@@ -19,32 +20,32 @@
 )
 from robinhill.mesh.records import Record, RecordName
 
-MAX_VERSIONS_PER_PART = 512  # parts are added to a frame until it has this many: some 20 kB
+MAX_VERSIONS_PER_PART = 512  # a frame with this many, some 20 kB, gets no further part either
 MAX_PARTS_PER_RANGE = 4096
-ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the next
-RESEND_TIMEOUT_US = 300_000  # without a frame of the current round; doubled with each request
+ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the start of the next
+RESEND_TIMEOUT_US = 300_000  # without a frame of the current round; doubled with each resend request
 MAX_RESEND_TIMEOUT_US = 5_000_000
-MAX_CLOCK_DIFFERENCE_US = 5_000_000  # of an opener, beyond which the answer's digests are of our own time
+MAX_CLOCK_DIFFERENCE_US = 5_000_000  # if the opener's clock differs by more, the answer is as of our own time
 DIGEST_BYTES = 8
 
 
 class DigestSource(Protocol):
-    """What anti-entropy needs of the replica."""
+    """The part of the replica's interface that anti-entropy uses."""
 
     def ranges(self, now_us: int) -> Sequence[int]:
-        """The digests of all ranges as of ``now_us`` (Unix time)."""
+        """Return the digests of all ranges as of ``now_us`` (Unix time)."""
         ...
 
     def in_range(self, index: int) -> list[Record]:
-        """The records of one range."""
+        """Return the records of one range."""
         ...
 
 
 class AntiEntropy:
-    """The rounds of one link. ``opens``: whether this side opens them.
+    """The anti-entropy rounds of one link. ``opens``: whether this side opens them.
 
-    ``rounds``: how many are complete; ``differing``: ranges that differed in the last one; ``pending``:
-    records that the peer was found to lack, in order.
+    ``rounds``: the number of completed rounds. ``differing``: the number of ranges that differed in the last
+    round. ``pending``: records that the peer was found to lack, in the order in which they were found.
     """
 
     def __init__(self, store: DigestSource, opens: bool) -> None:
@@ -62,17 +63,17 @@
         self._ranges_to_send: list[int] = []
         self._parts_to_send: list[RangePart] = []
         self._awaited: set[int] = set()
-        self._received_parts: dict[int, dict[int, RangePart]] = {}  # of ranges received in part
+        self._received_parts: dict[int, dict[int, RangePart]] = {}  # by range and part, of incomplete ranges
         self._due_us = 0
         self._timeout_us = RESEND_TIMEOUT_US
 
     @property
     def next_us(self) -> int | None:
-        """When `tick` is due (monotonic); None: not before a frame is received."""
+        """When `tick` is due (monotonic); None if nothing is due before the next frame is received."""
         return self._due_us if self._in_progress or self.opens else None
 
     def tick(self, now_us: int, mono_us: int) -> None:
-        """Open a round if it is due, or request again what the current one still awaits."""
+        """Open a round if one is due, or request the versions that the current round still awaits again."""
         if mono_us < self._due_us:
             return
         if self._awaited:
@@ -83,15 +84,21 @@
             self._begin(now_us, mono_us, self._round + 1)
 
     def resend_requested(self, frame: VersionsResendRequest) -> None:
-        """The peer did not receive the versions of these ranges."""
+        """Schedule the versions of the requested ranges to be sent again; the peer did not receive them."""
         if frame.round == self._round:
             requested = {i for i in frame.indices if i in self._differing}
             self._ranges_to_send = sorted(requested | set(self._ranges_to_send))
 
     def digests_received(self, now_us: int, mono_us: int, frame: RangeDigests) -> None:
-        """Compare the peer's digests with ours; the first frame of a round. Raises PeerRejected."""
+        """Compare the peer's digests with ours. They are the first frame of a round in each direction.
+
+        Raises PeerRejected if the frame is malformed, or if both sides open rounds or both answer.
+        """
         if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
-            raise PeerRejected("digests of 256 ranges were awaited from the side that opens, or answers")
+            raise PeerRejected(
+                f"expected the digests of {RANGES} ranges in {RANGES * DIGEST_BYTES} bytes with"
+                f" answers={self.opens}, received {len(frame.digests)} bytes with answers={frame.answers}"
+            )
         if frame.answers:
             if frame.round != self._round or self._digests_received:
                 return  # late or duplicated
@@ -107,7 +114,10 @@
         self._progress(mono_us)
 
     def versions_received(self, mono_us: int, frame: RecordVersions) -> None:
-        """Note which records of the ranges in ``frame`` the peer lacks."""
+        """Add the records that the peer lacks, by the versions in ``frame``, to ``pending``.
+
+        Frames of other rounds are ignored.
+        """
         if not self._digests_received or frame.round != self._round:
             return
         for part in frame.parts:
@@ -116,7 +126,7 @@
         self._progress(mono_us)
 
     def draw(self) -> RangeDigests | VersionsResendRequest | RecordVersions | None:
-        """The next frame to write; None: nothing at the moment."""
+        """Return the next frame to write; None if there is nothing to write at the moment."""
         if self._to_send:
             return self._to_send.pop()
         parts: list[RangePart] = []
@@ -142,12 +152,12 @@
         return [i for i, their in enumerate(theirs) if int.from_bytes(their, "big") != self._own_digests[i]]
 
     def _add_part(self, part: RangePart) -> None:
-        """Keep a part, and once its range is complete list what the peer lacks of it."""
+        """Store a part; once its range is complete, add the records that the peer lacks to ``pending``."""
         parts = self._received_parts.setdefault(part.index, {})
         parts[part.part] = part
         if len(parts) < part.parts:
             return
-        theirs = {(kind, key): digest for one in parts.values() for kind, key, digest in one.versions}
+        theirs = {(kind, key): digest for part in parts.values() for kind, key, digest in part.versions}
         for record in self.store.in_range(part.index):
             if theirs.get(record.name) != record_digest(record):
                 self.pending[record.name] = None
@@ -155,7 +165,7 @@
         self._awaited.discard(part.index)
 
     def _progress(self, mono_us: int) -> None:
-        """A frame of the round was received: reset the timeout, or end the round if nothing is awaited."""
+        """Reset the resend timeout after a frame of the round; end the round if nothing more is awaited."""
         if not self._in_progress:
             return
         self._timeout_us = RESEND_TIMEOUT_US
@@ -167,7 +177,7 @@
         self._due_us = mono_us + ROUND_INTERVAL_US
 
     def _split(self, index: int) -> list[RangePart]:
-        """The versions of one range, in parts."""
+        """Return the versions of our records in one range, split into parts."""
         versions = [(*record.name, record_digest(record)) for record in self.store.in_range(index)]
         starts = range(0, max(1, len(versions)), MAX_VERSIONS_PER_PART)
         return [
--- a/robinhill/mesh/change_log.py
+++ b/robinhill/mesh/change_log.py
@@ -1,4 +1,4 @@
-"""The order of changes of a copy, by numbers that serve as cursors."""
+"""The changes of a copy in order. Each has a number, which readers use as a cursor."""
 
 from bisect import bisect_right
 from collections.abc import Iterator
@@ -8,28 +8,32 @@
 
 
 class ChangeLog:
-    """Stored records by their last change. ``head``: the number of the latest change."""
+    """Stored records in the order of their last changes. ``head``: the number of the latest change."""
 
     def __init__(self) -> None:
         self.head = 0
-        self._entries: list[StoredRecord] = []  # an entry is live while its number is the record's
+        # An entry is live while its number equals the record's ``change_number``, and stale afterwards.
+        self._entries: list[StoredRecord] = []
         self._numbers: list[int] = []
 
     def append(self, stored: StoredRecord, live_records: int) -> None:
-        """A record has changed; ``live_records``: how many the copy stores."""
+        """Give a changed record the next number. ``live_records``: the number of records in the copy.
+
+        Stale entries are removed once they outnumber the live ones by more than ``STALE_ENTRIES``.
+        """
         self.head += 1
         stored.change_number = self.head
         self._entries.append(stored)
         self._numbers.append(self.head)
         if len(self._entries) > 2 * live_records + STALE_ENTRIES:
             self._entries = self._live()
-            self._numbers = [one.change_number for one in self._entries]
+            self._numbers = [stored.change_number for stored in self._entries]
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """At most ``limit`` records that changed after ``cursor``, and the cursor to go on from.
+        """Return at most ``limit`` records that changed after ``cursor``, and the cursor for the next call.
 
-        Oldest change first, each record once as it is now. 0 is before every change, and so is a cursor that
-        this process never gave out.
+        The records are in the order of their last changes, each one once and in its present form. A cursor of
+        0, or one above ``head``, which this process has not issued, returns records from the first change on.
         """
         at = bisect_right(self._numbers, cursor) if cursor <= self.head else 0
         found: list[Record] = []
@@ -41,9 +45,9 @@
         return found, self.head if at == len(self._entries) else cursor
 
     def records(self) -> Iterator[StoredRecord]:
-        """All stored records, oldest change first; without those dropped while iterating."""
-        return (one for one in self._live() if one.change_number >= 0)
+        """Iterate over all stored records, oldest change first, skipping those dropped in the meantime."""
+        return (stored for stored in self._live() if stored.change_number >= 0)
 
     def _live(self) -> list[StoredRecord]:
         pairs = zip(self._entries, self._numbers, strict=True)
-        return [one for one, number in pairs if one.change_number == number]
+        return [stored for stored, number in pairs if stored.change_number == number]
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -1,7 +1,7 @@
 """Receive and send window of a link: which pushes were received, and which are written but not confirmed.
 
-Only push numbers and record names are kept, in bounded memory; a lost push is written again with the newest
-values of its records.
+The windows store push numbers and record names only, in bounded memory. A lost push is replaced by a new one
+with the newest values of its records.
 """
 
 from collections.abc import Iterable
@@ -10,19 +10,22 @@
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import RecordName
 
-WINDOW = 64  # unconfirmed pushes; further changes wait in the replica
+WINDOW = 64  # unconfirmed pushes in flight; further changes stay in the replica until one is confirmed
 MAX_RESEND_NUMBERS = 64  # lost pushes requested in one frame
 
 
 class ReceiveWindow:
-    """Numbers of the pushes that were received. All up to ``low`` were."""
+    """The numbers of the pushes that were received. ``low``: every push up to this number was received."""
 
     def __init__(self) -> None:
         self.low = 0
         self._beyond: set[int] = set()
 
     def received(self, number: int, replaces: Iterable[int]) -> None:
-        """Record a push and those that it replaces. Raises PeerRejected if the peer ignores the window."""
+        """Record the number of a push and those of the lost pushes that it replaces.
+
+        Raises PeerRejected if the peer ignores its send window.
+        """
         for each in (number, *replaces):
             if each > self.low:
                 self._beyond.add(each)
@@ -30,17 +33,23 @@
             self.low += 1
             self._beyond.discard(self.low)
         if len(self._beyond) > 4 * WINDOW:
-            raise PeerRejected("it writes on past pushes that were never confirmed")
+            raise PeerRejected(
+                f"the peer ignores its send window: {len(self._beyond)} pushes after push {self.low + 1},"
+                " which was not received"
+            )
 
     def missing(self, up_to: int) -> tuple[int, ...]:
-        """The first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
+        """Return the first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
         last = min(up_to, self.low + 4 * WINDOW)
         return tuple(n for n in range(self.low + 1, last + 1) if n not in self._beyond)[:MAX_RESEND_NUMBERS]
 
 
 @dataclass(slots=True, frozen=True)
 class SentPush:
-    """A push that was written: its records, the sender's cursor before it, the lost pushes it replaces."""
+    """A push that was written: the names of its records, and the numbers of the lost pushes it replaces.
+
+    ``cursor_before``: the sender's cursor in the change log before this push.
+    """
 
     names: tuple[RecordName, ...]
     cursor_before: int
@@ -48,7 +57,7 @@
 
 
 class SendWindow:
-    """Pushes that are written and not confirmed. ``last``: the number of the latest push."""
+    """The pushes that are written and not confirmed. ``last``: the number of the latest push."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -62,7 +71,7 @@
 
     @property
     def unconfirmed(self) -> int:
-        """How many pushes are not confirmed."""
+        """The number of pushes that are not confirmed."""
         return len(self._unconfirmed)
 
     def add(self, push: SentPush) -> int:
@@ -72,11 +81,11 @@
         return self.last
 
     def mark_lost(self, numbers: Iterable[int]) -> None:
-        """The peer did not receive these; unknown numbers are ignored."""
+        """Schedule pushes that the peer did not receive to be replaced; unknown numbers are ignored."""
         self._to_resend.update((n, None) for n in numbers if n in self._unconfirmed)
 
     def next_lost(self) -> SentPush | None:
-        """Remove a lost push and return the one to write in its place."""
+        """Remove a lost push and return the push that replaces it; None if no push is lost."""
         while self._to_resend:
             number = next(iter(self._to_resend))
             del self._to_resend[number]
@@ -85,10 +94,13 @@
         return None
 
     def confirm(self, low: int) -> None:
-        """The peer has all pushes up to ``low``; higher numbers than the last are ignored."""
+        """Remove all pushes up to ``low``, which the peer has received."""
         for number in [n for n in self._unconfirmed if n <= low]:
             del self._unconfirmed[number]
 
     def confirmed_cursor(self, cursor: int) -> int:
-        """Up to which change the peer has everything, where ``cursor`` is the sender's."""
+        """Return the change number up to which the peer has received all changes.
+
+        ``cursor``: the sender's cursor, which is the result if no push is unconfirmed.
+        """
         return min((push.cursor_before for push in self._unconfirmed.values()), default=cursor)
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -1,8 +1,9 @@
-"""Digests of a copy: one for each of 256 ranges by the hash of a record's name, updated with each change.
+"""Digests of a copy: one for each of 256 ranges of records, updated with each change.
 
-A range's digest is the sum, modulo 2**64, of the hashes of its records with stamp, end and value. So a change
-costs one hash, the order of changes does not matter, and equal copies have equal digests. Two copies that
-differ have equal digests of a range with probability 2**-64; this protects against loss, not against malice.
+The hash of its name assigns a record to a range. The digest of a range is the sum, modulo 2**64, of hashes
+that cover the name, stamp, expiry time and value of its records. So a change costs one hash, the order of
+changes does not matter, and equal copies have equal digests. Two copies that differ in a range have equal
+digests of it with probability 2**-64. This detects lost records; it does not protect against an attacker.
 """
 
 import struct
@@ -21,27 +22,27 @@
 
 
 def range_of(kind: str, key: str) -> int:
-    """The range of a name: 0 to ``RANGES`` - 1, the same in every process."""
+    """Return the range of a record's name: 0 to ``RANGES`` - 1, the same in every process."""
     return blake2b(f"{kind}\0{key}".encode(), digest_size=1).digest()[0]
 
 
 def hash_of(record: Record) -> int:
-    """The hash of a record, of 64 bits."""
+    """Return a 64-bit hash of a record with its stamp, expiry time and value."""
     return int.from_bytes(blake2b(_encode(record), digest_size=8).digest(), "little")
 
 
 class RangeSums:
-    """The digests of all ranges."""
+    """The digests of all ranges, as sums of record hashes."""
 
     def __init__(self) -> None:
         self._sums = [0] * RANGES
 
     def change(self, index: int, old_hash: int, new_hash: int) -> None:
-        """In range ``index`` a record with ``old_hash`` was replaced by one with ``new_hash``; 0 for none."""
+        """Replace a record's hash in range ``index``; 0 stands for no record before or after the change."""
         self._sums[index] = (self._sums[index] - old_hash + new_hash) % _MODULUS
 
     def without(self, hashes: Iterable[tuple[int, int]]) -> tuple[int, ...]:
-        """The digests as if the records of these ranges and hashes were not stored."""
+        """Return the digests without the records in ``hashes``, each given by its range and hash."""
         sums = self._sums.copy()
         for index, value in hashes:
             sums[index] = (sums[index] - value) % _MODULUS
@@ -49,12 +50,15 @@
 
 
 def digest_of(ranges: Sequence[int]) -> bytes:
-    """One digest of 16 bytes over all ranges."""
+    """Return one digest of 16 bytes over the digests of all ranges."""
     return blake2b(_PACK.pack(*ranges), digest_size=16).digest()
 
 
 def differing(ours: Sequence[int], theirs: Sequence[int]) -> list[int]:
-    """The ranges in which two copies differ. Raises ForeignState if a peer has another number of ranges."""
+    """Return the ranges in which two copies differ.
+
+    Raises ForeignState if the peer has another number of ranges.
+    """
     if len(theirs) != RANGES:
-        raise ForeignState(f"a peer sent digests of {len(theirs)} ranges, here are {RANGES}")
+        raise ForeignState(f"a peer sent digests of {len(theirs)} ranges, expected {RANGES}")
     return [index for index, (our, their) in enumerate(zip(ours, theirs, strict=True)) if our != their]
--- a/robinhill/mesh/expiry_index.py
+++ b/robinhill/mesh/expiry_index.py
@@ -1,7 +1,8 @@
-"""Which stored records expire when, by spans of time: at the end of a span its records leave all digests.
+"""Index of stored records by the span of time in which they expire.
 
-A record stays stored for ``AHEAD_US`` after its span, so that copies whose clocks differ by less agree on the
-digests as of any time.
+At the end of a span the records that expire in it stop counting in digests, on all copies at once. They stay
+stored for another ``AHEAD_US``, so that copies whose clocks differ by less compute the same digests as of any
+time.
 """
 
 import heapq
@@ -9,16 +10,16 @@
 from robinhill.mesh.clocks import AHEAD_US
 from robinhill.mesh.record_table import STALE_ENTRIES, StoredRecord
 
-SPAN_US = 10_000_000  # long next to the time between digests, short next to all lifetimes
+SPAN_US = 10_000_000  # long compared with the interval between digests, short compared with all lifetimes
 
 
 def span_of(us: int) -> int:
-    """The span at whose end a record that expires at ``us`` leaves the digests."""
+    """Return the span at whose end a record that expires at ``us`` stops counting in digests."""
     return -(-us // SPAN_US)
 
 
 def is_forgotten(now_us: int, until_us: int) -> bool:
-    """Whether a record that expires at ``until_us`` need not be stored any more."""
+    """Whether a record that expires at ``until_us`` no longer needs to be stored."""
     return span_of(until_us) * SPAN_US + AHEAD_US <= now_us
 
 
@@ -30,25 +31,26 @@
         self._heap: list[int] = []
 
     def add(self, stored: StoredRecord) -> None:
-        """Index a record by its present end."""
+        """Add a record under its present expiry time."""
         stored.expiry_span = span_of(stored.record.until_us)
-        members = self._by_span.get(stored.expiry_span)
-        if members is None:
-            members = self._by_span[stored.expiry_span] = {}
+        records = self._by_span.get(stored.expiry_span)
+        if records is None:
+            records = self._by_span[stored.expiry_span] = {}
             heapq.heappush(self._heap, stored.expiry_span)
-            if len(self._heap) > 2 * len(self._by_span) + STALE_ENTRIES:  # spans that became empty early
+            # Rebuild the heap when too many of its spans have become empty before they ended.
+            if len(self._heap) > 2 * len(self._by_span) + STALE_ENTRIES:
                 self._heap = sorted(self._by_span)
-        members[stored] = None
+        records[stored] = None
 
     def remove(self, stored: StoredRecord) -> None:
-        """Remove a record, before it is dropped or changed."""
-        members = self._by_span[stored.expiry_span]
-        del members[stored]
-        if not members:
+        """Remove a record from the index. To be called before the record is dropped or changed."""
+        records = self._by_span[stored.expiry_span]
+        del records[stored]
+        if not records:
             del self._by_span[stored.expiry_span]
 
     def next_forgotten(self, now_us: int) -> StoredRecord | None:
-        """A record that need not be stored any more; None if there is none."""
+        """Return a record that no longer needs to be stored; None if there is none."""
         while self._heap:
             span = self._heap[0]
             if span * SPAN_US + AHEAD_US > now_us:
@@ -59,15 +61,18 @@
         return None
 
     def expired(self, span: int) -> list[tuple[int, int]]:
-        """Range and hash of the records that left the digests with this span or before."""
+        """Return range and hash of the records that stopped counting in digests with this span or earlier."""
         return [
             (stored.range_index, stored.hash) for end in self._until(span) for stored in self._by_span[end]
         ]
 
     def _until(self, span: int) -> set[int]:
-        """The spans up to this one that are not empty: a walk down the heap as far as it is due."""
+        """Return the spans up to ``span`` that are not empty.
+
+        Visits only heap entries up to ``span``: every entry below a later one is later too.
+        """
         found: set[int] = set()
-        to_visit = [0]
+        to_visit = [0]  # heap positions; the children of position ``at`` are 2 * at + 1 and 2 * at + 2
         while to_visit:
             at = to_visit.pop()
             if at < len(self._heap) and self._heap[at] <= span:
