--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -4,21 +4,23 @@
 protocol", 2002. Suspicion that shortens with independent reporters, and informing the suspect first, are from
 Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018.
 
-- Each period one member is pinged, in an order shuffled for each round. Without an ack in time a few others
-  are asked for an indirect ping; only if no ack arrives through them either is the member *suspect*. So one
-  bad link makes nobody suspect.
-- A suspect that learns of it refutes: it raises the refutations of its incarnation, and that update wins over
-  the suspicion. One that does not in time is *dead*, once we have pinged it ourselves. While something is
-  received from a suspect itself, it is not dead, whatever others report.
-- Dead members are pinged now and then, so that the two sides of a partition find each other again; a member
-  that returns refutes. A restart has a larger incarnation, which wins over all before. A member reports
-  itself as *left* at a graceful shutdown; only a new incarnation changes that.
-- After a pause of this process (stopped, or its host asleep) every deadline moves by the time missed, as acks
-  may lie unread. `ProcessPaused` is then the first action.
-
-Members are configured; gossip about other names is ignored. Leases do not depend on any of this: a member may
-be dead here and count for majorities there, or the reverse. No I/O: the owner carries out the actions
-returned.
+- Each period one member is pinged, in an order that is shuffled for each round. If its ack does not arrive in
+  time, a few other members are asked for an indirect ping. The member becomes *suspect* only if no ack
+  arrives through them either, so one bad link does not make a member suspect.
+- A suspect that is informed of the suspicion refutes it: it increments the refutation count of its
+  incarnation, and that update wins over the suspicion. A suspect that does not refute in time is *dead*, once
+  this scheduler has pinged it itself. While this scheduler receives anything from a suspect directly, the
+  suspect does not become dead, whatever other members report.
+- Dead members are still pinged, at a lower rate, so that the two sides of a partition find each other again;
+  a member that returns refutes. A restarted member has a larger incarnation, which wins over all updates on
+  earlier ones. A member reports itself as *left* at a graceful shutdown; only a new incarnation changes that.
+- After a pause of this process (stopped, or its host suspended) every deadline is postponed by the duration
+  of the pause, as acks may have arrived that the process has not read. `ProcessPaused` is then the first
+  action.
+
+Members are configured; gossip about other names is ignored. Leases do not depend on the failure detector: a
+member may be dead here and still count towards the majority of a lease, or the reverse. No I/O: the owner
+carries out the actions returned.
 """
 
 import random
@@ -38,14 +40,16 @@
     PingRequest,
 )
 
-MAX_PEERS = 1_024  # above it, the configured list is a mistake
+MAX_PEERS = 1_024  # a configured list that is longer is taken for a mistake
 
 
 class FailureDetector:
-    """The members as this scheduler sees them. Feed it ticks and received messages; carry out its actions.
+    """The failure detector of one scheduler and its view of the members.
 
-    ``peers``: name and address of each configured scheduler; ``me`` may be among them. ``common_partners``:
-    members with a link to both us and a peer (`overlay.common`), preferred for indirect pings.
+    The owner calls `tick` regularly and `handle` for each received message, and carries out the actions that
+    they return. ``peers``: name and address of each configured scheduler; ``me`` may be among them.
+    ``common_partners``: returns the members with a link to both this scheduler and a peer (`overlay.common`),
+    which are preferred for indirect pings.
     """
 
     def __init__(
@@ -75,37 +79,37 @@
     # Queries
 
     def states(self) -> dict[str, MemberState]:
-        """The state of each peer; dead also if nothing was received from or about it yet."""
+        """Return the state of each peer. A peer is dead until something was received from or about it."""
         return {name: member.state for name, member in self.table.members.items()}
 
     def alive(self) -> list[str]:
-        """Peers that are alive or only suspect, sorted."""
-        return [name for name, one in self.table.members.items() if one.state <= MemberState.SUSPECT]
+        """Return the names of the peers that are alive or suspect, sorted."""
+        return [name for name, member in self.table.members.items() if member.state <= MemberState.SUSPECT]
 
     def state(self, peer: str) -> MemberState | None:
-        """The state of one peer; None if it is not configured."""
+        """Return the state of one peer; None if it is not configured."""
         member = self.table.members.get(peer)
         return None if member is None else member.state
 
     def incarnation_of(self, peer: str) -> int:
-        """The newest known incarnation of a peer, 0 if none."""
+        """Return the newest known incarnation of a peer; 0 if none is known."""
         member = self.table.members.get(peer)
         return 0 if member is None else member.incarnation
 
     def last_received_us(self, peer: str) -> int | None:
-        """When (monotonic) something was last received from this peer itself."""
+        """Return when (monotonic) something was last received from this peer directly; None if never."""
         member = self.table.members.get(peer)
         return None if member is None else member.last_received_us
 
     # Events
 
     def reload(self, peers: Mapping[str, str]) -> None:
-        """Use a new list of peers. Those that stay keep their state; new ones are pinged before all others.
+        """Use a new list of peers. Peers of both lists keep their state; new ones are pinged first.
 
-        Raises ValueError above `MAX_PEERS`.
+        Raises ValueError if there are more than `MAX_PEERS`.
         """
         if len(peers) > MAX_PEERS:
-            raise ValueError(f"{len(peers)} peers are more than {MAX_PEERS}")
+            raise ValueError(f"{len(peers)} peers are configured, more than the limit of {MAX_PEERS}")
         self.addresses = dict(peers)
         new = self.table.reload(peers)
         self._in_flight.reload(self.table.members)
@@ -114,19 +118,25 @@
         self._dead_round.reload(self.table.members, first=[])
 
     def tick(self, mono_us: int) -> list[Action]:
-        """Act on what is due; to be called about ten times a second. Returns what to do, a pause first."""
+        """Expire pings and suspicions and send the next ping. To be called about ten times a second.
+
+        Returns the actions to carry out, `ProcessPaused` first.
+        """
         self._detect_pause(mono_us)
         self._expire_pings(mono_us)
         self._review_suspects(mono_us)
         if mono_us >= self._next_ping_us:
-            # A late tick must not be followed by pings in a burst.
+            # Without the lower limit, a late tick would be followed by a burst of pings.
             half_us = self.options.period_us // 2
             self._next_ping_us = max(self._next_ping_us + self.options.period_us, mono_us + half_us)
             self._ping_next(mono_us)
         return self._take_actions()
 
     def handle(self, mono_us: int, message: Message) -> list[Action]:
-        """Process a message; the caller has verified ``sender``. Returns what to do, a pause first."""
+        """Process a message whose ``sender`` the caller has verified.
+
+        Returns the actions to carry out, `ProcessPaused` first.
+        """
         self._detect_pause(mono_us)
         sender = message.sender
         if sender not in self.table.members:
@@ -136,7 +146,7 @@
         self.table.apply(mono_us, message.updates)
         match message:
             case Ping() if message.target == self.me:
-                # A member that has just started joins through any other: it receives all that is known.
+                # A member that has just started joins through any other, whose ack contains all updates.
                 self._ack(sender, message.number, self.me, self.table.incarnation, full=restarted)
             case PingRequest() if message.target == self.me:
                 self._ack(sender, message.number, self.me, self.table.incarnation)
@@ -149,13 +159,13 @@
         return self._take_actions()
 
     def received_from(self, mono_us: int, peer: str, incarnation: int) -> None:
-        """Anything at all was received from this peer, over its link."""
+        """Record that something of any kind was received from this peer over its link."""
         self._detect_pause(mono_us)
         if peer in self.table.members:
             self.table.received_from(mono_us, peer, incarnation)
 
     def link_lost(self, mono_us: int, peer: str) -> list[Action]:
-        """A link broke: ping that peer at once, as a crash breaks links before a ping times out."""
+        """Ping a peer at once after its link broke, as a crash breaks links before a ping times out."""
         self._detect_pause(mono_us)
         member = self.table.members.get(peer)
         if member is not None and member.state <= MemberState.SUSPECT:
@@ -164,19 +174,19 @@
         return self._take_actions()
 
     def peer_left(self, peer: str) -> list[Action]:
-        """A peer announced its shutdown on its link."""
+        """Mark a peer as left after it has announced its shutdown on its link."""
         member = self.table.members.get(peer)
         if member is not None and member.incarnation and member.state is not MemberState.LEFT:
             self.table.change(peer, MemberState.LEFT)
         return self._take_actions()
 
     def leave(self) -> Gossip:
-        """This scheduler shuts down: the message to write to all partners."""
+        """Mark this scheduler as left at its shutdown. Returns the message to write to all partners."""
         self.table.leave()
         return self.gossip_message()
 
     def apply_gossip(self, mono_us: int, updates: Iterable[MemberUpdate]) -> None:
-        """Merge updates of others. Actions that follow are returned by the next `tick` or `handle`."""
+        """Merge updates of other members. The next `tick` or `handle` returns the actions that result."""
         self.table.apply(mono_us, updates)
 
     # Gossip
@@ -187,7 +197,7 @@
         return self.table.has_gossip
 
     def gossip_message(self) -> Gossip:
-        """Updates alone, for a partner; empty if there are none."""
+        """Return a message with updates only, for a partner; its updates are empty if there are none."""
         return Gossip(self.me, self.table.incarnation, self.table.gossip())
 
     # Pings
@@ -199,7 +209,7 @@
             if mono_us >= until_us:
                 self.table.change(name, MemberState.DEAD)
             elif not member.verified and until_us - mono_us <= self.table.suspicion_us // 4:
-                # Its refutation may have missed us: ping it ourselves, which informs it once more.
+                # Its refutation may have been lost: ping it, which also informs it of the suspicion again.
                 member.verified = True
                 self._ping(mono_us, name)
 
@@ -207,16 +217,17 @@
         members = self.table.members
         self._periods += 1
         if self._periods % self.options.dead_ping_interval == 0:
-            dead = self._dead_round.next(members, lambda one: one.state is MemberState.DEAD)
+            dead = self._dead_round.next(members, lambda member: member.state is MemberState.DEAD)
             if dead is not None:
                 self._ping(mono_us, dead)
-        peer = self._round.next(members, lambda one: self._needs_ping(mono_us, one))
+        peer = self._round.next(members, lambda member: self._needs_ping(mono_us, member))
         if peer is not None:
             self._ping(mono_us, peer)
 
     def _needs_ping(self, mono_us: int, member: Member) -> bool:
         if member.state > MemberState.SUSPECT:
-            return member.incarnation == 0 and member.last_received_us is None  # not met yet
+            # Nothing was ever received from or about the member, so it is dead only by default.
+            return member.incarnation == 0 and member.last_received_us is None
         return not member.received_within(mono_us, self.options.recent_us)
 
     def _ping(self, mono_us: int, peer: str, attempt: int = 1) -> None:
@@ -261,22 +272,22 @@
             self._actions.append(SendPingRequest(target, via, message))
 
     def _intermediaries(self, target: str) -> list[str]:
-        """Live members to ask for an indirect ping: common partners first, then any."""
+        """Choose live members to ask for an indirect ping: common partners first, then any others."""
         members, wanted = self.table.members, self.options.indirect_pings
         partners = self._common_partners(target) if self._common_partners is not None else ()
-        near = [one for one in partners if one in members and members[one].state is MemberState.ALIVE]
-        near = self._rng.sample(near, min(len(near), wanted))
-        far = [
+        common = [name for name in partners if name in members and members[name].state is MemberState.ALIVE]
+        common = self._rng.sample(common, min(len(common), wanted))
+        others = [
             name
-            for name, one in members.items()
-            if one.state is MemberState.ALIVE and name != target and name not in near
+            for name, member in members.items()
+            if member.state is MemberState.ALIVE and name != target and name not in common
         ]
-        return near + self._rng.sample(far, min(len(far), wanted - len(near)))
+        return common + self._rng.sample(others, min(len(others), wanted - len(common)))
 
     def _ping_failed(self, mono_us: int, ping: PingInFlight, member: Member) -> None:
         peer = ping.target
         if member.received_within(mono_us, self.options.recent_us):
-            return  # its link shows that it is alive
+            return  # the messages received on its link show that it is alive
         if member.state <= MemberState.SUSPECT and ping.attempt < self.options.attempts:
             self._ping(mono_us, peer, ping.attempt + 1)
         elif member.state is MemberState.ALIVE:
@@ -285,9 +296,10 @@
             self.table.add_reporter(peer, self.me)
 
     def _ack(self, peer: str, number: int, target: str, incarnation: int, full: bool = False) -> None:
-        """Ack a ping. ``full``: with updates on all members.
+        """Send an ack to ``peer``. ``full``: include updates on all members.
 
-        The state of the target is included, so that its refutation reaches a sender that has missed it.
+        The ack always includes the state of its target, so that a peer that has missed the target's
+        refutation receives it.
         """
         table = self.table
         updates = table.all_updates() if full else (table.update_of(target), *table.gossip(peer))
@@ -306,10 +318,10 @@
     # Pauses
 
     def _detect_pause(self, mono_us: int) -> None:
-        """Postpone every deadline if this process was paused, before anything is done with the time."""
+        """Postpone every deadline if this process was paused. To be called before any deadline is checked."""
         last_us, self._last_called_us = self._last_called_us, mono_us
         if last_us is None:
-            # Members must not all ping at the same moment.
+            # A random first ping keeps schedulers that start together from pinging at the same moment.
             self._next_ping_us = mono_us + self._rng.randrange(self.options.period_us)
             return
         gap_us = mono_us - last_us
--- a/robinhill/mesh/failure_detector_actions.py
+++ b/robinhill/mesh/failure_detector_actions.py
@@ -1,4 +1,4 @@
-"""What the failure detector asks its owner to do: messages to write, and changes to report."""
+"""Actions that the failure detector returns to its owner: messages to write and events to report."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPing:
-    """Write this ping to a peer: on its link if there is one, otherwise in one short request."""
+    """Write a ping to ``peer``: on its link if there is one, otherwise in a request of its own."""
 
     peer: str
     message: Ping
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPingRequest:
-    """Ask ``via`` to ping ``peer``."""
+    """Write a request to ``via`` to ping ``peer``."""
 
     peer: str
     via: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAck:
-    """Write this ack to a peer."""
+    """Write an ack to ``peer``."""
 
     peer: str
     message: Ack
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberStateChanged:
-    """A member is in this state from now on."""
+    """The state of a member has changed to ``state``."""
 
     peer: str
     state: MemberState
@@ -40,15 +40,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessPaused:
-    """This process did nothing for ``us``. Always the first action: check the lease before everything
-    else."""
+    """This process was paused for ``us``.
+
+    Always the first action, so that the owner checks its lease before it does anything else.
+    """
 
     us: int
 
 
 @dataclass(slots=True, frozen=True)
 class DuplicateName:
-    """Another scheduler uses our name with a newer incarnation."""
+    """Another scheduler uses the name of this one, with a newer incarnation."""
 
     incarnation: int
 
--- a/robinhill/mesh/failure_detector_options.py
+++ b/robinhill/mesh/failure_detector_options.py
@@ -5,46 +5,49 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureDetectorOptions:
-    """How fast a failure is detected, and how sure the detector must be."""
+    """Settings that trade the speed of failure detection against false suspicions and traffic."""
 
     period_us: int = 1_000_000
-    """Between two pings of ours. The first member notices a crash within some 1.6 periods, whatever their
-    number."""
+    """Interval between two pings by one member. The first member to notice a crash does so within some 1.6
+    periods, independent of the number of members."""
 
     ack_timeout_us: int = 400_000
-    """For a direct ack: twice 100 ms of delay, and as much again for a busy process."""
+    """Timeout of a direct ack: a delay of 100 ms each way, and as much again for a busy process."""
 
     indirect_ack_timeout_us: int = 600_000
-    """For an indirect ack after that: four ways of 100 ms, and half as much again."""
+    """Timeout of an indirect ack, counted from the end of ``ack_timeout_us``: four messages of 100 ms each,
+    and half as much again."""
 
     indirect_pings: int = 3
-    """Members that are asked for an indirect ping."""
+    """Number of members that are asked for an indirect ping."""
 
     attempts: int = 3
-    """Failed attempts, direct and indirect, before a member is suspect: where one message in five is lost,
-    one attempt in 14 fails, three in a row one time in 2,500."""
+    """Number of failed attempts before a member is suspect; an attempt includes the direct and the indirect
+    pings. If one message in five is lost, one attempt in 14 fails, and three in a row one time in 2,500."""
 
     suspicion_periods: float = 5.0
-    """Time for a suspect to refute, in periods, multiplied by the logarithm to base 10 of the members; counts
-    for a single reporter."""
+    """Time for a suspect to refute if there is a single reporter, in periods; multiplied by the logarithm to
+    base 10 of the number of members."""
 
     min_suspicion_factor: float = 0.5
-    """What remains of that time once ``max_reporters`` others have reported the suspect independently."""
+    """Fraction of that time that remains once ``max_reporters`` further members have reported the suspect
+    independently."""
 
     max_reporters: int = 3
-    """Independent reporters that shorten the suspicion as far as it goes."""
+    """Number of further independent reporters from which ``min_suspicion_factor`` applies."""
 
     gossip_factor: float = 1.5
-    """How often each update is sent, multiplied by the logarithm to base 2 of the members."""
+    """Each update is sent this many times, multiplied by the logarithm to base 2 of the number of members."""
 
     max_updates: int = 24
-    """Updates in one message: below 1 KB, so that a message fits one packet."""
+    """Most updates in one message: less than 1 KB, so that a message fits into one packet."""
 
     dead_ping_interval: int = 5
-    """Every so many periods a dead member is pinged too, so that a healed partition is noticed."""
+    """Number of periods between two pings of dead members, so that the end of a partition is noticed."""
 
     recent_us: int = 1_000_000
-    """A member from which something was received within this time is not pinged."""
+    """A member is not pinged if something was received from it directly within this time."""
 
     pause_us: int = 2_000_000
-    """Without a tick for so long, this process was paused. Ticks come ten times a second."""
+    """The process counts as paused if the detector was not called for this time; it is called ten times a
+    second."""
