--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -75,8 +75,8 @@
     version, in_bounds = acknowledgement.version, len(data) <= MAX_BYTES
     if version != VERSION or not in_bounds or acknowledgement.incarnation < 0 or acknowledgement.sequence < 0:
         raise ForeignState(
-            f"an acknowledgement has version {version} (expected {VERSION}), {len(data)} bytes"
-            f" (at most {MAX_BYTES}), or a negative incarnation or sequence"
+            f"an acknowledgement of version {version} is rejected: the version is not supported, the value is"
+            " too long, or its incarnation or sequence number is negative"
         )
     return acknowledgement
 
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -96,8 +96,8 @@
         """
         if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
             raise PeerRejected(
-                f"expected the digests of {RANGES} ranges in {RANGES * DIGEST_BYTES} bytes with"
-                f" answers={self.opens}, received {len(frame.digests)} bytes with answers={frame.answers}"
+                "range digests are malformed: expected 8 bytes for each of 256 ranges, and that one side opens"
+                " rounds and the other one answers"
             )
         if frame.answers:
             if frame.round != self._round or self._digests_received:
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -33,10 +33,7 @@
             self.low += 1
             self._beyond.discard(self.low)
         if len(self._beyond) > 4 * WINDOW:
-            raise PeerRejected(
-                f"the peer ignores its send window: {len(self._beyond)} pushes after push {self.low + 1},"
-                " which was not received"
-            )
+            raise PeerRejected("the peer ignores its send window: too many pushes follow one that was lost")
 
     def missing(self, up_to: int) -> tuple[int, ...]:
         """Return the first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -58,7 +58,7 @@
 
     def __post_init__(self) -> None:
         if len(self.peers) > MAX_PEERS:
-            raise ValueError(f"peers: {len(self.peers)} entries, at most {MAX_PEERS} are allowed")
+            raise ValueError(f"peers: too many entries, at most {MAX_PEERS} are allowed")
         for key, address in (("listen", self.listen), *self.peers.items()):
             if address is not None and not 0 < int(address.rpartition(":")[2]) < 65536:
                 raise ValueError(f"{key}: the port of {address!r} is not in the range 1 to 65535")
