--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -1,32 +1,38 @@
-"""Whether this scheduler may still send: how old its knowledge of a majority of schedulers is (docs/mesh.md).
-
-**The guarantee.** Nothing is sent later than the bound after a cordon's acceptance without knowledge of it,
-whatever links do, as long as there is never a majority of schedulers that lost their memory and have not
-caught up. Proof: a lease at T means that for a majority R we know everything that each knew at some moment
-later than T - bound. If acceptance is before T - bound, R shares a scheduler with the majority Q that had
-stored the cordon by then. What that one knew at its moment includes the cordon, unless it lost its memory in
-between; ``caught_up`` covers that case.
-
-**Moments** are measured on our clock alone, from when we *wrote* the ping. The partner answered later, so our
-moment is never later than the true one; neither the duration of ping and answer matters, nor whether the
-partner was paused between. If a partner reports how old its own knowledge of a third scheduler was when it
-answered, the same holds again. Only the *rates* of two clocks are compared that way: see `RATE_ALLOWANCE`.
-
-**Who counts.** A scheduler that lost its memory at a start counts for nobody until `may_catch_up` is true: it
-answers without its own name in ``ages_us``. Equal digests with one peer are enough for serving but not for
-this: that peer may be one of the minority that does not know an accepted cordon. It takes
-
-- a majority of the *others* that counted, each as of a moment when it knew our incarnation. That condition
-  makes acceptance safe: of a scheduler that confirmed, lost its memory and caught up from others that do not
-  yet know the cordon, these report the new incarnation to the accepting one before their own confirmation
-  counts (`Acceptance.started`). Source: Michael, Ports, Sharma, Szekeres, "Recovering shared objects without
-  stable storage", 2017, whose crash vectors are the incarnations that we spread like other state.
-- or all others, whether they count or not, as of a moment when they knew our incarnation: the first start of
-  a fleet, or the one after all were down together. No other knowledge exists then.
-
-Not covered, as nothing between processes can be: a process that is paused between its check of the lease and
-its write. So check last, and again after a pause. ``mono_us`` must advance while the host sleeps
-(CLOCK_BOOTTIME, where there is one).
+"""The lease by which this scheduler may send: how old its knowledge of a majority of schedulers is.
+
+docs/mesh.md describes the protocol. "We" is this scheduler; a *partner* is a scheduler with a link to it.
+
+**The guarantee.** Once the bound has passed since a cordon's acceptance, no scheduler that does not know the
+cordon sends a job. This holds for any behaviour of links, provided that there is never a majority of
+schedulers that have lost their state and not caught up. Proof: a lease at time T means that for each
+scheduler of a majority R, we know everything that it knew at some moment later than T - bound. If the cordon
+was accepted before T - bound, R has a scheduler in common with the majority Q that had stored the cordon by
+then. What that scheduler knew at its moment includes the cordon, unless it lost its state in between;
+``caught_up`` covers that case.
+
+**Moments** are measured by our clock alone: the moment as of which we know a partner is the time at which we
+*wrote* the ping. The partner answered later, so our moment is never later than the true one. Neither the
+duration of ping and answer matters, nor whether the partner was paused between the two. The same argument
+applies if a partner reports how old its own knowledge of a third scheduler was when it answered. Only the
+*rates* of two clocks are compared that way: see `RATE_ALLOWANCE`.
+
+**Which schedulers count towards majorities.** A scheduler that lost its state at a start does not count
+towards any majority until `may_catch_up` is true; until then its answers do not include its own name in
+``ages_us``. Equal digests with one peer are sufficient for serving but not for counting: that peer may belong
+to the minority that does not know an accepted cordon. To count again, it needs the state of either of these:
+
+- A majority of schedulers, made up of *others* that count, each as of a moment when it knew our incarnation.
+  That condition makes acceptance safe. Suppose that a scheduler confirmed a cordon, lost its state and caught
+  up from others that do not know the cordon yet. These others then report the new incarnation to the
+  scheduler that waits for acceptance before their own confirmations count, so the old confirmation is
+  discarded (`Acceptance.started`). Source: Michael, Ports, Sharma, Szekeres, "Recovering shared objects
+  without stable storage", 2017; its crash vectors are the incarnations, which spread here like other state.
+- All others, whether they count or not, as of a moment when they knew our incarnation. This covers the first
+  start of a fleet, and the start after all schedulers were down together. No other knowledge exists then.
+
+The lease does not cover a process that is paused between its check of the lease and its write; no protocol
+between processes can. The caller therefore checks the lease last, and again after a pause. ``mono_us`` must
+advance while the host is suspended (CLOCK_BOOTTIME, where it is available).
 """
 
 from collections import deque
@@ -35,23 +41,25 @@
 from robinhill.mesh.quorum import NOW, Quorum
 
 MAX_PENDING_PINGS = 64
-"""Unanswered pings of each partner. An answer to an older one is ignored, which is safe."""
+"""Unanswered pings retained for each partner. An answer to an older ping is ignored, which is safe."""
 
 MAX_AGES = 256
-"""Entries in an answer, the most recent first: more than a majority of 500 schedulers, in at most 6 KB."""
+"""Most entries in an answer; the most recent are chosen. 256 is more than a majority of 500 schedulers and
+takes at most 6 KB."""
 
 RATE_ALLOWANCE = 1_000
-"""Another process's microseconds may be too long by one part in so many: NTP slews by 500 ppm at most."""
+"""An age that another process measured is extended by one part in 1,000, as its clock may run slower than
+ours: NTP changes the rate of a clock by at most 500 ppm."""
 
 NEVER = -(1 << 62)
-"""`lease_until` if there is no lease."""
+"""A moment before all others; the value of `lease_until` if there is no lease."""
 
 
 class Freshness:
     """The moments as of which the other schedulers are known, and the lease that follows from them.
 
-    ``caught_up`` is set by the caller: once `may_catch_up` is true, at once if everything that was ever
-    confirmed is read back from disk, or if an operator confirms that nothing is in force.
+    The caller sets ``caught_up`` once `may_catch_up` is true. It sets it earlier if the process has read
+    everything that it ever confirmed from disk, or if an operator confirms that no cordon is in force.
     """
 
     def __init__(self, me: str, peers: Iterable[str], bound_us: int) -> None:
@@ -60,26 +68,29 @@
         self.quorum = Quorum(me, peers)
         self._caught_up = False
         self._names = self.quorum.names
-        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: number and when written
-        self._counting_moments: dict[str, int] = {}
-        self._starting_moments: dict[str, int] = {}  # of schedulers that did not count
-        self._introduced_us: dict[str, int] = {}  # since when a peer knows our incarnation
+        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: number and time written
+        self._counting_moments: dict[str, int] = {}  # of schedulers that counted towards majorities
+        self._starting_moments: dict[str, int] = {}  # of schedulers that did not count yet
+        self._introduced_us: dict[str, int] = {}  # the time from which a peer knows our incarnation
         self._incarnations: dict[str, int] = {}
-        self._floor = self._find_floor()
+        self._majority_moment = self._find_floor()
 
     @property
     def caught_up(self) -> bool:
-        """Whether this scheduler counts for majorities, its own and those of others."""
+        """Whether this scheduler counts towards majorities, its own and those of others."""
         return self._caught_up
 
     @caught_up.setter
     def caught_up(self, value: bool) -> None:
-        """Count for majorities from now on, or no longer."""
+        """Set whether this scheduler counts towards majorities."""
         self._caught_up = value
-        self._floor = self._find_floor()
+        self._majority_moment = self._find_floor()
 
     def pinged(self, mono_us: int, partner: str, number: int) -> None:
-        """Ping ``number`` is about to be written: ``mono_us`` is read before, and no number is used twice."""
+        """Record that ping ``number`` is about to be written to a partner.
+
+        The caller reads the clock (``mono_us``) before it writes, and uses no number twice.
+        """
         if partner not in self._names or partner == self.me:
             return
         pings = self._pending_pings.setdefault(partner, deque(maxlen=MAX_PENDING_PINGS))
@@ -93,96 +104,103 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        """The answer to ping ``number`` was received, and everything that the partner knew before it.
+        """Record the answer to ping ``number``; all changes that precede the answer are stored here.
 
-        ``ages_us``: the partner's `ages`, taken after it had read the ping, with all its changes until then
-        written before the answer. ``starting_us``: its `starting_ages`. The hello of the link must have given
-        it our incarnation. Unknown and duplicated numbers are ignored.
+        ``ages_us``: the partner's `ages`, computed after it had received the ping; it must have written all
+        its changes until then before the answer. ``starting_us``: its `starting_ages`. The partner must have
+        received our incarnation in the hello of the link. Unknown and duplicated numbers are ignored.
         """
         pings = self._pending_pings.get(partner)
-        if pings is None or all(one != number for one, _ in pings):
+        if pings is None or all(pending != number for pending, _ in pings):
             return
         written_us = mono_us
-        while pings:  # the link is ordered: earlier pings will not be answered any more
-            one, written_us = pings.popleft()
-            if one == number:
+        while pings:  # the link is ordered, so no answers to earlier pings can follow
+            pending, written_us = pings.popleft()
+            if pending == number:
                 break
         self._introduced_us.setdefault(partner, written_us)
-        self._raise(self._counting_moments, written_us, ages_us)
-        self._raise(self._starting_moments, written_us, starting_us or {})
-        self._floor = self._find_floor()
+        self._update_moments(self._counting_moments, written_us, ages_us)
+        self._update_moments(self._starting_moments, written_us, starting_us or {})
+        self._majority_moment = self._find_floor()
 
     def introduced(self, mono_us: int, peer: str) -> None:
-        """A peer without a link to us confirmed, through others, that it knows our incarnation."""
+        """Record that a peer without a link to us knows our incarnation, as it confirmed through others."""
         if peer in self._names:
             self._introduced_us.setdefault(peer, mono_us)
 
     def started(self, peer: str, incarnation: int) -> None:
-        """An incarnation of a peer became known: by the hello of a link, before any ping, or through others.
+        """Record an incarnation of a peer, from the hello of its link before any ping, or through others.
 
-        If it is newer than the last one, what the former process reported no longer helps to catch up. It
-        does not extend the lease either, though that would be safe: what was known at a moment stays true.
+        If the peer has restarted, the moments of its previous process are dropped, so that they do not help
+        this scheduler to catch up. They do not extend the lease any more either, although that would be safe:
+        what the previous process knew at a moment remains true.
         """
-        before = self._incarnations.get(peer, 0)
-        if peer not in self._names or incarnation <= before:
+        previous = self._incarnations.get(peer, 0)
+        if peer not in self._names or incarnation <= previous:
             return
         self._incarnations[peer] = incarnation
-        if before:
+        if previous:
             self._forget(peer)
-            self._floor = self._find_floor()
+            self._majority_moment = self._find_floor()
 
     def ages(self, mono_us: int) -> dict[str, int]:
-        """For an answer: how old our knowledge is of each scheduler that counts, the freshest `AGES_AT_MOST`.
+        """Return the age of our knowledge of each scheduler that counts, the `MAX_AGES` most recent.
 
-        We ourselves are in it, with 0, only if we count.
+        Sent in answers to pings. Includes this scheduler, with age 0, only if it counts.
         """
-        mine = {self.me: 0} if self._caught_up else {}
-        return mine | self._freshest(self._counting_moments, mono_us, MAX_AGES - len(mine))
+        own = {self.me: 0} if self._caught_up else {}
+        return own | self._most_recent(self._counting_moments, mono_us, MAX_AGES - len(own))
 
     def starting_ages(self, mono_us: int) -> dict[str, int]:
-        """For an answer: the age of our knowledge of each scheduler that counts, the `MAX_AGES` most recent.
+        """Return the age of our knowledge of each scheduler that does not count yet, the most recent.
 
-        Includes ourselves, with 0, only if we count.
+        Sent in answers to pings, with at most `MAX_AGES` entries. Includes this scheduler, with age 0, only
+        if it does not count.
         """
-        mine = {} if self._caught_up else {self.me: 0}
-        counting = self._counting_moments
-        late = {peer: at for peer, at in self._starting_moments.items() if at > counting.get(peer, NEVER)}
-        return mine | self._freshest(late, mono_us, MAX_AGES - len(mine))
+        own = {} if self._caught_up else {self.me: 0}
+        counts = self._counting_moments
+        starting = {name: at for name, at in self._starting_moments.items() if at > counts.get(name, NEVER)}
+        return own | self._most_recent(starting, mono_us, MAX_AGES - len(own))
 
     def age_us(self, mono_us: int) -> int | None:
-        """The age of our knowledge of a majority; None if no majority is known."""
-        if self._floor is None:
+        """Return the age of our knowledge of a majority; None if no majority is known."""
+        if self._majority_moment is None:
             return None
-        return max(0, mono_us - self._floor)
+        return max(0, mono_us - self._majority_moment)
 
     def holds_lease(self, mono_us: int) -> bool:
-        """Whether work may be sent at this moment. Cheap enough for each send."""
-        return self._floor is not None and mono_us - self._floor <= self.bound_us
+        """Whether this scheduler may send jobs at ``mono_us``. Cheap enough to be called before each send."""
+        return self._majority_moment is not None and mono_us - self._majority_moment <= self.bound_us
 
     def lease_until(self, mono_us: int) -> int:
-        """When the lease ends if nothing more is received; may be past, `NEVER` without a lease."""
-        if self._floor is None:
+        """Return when the lease ends if no further answer is received.
+
+        The time may be in the past; it is `NEVER` if no majority is known.
+        """
+        if self._majority_moment is None:
             return NEVER
-        return min(self._floor, mono_us) + self.bound_us
+        return min(self._majority_moment, mono_us) + self.bound_us
 
     def as_of(self, peer: str) -> int | None:
-        """The moment (monotonic) as of which we know everything that a peer knew; None if it never
-        counted."""
+        """Return the moment (monotonic) as of which we know everything that a peer knew.
+
+        None if the peer has not counted towards majorities since its last known start.
+        """
         return self._counting_moments.get(peer)
 
     def may_catch_up(self) -> bool:
-        """Whether everything that was ever accepted is known here by now, so that `caught_up` may be set."""
+        """Whether all changes that were ever accepted are known here, so that `caught_up` may be set."""
         return self._majority_of_others() or all(
-            self._since_introduced(peer, with_starting=True) for peer in self._names if peer != self.me
+            self._known_since_introduced(peer, with_starting=True) for peer in self._names if peer != self.me
         )
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Use a new list of schedulers: majorities of the old and the new one are needed until `settled`."""
+        """Use a new list of schedulers. Until `settled`, majorities of the old and the new one are needed."""
         self.quorum.reconfigure(peers)
         self._list_changed()
 
     def settled(self) -> None:
-        """Older lists no longer count; `Quorum.settled` explains when that is safe."""
+        """Drop all lists of schedulers but the newest; `Quorum.settled` explains when that is safe."""
         self.quorum.settled()
         self._list_changed()
 
@@ -193,40 +211,49 @@
         for removed in known - self._names:
             self._forget(removed)
             self._incarnations.pop(removed, None)
-        self._floor = self._find_floor()
+        self._majority_moment = self._find_floor()
 
     def _forget(self, peer: str) -> None:
-        """Drop what was learned of a peer in its last incarnation."""
+        """Drop the pending pings to a peer and all moments as of which it is known."""
         self._pending_pings.pop(peer, None)
         self._counting_moments.pop(peer, None)
         self._starting_moments.pop(peer, None)
         self._introduced_us.pop(peer, None)
 
-    def _raise(self, table: dict[str, int], written_us: int, ages_us: Mapping[str, int]) -> None:
+    def _update_moments(self, moments: dict[str, int], written_us: int, ages_us: Mapping[str, int]) -> None:
+        """Advance moments by the ages in the answer to a ping that was written at ``written_us``."""
         for peer, age_us in ages_us.items():
-            moment_before = table.get(peer)
-            if moment_before is None:
+            previous = moments.get(peer)
+            if previous is None:
                 if peer == self.me or peer not in self._names:
                     continue
-            elif moment_before >= written_us - age_us:
-                continue  # most entries of most answers are older than what is known
+            elif previous >= written_us - age_us:
+                continue  # an early exit: most entries of most answers are older than the known moment
             age_us = max(0, age_us)  # a negative age would extend a lease into the future
             moment = written_us - age_us - (age_us + RATE_ALLOWANCE - 1) // RATE_ALLOWANCE
-            if moment_before is None or moment > moment_before:
-                table[peer] = moment
+            if previous is None or moment > previous:
+                moments[peer] = moment
 
-    def _freshest(self, table: Mapping[str, int], mono_us: int, limit: int) -> dict[str, int]:
-        if len(table) > limit:
-            table = dict(sorted(table.items(), key=lambda item: (-item[1], item[0]))[:limit])
-        return {peer: mono_us - at for peer, at in table.items()}
+    def _most_recent(self, moments: Mapping[str, int], mono_us: int, limit: int) -> dict[str, int]:
+        """Return the ages of at most ``limit`` moments, the most recent ones."""
+        if len(moments) > limit:
+            moments = dict(sorted(moments.items(), key=lambda item: (-item[1], item[0]))[:limit])
+        return {peer: mono_us - at for peer, at in moments.items()}
 
     def _find_floor(self) -> int | None:
         return self.quorum.floor(self._counting_moments, mine=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        return self.quorum.met({one for one in self._names if one != self.me and self._since_introduced(one)})
+        """Whether a majority of schedulers, without this one, counts and is known since it knew us."""
+        return self.quorum.met(
+            {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
+        )
 
-    def _since_introduced(self, peer: str, with_starting: bool = False) -> bool:
+    def _known_since_introduced(self, peer: str, with_starting: bool = False) -> bool:
+        """Whether we know a peer as of a moment when it knew our incarnation.
+
+        ``with_starting``: include moments when the peer did not count towards majorities.
+        """
         moment = self._counting_moments.get(peer, NEVER)
         if with_starting:
             moment = max(moment, self._starting_moments.get(peer, NEVER))
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -48,7 +48,7 @@
         lists = (*(one for one in self._lists if one != new), new)
         if len(lists) > MAX_UNSETTLED_LISTS:
             raise ListsUnsettled(
-                f"{len(lists)} lists of schedulers would be in force at once, as earlier changes have not settled"
+                f"{len(lists)} lists of schedulers would be in force, as earlier changes have not settled"
             )
         self._lists = lists
 
