--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -96,8 +96,8 @@
         """
         if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
             raise PeerRejected(
-                "range digests are malformed: expected 8 bytes for each of 256 ranges, and that one side opens"
-                " rounds and the other one answers"
+                "range digests are malformed: expected 8 bytes for each of 256 ranges, and one side that"
+                " opens rounds and one that answers"
             )
         if frame.answers:
             if frame.round != self._round or self._digests_received:
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -1,8 +1,9 @@
 """Wire format of a link between two schedulers: a message is a MessagePack array of frames.
 
-Messages may be lost, duplicated or reordered: a plain connection does none of this, but no guarantee may
-depend on what lies between two schedulers. Pushes are therefore numbered, and every other frame may be sent
-again. This module encodes and decodes; what a frame does to a link is in ``session``.
+The protocol tolerates messages that are lost, duplicated or reordered. A plain TCP connection does none of
+this, but no guarantee may depend on the network equipment between two schedulers. Pushes are therefore
+numbered, and every other frame may be sent again. This module encodes and decodes frames; ``session``
+processes them.
 """
 
 import hashlib
@@ -15,15 +16,16 @@
 
 PROTOCOL = 1
 RANGES = 256
-MAX_MESSAGE_BYTES = 1 << 20  # a reader closes a link that sends more
+MAX_MESSAGE_BYTES = 1 << 20  # a receiver closes the link at a larger message
 MAX_MEMBERS = 1024
 RECORD_DIGEST_BYTES = 8
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """The sender's identity; the first frame in each direction.
+    """The identity of the sender; the first frame in each direction.
 
-    ``names`` is the order of the ages in its pongs; ``now_us`` is Unix time.
+    ``names``: all configured schedulers; the ages in the sender's pongs are in this order. ``now_us``: the
+    sender's Unix time.
     """
 
     protocol: int
@@ -36,7 +38,10 @@
 
 
 class Push(msgspec.Struct, frozen=True, array_like=True, tag="push"):
-    """Records that the reader lacks. ``replaces``: lost pushes whose records are sent again here."""
+    """Records that the receiver lacks.
+
+    ``replaces``: numbers of lost pushes whose records are sent again here, in their newest form.
+    """
 
     number: int
     records: tuple[Record, ...]
@@ -44,10 +49,11 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
-    """Asks for a pong once everything that the reader knows now is written.
+    """Requests a pong.
 
-    ``pushed``: the last push written before this ping. ``low``: all of the reader's pushes up to this number
-    were received.
+    The receiver sends it once it has written everything that it knew when the ping arrived.
+    ``pushed``: the number of the sender's last push before this ping. ``low``: the sender has received all
+    pushes of the receiver up to this number.
     """
 
     number: int
@@ -56,12 +62,14 @@
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
-    """Everything that its sender knew when the ping arrived is in its pushes up to ``pushed``.
-
-    ``low``: all of the reader's pushes up to this number were received. ``ages_ms``: by place in the sender's
-    ``names``, the age of its knowledge of each scheduler that counts for majorities when the ping arrived,
-    rounded up, -1 where unknown; itself included if it counts. ``starting_ms``: place and age of those that
-    do not count yet.
+    """The answer to the ping of this ``number``.
+
+    The sender's pushes up to ``pushed`` contain everything that it knew when the ping arrived. ``low``: the
+    sender has received all pushes of the receiver up to this number. ``ages_ms``: for each scheduler, in the
+    order of ``names`` in the sender's hello, how old the sender's knowledge of it was when the ping arrived.
+    The ages are rounded up; -1 stands for an unknown age or a scheduler that does not count towards
+    majorities. The sender itself is included if it counts. ``starting_ms``: index in ``names`` and age for
+    each scheduler that does not count yet.
     """
 
     number: int
@@ -72,15 +80,16 @@
 
 
 class PushResendRequest(msgspec.Struct, frozen=True, array_like=True, tag="again"):
-    """Pushes that were not received."""
+    """Requests pushes that were not received, by their numbers."""
 
     numbers: tuple[int, ...]
 
 
 class RangeDigests(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """Digests of all ranges, 8 bytes each; ``answers`` where the other side opened the round.
+    """Digests of all ranges, 8 bytes each. ``answers``: whether the sender answers, or else opens the round.
 
-    ``at_us``: the Unix time as of which they hold, repeated in the answer; expired records count in none.
+    ``at_us``: the Unix time as of which the digests are computed, repeated in the answer; records that have
+    expired by then do not count in them.
     """
 
     round: int
@@ -90,7 +99,7 @@
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
-    """One of ``parts`` parts of a range: kind, key and digest of its records."""
+    """Part ``part`` of ``parts`` of the versions in range ``index``: kind, key and digest of its records."""
 
     index: int
     part: int
@@ -99,21 +108,21 @@
 
 
 class RecordVersions(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
-    """The versions of the records in ranges that differ."""
+    """The versions of the sender's records in ranges that differ."""
 
     round: int
     parts: tuple[RangePart, ...]
 
 
 class VersionsResendRequest(msgspec.Struct, frozen=True, array_like=True, tag="redo"):
-    """Ranges whose record versions were not received."""
+    """Requests the record versions of ranges again, as they were not received."""
 
     round: int
     indices: tuple[int, ...]
 
 
 class MemberMessage(msgspec.Struct, frozen=True, array_like=True, tag="aside"):
-    """A message between members outside of replication; it may be lost."""
+    """An application message between two schedulers that is not part of replication; it may be lost."""
 
     payload: bytes
 
@@ -134,18 +143,18 @@
 
 
 def encode_message(frames: Sequence[Frame]) -> bytes:
-    """A message of these frames."""
+    """Encode frames as one message."""
     return _encoder.encode(frames)
 
 
 def decode_message(data: bytes) -> list[Frame]:
-    """The frames of a message; raises PeerRejected if it is malformed."""
+    """Decode the frames of a message. Raises PeerRejected if it is malformed."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
-        raise PeerRejected(f"a message can't be read: {e}") from e
+        raise PeerRejected(f"a message of the peer can't be decoded: {e}") from e
 
 
 def record_digest(record: Record) -> bytes:
-    """The digest by which two copies compare their versions of a record."""
+    """Return the digest by which two copies compare their versions of a record."""
     return hashlib.blake2b(_encoder.encode(record), digest_size=RECORD_DIGEST_BYTES).digest()
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -1,9 +1,10 @@
-"""One end of a link between two schedulers, as a state machine: messages in, messages out. No I/O.
+"""One end of a link between two schedulers, as a state machine that consumes and produces messages. No I/O.
 
-After the hellos both sides compare what they hold by anti-entropy; every change since then is pushed. Nothing
-is queued for a slow reader: a message is *drawn* when the transport has capacity, and carries the newest
-value of each record. A pong counts once everything that its sender knew when the ping arrived is here; leases
-depend on that (``freshness``). Times are monotonic microseconds of this process unless noted otherwise.
+After the hellos both sides compare their copies by anti-entropy, and push every change made since then.
+Nothing is queued for a slow peer: the owner calls ``draw`` for a message when the transport has capacity, and
+the message contains the newest value of each record. A pong takes effect only once everything that its sender
+knew when the ping arrived is stored here; leases depend on that (``freshness``). Times are monotonic
+microseconds of this process unless noted otherwise.
 """
 
 from collections import deque
@@ -42,45 +43,45 @@
     RecordsReceived,
 )
 
-MAX_FRAMES_PER_MESSAGE = 16  # each message costs a system call, so small frames share one
-MAX_SMALL_PUSH_RECORDS = 8  # a larger push ends its message
-MAX_MEMBER_MESSAGES = 64  # that wait to be written; the oldest are dropped
+MAX_FRAMES_PER_MESSAGE = 16  # each message costs a system call, so small frames share a message
+MAX_SMALL_PUSH_RECORDS = 8  # a push with more records is the last frame of its message
+MAX_MEMBER_MESSAGES = 64  # waiting to be written; above this the oldest are dropped
 
 
 class Store(Protocol):
-    """What a session needs of the replica."""
+    """The part of the replica's interface that a session uses."""
 
     @property
     def head(self) -> int:
-        """The number of the last change."""
+        """The number of the latest change."""
         ...
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a peer's record; what is stored now if that changed something."""
+        """Merge a peer's record. Returns the record stored now, None if nothing changed."""
         ...
 
     def record(self, kind: str, key: str) -> Record | None:
-        """The record of this name."""
+        """Return the record of this kind and key; None if there is none."""
         ...
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """Records changed after ``cursor``, and the cursor to go on from."""
+        """Return records that changed after ``cursor``, and the cursor for the next call."""
         ...
 
     def ranges(self, now_us: int) -> Sequence[int]:
-        """The digests of all ranges as of ``now_us`` (Unix time)."""
+        """Return the digests of all ranges as of ``now_us`` (Unix time)."""
         ...
 
     def in_range(self, index: int) -> list[Record]:
-        """The records of one range."""
+        """Return the records of one range."""
         ...
 
 
 class KnowledgeAges(Protocol):
-    """What a session needs of `Freshness`: how old our knowledge of other schedulers is."""
+    """The part of the interface of `Freshness` that a session uses: ages of our knowledge of schedulers."""
 
     def pinged(self, mono_us: int, partner: str, number: int) -> None:
-        """A ping is about to be written."""
+        """Record that a ping is about to be written."""
         ...
 
     def answered(
@@ -91,21 +92,21 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        """The answer to a ping was received, with all changes before it."""
+        """Record the answer to a ping; all changes that precede it are stored here."""
         ...
 
     def ages(self, mono_us: int) -> Mapping[str, int]:
-        """Ages of our knowledge of schedulers that count for majorities."""
+        """Return the ages of our knowledge of schedulers that count towards majorities."""
         ...
 
     def starting_ages(self, mono_us: int) -> Mapping[str, int]:
-        """Ages of our knowledge of schedulers that do not count yet."""
+        """Return the ages of our knowledge of schedulers that do not count yet."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """This scheduler, and the sorted names of all configured ones, itself included."""
+    """The identity in our hello. ``names``: all configured schedulers, this one included, sorted."""
 
     installation: str
     name: str
@@ -116,7 +117,7 @@
 
 @dataclass(slots=True)
 class _PendingPong:
-    """An answer that is due once our changes up to ``head`` are written."""
+    """A pong that is due once our changes up to ``head`` are written, with the ages at the ping's arrival."""
 
     number: int
     head: int
@@ -125,10 +126,10 @@
 
 
 class Session:
-    """One end of a link; both ends are alike but for who ``opens`` the rounds of anti-entropy.
+    """One end of a link. The ends differ only in that one of them ``opens`` the rounds of anti-entropy.
 
-    ``peer``: its hello, None before it was received. ``last_received_us``: when the last message was
-    received. ``confirmed_cursor``: our changes up to this one are at the peer.
+    ``peer``: the peer's hello, None until it was received. ``last_received_us``: when the last message was
+    received. ``confirmed_cursor``: the peer has our changes up to this number.
     """
 
     def __init__(
@@ -144,18 +145,18 @@
         self.sender = PushSender(store, own.name, self.anti_entropy.pending)
         self.pings = PingSchedule(interval_us)
         self._received = ReceiveWindow()
-        self._missing: tuple[int, ...] = ()  # pushes to request again
-        self._hello_confirmed = False  # the peer has our hello
+        self._missing: tuple[int, ...] = ()  # numbers of lost pushes to request again
+        self._hello_confirmed = False  # whether the peer is known to have our hello
         self._hello_due_us = 0
-        self._initial_sync_written = False  # what we knew at the hello is in pushes that are written
+        self._initial_sync_written = False  # whether the pushes written contain all that we knew at the hello
         self._pending_pong: _PendingPong | None = None
-        self._early_pongs: list[Pong] = []  # received before pushes that they stand behind
+        self._early_pongs: list[Pong] = []  # received before all pushes that precede them
         self._member_messages: deque[bytes] = deque(maxlen=MAX_MEMBER_MESSAGES)
 
     # Receiving
 
     def receive(self, now_us: int, mono_us: int, data: bytes) -> list[Event]:
-        """Process a message (``now_us``: Unix time). Raises PeerRejected; the link must be closed then."""
+        """Process a message. ``now_us``: Unix time. Raises PeerRejected; the caller then closes the link."""
         frames = decode_message(data)
         self.last_received_us = mono_us
         return [event for frame in frames for event in self._receive(now_us, mono_us, frame)]
@@ -165,7 +166,7 @@
             return self._receive_hello(now_us, mono_us, frame)
         self._hello_confirmed = True  # a peer writes anything else only after our hello
         if self.peer is None:
-            return []  # its hello was lost or overtaken; all of this will be sent again
+            return []  # the peer's hello was lost or overtaken by this frame, which will be sent again
         match frame:
             case Push():
                 return self._receive_push(now_us, mono_us, frame)
@@ -195,7 +196,9 @@
     def _receive_hello(self, now_us: int, mono_us: int, hello: Hello) -> list[Event]:
         if self.peer is not None:
             if (hello.name, hello.incarnation) != (self.peer.name, self.peer.incarnation):
-                raise PeerRejected(f"{self.peer.name} greets again as {hello.name}")
+                raise PeerRejected(
+                    f"{self.peer.name} sent a second hello as {hello.name}, with another name or incarnation"
+                )
             if not self._hello_confirmed:
                 self._hello_due_us = min(self._hello_due_us, mono_us)
             return []
@@ -209,17 +212,17 @@
         return [HelloReceived(hello)]
 
     def _check(self, hello: Hello) -> None:
-        """Raises PeerRejected if there can be no link with this peer."""
+        """Raise PeerRejected if there can be no link with this peer."""
         if hello.protocol != PROTOCOL:
-            raise PeerRejected(f"{hello.name} speaks protocol {hello.protocol}, we speak {PROTOCOL}")
+            raise PeerRejected(f"{hello.name} uses protocol {hello.protocol}, this scheduler uses {PROTOCOL}")
         if hello.installation != self.own.installation:
-            raise PeerRejected(f"{hello.name} is of installation {hello.installation}")
+            raise PeerRejected(f"{hello.name} belongs to installation {hello.installation}, not to ours")
         if hello.name == self.own.name:
             raise PeerRejected(f"{hello.name} is our own name")
         if hello.name not in self.own.names:
-            raise PeerRejected(f"{hello.name} is no peer by our file")
+            raise PeerRejected(f"{hello.name} is not among the peers in our configuration")
         if len(hello.names) > MAX_MEMBERS:
-            raise PeerRejected(f"{hello.name} names {len(hello.names)} members")
+            raise PeerRejected(f"{hello.name} lists {len(hello.names)} members, which is too many")
 
     def _receive_push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
         self._received.received(push.number, push.replaces)
@@ -243,7 +246,7 @@
     def _receive_ping(self, mono_us: int, ping: Ping) -> None:
         self._confirm(ping.low)
         self._missing = self._received.missing(ping.pushed)
-        if self._pending_pong is None:  # otherwise that answer is on its way, and the next ping asks again
+        if self._pending_pong is None:  # otherwise the pong of an earlier ping is due, and more pings follow
             self._pending_pong = _PendingPong(
                 ping.number, self.store.head, self.ages.ages(mono_us), self.ages.starting_ages(mono_us)
             )
@@ -264,7 +267,7 @@
         return [PingAnswered(pong.number, took_us, self.confirmed_cursor)]
 
     def _confirm(self, low: int) -> None:
-        """The peer has all our pushes up to ``low``."""
+        """Record that the peer has received all our pushes up to ``low``."""
         self.sender.window.confirm(min(low, self.sender.window.last))
         if self._initial_sync_written:
             self.confirmed_cursor = max(self.confirmed_cursor, self.sender.confirmed_cursor)
@@ -272,11 +275,11 @@
     # Sending
 
     def send_member_message(self, payload: bytes) -> None:
-        """Send a message outside of replication; it may be lost."""
+        """Queue a message that is not part of replication; it may be lost."""
         self._member_messages.append(payload)
 
     def next_us(self) -> int:
-        """When `draw` has something to write even if nothing happens before."""
+        """Return when `draw` has something to write if no message is received and nothing changes before."""
         if self.peer is None:
             return self._hello_due_us
         due = [self._ping_due_us()]
@@ -289,7 +292,10 @@
         return min(due)
 
     def draw(self, now_us: int, mono_us: int) -> bytes | None:
-        """The next message to write now that the transport has capacity; None: nothing at the moment."""
+        """Return the next message to write; None if there is nothing to write at the moment.
+
+        To be called when the transport has capacity.
+        """
         frames: list[Frame] = []
         while (
             len(frames) < MAX_FRAMES_PER_MESSAGE and (frame := self._next_frame(now_us, mono_us)) is not None
@@ -302,7 +308,10 @@
         return encode_message(frames) if frames else None
 
     def _next_frame(self, now_us: int, mono_us: int) -> Frame | None:
-        """The next frame by priority: hello, resend request, pushes, pong, ping, anti-entropy."""
+        """Return the next frame, by priority.
+
+        The order is: hello, resend request, push of changes, pong, ping, member message, anti-entropy.
+        """
         if not self._hello_confirmed and mono_us >= self._hello_due_us:
             return self._hello(now_us, mono_us)
         if self.peer is None:
@@ -346,7 +355,7 @@
         return Hello(PROTOCOL, own.installation, own.name, own.incarnation, own.features, now_us, own.names)
 
     def _pong(self, mono_us: int) -> Pong | None:
-        """The pending pong, if everything that it stands for is written."""
+        """Return the pending pong if all changes that must precede it are written; None otherwise."""
         pending = self._pending_pong
         if pending is None or not self._initial_sync_written or self.sender.cursor < pending.head:
             return None
@@ -368,5 +377,5 @@
 
 
 def _rounded_up_ms(us: int) -> int:
-    """Milliseconds, rounded up: an age may be overstated, never understated."""
+    """Convert to milliseconds, rounded up: an age may be overstated but never understated."""
     return -(-us // 1000)
--- a/robinhill/mesh/session_events.py
+++ b/robinhill/mesh/session_events.py
@@ -1,4 +1,4 @@
-"""What a session reports to its owner: the events that received frames bring about."""
+"""Events that a session returns to its owner for received frames."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HelloReceived:
-    """The peer has introduced itself and was accepted."""
+    """The peer's hello was received and accepted."""
 
     hello: Hello
 
 
 @dataclass(slots=True, frozen=True)
 class RecordsReceived:
-    """Records that changed here by a push, and those that were rejected or stored with a warning."""
+    """The records that a push changed here, and those that were rejected or stored with a warning."""
 
     records: tuple[Record, ...]
     rejected: tuple[RejectedRecord, ...] = ()
@@ -24,9 +24,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PingAnswered:
-    """Everything that the peer knew when ping ``number`` arrived is here, ``took_us`` after it was written.
+    """Ping ``number`` was answered, and everything that the peer knew when it arrived is stored here.
 
-    ``confirmed_cursor``: our changes up to this one are at the peer.
+    ``took_us``: the round trip of the ping. ``confirmed_cursor``: the peer has our changes up to this number.
     """
 
     number: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberMessageReceived:
-    """A message of another member outside of replication."""
+    """An application message of another scheduler, which is not part of replication."""
 
     payload: bytes
 
--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -217,7 +217,7 @@
             here.peers["s3"] = free_address()
             three = await here.start("s3")
             await until(here.programs["s1"], "event=peer_rejected")
-            await until(three, "no peer by our file")
+            await until(three, "not among the peers in our configuration")
             for name in old:
                 here.programs[name].reload(here.operator(name))
             for name in old:
