--- a/robinhill/mesh/member_table.py
+++ b/robinhill/mesh/member_table.py
@@ -1,7 +1,7 @@
 """The states of all members as this scheduler knows them, and the gossip that spreads them.
 
-Owns the rules by which updates win (SWIM's incarnations, suspicion and refutation) and when a suspicion ends.
-Sends nothing and pings nobody; see ``failure_detector`` for that. Sources are named there.
+This module contains the rules by which one update supersedes another (SWIM's incarnations, suspicion and
+refutation) and by which a suspicion ends. It sends nothing; ``failure_detector`` does, and names the sources.
 """
 
 import heapq
@@ -14,17 +14,18 @@
 from robinhill.mesh.failure_detector_options import FailureDetectorOptions
 from robinhill.mesh.swim_messages import MemberState, MemberUpdate
 
-MAX_REPORTERS = 8  # remembered for each suspect
-MIN_MEMBERS_FOR_SUSPICION = 10  # fewer count as so many: a shorter suspicion gains nothing
+MAX_REPORTERS = 8  # stored for each suspect
+MIN_MEMBERS_FOR_SUSPICION = 10  # used in place of a smaller number: a shorter suspicion has no benefit
 MIN_GOSSIP_SENDS = 3
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of a member. ``incarnation`` is 0 before anything was received from or about it.
+    """The state of one member. ``incarnation`` is 0 until something was received from or about the member.
 
-    ``last_received_us``: when something was last received from itself. ``suspected_us``: when it became
-    suspect. ``verified``: whether we pinged it ourselves since. ``reporters``: who suspects it.
+    ``last_received_us``: when something was last received from the member directly. ``suspected_us``: when it
+    became suspect. ``verified``: whether this scheduler has pinged it since. ``reporters``: the members that
+    suspect it.
     """
 
     state: MemberState = MemberState.DEAD
@@ -36,14 +37,14 @@
     reporters: list[str] = field(default_factory=list)
 
     def received_within(self, mono_us: int, us: int) -> bool:
-        """Whether something was received from the member itself in the last ``us``."""
+        """Whether something was received from the member directly in the last ``us`` microseconds."""
         return self.last_received_us is not None and mono_us - self.last_received_us < us
 
 
 class MemberTable:
-    """All configured peers of ``me`` with their states, our own incarnation, and updates to gossip.
+    """The states of all configured peers of ``me``, its own incarnation, and the updates to gossip.
 
-    State changes are appended to ``actions``.
+    The table appends changes of state to ``actions``, which the failure detector returns to its owner.
     """
 
     def __init__(
@@ -60,15 +61,15 @@
         self.leaving = False
         self.options = options
         self.members: dict[str, Member] = {}
-        self.suspects: dict[str, None] = {}  # in the order in which they became so
+        self.suspects: dict[str, None] = {}  # in the order in which they became suspect
         self.suspicion_us = 0
         self._rng = rng
         self._actions = actions
-        self._gossip: dict[str, int] = {me: 0}  # whose state is spread: how often it was sent
+        self._gossip: dict[str, int] = {me: 0}  # by member whose state is spread: how often it was sent
         self._max_gossip_sends = MIN_GOSSIP_SENDS
 
     def reload(self, names: Iterable[str]) -> list[str]:
-        """Use a new list of peers; those that stay keep their state. The new ones, sorted."""
+        """Use a new list of peers; peers of both lists keep their state. Returns the new ones, sorted."""
         others = sorted(set(names) - {self.me})
         new = [name for name in others if name not in self.members]
         self.members = {name: self.members.get(name) or Member() for name in others}
@@ -85,18 +86,18 @@
     # Changes
 
     def received_from(self, mono_us: int, peer: str, incarnation: int) -> None:
-        """Something was received from a peer itself in this incarnation of it."""
+        """Record that something was received from a peer directly, and the incarnation that sent it."""
         member = self.members[peer]
         if incarnation < member.incarnation:
-            return  # from before its last start
+            return  # a late message of its previous process
         if incarnation > member.incarnation:
             member.incarnation, member.refutations = incarnation, 0
             self.change(peer, MemberState.ALIVE)
         member.last_received_us = mono_us
-        member.verified = False  # a member that stays suspect is pinged once more before it is dead
+        member.verified = False  # so that a member that is still suspect is pinged again before it is dead
 
     def change(self, name: str, state: MemberState) -> None:
-        """Set a member's state and spread it; reported only if it differs."""
+        """Set a member's state and gossip it; adds an action only if the state differs."""
         member = self.members[name]
         if member.state is not state:
             member.state = state
@@ -110,14 +111,14 @@
         self._gossip[name] = 0
 
     def suspect(self, mono_us: int, name: str, reporter: str) -> None:
-        """A member becomes suspect, by a report of ``reporter`` (empty where unknown)."""
+        """Mark a member as suspect. ``reporter``: the member that suspects it, empty if unknown."""
         member = self.members[name]
         member.suspected_us = mono_us
         member.reporters = [reporter] if reporter else []
         self.change(name, MemberState.SUSPECT)
 
     def add_reporter(self, name: str, reporter: str) -> None:
-        """Another member suspects ``name`` independently, which shortens its suspicion."""
+        """Record that another member suspects ``name`` too, which shortens the time it has to refute."""
         reporters = self.members[name].reporters
         if reporter and reporter not in reporters and len(reporters) < MAX_REPORTERS:
             reporters.append(reporter)
@@ -125,14 +126,17 @@
                 self._gossip[name] = 0
 
     def suspicion_ends_us(self, member: Member) -> int:
-        """When a suspect is dead unless it refutes. What it sends itself counts more than reports on it."""
+        """Return when a suspect becomes dead unless it refutes.
+
+        The time restarts whenever something is received from the suspect directly, whatever others report.
+        """
         reported = min(1.0, max(0, len(member.reporters) - 1) / self.options.max_reporters)
         factor = 1.0 - (1.0 - self.options.min_suspicion_factor) * reported
         since_us = max(member.suspected_us, member.last_received_us or member.suspected_us)
         return since_us + round(self.suspicion_us * factor)
 
     def postpone(self, us: int) -> None:
-        """This process was paused for so long: suspicions end so much later."""
+        """Postpone the end of all suspicions by ``us``, the duration of a pause of this process."""
         for member in self.members.values():
             member.suspected_us += us
 
@@ -140,18 +144,19 @@
 
     @property
     def has_gossip(self) -> bool:
-        """Whether there are updates to spread."""
+        """Whether there are updates to send."""
         return bool(self._gossip)
 
     def leave(self) -> None:
-        """This scheduler shuts down: spread that it has left."""
+        """Gossip that this scheduler has left, at its shutdown."""
         self.leaving = True
         self._gossip[self.me] = 0
 
     def gossip(self, reader: str | None = None) -> tuple[MemberUpdate, ...]:
-        """The updates for the next message, the least sent first.
+        """Return the updates for the next message, those that were sent least often first.
 
-        ``reader``: who it goes to; always informed first of its own state unless that is alive.
+        ``reader``: the receiver of the message. Unless its state is alive, its own state is the first update,
+        so that it can refute.
         """
         chosen = heapq.nsmallest(
             self.options.max_updates, self._gossip, key=lambda name: (self._gossip[name], name)
@@ -165,24 +170,24 @@
         return tuple(self.update_of(name) for name in chosen)
 
     def all_updates(self) -> tuple[MemberUpdate, ...]:
-        """Updates on every known member, for a peer that has just started: some 6 KB at 200 members."""
+        """Return updates on all known members, for a peer that has just started: some 6 KB at 200 members."""
         known = [name for name, member in self.members.items() if member.incarnation]
         return tuple(self.update_of(name) for name in [self.me, *known])
 
     def update_of(self, name: str) -> MemberUpdate:
-        """The present state of a member, or of this scheduler itself."""
+        """Return the present state of a member, or of this scheduler, as an update."""
         if name == self.me:
             state = MemberState.LEFT if self.leaving else MemberState.ALIVE
             return MemberUpdate(name, state, self.incarnation, self.refutations)
         member = self.members[name]
         reporter = ""
         if member.state is MemberState.SUSPECT:
-            # Reporters take turns, so that all of them become known.
+            # An update names one reporter; a random choice lets all of them become known over time.
             reporter = self._rng.choice(member.reporters) if member.reporters else self.me
         return MemberUpdate(name, member.state, member.incarnation, member.refutations, reporter)
 
     def apply(self, mono_us: int, updates: Iterable[MemberUpdate]) -> None:
-        """Merge the updates of another member; malformed ones and those on unknown names are ignored."""
+        """Merge updates from another member; malformed updates and those on unknown members are ignored."""
         for update in updates:
             if not update.is_valid:
                 continue
@@ -192,6 +197,7 @@
                 self._apply_to_other(mono_us, update)
 
     def _must_refute(self, name: str) -> bool:
+        """Whether a member must be informed of its own state, as it is suspect, dead or left."""
         member = self.members.get(name)
         return member is not None and member.incarnation > 0 and member.state is not MemberState.ALIVE
 
@@ -201,10 +207,10 @@
             return
         disputed = update.state != MemberState.ALIVE
         if not self.leaving and update.version >= (self.incarnation, self.refutations):
-            # A count above ours should not occur; adopting it keeps us able to refute.
+            # A refutation count above our own should not occur. Adopting it makes later refutations win.
             self.refutations = update.refutations + disputed
         if disputed:
-            # Also if it was refuted before: the sender has missed that.
+            # This includes updates that were refuted before: their sender has missed the refutation.
             self._gossip[self.me] = 0
 
     def _apply_to_other(self, mono_us: int, update: MemberUpdate) -> None:
@@ -213,12 +219,12 @@
         same_incarnation = update.incarnation == member.incarnation
         alive_here = same_incarnation and member.received_within(mono_us, self.options.recent_us)
         if state is MemberState.DEAD and alive_here:
-            state = MemberState.SUSPECT  # we received from it just now: let it refute
+            state = MemberState.SUSPECT  # something was received from it just now, so it may refute
         known, reported = (member.incarnation, member.refutations), update.version
         if reported == known and state is MemberState.SUSPECT is member.state:
             self.add_reporter(name, update.reporter)
         if member.state is MemberState.LEFT and same_incarnation:
-            return  # reported by itself, so it is final
+            return  # the member itself reported that it left, so the state is final for this incarnation
         supersedes = reported > known or (reported == known and state > member.state)
         leaves = state is MemberState.LEFT and update.incarnation >= member.incarnation
         if not (supersedes or leaves):
--- a/robinhill/mesh/ping_rounds.py
+++ b/robinhill/mesh/ping_rounds.py
@@ -1,4 +1,4 @@
-"""Whom the failure detector pings, in which order, and which of its pings await an ack."""
+"""The order in which the failure detector pings members, and its pings that await an ack."""
 
 import random
 from collections.abc import Callable
@@ -6,22 +6,22 @@
 
 from robinhill.mesh.member_table import Member
 
-MAX_PINGS_IN_FLIGHT = 64  # own ones and those for others; only a flood of requests exceeds it
+MAX_PINGS_IN_FLIGHT = 64  # including pings on behalf of others; only a flood of requests would exceed it
 
 
 class PingRound:
-    """Each member once in a round, in an order that is shuffled for every round (SWIM, section 4.3)."""
+    """Yields each member once per round, in an order that is shuffled for each round (SWIM, section 4.3)."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._names: list[str] = []  # the next one last
+        self._names: list[str] = []  # what remains of the round, in reverse order
 
     def reload(self, members: dict[str, Member], first: list[str]) -> None:
-        """Drop who is no member any more; those in ``first`` are next, the last of them before all."""
+        """Drop names that are no longer members. Those in ``first`` are next, the last of them first."""
         self._names = [name for name in self._names if name in members] + first
 
     def next(self, members: dict[str, Member], eligible: Callable[[Member], bool]) -> str | None:
-        """The next member that is eligible; None if no member is."""
+        """Return the next eligible member, skipping others; None if no member is eligible."""
         for _ in range(2):
             while self._names:
                 name = self._names.pop()
@@ -34,19 +34,22 @@
 
 @dataclass(slots=True)
 class PingInFlight:
-    """A ping that awaits an ack: our own, or one for ``requester``, with the number that it gave."""
+    """A ping that awaits an ack: our own, or one on behalf of ``requester``.
+
+    ``requester_number``: the number of the ping in the requester's message.
+    """
 
     target: str
-    direct_until_us: int  # until when a direct ack is awaited
-    until_us: int
+    direct_until_us: int  # deadline of a direct ack
+    until_us: int  # deadline of any ack
     attempt: int = 1
-    indirect: bool = False  # whether others were asked to ping
+    indirect: bool = False  # whether indirect pings were requested, or this one is on behalf of another
     requester: str = ""
     requester_number: int = 0
 
 
 class PingsInFlight:
-    """Pings that await an ack, by number."""
+    """The pings that await an ack, by number."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, PingInFlight] = {}
@@ -58,7 +61,7 @@
         return len(self.by_number) >= MAX_PINGS_IN_FLIGHT
 
     def has_own(self, target: str) -> bool:
-        """Whether a ping of our own to this member awaits an ack."""
+        """Whether a ping to this member that was not sent on behalf of another member awaits an ack."""
         return any(ping.target == target and not ping.requester for ping in self.by_number.values())
 
     def add(self, ping: PingInFlight) -> int:
@@ -68,18 +71,21 @@
         return self._number
 
     def acked(self, number: int, target: str) -> PingInFlight | None:
-        """Remove and return the ping to ``target`` of this number; None if there is none."""
+        """Remove and return the ping to ``target`` with this number; None if there is none."""
         ping = self.by_number.get(number)
         if ping is None or ping.target != target:
             return None
         return self.by_number.pop(number)
 
     def reload(self, members: dict[str, Member]) -> None:
-        """Drop pings to who is no member any more."""
+        """Drop the pings to names that are no longer members."""
         self.by_number = {n: ping for n, ping in self.by_number.items() if ping.target in members}
 
     def postpone(self, us: int) -> None:
-        """This process was paused for so long: acks may still lie unread."""
+        """Postpone all deadlines by ``us``, the duration of a pause of this process.
+
+        Acks may have arrived during the pause that the process has not read yet.
+        """
         for ping in self.by_number.values():
             ping.direct_until_us += us
             ping.until_us += us
--- a/robinhill/mesh/ping_schedule.py
+++ b/robinhill/mesh/ping_schedule.py
@@ -1,16 +1,16 @@
-"""When a link's next ping is due, which pings are unanswered, and the round trip they measure.
+"""The schedule of pings on a link: when the next one is due, which are unanswered, and their round trip.
 
-Times are monotonic microseconds of this process. The frames themselves are built by ``session``.
+Times are monotonic microseconds of this process. ``session`` builds the frames.
 """
 
-PING_GAP_US = 50_000  # between two pings, and from a push to the ping that asks for its confirmation
-FIRST_TIMEOUT_US = 250_000  # for an answer while the round trip is unknown
+PING_GAP_US = 50_000  # least time between pings, and from a push to the ping for its confirmation
+FIRST_TIMEOUT_US = 250_000  # of an answer while the round trip is unknown
 MIN_TIMEOUT_US = 50_000
 MAX_PINGS_IN_FLIGHT = 8
 
 
 class PingSchedule:
-    """The pings of one side of a link: one each ``interval_us``, more while something is unconfirmed."""
+    """The pings of one side of a link: one per ``interval_us``, more while a ping or push is unanswered."""
 
     def __init__(self, interval_us: int) -> None:
         self.interval_us = interval_us
@@ -18,17 +18,17 @@
         self.due_us = 0
         self._last_us = -PING_GAP_US
         self._number = 0
-        self._in_flight: dict[int, int] = {}  # when each was written
+        self._in_flight: dict[int, int] = {}  # by number: the time the ping was written
 
     @property
     def timeout_us(self) -> int:
-        """How long an answer may take before what it answers is considered lost."""
+        """How long the answer to a ping or push may take before that frame is considered lost."""
         if self.round_trip_us is None:
             return FIRST_TIMEOUT_US
         return max(MIN_TIMEOUT_US, self.round_trip_us + self.round_trip_us // 2)
 
     def next_us(self, unconfirmed_pushes: bool) -> int:
-        """When the next ping is due: earlier than its turn if the last ping or a push may be lost."""
+        """Return when the next ping is due: earlier than ``interval_us`` if a ping or a push may be lost."""
         if self._in_flight or unconfirmed_pushes:
             return min(self.due_us, self._last_us + max(PING_GAP_US, self.timeout_us))
         return self.due_us
@@ -38,11 +38,11 @@
         self.due_us = min(self.due_us, self._last_us + PING_GAP_US)
 
     def push_written(self, mono_us: int) -> None:
-        """A ping soon behind a push asks for its confirmation."""
+        """Make a ping due soon after a push; the pong confirms the push."""
         self.due_us = min(self.due_us, max(mono_us, self._last_us) + PING_GAP_US)
 
     def pong_written(self, mono_us: int) -> None:
-        """A ping that is due within half an interval goes into the same message as the pong."""
+        """Make a ping that is due within half an interval due now, to share a message with the pong."""
         if self.due_us - mono_us < self.interval_us // 2:
             self.due_us = mono_us
 
@@ -57,7 +57,10 @@
         return self._number
 
     def answered(self, mono_us: int, number: int) -> int | None:
-        """How long ping ``number`` took; None if it is unknown. Earlier pings count as answered too."""
+        """Record the answer to ping ``number`` and return its round trip; None if the number is unknown.
+
+        Earlier pings count as answered too.
+        """
         if (written_us := self._in_flight.get(number)) is None:
             return None
         for earlier in [n for n in self._in_flight if n <= number]:
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -1,8 +1,8 @@
-"""Outbound pushes of one link: changes behind a cursor, records that the peer lacks, and lost pushes again.
+"""Outbound pushes of one link: new changes, records that the peer lacks, and replacements of lost pushes.
 
-Nothing is queued: a push is built when the transport has capacity, of the newest value of each record.
-Changes that the peer should receive from their writer directly are delayed, so that most of them need not be
-relayed.
+Changes after a cursor in the change log are new. Nothing is queued: a push is built when the transport has
+capacity, from the newest value of each record. Changes that the peer should receive from their writer
+directly are delayed, so that most of them need not be relayed.
 """
 
 from collections.abc import Callable
@@ -13,33 +13,33 @@
 from robinhill.mesh.records import Record, RecordName
 
 MAX_RECORDS_PER_PUSH = 256
-MAX_PUSH_BYTES = 64 << 10  # of values; a pong must not wait behind a longer push
-FRAME_OVERHEAD_BYTES = 4 << 10  # of a frame around the value of a record
-RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer
+MAX_PUSH_BYTES = 64 << 10  # of values; a longer push would delay the pong that is written after it
+FRAME_OVERHEAD_BYTES = 4 << 10  # of a frame, in addition to the key and value of a record
+RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer directly
 
 
 class ChangeLog(Protocol):
-    """What the sender needs of the replica."""
+    """The part of the replica's interface that the sender uses."""
 
     @property
     def head(self) -> int:
-        """The number of the last change."""
+        """The number of the latest change."""
         ...
 
     def record(self, kind: str, key: str) -> Record | None:
-        """The record of this name."""
+        """Return the record of this kind and key; None if there is none."""
         ...
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """Records changed after ``cursor``, and the cursor to go on from."""
+        """Return records that changed after ``cursor``, and the cursor for the next call."""
         ...
 
 
 class PushSender:
     """The pushes of one side of a link. ``own_name`` and ``peer_name``: the two schedulers.
 
-    ``cursor``: changes up to here are written, or compared by digests. ``receives_directly``: whether the
-    peer should receive the changes of an origin from that origin itself.
+    ``cursor``: all changes up to this number are written, or are left to the comparison of digests.
+    ``receives_directly``: whether the peer should receive the changes of an origin from that origin itself.
     """
 
     def __init__(self, log: ChangeLog, own_name: str, pending: dict[RecordName, None]) -> None:
@@ -50,32 +50,36 @@
         self.window = SendWindow()
         self.receives_directly: Callable[[str], bool] = lambda _origin: False
         self.relay_due_us: int | None = None  # when delayed changes must be written
-        self.pushed = 0  # records
-        self.skipped = 0  # records that the peer was known to have
+        self.pushed = 0  # number of records that were pushed
+        self.skipped = 0  # number of records that were not pushed, as the peer was known to have them
         self._pending = pending  # records that anti-entropy found the peer to lack
-        self._peer_has: dict[RecordName, Record] = {}  # of the changes behind the cursor
+        self._peer_has: dict[RecordName, Record] = {}  # of the changes after the cursor
 
     @property
     def confirmed_cursor(self) -> int:
-        """Our changes up to this one are at the peer."""
+        """The number up to which the peer has received our changes."""
         return self.window.confirmed_cursor(self.cursor)
 
     def peer_has(self, record: Record) -> None:
-        """The peer has sent this record: it need not be pushed if it is still the newest."""
+        """Record that the peer has sent this record, so that it is not pushed unless it changes again."""
         if self.cursor < self.log.head and self.log.record(*record.name) == record:
             self._peer_has[record.name] = record
 
     def lost_push(self) -> Push | None:
-        """A push in place of a lost one, with the newest values of its records."""
+        """Return a push that replaces a lost one, with the newest values of its records.
+
+        None if no push is lost.
+        """
         if (lost := self.window.next_lost()) is None:
             return None
         records = [r for name in lost.names if (r := self.log.record(*name)) and self._fits(r)]
         return self._push(records, lost)
 
     def changes(self, mono_us: int, pong_pending: bool) -> Push | None:
-        """The changes behind the cursor, without records that the peer is known to have.
+        """Return a push with changes after the cursor, without records that the peer is known to have.
 
-        ``pong_pending``: a pong waits for these changes, so they are not delayed.
+        ``pong_pending``: a pong waits for these changes, so they are not delayed. Returns None if there is
+        nothing to push now, or the send window is full.
         """
         limit = MAX_RECORDS_PER_PUSH
         while self.cursor < self.log.head and self.window.has_capacity:
@@ -87,14 +91,17 @@
                 limit = len(records) // 2
                 continue
             cursor_before, self.cursor = self.cursor, cursor if records else self.log.head
-            self._passed(records)
+            self._discard_passed(records)
             self.skipped += len(records) - len(due)
             if due:
                 return self._push(due, SentPush(tuple(r.name for r in due), cursor_before))
         return None
 
     def pending_records(self) -> Push | None:
-        """Records that anti-entropy found the peer to lack, in their newest form."""
+        """Return a push with the newest form of records that anti-entropy found the peer to lack.
+
+        None if there are no such records, or the send window is full.
+        """
         if not self._pending or not self.window.has_capacity:
             return None
         due: list[Record] = []
@@ -112,8 +119,8 @@
         self.pushed += len(records)
         return Push(number, tuple(records), sent.replaces)
 
-    def _passed(self, records: list[Record]) -> None:
-        """The cursor has passed these."""
+    def _discard_passed(self, records: list[Record]) -> None:
+        """Discard the state of records that the cursor has passed."""
         for record in records:
             self._peer_has.pop(record.name, None)
             self._pending.pop(record.name, None)
@@ -122,9 +129,10 @@
             self.relay_due_us = None
 
     def _delayed(self, mono_us: int, records: list[Record], pong_pending: bool) -> bool:
-        """Whether the peer should receive all of these from their writers, and there is time to wait.
+        """Whether to delay relaying these records, as the peer should receive all of them from their writers.
 
-        Of two schedulers that could relay the same changes, the one with the smaller name does so first.
+        The first call starts the delay. It is twice as long if our name is larger than the peer's, so that
+        two schedulers that could relay the same changes to each other do not do so at the same time.
         """
         if pong_pending or len(records) >= MAX_RECORDS_PER_PUSH:
             return False
@@ -138,6 +146,6 @@
         return mono_us < self.relay_due_us
 
     def _fits(self, record: Record) -> bool:
-        """Whether a message can contain the record."""
+        """Whether the record is small enough for a message."""
         limit = MAX_MESSAGE_BYTES - MAX_PUSH_BYTES - FRAME_OVERHEAD_BYTES
         return len(record.value) + len(record.key) <= limit
