--- a/robinhill/mesh/merging.py
+++ b/robinhill/mesh/merging.py
@@ -1,9 +1,10 @@
-"""The one rule by which two versions of a record merge, and which records are malformed.
+"""The rule by which two versions of a record merge, and the check for malformed records.
 
-**The rule** is `merged`. Value, stamp and end merge each by itself: the value by the rule of its kind, the
-stamp and the end by the larger. Each is commutative, associative and idempotent, so all three together are.
-The stamp decides nothing about a value of a known kind: it names the last writer, ranks records for eviction,
-and is the rule for kinds that this process does not know.
+**The merge rule** is `merged`. Value, stamp and expiry time merge independently: the value by the rule of its
+kind, the stamp and the expiry time to the larger of the two. Each of these merges is commutative, associative
+and idempotent, and therefore the merge of records is too. For a known kind the stamp does not decide which
+value wins: it names the last writer and ranks records for eviction. For a kind that this process does not
+know, the value with the larger stamp wins.
 """
 
 from typing import Any
@@ -13,17 +14,18 @@
 from robinhill.mesh.record_table import NOT_DECODED
 from robinhill.mesh.records import Kind, Record
 
-MAX_MERGED_VALUE_BYTES = 256 << 10  # a cordon has some 100, evidence of 200 schedulers 10,000
-MAX_NAME_CHARACTERS = 512  # of a key or an origin
+MAX_MERGED_VALUE_BYTES = 256 << 10  # a cordon takes some 100 bytes, evidence of 200 schedulers 10,000
+MAX_NAME_CHARACTERS = 512  # of a record's key or origin
 MAX_KIND_CHARACTERS = 64
 MAX_INCARNATION = 2**63
 
 
 def merged(kind: Kind[Any] | None, a: Record, b: Record) -> Record:
-    """The record that both copies store once each has seen ``a`` and ``b``, of the same name.
+    """Merge two versions of a record to the one that every copy stores once it has received both.
 
-    Of an unknown kind: the value with the larger stamp; of equal stamps the longer, then the larger, as
-    another version has merged it. Raises ForeignState for values that the kind can't decode.
+    For an unknown kind (None), the value with the larger stamp wins. If the stamps are equal, a process that
+    knows the kind has merged one of the values; the longer one wins, then the larger. Raises ForeignState if
+    the kind can't decode a value.
     """
     return merge_with_value(kind, a, b)[0]
 
@@ -31,10 +33,13 @@
 def merge_with_value(
     kind: Kind[Any] | None, a: Record, b: Record, value_of_a: object = NOT_DECODED
 ) -> tuple[Record, object]:
-    """As `merged`, with the decoded value where it is known. ``value_of_a``: if it was decoded before."""
+    """Merge two versions as `merged` does, and return the decoded value too, or `NOT_DECODED`.
+
+    ``value_of_a``: the value of ``a`` if it has been decoded before.
+    """
     value: object = NOT_DECODED
     if kind is None:
-        encoded = max(a, b, key=lambda r: (r.stamp, len(r.value), r.value)).value
+        encoded = max(a, b, key=lambda record: (record.stamp, len(record.value), record.value)).value
     elif a.value == b.value:
         encoded, value = a.value, value_of_a
     else:
@@ -45,36 +50,39 @@
 
 
 def decode_value(kind: Kind[Any], record: Record) -> object:
-    """The value of a record; raises ForeignState whatever is wrong with it."""
+    """Decode the value of a record. Raises ForeignState for any error of the decoder."""
     try:
         return kind.decode(record.value)
-    except Exception as e:  # the bytes are a peer's: no error of a decoder may end the program
-        raise ForeignState(f"a record of {kind.name} from {record.stamp.origin} can't be read: {e}") from e
+    except Exception as e:  # the bytes are from a peer, so no error of a decoder may end the process
+        raise ForeignState(f"a {kind.name} record from {record.stamp.origin} can't be decoded: {e}") from e
 
 
 def merge_values(kind: Kind[Any], a: object, b: object) -> tuple[bytes, object]:
-    """The merged value, encoded and decoded; raises ForeignState if the kind can't merge them."""
+    """Merge two values. Returns the result encoded and decoded.
+
+    Raises ForeignState for any error of the kind's merge or encode function.
+    """
     try:
         value = kind.merge(a, b)
         return kind.encode(value), value
-    except Exception as e:  # as above
-        raise ForeignState(f"records of {kind.name} can't be merged: {e}") from e
+    except Exception as e:  # a value may be from a peer, as in `decode_value`
+        raise ForeignState(f"two values of {kind.name} records can't be merged: {e}") from e
 
 
 def malformed(record: Record) -> str:
-    """What is wrong with a record whatever its kind; empty if nothing is."""
+    """Return why a record of any kind is malformed; an empty string if it is not."""
     stamp = record.stamp
     if (
         not 0 < len(record.kind) <= MAX_KIND_CHARACTERS
         or "\0" in record.kind
         or len(record.key) > MAX_NAME_CHARACTERS
     ):
-        return "its name is none"
+        return "its kind is empty, too long or contains a null character, or its key is too long"
     if len(record.value) > MAX_MERGED_VALUE_BYTES:
-        return f"its value has {len(record.value)} bytes"
+        return f"its value has {len(record.value)} bytes, which is too long"
     times = stamp.wall_us, record.until_us
     if not (min(times) >= 0 and max(times) <= LAST_US and 0 <= stamp.count <= MAX_COUNT):
-        return "its times are none"
+        return "a time or the count of its stamp, or its expiry time, is out of range"
     if len(stamp.origin) > MAX_NAME_CHARACTERS or not 0 <= stamp.incarnation < MAX_INCARNATION:
-        return "its origin is none"
+        return "its origin is too long or its incarnation is out of range"
     return ""
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -1,10 +1,10 @@
-"""Record kinds without rules of their own: drains of schedulers, evidence on workers, keyed requests.
+"""Record kinds with simple merge rules: drains of schedulers, evidence on workers, keyed requests.
 
-Each value is a struct whose fields are its total order, or an ordered tuple of such structs. The larger of
-two is therefore a commutative, associative and idempotent merge, and equal values have equal bytes. Times
-inside values only order the writes of one scheduler, or concurrent writes of several: a writer uses a time
-later than that of the value it replaces (``later``), so no host's clock wins for good. Numbers and texts are
-bounded when they are decoded; a value beyond its bounds raises.
+Each value is a struct whose fields define a total order, or an ordered tuple of such structs. Choosing the
+larger of two is therefore a commutative, associative and idempotent merge, and equal values have equal bytes.
+Times inside values only order the writes of one scheduler, or concurrent writes of several: a writer uses a
+time later than that of the value it replaces (``later``), so a host whose clock is ahead does not win for
+good. Decoding raises an error for numbers and texts that exceed their limits.
 """
 
 from collections.abc import Iterable
@@ -22,11 +22,11 @@
 Hash = Annotated[bytes, msgspec.Meta(max_length=64)]
 
 HOUR_US = 3_600_000_000
-MAX_RETRY_WINDOW_US = 600_000_000  # in which a client repeats a keyed request, unless configured otherwise
-MAX_OBSERVATIONS = 600  # of one worker: three of each of 200 schedulers
-MAX_DRAIN_RECORDS = 1_024  # schedulers, with those that they replaced
+MAX_RETRY_WINDOW_US = 600_000_000  # default time within which a client may retry a keyed request
+MAX_OBSERVATIONS = 600  # of one worker: three by each of 200 schedulers
+MAX_DRAIN_RECORDS = 1_024  # one for each scheduler, including former ones
 DRAIN_LIFETIME_US = 7 * 24 * HOUR_US
-MAX_EVIDENCE_RECORDS = 8_192  # workers; those written longest ago are evicted first
+MAX_EVIDENCE_RECORDS = 8_192  # one for each worker; those written longest ago are evicted first
 EVIDENCE_LIFETIME_US = HOUR_US
 MIN_LIFETIME_US = 60_000_000
 MAX_REQUEST_RECORDS = 16_384  # idempotency keys; the oldest are evicted first
@@ -35,14 +35,15 @@
 
 
 def later(now_us: int, than_us: int | None) -> int:
-    """The time to write over a value of ``than_us``: now, or one microsecond after it."""
+    """Return the time for a value that replaces one of ``than_us``: now, or a microsecond after that."""
     return now_us if than_us is None else min(max(now_us, than_us + 1), LAST_US)
 
 
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """An operator's decision to drain a scheduler, or to end its drain. The latest one counts.
+    """An operator's decision to drain a scheduler, or to end its drain; the latest applies.
 
-    ``at_us``: when it was made, by ``later``. ``by``: the scheduler that received the operator's request.
+    ``at_us``: the time of the decision, as returned by ``later``. ``by``: the scheduler that received the
+    operator's request.
     """
 
     at_us: Time
@@ -52,11 +53,13 @@
 
 
 class Observation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What one scheduler observed of a worker; the latest for each ``what`` and ``about`` counts.
+    """A symptom of a worker that one scheduler observed.
 
-    ``observer``: the scheduler's name. ``what``: ``silent``, ``failing``, ``slow``, or a value of a newer
-    version. ``about``: the class or kind of jobs concerned, or empty. ``amount``: microseconds without an
-    answer, consecutive failures, or thousandths of the expected time; 0 withdraws the observation.
+    For each ``observer``, ``what`` and ``about`` only the latest observation is retained. ``observer``: the
+    name of the scheduler. ``what``: the symptom, ``silent``, ``failing``, ``slow`` or a value of a newer
+    version. ``about``: the class or kind of jobs concerned, or empty. ``amount``: microseconds without a
+    response (silent), number of consecutive failures (failing), or thousandths of the expected time (slow); 0
+    withdraws the observation.
     """
 
     observer: ShortText
@@ -70,11 +73,11 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    """State of a request with an idempotency key: where a retry of it should go.
+    """State of a request with an idempotency key, by which a retry is sent to the zone of the request.
 
-    ``attempt`` counts from 1, and each new placement adds one. ``state``: ``PLACED`` in ``zone``, ``FAILED``
-    for good there, or ``ENDED`` with a result of the hash ``result``. ``window_us``: how long after ``at_us``
-    the workers of the zone deduplicate a retry. ``by``: the scheduler that wrote it.
+    ``attempt``: number of the placement, from 1. ``state``: ``PLACED`` in ``zone``, ``FAILED`` there
+    permanently, or ``ENDED`` with a result whose hash is ``result``. ``window_us``: how long after ``at_us``
+    the workers of the zone deduplicate retries. ``by``: the scheduler that wrote the state.
     """
 
     state: Annotated[int, msgspec.Meta(ge=PLACED, le=ENDED)]
@@ -91,31 +94,37 @@
 
 
 def latest_drain(a: Drain, b: Drain) -> Drain:
-    """Merge rule of drains: the later decision."""
+    """Merge rule of drains: the later decision wins."""
     return max(a, b)
 
 
 def merge_evidence(a: Evidence, b: Evidence) -> Evidence:
-    """Merge rule of evidence: the latest by observer and subject, ``MAX_OBSERVATIONS`` at most."""
+    """Merge rule of evidence: the latest observation for each observer, ``what`` and ``about``.
+
+    At most ``MAX_OBSERVATIONS`` are retained, the latest of all.
+    """
     newest: dict[tuple[str, str, str], Observation] = {}
     for observation in (*a, *b):
-        name = observation.observer, observation.what, observation.about
-        newest[name] = max(observation, newest.get(name, observation))
+        key = observation.observer, observation.what, observation.about
+        newest[key] = max(observation, newest.get(key, observation))
     observations: Iterable[Observation] = newest.values()
     if len(newest) > MAX_OBSERVATIONS:
-        observations = sorted(observations, key=lambda s: (s.at_us, s), reverse=True)[:MAX_OBSERVATIONS]
+        observations = sorted(observations, key=lambda o: (o.at_us, o), reverse=True)[:MAX_OBSERVATIONS]
     return tuple(sorted(observations))
 
 
 def current_observations(evidence: Evidence, now_us: int, within_us: int) -> list[Observation]:
-    """Observations of the last ``within_us`` that were not withdrawn; future times count as now."""
-    return [s for s in evidence if s.amount and s.at_us > now_us - within_us]
+    """Return the observations of the last ``within_us`` that were not withdrawn.
+
+    Observations with a time in the future are included.
+    """
+    return [o for o in evidence if o.amount and o.at_us > now_us - within_us]
 
 
 def merge_outcomes(a: Outcome, b: Outcome) -> Outcome:
-    """Merge rule of keyed requests: a result wins, then the later attempt, then its failure.
+    """Merge rule of keyed requests: a result wins, then the later attempt, then the failure of that attempt.
 
-    Between equals the earlier one wins, so that a retry goes where the request went first.
+    Of two equal states the earlier one wins, so that a retry is sent to the zone of the first placement.
     """
     return max(a, b, key=_rank)
 
@@ -145,7 +154,7 @@
 
 
 def request_kind(max_retry_window_us: int, bound: int = MAX_REQUEST_RECORDS) -> Kind[Outcome]:
-    """The kind of keyed requests, for the longest retry window of any class."""
+    """Return the kind of keyed requests. ``max_retry_window_us``: the longest retry window of any class."""
     decode = msgspec.msgpack.Decoder(Outcome).decode
     lifetime_us = max(max_retry_window_us, MIN_LIFETIME_US)
     return Kind("request", _encode, decode, merge_outcomes, lifetime_us, bound, evict=_written)
--- a/robinhill/mesh/record_merging.py
+++ b/robinhill/mesh/record_merging.py
@@ -1,4 +1,4 @@
-"""Merging of received records into a replica, and the records that it rejected or stored with a warning."""
+"""Merges received records into a replica, and collects those that it rejected or stored with a warning."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,30 +10,33 @@
 
 
 class Mergeable(Protocol):
-    """What merging needs of the replica."""
+    """The part of the replica's interface that merging uses."""
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a record; what is stored now if that changed something. Raises MeshError."""
+        """Merge a record. Returns the record stored now, None if nothing changed. Raises MeshError."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class RejectedRecord:
-    """A record that a replica rejected, or stored with a warning. ``error`` says why."""
+    """A record that a replica rejected, or stored with a warning. ``error``: the reason."""
 
     record: Record
     error: MeshError
 
     @property
     def stored_with_warning(self) -> Record | None:
-        """The record as it was stored in spite of the error; None: it was rejected."""
+        """The record that was stored in spite of the error; None if the record was rejected."""
         return self.error.stored if isinstance(self.error, StampAhead) else None
 
 
 def merge_record(
     replica: Mergeable, now_us: int, record: Record
 ) -> tuple[Record | None, RejectedRecord | None]:
-    """Merge a record. Returns what is stored now if the replica changed, and the rejection if any."""
+    """Merge a record.
+
+    Returns the record stored now, None if the replica did not change, and the rejection or warning, if any.
+    """
     try:
         return replica.merge(now_us, record), None
     except MeshError as e:
@@ -44,7 +47,10 @@
 def merge_records(
     replica: Mergeable, now_us: int, records: Iterable[Record]
 ) -> tuple[list[Record], list[RejectedRecord]]:
-    """Merge ``records``. Returns those that changed the replica, and those that it rejected or bounded."""
+    """Merge ``records``.
+
+    Returns the records stored now where the replica changed, and those rejected or stored with a warning.
+    """
     changed: list[Record] = []
     rejected: list[RejectedRecord] = []
     for record in records:
@@ -57,5 +63,5 @@
 
 
 def any_rejected(rejected: Iterable[RejectedRecord]) -> bool:
-    """Whether a record was not stored at all: this replica then lacks something that the sender has."""
+    """Whether a record was not stored at all, so that this replica lacks a record that the sender has."""
     return any(rejection.stored_with_warning is None for rejection in rejected)
--- a/robinhill/mesh/record_table.py
+++ b/robinhill/mesh/record_table.py
@@ -1,6 +1,6 @@
 """The records of one kind in one copy: decoded once, counted, sorted by key, and ranked for eviction.
 
-Owns no merge rule, no timestamps and no bounds; see ``merging`` and ``replica`` for these.
+``merging`` contains the merge rule; ``replica`` assigns timestamps and enforces the limits of kinds.
 """
 
 import heapq
@@ -12,14 +12,14 @@
 NOT_DECODED = object()
 """Stands for a value that was not decoded yet."""
 
-STALE_ENTRIES = 64  # in a heap or log beyond twice its live entries, before it is rebuilt
+STALE_ENTRIES = 64  # a heap or log is rebuilt once it has this many entries more than twice its live ones
 
 
 class StoredRecord:
-    """A record as this copy stores it, with what would be costly to compute again.
+    """A record as this copy stores it, with derived data that would be costly to compute again.
 
-    ``place``: its key in the table. ``change_number``: of its last change, -1 once it is dropped.
-    ``expiry_span``: the span of time with whose end it has expired (`expiry_index`).
+    ``place``: the key in its table. ``change_number``: the number of its last change, -1 once it is dropped.
+    ``expiry_span``: the span of time in which it expires (`expiry_index`).
     """
 
     __slots__ = ("change_number", "expiry_span", "hash", "place", "range_index", "record", "table", "value")
@@ -36,29 +36,29 @@
 
 
 def size_of(record: Record) -> int:
-    """Bytes of a record as bounds count them: its key and value, not Python's overhead."""
+    """Return the size of a record in bytes, for limits: its key and value, without Python's overhead."""
     return len(record.key) + len(record.value)
 
 
 class RecordTable:
-    """All records of ``kind``; None for those of all kinds that this process does not know."""
+    """All records of ``kind``. The table with kind None stores those of all unregistered kinds."""
 
     def __init__(self, kind: Kind[Any] | None) -> None:
         self.kind = kind
         self.stored: dict[str, StoredRecord] = {}
         self.bytes = 0
-        self._eviction_heap: list[tuple[Any, str, int]] | None = None  # made when the table is first full
-        self._sorted_places: list[str] | None = None  # made when they are first read
+        self._eviction_heap: list[tuple[Any, str, int]] | None = None  # built when `first_to_evict` needs it
+        self._sorted_places: list[str] | None = None  # built at the first call of `live`
         self._live: list[tuple[str, object]] | None = None
         self._live_from_us = 0
         self._live_until_us = 0
 
     def place(self, kind: str, key: str) -> str:
-        """The key of a record in this table."""
+        """Return the key of a record in this table."""
         return key if self.kind is not None else f"{kind}\0{key}"
 
     def put(self, stored: StoredRecord, record: Record) -> None:
-        """Let ``stored`` contain ``record`` from now on."""
+        """Store ``record`` in ``stored``, which is added to the table if it is new."""
         self.bytes += size_of(record)
         if stored.place in self.stored:
             self.bytes -= size_of(stored.record)
@@ -69,7 +69,7 @@
         self._live = None
 
     def drop(self, stored: StoredRecord) -> None:
-        """Remove a record."""
+        """Remove a record from the table."""
         del self.stored[stored.place]
         if self._sorted_places is not None:
             del self._sorted_places[bisect_left(self._sorted_places, stored.place)]
@@ -77,14 +77,17 @@
         self._live = None
 
     def rank(self, record: Record, place: str) -> tuple[Any, str]:
-        """Records with the lowest rank are evicted first. Ends with the place, so no two are equal."""
+        """Return the rank of a record for eviction; records with the lowest rank are evicted first.
+
+        The rank ends with the place, so that no two ranks are equal.
+        """
         if self.kind is None:
             return record.stamp, place
         assert self.kind.evict
         return self.kind.evict(record), place
 
     def update_rank(self, stored: StoredRecord) -> None:
-        """A record has changed, and its rank with it."""
+        """Update the eviction heap after a record has changed."""
         if self._eviction_heap is not None:
             entry = (*self.rank(stored.record, stored.place), stored.change_number)
             heapq.heappush(self._eviction_heap, entry)
@@ -92,10 +95,10 @@
                 self._eviction_heap = None
 
     def first_to_evict(self) -> StoredRecord:
-        """The record of the lowest rank; only for tables that are not empty."""
+        """Return the record with the lowest rank. The table must not be empty."""
         if self._eviction_heap is None:
             self._eviction_heap = [
-                (*self.rank(one.record, place), one.change_number) for place, one in self.stored.items()
+                (*self.rank(entry.record, place), entry.change_number) for place, entry in self.stored.items()
             ]
             heapq.heapify(self._eviction_heap)
         while True:
@@ -103,28 +106,29 @@
             stored = self.stored.get(place)
             if stored is not None and stored.change_number == change_number:
                 return stored
-            heapq.heappop(self._eviction_heap)  # it has changed since
+            heapq.heappop(self._eviction_heap)  # stale: the record has changed since or was dropped
 
     def value(self, stored: StoredRecord) -> object:
-        """The decoded value."""
+        """Return the decoded value of a record, which is decoded at the first call."""
         if stored.value is NOT_DECODED:
             encoded = stored.record.value
             stored.value = self.kind.decode(encoded) if self.kind else encoded
         return stored.value
 
     def live(self, now_us: int) -> list[tuple[str, object]]:
-        """Keys and values that have not expired at ``now_us``, in key order."""
+        """Return keys and values of the records that have not expired at ``now_us``, in key order."""
         if self._live is None or not self._live_from_us <= now_us < self._live_until_us:
             if self._sorted_places is None:
                 self._sorted_places = sorted(self.stored)
             live = [
-                one
-                for one in map(self.stored.__getitem__, self._sorted_places)
-                if one.record.until_us > now_us
+                stored
+                for stored in map(self.stored.__getitem__, self._sorted_places)
+                if stored.record.until_us > now_us
             ]
             self._live = [
-                (one.place, self.value(one) if one.value is NOT_DECODED else one.value) for one in live
+                (stored.place, self.value(stored) if stored.value is NOT_DECODED else stored.value)
+                for stored in live
             ]
             self._live_from_us = now_us
-            self._live_until_us = min((one.record.until_us for one in live), default=now_us + 1)
+            self._live_until_us = min((stored.record.until_us for stored in live), default=now_us + 1)
         return self._live.copy()
--- a/robinhill/mesh/records.py
+++ b/robinhill/mesh/records.py
@@ -1,7 +1,7 @@
 """Replicated records: their timestamps, their form on the wire and on disk, and the kinds that define them.
 
-All times are microseconds. ``now_us`` is Unix time as ``net/clock.py`` keeps it (never steps back within a
-process); ``mono_us`` is a monotonic clock of one process, never compared between processes.
+All times are microseconds. ``now_us`` is Unix time from ``net/clock.py``, which never steps back within a
+process; ``mono_us`` is the monotonic clock of one process and is never compared between processes.
 """
 
 from collections.abc import Callable
@@ -16,10 +16,10 @@
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """When and by whom a record was last written: a hybrid logical timestamp; larger is later.
+    """When and by which process a record was last written: a hybrid logical timestamp; the larger is later.
 
-    Source: Kulkarni et al., "Logical physical clocks", 2014. ``incarnation`` is larger at each start of
-    ``origin``, also if the clock of its host was set back.
+    Source: Kulkarni et al., "Logical physical clocks", 2014. ``origin``: the scheduler that wrote the record.
+    ``incarnation`` increases at each start of ``origin``, even if the clock of its host was set back.
     """
 
     wall_us: int
@@ -31,9 +31,9 @@
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """One piece of replicated state, on the wire and on disk.
 
-    ``kind`` and ``key`` name it. ``value`` is MessagePack that only its kind can decode: a process without
-    the kind (a peer is newer) stores and relays the record with the larger stamp unchanged. After
-    ``until_us`` (Unix time) it has expired and may be dropped.
+    ``kind`` and ``key`` name the record. ``value`` is MessagePack that only its kind can decode: a process
+    that does not know the kind, as a peer runs a newer version, stores and relays the record with the larger
+    stamp unchanged. At ``until_us`` (Unix time) the record expires, and it may be dropped.
     """
 
     kind: str
@@ -44,7 +44,7 @@
 
     @property
     def name(self) -> RecordName:
-        """Kind and key."""
+        """Kind and key, which identify the record."""
         return self.kind, self.key
 
 
@@ -52,11 +52,11 @@
 class Kind(Generic[Value]):
     """One kind of records, registered with the replica.
 
-    ``merge`` is the rule for versions that differ: pure, commutative, associative, idempotent. ``encode``
-    must be canonical (equal values give equal bytes). ``bound``: records of it at most; beyond that ``evict``
-    says which go first (by ascending key), or new ones are rejected if it is None. ``lifetime_us``: how long
-    after its last write a record counts. ``persistent``: whether it is saved to disk and read again at a
-    start.
+    ``merge`` combines versions that differ; it must be pure, commutative, associative and idempotent.
+    ``encode`` must be canonical (equal values give equal bytes). ``bound``: the maximum number of records.
+    Above it, records with the smallest sort key, as returned by ``evict``, are evicted first; if ``evict`` is
+    None, new records are rejected. ``lifetime_us``: the time from its last write after which a record
+    expires. ``persistent``: whether records are saved to disk and restored at a start.
     """
 
     name: str
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -1,23 +1,26 @@
 """One copy of the replicated state. Copies that merged the same records, in whatever order, are equal.
 
-The rule by which two versions of a record merge is in ``merging``, timestamps in ``clocks``.
-
-**Expiry.** Past ``until_us`` a record counts for nothing: it is not read, not merged into a live one, and
-replaced by one. It stays stored until the end of its span of time (`expiry_index`), at which it leaves the
-digests of all copies at once, and is dropped ``AHEAD_US`` later. So copies may collect whenever they like;
-and if the time goes with a digest and the other side answers as of that time, clocks that differ by less than
-``AHEAD_US`` do not make digests differ. (Two copies whose clocks lie on either side of a record's end may for
-that long still merge it into what is written then; that spreads to all as any merge does.)
-
-**After an absence.** Removals are part of the values of kinds and expire with their record. A member that was
-away for longer than a kind's lifetime, and rewrote a record meanwhile, could therefore bring back what others
-have removed and forgotten. It checks ``stale``; if so it calls ``clear`` and fetches a complete snapshot of a
-peer before it writes, serves or answers peers. ``disconnected_us`` counts from the last contact with a
-majority, or from when the file was saved.
-
-**Bounds.** ``write`` rejects at a kind's bound, ``merge`` at twice that: what several schedulers accepted
-concurrently must fit on all, or copies would differ by the order of arrival. Kinds that evict never reject:
-every copy keeps the records of the highest rank, which are the same on all.
+The rule by which two versions of a record merge is in ``merging``, timestamps are in ``clocks``.
+
+**Expiry.** After ``until_us`` a record is expired: it is not returned by queries, is not merged into a live
+version, and is replaced by a live version. It stays stored until the end of its span of time
+(`expiry_index`). Then it stops counting in digests, on all copies at once, and ``AHEAD_US`` later it is
+dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``AHEAD_US`` do not make
+digests differ either, as the opener sends the time along with its digests and the other side answers as of
+that time. (If the clocks of two copies lie on either side of a record's expiry, one of them may still merge
+the record into a value that is written then. The result spreads to all copies like that of any merge.)
+
+**After a disconnection.** Removals are part of the values of kinds and expire with their record. A scheduler
+that was disconnected for longer than a kind's lifetime, and rewrote a record in that time, could therefore
+restore items that the others have removed and whose removal has expired. Such a scheduler checks ``stale``.
+If it is true, the scheduler calls ``clear`` and fetches a complete snapshot from a peer before it writes,
+serves or answers peers. ``disconnected_us`` is the time since the last contact with a majority, or since the
+snapshot file was saved.
+
+**Limits.** ``write`` rejects new records at a kind's bound, ``merge`` at twice the bound: records that
+several schedulers accepted concurrently must fit on all copies, or copies would differ by the order of
+arrival. Kinds that evict never reject a new record: every copy retains the records of the highest rank, which
+are the same on all copies.
 """
 
 from collections.abc import Iterable, Iterator
@@ -39,18 +42,18 @@
 from robinhill.mesh.record_table import NOT_DECODED, RecordTable, StoredRecord, size_of
 from robinhill.mesh.records import Kind, Record
 
-MAX_WRITTEN_VALUE_BYTES = MAX_MERGED_VALUE_BYTES // 4  # concurrent writes may add up
-MERGE_BOUND_FACTOR = 2  # of a kind's bound: each side of a partition may have filled its own
+MAX_WRITTEN_VALUE_BYTES = MAX_MERGED_VALUE_BYTES // 4  # the merge of concurrent writes may be larger
+MERGE_BOUND_FACTOR = 2  # of a kind's bound: each side of a partition may have written up to the bound
 MAX_KIND_BYTES = 16 << 20  # of keys and values
-MAX_UNKNOWN_RECORDS = 4_096  # of all kinds that this process does not know
-MAX_COLLECTED = 1_000  # records in one call: some milliseconds
+MAX_UNKNOWN_RECORDS = 4_096  # of all unregistered kinds together
+MAX_COLLECTED = 1_000  # records dropped by one call of `collect`, which takes some milliseconds
 UNKNOWN = "unknown"
 
 
 class Replica:
-    """The records of all ``kinds``, and those of unknown kinds. ``origin``: this scheduler.
+    """The records of all ``kinds``, and those of unregistered kinds. ``origin``: this scheduler.
 
-    ``value`` and ``items`` return what has not expired at the latest ``now_us`` given to any method.
+    ``value`` and ``items`` omit records that have expired at the latest ``now_us`` given to any method.
     """
 
     def __init__(self, origin: str, incarnation: int, kinds: Iterable[Kind[Any]]) -> None:
@@ -65,23 +68,24 @@
         self._expiry = ExpiryIndex()
         self._range_sums = digests.RangeSums()
         self._by_range: list[set[StoredRecord]] = [set() for _ in range(digests.RANGES)]
-        self._version = 0  # changes whenever digests may
+        self._version = 0  # incremented with each change that may change digests
         self._cached_digests: tuple[tuple[int, int], tuple[int, ...], bytes] | None = None
 
     def _register(self, kind: Kind[Any]) -> None:
         duplicate = kind.name in ("", UNKNOWN, *self._tables)
         if duplicate or len(kind.name) > MAX_KIND_CHARACTERS or "\0" in kind.name:
-            raise ValueError(f"a kind can't be named {kind.name!r}, or not twice")
+            raise ValueError(f"the name of kind {kind.name!r} is not valid or already registered")
         if not SPAN_US <= kind.lifetime_us <= MAX_LIFETIME_US or kind.bound < 1:
-            raise ValueError(f"kind {kind.name} has a lifetime or bound that can't be kept")
+            raise ValueError(f"the lifetime of kind {kind.name} is out of range, or its bound is below 1")
         self._tables[kind.name] = RecordTable(kind)
 
     # Changes
 
     def write(self, now_us: int, kind: str, key: str, value: object) -> Record:
-        """Merge ``value`` into the present one by the kind's rule, stamp it, and renew its lifetime.
+        """Merge ``value`` into the present value by the kind's rule, stamp the result and renew its lifetime.
 
-        Raises StateFull at the kind's bound; KeyError for a kind that is not registered.
+        Returns the record stored now. Raises StateFull if the kind has reached its bound or the value is too
+        large, ValueError if the record is malformed, and KeyError for a kind that is not registered.
         """
         self._now_us = now_us
         table = self._tables[kind]
@@ -95,7 +99,7 @@
             encoded = rule.encode(value)
         if len(encoded) > MAX_WRITTEN_VALUE_BYTES:
             raise StateFull(
-                f"{kind} {key!r} would have {len(encoded)} bytes, at most {MAX_WRITTEN_VALUE_BYTES} may"
+                f"{kind} {key!r} would have {len(encoded)} bytes, the limit is {MAX_WRITTEN_VALUE_BYTES}"
             )
         stamp = self.clock.tick(now_us, stored.record.stamp if stored is not None else None)
         until_us = now_us + rule.lifetime_us
@@ -103,25 +107,26 @@
             until_us = max(until_us, live.record.until_us)
         record = Record(kind, key, stamp, until_us, encoded)
         if reason := malformed(record):
-            raise ValueError(f"{kind} {key!r} can't be written: {reason}")
+            raise ValueError(f"{kind} {key!r} was not written: {reason}")
         if not self._put(table, record, value, bound_factor=1):
-            raise StateFull(f"{rule.bound} records of {kind} are held that all go before {key!r}")
+            raise StateFull(f"{rule.bound} records of {kind} are stored that all outrank {key!r}")
         return record
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a peer's record; the record stored now if this copy changed by it, None if not.
+        """Merge a peer's record. Returns the record stored now if this copy has changed, else None.
 
-        Raises ForeignState (it can't be decoded), StateFull, or StampAhead, whose ``stored`` is the record
-        stored now if this copy changed all the same, None if the record was rejected.
+        Raises ForeignState if the record is malformed or can't be decoded, StateFull if it exceeds a limit,
+        or StampAhead if it is too far in the future. The ``stored`` of StampAhead is the record stored now if
+        this copy has changed nevertheless, None if the record was rejected.
         """
         self._now_us = now_us
         if reason := malformed(record):
-            raise ForeignState(f"a record of {record.kind[:MAX_KIND_CHARACTERS]!r} was refused: {reason}")
+            raise ForeignState(f"a record of {record.kind[:MAX_KIND_CHARACTERS]!r} was rejected: {reason}")
         if is_forgotten(now_us, record.until_us):
             return None
         ahead = ahead_us(now_us, record)
         if ahead > FAR_US:
-            raise StampAhead(f"{_describe_ahead(record, ahead)}, it was refused", None)
+            raise StampAhead(f"{_describe_ahead(record, ahead)}; it was rejected", None)
         table = self._tables.get(record.kind, self._unknown)
         stored = table.stored.get(table.place(record.kind, record.key))
         new, value = record, NOT_DECODED
@@ -135,11 +140,14 @@
         if not self._put(table, new, value, MERGE_BOUND_FACTOR):
             return None
         if ahead > AHEAD_US:
-            raise StampAhead(f"{_describe_ahead(record, ahead)}, its weight is bounded", new)
+            raise StampAhead(f"{_describe_ahead(record, ahead)}; its effect is limited", new)
         return new
 
     def collect(self, now_us: int) -> int:
-        """Drop expired records, at most ``MAX_COLLECTED``; how many. To be called every second."""
+        """Drop records that no longer need to be stored, at most ``MAX_COLLECTED``, and return their number.
+
+        To be called every second.
+        """
         self._now_us = now_us
         dropped = 0
         while dropped < MAX_COLLECTED and (stored := self._expiry.next_forgotten(now_us)) is not None:
@@ -148,7 +156,10 @@
         return dropped
 
     def stale(self, now_us: int, disconnected_us: int) -> bool:
-        """Whether this copy, ``disconnected_us`` without a majority, could bring back what was removed."""
+        """Whether this copy could restore items that others have removed.
+
+        ``disconnected_us``: the time since this scheduler was last in contact with a majority.
+        """
         self._now_us = now_us
         return any(
             table.kind and table.kind.lifetime_us <= disconnected_us + AHEAD_US and table.live(now_us)
@@ -156,9 +167,10 @@
         )
 
     def clear(self, disconnected_us: int | None = None) -> list[Record]:
-        """Drop the kinds for which ``disconnected_us`` is too long, by default all.
+        """Drop the records of all kinds whose lifetime may have passed in ``disconnected_us``.
 
-        Returns the live records that this process wrote last, which their operators may ask for again.
+        Without ``disconnected_us``, drop the records of all kinds, including unregistered ones. Returns the
+        live records that this process was the last to write, so that operators may repeat their requests.
         """
         own: list[Record] = []
         for table in [*self._tables.values(), self._unknown]:
@@ -172,7 +184,7 @@
         return own
 
     def _is_own(self, record: Record) -> bool:
-        """Whether this process wrote it last."""
+        """Whether this process was the last to write the record."""
         stamp, clock = record.stamp, self.clock
         return (stamp.origin, stamp.incarnation) == (clock.origin, clock.incarnation)
 
@@ -184,7 +196,10 @@
         return self._log.head
 
     def value(self, kind: str, key: str) -> object | None:
-        """The decoded value; None if there is none or it has expired. KeyError for an unregistered kind."""
+        """Return the decoded value of a record; None if there is none or it has expired.
+
+        Raises KeyError for a kind that is not registered.
+        """
         table = self._tables[kind]
         stored = table.stored.get(key)
         if stored is None or stored.record.until_us <= self._now_us:
@@ -192,23 +207,26 @@
         return table.value(stored)
 
     def items(self, kind: str) -> list[tuple[str, object]]:
-        """Live keys and values, in key order. Cheap while nothing of the kind changes."""
+        """Return keys and values of the live records of a kind, in key order.
+
+        The result is cached until a record of the kind changes or expires.
+        """
         return self._tables[kind].live(self._now_us)
 
     def record(self, kind: str, key: str) -> Record | None:
-        """The record as it is stored, expired or not."""
+        """Return a record as it is stored, even if it has expired; None if it is not stored."""
         table = self._tables.get(kind, self._unknown)
         stored = table.stored.get(table.place(kind, key))
         return stored.record if stored is not None else None
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """At most ``limit`` records changed after ``cursor``, and the cursor to go on from (`ChangeLog`)."""
+        """Return at most ``limit`` records changed after ``cursor``, and the next cursor (`ChangeLog`)."""
         return self._log.since(cursor, limit)
 
     def snapshot(self, persistent_only: bool = False) -> Iterator[Record]:
-        """All records that have not expired, oldest change first; changes may go on meanwhile.
+        """Iterate over all live records, oldest change first. Records may change during the iteration.
 
-        ``persistent_only``: only those of persistent kinds.
+        ``persistent_only``: skip registered kinds that are not persistent.
         """
         for stored in self._log.records():
             if stored.record.until_us > self._now_us:
@@ -217,22 +235,25 @@
                     yield stored.record
 
     def sizes(self) -> dict[str, tuple[int, int]]:
-        """Records, and bytes of their keys and values, by kind; all unknown kinds as "unknown"."""
+        """Return the number of records, and the bytes of their keys and values, by kind.
+
+        All unregistered kinds are reported together as "unknown".
+        """
         tables = {**self._tables, UNKNOWN: self._unknown}
         return {name: (len(table.stored), table.bytes) for name, table in tables.items()}
 
     # Digests
 
     def digest(self, now_us: int) -> bytes:
-        """16 bytes, equal if and only if copies are, as of ``now_us``."""
+        """Return a digest of 16 bytes as of ``now_us``, which is equal for equal copies only."""
         return self._digests(now_us)[1]
 
     def ranges(self, now_us: int) -> tuple[int, ...]:
-        """A digest of 64 bits for each of 256 ranges by the hash of the record's name, as of ``now_us``."""
+        """Return a 64-bit digest for each of 256 ranges of the hash of a record's name, as of ``now_us``."""
         return self._digests(now_us)[0]
 
     def in_range(self, index: int) -> list[Record]:
-        """The records of one range, sorted by name."""
+        """Return the records of one range, sorted by name."""
         return sorted((stored.record for stored in self._by_range[index]), key=lambda r: r.name)
 
     def _digests(self, now_us: int) -> tuple[tuple[int, ...], bytes]:
@@ -245,7 +266,7 @@
     # Storing
 
     def _put(self, table: RecordTable, record: Record, value: object, bound_factor: int) -> bool:
-        """Store ``record``. False if a full kind does not keep it; raises StateFull if it is rejected."""
+        """Store ``record``. Returns False if it was evicted at once; raises StateFull if it is rejected."""
         place = table.place(record.kind, record.key)
         stored = table.stored.get(place)
         evicts = table.kind is None or table.kind.evict is not None
@@ -272,7 +293,11 @@
         return stored.change_number >= 0
 
     def _ensure_capacity(self, table: RecordTable, record: Record, place: str, bound_factor: int) -> bool:
-        """Ensure capacity for one more record. False if it would be evicted first; raises StateFull."""
+        """Make room for one more record of the kind, by eviction or by dropping expired records.
+
+        Returns False if the new record itself would be evicted first. Raises StateFull if the kind does not
+        evict and is full.
+        """
         if table.kind is None or table.kind.evict is not None:
             bound = table.kind.bound if table.kind else MAX_UNKNOWN_RECORDS
             if len(table.stored) >= bound:
@@ -286,7 +311,7 @@
             for expired in [one for one in table.stored.values() if one.record.until_us <= self._now_us]:
                 self._drop(expired)
             if len(table.stored) >= bound:
-                raise StateFull(f"{len(table.stored)} records of {record.kind} are held, one more refused")
+                raise StateFull(f"{len(table.stored)} records of {record.kind} are stored, which is the limit")
         return True
 
     def _drop(self, stored: StoredRecord) -> None:
@@ -300,11 +325,13 @@
 
 
 def _merge_into(stored: StoredRecord, record: Record, now_us: int) -> tuple[Record, object]:
-    """The record to store in place of ``stored``, and its value if it is decoded; the same one if
-    unchanged."""
+    """Return the record to store in place of ``stored``, and its value or `NOT_DECODED`.
+
+    The record is ``stored.record`` itself if ``record`` does not change it.
+    """
     stored_is_live = stored.record.until_us > now_us
     if stored_is_live != (record.until_us > now_us):
-        # An expired record adds nothing to a live one, and is replaced by one.
+        # An expired version is not merged into a live one; the live one replaces it.
         return (stored.record, stored.value) if stored_is_live else (record, NOT_DECODED)
     if stored.record == record:
         return stored.record, stored.value
@@ -313,13 +340,13 @@
 
 
 def _check_size(table: RecordTable, record: Record, stored: StoredRecord | None) -> None:
-    """Raises StateFull if a value, or a kind that does not evict, would become too large."""
+    """Raise StateFull if a value, or a kind that does not evict, would become too large."""
     evicts = table.kind is None or table.kind.evict is not None
     grows = size_of(record) - (size_of(stored.record) if stored is not None else 0)
     crowded = not evicts and grows > 0 and table.bytes + grows > MAX_KIND_BYTES
     if crowded or len(record.value) > MAX_MERGED_VALUE_BYTES:
-        raise StateFull(f"{record.kind} {record.key!r} is too large beside {table.bytes} bytes, refused")
+        raise StateFull(f"{record.kind} {record.key!r} is too large: {table.bytes} bytes are stored already")
 
 
 def _describe_ahead(record: Record, ahead: int) -> str:
-    return f"{record.stamp.origin}, or who wrote it before, stamped a record {ahead / 1e6:.0f} s ahead"
+    return f"{record.stamp.origin}, or an earlier writer, stamped a record {ahead / 1e6:.0f} s in the future"
