--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -1,12 +1,12 @@
 """File format of a snapshot of a copy. Encodes and decodes only; the caller reads and writes the file.
 
-A head (magic bytes, version), then frames of length, checksum and MessagePack. The first frame is the
-header, the others contain records, the last is empty and marks the file as complete. Each checksum is keyed
-by the one before, so a frame that is damaged, missing, duplicated or out of place is detected. Nothing of a
-file that fails is used; peers still have its records.
+A file starts with magic bytes and a version. Frames follow, each of a length, a checksum and MessagePack. The
+first frame is the header, the others contain records, and the last one is empty and marks the file as
+complete. Each checksum is keyed by the previous one, so a frame that is damaged, missing, duplicated or out
+of place is detected. No part of an invalid file is used; peers still store its records.
 
-The caller writes to a temporary file in the same folder, syncs it and renames it; a file that raises
-ForeignState is quarantined under another name. Records that were read go through ``Replica.merge``.
+The caller writes to a temporary file in the same folder, syncs it and renames it. It quarantines a file that
+raises ForeignState under another name, and merges the records of a valid file with ``Replica.merge``.
 """
 
 import struct
@@ -20,8 +20,8 @@
 
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
-FRAME_BYTES = 64 << 10  # a frame is closed once it has so many
-MAX_FRAME_BYTES = 1 << 20  # ``FRAME_BYTES`` and one record of the largest size fit
+FRAME_BYTES = 64 << 10  # a frame with this many bytes gets no further record
+MAX_FRAME_BYTES = 1 << 20  # more than ``FRAME_BYTES`` and one record of the largest size
 _HEAD = struct.Struct(f"<{len(MAGIC)}sH")
 _CHECKSUM_BYTES = 16
 _FRAME = struct.Struct(f"<I{_CHECKSUM_BYTES}s")
@@ -29,9 +29,10 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """Whose file it is: the process of ``origin`` with ``incarnation``; the next one's must be larger.
+    """The process that wrote the file: scheduler ``origin`` in its ``incarnation``.
 
-    ``saved_us``: when it was written, in Unix time.
+    The next process of this scheduler must have a larger incarnation. ``saved_us``: the Unix time at which
+    the file was written.
     """
 
     installation: str
@@ -45,7 +46,7 @@
 
 
 def encode(header: SnapshotHeader, records: Iterable[Record]) -> Iterator[bytes]:
-    """The file in pieces, to be written in order."""
+    """Yield the contents of the file in pieces, to be written in order."""
     yield _HEAD.pack(MAGIC, VERSION)
     checksum, frame = _frame(b"", _encode(header))
     yield frame
@@ -65,52 +66,54 @@
 
 
 def decode(data: bytes, installation: str) -> tuple[SnapshotHeader, list[Record]]:
-    """The header and the records of a file.
+    """Return the header and the records of a file.
 
     Raises ForeignState for a file that is incomplete, damaged, of another installation or another version.
     """
     if len(data) < _HEAD.size or not data.startswith(MAGIC):
-        raise ForeignState("the file holds no state of schedulers")
+        raise ForeignState("the file is not a snapshot of a scheduler")
     _, version = _HEAD.unpack_from(data)
     if version != VERSION:
-        raise ForeignState(f"the file is of version {version}, this program reads {VERSION}")
+        raise ForeignState(f"the snapshot has version {version}, this program reads version {VERSION}")
     frames = _frames(data)
     try:
         header = _header_decoder.decode(next(frames))
         if header.installation != installation:
-            raise ForeignState(f"the file is of installation {header.installation!r}, not {installation!r}")
+            raise ForeignState(
+                f"the snapshot belongs to installation {header.installation!r}, not {installation!r}"
+            )
         return header, [record for frame in frames for record in _records_decoder.decode(frame)]
     except (msgspec.MsgspecError, StopIteration) as e:
-        raise ForeignState(f"the file can't be unpacked: {e}") from e
+        raise ForeignState(f"the snapshot can't be decoded: {e}") from e
 
 
 def _list(parts: list[bytes]) -> bytes:
-    """A MessagePack array (32 bit) of encoded values."""
+    """Return a MessagePack array, with a 32-bit length, of encoded values."""
     return b"".join((b"\xdd", len(parts).to_bytes(4, "big"), *parts))
 
 
 def _frame(checksum: bytes, payload: bytes) -> tuple[bytes, bytes]:
-    """A frame behind one with checksum ``checksum``: its own checksum, and its bytes."""
+    """Return the checksum and the bytes of a frame. ``checksum``: that of the previous frame."""
     checksum = blake2b(payload, digest_size=_CHECKSUM_BYTES, key=checksum).digest()
     return checksum, _FRAME.pack(len(payload), checksum) + payload
 
 
 def _frames(data: bytes) -> Iterator[bytes]:
-    """The payloads of all frames. Raises ForeignState at the first that is damaged."""
+    """Yield the payloads of all frames. Raises ForeignState at the first that is damaged."""
     offset, checksum = _HEAD.size, b""
     while offset + _FRAME.size <= len(data):
         length, expected = _FRAME.unpack_from(data, offset)
         start, end = offset + _FRAME.size, offset + _FRAME.size + length
         if length > MAX_FRAME_BYTES or end > len(data):
-            raise ForeignState(f"the file is torn or damaged in its frame at byte {offset}")
+            raise ForeignState(f"the snapshot is truncated or damaged in the frame at byte {offset}")
         payload = data[start:end]
         checksum = blake2b(payload, digest_size=_CHECKSUM_BYTES, key=checksum).digest()
         if checksum != expected:
-            raise ForeignState(f"the file is damaged in its frame at byte {offset}")
+            raise ForeignState(f"the snapshot has a wrong checksum in the frame at byte {offset}")
         if not length:
             if end != len(data):
-                raise ForeignState(f"the file goes on behind its end at byte {end}")
+                raise ForeignState(f"the snapshot has data after its last frame, from byte {end}")
             return
         yield payload
         offset = end
-    raise ForeignState(f"the file is torn at byte {offset}")
+    raise ForeignState(f"the snapshot is truncated at byte {offset}")
--- a/robinhill/mesh/swim_messages.py
+++ b/robinhill/mesh/swim_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the failure detector, by the names of SWIM: ping, indirect ping, ack and gossip.
+"""Messages of the failure detector, named as in SWIM: ping, indirect ping, ack and gossip.
 
-Every message carries gossip: updates on the state of members. The messages travel as MessagePack.
+Every message contains gossip, which is updates on the state of members. Messages are encoded as MessagePack.
 """
 
 import enum
@@ -8,11 +8,11 @@
 import msgspec
 
 MAX_REFUTATIONS = 1 << 60
-"""In one incarnation, so that a damaged update cannot raise the count beyond what MessagePack holds."""
+"""The limit in one incarnation: a damaged update can't raise the count above the integers of MessagePack."""
 
 
 class MemberState(enum.IntEnum):
-    """The state of a member. Between equal incarnations and refutations the larger state wins."""
+    """The state of a member. Of two updates with equal incarnation and refutations the larger state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,11 +21,11 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The state of one member, as gossip spreads it.
+    """The state of one member, as spread by gossip.
 
-    ``state`` is a `MemberState` as a number; unknown ones, of a newer peer, are ignored. ``incarnation`` is
-    the start of ``name``; ``refutations`` how often it has refuted a suspicion since. ``reporter``: who
-    suspects it.
+    ``state``: a `MemberState` as a number; unknown numbers, from a newer peer, are ignored. ``incarnation``:
+    identifies the process of ``name`` and increases at each start. ``refutations``: how often that process
+    has refuted a suspicion. ``reporter``: the member that suspects it.
     """
 
     name: str
@@ -36,18 +36,18 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Incarnation and refutations: the later update has the larger one."""
+        """Incarnation and refutations. The later of two updates has the larger version."""
         return self.incarnation, self.refutations
 
     @property
     def is_valid(self) -> bool:
-        """Whether its values are in bounds and its state is known here."""
+        """Whether the values are in range and the state is known to this process."""
         known_state = MemberState.ALIVE <= self.state <= MemberState.LEFT
         return known_state and self.incarnation > 0 and 0 <= self.refutations < MAX_REFUTATIONS
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Asks ``target`` for an `Ack` with the same number."""
+    """Requests an `Ack` with the same number from ``target``."""
 
     sender: str
     incarnation: int
@@ -57,7 +57,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag="check-for"):
-    """Asks the reader to ping ``target`` for us, and to pass on its `Ack` with our number."""
+    """Requests an indirect ping: the receiver pings ``target`` and forwards its `Ack` with our number."""
 
     sender: str
     incarnation: int
@@ -67,7 +67,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """``target`` is alive in incarnation ``target_incarnation``: sent by itself, or passed on."""
+    """Reports that ``target`` is alive in ``target_incarnation``; sent by ``target`` itself or forwarded."""
 
     sender: str
     incarnation: int
@@ -78,7 +78,7 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="word"):
-    """Updates alone: for partners when something changed, and the farewell of a member that leaves."""
+    """Updates only: sent to partners after a change, and to announce that the sender leaves."""
 
     sender: str
     incarnation: int
