--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -311,7 +311,7 @@
             for expired in [one for one in table.stored.values() if one.record.until_us <= self._now_us]:
                 self._drop(expired)
             if len(table.stored) >= bound:
-                raise StateFull(f"{len(table.stored)} records of {record.kind} are stored, which is the limit")
+                raise StateFull(f"{len(table.stored)} records of {record.kind} are stored, the maximum")
         return True
 
     def _drop(self, stored: StoredRecord) -> None:
