--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -36,7 +36,7 @@
 AHEAD_US = 5_000_000  # hosts with NTP differ by far less; a larger difference is a fault to report
 FAR_US = 24 * 3_600_000_000
 MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # of a record of any kind, registered in this process or not
-LAST_US = 2**53 - 1  # the year 2255; JSON readers round larger integers
+MAX_TIME_US = 2**53 - 1  # the year 2255; JSON readers round larger integers
 MAX_COUNT = 2**32 - 1  # the largest number of writes within one microsecond
 MIN_CLOCKS = 3  # if only two clocks are known and they differ, either may be wrong
 
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -38,7 +38,7 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from robinhill.mesh.quorum import NOW, Quorum
+from robinhill.mesh.quorum import FAR_FUTURE, Quorum
 
 MAX_PENDING_PINGS = 64
 """Unanswered pings retained for each partner. An answer to an older ping is ignored, which is safe."""
@@ -241,7 +241,7 @@
         return {peer: mono_us - at for peer, at in moments.items()}
 
     def _find_floor(self) -> int | None:
-        return self.quorum.floor(self._counting_moments, mine=self._caught_up)
+        return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
         """Whether a majority of schedulers, without this one, counts and is known since it knew us."""
@@ -257,4 +257,4 @@
         moment = self._counting_moments.get(peer, NEVER)
         if with_starting:
             moment = max(moment, self._starting_moments.get(peer, NEVER))
-        return moment >= self._introduced_us.get(peer, NOW)
+        return moment >= self._introduced_us.get(peer, FAR_FUTURE)
--- a/robinhill/mesh/merging.py
+++ b/robinhill/mesh/merging.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from robinhill.mesh.clocks import LAST_US, MAX_COUNT
+from robinhill.mesh.clocks import MAX_COUNT, MAX_TIME_US
 from robinhill.mesh.errors import ForeignState
 from robinhill.mesh.record_table import NOT_DECODED
 from robinhill.mesh.records import Kind, Record
@@ -69,7 +69,7 @@
         raise ForeignState(f"two values of {kind.name} records can't be merged: {e}") from e
 
 
-def malformed(record: Record) -> str:
+def malformed_reason(record: Record) -> str:
     """Return why a record of any kind is malformed; an empty string if it is not."""
     stamp = record.stamp
     if (
@@ -81,7 +81,7 @@
     if len(record.value) > MAX_MERGED_VALUE_BYTES:
         return f"its value has {len(record.value)} bytes, which is too long"
     times = stamp.wall_us, record.until_us
-    if not (min(times) >= 0 and max(times) <= LAST_US and 0 <= stamp.count <= MAX_COUNT):
+    if not (min(times) >= 0 and max(times) <= MAX_TIME_US and 0 <= stamp.count <= MAX_COUNT):
         return "a time or the count of its stamp, or its expiry time, is out of range"
     if len(stamp.origin) > MAX_NAME_CHARACTERS or not 0 <= stamp.incarnation < MAX_INCARNATION:
         return "its origin is too long or its incarnation is out of range"
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -45,7 +45,7 @@
         new = frozenset(peers) | {self.me}
         if new == self._lists[-1]:
             return
-        lists = (*(one for one in self._lists if one != new), new)
+        lists = (*(scheduler_list for scheduler_list in self._lists if scheduler_list != new), new)
         if len(lists) > MAX_UNSETTLED_LISTS:
             raise ListsUnsettled(
                 f"{len(lists)} lists of schedulers would be in force, as earlier changes have not settled"
@@ -64,32 +64,35 @@
 
     def met(self, present: Collection[str]) -> bool:
         """Whether the schedulers in ``present`` include a majority of every list in force."""
-        return all(sum(name in present for name in one) >= majority(len(one)) for one in self._lists)
+        return all(
+            sum(name in present for name in scheduler_list) >= majority(len(scheduler_list))
+            for scheduler_list in self._lists
+        )
 
-    def floor(self, moments: Mapping[str, int], mine: bool) -> int | None:
+    def majority_moment(self, moments: Mapping[str, int], counts_self: bool) -> int | None:
         """Return the latest moment as of which a majority of every list is known.
 
         For one list this is the oldest moment of the majority with the most recent moments; for several
         lists, the earliest of these. ``moments``: by name of another scheduler among `names`, the moment as
-        of which it is known. ``mine``: whether this scheduler counts towards the majorities too, as of now.
-        None if fewer than a majority are known; `NOW` if this scheduler alone is a majority.
+        of which it is known. ``counts_self``: whether this scheduler counts towards the majorities too, as of
+        now. None if fewer than a majority are known; `FAR_FUTURE` if this scheduler alone is a majority.
         """
-        floor = NOW
-        for one in self._lists:
-            needed = majority(len(one)) - mine
+        earliest = FAR_FUTURE
+        for scheduler_list in self._lists:
+            needed = majority(len(scheduler_list)) - counts_self
             if len(self._lists) == 1:
                 ascending = sorted(moments.values())
             else:
-                ascending = sorted(moments[name] for name in one & moments.keys())
+                ascending = sorted(moments[name] for name in scheduler_list & moments.keys())
             if len(ascending) < needed:
                 return None
             if needed:
-                floor = min(floor, ascending[-needed])
-        return floor
+                earliest = min(earliest, ascending[-needed])
+        return earliest
 
 
-NOW = 1 << 62
-"""Stands for the present in comparisons of moments: later than any time of the monotonic clock."""
+FAR_FUTURE = 1 << 62
+"""A moment later than any time of the monotonic clock, so that it never limits a lease."""
 
 
 def majority(size: int) -> int:
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from robinhill.mesh.clocks import LAST_US
+from robinhill.mesh.clocks import MAX_TIME_US
 from robinhill.mesh.records import Kind, Record, Stamp
 
 Text = Annotated[str, msgspec.Meta(max_length=512)]
 ShortText = Annotated[str, msgspec.Meta(max_length=128)]
-Time = Annotated[int, msgspec.Meta(ge=0, le=LAST_US)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=LAST_US)]
+Time = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_US)]
+Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_US)]
 Hash = Annotated[bytes, msgspec.Meta(max_length=64)]
 
 HOUR_US = 3_600_000_000
@@ -36,7 +36,7 @@
 
 def later(now_us: int, than_us: int | None) -> int:
     """Return the time for a value that replaces one of ``than_us``: now, or a microsecond after that."""
-    return now_us if than_us is None else min(max(now_us, than_us + 1), LAST_US)
+    return now_us if than_us is None else min(max(now_us, than_us + 1), MAX_TIME_US)
 
 
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -35,7 +35,7 @@
     MAX_KIND_CHARACTERS,
     MAX_MERGED_VALUE_BYTES,
     decode_value,
-    malformed,
+    malformed_reason,
     merge_values,
     merge_with_value,
 )
@@ -106,7 +106,7 @@
         if live is not None:
             until_us = max(until_us, live.record.until_us)
         record = Record(kind, key, stamp, until_us, encoded)
-        if reason := malformed(record):
+        if reason := malformed_reason(record):
             raise ValueError(f"{kind} {key!r} was not written: {reason}")
         if not self._put(table, record, value, bound_factor=1):
             raise StateFull(f"{rule.bound} records of {kind} are stored that all outrank {key!r}")
@@ -120,7 +120,7 @@
         this copy has changed nevertheless, None if the record was rejected.
         """
         self._now_us = now_us
-        if reason := malformed(record):
+        if reason := malformed_reason(record):
             raise ForeignState(f"a record of {record.kind[:MAX_KIND_CHARACTERS]!r} was rejected: {reason}")
         if is_forgotten(now_us, record.until_us):
             return None
