--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -44,8 +44,8 @@
 class AntiEntropy:
     """The anti-entropy rounds of one link. ``opens``: whether this side opens them.
 
-    ``rounds``: the number of completed rounds. ``differing``: the number of ranges that differed in the last
-    round. ``pending``: records that the peer was found to lack, in the order in which they were found.
+    ``rounds``: the number of completed rounds. ``differing``: the number of ranges that differed in the
+    last round. ``pending``: records that the peer was found to lack, in the order in which they were found.
     """
 
     def __init__(self, store: DigestSource, opens: bool) -> None:
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -9,16 +9,16 @@
 future:
 
 1. It does not advance other clocks: a stamp more than ``AHEAD_US`` ahead leaves the clock of every process
-   that receives it unchanged, so one host with a wrong clock does not spread its time (as it would with plain
+   that receives it unchanged, so a host with a wrong clock does not spread its time (as it would with plain
    hybrid clocks).
 2. It wins only over records that were written without knowledge of it. A scheduler that has received it
    stamps its next write of that record with the successor of that stamp, even if the successor is in the
    future too. The write therefore wins on all copies.
-3. It extends the lifetime of a record by at most ``FAR_US``: a record whose stamp or expiry time is further
-   ahead than that is rejected. The rejection ends as time passes, so it delays the merge but does not keep
-   copies different for good. ``FAR_US`` is a day, which covers every mistaken time zone, the usual gross
-   error: a cordon from such a host still takes effect, and one from a host whose clock is years ahead is
-   never *accepted*.
+3. It extends the lifetime of a record by at most ``FAR_US``: a record whose stamp or expiry time is
+   further ahead than that is rejected. The rejection ends as time passes, so it delays the merge but does not
+   keep copies different for good. ``FAR_US`` is a day, which covers every mistaken time zone, the usual
+   gross error: a cordon from such a host still takes effect, and one from a host whose clock is years ahead
+   is never *accepted*.
 
 Rules 1 and 3 are reported (``StampAhead``). Reducing the stamp on arrival instead would do more harm than the
 wrong clock: a host whose clock shows 1970 would reduce the stamps of all records of all other hosts, and so
@@ -82,7 +82,7 @@
         return Stamp(*_next(after.wall_us, after.count), self.origin, self.incarnation)
 
     def observe(self, now_us: int, stamp: Stamp) -> None:
-        """Make all later ticks return stamps after ``stamp``, unless it is more than ``AHEAD_US`` ahead."""
+        """Make later ticks return stamps after ``stamp``, unless it is more than ``AHEAD_US`` ahead."""
         if stamp.wall_us <= now_us + AHEAD_US:
             self._wall_us, self._count = max((self._wall_us, self._count), (stamp.wall_us, stamp.count))
 
@@ -111,8 +111,8 @@
     """Return the correction that moves our time to the median of our clock and those of the peers.
 
     ``offsets_us``: for each live peer, its time minus ours. The correction is 0 while fewer than
-    ``MIN_CLOCKS`` clocks are known, and if the median is within half of ``AHEAD_US``: such small differences
-    are harmless, whereas a step of the time might not be.
+    ``MIN_CLOCKS`` clocks are known, and if the median is within half of ``AHEAD_US``: such small
+    differences are harmless, whereas a step of the time might not be.
     """
     offsets = sorted([0, *offsets_us])
     if len(offsets) < MIN_CLOCKS:
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -10,7 +10,7 @@
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import RecordName
 
-WINDOW = 64  # unconfirmed pushes in flight; further changes stay in the replica until one is confirmed
+WINDOW = 64  # pushes in flight; further changes stay in the replica until one is confirmed
 MAX_RESEND_NUMBERS = 64  # lost pushes requested in one frame
 
 
--- a/robinhill/mesh/expiry_index.py
+++ b/robinhill/mesh/expiry_index.py
@@ -1,8 +1,8 @@
 """Index of stored records by the span of time in which they expire.
 
 At the end of a span the records that expire in it stop counting in digests, on all copies at once. They stay
-stored for another ``AHEAD_US``, so that copies whose clocks differ by less compute the same digests as of any
-time.
+stored for another ``AHEAD_US``, so that copies whose clocks differ by less compute the same digests as of
+any time.
 """
 
 import heapq
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -48,8 +48,8 @@
 
     The owner calls `tick` regularly and `handle` for each received message, and carries out the actions that
     they return. ``peers``: name and address of each configured scheduler; ``me`` may be among them.
-    ``common_partners``: returns the members with a link to both this scheduler and a peer (`overlay.common`),
-    which are preferred for indirect pings.
+    ``common_partners``: returns the members with a link to both this scheduler and a peer
+    (`overlay.common`), which are preferred for indirect pings.
     """
 
     def __init__(
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -16,8 +16,8 @@
 
 Links are computed from the *configured* names, not from the live ones: otherwise each crash would move most
 fingers, and schedulers whose views differ for a moment would open the wrong links. Instead, a scheduler with
-few live partners opens links to further live schedulers along the ring (`repairs`), for which some links of
-each scheduler are reserved.
+few live partners opens links to further live schedulers along the ring (`repairs`), for which some
+links of each scheduler are reserved.
 """
 
 from collections.abc import Collection, Iterable, Sequence
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -3,8 +3,8 @@
 Each value is a struct whose fields define a total order, or an ordered tuple of such structs. Choosing the
 larger of two is therefore a commutative, associative and idempotent merge, and equal values have equal bytes.
 Times inside values only order the writes of one scheduler, or concurrent writes of several: a writer uses a
-time later than that of the value it replaces (``later``), so a host whose clock is ahead does not win for
-good. Decoding raises an error for numbers and texts that exceed their limits.
+time later than that of the value it replaces (``later``), so a host whose clock is ahead does not win
+for good. Decoding raises an error for numbers and texts that exceed their limits.
 """
 
 from collections.abc import Iterable
@@ -42,8 +42,8 @@
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
     """An operator's decision to drain a scheduler, or to end its drain; the latest applies.
 
-    ``at_us``: the time of the decision, as returned by ``later``. ``by``: the scheduler that received the
-    operator's request.
+    ``at_us``: the time of the decision, as returned by ``later``. ``by``: the scheduler that received
+    the operator's request.
     """
 
     at_us: Time
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -5,10 +5,11 @@
 **Expiry.** After ``until_us`` a record is expired: it is not returned by queries, is not merged into a live
 version, and is replaced by a live version. It stays stored until the end of its span of time
 (`expiry_index`). Then it stops counting in digests, on all copies at once, and ``AHEAD_US`` later it is
-dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``AHEAD_US`` do not make
-digests differ either, as the opener sends the time along with its digests and the other side answers as of
-that time. (If the clocks of two copies lie on either side of a record's expiry, one of them may still merge
-the record into a value that is written then. The result spreads to all copies like that of any merge.)
+dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``AHEAD_US`` do not
+make digests differ either, as the opener sends the time along with its digests and the other side answers as
+of that time. (For less than ``AHEAD_US``, the clocks of two copies may lie on either side of a record's
+expiry. One of them may then still merge the record into a value that it writes. The result spreads to all
+copies like that of any merge.)
 
 **After a disconnection.** Removals are part of the values of kinds and expire with their record. A scheduler
 that was disconnected for longer than a kind's lifetime, and rewrote a record in that time, could therefore
@@ -19,8 +20,8 @@
 
 **Limits.** ``write`` rejects new records at a kind's bound, ``merge`` at twice the bound: records that
 several schedulers accepted concurrently must fit on all copies, or copies would differ by the order of
-arrival. Kinds that evict never reject a new record: every copy retains the records of the highest rank, which
-are the same on all copies.
+arrival. Kinds that evict do not reject records at their bound: every copy retains the records of the highest
+rank, which are the same on all copies.
 """
 
 from collections.abc import Iterable, Iterator
