--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -16,9 +16,9 @@
    future too. The write therefore wins on all copies.
 3. It extends the lifetime of a record by at most ``FAR_US``: a record whose stamp or expiry time is
    further ahead than that is rejected. The rejection ends as time passes, so it delays the merge but does not
-   keep copies different for good. ``FAR_US`` is a day, which covers every mistaken time zone, the usual
-   gross error: a cordon from such a host still takes effect, and one from a host whose clock is years ahead
-   is never *accepted*.
+   keep copies different for good. ``FAR_US`` is a day, which covers every mistaken time zone, the
+   usual gross error: a cordon from such a host still takes effect, and one from a host whose clock is years
+   ahead is never *accepted*.
 
 Rules 1 and 3 are reported (``StampAhead``). Reducing the stamp on arrival instead would do more harm than the
 wrong clock: a host whose clock shows 1970 would reduce the stamps of all records of all other hosts, and so
