--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -324,7 +324,7 @@
         _set_incarnations(node.fresh, self.names, node.starts)
         following = self._next(state, f"{node.name} takes the new list", state.left)
         following.reloaded = _put(state.reloaded, at, state.now_us)
-        if node.accept.review(state.now_us):
+        if node.accept.reevaluate(state.now_us):
             following.accepted_us = state.now_us
         self._with(following, node)
         return following
@@ -338,10 +338,10 @@
 
     def _settle(self, state: ControlState, at: int) -> ControlState:
         node = _with_own_quorum(state.nodes[at])
-        node.fresh.settled()
+        node.fresh.settle()
         following = self._next(state, f"{node.name} drops the old list", state.left)
         following.settled = _put(state.settled, at, True)
-        if node.accept.review(state.now_us):
+        if node.accept.reevaluate(state.now_us):
             following.accepted_us = state.now_us
         self._with(following, node)
         return following
--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -276,7 +276,7 @@
     def _cordon(self, state: State, left: Left) -> State:
         node = state.nodes[0].clone()
         node.holds = True
-        node.accept.follow(state.now_us, CORDON)
+        node.accept.track(state.now_us, CORDON)
         following = self._next(state, f"cordon at {node.name}", left)
         self._confirm_own(following, node)
         return self._with(following, node)
@@ -395,7 +395,7 @@
 class OneLess(Freshness):
     """Wrong: one scheduler less than a majority."""
 
-    def _find_floor(self) -> int | None:
+    def _find_majority_moment(self) -> int | None:
         moments = sorted(self._counting_moments.values(), reverse=True)
         needed = len(self._names) // 2 - self._caught_up
         return moments[needed - 1] if 0 < needed <= len(moments) else None if needed else 1 << 62
--- a/benchmarks/mesh_members.py
+++ b/benchmarks/mesh_members.py
@@ -63,7 +63,7 @@
         fresh = name not in self.members
 
         def through(peer: str) -> list[str]:
-            return overlay.common(name, peer, self.names) if self.size <= 20 else []
+            return overlay.common_partners(name, peer, self.names) if self.size <= 20 else []
 
         self.members[name] = FailureDetector(name, incarnation, peers, seed, self.options, through)
         if fresh:
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -101,7 +101,7 @@
             stamp = Stamp(self._last_number, 0, self.own_name, self.incarnation)
             batch = ChangeBatch(self._last_number, urgent, hold, mono_us, position, [], stamp)
             self.batches[batch.number] = self._newest[urgent, hold] = batch
-            self.acceptance.follow(mono_us, stamp)
+            self.acceptance.track(mono_us, stamp)
         batch.position = position
         batch.changes.append(change)
         self._tracked_changes += 1
@@ -186,7 +186,7 @@
 
     def reconfigured(self, mono_us: int) -> None:
         """Evaluate the acceptance of all batches again, as the list of voters has changed."""
-        accepted = set(self.acceptance.review(mono_us))
+        accepted = set(self.acceptance.reevaluate(mono_us))
         for batch in self.batches.values():
             batch.dirty = True
             if batch.stamp in accepted:
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -93,7 +93,7 @@
         required = self._required[voter]
         anti_entropy = session.anti_entropy
         rounds = required.rounds if required.session is session else 1
-        if anti_entropy.rounds < rounds or anti_entropy.differing:
+        if anti_entropy.rounds < rounds or anti_entropy.differing_count:
             return False
         del self._required[voter]
         return True
@@ -277,7 +277,7 @@
             self._agreed_since_us = mono_us
         if mono_us < self._agreed_since_us + with_slack(self.options.bound_us):
             return False
-        self.freshness.settled()
+        self.freshness.settle()
         return True
 
     def _is_newer(self, voter: wire.VoterIncarnation) -> bool:
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -82,7 +82,7 @@
         for name in sorted(configured - self.peers.keys()):
             self.peers[name] = PeerState()
             self._update_propagations(mono_us, name)
-        for stamp in self.acceptance.review(mono_us):
+        for stamp in self.acceptance.reevaluate(mono_us):
             self._mark_accepted(mono_us, stamp)
 
     # Changes
@@ -124,7 +124,7 @@
         change = TrackedChange(key, cordon_id, mono_us, propagation, {r.key: r.stamp for r in written})
         change.digests = {r.key: deque(maxlen=MAX_DIGESTS) for r in written}
         for record in written:
-            self.acceptance.follow(mono_us, record.stamp)
+            self.acceptance.track(mono_us, record.stamp)
         self._changes[key] = change
         self._forget_evicted()
         if stored:
--- a/robinhill/mesh/acceptance.py
+++ b/robinhill/mesh/acceptance.py
@@ -35,7 +35,7 @@
         self._changes: dict[Stamp, _TrackedChange] = {}
         self._incarnations: dict[str, int] = {}
 
-    def follow(self, mono_us: int, stamp: Stamp) -> None:
+    def track(self, mono_us: int, stamp: Stamp) -> None:
         """Track a change that this scheduler has stored.
 
         The caller adds this scheduler's own confirmation with `confirmed`, once this scheduler is caught up.
@@ -92,7 +92,7 @@
         change = self._changes.get(stamp)
         return sorted(self._quorum.names - (change.confirmed_by.keys() if change is not None else set()))
 
-    def open_us(self, mono_us: int) -> int:
+    def oldest_pending_us(self, mono_us: int) -> int:
         """Return how long the oldest unaccepted change has been tracked; 0 if all are accepted."""
         pending = [change for change in self._changes.values() if change.accepted_us is None]
         return max((mono_us - change.tracked_since_us for change in pending), default=0)
@@ -101,7 +101,7 @@
         """Stop tracking a change."""
         self._changes.pop(stamp, None)
 
-    def review(self, mono_us: int) -> list[Stamp]:
+    def reevaluate(self, mono_us: int) -> list[Stamp]:
         """Re-evaluate all changes after the list of schedulers has changed.
 
         Confirmations by schedulers that were removed are dropped. Returns the changes that have become
@@ -123,7 +123,7 @@
         return self._accept(mono_us, change)
 
     def _accept(self, mono_us: int, change: _TrackedChange) -> bool:
-        if change.accepted_us is not None or not self._quorum.met(change.confirmed_by.keys()):
+        if change.accepted_us is not None or not self._quorum.has_majority(change.confirmed_by.keys()):
             return False
         change.accepted_us = mono_us
         return True
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -12,7 +12,7 @@
 from robinhill.mesh.errors import ForeignState
 from robinhill.mesh.records import Kind
 
-NAME = "notice"
+KIND_NAME = "notice"
 VERSION = 1
 LIFETIME_US = 7 * 86_400_000_000  # longer than the repair of a scheduler takes
 REWRITE_INTERVAL_US = 86_400_000_000
@@ -87,7 +87,7 @@
     The records written longest ago are evicted first.
     """
     return Kind(
-        NAME, encode, decode, merge, LIFETIME_US, MAX_ACKNOWLEDGEMENTS,
+        KIND_NAME, encode, decode, merge, LIFETIME_US, MAX_ACKNOWLEDGEMENTS,
         evict=lambda record: (record.stamp.wall_us, record.key),
     )  # fmt: skip
 
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -44,7 +44,7 @@
 class AntiEntropy:
     """The anti-entropy rounds of one link. ``opens``: whether this side opens them.
 
-    ``rounds``: the number of completed rounds. ``differing``: the number of ranges that differed in the
+    ``rounds``: the number of completed rounds. ``differing_count``: the number of ranges that differed in the
     last round. ``pending``: records that the peer was found to lack, in the order in which they were found.
     """
 
@@ -52,7 +52,7 @@
         self.store = store
         self.opens = opens
         self.rounds = 0
-        self.differing = 0
+        self.differing_count = 0
         self.pending: dict[RecordName, None] = {}
         self._round = 0
         self._in_progress = False
@@ -109,7 +109,7 @@
             self._begin(frame.at_us if clocks_agree else now_us, mono_us, frame.round)
         differing = self._ranges_that_differ(frame.digests)
         self._digests_received = True
-        self._differing, self.differing = frozenset(differing), len(differing)
+        self._differing, self.differing_count = frozenset(differing), len(differing)
         self._ranges_to_send, self._awaited = differing, set(differing)
         self._progress(mono_us)
 
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -8,15 +8,15 @@
 copies stay equal byte for byte whatever their clocks show. Three rules limit the effect of a stamp from the
 future:
 
-1. It does not advance other clocks: a stamp more than ``AHEAD_US`` ahead leaves the clock of every process
+1. It does not advance other clocks: a stamp more than ``MAX_SKEW_US`` ahead leaves the clock of every process
    that receives it unchanged, so a host with a wrong clock does not spread its time (as it would with plain
    hybrid clocks).
 2. It wins only over records that were written without knowledge of it. A scheduler that has received it
    stamps its next write of that record with the successor of that stamp, even if the successor is in the
    future too. The write therefore wins on all copies.
-3. It extends the lifetime of a record by at most ``FAR_US``: a record whose stamp or expiry time is
+3. It extends the lifetime of a record by at most ``MAX_FUTURE_US``: a record whose stamp or expiry time is
    further ahead than that is rejected. The rejection ends as time passes, so it delays the merge but does not
-   keep copies different for good. ``FAR_US`` is a day, which covers every mistaken time zone, the
+   keep copies different for good. ``MAX_FUTURE_US`` is a day, which covers every mistaken time zone, the
    usual gross error: a cordon from such a host still takes effect, and one from a host whose clock is years
    ahead is never *accepted*.
 
@@ -33,8 +33,8 @@
 from robinhill.mesh.errors import FutureStamp
 from robinhill.mesh.records import Record, Stamp
 
-AHEAD_US = 5_000_000  # hosts with NTP differ by far less; a larger difference is a fault to report
-FAR_US = 24 * 3_600_000_000
+MAX_SKEW_US = 5_000_000  # hosts with NTP differ by far less; a larger difference is a fault to report
+MAX_FUTURE_US = 24 * 3_600_000_000
 MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # of a record of any kind, registered in this process or not
 MAX_TIME_US = 2**53 - 1  # the year 2255; JSON readers round larger integers
 MAX_COUNT = 2**32 - 1  # the largest number of writes within one microsecond
@@ -42,7 +42,7 @@
 
 
 class StampAhead(FutureStamp):
-    """A stamp is more than ``AHEAD_US`` in the future.
+    """A stamp is more than ``MAX_SKEW_US`` in the future.
 
     ``stored``: the record that the replica stores now, None if it rejected the record.
     """
@@ -72,7 +72,7 @@
         It is later than ``after``, the stamp of the record that the write replaces.
         """
         # The second condition holds after the clock of this host was set back.
-        if now_us > self._wall_us or self._wall_us > now_us + AHEAD_US:
+        if now_us > self._wall_us or self._wall_us > now_us + MAX_SKEW_US:
             self._wall_us, self._count = now_us, 0
         else:
             self._wall_us, self._count = _next(self._wall_us, self._count)
@@ -82,8 +82,8 @@
         return Stamp(*_next(after.wall_us, after.count), self.origin, self.incarnation)
 
     def observe(self, now_us: int, stamp: Stamp) -> None:
-        """Make later ticks return stamps after ``stamp``, unless it is more than ``AHEAD_US`` ahead."""
-        if stamp.wall_us <= now_us + AHEAD_US:
+        """Make later ticks return stamps after ``stamp``, unless it is more than ``MAX_SKEW_US`` ahead."""
+        if stamp.wall_us <= now_us + MAX_SKEW_US:
             self._wall_us, self._count = max((self._wall_us, self._count), (stamp.wall_us, stamp.count))
 
 
@@ -111,11 +111,11 @@
     """Return the correction that moves our time to the median of our clock and those of the peers.
 
     ``offsets_us``: for each live peer, its time minus ours. The correction is 0 while fewer than
-    ``MIN_CLOCKS`` clocks are known, and if the median is within half of ``AHEAD_US``: such small
+    ``MIN_CLOCKS`` clocks are known, and if the median is within half of ``MAX_SKEW_US``: such small
     differences are harmless, whereas a step of the time might not be.
     """
     offsets = sorted([0, *offsets_us])
     if len(offsets) < MIN_CLOCKS:
         return 0
     median = (offsets[len(offsets) // 2] + offsets[(len(offsets) - 1) // 2]) // 2
-    return median if abs(median) > AHEAD_US // 2 else 0
+    return median if abs(median) > MAX_SKEW_US // 2 else 0
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -10,7 +10,7 @@
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import RecordName
 
-WINDOW = 64  # pushes in flight; further changes stay in the replica until one is confirmed
+WINDOW_PUSHES = 64  # pushes in flight; further changes stay in the replica until one is confirmed
 MAX_RESEND_NUMBERS = 64  # lost pushes requested in one frame
 
 
@@ -32,12 +32,12 @@
         while self.low + 1 in self._beyond:
             self.low += 1
             self._beyond.discard(self.low)
-        if len(self._beyond) > 4 * WINDOW:
+        if len(self._beyond) > 4 * WINDOW_PUSHES:
             raise PeerRejected("the peer ignores its send window: too many pushes follow one that was lost")
 
     def missing(self, up_to: int) -> tuple[int, ...]:
         """Return the first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
-        last = min(up_to, self.low + 4 * WINDOW)
+        last = min(up_to, self.low + 4 * WINDOW_PUSHES)
         return tuple(n for n in range(self.low + 1, last + 1) if n not in self._beyond)[:MAX_RESEND_NUMBERS]
 
 
@@ -64,7 +64,7 @@
     @property
     def has_capacity(self) -> bool:
         """Whether another push may be written."""
-        return len(self._unconfirmed) < WINDOW
+        return len(self._unconfirmed) < WINDOW_PUSHES
 
     @property
     def unconfirmed(self) -> int:
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -54,7 +54,7 @@
     return blake2b(_PACK.pack(*ranges), digest_size=16).digest()
 
 
-def differing(ours: Sequence[int], theirs: Sequence[int]) -> list[int]:
+def differing_ranges(ours: Sequence[int], theirs: Sequence[int]) -> list[int]:
     """Return the ranges in which two copies differ.
 
     Raises ForeignState if the peer has another number of ranges.
--- a/robinhill/mesh/expiry_index.py
+++ b/robinhill/mesh/expiry_index.py
@@ -1,13 +1,13 @@
 """Index of stored records by the span of time in which they expire.
 
 At the end of a span the records that expire in it stop counting in digests, on all copies at once. They stay
-stored for another ``AHEAD_US``, so that copies whose clocks differ by less compute the same digests as of
+stored for another ``MAX_SKEW_US``, so that copies whose clocks differ by less compute the same digests as of
 any time.
 """
 
 import heapq
 
-from robinhill.mesh.clocks import AHEAD_US
+from robinhill.mesh.clocks import MAX_SKEW_US
 from robinhill.mesh.record_table import STALE_ENTRIES, StoredRecord
 
 SPAN_US = 10_000_000  # long compared with the interval between digests, short compared with all lifetimes
@@ -20,7 +20,7 @@
 
 def is_forgotten(now_us: int, until_us: int) -> bool:
     """Whether a record that expires at ``until_us`` no longer needs to be stored."""
-    return span_of(until_us) * SPAN_US + AHEAD_US <= now_us
+    return span_of(until_us) * SPAN_US + MAX_SKEW_US <= now_us
 
 
 class ExpiryIndex:
@@ -53,7 +53,7 @@
         """Return a record that no longer needs to be stored; None if there is none."""
         while self._heap:
             span = self._heap[0]
-            if span * SPAN_US + AHEAD_US > now_us:
+            if span * SPAN_US + MAX_SKEW_US > now_us:
                 return None
             if span in self._by_span:
                 return next(iter(self._by_span[span]))
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -49,7 +49,7 @@
     The owner calls `tick` regularly and `handle` for each received message, and carries out the actions that
     they return. ``peers``: name and address of each configured scheduler; ``me`` may be among them.
     ``common_partners``: returns the members with a link to both this scheduler and a peer
-    (`overlay.common`), which are preferred for indirect pings.
+    (`overlay.common_partners`), which are preferred for indirect pings.
     """
 
     def __init__(
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -73,7 +73,7 @@
         self._starting_moments: dict[str, int] = {}  # of schedulers that did not count yet
         self._introduced_us: dict[str, int] = {}  # the time from which a peer knows our incarnation
         self._incarnations: dict[str, int] = {}
-        self._majority_moment = self._find_floor()
+        self._majority_moment = self._find_majority_moment()
 
     @property
     def caught_up(self) -> bool:
@@ -84,7 +84,7 @@
     def caught_up(self, value: bool) -> None:
         """Set whether this scheduler counts towards majorities."""
         self._caught_up = value
-        self._majority_moment = self._find_floor()
+        self._majority_moment = self._find_majority_moment()
 
     def pinged(self, mono_us: int, partner: str, number: int) -> None:
         """Record that ping ``number`` is about to be written to a partner.
@@ -121,7 +121,7 @@
         self._introduced_us.setdefault(partner, written_us)
         self._update_moments(self._counting_moments, written_us, ages_us)
         self._update_moments(self._starting_moments, written_us, starting_us or {})
-        self._majority_moment = self._find_floor()
+        self._majority_moment = self._find_majority_moment()
 
     def introduced(self, mono_us: int, peer: str) -> None:
         """Record that a peer without a link to us knows our incarnation, as it confirmed through others."""
@@ -141,7 +141,7 @@
         self._incarnations[peer] = incarnation
         if previous:
             self._forget(peer)
-            self._majority_moment = self._find_floor()
+            self._majority_moment = self._find_majority_moment()
 
     def ages(self, mono_us: int) -> dict[str, int]:
         """Return the age of our knowledge of each scheduler that counts, the `MAX_AGES` most recent.
@@ -181,7 +181,7 @@
             return NEVER
         return min(self._majority_moment, mono_us) + self.bound_us
 
-    def as_of(self, peer: str) -> int | None:
+    def known_as_of(self, peer: str) -> int | None:
         """Return the moment (monotonic) as of which we know everything that a peer knew.
 
         None if the peer has not counted towards majorities since its last known start.
@@ -195,13 +195,13 @@
         )
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Use a new list of schedulers. Until `settled`, majorities of the old and the new one are needed."""
+        """Use a new list of schedulers. Until `settle`, majorities of the old and the new one are needed."""
         self.quorum.reconfigure(peers)
         self._list_changed()
 
-    def settled(self) -> None:
-        """Drop all lists of schedulers but the newest; `Quorum.settled` explains when that is safe."""
-        self.quorum.settled()
+    def settle(self) -> None:
+        """Drop all lists of schedulers but the newest; `Quorum.settle` explains when that is safe."""
+        self.quorum.settle()
         self._list_changed()
 
     def _list_changed(self) -> None:
@@ -211,7 +211,7 @@
         for removed in known - self._names:
             self._forget(removed)
             self._incarnations.pop(removed, None)
-        self._majority_moment = self._find_floor()
+        self._majority_moment = self._find_majority_moment()
 
     def _forget(self, peer: str) -> None:
         """Drop the pending pings to a peer and all moments as of which it is known."""
@@ -240,12 +240,12 @@
             moments = dict(sorted(moments.items(), key=lambda item: (-item[1], item[0]))[:limit])
         return {peer: mono_us - at for peer, at in moments.items()}
 
-    def _find_floor(self) -> int | None:
+    def _find_majority_moment(self) -> int | None:
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
         """Whether a majority of schedulers, without this one, counts and is known since it knew us."""
-        return self.quorum.met(
+        return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
         )
 
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -16,7 +16,7 @@
 
 Links are computed from the *configured* names, not from the live ones: otherwise each crash would move most
 fingers, and schedulers whose views differ for a moment would open the wrong links. Instead, a scheduler with
-few live partners opens links to further live schedulers along the ring (`repairs`), for which some
+few live partners opens links to further live schedulers along the ring (`repair_partners`), for which some
 links of each scheduler are reserved.
 """
 
@@ -41,7 +41,7 @@
     return [ring[at] for at in dict.fromkeys(both_ways)]
 
 
-def dials(me: str, peer: str, names: Iterable[str]) -> bool:
+def opens_link(me: str, peer: str, names: Iterable[str]) -> bool:
     """Whether ``me`` opens the link to ``peer``, rather than accepting it.
 
     The end from which the other is nearer in the forward direction of the ring opens the link, so that each
@@ -53,7 +53,7 @@
     return forward < backward or (forward == backward and me < peer)
 
 
-def repairs(me: str, names: Iterable[str], alive: Collection[str]) -> list[str]:
+def repair_partners(me: str, names: Iterable[str], alive: Collection[str]) -> list[str]:
     """Return further schedulers to open links to while fewer than `MIN_LIVE_PARTNERS` partners are alive.
 
     These are the nearest live schedulers on the ring, in both directions. Each accepts the link while it has
@@ -70,7 +70,7 @@
     return [name for name in by_distance if name in alive and name not in own][:missing]
 
 
-def common(me: str, peer: str, names: Iterable[str]) -> list[str]:
+def common_partners(me: str, peer: str, names: Iterable[str]) -> list[str]:
     """Return the schedulers that are partners of both ``me`` and ``peer``; they send indirect pings."""
     ring = list(names)
     theirs = set(partners(peer, ring))
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -52,7 +52,7 @@
             )
         self._lists = lists
 
-    def settled(self) -> None:
+    def settle(self) -> None:
         """Drop all lists but the newest, so that majorities of the older ones are no longer needed.
 
         This is safe once no scheduler can act on a majority of an older list alone. That holds when the
@@ -62,7 +62,7 @@
         """
         self._lists = self._lists[-1:]
 
-    def met(self, present: Collection[str]) -> bool:
+    def has_majority(self, present: Collection[str]) -> bool:
         """Whether the schedulers in ``present`` include a majority of every list in force."""
         return all(
             sum(name in present for name in scheduler_list) >= majority(len(scheduler_list))
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -3,7 +3,7 @@
 Each value is a struct whose fields define a total order, or an ordered tuple of such structs. Choosing the
 larger of two is therefore a commutative, associative and idempotent merge, and equal values have equal bytes.
 Times inside values only order the writes of one scheduler, or concurrent writes of several: a writer uses a
-time later than that of the value it replaces (``later``), so a host whose clock is ahead does not win
+time later than that of the value it replaces (``next_time_us``), so a host whose clock is ahead does not win
 for good. Decoding raises an error for numbers and texts that exceed their limits.
 """
 
@@ -34,7 +34,7 @@
 PLACED, FAILED, ENDED = 1, 2, 3
 
 
-def later(now_us: int, than_us: int | None) -> int:
+def next_time_us(now_us: int, than_us: int | None) -> int:
     """Return the time for a value that replaces one of ``than_us``: now, or a microsecond after that."""
     return now_us if than_us is None else min(max(now_us, than_us + 1), MAX_TIME_US)
 
@@ -42,7 +42,7 @@
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
     """An operator's decision to drain a scheduler, or to end its drain; the latest applies.
 
-    ``at_us``: the time of the decision, as returned by ``later``. ``by``: the scheduler that received
+    ``at_us``: the time of the decision, as returned by ``next_time_us``. ``by``: the scheduler that received
     the operator's request.
     """
 
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -4,10 +4,10 @@
 
 **Expiry.** After ``until_us`` a record is expired: it is not returned by queries, is not merged into a live
 version, and is replaced by a live version. It stays stored until the end of its span of time
-(`expiry_index`). Then it stops counting in digests, on all copies at once, and ``AHEAD_US`` later it is
-dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``AHEAD_US`` do not
+(`expiry_index`). Then it stops counting in digests, on all copies at once, and ``MAX_SKEW_US`` later it is
+dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``MAX_SKEW_US`` do not
 make digests differ either, as the opener sends the time along with its digests and the other side answers as
-of that time. (For less than ``AHEAD_US``, the clocks of two copies may lie on either side of a record's
+of that time. (For less than ``MAX_SKEW_US``, the clocks of two copies may lie on either side of a record's
 expiry. One of them may then still merge the record into a value that it writes. The result spreads to all
 copies like that of any merge.)
 
@@ -29,7 +29,14 @@
 
 from robinhill.mesh import digests
 from robinhill.mesh.change_log import ChangeLog
-from robinhill.mesh.clocks import AHEAD_US, FAR_US, MAX_LIFETIME_US, HybridClock, StampAhead, ahead_us
+from robinhill.mesh.clocks import (
+    MAX_FUTURE_US,
+    MAX_LIFETIME_US,
+    MAX_SKEW_US,
+    HybridClock,
+    StampAhead,
+    ahead_us,
+)
 from robinhill.mesh.errors import ForeignState, StateFull
 from robinhill.mesh.expiry_index import SPAN_US, ExpiryIndex, is_forgotten
 from robinhill.mesh.merging import (
@@ -126,7 +133,7 @@
         if is_forgotten(now_us, record.until_us):
             return None
         ahead = ahead_us(now_us, record)
-        if ahead > FAR_US:
+        if ahead > MAX_FUTURE_US:
             raise StampAhead(f"{_describe_ahead(record, ahead)}; it was rejected", None)
         table = self._tables.get(record.kind, self._unknown)
         stored = table.stored.get(table.place(record.kind, record.key))
@@ -140,7 +147,7 @@
         self.clock.observe(now_us, record.stamp)
         if not self._put(table, new, value, MERGE_BOUND_FACTOR):
             return None
-        if ahead > AHEAD_US:
+        if ahead > MAX_SKEW_US:
             raise StampAhead(f"{_describe_ahead(record, ahead)}; its effect is limited", new)
         return new
 
@@ -163,7 +170,7 @@
         """
         self._now_us = now_us
         return any(
-            table.kind and table.kind.lifetime_us <= disconnected_us + AHEAD_US and table.live(now_us)
+            table.kind and table.kind.lifetime_us <= disconnected_us + MAX_SKEW_US and table.live(now_us)
             for table in self._tables.values()
         )
 
@@ -176,7 +183,7 @@
         own: list[Record] = []
         for table in [*self._tables.values(), self._unknown]:
             if disconnected_us is None or (
-                table.kind and table.kind.lifetime_us <= disconnected_us + AHEAD_US
+                table.kind and table.kind.lifetime_us <= disconnected_us + MAX_SKEW_US
             ):
                 for stored in list(table.stored.values()):
                     if self._is_own(stored.record) and stored.record.until_us > self._now_us:
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -79,7 +79,9 @@
         )
         self.written_us = self.clock.now_us()
         try:
-            self.replica.write(self.written_us, acknowledgements.NAME, self.fleet.own_name, acknowledgement)
+            self.replica.write(
+                self.written_us, acknowledgements.KIND_NAME, self.fleet.own_name, acknowledgement
+            )
         except StateFull as e:
             log.error("acknowledgement_not_written", extra={"why": str(e)})
         self.tracker.record_acknowledgement(mono_us, self.fleet.own_name, acknowledgement)
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -212,7 +212,7 @@
         self.fleet.reconfigure(options, names)
         self.tracker.reconfigure(mono_us(), self.fleet.names)
         for name in self.fleet.names:
-            acknowledgement = self.replica.value(acknowledgements.NAME, name)
+            acknowledgement = self.replica.value(acknowledgements.KIND_NAME, name)
             if isinstance(acknowledgement, Acknowledgement):
                 self._record_acknowledgement(name, acknowledgement)
         self._write_acknowledgement()
@@ -239,7 +239,7 @@
     def reachable(self) -> set[str]:
         """Return the schedulers whose state was received recently, directly or through other schedulers."""
         since_us = mono_us() - max(REACHABLE_US, 3 * self.fleet.bound_us)
-        as_of = {name: self.freshness.as_of(name) for name in self.fleet.names}
+        as_of = {name: self.freshness.known_as_of(name) for name in self.fleet.names}
         return {name for name, us in as_of.items() if us is not None and us > since_us}
 
     # Changes of the shared state
@@ -249,7 +249,7 @@
         if record.kind == value.NAME:
             self.tracker.record_value(record.key, record.value)
             return True
-        if record.kind == acknowledgements.NAME:
+        if record.kind == acknowledgements.KIND_NAME:
             acknowledgement = self.replica.value(record.kind, record.key)
             if isinstance(acknowledgement, Acknowledgement):
                 self._record_acknowledgement(record.key, acknowledgement)
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -32,7 +32,7 @@
         elif self._agreed_since_us is None:
             self._agreed_since_us = mono_us
         elif mono_us - self._agreed_since_us > self.fleet.bound_us:
-            self.freshness.settled()
+            self.freshness.settle()
             self._agreed_since_us = None
             log.info("peer_list_settled", extra={"schedulers": len(self.fleet.names)})
 
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -74,7 +74,7 @@
             own_list = acknowledgements.list_digest(self.fleet.names)
             counts = bool(current and current.caught_up)
             same_list = bool(current and current.names_digest == own_list)
-            as_of_us = self.freshness.as_of(name)
+            as_of_us = self.freshness.known_as_of(name)
         scheduler = self.tracker.scheduler(mono_us, name)
         return SchedulerReply(
             name=name,
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -183,7 +183,7 @@
         """Partners, and others along the ring while too few of them are alive."""
         own = self.configured.identity
         alive = {*self.alive(), *self.links}
-        return [*self.partners, *overlay.repairs(own.name, own.names, alive)]
+        return [*self.partners, *overlay.repair_partners(own.name, own.names, alive)]
 
     # Links
 
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -359,7 +359,7 @@
 
 def kind_names() -> list[str]:
     """The names of the kinds that a member of the control group replicates, in order, and of the others."""
-    return [kind.name for kind in control_kinds()] + [acknowledgements.NAME, gang.NAME]
+    return [kind.name for kind in control_kinds()] + [acknowledgements.KIND_NAME, gang.NAME]
 
 
 def digests() -> dict[str, str]:
--- a/tests/test_mesh_freshness.py
+++ b/tests/test_mesh_freshness.py
@@ -58,11 +58,11 @@
 def test_relayed_ages_add_up() -> None:
     one = fresh()
     ask(one, 2_000_000, "b", {"b": 0, "c": 500_000, "d": 700_000, "x": 0, "a": 0})
-    assert one.as_of("c") == 2_000_000 - 500_000 - 500  # and the allowance for its clock's rate
-    assert one.as_of("x") is None and one.as_of("a") is None
+    assert one.known_as_of("c") == 2_000_000 - 500_000 - 500  # and the allowance for its clock's rate
+    assert one.known_as_of("x") is None and one.known_as_of("a") is None
     assert one.age_us(2_000_000) == 500_500  # itself, b and c
     ask(one, 2_000_001, "b", {"b": 0, "c": -5_000_000}, number=2)
-    assert one.as_of("c") == 2_000_001  # never from the future
+    assert one.known_as_of("c") == 2_000_001  # never from the future
 
 
 def test_unknown_and_duplicated_answers_are_ignored() -> None:
@@ -73,18 +73,18 @@
     one.answered(300, "b", 2, {"b": 0})
     one.answered(400, "b", 1, {"b": 0, "c": 0})  # too late on an ordered link
     one.answered(500, "b", 2, {"b": 0, "c": 0})
-    assert one.as_of("b") == 200 and one.as_of("c") is None
+    assert one.known_as_of("b") == 200 and one.known_as_of("c") is None
     for number in range(3, 4 + MAX_PENDING_PINGS):
         one.pinged(1_000, "b", number)
     one.answered(2_000, "b", 3, {"b": 0})  # forgotten meanwhile
-    assert one.as_of("b") == 200
+    assert one.known_as_of("b") == 200
 
 
 def test_a_scheduler_that_has_not_caught_up_counts_for_nobody() -> None:
     one = fresh("abc", caught_up=False)
     assert "a" not in one.ages(0) and one.starting_ages(0) == {"a": 0}
     ask(one, 100, "b", {})
-    assert one.as_of("b") is None
+    assert one.known_as_of("b") is None
     ask(one, 200, "b", {"b": 0}, number=2)
     assert one.age_us(200) is None  # two of three are needed, and it is none of them
     one.caught_up = True
@@ -162,8 +162,8 @@
     assert one.age_us(100) is None
     ask(one, 200, "b", {"b": 0, "e": 0}, number=2)
     assert one.age_us(200) == 100  # d of the new list is the oldest that is needed
-    one.settled()
-    assert one.as_of("b") is None and one.age_us(200) == 100
+    one.settle()
+    assert one.known_as_of("b") is None and one.age_us(200) == 100
     for peers in ("ab", "ac", "ad")[: MAX_UNSETTLED_LISTS - 1]:
         one.reconfigure(peers)
     with pytest.raises(ListsUnsettled, match="same list"):
@@ -176,42 +176,42 @@
     joint.reconfigure(new)
     for names in (old | {"a"}, new | {"a"}):
         most = sorted(names)[: majority(len(names))]
-        assert not joint.met(joint.names - set(most))
+        assert not joint.has_majority(joint.names - set(most))
 
 
 def test_acceptance_drops_confirmations_of_former_incarnations() -> None:
     one = Acceptance(Quorum("a", FIVE))
-    one.follow(10, stamp())
+    one.track(10, stamp())
     assert not one.confirmed(11, "a", 1, stamp())
     assert not one.confirmed(12, "b", 1, stamp()) and not one.confirmed(12, "b", 1, stamp())
     assert not one.confirmed(12, "x", 1, stamp()) and not one.confirmed(12, "c", 1, stamp(2))
     one.started("b", 2)
     assert not one.confirmed(13, "c", 1, stamp())
     assert not one.confirmed(14, "b", 1, stamp())  # late, by the former self
-    assert one.unconfirmed(stamp()) == ["b", "d", "e"] and one.open_us(20) == 10
+    assert one.unconfirmed(stamp()) == ["b", "d", "e"] and one.oldest_pending_us(20) == 10
     assert one.confirmed(15, "b", 2, stamp())
     one.started("b", 3)
-    assert one.accepted_us(stamp()) == 15 and one.open_us(20) == 0
+    assert one.accepted_us(stamp()) == 15 and one.oldest_pending_us(20) == 0
 
 
 def test_acceptance_up_to_a_stamp_and_within_its_bounds() -> None:
     one = Acceptance(Quorum("a", "abc"))
     for count in range(1, 4):
-        one.follow(0, stamp(count))
+        one.track(0, stamp(count))
     one.confirmed_through(1, "a", 1, stamp(3))
     assert one.confirmed_through(1, "b", 1, Stamp(9, 9, "b", 1)) == []
     assert one.confirmed_through(2, "b", 1, stamp(2)) == [stamp(1), stamp(2)]
     for count in range(4, 5 + MAX_TRACKED_CHANGES):
-        one.follow(0, stamp(count))
+        one.track(0, stamp(count))
     assert one.accepted_us(stamp(1)) is None and one.unconfirmed(stamp(1)) == ["a", "b", "c"]
 
 
 def test_a_shorter_list_may_accept_pending_changes() -> None:
     one = Acceptance(quorum := Quorum("a", FIVE))
-    one.follow(0, stamp())
+    one.track(0, stamp())
     one.confirmed(1, "a", 1, stamp())
     one.confirmed(1, "b", 1, stamp())
     quorum.reconfigure("abc")
-    assert one.review(2) == []
-    quorum.settled()
-    assert one.review(3) == [stamp()]
+    assert one.reevaluate(2) == []
+    quorum.settle()
+    assert one.reevaluate(3) == [stamp()]
--- a/tests/test_mesh_members.py
+++ b/tests/test_mesh_members.py
@@ -234,8 +234,8 @@
         assert size > 17 or len(own) == size - 1
         for peer in own:
             assert me in overlay.partners(peer, names)
-            assert overlay.dials(me, peer, names) != overlay.dials(peer, me, names)
-            assert size < 4 or len(overlay.common(me, peer, names)) >= 2
+            assert overlay.opens_link(me, peer, names) != overlay.opens_link(peer, me, names)
+            assert size < 4 or len(overlay.common_partners(me, peer, names)) >= 2
 
 
 @given(st.integers(0, 10_000), st.sampled_from([0.3, 0.5, 0.7]))
@@ -243,7 +243,7 @@
     alive = set(random.Random(seed).sample(NAMES, round(len(NAMES) * (1 - lost))))
     links: dict[str, set[str]] = {name: set() for name in alive}
     for name in sorted(alive):
-        for peer in [*overlay.partners(name, NAMES), *overlay.repairs(name, NAMES, alive)]:
+        for peer in [*overlay.partners(name, NAMES), *overlay.repair_partners(name, NAMES, alive)]:
             if peer in alive:
                 links[name].add(peer)
                 links[peer].add(name)
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -12,7 +12,7 @@
 
 from robinhill.mesh import clocks, digests, record_kinds, replica
 from robinhill.mesh import snapshot as rest
-from robinhill.mesh.clocks import AHEAD_US, FAR_US, HybridClock, StampAhead, agreed_offset_us
+from robinhill.mesh.clocks import MAX_FUTURE_US, MAX_SKEW_US, HybridClock, StampAhead, agreed_offset_us
 from robinhill.mesh.errors import ForeignState, StateFull
 from robinhill.mesh.expiry_index import SPAN_US
 from robinhill.mesh.merging import merged
@@ -54,7 +54,7 @@
 def exchange(all_copies: list[Replica], now: int) -> None:
     """Repair by digests of ranges; twice, as what was taken last must reach all."""
     for a, b in 2 * list(permutations(all_copies, 2)):
-        for index in digests.differing(a.ranges(now), b.ranges(now)):
+        for index in digests.differing_ranges(a.ranges(now), b.ranges(now)):
             for record in a.in_range(index):
                 take(b, now, record)
 
@@ -94,7 +94,7 @@
     @rule(i=which, draining=st.booleans())
     def drain(self, i: int, draining: bool) -> None:
         seen = self.copies[i].value("drain", "s9")
-        at = record_kinds.later(
+        at = record_kinds.next_time_us(
             self.now + self.skewed[i], seen.at_us if isinstance(seen, record_kinds.Drain) else None
         )
         drain = record_kinds.Drain(at, f"s{i}", draining, "")
@@ -204,7 +204,7 @@
         == record_kinds.merge_evidence(a, record_kinds.merge_evidence(b, c))
         == (*a, *c)
     )
-    back = (record_kinds.Observation("x", record_kinds.SLOW, record_kinds.later(0, 3), "", 0),)
+    back = (record_kinds.Observation("x", record_kinds.SLOW, record_kinds.next_time_us(0, 3), "", 0),)
     assert [
         s.observer
         for s in record_kinds.current_observations(record_kinds.merge_evidence((*a, *c), back), 5, 10)
@@ -226,7 +226,7 @@
 
 def test_a_stamp_years_ahead_is_rejected_until_its_time_is_near() -> None:
     mad, sane = copies(2)
-    record = mad.write(NOW + FAR_US + S, "long", "w", ((1,), ()))
+    record = mad.write(NOW + MAX_FUTURE_US + S, "long", "w", ((1,), ()))
     for wrong in (record, msgspec.structs.replace(record, stamp=Stamp(0, 0, "x", 0), until_us=2**53 - 1)):
         with pytest.raises(StampAhead) as caught:
             sane.merge(NOW, wrong)
@@ -237,7 +237,7 @@
 def test_clock_goes_on_after_a_correction_and_most_clocks_agree() -> None:
     clock = HybridClock("a", 1)
     first, second = clock.tick(NOW), clock.tick(NOW - S)
-    assert first < second and clock.tick(NOW - 2 * AHEAD_US).wall_us == NOW - 2 * AHEAD_US
+    assert first < second and clock.tick(NOW - 2 * MAX_SKEW_US).wall_us == NOW - 2 * MAX_SKEW_US
     clock.observe(NOW, Stamp(NOW + S, 2**32 - 1, "b", 1))
     for unheeded in (NOW + 3600 * S, NOW - S):
         clock.observe(NOW, Stamp(unheeded, 0, "c", 1))
@@ -251,11 +251,11 @@
     a, b = copies(2)
     old = a.write(NOW, "short", "w", ((1,), ()))
     b.merge(NOW, old)
-    gone = -(-old.until_us // SPAN_US) * SPAN_US + AHEAD_US
+    gone = -(-old.until_us // SPAN_US) * SPAN_US + MAX_SKEW_US
     assert b.items("short") == [("w", ((1,), ()))] == [("w", b.value("short", "w"))]
     assert b.collect(gone - 1) == 0 and b.items("short") == [] and b.collect(gone) == 1
     assert b.value("short", "w") is None is b.record("short", "w")
-    assert a.digest(gone - AHEAD_US) == b.digest(gone - AHEAD_US) != a.digest(NOW)
+    assert a.digest(gone - MAX_SKEW_US) == b.digest(gone - MAX_SKEW_US) != a.digest(NOW)
     assert b.merge(gone, old) is None and b.record("short", "w") is None
     new = a.write(old.until_us, "short", "w", ((2,), ()))
     assert a.value("short", "w") == ((2,), ()) and new.stamp > old.stamp
@@ -349,7 +349,7 @@
             copy.merge(NOW, change(good, **wrong))
     assert copy.head == 0 and copy.digest(NOW) == copies(1)[0].digest(NOW)
     with pytest.raises(ForeignState):
-        digests.differing(copy.ranges(NOW), (0,) * 255)
+        digests.differing_ranges(copy.ranges(NOW), (0,) * 255)
 
 
 def test_a_snapshot_is_read_completely_or_not_at_all(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -10,7 +10,7 @@
 
 from robinhill.mesh import frames
 from robinhill.mesh.anti_entropy import ROUND_INTERVAL_US
-from robinhill.mesh.delivery_windows import WINDOW
+from robinhill.mesh.delivery_windows import WINDOW_PUSHES
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.frames import Hello, Ping, Push, RangePart, RecordVersions
 from robinhill.mesh.freshness import Freshness
@@ -162,11 +162,11 @@
     link = Channel(4)
     link.run(S)
     link.cut = True
-    for number in range(20 * WINDOW):
+    for number in range(20 * WINDOW_PUSHES):
         link.write(0, f"k{number % 10}", number)
         link.run(MS)
     session = link.sides[0].session
-    assert len(session.sender.window._unconfirmed) <= WINDOW and len(session.sender._peer_has) == 0
+    assert len(session.sender.window._unconfirmed) <= WINDOW_PUSHES and len(session.sender._peer_has) == 0
     link.cut = False
     before = link.bytes[0]
     link.run(2 * S)
@@ -230,5 +230,5 @@
     link.run(10 * MS)
     assert link.equal
     with pytest.raises(PeerRejected):
-        for number in range(2, 10 * WINDOW):
+        for number in range(2, 10 * WINDOW_PUSHES):
             session.receive(UNIX, link.now, frames.encode_message([Push(number * 2 + 100, ())]))
