--- a/robinhill/net/__init__.py
+++ b/robinhill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler on real sockets: actors round the decision module, and the platform's protocol."""
+"""The scheduler on real sockets: actors around the decision module, and the platform's protocol."""
--- a/robinhill/net/actor.py
+++ b/robinhill/net/actor.py
@@ -1,6 +1,6 @@
-"""Actors with mailboxes, and the supervisor that ends the program when one of them dies.
+"""Actors with mailboxes, and the supervisor that ends the program when one of them fails.
 
-An actor owns its state: other actors only put messages into its mailbox. Every task is the supervisor's.
+An actor owns its state: other actors only put messages into its mailbox. The supervisor owns every task.
 """
 
 import asyncio
@@ -16,37 +16,37 @@
 
 
 class ActorDiedError(Exception):
-    """An actor or a task ended in an error, which has been logged."""
+    """An actor or a task ended with an error, which has been logged."""
 
 
 class Supervisor:
-    """Owns all tasks. One that ends in an error is logged and ends the program."""
+    """Owns all tasks. An error that ends one of them is logged and ends the program."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run a task under supervision."""
+        """Run a coroutine as a supervised task."""
         task = asyncio.get_running_loop().create_task(work, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or (error := task.exception()) is None:
             return
         self.fail(task.get_name(), error)
 
     def fail(self, name: str, error: BaseException) -> None:
-        """An actor or task has died of this: the program ends."""
+        """Log the error that ended an actor or task, and set ``failed``, which ends the program."""
         log.critical("actor_died", exc_info=error, extra={"actor": name})
         if not self.failed.done():
             self.failed.set_exception(ActorDiedError(name))
 
-    async def unless_failed(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run this to its end; raises ActorDiedError, and cancels it, if an actor or task dies meanwhile."""
+    async def run_until_failure(self, work: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine to its end. If an actor or task fails first, cancel it and raise ActorDiedError."""
         task = asyncio.get_running_loop().create_task(work)
         await asyncio.wait([task, self.failed], return_when=asyncio.FIRST_COMPLETED)
         if self.failed.done():
@@ -55,7 +55,7 @@
         await task
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -63,10 +63,10 @@
 
 
 class Actor(Generic[Message]):
-    """Handles the messages of its mailbox one after another; nothing else touches its state.
+    """Handles the messages of its mailbox one after another; only this handling accesses its state.
 
-    The mailbox is drained by a callback of the event loop and not by a task that waits on a queue: waking a
-    task costs several times as much as handling a message, and a request passes ten mailboxes.
+    A callback of the event loop drains the mailbox, not a task that waits on a queue: waking a task costs
+    several times as much as handling a message, and a request passes through ten mailboxes.
     """
 
     def __init__(self, name: str, supervisor: Supervisor) -> None:
@@ -75,23 +75,23 @@
         self._mailbox: deque[Message] = deque()
         self._loop = asyncio.get_running_loop()
         self._alive = False
-        self._scheduled = False  # the loop will drain the mailbox
-        # Messages are handled in the actor's own context: in the sender's, context variables of one job's
-        # attempt would leak into tasks that the actor spawns for others.
+        self._scheduled = False  # whether the event loop has a pending callback that drains the mailbox
+        # Messages are handled in the actor's own context. In the sender's context, context variables of one
+        # job's attempt would leak into tasks that the actor spawns for other jobs.
         self._context = Context()
 
     def start(self) -> None:
-        """Handle messages from now on, those already in the mailbox first."""
+        """Start to handle messages, beginning with those already in the mailbox."""
         self._alive = True
         if self._mailbox:
             self._schedule()
 
     def stop(self) -> None:
-        """Handle no further messages."""
+        """Stop handling messages; those in the mailbox stay there."""
         self._alive = False
 
     def tell(self, message: Message) -> None:
-        """Put a message into the mailbox; never waits."""
+        """Put a message into the mailbox without waiting."""
         self._mailbox.append(message)
         if self._alive and not self._scheduled:
             self._schedule()
@@ -108,12 +108,12 @@
                 return
             while self._mailbox and self._alive:
                 self.receive(self._mailbox.popleft())
-        except Exception as error:  # the program must not go on without this actor
+        except Exception as error:  # the program must not continue without this actor
             self._alive = False
             self.supervisor.fail(self.name, error)
 
     def ready(self) -> bool:
-        """Whether messages may be handled now; else the loop tries again in its next iteration."""
+        """Whether messages may be handled now; if not, the event loop's next iteration checks again."""
         return True
 
     def receive(self, message: Message) -> None:
--- a/robinhill/net/clock.py
+++ b/robinhill/net/clock.py
@@ -1,13 +1,13 @@
-"""The clocks of a process: Unix time that never steps back, and a monotonic clock that counts sleep."""
+"""The clocks of a process: Unix time that never steps back, and a monotonic clock that includes suspends."""
 
 import time
 
 
 class Clock:
-    """Unix time in microseconds: anchored to the system's clock once, then advanced by the monotonic one.
+    """Unix time in microseconds: set from the system clock once, then advanced by the monotonic clock.
 
     The decision module's clock must never step back, and workers' start times on the endpoint list are Unix
-    time. ``offset_us``: an error of the host's clock, for tests.
+    time. ``offset_us``: a simulated error of the host's clock, for tests.
     """
 
     def __init__(self, offset_us: int = 0) -> None:
@@ -15,13 +15,14 @@
 
     @property
     def anchor_ns(self) -> int:
-        """Nanoseconds that are added to the monotonic clock."""
+        """Nanoseconds between the monotonic clock and this clock's Unix time."""
         return self._anchor
 
-    def follow(self, anchor_ns: int) -> None:
-        """Take over the anchor of another process on this host.
+    def adopt_anchor(self, anchor_ns: int) -> None:
+        """Use the anchor of another process on this host.
 
-        Times that it hands over are on its scale; the host's clock may have been stepped since its start.
+        The times that the other process hands over refer to its anchor, and the host's clock may have been
+        stepped since that process started.
         """
         self._anchor = anchor_ns
 
@@ -31,5 +32,5 @@
 
 
 def mono_us() -> int:
-    """Monotonic microseconds, counting sleep of the host where the system has such a clock."""
+    """Monotonic time in microseconds; includes time in suspend on systems that have CLOCK_BOOTTIME."""
     return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) // 1000
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -1,6 +1,6 @@
-"""A voter of the control group as a process: its state machine, links, disk, signals and operators' side.
+"""A voter process of the control group: its state machine, links, snapshots, signals and operators' server.
 
-It has no clients and no workers.
+A voter has no clients and no workers.
 """
 
 import asyncio
@@ -28,9 +28,9 @@
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.operator_support import (
     call_cordons,
-    figure_lines,
+    metric_lines,
     needs_restart,
-    traffic_figures,
+    traffic_metrics,
 )
 from robinhill.net.control_group.recovery import recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
@@ -42,14 +42,14 @@
 log = logging.getLogger(__name__)
 
 REFRESH_INTERVAL_S = 3_600.0
-"""How often cordons that are in force for longer than their records live are written again."""
+"""Interval for rewriting the records of cordons that last longer than the records' lifetime."""
 
 RESTART_KEYS = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
 """Keys of `mesh` that a reload does not change."""
 
 
 class VoterProcess:
-    """One voter. ``env``: the environment, read again at a reload."""
+    """One voter. ``env``: the environment, read again by each reload."""
 
     def __init__(self, config: VoterConfig, env: Mapping[str, str] = os.environ) -> None:
         self.config = config
@@ -63,7 +63,7 @@
         self.snapshot_store = recovery.store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
-        # Decisions never draw from this: it spreads connecting in time.
+        # Only for the jitter of reconnections; decisions never use it.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
         self.driver = Driver(
@@ -90,10 +90,13 @@
         )
         return VoterOperatorServer(address, self.supervisor, calls)
 
-    # Start, reload, end
+    # Start, reload, shutdown
 
     async def run(self) -> None:
-        """Vote until SIGTERM or SIGINT; reload on SIGHUP. Raises ActorDiedError after an actor's death."""
+        """Serve as a voter until SIGTERM or SIGINT; reload on SIGHUP.
+
+        Raises ActorDiedError if an actor or task fails.
+        """
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -101,22 +104,23 @@
             loop.add_signal_handler(number, stop.set)
         await self.start()
         try:
-            await self.supervisor.unless_failed(stop.wait())
+            await self.supervisor.run_until_failure(stop.wait())
         finally:
             await self.close()
 
     async def start(self) -> None:
-        """Listen and connect. Raises ConfigError where an address can't be bound."""
+        """Listen, and connect to the other voters. Raises ConfigError if an address can't be bound."""
         for warning in self.options.warnings:
             log.warning("voters_warning", extra={"why": warning})
-        # The next process must have a later incarnation, also if this one ends before its first save.
+        # Saves the incarnation: the next process must have a later one, even if this one ends before its
+        # first periodic save.
         await self.snapshot_store.save(-1, self._snapshot_header(), list(self._persistent_records()))
         name = self.config.name
         await self.driver.listen(self._address_of(name), f"mesh.voters.{name}.address")
         if self.operators:
             self.operators.start()
         self.driver.start()
-        keeping = self.snapshot_store.keep(
+        keeping = self.snapshot_store.save_periodically(
             lambda: self.replica.head, self._snapshot_header, self._persistent_records
         )
         self.supervisor.spawn(keeping, "keep")
@@ -125,7 +129,10 @@
         log.info("started", extra=extra | {"listen": self._address_of(name)})
 
     def reload(self) -> None:
-        """Use the file's new voters; a faulty file, or more than one change, changes nothing."""
+        """Apply a changed operators' file, which may add or remove one voter.
+
+        An invalid file, or a larger change of the voters, changes nothing.
+        """
         try:
             new = configuration.load_voter(self.env)
             options = options_of_voter(new.operator.mesh, self.config.name)
@@ -139,7 +146,7 @@
             self.driver.tell(Run(lambda: self._change_voters(mesh, options)))
 
     async def close(self) -> None:
-        """Save, and end all links."""
+        """Close all links, and save the last snapshot."""
         if self.operators:
             await self.operators.close()
         self.cordons.stop()
@@ -153,15 +160,19 @@
     # Operators' calls
 
     async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
-        """An operator's call about cordons."""
+        """Carry out an operator's call about cordons and return its answer."""
         return await call_cordons(self.driver, self.cordons, method, cordon_id, body, wait)
 
     def readiness(self) -> Answer:
-        """Ready once it counts for majorities."""
-        return Answer(200, b"ready\n") if self.voter.counts else Answer(503, b"does not count yet\n")
+        """Answer 200 once this voter counts for majorities, 503 until then."""
+        return (
+            Answer(200, b"ready\n")
+            if self.voter.counts
+            else Answer(503, b"this voter does not count for majorities yet\n")
+        )
 
     def status(self) -> Answer:
-        """The state of this replica, for operators and for whoever compares replicas."""
+        """Return the state of this voter's replica as JSON, with a digest to compare replicas by."""
         age_us = self.voter.age_us(mono_us())
         return status_answer(
             {
@@ -180,22 +191,22 @@
         )
 
     def confirm_complete(self) -> Answer:
-        """An operator confirms that nothing is in force that this voter does not know."""
+        """Record an operator's confirmation that this voter knows all changes in force."""
         log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
-        return Answer(200, b"it counts for majorities\n")
+        return Answer(200, b"this voter counts for majorities now\n")
 
     def remove_scheduler(self, scheduler: str) -> Answer:
-        """An operator reports that a scheduler no longer runs: no change waits for it."""
+        """Record an operator's report that a scheduler no longer runs, so that no change waits for it."""
         log.warning("scheduler_removed", extra={"scheduler": scheduler})
         self.driver.tell(Run(lambda: self._remove_scheduler(scheduler)))
-        return Answer(200, b"this voter waits for it no more; ask each voter\n")
+        return Answer(200, b"this voter no longer waits for the scheduler; repeat the call at each voter\n")
 
     def metrics(self) -> Answer:
-        """Figures, one a line."""
+        """Metrics of connections, majorities and records, one a line."""
         age_us = self.voter.age_us(mono_us())
         counted = self.voter.metrics
-        figures = [
+        lines = [
             f"voters_linked:{len(self.voter.linked_voters)}|g",
             f"observers:{self.voter.linked_observers}|g",
             f"counts:{int(self.voter.counts)}|g",
@@ -203,15 +214,15 @@
             f"changes_under_way:{self.cordons.changes.pending_count()}|g",
             f"comparisons:{counted.comparisons}|c",
             f"refused:{counted.refused}|c",
-            *traffic_figures(self.driver.traffic),
+            *traffic_metrics(self.driver.traffic),
             f"bytes_out.voters:{counted.bytes_to_voters}|c",
             f"bytes_out.observers:{counted.bytes_to_observers}|c",
         ]
         for kind, (records, size_bytes) in sorted(self.replica.sizes().items()):
-            figures += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size_bytes}|g"]
-        return Answer(200, figure_lines(figures))
+            lines += [f"records.{kind}:{records}|g", f"bytes.{kind}:{size_bytes}|g"]
+        return Answer(200, metric_lines(lines))
 
-    # In the driver's mailbox
+    # Called in the driver's mailbox
 
     def _act(self, action: Action) -> None:
         match action:
@@ -245,7 +256,7 @@
             await asyncio.sleep(REFRESH_INTERVAL_S)
             self.driver.tell(Run(self.cordons.renew_records))
 
-    # Disk and addresses
+    # Snapshots and addresses
 
     def _snapshot_header(self) -> SnapshotHeader:
         return SnapshotHeader(self.mesh.installation, self.config.name, self.incarnation, self.clock.now_us())
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -1,7 +1,7 @@
 """The hand-over between two processes of one scheduler while one replaces the other.
 
-This module knows the questions that the two ask each other, and in which order; their sockets are in
-``handover_socket`` and ``process_link``. What is handed over is up to the scheduler (`HandoverDelegate`).
+This module defines which questions the two processes ask each other, and in which order. The sockets are in
+``handover_socket`` and ``process_link``; the scheduler supplies the content (`HandoverDelegate`).
 """
 
 import asyncio
@@ -21,58 +21,59 @@
 
 Json = dict[str, Any]
 
-PREDECESSOR_TIMEOUT_S = 2.5  # one that hangs may be why it is being replaced
+PREDECESSOR_TIMEOUT_S = 2.5  # bounded, as the predecessor may be replaced because it hangs
 OPERATOR_CALL_TIMEOUT_S = 0.7  # an operator's call must be answered within 1 s
 
 
 class HandoverDelegate(Protocol):
-    """What the hand-over needs of a scheduler; bodies are JSON of a process of any version."""
+    """The scheduler's interface to the hand-over. Bodies are JSON written by a process of any version."""
 
     def export_endpoint_list(self) -> EndpointListExport:
-        """The endpoint list, its lease and the clock that it goes by, for a successor."""
+        """Return the endpoint list, its lease and the clock that the lease refers to, for a successor."""
 
     def export_state(self) -> StateExport:
-        """What a successor must know to decide as this process would."""
+        """Return the state that a successor needs to make the same decisions as this process."""
 
     def set_superseded(self, superseded: bool) -> None:
-        """A successor serves in place of this process; or the other process has exited."""
+        """Record whether a successor accepts connections in place of this process."""
 
     async def apply_operator_call(self, call: str, body: Json) -> bool:
-        """Apply an operator's call that the other process received; whether that was done."""
+        """Apply an operator's call that the other process received. Returns whether it succeeded."""
 
-    async def take_worker_event(self, body: Json) -> bool:
-        """Take a worker's event; False if this process does not have its request."""
+    async def accept_worker_event(self, body: Json) -> bool:
+        """Process a worker's event. Returns False if this process does not have the event's request."""
 
     async def adopt_request(self, body: Json, fd: int) -> bool:
-        """Go on with a request and its client's connection; False if it was not taken. Owns ``fd``."""
+        """Continue a request and its client's connection, and own ``fd``. Returns False if rejected."""
 
 
 class Handover:
-    """The links to the process before and the process after this one; either may be absent."""
+    """The links to this process's predecessor and successor; either may be absent."""
 
     def __init__(self, folder: Path, supervisor: Supervisor, delegate: HandoverDelegate) -> None:
         self.supervisor = supervisor
         self.delegate = delegate
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
-        self.serving = asyncio.Event()  # questions are answered only from then on
-        self._state_exported = False  # the successor has our state
+        self.serving = asyncio.Event()  # set once this process serves; questions are answered from then on
+        self._state_exported = False  # the successor has received this process's state
         self._successor_serves = False
         self._socket = HandoverSocket(folder, self._accept_successor)
 
     @property
     def live_links(self) -> list[ProcessLink]:
-        """Links to the processes that run beside this one and know what it knows.
+        """Links to the running processes that share this process's state.
 
-        A successor that has not got our state yet will learn of later changes with it.
+        A successor that has not received the state yet is left out: the state that it will receive includes
+        all changes until then.
         """
-        both = (self.predecessor, self.successor if self._state_exported else None)
-        return [link for link in both if link and not link.lost.is_set()]
+        neighbours = (self.predecessor, self.successor if self._state_exported else None)
+        return [link for link in neighbours if link and not link.lost.is_set()]
 
-    # As the new process
+    # As the successor
 
     def connect_predecessor(self) -> bool:
-        """Whether there is a process to replace; it is linked then."""
+        """Connect to the process to replace. Returns whether there is one."""
         sock = self._socket.connect()
         if sock is None:
             return False
@@ -80,7 +81,7 @@
         return True
 
     async def ask_predecessor(self, question: str) -> Mapping[str, Any] | None:
-        """The predecessor's answer; None if it does not answer in time, and it is given up then."""
+        """Return the predecessor's answer. If it does not answer in time, close its link and return None."""
         assert self.predecessor
         try:
             async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
@@ -91,7 +92,7 @@
             return None
 
     async def start_serving(self) -> None:
-        """This process accepts connections: notify the predecessor, and be found by a successor."""
+        """Notify the predecessor that this process accepts connections, and publish the hand-over socket."""
         self.serving.set()
         if self.predecessor:
             if not self.predecessor.lost.is_set():
@@ -105,11 +106,11 @@
         self.predecessor = None
         self.delegate.set_superseded(self._successor_serves)
 
-    # As the old process
+    # As the predecessor
 
     def _accept_successor(self, sock: socket.socket) -> None:
         if self.successor and not self.successor.lost.is_set():
-            sock.close()  # one at a time
+            sock.close()  # only one successor at a time
             return
         self.successor = ProcessLink(sock, self.supervisor, self._answer)
         self._state_exported = False
@@ -127,9 +128,9 @@
         log.info("successor_serving")
         self._successor_serves = True
         self.delegate.set_superseded(True)
-        self._socket.withdraw()  # its name is the successor's now
+        self._socket.withdraw()  # the socket's file belongs to the successor now
 
-    # As either
+    # As either process
 
     async def _answer(
         self, link: ProcessLink, question: str, body: Json, fd: int | None
@@ -145,17 +146,20 @@
                 self._successor_started()
                 return {}
             case QuestionName.WORKER_EVENT:
-                return {"taken": await self._take_worker_event(body, link)}
+                return {"taken": await self._accept_worker_event(body, link)}
             case QuestionName.ADOPT_REQUEST if fd is not None:
                 return {"taken": await self.delegate.adopt_request(body, fd)}
             case _:
                 return {"yes": await self.delegate.apply_operator_call(question, body)}
 
-    async def _take_worker_event(self, body: Json, origin: ProcessLink) -> bool:
-        return await self.delegate.take_worker_event(body) or await self.forward_worker_event(body, origin)
+    async def _accept_worker_event(self, body: Json, origin: ProcessLink) -> bool:
+        return await self.delegate.accept_worker_event(body) or await self.forward_worker_event(body, origin)
 
     async def forward_worker_event(self, body: Json, origin: ProcessLink | None = None) -> bool:
-        """Offer a worker's event to the other processes; whether one has its request and took the event."""
+        """Forward a worker's event to the other processes, except to ``origin``.
+
+        Returns whether one of them has the event's request and accepted the event.
+        """
         for link in self.live_links:
             with contextlib.suppress(LinkLostError):
                 if link is not origin and (await link.ask(QuestionName.WORKER_EVENT, body))["taken"]:
@@ -163,7 +167,10 @@
         return False
 
     async def relay_operator_call(self, call: str, body: Json) -> bool:
-        """Have the other processes apply an operator's call; whether all that run have done so in time."""
+        """Forward an operator's call to the other processes.
+
+        Returns whether each one has applied it in time; a process that has exited does not count.
+        """
         for link in self.live_links:
             try:
                 async with asyncio.timeout(OPERATOR_CALL_TIMEOUT_S):
@@ -176,7 +183,7 @@
         return True
 
     def close(self) -> None:
-        """Close the socket and all links."""
+        """Close the hand-over socket and all live links."""
         self._socket.withdraw()
         for link in self.live_links:
             link.close()
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -1,7 +1,7 @@
-"""The Unix socket at which the next process of a scheduler finds this one. It reads and writes no messages.
+"""The Unix socket at which the next process of a scheduler connects to this one. It carries no messages here.
 
-The socket's file is in the scheduler's state folder. The process that serves owns the name: the file is
-replaced by a rename, so at no moment is there none, or one that only an exited process had.
+The socket's file is in the scheduler's state folder and belongs to the process that serves. A successor
+replaces it by a rename, so the file is never missing, and never refers only to a process that has exited.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 SOCKET_NAME = "robinhill.sock"
-MAX_PATH_BYTES = 100  # of a Unix socket; the system allows 107
+MAX_PATH_BYTES = 100  # for the path of a Unix socket; the system allows 107 bytes
 CONNECT_TIMEOUT_S = 1.0
 
 
@@ -34,7 +34,7 @@
         return self._listener is not None
 
     def connect(self) -> socket.socket | None:
-        """A connection to the predecessor; None if there is none, or it does not accept in time."""
+        """Connect to the predecessor. Returns None if there is none, or if it does not accept in time."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.settimeout(CONNECT_TIMEOUT_S)
         try:
@@ -46,17 +46,20 @@
         return sock
 
     def publish(self) -> None:
-        """Listen under a name of our own and rename it to the common one; a failure is logged."""
-        own_name = f"{SOCKET_NAME}.{os.getpid()}"
+        """Listen on a socket file named after this process, then rename it to `SOCKET_NAME`.
+
+        A failure is logged and leaves the process without a hand-over socket.
+        """
+        temporary_name = f"{SOCKET_NAME}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
-            (self.folder / own_name).unlink()
+            (self.folder / temporary_name).unlink()
         self.withdraw()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            sock.bind(self._path(own_name))
+            sock.bind(self._path(temporary_name))
             sock.listen(1)
-            (self.folder / own_name).replace(self.folder / SOCKET_NAME)
+            (self.folder / temporary_name).replace(self.folder / SOCKET_NAME)
         except OSError as e:
             log.error("handover_unavailable", extra={"why": str(e)})
             sock.close()
@@ -65,14 +68,14 @@
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def withdraw(self) -> None:
-        """Stop listening; the file stays, as it may be a successor's by now."""
+        """Stop listening. The file is not removed, as it may belong to a successor by now."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
     def close(self) -> None:
-        """Stop listening for good and release the folder."""
+        """Stop listening and close the folder's descriptor; the socket can't be published again."""
         self.withdraw()
         os.close(self._directory)
 
--- a/robinhill/net/handover/messages.py
+++ b/robinhill/net/handover/messages.py
@@ -1,7 +1,7 @@
-"""What a process tells its successor of itself, by the keys that all versions know.
+"""Names and bodies of the messages in which a process hands its state to its successor.
 
-A key keeps its meaning for ever, and a reader ignores keys that it does not know: the two processes of a
-scheduler may be of different versions, in either direction.
+The two processes of a scheduler may be of different versions, and either may be the newer one. So the meaning
+of a key never changes, and a reader ignores unknown keys.
 """
 
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 
 
 class QuestionName:
-    """Names of questions in all versions; any other name is that of an operator's call."""
+    """Names of questions, the same in all versions. A question of any other name is an operator's call."""
 
     ENDPOINT_LIST = "hello"
     STATE = "memory"
@@ -19,7 +19,7 @@
 
 
 class KnownEndpoints(TypedDict):
-    """The endpoint list in discovery's own form."""
+    """The endpoint list in the format of the discovery service."""
 
     generation: int
     reset: bool
@@ -27,18 +27,18 @@
 
 
 class EndpointListExport(TypedDict):
-    """The answer to ``QuestionName.ENDPOINT_LIST``: enough to watch discovery by itself."""
+    """The answer to ``QuestionName.ENDPOINT_LIST``: the state from which a successor watches discovery."""
 
     clock_anchor_ns: int
     list_confirmed_us: int | None  # None: discovery has not confirmed the list
     list_until_us: int  # end of the lease on the list
-    discovery: str  # the address whose list it is
+    discovery: str  # address of the discovery service that sent the list
     known: KnownEndpoints
 
 
 class StateExport(TypedDict):
-    """The answer to ``QuestionName.STATE``: enough to decide as this process would."""
+    """The answer to ``QuestionName.STATE``: the state for making the same decisions as this process."""
 
     decider: Mapping[str, object]  # the dispatcher's state
-    drained: bool  # by operators
-    door: Mapping[str, object] | None  # admission control's state; None: there is none
+    drained: bool  # whether operators have drained the scheduler
+    door: Mapping[str, object] | None  # admission control's state; None without admission control
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -1,7 +1,7 @@
-"""A link between two processes of one scheduler: questions and answers, a JSON object each, on a Unix socket.
+"""A link between two processes of one scheduler: questions and answers on a Unix socket, one JSON line each.
 
-A question may carry a file descriptor. This module owns the form of the messages and knows nothing of their
-content.
+A question may carry a file descriptor. This module defines the framing of the messages and does not interpret
+their bodies.
 """
 
 import array
@@ -25,16 +25,19 @@
 
 Json = dict[str, Any]
 
-# What handling a message of another version may raise.
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError, IndexError, MalformedError)
-SEND_RETRY_S = 0.005  # until a full socket buffer is tried again
+# Errors that a message from a process of another version may raise while it is handled.
+MALFORMED_MESSAGE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, IndexError, MalformedError)
+SEND_RETRY_S = 0.005  # delay before writing to a full socket buffer again
 MAX_READ_BYTES = 1 << 18
 MAX_FDS_PER_READ = 16
-NO_QUESTION = 0  # number of a message that is no question; questions begin with 1
+NO_QUESTION = 0  # question number of outgoing answers; questions are numbered from 1
 
 
 class LinkLostError(Exception):
-    """The other process has exited. Unless ``sent``, it has not received the complete question."""
+    """The link is closed: the other process has exited, or sent a message that can't be handled.
+
+    ``sent``: the other process may have received the complete question. Otherwise it has not.
+    """
 
     def __init__(self, sent: bool) -> None:
         super().__init__(sent)
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """A question of the other process; a descriptor comes along if ``has_fd``."""
+    """A question; ``has_fd``: a file descriptor is passed with it."""
 
     number: int
     name: str
@@ -51,25 +54,25 @@
     body: Json
 
     def encode(self) -> bytes:
-        """The question as a line."""
+        """Encode the question as a line of JSON."""
         message = {"ask": self.number, "what": self.name, "fd": self.has_fd, "body": self.body}
         return orjson.dumps(message) + b"\n"
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The answer to the question of this number."""
+    """The answer to the question with the same ``number``."""
 
     number: int
     body: Mapping[str, Any]
 
     def encode(self) -> bytes:
-        """The answer as a line."""
+        """Encode the answer as a line of JSON."""
         return orjson.dumps({"answer": self.number, "body": self.body}) + b"\n"
 
 
 def decode(line: bytes | bytearray) -> Question | Answer:
-    """The message of a line; raises one of ``MALFORMED``."""
+    """Decode a line. Raises one of ``MALFORMED_MESSAGE_ERRORS``."""
     message = orjson.loads(line)
     if "ask" in message:
         return Question(message["ask"], message["what"], message["fd"], message["body"])
@@ -79,14 +82,15 @@
 @dataclass(slots=True, frozen=True)
 class _Outgoing:
     data: bytes
-    fd: int | None = None  # closed once it is sent
+    fd: int | None = None  # closed here once it has been sent
     question: int = NO_QUESTION
 
 
 class ProcessLink:
     """One end of a link.
 
-    ``answer`` is called with each question of the other process; it owns a descriptor that came with it.
+    ``answer`` is called with this link, and the name, body and descriptor of each question that the other
+    process asks. It returns the answer's body and owns the descriptor.
     """
 
     def __init__(
@@ -101,25 +105,26 @@
         self.answer = answer
         self.lost = asyncio.Event()
         self._loop = asyncio.get_running_loop()
-        self._numbers = count(1)
-        self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}  # answers by number of the question
-        self._sent: set[int] = set()  # pending questions that the other process may have received
+        self._question_numbers = count(1)
+        self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}  # answers by question number
+        self._sent: set[int] = set()  # numbers of pending questions that the other process may have received
         self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
         self._buffer = bytearray()
-        self._fds: deque[int] = deque()  # received ones whose question has not been read yet
+        self._fds: deque[int] = deque()  # received descriptors whose questions have not been read yet
         self._loop.add_reader(sock, self._read)
         self._writer = supervisor.spawn(self._write(), "link")
 
     async def ask(self, question: str, body: Json | None = None, fd: int | None = None) -> Mapping[str, Any]:
-        """The other process's answer; raises ``LinkLostError``.
+        """Ask the other process a question and return the answer's body. Raises ``LinkLostError``.
 
-        Questions arrive in order. ``fd`` is closed here once it is sent, or when it can't be.
+        Questions arrive in the order of the calls. ``fd`` is closed here once it has been sent or can't be
+        sent.
         """
         if self.lost.is_set():
             if fd is not None:
                 os.close(fd)
             raise LinkLostError(False)
-        number = next(self._numbers)
+        number = next(self._question_numbers)
         answer: asyncio.Future[Mapping[str, Any]] = self._loop.create_future()
         self._pending[number] = answer
         data = Question(number, question, fd is not None, body or {}).encode()
@@ -131,7 +136,7 @@
             self._sent.discard(number)
 
     def close(self) -> None:
-        """End the link: pending questions raise, descriptors that were not passed on are closed."""
+        """Close the link and the descriptors still held here. Pending questions raise ``LinkLostError``."""
         if self.lost.is_set():
             return
         self.lost.set()
@@ -156,17 +161,21 @@
                 if outgoing.fd is not None:
                     data = data[await self._send_with_fd(data, outgoing.fd) :]
                 if outgoing.question in self._pending:
-                    self._sent.add(outgoing.question)  # its last byte may be sent from here on
+                    self._sent.add(outgoing.question)  # the question's last byte may be sent from here on
                 await self._loop.sock_sendall(self.sock, data)
             except OSError as e:
-                # The other process has exited. What it wrote before is still to be read, with descriptors
-                # that nobody else has now: the reader closes the link after it.
+                # The other process has exited, but messages that it wrote before may still be unread. Their
+                # descriptors are open in no other process, so the reader closes the link only at the end of
+                # the stream.
                 log.debug("process_link_broken", extra={"why": str(e)})
                 self._sent.discard(outgoing.question)
                 return
 
     async def _send_with_fd(self, data: bytes, fd: int) -> int:
-        """Send the descriptor and as much of the data as fits; return how many bytes. Closes ``fd``."""
+        """Send the descriptor with the first part of the data, then close ``fd``.
+
+        Returns the number of bytes sent.
+        """
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))]
         try:
             while True:
@@ -193,7 +202,7 @@
         try:
             for line in lines:
                 self._receive(decode(line))
-        except MALFORMED as e:
+        except MALFORMED_MESSAGE_ERRORS as e:
             self._close_malformed(e)
 
     def _receive(self, message: Question | Answer) -> None:
@@ -206,13 +215,13 @@
     async def _answer(self, question: Question, fd: int | None) -> None:
         try:
             body = await self.answer(self, question.name, question.body, fd)
-        except MALFORMED as e:
+        except MALFORMED_MESSAGE_ERRORS as e:
             self._close_malformed(e)
             return
         if not self.lost.is_set():
             self._outbox.put_nowait(_Outgoing(Answer(question.number, body).encode()))
 
     def _close_malformed(self, error: Exception) -> None:
-        """The other process is of a version that this one does not understand: go on as if it had exited."""
+        """Close the link to a process whose messages this version can't handle, as if it had exited."""
         log.error("process_link_malformed", exc_info=error)
         self.close()
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -1,6 +1,6 @@
-"""The metrics that operators read: counted in one object, and rendered from it alone.
+"""The metrics for operators, counted in one object and rendered from it.
 
-Names and types of the rendered metrics are a surface that dashboards rely on (docs/operations.md).
+Dashboards rely on the names and types of the rendered metrics (docs/operations.md).
 """
 
 from collections import Counter
@@ -24,21 +24,21 @@
 
 
 class Metrics:
-    """Counts since the start of the process, and gauges as they were last set."""
+    """Counters since the start of the process, and gauges with their last value."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.classes = classes
         self.responses: Counter[tuple[str, str]] = Counter()  # final answers, by class and outcome
-        self.attempts_sent = 0  # written completely to workers
+        self.attempts_sent = 0  # attempts whose request was written completely to a worker
         self.sends: Counter[ListOrigin] = Counter()  # attempts started on a connection, by the list's origin
-        self.rejections: Counter[str] = Counter()  # by reason
-        self.retries: Counter[str] = Counter()  # by the outcome of the attempt before
+        self.rejections: Counter[str] = Counter()  # rejected requests, by reason
+        self.retries: Counter[str] = Counter()  # retried attempts, by the outcome of the previous attempt
         self.closes: Counter[str] = Counter()  # connections that this process closed, by side and reason
-        self.list_lease: ListLease | None = None  # of the list in use
-        self.active = 0  # requests in flight; after a disconnect, until the attempt has ended
+        self.list_lease: ListLease | None = None  # lease on the endpoint list in use
+        self.active = 0  # requests in flight; a disconnected client's request counts until its attempt ends
         self.pool_size = 0
         self.pool_ejected = 0
-        self.recorder: Recorder | None = None  # where traffic is recorded
+        self.recorder: Recorder | None = None  # None: traffic is not recorded
         self.admission_queued: Callable[[], int] | None = None  # requests queued there; None: no admission
 
     def answered(self, job_class: int, answer: Answer) -> None:
@@ -46,7 +46,10 @@
         self.responses[self.classes[job_class], _outcome(answer)] += 1
 
     def text(self, now_us: int = 0) -> str:
-        """One ``name:value|type`` a line: c for counters, g for gauges; ``now_us`` gives the list's age."""
+        """Render one ``name:value|type`` a line, type c for counters and g for gauges.
+
+        The age of the endpoint list is computed at ``now_us``.
+        """
         lines = [
             f"{PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
             for name in self.classes
@@ -69,7 +72,7 @@
         if self.admission_queued:
             queued = self.admission_queued()
             lines.append(f"{PREFIX}.admission.queued:{queued}|g")
-            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # its former name
+            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # former name of admission.queued
         if self.recorder:
             lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
             lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -1,6 +1,6 @@
-"""Replication between schedulers as one part of a scheduler: replica, cordons, peers and snapshot, connected.
+"""Replication between schedulers: creates and connects the replica, cordons, peer links and snapshots.
 
-Imported only if the operators' file names peers.
+Imported only if the operators' file configures peers.
 """
 
 import asyncio
@@ -45,13 +45,20 @@
 log = logging.getLogger(__name__)
 
 COLLECT_INTERVAL_S = 1.0
-FAREWELL_S = 0.1  # for the last acknowledgement to reach partners
+FINAL_ACKNOWLEDGEMENT_WAIT_S = 0.1  # for the last acknowledgement to reach partners
 RENEW_INTERVAL_S = 60.0  # so that two processes with one name do not raise their incarnations endlessly
-FIXED_OPTIONS = ("installation", "name", "listen", "bound_ms", "on_lost", "folder")  # until a restart
+RESTART_OPTIONS = (
+    "installation",
+    "name",
+    "listen",
+    "bound_ms",
+    "on_lost",
+    "folder",
+)  # not changed by a reload
 
 
 class Replication:
-    """Owns the parts of the mesh in this process, and handles the events of its peer connections."""
+    """Owns the mesh components of this process, and handles the events of its peer connections."""
 
     def __init__(
         self, config: Config, supervisor: Supervisor, clock: Clock, dispatcher: Dispatcher, inbound: Inbound
@@ -61,8 +68,8 @@
         self.supervisor, self.inbound = supervisor, inbound
         self.clock = AgreedClock(clock)
         self.name = options.name or config.name
-        names = _names(options, self.name)
-        listen = _listen(options, self.name)
+        names = _scheduler_names(options, self.name)
+        listen = _listen_address(options, self.name)
         folder = config.folder if options.folder else None
         self.snapshot_store = SnapshotStore(folder, options.installation, self.name)
         self.replica = self._restored_replica()
@@ -84,10 +91,10 @@
             self.replica,
             self.freshness,
             self,
-            random.Random(f"{self.name} {self.replica.clock.incarnation}"),  # for backoff alone
+            random.Random(f"{self.name} {self.replica.clock.incarnation}"),  # for the dialler's backoff only
         )
         self._renewed_s = -RENEW_INTERVAL_S
-        self._connect(dispatcher)
+        self._connect_components(dispatcher)
         log.info(
             "replication_started",
             extra={
@@ -99,8 +106,8 @@
             },
         )
 
-    def _connect(self, dispatcher: Dispatcher) -> None:
-        """Connect cordons, peers, dispatcher and inbound requests to each other."""
+    def _connect_components(self, dispatcher: Dispatcher) -> None:
+        """Connect cordons, peers, dispatcher and inbound requests by their callbacks."""
         self.peers.alive = self.cordons.reachable
         self.cordons.on_change = self.peers.wake
         self.cordons.on_serving = self._start_serving
@@ -113,10 +120,10 @@
         )
 
     def _restored_replica(self) -> Replica:
-        """A replica with the records of the last process, under a larger incarnation."""
+        """Create a replica with the records of the last process and a larger incarnation."""
         header, records = self.snapshot_store.load()
         incarnation = next_incarnation(self.clock.own.now_us(), header.incarnation if header else 0)
-        replica = Replica(self.name, incarnation, _kinds())
+        replica = Replica(self.name, incarnation, _record_kinds())
         if header is not None:
             restored = restore_records(replica, header, records, self.clock.now_us())
             extra = {"records": len(records), "age_s": restored.age_us / 1e6}
@@ -124,22 +131,22 @@
         return replica
 
     def start(self) -> None:
-        """Start replicating, saving snapshots, and collecting expired records."""
+        """Start replicating, saving snapshots, and removing expired records."""
         self.cordons.start()
         self.peers.start()
-        self.supervisor.spawn(self._collect(), "collect")
-        saving = self.snapshot_store.keep(
+        self.supervisor.spawn(self._collect_expired(), "collect")
+        saving = self.snapshot_store.save_periodically(
             lambda: self.replica.head, self._snapshot_header, self._persistent_records
         )
         self.supervisor.spawn(saving, "keep")
 
     async def close(self) -> None:
-        """Write the last acknowledgement and snapshot, then close all links."""
+        """Send the last acknowledgement, save the last snapshot, then close all links."""
         self.cordons.leave()
         await self.snapshot_store.save(
             self.replica.head, self._snapshot_header(), list(self._persistent_records())
         )
-        await asyncio.sleep(FAREWELL_S)
+        await asyncio.sleep(FINAL_ACKNOWLEDGEMENT_WAIT_S)
         self.cordons.stop()
         await self.peers.close()
 
@@ -150,7 +157,7 @@
     def _persistent_records(self) -> Iterable[Record]:
         return self.replica.snapshot(persistent_only=True)
 
-    async def _collect(self) -> None:
+    async def _collect_expired(self) -> None:
         while True:
             await asyncio.sleep(COLLECT_INTERVAL_S)
             self.replica.collect(self.clock.now_us())
@@ -161,25 +168,27 @@
     # Events of peer connections
 
     def records_received(self, received: RecordsReceived) -> None:
-        """Records of a push were merged or rejected."""
+        """Handle the records of a push, which were merged or rejected."""
         self.cordons.receive_records(received)
 
     def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
-        """A link to a peer is up; ``peer_us``: its Unix time in its hello."""
+        """Handle a peer's hello on a new link; ``peer_us``: the peer's Unix time in the hello."""
         self.clock.observe(name, peer_us)
         self.cordons.record_greeting(name, incarnation)
 
     def ping_answered(self, name: str) -> None:
-        """A peer has answered a ping."""
+        """Handle a peer's answer to a ping."""
         self.cordons.record_answer(name)
 
     def link_lost(self, name: str) -> None:
-        """The link to a peer was closed."""
+        """Handle the loss of the link to a peer."""
         self.cordons.record_lost_link(name)
 
     def _renew_incarnation(self, incarnation: int) -> None:
-        """Peers know a newer incarnation of our name: this host's clock was set back, or the name is not
-        unique."""
+        """Switch to a later incarnation than ``incarnation``, which peers know for this scheduler's name.
+
+        Either this host's clock was set back, or another scheduler has the same name.
+        """
         if time.monotonic() - self._renewed_s < RENEW_INTERVAL_S:
             log.error("duplicate_name", extra={"as": self.name, "incarnation": incarnation})
             return
@@ -191,13 +200,13 @@
     # Operators
 
     async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
-        """An operator's call about cordons."""
+        """Carry out an operator's call about cordons and return its answer."""
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.cordons.tell(CordonCall(method, cordon_id, body, wait, reply))
         return await reply
 
     def status(self) -> Answer:
-        """The status of this scheduler's replication, as JSON."""
+        """Return the status of this scheduler's replication as JSON."""
         own = {
             "links": sorted(self.peers.links),
             "refused": self.peers.rejections,
@@ -206,23 +215,23 @@
         return status_answer(msgspec.to_builtins(self.cordons.status()) | own)
 
     def confirm_complete(self) -> Answer:
-        """An operator confirms that nothing is in force that this scheduler does not know."""
-        self.cordons.confirm_complete("an operator said so")
-        return Answer(200, b"it counts for majorities\n")
+        """Record an operator's confirmation that this scheduler knows all cordons in force."""
+        self.cordons.confirm_complete("confirmed by an operator")
+        return Answer(200, b"this scheduler counts for majorities now\n")
 
     def metrics(self) -> bytes:
-        """Figures of links and cordons, one a line."""
+        """Metrics of links and cordons, one a line."""
         counts = self.peers.counts
         lines = [f"links:{len(self.peers.links)}|g", *(f"{name}:{n}|c" for name, n in counts.items())]
         return "".join(f"{PREFIX}.mesh.{line}\n" for line in [*lines, *self.cordons.metrics()]).encode()
 
     def reconfigure(self, options: MeshOptions) -> None:
-        """Use a new list of peers. Other changed options need a restart."""
-        changed = [key for key in FIXED_OPTIONS if getattr(options, key) != getattr(self.options, key)]
-        if changed or _listen(options, self.name) != self.peers.listen:
+        """Use a new list of peers. A change of an option that needs a restart changes nothing."""
+        changed = [key for key in RESTART_OPTIONS if getattr(options, key) != getattr(self.options, key)]
+        if changed or _listen_address(options, self.name) != self.peers.listen:
             log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{k}" for k in changed)})
             return
-        names = _names(options, self.name)
+        names = _scheduler_names(options, self.name)
         try:
             self.freshness.reconfigure(names)
         except MeshError as e:
@@ -235,13 +244,13 @@
         log.info("peers_reconfigured", extra={"schedulers": len(names)})
 
     def _peer_configuration(self, options: MeshOptions) -> Configure:
-        names = _names(options, self.name)
+        names = _scheduler_names(options, self.name)
         identity = Identity(options.installation, self.name, self.replica.clock.incarnation, names)
         others = options.others(self.name)
         return Configure(identity, others, options.partners, options.interval_us)
 
 
-def _kinds() -> Iterable[Kind[Any]]:
+def _record_kinds() -> Iterable[Kind[Any]]:
     return (
         cordon_kind(),
         acknowledgement_kind(),
@@ -251,13 +260,13 @@
     )
 
 
-def _names(options: MeshOptions, own: str) -> tuple[str, ...]:
-    return tuple(sorted({*options.peers, own}))
+def _scheduler_names(options: MeshOptions, own_name: str) -> tuple[str, ...]:
+    return tuple(sorted({*options.peers, own_name}))
 
 
-def _listen(options: MeshOptions, own: str) -> Address:
-    text = options.listen or options.peers.get(own)
+def _listen_address(options: MeshOptions, own_name: str) -> Address:
+    text = options.listen or options.peers.get(own_name)
     if text is None:
-        raise ConfigError("mesh.listen", f"must be set where mesh.peers does not name {own}")
+        raise ConfigError("mesh.listen", f"must be set, as mesh.peers has no address of {own_name}")
     host, _, port = text.rpartition(":")
     return Address(host.strip("[]"), int(port))
--- a/robinhill/net/request_transfer.py
+++ b/robinhill/net/request_transfer.py
@@ -1,7 +1,8 @@
-"""Requests and workers' calls on their way between the two processes of one scheduler.
+"""Transfer of requests and workers' calls between the two processes of one scheduler.
 
-A request waits at admission control or is in flight at the dispatcher: this module collects what either knows
-of it for the successor, and gives it back where none took it. At no moment do two processes have a request.
+A request is queued at admission control or in flight at the dispatcher. This module collects its state from
+either for the successor, and returns the request to them if no successor has accepted it. At no time do two
+processes own the same request.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
-ADMISSION_KEY: Final = "door"  # of admission's part of a request's state, in processes of all versions
+ADMISSION_KEY: Final = "door"  # key of admission control's part of a request's state, in all versions
 
 
 class RequestTransfer:
@@ -33,12 +34,12 @@
     def __init__(self, dispatcher: Dispatcher, admission: "AdmissionActor | None") -> None:
         self.dispatcher = dispatcher
         self.admission = admission
-        self.handover: Handover | None = None  # the other process; None: there is never one
+        self.handover: Handover | None = None  # None: this process is configured without hand-over
 
     # To the other process
 
     async def release(self, request: JobRequest) -> Json | None:
-        """What a successor needs to go on with a request; None while it has to stay."""
+        """Release a request and return its state for a successor; None if it can't be released now."""
         admission_state: Json = {}
         loop = asyncio.get_running_loop()
         if self.admission:
@@ -53,41 +54,48 @@
         return state and state | {ADMISSION_KEY: admission_state}
 
     async def send(self, state: Json, fd: int, request: JobRequest, reply: asyncio.Future[Answer]) -> bool:
-        """Whether the successor has a released request now; else it is this process's again, or answered."""
-        taken, sent = False, False
+        """Send a released request to the successor. Returns whether the successor has accepted it.
+
+        Otherwise this process owns the request again. It answers the request with a failure instead if the
+        successor exited and may have sent an attempt.
+        """
+        accepted, sent = False, False
         body = state | {"request": protocol.encode_handed_over_request(request)}
         try:
             if self.handover and (successor := self.handover.successor):
-                taken = (await successor.ask(QuestionName.ADOPT_REQUEST, body, fd)).get("taken", True)
+                accepted = (await successor.ask(QuestionName.ADOPT_REQUEST, body, fd)).get("taken", True)
             else:
                 os.close(fd)  # the successor has exited since the request was released
         except LinkLostError as e:
             sent = e.sent
         if sent:
-            # It had the request and may have sent an attempt, so no other attempt may follow.
+            # The successor may have received the request and sent an attempt, so no other attempt may follow.
             if not reply.done():
                 reply.set_result(protocol.FAILED)
-        elif not taken:
-            await self._take_back(state, request, reply)
+        elif not accepted:
+            await self._reclaim(state, request, reply)
         self.dispatcher.handover.finish_transit(request.id)
-        if taken:
+        if accepted:
             log.info("handed_over", extra={"id": request.id})
-        return taken
+        return accepted
 
-    async def _take_back(self, state: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
-        """Go on with a request that no successor has had."""
+    async def _reclaim(self, state: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
+        """Continue a released request in this process, as no successor has accepted it."""
         if self.admission and "waiting" in state[ADMISSION_KEY]:
             self.admission.adopt(request, state[ADMISSION_KEY], reply, False)
             return
         adopted = asyncio.Event()
-        own_timers_set = state | {"timers": []}
-        self.dispatcher.tell(AdoptRequest(request, own_timers_set, reply, adopted, released_here=True))
+        without_timers = state | {"timers": []}  # this process's own timers are still set
+        self.dispatcher.tell(AdoptRequest(request, without_timers, reply, adopted, released_here=True))
         await adopted.wait()
 
     # From the other process
 
     async def adopt(self, body: Json, fd: int, inbound: Inbound) -> bool:
-        """Go on with a request and its client's connection; False if this process shuts down itself."""
+        """Continue a request and its client's connection, whose descriptor ``fd`` this call owns.
+
+        Returns False if this process is itself shutting down.
+        """
         if inbound.shutting_down:
             os.close(fd)
             return False
@@ -97,7 +105,7 @@
         if self.admission and "caller" in admission_state:
             self.admission.adopt(request, admission_state, reply, bool(body.get("attempt")))
         if waiting := admission_state.get("waiting"):
-            if not self.admission:  # it has waited long enough
+            if not self.admission:  # no admission control here: the request is dispatched at once
                 self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
         else:
             adopted = asyncio.Event()
@@ -109,7 +117,11 @@
     # Workers' calls about requests
 
     async def deliver(self, event: JobEvent) -> None:
-        """Bring a worker's call to the process that has its request; return once that one has it."""
+        """Deliver a worker's call to the process that owns its request.
+
+        Returns once the call is in the dispatcher's mailbox here, or the other process has accepted it. A
+        call whose request is in neither process is dropped.
+        """
         await self._wait_for_transit(event.id)
         if (
             event.id not in self.dispatcher.in_flight
@@ -117,11 +129,14 @@
             and await self.handover.forward_worker_event(protocol.encode_job_event(event))
         ):
             return
-        if event.id in self.dispatcher.in_flight:  # it may have come here meanwhile
+        if event.id in self.dispatcher.in_flight:  # may have been transferred here in the meantime
             self.dispatcher.tell(event)
 
-    async def take_worker_event(self, body: Json) -> bool:
-        """Take a call that the other process has forwarded; False if its request is not here."""
+    async def accept_worker_event(self, body: Json) -> bool:
+        """Process a worker's call that the other process has forwarded.
+
+        Returns False if this process does not have its request.
+        """
         event = protocol.decode_job_event_object(body)
         await self._wait_for_transit(event.id)
         if event.id not in self.dispatcher.in_flight:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -1,6 +1,7 @@
-"""The embeddable scheduler: ``start`` it, ``drain`` it, ``close`` it; or ``run`` does all three.
+"""The embeddable scheduler, with ``start``, ``drain`` and ``close``; ``run`` calls all three.
 
-It owns the parts of one process and the order in which they start and end. What they do is in their packages.
+It owns the components of one process and the order in which they start and stop. The components themselves
+are in their packages.
 """
 
 import asyncio
@@ -35,7 +36,7 @@
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import DONE, Answer, JobEvent
 
-if TYPE_CHECKING:  # what the platform does not switch on is not loaded: a restart is an outage
+if TYPE_CHECKING:  # components that are not configured are never imported, as a restart is an outage
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
     from robinhill.net.peers.replication import Replication
@@ -44,23 +45,23 @@
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
-ACCEPT_AFTER_SIGTERM_S = 0.7  # for requests that are still on their way
-HANDOVER_RETRY_S = 0.05  # between attempts to hand over what is pending
-MAX_LIST_WAIT_S = 2.9  # for discovery's first answer, before this process is ready without it
-MAX_START_WAIT_S = 0.9  # of an operator's call to a process that still starts
-RELOADED_OR_INITIAL = ("discovery", "known", "seed", "operator")  # options that a restart need not read
-DISABLE_CALL, DRAIN_CALL = "hold_out", "drain"  # names between processes of all versions
-STARTING = Answer(503, b"still starting\n")
-NOT_RELAYED = Answer(500, b"the other process of this scheduler has not said yes\n")
-NO_ADMISSION = Answer(404, b"no operators' file is named, so there is no admission control\n")
+ACCEPT_AFTER_SIGTERM_S = 0.7  # for requests that clients sent before they noticed the shutdown
+HANDOVER_RETRY_S = 0.05  # between attempts to hand over pending requests
+MAX_LIST_WAIT_S = 2.9  # for discovery's first answer; after that this process is ready without a list
+MAX_START_WAIT_S = 0.9  # for an operator's call to wait for the start of this process
+RELOADED_OR_INITIAL_OPTIONS = ("discovery", "known", "seed", "operator")  # no restart needed to change these
+DISABLE_CALL, DRAIN_CALL = "hold_out", "drain"  # names of the calls between processes, in all versions
+STARTING = Answer(503, b"this scheduler is still starting\n")
+NOT_RELAYED = Answer(500, b"the other process of this scheduler has not confirmed the call\n")
+NO_ADMISSION = Answer(404, b"no operators' file is configured, so there is no admission control\n")
 
 
 class Scheduler:
-    """One process of a scheduler: clients' side, dispatcher with endpoints, and the watch on discovery."""
+    """One process of a scheduler: client connections, the dispatcher with its endpoints, and discovery."""
 
     def __init__(self, config: Config, env: Mapping[str, str] = os.environ) -> None:
         self.config = config
-        self.env = env  # for a reload
+        self.env = env  # read again by a reload
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.metrics = Metrics(config.classes)
@@ -93,8 +94,8 @@
         self.inbound.catch_up = self.catch_up
         self.shared_state = self._create_shared_state()
         self.operators = self._create_operator_server()
-        self.started = asyncio.Event()  # it is ready to serve
-        self.stopping = asyncio.Event()  # it is to end
+        self.started = asyncio.Event()  # set once this process is ready to serve
+        self.stopping = asyncio.Event()  # set when this process is asked to shut down
         self.handover: Handover | None = None
         if config.socket_fd is not None and config.folder:
             self.handover = self.transfer.handover = Handover(config.folder, self.supervisor, self)
@@ -126,16 +127,16 @@
         return recorder
 
     def _create_shared_state(self) -> "Replication | ObservingScheduler | None":
-        """What schedulers share, by way of voters or of peers."""
-        parts = (self.config, self.supervisor, self.clock, self.dispatcher, self.inbound)
+        """Create the state that schedulers share, through voters or peers; None if neither is configured."""
+        arguments = (self.config, self.supervisor, self.clock, self.dispatcher, self.inbound)
         if self.config.operator and self.config.operator.mesh.voters:
             from robinhill.net.control_group.observing_scheduler import ObservingScheduler
 
-            return ObservingScheduler(*parts)
+            return ObservingScheduler(*arguments)
         if self.config.operator and self.config.operator.mesh.peers:
             from robinhill.net.peers.replication import Replication
 
-            return Replication(*parts)
+            return Replication(*arguments)
         return None
 
     def _create_operator_server(self) -> OperatorServer | None:
@@ -155,7 +156,7 @@
         return OperatorServer(self.config.ops, self.config.ops_sockets - 1, self.supervisor, calls)
 
     async def start(self) -> None:
-        """Bind, take over from a predecessor if there is one, and serve; return once it is ready."""
+        """Bind, take over from a predecessor if there is one, and serve; return once ready."""
         if self.operators:
             self.operators.start()
         self.catch_up.start()
@@ -171,8 +172,9 @@
             self.shared_state.start()
         if self.admission:
             self.admission.start()
-        # Requests before the list are queued: the kernel accepts connections from the bind on, and with most
-        # schedulers restarting clients have no other to go to. The front is notified that it has to wait.
+        # Requests are accepted and queued before the endpoint list is known: the kernel accepts connections
+        # from the bind on, and while most schedulers restart, clients have no other scheduler. Until then
+        # readiness checks fail, so that load balancers wait.
         self.inbound.start(sock)
         if self.inbound.awaiting_endpoint_list:
             await self._wait_for_list_lease()
@@ -184,15 +186,15 @@
         log.info("started", extra=extra | self.list_lease.log_fields(self.clock.now_us()))
 
     async def _take_over(self, handover: Handover) -> None:
-        """Take what the predecessor knows, and poll discovery, before any connection is accepted."""
+        """Import the predecessor's state and query discovery, before any connection is accepted."""
         self.inbound.set_superseded(False, self.config.client_sockets(2))
         exported = await handover.ask_predecessor(QuestionName.ENDPOINT_LIST)
-        if exported and "clock_anchor_ns" in exported:  # not by an older version
-            self.clock.follow(exported["clock_anchor_ns"])
+        if exported and "clock_anchor_ns" in exported:  # older versions do not export this key
+            self.clock.adopt_anchor(exported["clock_anchor_ns"])
         if exported and exported["discovery"] == str(self.config.discovery):
             known = protocol.decode_endpoint_list(exported["known"])
             self.list_watcher.version = known.generation
-            # From an older version, without these keys, the list may be of any age.
+            # An older version does not export these keys; its list may be of any age.
             confirmed_us, until_us = exported.get("list_confirmed_us"), exported.get("list_until_us", 0)
             self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
@@ -207,7 +209,10 @@
             self.inbound.drain(state["drained"])
 
     async def _wait_for_list_lease(self) -> None:
-        """Wait for a list to send by, or the process's end; no longer than a restart may take."""
+        """Wait for the lease on the endpoint list or for shutdown, for at most `MAX_LIST_WAIT_S`.
+
+        The limit keeps a restart short if discovery does not answer.
+        """
         events = (self.dispatcher.list_lease_held, self.stopping)
         waiting = [asyncio.ensure_future(event.wait()) for event in events]
         done, pending = await asyncio.wait(
@@ -219,15 +224,19 @@
             log.warning("endpoint_list_timeout", extra={"seconds": MAX_LIST_WAIT_S})
 
     def reload(self) -> None:
-        """Take the file's new values; a faulty one changes nothing. Requests in flight go on as they are."""
+        """Apply the changed values of the configuration files. An invalid file changes nothing.
+
+        Requests in flight are not affected.
+        """
         try:
             new = configuration.load(self.env, again=True)
         except ConfigError as e:
             log.error("reload_failed", extra={"key": e.key, "why": e.what})
             return
         changed = [f.name for f in fields(Config) if getattr(new, f.name) != getattr(self.config, f.name)]
-        # The list and the seed are for the start; the rest is built into parts that are running.
-        needing_restart = [name for name in changed if name not in RELOADED_OR_INITIAL]
+        # The endpoint list and the seed are used at the start only. All other options except `discovery` and
+        # `operator` are built into running components.
+        needing_restart = [name for name in changed if name not in RELOADED_OR_INITIAL_OPTIONS]
         if new.operator and self.config.operator:
             self._reconfigure(new.operator, self.config.operator)
         if needing_restart:
@@ -237,7 +246,7 @@
         self.list_watcher.tell(ChangeAddress(new.discovery))
 
     def _reconfigure(self, new: OperatorFile, old: OperatorFile) -> None:
-        """Use another operators' file from now on; what is queued at admission stays queued."""
+        """Apply a changed operators' file. Requests queued at admission control stay queued."""
         if new.log != old.log:
             logs.configure(new.log)
         if self.admission and new.admission != old.admission:
@@ -250,10 +259,11 @@
                 log.warning("reload_needs_restart", extra={"keys": "mesh.peers,mesh.voters"})
 
     async def drain(self) -> None:
-        """Accept requests a little longer, then reject new ones, until all accepted ones are answered.
+        """Accept requests for `ACCEPT_AFTER_SIGTERM_S`, then reject new ones until all accepted are answered.
 
-        The listener stays up: workers call back at the clients' address. A successor that serves there also
-        takes what is pending. `close` answers what is received in part then.
+        The listener stays open because workers call back at the clients' address. If a successor serves at
+        that address, it receives the pending requests instead. `close` answers requests that are received
+        only in part by then.
         """
         log.info("draining", extra={"pending": self.inbound.pending_count})
         self.inbound.shutting_down = True
@@ -263,14 +273,17 @@
         self.inbound.closed_to_new = True
         log.info("rejecting", extra={"pending": self.inbound.pending_count})
         while self.inbound.pending_count:
-            if await self._hand_over_pending():  # a successor has come only now
+            if await self._hand_over_pending():  # a successor has started in the meantime
                 return
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HANDOVER_RETRY_S):
                     await self.inbound.none_pending.wait()
 
     async def _hand_over_pending(self) -> bool:
-        """Whether there was a successor until it had all that is pending."""
+        """Hand all pending requests to a successor that serves.
+
+        Returns whether the successor has them all; False if there is no successor or it has exited.
+        """
         if self.admission and self.inbound.superseded:
             self.admission.suspend(True)
         while self.inbound.superseded:
@@ -290,7 +303,7 @@
         return Answer(200, b"ready\n") if ready else Answer(503, b"not ready\n")
 
     def stats(self) -> Answer:
-        """The figures as they are now."""
+        """Return the current metrics as text, including those of the shared state."""
         answer = self.dispatcher.stats()
         if self.shared_state:
             answer = replace(answer, body=answer.body + self.shared_state.metrics())
@@ -301,11 +314,11 @@
         return await self._apply_in_both(DISABLE_CALL, {"id": instance_id, "out": disabled})
 
     async def set_drained(self, start: bool) -> Answer:
-        """Send clients elsewhere, or take them again."""
+        """Start or stop draining. While draining, readiness checks fail, so clients use other schedulers."""
         return await self._apply_in_both(DRAIN_CALL, {"start": start})
 
     async def _apply_in_both(self, call: str, body: Json) -> Answer:
-        """Apply an operator's call here and in the other process, if there is one."""
+        """Apply an operator's call in this process and in the other process, if there is one."""
         try:
             async with asyncio.timeout(MAX_START_WAIT_S):
                 await self.started.wait()
@@ -331,7 +344,10 @@
         self.supervisor.spawn(self.transfer.deliver(event), f"deliver {event.id}")
 
     def export_endpoint_list(self) -> EndpointListExport:
-        """What a successor needs to watch discovery by itself; it takes a part of what we may use."""
+        """Return the state from which a successor watches discovery itself.
+
+        Also reduces this process's budget of client connections to leave a half to the successor.
+        """
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
         generation = self.list_watcher.version or 0
@@ -344,7 +360,7 @@
         }
 
     def export_state(self) -> StateExport:
-        """What a successor must know to decide as one with this process."""
+        """Return the state that a successor needs to make the same decisions as this process."""
         return {
             "decider": self.dispatcher.export_state(),
             "drained": self.inbound.drained_by_operators,
@@ -352,25 +368,28 @@
         }
 
     def set_superseded(self, superseded: bool) -> None:
-        """A successor accepts; or the other process has gone, and all is ours again."""
+        """Leave new connections to a successor, or accept them again after the other process has exited.
+
+        The budget of client connections is halved while there are two processes.
+        """
         self.inbound.set_superseded(superseded, self.config.client_sockets(2 if superseded else 1))
         if superseded:
             self.dispatcher.table.close_idle_connections()
 
     async def apply_operator_call(self, call: str, body: Json) -> bool:
-        """Apply an operator's call that the other process has received; whether that was done."""
+        """Apply an operator's call that the other process has received. Returns whether it succeeded."""
         return (await self._apply(call, body, True)).status == 200
 
-    async def take_worker_event(self, body: Json) -> bool:
-        """Take a worker's call; False if its request is not here."""
-        return await self.transfer.take_worker_event(body)
+    async def accept_worker_event(self, body: Json) -> bool:
+        """Process a worker's call. Returns False if this process does not have the call's request."""
+        return await self.transfer.accept_worker_event(body)
 
     async def adopt_request(self, body: Json, fd: int) -> bool:
-        """Go on with a request and its client's connection; False if it was not taken."""
+        """Continue a request and its client's connection, and own ``fd``. Returns False if rejected."""
         return await self.transfer.adopt(body, fd, self.inbound)
 
     async def close(self) -> None:
-        """End all parts."""
+        """Stop all components and close their connections."""
         if self.operators:
             await self.operators.close()
         await self.inbound.close()
@@ -386,13 +405,16 @@
         log.info("stopped")
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then drain; reload on SIGHUP. An actor's death raises its error."""
+        """Serve until SIGTERM or SIGINT, then drain; reload on SIGHUP.
+
+        Raises ActorDiedError if an actor or task fails.
+        """
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, self.stopping.set)
         await self.start()
         try:
-            await self.supervisor.unless_failed(self.stopping.wait())
-            await self.supervisor.unless_failed(self.drain())
+            await self.supervisor.run_until_failure(self.stopping.wait())
+            await self.supervisor.run_until_failure(self.drain())
         finally:
             await self.close()
