--- a/robinhill/net/operators/__init__.py
+++ b/robinhill/net/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side: their calls, and the workers that they have disabled."""
+"""The server for operators' calls, and the store of the workers that operators have disabled."""
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -1,4 +1,4 @@
-"""The workers that operators have disabled, in a file of $TMPDIR that outlives the process."""
+"""The store of workers that operators have disabled: a file in $TMPDIR that outlives the process."""
 
 import logging
 import os
@@ -18,7 +18,7 @@
         self.folder = folder
 
     def load(self) -> set[str]:
-        """Return the IDs as last saved; none, with a log line, if the file can't be read."""
+        """Return the IDs as last saved. If the file can't be read, log the error and return none."""
         if not self.folder:
             return set()
         try:
@@ -31,7 +31,7 @@
         return {x for x in ids if isinstance(x, str)} if isinstance(ids, list) else set()
 
     def save(self, instance_ids: set[str]) -> bool:
-        """Save the IDs, all or none. Returns whether they are saved; a failure is logged."""
+        """Replace the saved IDs atomically. Returns whether this succeeded; a failure is logged."""
         if not self.folder:
             return True
         temporary = self.folder / f"{FILE_NAME}.{os.getpid()}"
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -1,7 +1,7 @@
-"""The operators' server: a listener of its own, one call per connection.
+"""The operators' HTTP server, on its own listener, with one call per connection.
 
-It owns the paths and methods of operators' calls, and passes each call on; what a call does is up to the
-functions in `OperatorCalls`. A status of 2xx means yes, 4xx and 5xx mean no.
+This module defines the paths and methods of operators' calls, and the functions in `OperatorCalls` carry them
+out. A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
 """
 
 import logging
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 1024  # an ID, and blanks around it
+MAX_BODY_BYTES = 1024  # an ID with surrounding white space
 MAX_CORDON_BODY_BYTES = 4096  # a target, a reason and the operator's name, in JSON
 CLOSE_TIMEOUT_S = 1.0
 CORDONS_PATH = "/ops/cordons"
@@ -28,16 +28,18 @@
 
 BodyHandler = Callable[[bytes], Awaitable[Answer]]
 CordonHandler = Callable[[str, str, bytes, str | None], Awaitable[Answer]]
-"""Takes a call's method, the cordon's ID ('' for all), the body, and the query's ``wait``."""
+"""Handles a call about cordons, given its method, the cordon's ID ('' for all cordons), the body, and the
+``wait`` parameter of the query."""
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCalls:
-    """What operators can call.
+    """The functions behind the operators' calls.
 
-    ``disable_worker`` takes a worker's ID and whether it is disabled or enabled again, ``drain`` whether
-    draining starts or stops. The last three are None where schedulers share nothing; ``confirm_complete`` is
-    the operator's confirmation that this process knows all that is in force.
+    ``disable_worker`` is called with a worker's ID and True to disable it or False to enable it again;
+    ``drain`` with True to start draining or False to stop. ``cordons``, ``mesh`` and ``confirm_complete`` are
+    None where schedulers share no state. ``confirm_complete`` records the operator's confirmation that this
+    process knows all cordons in force.
     """
 
     readiness: Callable[[], Answer]
@@ -52,14 +54,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """The method and the handler of a path."""
+    """The only method that a path accepts, and the path's handler."""
 
     method: str
     handle: BodyHandler
 
 
 class OperatorServer:
-    """Serves the operators' address, with a budget of descriptors that clients can't use up."""
+    """Serves the operators' address, with a budget of descriptors that client connections don't share."""
 
     def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: OperatorCalls) -> None:
         self.address = address
@@ -81,15 +83,15 @@
             self.add_route("/ops/mesh/vouch", "PUT", lambda _body: _completed(confirm_complete()))
 
     def add_route(self, path: str, method: str, handle: BodyHandler) -> None:
-        """Serve a path; ``handle`` takes the body."""
+        """Serve ``path`` with ``handle``, which is called with the body of each request."""
         self._routes[path] = Route(method, handle)
 
     def start(self) -> None:
-        """Listen. Raises ConfigError if the address can't be bound."""
+        """Start to listen. Raises ConfigError if the address can't be bound."""
         self.listener.listen(bind(self.address, "GW_OPS"))
 
     async def close(self) -> None:
-        """Stop listening, and give connections a moment to end."""
+        """Stop listening, and wait up to `CLOSE_TIMEOUT_S` for open connections to end."""
         self.listener.close()
         await self.listener.shutdown(CLOSE_TIMEOUT_S)
 
@@ -98,12 +100,12 @@
         if self.calls.cordons and (path == CORDONS_PATH or path.startswith(CORDONS_PATH + "/")):
             return await self._handle_cordons(request, self.calls.cordons)
         if (route := self._routes.get(path)) is None:
-            return reject(request, 404, "no such call")
+            return reject(request, 404, "no operators' call has this path")
         if request.method != route.method:
-            return _reject_method(request, f"the method is {route.method}", route.method)
+            return _reject_method(request, f"this call requires the method {route.method}", route.method)
         body = await request.read()
         if len(body) > MAX_BODY_BYTES:
-            return reject(request, 413, f"a body holds at most {MAX_BODY_BYTES} bytes")
+            return reject(request, 413, f"the body is longer than {MAX_BODY_BYTES} bytes")
         connection_of(request).begin_answer(serves=True)
         answer = await route.handle(body)
         response = web.Response(status=answer.status, body=answer.body)
@@ -115,7 +117,7 @@
         methods = ("GET", "PUT", "DELETE") if cordon_id else ("GET",)
         if request.method not in methods:
             allowed = ", ".join(methods)
-            return _reject_method(request, f"the methods are {allowed}", allowed)
+            return _reject_method(request, f"this path accepts only the methods {allowed}", allowed)
         body = await request.read()
         connection_of(request).begin_answer(serves=True)
         answer = await handle(request.method, cordon_id, body, request.rel_url.query.get("wait"))
