--- a/robinhill/net/peers/__init__.py
+++ b/robinhill/net/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links to the other schedulers and what is replicated over them, in memory and on disk."""
+"""Links to the other schedulers, and the records replicated over them, in memory and on disk."""
--- a/robinhill/net/peers/agreed_clock.py
+++ b/robinhill/net/peers/agreed_clock.py
@@ -1,4 +1,4 @@
-"""Unix time as most schedulers have it, for a host whose own clock is set wrong."""
+"""Unix time corrected by the clocks of the other schedulers, for a host whose own clock is set wrong."""
 
 import logging
 from collections.abc import Collection
@@ -8,7 +8,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CLOCK_DIFFERENCE_US = 2_000_000  # beyond it cordons would end noticeably late or early
+MAX_CLOCK_DIFFERENCE_US = 2_000_000  # with a larger difference cordons would end noticeably late or early
 
 
 class AgreedClock(Clock):
@@ -26,7 +26,7 @@
         return self._last_us
 
     def observe(self, peer: str, peer_us: int) -> None:
-        """A peer's hello contained its Unix time ``peer_us``."""
+        """Update the correction from ``peer_us``, a peer's Unix time in its hello."""
         offset_us = peer_us - self.own.now_us()
         self._peer_offsets_us[peer] = offset_us
         if abs(offset_us) > MAX_CLOCK_DIFFERENCE_US:
@@ -37,5 +37,5 @@
             log.warning("clock_corrected", extra={"by_s": agreed_us / 1e6})
 
     def retain(self, names: Collection[str]) -> None:
-        """Forget the clocks of all other peers."""
+        """Discard the clock offsets of all peers that are not in ``names``."""
         self._peer_offsets_us = {n: us for n, us in self._peer_offsets_us.items() if n in names}
--- a/robinhill/net/peers/dialling.py
+++ b/robinhill/net/peers/dialling.py
@@ -1,4 +1,4 @@
-"""Dialling of peers: which links are missing, and when the next attempt to connect is due (backoff)."""
+"""Dialling of peers without a link, with exponential backoff between attempts."""
 
 import asyncio
 import logging
@@ -11,19 +11,21 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_BACKOFF_S = 0.05  # doubled with each attempt; each wait is drawn between a tenth and all of it
-MAX_BACKOFF_S = 1.0  # two attempts within the two seconds in which copies must be equal after a partition
+FIRST_BACKOFF_S = 0.05  # doubled with each attempt; the wait is random between 10% and 100% of it
+MAX_BACKOFF_S = 1.0  # allows two attempts in the 2 s after a partition by which replicas must be equal
 MAX_COUNTED_ATTEMPTS = 16
-ACCEPT_FIRST_S = 0.1  # the smaller name dials at once, the larger one only if no link is up by then
+# Of two peers, the one with the smaller name dials at once. The other one waits this long for that link.
+ACCEPT_FIRST_S = 0.1
 REPORTED_FROM_ATTEMPT = 3
-REPORT_INTERVAL_S = 60.0  # between two log entries on a peer that stays unreachable
+REPORT_INTERVAL_S = 60.0  # between two log entries about a peer that stays unreachable
 
 
 class PeerDialler:
-    """Dials wanted peers until there is a link to each, whoever opened it.
+    """Dials wanted peers until there is a link to each, opened by either side.
 
-    ``wanted``: names to have links to; ``linked``: names with a link; ``connect``: dials once and stays while
-    the link does, returns why it failed or ended early, None if it lasted; ``address_of``: for log entries.
+    ``wanted``: returns the names of peers that should have a link; ``linked``: the names of peers that have
+    one; ``connect``: dials once and returns when the link has ended, with the reason if it failed or ended
+    early, or None if it was stable; ``address_of``: a peer's address, for log entries.
     """
 
     def __init__(
@@ -44,18 +46,18 @@
         self.connect = connect
         self.address_of = address_of
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._attempts: dict[str, int] = {}  # in a row without a link that lasted
-        self._reported_s: dict[str, float] = {}
+        self._attempts: dict[str, int] = {}  # consecutive attempts without a stable link, by peer
+        self._last_reported_s: dict[str, float] = {}
         self._stopping = False
 
     def dial_missing(self) -> None:
-        """Dial every wanted peer without a link that is not dialled yet."""
+        """Start to dial each wanted peer that has no link and is not being dialled."""
         for name in self.wanted():
             if name not in self.linked and name not in self._tasks and not self._stopping:
                 self._start(name)
 
     def reset_backoff(self, name: str) -> None:
-        """A link to this peer has lasted."""
+        """Reset the backoff of a peer whose link is stable."""
         self._attempts.pop(name, None)
 
     def stop(self) -> None:
@@ -73,7 +75,7 @@
         return name in self.wanted() and name not in self.linked and not self._stopping
 
     async def _dial(self, name: str) -> None:
-        """Attempt to connect until there is a link."""
+        """Attempt to connect to a peer until there is a link to it, or the peer is no longer wanted."""
         if name < self.own_name:
             await asyncio.sleep(ACCEPT_FIRST_S)
         while self._still_missing(name):
@@ -87,10 +89,10 @@
                 self._report(name, reason)
 
     def _report(self, name: str, reason: str) -> None:
-        """Log an unreachable peer at the third failure in a row, and then once a minute."""
+        """Log a peer as unreachable from the third consecutive failure on, at most once a minute."""
         now_s = time.monotonic()
-        last_s = self._reported_s.get(name, -REPORT_INTERVAL_S)
+        last_s = self._last_reported_s.get(name, -REPORT_INTERVAL_S)
         if self._attempts[name] >= REPORTED_FROM_ATTEMPT and now_s - last_s >= REPORT_INTERVAL_S:
-            self._reported_s[name] = now_s
+            self._last_reported_s[name] = now_s
             error = PeerUnreachable(f"{name} at {self.address_of(name)}: {reason}")
             log.warning("peer_unreachable", extra={"peer": name, "why": str(error)})
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -1,5 +1,4 @@
-"""The actor that owns the links to other schedulers: accepts and dials them, and passes on what they
-receive."""
+"""The actor that owns the links to other schedulers: it accepts and dials them, and reports their events."""
 
 import asyncio
 import logging
@@ -39,21 +38,22 @@
 log = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_US = 2_000_000
-CONNECT_TIMEOUT_S = 1.0  # for a connection and its upgrade
+CONNECT_TIMEOUT_S = 1.0  # for the TCP connection and its upgrade to a websocket
 SERVER_CLOSE_TIMEOUT_S = 0.2
 MAX_LINKS_WITHOUT_HELLO = 16
-MAX_REJECTIONS = 16  # remembered for operators
-SILENCE_TIMEOUT_US = 800_000  # beyond one interval without a message, before a link is closed
-PAUSE_US = 500_000  # a check that is so late: this process was paused, and messages may lie unread
-LASTING_LINK_US = 2_000_000  # a link that lives so long resets the backoff
+MAX_REPORTED_REJECTIONS = 16  # most recent rejections in the status for operators
+SILENCE_TIMEOUT_US = 800_000  # a link without messages for this time plus one ping interval is closed
+PAUSE_THRESHOLD_US = 500_000  # a later check means that this process was paused and messages may be unread
+STABLE_LINK_US = 2_000_000  # a link that stays open for this long resets the peer's backoff
 MIN_IDLE_S = 0.001
 
 
 class PeerConnections(Actor[PeerMessage]):
-    """Keeps one link to each partner, and accepts those of others within ``max_links``.
+    """Maintains one link to each partner, and accepts links from other schedulers up to ``max_links``.
 
-    ``links``: by peer, after its hello; ``opening``: before it. ``alive`` returns who is considered alive,
-    for links in place of dead partners; ``on_member_message`` receives messages outside of replication.
+    ``links``: links by peer, after the peer's hello; ``opening``: links before the hello. ``alive`` returns
+    the names of schedulers considered alive, for links that replace those to dead partners.
+    ``on_member_message`` receives messages that are not part of replication.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.on_member_message: Callable[[str, bytes], None] = lambda _name, _payload: None
         self.counts = dict.fromkeys(("opened", "lost", "refused", "frames_in", "frames_out", "bytes_in",
                                      "bytes_out"), 0)  # fmt: skip
-        self.rejections: dict[str, str] = {}  # the last reason by name or address
+        self.rejections: dict[str, str] = {}  # reason of the last rejection, by the peer's name or address
         self._dialler = PeerDialler(
             configured.identity.name,
             supervisor,
@@ -98,7 +98,7 @@
         self._stopping = False
 
     def start(self) -> None:
-        """Accept and dial links from now on."""
+        """Start to accept and dial links."""
         super().start()
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -124,19 +124,19 @@
                 self._configure(message)
 
     def wake(self) -> None:
-        """The replica has changed: write the changes to all peers."""
+        """Write changes of the replica to all peers."""
         for link in self.links.values():
             link.wake()
 
     async def close(self) -> None:
-        """Close all links."""
+        """Stop accepting and dialling, and close all links."""
         self._stopping = True
         self.stop()
         self._dialler.stop()
         if self._timer:
             self._timer.cancel()
         for link in [*self.links.values(), *self.opening]:
-            link.close("this scheduler ends")
+            link.close("this scheduler is shutting down")
         await self._listener.close()
         if self._client:
             await self._client.close()
@@ -156,11 +156,14 @@
         return socket
 
     async def _connect(self, name: str) -> str | None:
-        """Dial once, and stay while the link does; why it failed or ended early, None if it lasted."""
+        """Dial a peer once, and return when the link has ended.
+
+        Returns the reason if dialling failed or the link ended early, None if the link was stable.
+        """
         assert self._client
         address = self._address_of(name)
         if address is None:
-            return "it has no address"
+            return "no address is configured for this peer"
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self._client.ws_connect(
@@ -170,7 +173,7 @@
             return f"{type(e).__name__} {e}".strip()
         opened_us = mono_us()
         reason = await self._run_link(socket, address, dialled=True)
-        return None if mono_us() - opened_us > LASTING_LINK_US else reason
+        return None if mono_us() - opened_us > STABLE_LINK_US else reason
 
     def _address_of(self, name: str) -> str | None:
         return self.configured.addresses.get(name)
@@ -180,7 +183,7 @@
         return overlay.partners(own.name, own.names)[: self.configured.max_links]
 
     def _wanted(self) -> list[str]:
-        """Partners, and others along the ring while too few of them are alive."""
+        """Names of partners, and of other schedulers on the ring while too few partners are alive."""
         own = self.configured.identity
         alive = {*self.alive(), *self.links}
         return [*self.partners, *overlay.repairs(own.name, own.names, alive)]
@@ -188,22 +191,22 @@
     # Links
 
     async def _run_link(self, socket: Socket, address: str, dialled: bool) -> str:
-        """Run a link until it is closed; the reason."""
+        """Run a link until it is closed. Returns the reason."""
         c = self.configured
         session = Session(c.identity, self.store, self.ages, dialled, c.interval_us)
         link = PeerLink(socket, session, address, dialled, mono_us())
         self.tell(LinkOpened(link))
         try:
             reason = await link.run(
-                self._draw, lambda link, data: self.tell(MessageReceived(link, data)), self._idle_s
+                self._next_message, lambda link, data: self.tell(MessageReceived(link, data)), self._idle_s
             )
         except BaseException:
-            self.tell(LinkClosed(link, "this scheduler ends"))
+            self.tell(LinkClosed(link, "this scheduler is shutting down"))
             raise
         self.tell(LinkClosed(link, reason))
         return reason
 
-    def _draw(self, link: PeerLink) -> bytes | None:
+    def _next_message(self, link: PeerLink) -> bytes | None:
         data = link.session.draw(self.clock.now_us(), mono_us())
         if data is not None:
             self.counts["frames_out"] += 1
@@ -237,7 +240,7 @@
             case RecordsReceived():
                 self.events.records_received(event)
             case PingAnswered():
-                self._confirm(link)
+                self._mark_confirmed(link)
                 self.events.ping_answered(link.name)
             case MemberMessageReceived(payload=payload):
                 self.on_member_message(link.name, payload)
@@ -248,7 +251,7 @@
             link.close(reason)
             return
         if (other := self.links.get(hello.name)) is not None:
-            other.close("another link took its place")
+            other.close("replaced by another link between the same schedulers")
         self.links[hello.name] = link
         partners = set(overlay.partners(hello.name, self.configured.identity.names))
         partners.add(hello.name)
@@ -256,27 +259,30 @@
         self.events.peer_greeted(hello.name, hello.incarnation, hello.now_us)
 
     def _reason_to_close(self, link: PeerLink, hello: Hello) -> str | None:
-        """Why a new link is not kept; of two links to a peer, both sides keep the same one."""
+        """Why a new link must be closed; None to keep it.
+
+        Of two links between the same schedulers, both sides keep the same one.
+        """
         c = self.configured
         other = self.links.get(hello.name)
         if other is None:
             full = hello.name not in self.partners and len(self.links) >= c.max_links
-            return "no room for more links" if full else None
+            return "the maximum number of links is reached" if full else None
         assert other.session.peer
         if other.session.peer.incarnation != hello.incarnation:
             keep_new = hello.incarnation > other.session.peer.incarnation
         elif self._is_silent(other) or other.dialled is link.dialled:
             keep_new = True
-        else:  # the link that the smaller name has dialled
+        else:  # keep the link that the scheduler with the smaller name has dialled
             dialler = c.identity.name if link.dialled else hello.name
             keep_new = dialler == min(hello.name, c.identity.name)
-        return None if keep_new else "there is a link already"
+        return None if keep_new else "there is already a link between these schedulers"
 
     def _is_silent(self, link: PeerLink) -> bool:
         return mono_us() - link.session.last_received_us > 2 * self.configured.interval_us
 
-    def _confirm(self, link: PeerLink) -> None:
-        """Both sides have accepted the link."""
+    def _mark_confirmed(self, link: PeerLink) -> None:
+        """Mark a link as accepted by both sides, and log it."""
         if link.confirmed or self.links.get(link.name) is not link:
             return
         link.confirmed = True
@@ -288,7 +294,7 @@
         peer = link.name or link.address
         self.rejections.pop(peer, None)
         self.rejections[peer] = error.what
-        if len(self.rejections) > MAX_REJECTIONS:
+        if len(self.rejections) > MAX_REPORTED_REJECTIONS:
             del self.rejections[next(iter(self.rejections))]
         log.warning("peer_rejected", extra={"peer": peer, "why": str(error)})
         link.close(error.what)
@@ -307,12 +313,12 @@
     # Timer and configuration
 
     def _check_links(self) -> None:
-        """Close silent links, unless this process was paused and messages may lie unread."""
+        """Close silent links, unless this process was paused and messages may be unread."""
         now_us = mono_us()
         interval_us = self.configured.interval_us
         late_us = now_us - self._checked_us - interval_us
         self._checked_us = now_us
-        if late_us > PAUSE_US:
+        if late_us > PAUSE_THRESHOLD_US:
             log.warning("process_paused", extra={"seconds": late_us / 1e6})
             for link in self.links.values():
                 link.session.pings.ping_soon()
@@ -326,15 +332,19 @@
         timeout_us = self.configured.interval_us + SILENCE_TIMEOUT_US
         for link in list(self.links.values()):
             if now_us - link.session.last_received_us > timeout_us:
-                link.close("silent")
-            elif now_us - link.opened_us > LASTING_LINK_US:
+                link.close("no message within the silence timeout")
+            elif now_us - link.opened_us > STABLE_LINK_US:
                 self._dialler.reset_backoff(link.name)
         for link in list(self.opening):
             if now_us - link.opened_us > HELLO_TIMEOUT_US:
-                link.close("no greeting")
+                link.close("no hello within the hello timeout")
 
     def _configure(self, new: Configure) -> None:
-        """Use a new list of peers: all links are opened anew, as the hello contains the list."""
+        """Use a new configuration.
+
+        All links are closed if the identity, which is part of the hello, or the ping interval has changed.
+        Otherwise only links to peers with a changed address are closed. The dialler opens them again.
+        """
         old, self.configured = self.configured, new
         if new.identity == old.identity and new.interval_us == old.interval_us:
             outdated = [n for n in self.links if old.addresses.get(n) != new.addresses.get(n)]
--- a/robinhill/net/peers/peer_link.py
+++ b/robinhill/net/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""The transport of one link to a peer: a websocket whose messages are drawn when it has capacity."""
+"""The transport of one link to a peer: a websocket that fetches its next message when it can write one."""
 
 import asyncio
 import contextlib
@@ -10,18 +10,18 @@
 from robinhill.mesh.session import Session
 
 PATH = "/v1/mesh"
-CLOSE_TIMEOUT_S = 0.5  # for the close frame of the other side
-MAX_CLOSE_REASON_BYTES = 120  # that a close frame has capacity for
+CLOSE_TIMEOUT_S = 0.5  # for the peer's close frame
+MAX_CLOSE_REASON_BYTES = 120  # fits into a websocket's close frame
 
 Socket = aiohttp.ClientWebSocketResponse | web.WebSocketResponse
 
 
 class PeerLink:
-    """Owns the websocket of a link; the session belongs to the actor that made the link.
+    """Owns the websocket of a link; the session belongs to the actor that created the link.
 
-    ``address``: of the other side; ``dialled``: whether this side opened it; ``opened_us``: monotonic.
-    ``close_reason``: why it was closed from here, None while it is open. ``confirmed``: whether a ping was
-    answered, so that both sides have accepted it.
+    ``address``: the peer's address; ``dialled``: whether this side opened the link; ``opened_us``: monotonic
+    time of the opening. ``close_reason``: why this side closed the link, None until then. ``confirmed``:
+    whether the peer has answered a ping, which means that both sides have accepted the link.
     """
 
     def __init__(self, socket: Socket, session: Session, address: str, dialled: bool, opened_us: int) -> None:
@@ -41,28 +41,30 @@
         return self.session.peer.name if self.session.peer else ""
 
     def wake(self) -> None:
-        """There may be something to write."""
+        """Check for messages to write."""
         self._wake.set()
 
     def close(self, reason: str) -> None:
-        """Close the link; `run` returns then. The first reason counts."""
+        """Close the link, so that `run` returns. Only the first reason is recorded."""
         if self.close_reason is None:
             self.close_reason = reason
             self._closing.set()
 
     async def run(
         self,
-        draw: Callable[["PeerLink"], bytes | None],
-        received: Callable[["PeerLink", bytes], None],
+        next_message: Callable[["PeerLink"], bytes | None],
+        on_message: Callable[["PeerLink", bytes], None],
         idle_s: Callable[["PeerLink"], float],
     ) -> str:
-        """Read and write until either side closes the link; returns the reason.
+        """Read and write until either side closes the link. Returns the reason.
 
-        ``draw`` returns the next message, ``idle_s`` for how long there is none if nothing happens.
+        ``next_message`` returns the next message to write, None if there is none now; ``idle_s`` returns the
+        time after which to call it again even if `wake` is not called. ``on_message`` is called with each
+        received message.
         """
-        reading = asyncio.ensure_future(self._read(received))
-        writing = asyncio.ensure_future(self._write(draw, idle_s))
-        closing = asyncio.ensure_future(self._closing.wait())  # a write may block on a peer that is gone
+        reading = asyncio.ensure_future(self._read(on_message))
+        writing = asyncio.ensure_future(self._write(next_message, idle_s))
+        closing = asyncio.ensure_future(self._closing.wait())  # a write to an unreachable peer may block
         try:
             await asyncio.wait([reading, writing, closing], return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -70,7 +72,7 @@
                 task.cancel()
             await asyncio.gather(reading, writing, closing, return_exceptions=True)
             await self._close_socket()
-        return self._reason(reading, writing)
+        return self._end_reason(reading, writing)
 
     async def _close_socket(self) -> None:
         reason = (self.close_reason or "").encode()[:MAX_CLOSE_REASON_BYTES]
@@ -78,8 +80,8 @@
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self.socket.close(message=reason)
 
-    def _reason(self, reading: asyncio.Task[str], writing: asyncio.Task[None]) -> str:
-        """Why the link was closed; raises what is no error of a connection."""
+    def _end_reason(self, reading: asyncio.Task[str], writing: asyncio.Task[None]) -> str:
+        """Why the link ended. Raises an error of either task that is not a connection error."""
         for task in (reading, writing):
             if not task.cancelled() and (error := task.exception()):
                 if not isinstance(error, (OSError, aiohttp.ClientError, RuntimeError)):
@@ -88,26 +90,26 @@
         peer_reason = reading.result() if reading.done() and not reading.cancelled() else ""
         return self.close_reason or peer_reason or "closed by the peer"
 
-    async def _read(self, received: Callable[["PeerLink", bytes], None]) -> str:
-        """Pass on messages until the peer closes the link; its reason."""
+    async def _read(self, on_message: Callable[["PeerLink", bytes], None]) -> str:
+        """Pass messages to ``on_message`` until the peer closes the link. Returns the peer's reason."""
         while True:
             message = await self.socket.receive()
             if message.type is aiohttp.WSMsgType.BINARY:
-                received(self, message.data)
+                on_message(self, message.data)
             elif message.type is aiohttp.WSMsgType.CLOSE:
                 return str(message.extra or "")
             elif message.type is aiohttp.WSMsgType.ERROR:
-                return f"broken: {message.data}"
+                return f"websocket error: {message.data}"
             elif message.type is not aiohttp.WSMsgType.TEXT:
                 return ""
 
     async def _write(
-        self, draw: Callable[["PeerLink"], bytes | None], idle_s: Callable[["PeerLink"], float]
+        self, next_message: Callable[["PeerLink"], bytes | None], idle_s: Callable[["PeerLink"], float]
     ) -> None:
         while self.close_reason is None:
             self._wake.clear()
-            while self.close_reason is None and (data := draw(self)) is not None:
-                await self.socket.send_bytes(data)  # waits while the transport has no capacity
+            while self.close_reason is None and (data := next_message(self)) is not None:
+                await self.socket.send_bytes(data)  # waits while the transport's buffer is full
             if self.close_reason is None:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(idle_s(self)):
--- a/robinhill/net/peers/peer_listener.py
+++ b/robinhill/net/peers/peer_listener.py
@@ -1,4 +1,4 @@
-"""The server socket for links that peers dial."""
+"""The listener for links that peers dial."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-BIND_RETRY_S = 0.2  # while another process of this scheduler still has the address
+BIND_RETRY_S = 0.2  # retry interval while the scheduler's previous process still listens on the address
 SHUTDOWN_TIMEOUT_S = 0.2
 
 
@@ -27,7 +27,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def run(self) -> None:
-        """Start to serve, once no other process of this scheduler has the address any more."""
+        """Bind the address, which the scheduler's previous process may still hold, and start to serve."""
         reported = False
         while True:
             try:
--- a/robinhill/net/peers/peer_messages.py
+++ b/robinhill/net/peers/peer_messages.py
@@ -10,24 +10,26 @@
 
 
 class PeerEvents(Protocol):
-    """The owner of the replica. Called directly, not by a mailbox: what was received must be applied before
-    an answer behind it extends a lease.
+    """The owner of the replica, which is notified of the links' events.
+
+    Its methods are called directly and not through a mailbox: received records must be applied before a later
+    answer on the same link extends a lease.
     """
 
     def records_received(self, received: RecordsReceived) -> None:
-        """Records of a push were merged or rejected."""
+        """Handle the records of a push, which were merged or rejected."""
         ...
 
     def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
-        """A link to a peer is up; ``peer_us``: its Unix time in its hello."""
+        """Handle a peer's hello on a new link; ``peer_us``: the peer's Unix time in the hello."""
         ...
 
     def ping_answered(self, name: str) -> None:
-        """A peer has answered a ping."""
+        """Handle a peer's answer to a ping."""
         ...
 
     def link_lost(self, name: str) -> None:
-        """The link to a peer was closed."""
+        """Handle the loss of the link to a peer."""
         ...
 
 
@@ -41,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LinkOpened:
-    """A websocket is open, whoever dialled."""
+    """A websocket was opened by either side."""
 
     link: PeerLink
 
@@ -56,12 +58,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckLinks:
-    """It is time to check all links."""
+    """The periodic check of all links is due."""
 
 
 @dataclass(slots=True, frozen=True)
 class Configure:
-    """The peers and their addresses, how many links to keep, and the interval between pings."""
+    """A new configuration: this scheduler's identity, the peers' addresses, and the limits of links.
+
+    ``max_links``: maximum number of links; ``interval_us``: interval between pings.
+    """
 
     identity: Identity
     addresses: Mapping[str, str]
--- a/robinhill/net/peers/snapshot_restore.py
+++ b/robinhill/net/peers/snapshot_restore.py
@@ -11,8 +11,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Restored:
-    """``rejected``: how many records were rejected or bounded; ``age_us``: how old the snapshot is."""
+class RestoreResult:
+    """The result of restoring a snapshot.
+
+    ``rejected``: number of records that were rejected or stored with a warning; ``age_us``: the age of the
+    snapshot.
+    """
 
     rejected: int
     age_us: int
@@ -20,11 +24,15 @@
 
 def restore_records(
     replica: Replica, header: SnapshotHeader, records: Collection[Record], now_us: int
-) -> Restored:
-    """Merge the records of a snapshot, unless other processes may have dropped them since."""
+) -> RestoreResult:
+    """Merge the records of a snapshot into ``replica``.
+
+    Records of a kind whose lifetime the snapshot's age exceeds are dropped again: other processes may have
+    removed them since, and this replica would bring them back.
+    """
     _, rejected = merge_records(replica, now_us, records)
     log_rejected(rejected)
     age_us = max(0, now_us - header.saved_us)
     if replica.stale(now_us, age_us):
         replica.clear(age_us)
-    return Restored(len(rejected), age_us)
+    return RestoreResult(len(rejected), age_us)
