--- a/robinhill/net/control_group/__init__.py
+++ b/robinhill/net/control_group/__init__.py
@@ -1,4 +1,4 @@
-"""The control group's members on sockets: voters as processes, and schedulers that observe them.
+"""The processes of the control group: voters, and schedulers that observe them.
 
-The state machines are in `robinhill.control`; the modules here own sockets, clocks and disk.
+The state machines are in `robinhill.control`; the modules here own sockets, clocks and files.
 """
--- a/robinhill/net/control_group/connections.py
+++ b/robinhill/net/control_group/connections.py
@@ -1,6 +1,7 @@
-"""Connections of a member of the control group: it dials voters, and a voter accepts. Owns sockets and tasks.
+"""Connections of a member of the control group: every member dials voters, and voters accept connections.
 
-Reports each connection's messages in order to a `ConnectionHandler`; knows nothing of what they mean.
+`Connections` owns the sockets and their tasks. It reports each connection's messages in order to a
+`ConnectionHandler` and does not interpret them.
 """
 
 import asyncio
@@ -19,36 +20,36 @@
 from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, PATH, ControlLink, Socket
 
 CONNECT_TIMEOUT_S = 1.0
-"""For a connection and its upgrade to a websocket."""
+"""For the TCP connection and its upgrade to a websocket."""
 
 WEBSOCKET_CLOSE_TIMEOUT_S = 0.2
 LISTENER_SHUTDOWN_TIMEOUT_S = 0.2
 
-PROCESS_ENDS = "this process ends"
+SHUTDOWN_REASON = "this process is shutting down"
 
 
 class ConnectionHandler(Protocol):
-    """What is notified of connections. None of its methods may wait."""
+    """Receives the events of connections. Its methods are called on the event loop and must not block."""
 
     def may_accept(self) -> bool:
         """Whether there is capacity for another connection."""
         ...
 
     def on_opened(self, link: ControlLink) -> None:
-        """A connection is open, dialed or accepted."""
+        """Handle a new connection, dialed or accepted."""
 
     def on_message(self, link: ControlLink, data: bytes) -> None:
-        """A message was received."""
+        """Handle a received message."""
 
     def on_closed(self, link: ControlLink, why: str) -> None:
-        """A connection has ended."""
+        """Handle the end of a connection; ``why``: the reason, for the log."""
 
     def on_connect_failed(self, voter: str, why: str) -> None:
-        """A voter could not be connected to."""
+        """Handle a failed attempt to connect to a voter; ``why``: the reason, for the log."""
 
 
 class Connections:
-    """All connections of one process. ``address_of``: where a voter listens."""
+    """All connections of one process. ``address_of`` returns the address at which a voter listens."""
 
     def __init__(
         self, handler: ConnectionHandler, supervisor: Supervisor, address_of: Callable[[str], Address]
@@ -63,7 +64,7 @@
         self._stopping = False
 
     def start(self) -> None:
-        """Dialing is possible from now on."""
+        """Create the client session, after which `dial` may be called."""
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -71,7 +72,10 @@
         )
 
     async def listen(self, address: Address, key: str) -> None:
-        """Accept connections. Raises ConfigError, which names ``key``, where the address can't be bound."""
+        """Start to accept connections.
+
+        Raises ConfigError, with the configuration key ``key``, if the address can't be bound.
+        """
         sock = bind(address, key)
         server = web.Server(self._accept, access_log=None)
         self._runner = web.ServerRunner(server, shutdown_timeout=LISTENER_SHUTDOWN_TIMEOUT_S)
@@ -79,7 +83,7 @@
         await web.SockSite(self._runner, sock).start()
 
     def dial(self, voter: str) -> None:
-        """Connect to a voter, in a task of its own."""
+        """Start a task that connects to a voter and runs the connection."""
         if self._stopping:
             return
         task = self._supervisor.spawn(self._dial(voter), f"connect to {voter}")
@@ -87,11 +91,11 @@
         task.add_done_callback(self._dialed.discard)
 
     def stop(self) -> None:
-        """Neither dial nor accept from now on."""
+        """Stop dialing and accepting; open connections stay open."""
         self._stopping = True
 
     async def close(self) -> None:
-        """Wait for dialed connections to end, for a short time, and release all sockets."""
+        """Wait up to `CLOSE_TIMEOUT_S` for dialed connections to end, then release all sockets."""
         if self._dialed:
             await asyncio.wait(self._dialed, timeout=CLOSE_TIMEOUT_S)
         for task in list(self._dialed):
@@ -130,7 +134,7 @@
     async def _run(self, socket: Socket, address: str, voter: str | None) -> None:
         link = ControlLink(next(self._numbers), socket, address, voter)
         self._handler.on_opened(link)
-        why = PROCESS_ENDS
+        why = SHUTDOWN_REASON
         try:
             why = await link.run(self._handler.on_message)
         finally:
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -1,8 +1,9 @@
-"""The actor that drives a state machine of the control group: feeds it messages and time, performs its
-actions.
+"""The actor that drives a state machine of the control group.
 
-All events pass one mailbox, so the machine is never called concurrently, and the actions of one message are
-performed before the next one is handled.
+It passes received messages and the time to the machine, and performs the actions that the machine returns.
+
+All events pass through one mailbox, so the machine is never called concurrently, and the actions that follow
+from one event are performed before the next event is handled.
 """
 
 import asyncio
@@ -16,57 +17,61 @@
 from robinhill.control.actions import Action, Connect, Disconnect, Link, Send
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock, mono_us
-from robinhill.net.control_group.connections import PROCESS_ENDS, Connections
+from robinhill.net.control_group.connections import SHUTDOWN_REASON, Connections
 from robinhill.net.control_group.link import ControlLink
 
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 4_096
-"""Past this none is accepted; the descriptors of the process bound them too."""
+"""No connection is accepted beyond this number; the process's limit of descriptors may be lower."""
 
 MIN_TICK_US = 1_000
 REPORT_INTERVAL_S = 60.0
-"""Least time between two reports that a voter is unreachable."""
+"""Minimum time between two log entries that a voter is unreachable."""
 
 FAILURES_TO_REPORT = 3
-"""Consecutive failures from which on a voter counts as unreachable."""
+"""Consecutive failures after which a voter is reported as unreachable."""
 
 
 class StateMachine(Protocol):
-    """What voters and observers have in common. Times: microseconds, Unix and monotonic."""
+    """The common interface of voters and observers.
+
+    ``now_us`` is Unix time and ``mono_us`` monotonic time, in microseconds. The caller performs the returned
+    actions in order.
+    """
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
-        """The first call."""
+        """Start the machine; called once, before all other methods."""
         ...
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
-        """A connection that `Connect` asked for is open."""
+        """Handle a new connection that a `Connect` action requested."""
         ...
 
     def failed(self, mono_us: int, voter: str) -> None:
-        """A connection that `Connect` asked for could not be opened."""
+        """Handle a failed attempt to open a connection that a `Connect` action requested."""
         ...
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """A message was received."""
+        """Handle a received message."""
         ...
 
     def unlinked(self, now_us: int, mono_us: int, link: Link) -> list[Action]:
-        """A connection was lost, or closed by the other side."""
+        """Handle a connection that was lost or closed by the other side."""
         ...
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Time has passed."""
+        """Perform the work that is due at ``mono_us``, such as timeouts."""
         ...
 
     def next_us(self, mono_us: int) -> int:
-        """When `tick` is due at the latest."""
+        """Monotonic time by which `tick` must be called."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class LinkOpened:
-    """A websocket is open, dialed or accepted."""
+    """A websocket was opened, dialed or accepted."""
 
     link: ControlLink
 
@@ -102,17 +107,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Call ``work``, which uses the machine: an operator's call, a reload."""
+    """Call ``work`` in the driver's mailbox, as it uses the machine: an operator's call or a reload."""
 
     work: Callable[[], None]
 
 
-ToDriver = LinkOpened | MessageReceived | LinkClosed | ConnectFailed | Tick | Run
+DriverMessage = LinkOpened | MessageReceived | LinkClosed | ConnectFailed | Tick | Run
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Counters since the start."""
+    """Counters of connections and messages since the start of the process."""
 
     opened: int = 0
     lost: int = 0
@@ -123,40 +128,40 @@
 
 
 class UnreachableVoters:
-    """Consecutive failures to connect to each voter, reported from time to time."""
+    """Counts consecutive failures to connect to each voter, and logs unreachable voters at a limited rate."""
 
     def __init__(self) -> None:
         self._failures: dict[str, int] = {}
         self._last_reported_s: dict[str, float] = {}
 
     def connected(self, voter: str) -> None:
-        """The voter can be reached."""
+        """Reset the failures of a voter after a successful connection."""
         self._failures.pop(voter, None)
 
     def failed(self, voter: str, why: str) -> None:
-        """The voter could not be connected to; ``why`` is for the log."""
+        """Count a failure to connect to a voter, and log it if due; ``why``: the reason."""
         self._failures[voter] = self._failures.get(voter, 0) + 1
         now_s = time.monotonic()
-        recently = now_s - self._last_reported_s.get(voter, -REPORT_INTERVAL_S) < REPORT_INTERVAL_S
-        if self._failures[voter] >= FAILURES_TO_REPORT and not recently:
+        recently_reported = now_s - self._last_reported_s.get(voter, -REPORT_INTERVAL_S) < REPORT_INTERVAL_S
+        if self._failures[voter] >= FAILURES_TO_REPORT and not recently_reported:
             self._last_reported_s[voter] = now_s
             log.warning("voter_unreachable", extra={"voter": voter, "why": why})
 
 
-def _ignore() -> None:
-    """Where nothing follows the actions of a call."""
+def _do_nothing() -> None:
+    """Default for ``after``."""
 
 
 def _ignore_accepted(_mono_us: int, _link: Link) -> None:
-    """For machines that only dial."""
+    """Default for ``accepted``, for machines that only dial."""
 
 
-class Driver(Actor[ToDriver]):
+class Driver(Actor[DriverMessage]):
     """Drives one state machine.
 
-    ``address_of``: where a voter listens; ``act``: performs the actions that are not about connections;
-    ``after``: called once the actions of one call are performed; ``accepted``: the machine's, if it accepts
-    connections.
+    ``address_of``: returns the address at which a voter listens; ``act``: performs the actions that do not
+    concern connections; ``after``: called each time the actions of one call of the machine are performed;
+    ``accepted``: the machine's method for accepted connections, if it accepts any.
     """
 
     def __init__(
@@ -166,7 +171,7 @@
         clock: Clock,
         address_of: Callable[[str], Address],
         act: Callable[[Action], None],
-        after: Callable[[], None] = _ignore,
+        after: Callable[[], None] = _do_nothing,
         accepted: Callable[[int, Link], None] = _ignore_accepted,
     ) -> None:
         super().__init__("control", supervisor)
@@ -184,52 +189,55 @@
         self._stopping = False
 
     def start(self) -> None:
-        """Start the machine."""
+        """Start to handle messages, and start the machine."""
         super().start()
         self._connections.start()
         self.perform(self.machine.start(self.clock.now_us(), mono_us()))
 
     async def listen(self, address: Address, key: str) -> None:
-        """Accept connections. Raises ConfigError, which names ``key``."""
+        """Start to accept connections.
+
+        Raises ConfigError, with the configuration key ``key``, if the address can't be bound.
+        """
         await self._connections.listen(address, key)
 
     async def close(self) -> None:
-        """End all links once what is queued is written, as far as the other sides read it at once."""
+        """Close all links. Queued messages are written as far as the other sides read them without delay."""
         self._stopping = True
         self._connections.stop()
         self.stop()
         if self._timer:
             self._timer.cancel()
         for link in self.links.values():
-            link.close(PROCESS_ENDS)
+            link.close(SHUTDOWN_REASON)
         await self._connections.close()
 
-    # What connections report, into the mailbox
+    # Events of connections, put into the mailbox (ConnectionHandler)
 
     def may_accept(self) -> bool:
         """Whether there is capacity for another connection."""
         return len(self.links) < MAX_CONNECTIONS
 
     def on_opened(self, link: ControlLink) -> None:
-        """A connection is open, dialed or accepted."""
+        """Handle a new connection, dialed or accepted."""
         self.tell(LinkOpened(link))
 
     def on_message(self, link: ControlLink, data: bytes) -> None:
-        """A message was received."""
+        """Handle a received message."""
         self.tell(MessageReceived(link, data))
 
     def on_closed(self, link: ControlLink, why: str) -> None:
-        """A connection has ended."""
+        """Handle the end of a connection."""
         self.tell(LinkClosed(link, why))
 
     def on_connect_failed(self, voter: str, why: str) -> None:
-        """A voter could not be connected to."""
+        """Handle a failed attempt to connect to a voter."""
         self.tell(ConnectFailed(voter, why))
 
     # Messages of the mailbox
 
-    def receive(self, message: ToDriver) -> None:
-        """Handle one message."""
+    def receive(self, message: DriverMessage) -> None:
+        """Handle one message of the mailbox."""
         now_us, now_mono_us = self.clock.now_us(), mono_us()
         match message:
             case MessageReceived(link=link, data=data):
@@ -274,7 +282,7 @@
     # Actions of the machine
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Perform the actions of one call of the machine, in order."""
+        """Perform the actions that one call of the machine returned, in order."""
         for action in actions:
             match action:
                 case Send(link=number, data=data):
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -1,7 +1,7 @@
-"""A scheduler as an observer of the control group: wires the `Observer` into the scheduler.
+"""A scheduler as an observer of the control group: connects the `Observer` to the scheduler.
 
-Owns the observer, its driver, and the cordons of this process; the scheduler's dispatcher asks it before each
-send. Imported only where the operators' file names voters.
+`ObservingScheduler` owns the observer, its driver, and the cordons of this process. The dispatcher calls its
+`may_send` before each send. Imported only if the operators' file configures voters.
 """
 
 import asyncio
@@ -25,9 +25,9 @@
 from robinhill.net.control_group.driver import Driver, Run
 from robinhill.net.control_group.operator_support import (
     call_cordons,
-    figure_lines,
+    metric_lines,
     needs_restart,
-    traffic_figures,
+    traffic_metrics,
 )
 from robinhill.net.control_group.recovery import recover
 from robinhill.net.cordons.group_member import GroupCordons
@@ -44,9 +44,11 @@
 """Keys of `mesh` that a reload does not change."""
 
 MIN_EXPIRY_WAIT_S = 0.005
-"""Least time until the cordons are evaluated again as one of them expires."""
+"""Minimum delay before the cordons are evaluated again when one of them expires."""
 
-NO_CONFIRMING = Answer(409, b"a scheduler that observes does not count for majorities: vouch at a voter\n")
+CONFIRMATION_REJECTED = Answer(
+    409, b"an observing scheduler does not count for majorities: confirm at a voter (PUT /ops/mesh/vouch)\n"
+)
 
 
 class ObservingScheduler:
@@ -63,13 +65,13 @@
         self.clock = clock
         self.dispatcher = dispatcher
         self.inbound = inbound
-        # A file is left by a scheduler that shared with peers; as an observer it saves no records.
+        # A snapshot may exist from an earlier configuration with peers. An observer itself saves no records.
         folder = config.folder if mesh.folder else None
         recovery = recover(folder, mesh.installation, self.name, clock.now_us(), kind_names(kinds()))
         self.snapshot_store = recovery.store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
-        # Decisions never draw from this: it spreads connecting in time.
+        # Only for the jitter of reconnections and replica comparisons; scheduling decisions never use it.
         rng = random.Random(f"{self.name} {self.incarnation}")
         self.observer = Observer(self.options, self.incarnation, self.replica, rng, mono_us())
         self.driver = Driver(
@@ -99,12 +101,12 @@
         return cordons
 
     def _attach(self) -> None:
-        """Let the dispatcher ask before each send, and clients wait until the replica is synchronized."""
+        """Make the dispatcher check cordons before each send, and fail readiness until clients are served."""
         self.inbound.catching_up = True
         self.dispatcher.use_cordons(
             self.may_send,
             lambda: self.driver.tell(Run(self._apply_cordons)),
-            self.lease if self._requires_lease else None,
+            self.has_lease if self._requires_lease else None,
         )
         mesh = self.mesh
         extra = {"as": self.name, "installation": mesh.installation, "voters": len(self.options.voters)}
@@ -113,16 +115,19 @@
             log.warning("voters_warning", extra={"why": warning})
 
     def start(self) -> None:
-        """Connect to voters; clients are served once synchronized with one, or `catch_up_ms` later."""
+        """Connect to voters.
+
+        Clients are served once the replica is synchronized with a voter, at the latest after `catch_up_ms`.
+        """
         self._started_us = mono_us()
         self._save_incarnation()
         self.driver.start()
         self._apply_cordons()
         loop = asyncio.get_running_loop()
-        self._catch_up_timer = loop.call_later(self.mesh.catch_up_ms / 1000, self._serve)
+        self._catch_up_timer = loop.call_later(self.mesh.catch_up_ms / 1000, self._start_serving)
 
     async def close(self) -> None:
-        """Nothing is sent from here any more: leave the voters, and end."""
+        """Stop sending jobs, notify the voters that this scheduler leaves, and close all connections."""
         for timer in (self._catch_up_timer, self._expiry_timer):
             if timer:
                 timer.cancel()
@@ -131,26 +136,26 @@
         self.driver.perform(self.observer.goodbye())
         await self.driver.close()
 
-    # Before a send
+    # Checks before a send
 
     def may_send(self, worker: ListedEndpoint) -> bool:
-        """Whether a worker may be sent a job at this moment; for the last check before a write."""
+        """Whether a job may be sent to a worker now; called immediately before each write."""
         if self._stopped or covers(self.cordons.targets, worker):
             return False
-        return not self._requires_lease or self.lease()
+        return not self._requires_lease or self.has_lease()
 
-    def lease(self) -> bool:
-        """Whether a majority's state not older than the bound is known."""
+    def has_lease(self) -> bool:
+        """Whether the known state of a majority of voters is not older than the bound."""
         return self.observer.has_lease(mono_us())
 
     # Operators
 
     async def call(self, method: str, cordon_id: str, body: bytes, wait: str | None) -> Answer:
-        """An operator's call about cordons."""
+        """Carry out an operator's call about cordons and return its answer."""
         return await call_cordons(self.driver, self.cordons, method, cordon_id, body, wait)
 
     def status(self) -> Answer:
-        """The state of this replica, for operators and for whoever compares replicas."""
+        """Return the state of this scheduler's replica as JSON, with a digest to compare replicas by."""
         status = self.observer.status(CORDON, mono_us())
         synchronized = self.observer.synchronized
         return status_answer(
@@ -170,13 +175,13 @@
         )
 
     def confirm_complete(self) -> Answer:
-        """Rejects an operator's confirmation: only voters count for majorities."""
-        return NO_CONFIRMING
+        """Reject an operator's confirmation, as only voters count for majorities."""
+        return CONFIRMATION_REJECTED
 
     def metrics(self) -> bytes:
-        """Figures, one a line."""
+        """Metrics of connections, lease and cordons, one a line."""
         status = self.observer.status(CORDON, mono_us())
-        figures = [
+        lines = [
             f"links:{len(self.driver.links)}|g",
             f"in_step:{int(self.observer.synchronized)}|g",
             f"lease:{int(not status.stale)}|g",
@@ -185,13 +190,13 @@
             f"cordons:{len(self.cordons.index.active())}|g",
             f"cordoned_workers:{len(self.cordons.index.cordoned_workers())}|g",
             f"changes_under_way:{self.cordons.changes.pending_count()}|g",
-            *traffic_figures(self.driver.traffic),
+            *traffic_metrics(self.driver.traffic),
             f"bytes_out:{self.driver.traffic.bytes_out}|c",
         ]
-        return figure_lines(figures)
+        return metric_lines(lines)
 
     def reconfigure(self, mesh: MeshOptions) -> None:
-        """Use other voters from now on. Other changes wait for a restart."""
+        """Use a new list of voters. A change of a key in `RESTART_KEYS` changes nothing until a restart."""
         if needs_restart(self.mesh, mesh, RESTART_KEYS):
             return
         try:
@@ -221,10 +226,10 @@
                 self.cordons.record_progress(action)
 
     def _apply_cordons(self) -> None:
-        """Apply the cordons as they are now: at once before each write, and in the dispatcher.
+        """Derive the cordoned targets from the replica, and pass them to the dispatcher.
 
-        `may_send` uses the new targets from this moment on; so what the observer confirms next is true,
-        whenever the dispatcher handles its mailbox.
+        `may_send` uses the new targets as soon as this returns. So the confirmation that the observer sends
+        next is correct even if the dispatcher handles its message later.
         """
         targets = self.cordons.update()
         self.dispatcher.tell(CordonsChanged(lambda worker: covers(targets, worker), lambda: None))
@@ -248,14 +253,14 @@
 
     def _after_observer_call(self) -> None:
         if self.observer.synchronized and not self.serving:
-            self._serve()
+            self._start_serving()
         voters = self.observer.voter, self.observer.spare_voter
         if voters != self._reported_voters:
             self._reported_voters = voters
             log.info("voters_in_use", extra={"voter": voters[0], "spare": voters[1]})
 
-    def _serve(self) -> None:
-        """Serve clients: the replica is synchronized, or the time for that is over."""
+    def _start_serving(self) -> None:
+        """Start to serve clients, as the replica is synchronized or `catch_up_ms` have passed."""
         if self.serving:
             return
         self.serving = True
@@ -267,7 +272,7 @@
             log.warning("catch_up_timed_out", extra={"seconds": seconds, "voter": "none"})
 
     def _save_incarnation(self) -> None:
-        """The next process must have a later incarnation also where the clock is set back meanwhile."""
+        """Save the incarnation, so that the next process has a later one even if the clock is set back."""
         if not self.snapshot_store.folder:
             return
         header = SnapshotHeader(self.mesh.installation, self.name, self.incarnation, self.clock.now_us())
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -1,4 +1,4 @@
-"""What voters and observing schedulers share on their operators' side: reloads, statuses, figures, calls."""
+"""Functions for operators that voters and observing schedulers share: reloads, metrics and calls."""
 
 import asyncio
 import logging
@@ -15,15 +15,15 @@
 
 
 def needs_restart(old: MeshOptions, new: MeshOptions, keys: Sequence[str]) -> bool:
-    """Whether a reload changes one of these keys, which only a restart can change. Logs their names."""
+    """Whether a reload changes one of ``keys``, which only a restart can change. Logs the changed keys."""
     changed = [f"mesh.{key}" for key in keys if getattr(new, key) != getattr(old, key)]
     if changed:
         log.warning("reload_needs_restart", extra={"keys": ",".join(changed)})
     return bool(changed)
 
 
-def traffic_figures(traffic: Traffic) -> list[str]:
-    """Figures on connections that all members have."""
+def traffic_metrics(traffic: Traffic) -> list[str]:
+    """Return the metrics of connections that all members of the control group have."""
     return [
         f"opened:{traffic.opened}|c",
         f"lost:{traffic.lost}|c",
@@ -33,15 +33,15 @@
     ]
 
 
-def figure_lines(figures: Iterable[str]) -> bytes:
-    """Figures of the control group, one a line."""
-    return "".join(f"{PREFIX}.control.{figure}\n" for figure in figures).encode()
+def metric_lines(metrics: Iterable[str]) -> bytes:
+    """Render metrics of the control group, one a line."""
+    return "".join(f"{PREFIX}.control.{metric}\n" for metric in metrics).encode()
 
 
 async def call_cordons(
     driver: Driver, cordons: GroupCordons, method: str, cordon_id: str, body: bytes, wait: str | None
 ) -> Answer:
-    """Carry out an operator's call about cordons in the driver's mailbox, and wait for its answer."""
+    """Carry out an operator's call about cordons in the driver's mailbox, and return its answer."""
     reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
     call = CordonCall(method, cordon_id, body, wait, reply)
     driver.tell(Run(lambda: cordons.call(call)))
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -1,4 +1,4 @@
-"""What a member of the control group restores at its start: its incarnation, and its records on disk."""
+"""Recovery of a member of the control group at its start: its incarnation, and its records saved on disk."""
 
 import logging
 from collections.abc import Collection
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Recovery:
-    """A member's replica with its restored records, and where it saves them."""
+    """A member's replica with the restored records, the store that saves them, and the new incarnation."""
 
     store: SnapshotStore
     replica: Replica
@@ -30,7 +30,10 @@
     now_us: int,
     only_kinds: Collection[str] | None = None,
 ) -> Recovery:
-    """Restore the records that the last process saved, of ``only_kinds``; without a folder there are none."""
+    """Restore the records that the last process saved in ``folder``, and choose a later incarnation.
+
+    ``only_kinds``: names of the kinds to restore, None for all. Without a folder nothing is restored.
+    """
     store = SnapshotStore(folder, installation, name)
     header, records = store.load()
     incarnation = next_incarnation(now_us, header.incarnation if header else 0)
--- a/robinhill/net/control_group/voter_operators.py
+++ b/robinhill/net/control_group/voter_operators.py
@@ -1,4 +1,4 @@
-"""The operators' side of a voter: the calls of a scheduler that make sense here, and one of its own."""
+"""The operators' server of a voter: the scheduler's calls that apply to voters, and a call of its own."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,16 +10,20 @@
 from robinhill.protocol import Answer
 
 MAX_OPERATOR_CALLS = 32
-"""Calls that are handled at once."""
+"""Calls that are handled concurrently."""
 
 REMOVE_SCHEDULER_PATH = "/ops/mesh/forget"
 
-NOT_SERVED = Answer(404, b"this is a voter: it has no clients and no workers\n")
+NOT_SERVED = Answer(404, b"a voter does not serve this call, as it has no clients and no workers\n")
 
 
 @dataclass(slots=True, frozen=True)
 class VoterCalls:
-    """What operators can ask of a voter. ``cordons``: method, cordon id, body, and how long to wait."""
+    """The functions behind the operators' calls of a voter.
+
+    ``remove_scheduler`` is called with the scheduler's name; ``cordons`` with the method, the cordon's ID,
+    the body, and the ``wait`` parameter of the query.
+    """
 
     readiness: Callable[[], Answer]
     metrics: Callable[[], Answer]
@@ -30,7 +34,7 @@
 
 
 class VoterOperatorServer(OperatorServer):
-    """Serves the operators' address; calls about clients and workers are answered by 404."""
+    """Serves the operators' address of a voter. Calls about clients and workers are answered with 404."""
 
     def __init__(self, address: Address, supervisor: Supervisor, voter_calls: VoterCalls) -> None:
         calls = OperatorCalls(
