--- a/tests/test_actor.py
+++ b/tests/test_actor.py
@@ -1,4 +1,4 @@
-"""An actor that dies is logged and fails its supervisor, and with it the program."""
+"""Tests of actors: an actor's failure reaches the supervisor, and handlers run in the actor's own context."""
 
 import asyncio
 import logging
@@ -9,46 +9,47 @@
 from robinhill.net.actor import Actor, ActorDiedError, Supervisor
 
 
-class Fragile(Actor[str]):
+class FailingActor(Actor[str]):
     def receive(self, message: str) -> None:
         raise ValueError(message)
 
 
-def test_an_actors_death_is_logged_and_fails_the_supervisor(caplog: pytest.LogCaptureFixture) -> None:
-    async def die() -> None:
+def test_actor_error_is_logged_and_fails_the_supervisor(caplog: pytest.LogCaptureFixture) -> None:
+    async def run_failing_actor() -> None:
         supervisor = Supervisor()
-        actor = Fragile("fragile", supervisor)
+        actor = FailingActor("failing", supervisor)
         actor.start()
-        actor.tell("oh")
-        with pytest.raises(ActorDiedError, match="fragile"):
+        actor.tell("message")
+        with pytest.raises(ActorDiedError, match="failing"):
             await supervisor.failed
 
     with caplog.at_level(logging.CRITICAL):
-        asyncio.run(die())
+        asyncio.run(run_failing_actor())
     assert [r.getMessage() for r in caplog.records] == ["actor_died"]
 
 
-whose: ContextVar[str] = ContextVar("whose", default="nobody's")
+context_owner: ContextVar[str] = ContextVar("context_owner", default="none")
 
 
-class Asked(Actor[asyncio.Future[str]]):
+class SpawningActor(Actor[asyncio.Future[str]]):
     def receive(self, message: asyncio.Future[str]) -> None:
         async def work() -> None:
-            message.set_result(whose.get())
+            message.set_result(context_owner.get())
 
         self.supervisor.spawn(work(), "work")
 
 
-def test_what_an_actor_spawns_is_not_taken_for_the_work_of_who_told_it() -> None:
-    # An exchange marks its context with its attempt. A cancel that an actor spawned on that exchange's word
-    # carried the mark, passed for a write of the attempt that was over, and ended the program.
-    async def ask() -> str:
+def test_tasks_spawned_by_an_actor_do_not_inherit_the_senders_context() -> None:
+    # An HTTP exchange stores its attempt in a context variable. A cancel request that an actor spawned on a
+    # message of that exchange inherited the variable, was taken for a write of the attempt, which had ended,
+    # and ended the program.
+    async def send_from_marked_context() -> str:
         supervisor = Supervisor()
-        actor = Asked("asked", supervisor)
+        actor = SpawningActor("spawning", supervisor)
         actor.start()
-        answer: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        whose.set("the teller's")
-        actor.tell(answer)
-        return await answer
+        owner_seen: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        context_owner.set("sender")
+        actor.tell(owner_seen)
+        return await owner_seen
 
-    assert asyncio.run(ask()) == "nobody's"
+    assert asyncio.run(send_from_marked_context()) == "none"
