--- a/robinhill/net/control_group/connections.py
+++ b/robinhill/net/control_group/connections.py
@@ -17,7 +17,7 @@
 from robinhill.control.messages import MAX_MESSAGE_BYTES
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.listener import bind
-from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, PATH, ControlLink, Socket
+from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, CONTROL_PATH, ControlLink, Socket
 
 CONNECT_TIMEOUT_S = 1.0
 """For the TCP connection and its upgrade to a websocket."""
@@ -107,7 +107,7 @@
             await self._client.close()
 
     async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
-        if request.path != PATH:
+        if request.path != CONTROL_PATH:
             return web.Response(status=404)
         if self._stopping or not self._handler.may_accept():
             return web.Response(status=503)
@@ -124,7 +124,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES + 1, compress=0
+                    f"http://{address}{CONTROL_PATH}", max_msg_size=MAX_MESSAGE_BYTES + 1, compress=0
                 )
         except (OSError, aiohttp.ClientError, TimeoutError) as e:
             self._handler.on_connect_failed(voter, f"{type(e).__name__} {e}".strip())
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounters:
     """Counters of connections and messages since the start of the process."""
 
     opened: int = 0
@@ -149,7 +149,7 @@
 
 
 def _do_nothing() -> None:
-    """Default for ``after``."""
+    """Default for ``after_actions``."""
 
 
 def _ignore_accepted(_mono_us: int, _link: Link) -> None:
@@ -159,9 +159,9 @@
 class Driver(Actor[DriverMessage]):
     """Drives one state machine.
 
-    ``address_of``: returns the address at which a voter listens; ``act``: performs the actions that do not
-    concern connections; ``after``: called each time the actions of one call of the machine are performed;
-    ``accepted``: the machine's method for accepted connections, if it accepts any.
+    ``address_of``: returns the address at which a voter listens; ``perform_action``: performs an action that
+    does not concern connections; ``after_actions``: called each time the actions of one call of the machine
+    are performed; ``accepted``: the machine's method for accepted connections, if it accepts any.
     """
 
     def __init__(
@@ -170,17 +170,17 @@
         supervisor: Supervisor,
         clock: Clock,
         address_of: Callable[[str], Address],
-        act: Callable[[Action], None],
-        after: Callable[[], None] = _do_nothing,
+        perform_action: Callable[[Action], None],
+        after_actions: Callable[[], None] = _do_nothing,
         accepted: Callable[[int, Link], None] = _ignore_accepted,
     ) -> None:
         super().__init__("control", supervisor)
         self.machine = machine
         self.clock = clock
         self.links: dict[Link, ControlLink] = {}
-        self.traffic = Traffic()
-        self._act = act
-        self._after = after
+        self.traffic = TrafficCounters()
+        self._perform_action = perform_action
+        self._after_actions = after_actions
         self._accepted = accepted
         self._connections = Connections(self, supervisor, address_of)
         self._unreachable = UnreachableVoters()
@@ -292,8 +292,8 @@
                 case Disconnect(link=number, why=why):
                     self._disconnect(number, why)
                 case _:
-                    self._act(action)
-        self._after()
+                    self._perform_action(action)
+        self._after_actions()
         self._schedule_tick()
 
     def _send(self, number: Link, data: bytes) -> None:
--- a/robinhill/net/control_group/link.py
+++ b/robinhill/net/control_group/link.py
@@ -8,7 +8,7 @@
 import aiohttp
 from aiohttp import web
 
-PATH = "/v1/control"
+CONTROL_PATH = "/v1/control"
 CLOSE_TIMEOUT_S = 0.5
 """For writing the queued messages, and again for the other side's close frame."""
 
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -68,14 +68,19 @@
         # A snapshot may exist from an earlier configuration with peers. An observer itself saves no records.
         folder = config.folder if mesh.folder else None
         recovery = recover(folder, mesh.installation, self.name, clock.now_us(), kind_names(kinds()))
-        self.snapshot_store = recovery.store
+        self.snapshot_store = recovery.snapshot_store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
         # Only for the jitter of reconnections and replica comparisons; scheduling decisions never use it.
         rng = random.Random(f"{self.name} {self.incarnation}")
         self.observer = Observer(self.options, self.incarnation, self.replica, rng, mono_us())
         self.driver = Driver(
-            self.observer, supervisor, clock, self._address_of, self._act, self._after_observer_call
+            self.observer,
+            supervisor,
+            clock,
+            self._address_of,
+            self._perform_action,
+            self._after_observer_call,
         )
         self.cordons = self._new_cordons()
         self.serving = False
@@ -214,7 +219,7 @@
 
     # Actions of the observer
 
-    def _act(self, action: Action) -> None:
+    def _perform_action(self, action: Action) -> None:
         match action:
             case Apply(records=records, rejected=rejected):
                 log_rejected(rejected)
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Sequence
 
 from robinhill.mesh.options import MeshOptions
-from robinhill.net.control_group.driver import Driver, Run, Traffic
+from robinhill.net.control_group.driver import Driver, Run, TrafficCounters
 from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.metrics import PREFIX
+from robinhill.net.metrics import METRIC_PREFIX
 from robinhill.protocol import Answer
 
 log = logging.getLogger(__name__)
@@ -22,7 +22,7 @@
     return bool(changed)
 
 
-def traffic_metrics(traffic: Traffic) -> list[str]:
+def traffic_metrics(traffic: TrafficCounters) -> list[str]:
     """Return the metrics of connections that all members of the control group have."""
     return [
         f"opened:{traffic.opened}|c",
@@ -35,7 +35,7 @@
 
 def metric_lines(metrics: Iterable[str]) -> bytes:
     """Render metrics of the control group, one a line."""
-    return "".join(f"{PREFIX}.control.{metric}\n" for metric in metrics).encode()
+    return "".join(f"{METRIC_PREFIX}.control.{metric}\n" for metric in metrics).encode()
 
 
 async def call_cordons(
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -18,7 +18,7 @@
 class Recovery:
     """A member's replica with the restored records, the store that saves them, and the new incarnation."""
 
-    store: SnapshotStore
+    snapshot_store: SnapshotStore
     replica: Replica
     incarnation: int
 
@@ -34,8 +34,8 @@
 
     ``only_kinds``: names of the kinds to restore, None for all. Without a folder nothing is restored.
     """
-    store = SnapshotStore(folder, installation, name)
-    header, records = store.load()
+    snapshot_store = SnapshotStore(folder, installation, name)
+    header, records = snapshot_store.load()
     incarnation = next_incarnation(now_us, header.incarnation if header else 0)
     replica = Replica(name, incarnation, kinds())
     if header:
@@ -43,4 +43,4 @@
         restored = restore_records(replica, header, wanted, now_us)
         count = len(wanted) - restored.rejected
         log.info("snapshot_restored", extra={"records": count, "age_s": restored.age_us / 1e6})
-    return Recovery(store, replica, incarnation)
+    return Recovery(snapshot_store, replica, incarnation)
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -60,7 +60,7 @@
         self.supervisor = Supervisor()
         folder = config.folder if self.mesh.folder else None
         recovery = recover(folder, self.mesh.installation, config.name, self.clock.now_us())
-        self.snapshot_store = recovery.store
+        self.snapshot_store = recovery.snapshot_store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
         # Only for the jitter of reconnections; decisions never use it.
@@ -71,7 +71,7 @@
             self.supervisor,
             self.clock,
             self._address_of,
-            self._act,
+            self._perform_action,
             accepted=self.voter.accepted,
         )
         self.cordons = GroupCordons(
@@ -224,7 +224,7 @@
 
     # Called in the driver's mailbox
 
-    def _act(self, action: Action) -> None:
+    def _perform_action(self, action: Action) -> None:
         match action:
             case Apply(rejected=rejected):
                 log_rejected(rejected)
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -21,7 +21,7 @@
 
 Json = dict[str, Any]
 
-PREDECESSOR_TIMEOUT_S = 2.5  # bounded, as the predecessor may be replaced because it hangs
+PREDECESSOR_TIMEOUT_S = 2.5  # for each answer; the predecessor may be replaced because it hangs
 OPERATOR_CALL_TIMEOUT_S = 0.7  # an operator's call must be answered within 1 s
 
 
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -1,4 +1,6 @@
-"""The Unix socket at which the next process of a scheduler connects to this one. It carries no messages here.
+"""The Unix socket at which the next process of a scheduler connects to this one.
+
+This module creates and accepts connections; messages are exchanged by ``process_link``.
 
 The socket's file is in the scheduler's state folder and belongs to the process that serves. A successor
 replaces it by a rename, so the file is never missing, and never refers only to a process that has exited.
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from robinhill.record.recorder import Recorder
 
-PREFIX = "app"
-OUTCOMES = ("ok", "shed", "errors")
+METRIC_PREFIX = "app"
+RESPONSE_OUTCOMES = ("ok", "shed", "errors")
 
 
 def _outcome(answer: Answer) -> str:
@@ -51,29 +51,29 @@
         The age of the endpoint list is computed at ``now_us``.
         """
         lines = [
-            f"{PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
+            f"{METRIC_PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
             for name in self.classes
-            for outcome in OUTCOMES
+            for outcome in RESPONSE_OUTCOMES
         ]
-        lines.append(f"{PREFIX}.tries:{self.attempts_sent}|c")
-        lines.append(f"{PREFIX}.active:{self.active}|g")
-        lines.append(f"{PREFIX}.pool_size:{self.pool_size}|g")
-        lines.append(f"{PREFIX}.pool_ejected:{self.pool_ejected}|g")
-        lines += [f"{PREFIX}.sends.{origin.value}:{self.sends[origin]}|c" for origin in ListOrigin]
+        lines.append(f"{METRIC_PREFIX}.tries:{self.attempts_sent}|c")
+        lines.append(f"{METRIC_PREFIX}.active:{self.active}|g")
+        lines.append(f"{METRIC_PREFIX}.pool_size:{self.pool_size}|g")
+        lines.append(f"{METRIC_PREFIX}.pool_ejected:{self.pool_ejected}|g")
+        lines += [f"{METRIC_PREFIX}.sends.{origin.value}:{self.sends[origin]}|c" for origin in ListOrigin]
         for name, counts in (
             ("refusals", self.rejections),
             ("retries", self.retries),
             ("closes", self.closes),
         ):
-            lines += [f"{PREFIX}.{name}.{why}:{count}|c" for why, count in sorted(counts.items())]
+            lines += [f"{METRIC_PREFIX}.{name}.{why}:{count}|c" for why, count in sorted(counts.items())]
         if self.list_lease:
-            lines.append(f"{PREFIX}.list.version:{self.list_lease.version}|g")
-            lines.append(f"{PREFIX}.list.age_ms:{self.list_lease.age_ms(now_us)}|g")
+            lines.append(f"{METRIC_PREFIX}.list.version:{self.list_lease.version}|g")
+            lines.append(f"{METRIC_PREFIX}.list.age_ms:{self.list_lease.age_ms(now_us)}|g")
         if self.admission_queued:
             queued = self.admission_queued()
-            lines.append(f"{PREFIX}.admission.queued:{queued}|g")
-            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # former name of admission.queued
+            lines.append(f"{METRIC_PREFIX}.admission.queued:{queued}|g")
+            lines.append(f"{METRIC_PREFIX}.door.queued:{queued}|g")  # former name of admission.queued
         if self.recorder:
-            lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
-            lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
+            lines.append(f"{METRIC_PREFIX}.record.written:{self.recorder.written}|c")
+            lines.append(f"{METRIC_PREFIX}.record.dropped:{self.recorder.dropped}|c")
         return "".join(f"{line}\n" for line in lines)
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -43,7 +43,8 @@
 MAX_LINKS_WITHOUT_HELLO = 16
 MAX_REPORTED_REJECTIONS = 16  # most recent rejections in the status for operators
 SILENCE_TIMEOUT_US = 800_000  # a link without messages for this time plus one ping interval is closed
-PAUSE_THRESHOLD_US = 500_000  # a later check means that this process was paused and messages may be unread
+# If the periodic check of links is later than this, the process was paused and messages may be unread.
+PAUSE_THRESHOLD_US = 500_000
 STABLE_LINK_US = 2_000_000  # a link that stays open for this long resets the peer's backoff
 MIN_IDLE_S = 0.001
 
@@ -256,7 +257,7 @@
         partners = set(overlay.partners(hello.name, self.configured.identity.names))
         partners.add(hello.name)
         link.session.sender.receives_directly = partners.__contains__
-        self.events.peer_greeted(hello.name, hello.incarnation, hello.now_us)
+        self.events.hello_received(hello.name, hello.incarnation, hello.now_us)
 
     def _reason_to_close(self, link: PeerLink, hello: Hello) -> str | None:
         """Why a new link must be closed; None to keep it.
--- a/robinhill/net/peers/peer_messages.py
+++ b/robinhill/net/peers/peer_messages.py
@@ -20,7 +20,7 @@
         """Handle the records of a push, which were merged or rejected."""
         ...
 
-    def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
+    def hello_received(self, name: str, incarnation: int, peer_us: int) -> None:
         """Handle a peer's hello on a new link; ``peer_us``: the peer's Unix time in the hello."""
         ...
 
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -34,7 +34,7 @@
 from robinhill.net.cordons.operator_calls import CordonCall
 from robinhill.net.cordons.replies import status_answer
 from robinhill.net.dispatcher.dispatcher import Dispatcher
-from robinhill.net.metrics import PREFIX
+from robinhill.net.metrics import METRIC_PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
 from robinhill.net.peers.peer_connections import PeerConnections
 from robinhill.net.peers.peer_messages import Configure
@@ -171,7 +171,7 @@
         """Handle the records of a push, which were merged or rejected."""
         self.cordons.receive_records(received)
 
-    def peer_greeted(self, name: str, incarnation: int, peer_us: int) -> None:
+    def hello_received(self, name: str, incarnation: int, peer_us: int) -> None:
         """Handle a peer's hello on a new link; ``peer_us``: the peer's Unix time in the hello."""
         self.clock.observe(name, peer_us)
         self.cordons.record_greeting(name, incarnation)
@@ -223,7 +223,9 @@
         """Metrics of links and cordons, one a line."""
         counts = self.peers.counts
         lines = [f"links:{len(self.peers.links)}|g", *(f"{name}:{n}|c" for name, n in counts.items())]
-        return "".join(f"{PREFIX}.mesh.{line}\n" for line in [*lines, *self.cordons.metrics()]).encode()
+        return "".join(
+            f"{METRIC_PREFIX}.mesh.{line}\n" for line in [*lines, *self.cordons.metrics()]
+        ).encode()
 
     def reconfigure(self, options: MeshOptions) -> None:
         """Use a new list of peers. A change of an option that needs a restart changes nothing."""
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -311,25 +311,25 @@
 
     async def disable_worker(self, instance_id: str, disabled: bool) -> Answer:
         """Disable a worker, or enable it again."""
-        return await self._apply_in_both(DISABLE_CALL, {"id": instance_id, "out": disabled})
+        return await self._apply_in_both_processes(DISABLE_CALL, {"id": instance_id, "out": disabled})
 
     async def set_drained(self, start: bool) -> Answer:
         """Start or stop draining. While draining, readiness checks fail, so clients use other schedulers."""
-        return await self._apply_in_both(DRAIN_CALL, {"start": start})
+        return await self._apply_in_both_processes(DRAIN_CALL, {"start": start})
 
-    async def _apply_in_both(self, call: str, body: Json) -> Answer:
+    async def _apply_in_both_processes(self, call: str, body: Json) -> Answer:
         """Apply an operator's call in this process and in the other process, if there is one."""
         try:
             async with asyncio.timeout(MAX_START_WAIT_S):
                 await self.started.wait()
         except TimeoutError:
             return STARTING
-        answer = await self._apply(call, body, False)
+        answer = await self._apply_here(call, body, False)
         if answer.status != 200 or not self.handover:
             return answer
         return answer if await self.handover.relay_operator_call(call, body) else NOT_RELAYED
 
-    async def _apply(self, call: str, body: Json, listed_elsewhere: bool) -> Answer:
+    async def _apply_here(self, call: str, body: Json, listed_elsewhere: bool) -> Answer:
         if call == DISABLE_CALL:
             reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
             self.dispatcher.tell(SetWorkerDisabled(body["id"], body["out"], reply, listed_elsewhere))
@@ -378,7 +378,7 @@
 
     async def apply_operator_call(self, call: str, body: Json) -> bool:
         """Apply an operator's call that the other process has received. Returns whether it succeeded."""
-        return (await self._apply(call, body, True)).status == 200
+        return (await self._apply_here(call, body, True)).status == 200
 
     async def accept_worker_event(self, body: Json) -> bool:
         """Process a worker's call. Returns False if this process does not have the call's request."""
--- a/tests/test_control_actors.py
+++ b/tests/test_control_actors.py
@@ -28,7 +28,7 @@
 from robinhill.net.clock import Clock
 from robinhill.net.control_group import link
 from robinhill.net.control_group.driver import Driver, Run
-from robinhill.net.control_group.link import PATH, ControlLink
+from robinhill.net.control_group.link import CONTROL_PATH, ControlLink
 from robinhill.net.control_group.observing_scheduler import ObservingScheduler
 from robinhill.protocol import Lifecycle, ListedEndpoint
 
@@ -87,7 +87,7 @@
 def test_link_writes_all_queued_messages_before_it_closes() -> None:
     async def scenario() -> None:
         async with fake_voter() as voter, aiohttp.ClientSession() as session:
-            socket = await session.ws_connect(f"http://{voter.address}{PATH}")
+            socket = await session.ws_connect(f"http://{voter.address}{CONTROL_PATH}")
             control_link = ControlLink(1, socket, voter.address, "v1")
             for number in range(200):
                 control_link.send(b"%d" % number)
@@ -106,7 +106,7 @@
     async def scenario() -> None:
         async with fake_voter() as voter, aiohttp.ClientSession() as session:
             voter.reading_allowed.clear()
-            socket = await session.ws_connect(f"http://{voter.address}{PATH}")
+            socket = await session.ws_connect(f"http://{voter.address}{CONTROL_PATH}")
             control_link = ControlLink(1, socket, voter.address, "v1")
             running = asyncio.create_task(control_link.run(lambda link, data: None))
             while not running.done():
