--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -52,7 +52,7 @@
 
 
 class ObservingScheduler:
-    """One scheduler's membership in the control group."""
+    """Connects one scheduler to the control group: its voters, its copy of the cordons, and its lease."""
 
     def __init__(
         self, config: Config, supervisor: Supervisor, clock: Clock, dispatcher: Dispatcher, inbound: Inbound
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -41,7 +41,7 @@
 async def call_cordons(
     driver: Driver, cordons: GroupCordons, method: str, cordon_id: str, body: bytes, wait: str | None
 ) -> Answer:
-    """Carry out an operator's call about cordons in the driver's mailbox, and return its answer."""
+    """Carry out an operator's call about cordons in the driver's mailbox, and return the answer."""
     reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
     call = CordonCall(method, cordon_id, body, wait, reply)
     driver.tell(Run(lambda: cordons.call(call)))
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -24,7 +24,7 @@
 
 
 class SnapshotStore:
-    """Saves and loads the snapshots of the scheduler or voter ``origin``; without a folder it does neither.
+    """Saves and loads the snapshots of the scheduler or voter ``origin``. Without a folder, nothing is saved.
 
     ``failing``: whether the last save failed; ``saved_head``: number of the last change in the last snapshot.
     """
--- a/robinhill/net/request_transfer.py
+++ b/robinhill/net/request_transfer.py
@@ -56,8 +56,8 @@
     async def send(self, state: Json, fd: int, request: JobRequest, reply: asyncio.Future[Answer]) -> bool:
         """Send a released request to the successor. Returns whether the successor has accepted it.
 
-        Otherwise this process owns the request again. It answers the request with a failure instead if the
-        successor exited and may have sent an attempt.
+        If the successor has not received the request, this process owns it again. If the link was lost and
+        the successor may have sent an attempt, the request is answered with a failure.
         """
         accepted, sent = False, False
         body = state | {"request": protocol.encode_handed_over_request(request)}
@@ -105,7 +105,7 @@
         if self.admission and "caller" in admission_state:
             self.admission.adopt(request, admission_state, reply, bool(body.get("attempt")))
         if waiting := admission_state.get("waiting"):
-            if not self.admission:  # no admission control here: the request is dispatched at once
+            if not self.admission:  # dispatched without queuing again, as there is no admission control here
                 self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
         else:
             adopted = asyncio.Event()
