--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -32,7 +32,7 @@
 from robinhill.net.control_group.recovery import recover
 from robinhill.net.cordons.group_member import GroupCordons
 from robinhill.net.cordons.operator_calls import covers
-from robinhill.net.cordons.replies import status_answer
+from robinhill.net.cordons.replies import make_status_answer
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.peers.rejections import log_rejected
@@ -163,7 +163,7 @@
         """Return the state of this scheduler's replica as JSON, with a digest to compare replicas by."""
         status = self.observer.status(CORDON, mono_us())
         synchronized = self.observer.synchronized
-        return status_answer(
+        return make_status_answer(
             {
                 "name": self.name,
                 "role": "observer",
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -35,7 +35,7 @@
 from robinhill.net.control_group.recovery import recover
 from robinhill.net.control_group.voter_operators import VoterCalls, VoterOperatorServer
 from robinhill.net.cordons.group_member import GroupCordons
-from robinhill.net.cordons.replies import status_answer
+from robinhill.net.cordons.replies import make_status_answer
 from robinhill.net.peers.rejections import log_rejected
 from robinhill.protocol import Answer
 
@@ -174,7 +174,7 @@
     def status(self) -> Answer:
         """Return the state of this voter's replica as JSON, with a digest to compare replicas by."""
         age_us = self.voter.age_us(mono_us())
-        return status_answer(
+        return make_status_answer(
             {
                 "name": self.config.name,
                 "role": "voter",
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -187,7 +187,7 @@
         """Names of partners, and of other schedulers on the ring while too few partners are alive."""
         own = self.configured.identity
         alive = {*self.alive(), *self.links}
-        return [*self.partners, *overlay.repairs(own.name, own.names, alive)]
+        return [*self.partners, *overlay.repair_partners(own.name, own.names, alive)]
 
     # Links
 
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -32,7 +32,7 @@
 from robinhill.net.cordons.actor import CordonActor, WorkerListChanged
 from robinhill.net.cordons.fleet import Fleet
 from robinhill.net.cordons.operator_calls import CordonCall
-from robinhill.net.cordons.replies import status_answer
+from robinhill.net.cordons.replies import make_status_answer
 from robinhill.net.dispatcher.dispatcher import Dispatcher
 from robinhill.net.metrics import METRIC_PREFIX
 from robinhill.net.peers.agreed_clock import AgreedClock
@@ -174,7 +174,7 @@
     def hello_received(self, name: str, incarnation: int, peer_us: int) -> None:
         """Handle a peer's hello on a new link; ``peer_us``: the peer's Unix time in the hello."""
         self.clock.observe(name, peer_us)
-        self.cordons.record_greeting(name, incarnation)
+        self.cordons.record_link_up(name, incarnation)
 
     def ping_answered(self, name: str) -> None:
         """Handle a peer's answer to a ping."""
@@ -182,7 +182,7 @@
 
     def link_lost(self, name: str) -> None:
         """Handle the loss of the link to a peer."""
-        self.cordons.record_lost_link(name)
+        self.cordons.record_link_lost(name)
 
     def _renew_incarnation(self, incarnation: int) -> None:
         """Switch to a later incarnation than ``incarnation``, which peers know for this scheduler's name.
@@ -194,7 +194,7 @@
             return
         self._renewed_s = time.monotonic()
         log.warning("newer_incarnation_known", extra={"as": self.name, "incarnation": incarnation})
-        self.cordons.renew(incarnation + 1)
+        self.cordons.adopt_incarnation(incarnation + 1)
         self.peers.tell(self._peer_configuration(self.options))
 
     # Operators
@@ -212,7 +212,7 @@
             "refused": self.peers.rejections,
             "clock_corrected_ms": self.clock.offset_us / 1000,
         }
-        return status_answer(msgspec.to_builtins(self.cordons.status()) | own)
+        return make_status_answer(msgspec.to_builtins(self.cordons.status()) | own)
 
     def confirm_complete(self) -> Answer:
         """Record an operator's confirmation that this scheduler knows all cordons in force."""
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -20,7 +20,7 @@
 from robinhill.config_types import ConfigError
 from robinhill.net.actor import Supervisor
 from robinhill.net.clients.inbound import Inbound
-from robinhill.net.clients.listener import bind, inherit
+from robinhill.net.clients.listener import bind, duplicate_listening_socket
 from robinhill.net.clock import Clock
 from robinhill.net.discovery.catch_up import CatchUp
 from robinhill.net.discovery.list_watcher import ChangeAddress, EndpointListWatcher
@@ -161,7 +161,7 @@
             self.operators.start()
         self.catch_up.start()
         fd = self.config.socket_fd
-        sock = bind(self.config.listen, "GW_LISTEN") if fd is None else inherit(fd)
+        sock = bind(self.config.listen, "GW_LISTEN") if fd is None else duplicate_listening_socket(fd)
         if self.handover and self.handover.connect_predecessor():
             await self._take_over(self.handover)
         else:
@@ -229,7 +229,7 @@
         Requests in flight are not affected.
         """
         try:
-            new = configuration.load(self.env, again=True)
+            new = configuration.load(self.env, reloading=True)
         except ConfigError as e:
             log.error("reload_failed", extra={"key": e.key, "why": e.what})
             return
@@ -270,7 +270,7 @@
         if await self._hand_over_pending():
             return
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        self.inbound.closed_to_new = True
+        self.inbound.rejects_new_requests = True
         log.info("rejecting", extra={"pending": self.inbound.pending_count})
         while self.inbound.pending_count:
             if await self._hand_over_pending():  # a successor has started in the meantime
@@ -288,7 +288,7 @@
             self.admission.suspend(True)
         while self.inbound.superseded:
             await self.inbound.hand_over(self.transfer.release, self.transfer.send)
-            if self.inbound.settled:
+            if self.inbound.is_quiescent:
                 return self.inbound.superseded
             await asyncio.sleep(HANDOVER_RETRY_S)
         if self.admission:
