--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -1,6 +1,6 @@
-"""The metrics that operators read: counted in one object, and rendered from it alone.
+"""The metrics for operators, counted in one object and rendered from it.
 
-Names and types of the rendered metrics are a surface that dashboards rely on (docs/operations.md).
+Dashboards rely on the names and types of the rendered metrics (docs/operations.md).
 """
 
 from collections import Counter
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from robinhill.record.recorder import Recorder
 
-PREFIX = "app"
-OUTCOMES = ("ok", "shed", "errors")
+METRIC_PREFIX = "app"
+RESPONSE_OUTCOMES = ("ok", "shed", "errors")
 
 
 def _outcome(answer: Answer) -> str:
@@ -24,21 +24,21 @@
 
 
 class Metrics:
-    """Counts since the start of the process, and gauges as they were last set."""
+    """Counters since the start of the process, and gauges with their last value."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.classes = classes
         self.responses: Counter[tuple[str, str]] = Counter()  # final answers, by class and outcome
-        self.attempts_sent = 0  # written completely to workers
+        self.attempts_sent = 0  # attempts whose request was written completely to a worker
         self.sends: Counter[ListOrigin] = Counter()  # attempts started on a connection, by the list's origin
-        self.rejections: Counter[str] = Counter()  # by reason
-        self.retries: Counter[str] = Counter()  # by the outcome of the attempt before
+        self.rejections: Counter[str] = Counter()  # rejected requests, by reason
+        self.retries: Counter[str] = Counter()  # retried attempts, by the outcome of the previous attempt
         self.closes: Counter[str] = Counter()  # connections that this process closed, by side and reason
-        self.list_lease: ListLease | None = None  # of the list in use
-        self.active = 0  # requests in flight; after a disconnect, until the attempt has ended
+        self.list_lease: ListLease | None = None  # lease on the endpoint list in use
+        self.active = 0  # requests in flight; a disconnected client's request counts until its attempt ends
         self.pool_size = 0
         self.pool_ejected = 0
-        self.recorder: Recorder | None = None  # where traffic is recorded
+        self.recorder: Recorder | None = None  # None: traffic is not recorded
         self.admission_queued: Callable[[], int] | None = None  # requests queued there; None: no admission
 
     def answered(self, job_class: int, answer: Answer) -> None:
@@ -46,31 +46,34 @@
         self.responses[self.classes[job_class], _outcome(answer)] += 1
 
     def text(self, now_us: int = 0) -> str:
-        """One ``name:value|type`` a line: c for counters, g for gauges; ``now_us`` gives the list's age."""
+        """Render one ``name:value|type`` a line, type c for counters and g for gauges.
+
+        The age of the endpoint list is computed at ``now_us``.
+        """
         lines = [
-            f"{PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
+            f"{METRIC_PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
             for name in self.classes
-            for outcome in OUTCOMES
+            for outcome in RESPONSE_OUTCOMES
         ]
-        lines.append(f"{PREFIX}.tries:{self.attempts_sent}|c")
-        lines.append(f"{PREFIX}.active:{self.active}|g")
-        lines.append(f"{PREFIX}.pool_size:{self.pool_size}|g")
-        lines.append(f"{PREFIX}.pool_ejected:{self.pool_ejected}|g")
-        lines += [f"{PREFIX}.sends.{origin.value}:{self.sends[origin]}|c" for origin in ListOrigin]
+        lines.append(f"{METRIC_PREFIX}.tries:{self.attempts_sent}|c")
+        lines.append(f"{METRIC_PREFIX}.active:{self.active}|g")
+        lines.append(f"{METRIC_PREFIX}.pool_size:{self.pool_size}|g")
+        lines.append(f"{METRIC_PREFIX}.pool_ejected:{self.pool_ejected}|g")
+        lines += [f"{METRIC_PREFIX}.sends.{origin.value}:{self.sends[origin]}|c" for origin in ListOrigin]
         for name, counts in (
             ("refusals", self.rejections),
             ("retries", self.retries),
             ("closes", self.closes),
         ):
-            lines += [f"{PREFIX}.{name}.{why}:{count}|c" for why, count in sorted(counts.items())]
+            lines += [f"{METRIC_PREFIX}.{name}.{why}:{count}|c" for why, count in sorted(counts.items())]
         if self.list_lease:
-            lines.append(f"{PREFIX}.list.version:{self.list_lease.version}|g")
-            lines.append(f"{PREFIX}.list.age_ms:{self.list_lease.age_ms(now_us)}|g")
+            lines.append(f"{METRIC_PREFIX}.list.version:{self.list_lease.version}|g")
+            lines.append(f"{METRIC_PREFIX}.list.age_ms:{self.list_lease.age_ms(now_us)}|g")
         if self.admission_queued:
             queued = self.admission_queued()
-            lines.append(f"{PREFIX}.admission.queued:{queued}|g")
-            lines.append(f"{PREFIX}.door.queued:{queued}|g")  # its former name
+            lines.append(f"{METRIC_PREFIX}.admission.queued:{queued}|g")
+            lines.append(f"{METRIC_PREFIX}.door.queued:{queued}|g")  # former name of admission.queued
         if self.recorder:
-            lines.append(f"{PREFIX}.record.written:{self.recorder.written}|c")
-            lines.append(f"{PREFIX}.record.dropped:{self.recorder.dropped}|c")
+            lines.append(f"{METRIC_PREFIX}.record.written:{self.recorder.written}|c")
+            lines.append(f"{METRIC_PREFIX}.record.dropped:{self.recorder.dropped}|c")
         return "".join(f"{line}\n" for line in lines)
