--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -174,7 +174,7 @@
             )
             self.metrics.rejections["leaving"] += 1
             log.debug("request_rejected", extra={"id": job.id, "why": "leaving"})
-            self.metrics.answered(job.job_class, refusal)
+            self.metrics.count_answer(job.job_class, refusal)
             return self._respond(refusal)
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.report(RequestAccepted(job, arrived_us, reply, caller))
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -244,7 +244,7 @@
         request.answer_pending = False
         if request.release_reply:
             self.handover.keep(request)
-        self.metrics.answered(request.request.job_class, answer)
+        self.metrics.count_answer(request.request.job_class, answer)
         if self.traffic_recorder:
             self.traffic_recorder.record_answer(request.request, answer.status)
         if answer is protocol.FAILED:
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -41,7 +41,7 @@
         self.recorder: Recorder | None = None  # None: traffic is not recorded
         self.admission_queued: Callable[[], int] | None = None  # requests queued there; None: no admission
 
-    def answered(self, job_class: int, answer: Answer) -> None:
+    def count_answer(self, job_class: int, answer: Answer) -> None:
         """Count a request's final answer."""
         self.responses[self.classes[job_class], _outcome(answer)] += 1
 
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -23,7 +23,7 @@
 from robinhill.net.actor import Actor, Supervisor
 from robinhill.net.clock import Clock, mono_us
 from robinhill.net.peers.dialling import PeerDialler
-from robinhill.net.peers.peer_link import PATH, PeerLink, Socket
+from robinhill.net.peers.peer_link import MESH_PATH, PeerLink, Socket
 from robinhill.net.peers.peer_listener import PeerListener
 from robinhill.net.peers.peer_messages import (
     CheckLinks,
@@ -145,7 +145,7 @@
     # Accepting and dialling
 
     async def _accept(self, request: web.BaseRequest) -> web.StreamResponse:
-        if request.path != PATH:
+        if request.path != MESH_PATH:
             return web.Response(status=404)
         if self._stopping or len(self.opening) >= MAX_LINKS_WITHOUT_HELLO:
             return web.Response(status=503)
@@ -168,7 +168,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self._client.ws_connect(
-                    f"http://{address}{PATH}", max_msg_size=MAX_MESSAGE_BYTES, compress=0, autoclose=True
+                    f"http://{address}{MESH_PATH}", max_msg_size=MAX_MESSAGE_BYTES, compress=0, autoclose=True
                 )
         except (OSError, aiohttp.ClientError, TimeoutError) as e:
             return f"{type(e).__name__} {e}".strip()
--- a/robinhill/net/peers/peer_link.py
+++ b/robinhill/net/peers/peer_link.py
@@ -9,7 +9,7 @@
 
 from robinhill.mesh.session import Session
 
-PATH = "/v1/mesh"
+MESH_PATH = "/v1/mesh"
 CLOSE_TIMEOUT_S = 0.5  # for the peer's close frame
 MAX_CLOSE_REASON_BYTES = 120  # fits into a websocket's close frame
 
