--- a/robinhill/admission/__init__.py
+++ b/robinhill/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control: fair queues by tenant in front of the decision module (docs/admission.md). No I/O."""
+"""Admission control without I/O: fair queueing by tenant before the decision module (docs/admission.md)."""
--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -1,4 +1,4 @@
-"""Exact accounts for the heaviest tenants only: a space-saving sketch (Metwally, Agrawal, El Abbadi 2005)."""
+"""Usage accounts of the heaviest tenants: a space-saving sketch (Metwally, Agrawal, El Abbadi 2005)."""
 
 from dataclasses import dataclass, field
 from heapq import heapify, heappush, heapreplace
@@ -7,8 +7,8 @@
 from robinhill.admission.buckets import RateLimiter
 from robinhill.admission.queues import Queue
 
-USAGE_DECAY_US = 600_000_000  # after which served work counts 1/e
-ESTABLISHED_JOBS = 3  # served jobs, from which on a tenant has a queue of its own
+USAGE_DECAY_US = 600_000_000  # time constant of the exponential decay of served work
+ESTABLISHED_JOBS = 3  # a tenant gets a queue of its own after this number of served jobs
 RATIO_STEP = 0.2
 MIN_RATIO = 0.02
 MAX_RATIO = 500.0
@@ -17,29 +17,29 @@
 
 @dataclass(slots=True, eq=False)
 class Account:
-    """A tenant that was served: its queue, its rate limiter and the cost of its jobs."""
+    """The queue, the rate limiter and the learned job cost of a tenant that has been served."""
 
     tenant: int
     name: str
     queue: Queue
     limiter: RateLimiter | None
-    pinned: bool = False  # named in the operators' file
+    pinned: bool = False  # the operators' file names the tenant
     count: float = 0.0  # served work, in the sketch's scale
     error: float = (
-        0.0  # of the count, what may be another tenant's: the count of the account that it replaced
+        0.0  # upper limit of the overcount in `count`, inherited from the account that this one replaced
     )
     jobs: int = 0
-    ratio: float = 1.0  # its jobs' running time over their classes'
-    served_us: float = 0.0  # work since the start, for operators
+    ratio: float = 1.0  # mean ratio of the running time of the tenant's jobs to the mean of their class
+    served_us: float = 0.0  # work served since the process started, reported to operators
     rejected: int = 0
 
     @property
     def established(self) -> bool:
-        """Whether it has a queue of its own."""
+        """Whether the tenant uses its own queue instead of a shared one."""
         return self.pinned or self.jobs >= ESTABLISHED_JOBS
 
     def learn(self, ratio: float) -> None:
-        """A job took ``ratio`` times its class's running time."""
+        """Update the tenant's cost ratio with a job that took ``ratio`` times the mean of its class."""
         self.ratio += (min(max(ratio, MIN_RATIO), MAX_RATIO) - self.ratio) * RATIO_STEP
 
 
@@ -47,53 +47,58 @@
 class Accounts:
     """At most ``capacity`` accounts beside the pinned ones; a newly served tenant replaces the lightest.
 
-    A tenant with more than 1/capacity of the served work is always among them, whatever names come.
+    A tenant with more than 1/capacity of the served work always has an account, however many distinct tenant
+    names callers send.
     """
 
     capacity: int
     by_tenant: dict[int, Account] = field(default_factory=dict)
     start_us: int = 0
     pinned: int = 0
-    _heap: list[tuple[float, int]] = field(default_factory=list)  # counts as of when they were pushed
+    _heap: list[tuple[float, int]] = field(default_factory=list)  # (count when pushed, tenant)
 
     def get(self, tenant: int) -> Account | None:
-        """The account of a tenant, if it has one."""
+        """The account of a tenant; None if it has none."""
         return self.by_tenant.get(tenant)
 
     def pin(self, account: Account) -> None:
-        """Keep an account whatever it is served."""
+        """Add an account, or mark an existing one, so that it is never replaced."""
         self.pinned += not account.pinned
         account.pinned = True
         self.by_tenant[account.tenant] = account
 
     def unpin(self, account: Account) -> None:
-        """Let an account be replaced again; it keeps its count."""
+        """Make an account replaceable again; its count is retained."""
         account.pinned = False
         self.pinned -= 1
         account.jobs = max(account.jobs, ESTABLISHED_JOBS)
         heappush(self._heap, (account.count, account.tenant))
 
     def reset(self, start_us: int) -> None:
-        """Start empty, on the scale of another process."""
+        """Remove all accounts, and adopt the time origin of another process's counts."""
         self.by_tenant, self.start_us, self.pinned, self._heap = {}, start_us, 0, []
 
     def restore(self, account: Account) -> None:
-        """Add an account that another process has exported."""
+        """Add an account exported by another process."""
         self.by_tenant[account.tenant] = account
         heappush(self._heap, (account.count, account.tenant))
 
     def scale(self, now: int) -> float:
-        """What a unit of work adds to a count now; counts are only compared with each other."""
+        """The amount that one unit of work adds to a count at ``now``.
+
+        It grows exponentially, which is equivalent to a decay of older work, as counts are only compared with
+        each other.
+        """
         if not self.start_us:
             self.start_us = now
         return exp(min(700.0, (now - self.start_us) / USAGE_DECAY_US))
 
-    def serve(self, now: int, account: Account, work_us: float) -> None:
-        """Count served work."""
+    def record_service(self, now: int, account: Account, work_us: float) -> None:
+        """Add ``work_us`` of served work to an account."""
         scale = self.scale(now)
         if scale > RESCALE_ABOVE:
-            for each in self.by_tenant.values():
-                each.count, each.error = each.count / scale, each.error / scale
+            for other in self.by_tenant.values():
+                other.count, other.error = other.count / scale, other.error / scale
             self.start_us, scale = now, 1.0
             self._rebuild()
         account.count += work_us * scale
@@ -101,13 +106,14 @@
         account.jobs += 1
 
     def admit(self, account: Account) -> Account | None:
-        """Add a new account, in place of the lightest at capacity; returns the removed one, if any.
+        """Add a new account; at capacity it replaces the lightest one, which is returned.
 
-        Returns the new one itself where the lightest is in use, as requests refer to its queue.
+        Returns the new account itself, without adding it, if requests or promises still refer to the queue of
+        the lightest. Returns None if nothing had to be replaced.
         """
         if len(self.by_tenant) - self.pinned >= self.capacity:
             lightest = self._lightest()
-            if lightest is None or lightest.queue.busy:
+            if lightest is None or lightest.queue.in_use:
                 return account
             del self.by_tenant[lightest.tenant]
             account.count = account.error = lightest.count
@@ -119,7 +125,7 @@
         return None
 
     def heaviest(self, count: int) -> list[Account]:
-        """The accounts that were recently served most."""
+        """The ``count`` accounts with the most recently served work, heaviest first."""
         return sorted(self.by_tenant.values(), key=lambda a: -(a.count - a.error))[:count]
 
     def _rebuild(self) -> None:
@@ -127,7 +133,7 @@
         heapify(self._heap)
 
     def _lightest(self) -> Account | None:
-        """The account with the least count; stale entries of the heap are updated on the way."""
+        """The unpinned account with the lowest count; None if there is none. Updates stale heap entries."""
         while self._heap:
             count, tenant = self._heap[0]
             account = self.by_tenant.get(tenant)
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -1,8 +1,9 @@
-"""Admission control: which requests are admitted, queued or rejected, and when callers should come back.
+"""Admission control: decides which requests are admitted, queued or rejected, and when callers may retry.
 
-Events with a time go in, actions come out, without I/O. The caller hands in events under the numbers that it
-gave the requests, carries the actions out at once and in order, and calls ``tick`` at ``next_us``. Times are
-whole microseconds of a clock that only advances; one that steps back is taken to stand still.
+The module does no I/O: each event method takes the current time and returns a list of actions. The caller
+assigns a number to each request, performs the actions immediately and in order, and calls ``tick`` at
+``next_us``. Times are whole microseconds. The clock is expected to be monotonic: a time earlier than the
+latest one seen is replaced by the latest one.
 """
 
 import random
@@ -29,19 +30,23 @@
 from robinhill.admission.window import Windows
 from robinhill.api import Settings
 
-RETURNING_PATIENCE_FACTOR = 1.25  # a caller that came back in time is queued up to such an estimated wait
-COST_CORRECTION_INTERVAL_US = 250_000  # how often jobs that run longer than estimated are charged
+# A caller that retries at its promised time is queued if its estimated wait is at most this multiple of its
+# patience.
+RETURNING_PATIENCE_FACTOR = 1.25
+COST_CORRECTION_INTERVAL_US = 250_000  # interval of charging jobs that run longer than estimated
 LONGEST_QUEUE_CACHE_US = 50_000
-OVERDUE_RUNTIME_FACTOR = 3.0  # of the class's running time
+# A job is overdue if it was admitted longer ago than OVERDUE_US plus this multiple of its class's mean
+# running time.
+OVERDUE_RUNTIME_FACTOR = 3.0
 OVERDUE_US = 500_000
 
 
-def _always(_job_class: int) -> bool:
+def _allow_any_class(_job_class: int) -> bool:
     return True
 
 
 class Admission:
-    """All of admission's state and decisions; deterministic for a seed and a secret."""
+    """The state and the decisions of admission control; deterministic for a given seed and secret."""
 
     def __init__(self, settings: Settings, options: AdmissionOptions, seed: int, secret: bytes) -> None:
         self.settings = settings
@@ -54,7 +59,7 @@
         self.tickets: dict[int, Ticket] = {}
         self.rejected: Counter[RejectionReason] = Counter()
         self.admitted = 0
-        self.suspended = False  # nothing queued is admitted: it is about to go to another process
+        self.suspended = False  # queued requests are not admitted, as another process is about to adopt them
         self.accounts = Accounts(options.accounts)
         self.round_robin = DeficitRoundRobin(self._class_order(), options.newcomers)
         self.options = AdmissionOptions()
@@ -63,15 +68,16 @@
         self._estimate = WaitEstimate(
             settings, self.costs, self.throughput, self.round_robin, random.Random(seed)
         )
-        self._first_attempt_time_us = [0] * len(settings.classes)  # the longest time left seen, by class
-        self._queue_deadlines: list[tuple[int, int]] = []  # a heap of times and ticket numbers
+        # By class, the longest time to the deadline seen so far, taken as that of a client's first attempt.
+        self._first_attempt_time_us = [0] * len(settings.classes)
+        self._queue_deadlines: list[tuple[int, int]] = []  # a heap of (deadline, ticket number)
         self._costs_corrected_us = 0
-        self._longest: tuple[int, Queue | None] = (0, None)  # when it was looked up, and the longest queue
+        self._longest: tuple[int, Queue | None] = (0, None)  # (time of the lookup, longest queue)
         self._actions: list[Action] = []
         self.configure(0, options)
 
     def _class_order(self) -> list[int]:
-        """Classes by descending priority weight; of equal ones the one with the shorter objective first."""
+        """Classes by descending priority weight; among equals the shorter latency objective comes first."""
         classes = self.settings.classes
         return sorted(
             range(len(classes)),
@@ -81,24 +87,26 @@
     # Settings
 
     def configure(self, now: int, options: AdmissionOptions) -> list[Action]:
-        """Use other options from now on. Nothing queued is dropped, and limiters keep their levels."""
+        """Replace the options. Queued requests are retained, and rate limiters keep their levels."""
         self._start_event(now)
         self.options = options
         self.directory = Directory(options, self.secret)
         self.accounts.capacity = options.accounts
         self.round_robin.newcomers = options.newcomers
         if len(self.shared_queues) != options.queues:
-            # What is in a queue of before stays there until it is admitted.
-            self.shared_queues = [Queue(f"strangers {i}", is_shared=True) for i in range(options.queues)]
+            # Requests in the previous shared queues stay there until they are admitted or removed.
+            self.shared_queues = [Queue(f"shared {i}", is_shared=True) for i in range(options.queues)]
         self.limits.configure(options)
         self.apply_named_tenants()
         if not options.enabled:
-            while self.round_robin.length and (ticket := self.round_robin.take(self.now, _always, _always)):
+            while self.round_robin.length and (
+                ticket := self.round_robin.dequeue(self.now, _allow_any_class, _allow_any_class)
+            ):
                 self._admit_queued(ticket)
         return self._finish_event()
 
     def apply_named_tenants(self) -> None:
-        """Pin the accounts of tenants that the options name; give all accounts their weight and limits."""
+        """Pin the accounts of tenants named in the options, and update weight and limits of all accounts."""
         named = {self.directory.hash(name): name for name in self.options.tenants}
         for account in list(self.accounts.by_tenant.values()):
             if account.pinned and account.tenant not in named:
@@ -106,7 +114,7 @@
             account.limiter = self._limiter_for(account.name, account.limiter)
             self.round_robin.reweigh(account.queue, self._weight(account.name))
         for tenant, name in named.items():
-            self.accounts.pin(self.accounts.get(tenant) or self.account(tenant, name))
+            self.accounts.pin(self.accounts.get(tenant) or self.new_account(tenant, name))
 
     def _weight(self, name: str) -> float:
         named = self.options.tenants.get(name)
@@ -116,24 +124,24 @@
         limiter = limiter_for(self.options.limits_of(name))
         return limiter.adopt(old) if limiter else None
 
-    def account(self, tenant: int, name: str) -> Account:
-        """A new account with a queue of its own, not yet among the accounts."""
+    def new_account(self, tenant: int, name: str) -> Account:
+        """Create an account with its own queue, without adding it to ``accounts``."""
         queue = Queue(name, self._weight(name))
-        queue.round = self.round_robin.number - 1
+        queue.round = self.round_robin.round_number - 1
         return Account(tenant, name, queue, self._limiter_for(name, None))
 
     # Events
 
     def arrive(self, now: int, request: AdmissionRequest) -> list[Action]:
-        """A request has arrived: admit, queue or reject it."""
+        """Admit, queue or reject a request that has arrived."""
         self._start_event(now)
         account = self.accounts.get(request.caller.tenant)
-        ticket = self._ticket(request, account)
+        ticket = self._make_ticket(request, account)
         rejection = self._limit_rejection(request, ticket, account)
         admits_now = rejection is None and self._is_admitted_at_once(ticket)
-        promise = self.promises.of(request.caller.fingerprint)
+        promise = self.promises.oldest(request.caller.fingerprint)
         if admits_now and promise:
-            self.promises.keep(promise)
+            self.promises.close(promise)
         elif rejection is None and not admits_now:
             rejection = self._queue_rejection(request, ticket, promise)
         if rejection:
@@ -144,14 +152,14 @@
             ticket.queue.served_us += ticket.cost_us
             self._admit(ticket)
         else:
-            self._queue(ticket)
+            self._enqueue(ticket)
         return self._finish_event()
 
     def resume(self, now: int, request: AdmissionRequest, placed: bool) -> None:
-        """Go on with a request that another process had admitted. ``placed``: it has had an attempt."""
+        """Track a request that another process admitted. ``placed``: its first attempt has been sent."""
         self._start_event(now)
         account = self.accounts.get(request.caller.tenant)
-        ticket = self._ticket(request, account)
+        ticket = self._make_ticket(request, account)
         ticket.admitted_us, ticket.in_window = self.now, True
         self._open_ticket(ticket, account)
         self.windows.enter(request.job_class)
@@ -161,48 +169,51 @@
             self._start_execution(ticket)
 
     def placed(self, now: int, number: int) -> list[Action]:
-        """The first attempt of an admitted request was sent."""
+        """Record that the first attempt of an admitted request was sent."""
         self._start_event(now)
         ticket = self.tickets.get(number)
         if ticket and ticket.admitted_us and not ticket.first_attempt_us:
             ticket.first_attempt_us = self.now
             self.windows.placed(ticket.job_class)
-            more = self.round_robin.length > 0
-            self.windows.of(ticket.job_class).placed(self.now, self.now - ticket.admitted_us, more)
+            others_queued = self.round_robin.length > 0
+            self.windows.of(ticket.job_class).placed(self.now, self.now - ticket.admitted_us, others_queued)
             if not self.settings.reports_start:
                 self._start_execution(ticket)
         return self._finish_event()
 
     def execution_started(self, now: int, number: int) -> list[Action]:
-        """A worker has started to run it."""
+        """Record that a worker has started to run an admitted request."""
         self._start_event(now)
         ticket = self.tickets.get(number)
         if ticket and ticket.first_attempt_us and not ticket.started_us:
             self._start_execution(ticket)
-            delay, more = self.now - ticket.first_attempt_us, self.round_robin.length > 0
+            delay, others_queued = self.now - ticket.first_attempt_us, self.round_robin.length > 0
             cost = self.costs.by_class[ticket.job_class]
-            self.windows.of(ticket.job_class).execution_started(self.now, delay, cost, more)
+            self.windows.of(ticket.job_class).execution_started(self.now, delay, cost, others_queued)
         return self._finish_event()
 
     def ended(self, now: int, number: int, served: bool) -> list[Action]:
-        """It has its final answer, or another process has taken it over."""
+        """Remove a request that has its final answer or was taken over by another process.
+
+        ``served``: it ended with a result, from which its cost is learned.
+        """
         self._start_event(now)
         if ticket := self.tickets.get(number):
             self._close_ticket(ticket, served)
         return self._finish_event()
 
     def client_disconnected(self, now: int, number: int) -> list[Action]:
-        """Its client has gone: drop it from the queue at once."""
+        """Remove a request whose client has disconnected, whether it is queued or admitted."""
         return self.ended(now, number, False)
 
     def suspend(self, now: int, suspended: bool) -> list[Action]:
-        """Admit nothing from the queues, or go on; requests still time out in them."""
+        """Stop or resume admitting queued requests; they still time out while admission is suspended."""
         self._start_event(now)
         self.suspended = suspended
         return self._finish_event()
 
     def tick(self, now: int) -> list[Action]:
-        """Time has passed: reject what is past its deadline, correct the cost of long jobs."""
+        """Reject queued requests whose queue deadline has passed; correct the cost of long-running jobs."""
         self._start_event(now)
         while self._queue_deadlines and self._queue_deadlines[0][0] <= self.now:
             _, number = heappop(self._queue_deadlines)
@@ -214,12 +225,12 @@
         if self.now - self._costs_corrected_us >= COST_CORRECTION_INTERVAL_US:
             self._costs_corrected_us = self.now
             for ticket in self.tickets.values():
-                self._correct(ticket)
+                self._correct_cost(ticket)
         return self._finish_event()
 
     @property
     def next_us(self) -> int | None:
-        """When ``tick`` is to be called; None while nothing is queued."""
+        """Time at which ``tick`` must be called next; None while nothing is queued."""
         while self._queue_deadlines:
             deadline_us, number = self._queue_deadlines[0]
             ticket = self.tickets.get(number)
@@ -231,11 +242,11 @@
 
     @property
     def queued_count(self) -> int:
-        """Requests in the queues."""
+        """Number of queued requests."""
         return self.round_robin.length
 
     def is_queued(self, number: int) -> bool:
-        """Whether this request is in a queue."""
+        """Whether the request is queued; False if it is admitted or unknown."""
         ticket = self.tickets.get(number)
         return ticket is not None and not ticket.admitted_us
 
@@ -246,26 +257,29 @@
         self._actions = []
 
     def _finish_event(self) -> list[Action]:
-        """Admit requests in turn, as far as the windows allow."""
+        """Admit queued requests in round-robin order as far as the windows allow; returns all actions."""
         if self.round_robin.length and not self.suspended:
             self.round_robin.quantum_us = max(self.costs.by_class)
-            while ticket := self.round_robin.take(self.now, self.windows.open, self.windows.has_capacity):
+            while ticket := self.round_robin.dequeue(self.now, self.windows.open, self.windows.has_capacity):
                 self.promises.record_progress(self.now, ticket.queue.class_queues[ticket.job_class])
                 self._admit_queued(ticket)
         return self._actions
 
     # Tickets
 
-    def _ticket(self, request: AdmissionRequest, account: Account | None) -> Ticket:
+    def _make_ticket(self, request: AdmissionRequest, account: Account | None) -> Ticket:
         caller, job_class = request.caller, self.settings.classes[request.job_class]
         is_learned = self.costs.known[request.job_class]
         mean = self.costs.by_class[request.job_class]
         cost = mean * (account.ratio if account else 1.0)
         time_left = request.time_left_us
-        # A client's retry has spent part of its time: how much shows against the first attempt's.
-        full = max(self._first_attempt_time_us[request.job_class], time_left)
-        self._first_attempt_time_us[request.job_class] = full
-        patience = self._estimate.patience_us(job_class, mean if is_learned else 0.0) - (full - time_left)
+        # A client's retry arrives with less time to its deadline than a first attempt of the class has. The
+        # difference has already been spent waiting, and is subtracted from the patience.
+        full_time_us = max(self._first_attempt_time_us[request.job_class], time_left)
+        self._first_attempt_time_us[request.job_class] = full_time_us
+        patience = self._estimate.patience_us(job_class, mean if is_learned else 0.0) - (
+            full_time_us - time_left
+        )
         if job_class.late_priority_weight:
             patience = max(patience, int(time_left - cost))
         has_queue = account and account.established
@@ -283,7 +297,7 @@
         )
 
     def _shared_queue_for(self, tenant: int) -> Queue:
-        """The shortest queue of a tenant's shuffle shard, which its hash determines."""
+        """The queue with the least work ahead in the tenant's shuffle shard, which its hash determines."""
         if self.options.hand <= 1 or not self.shared_queues:
             return self.shared_queues[tenant % len(self.shared_queues)]
         remaining_hash, remaining, shard = tenant, list(range(len(self.shared_queues))), []
@@ -297,7 +311,7 @@
         ticket.queue.users += 1
         self.limits.open(ticket, account)
 
-    def _queue(self, ticket: Ticket) -> None:
+    def _enqueue(self, ticket: Ticket) -> None:
         self.limits.usage[ticket.tenant].queued += 1
         self.round_robin.add(self.now, ticket)
         heappush(self._queue_deadlines, (ticket.queue_deadline_us, ticket.number))
@@ -332,15 +346,18 @@
             self.throughput.running -= 1
         self._charge(ticket, ran_us)
         if served and ran_us:
-            self._learn(ticket, ran_us)
+            self._learn_cost(ticket, ran_us)
 
     def _free_window_slot(self, ticket: Ticket) -> None:
         if ticket.in_window:
             ticket.in_window = False
             self.windows.leave(ticket.job_class)
 
-    def _correct(self, ticket: Ticket) -> None:
-        """Charge a job that runs longer than estimated; free the slot of one that is probably lost."""
+    def _correct_cost(self, ticket: Ticket) -> None:
+        """Charge a job that runs longer than estimated, and free the window slot of an overdue one.
+
+        An overdue job is probably lost with its worker and may never report its end.
+        """
         if ticket.started_us and self.now - ticket.started_us > ticket.cost_us:
             self._charge(ticket, self.now - ticket.started_us)
         overdue_us = OVERDUE_US + OVERDUE_RUNTIME_FACTOR * self.costs.by_class[ticket.job_class]
@@ -348,41 +365,48 @@
             self._free_window_slot(ticket)
 
     def _charge(self, ticket: Ticket, ran_us: int) -> None:
-        """Correct what was charged for a request to what it has taken."""
-        more, ticket.cost_us = ran_us - ticket.cost_us, float(ran_us)
+        """Replace the cost charged for a request so far by its running time."""
+        excess_us, ticket.cost_us = ran_us - ticket.cost_us, float(ran_us)
         if ticket.admitted_us:
-            ticket.queue.deficit_us -= more
-        self.limits.charge(ticket, self.accounts.get(ticket.tenant), more)
+            ticket.queue.deficit_us -= excess_us
+        self.limits.charge(ticket, self.accounts.get(ticket.tenant), excess_us)
+
+    def _learn_cost(self, ticket: Ticket, ran_us: int) -> None:
+        """Update the learned cost of the class and of the tenant from a served job.
 
-    def _learn(self, ticket: Ticket, ran_us: int) -> None:
-        """Learn the cost of its class and tenant from a served job; its tenant gets an account."""
+        A tenant without an account gets one, unless all are in use.
+        """
         account = self.accounts.get(ticket.tenant)
         mean = self.costs.by_class[ticket.job_class]
         if account is None:
-            account = self.account(ticket.tenant, ticket.name)
+            account = self.new_account(ticket.tenant, ticket.name)
             if self.accounts.admit(account) is account:
                 account = None
         elif self.costs.known[ticket.job_class]:
             account.learn(ran_us / mean)
         self.costs.learn(ticket.job_class, ran_us, account.ratio if account else 1.0)
         if account:
-            self.accounts.serve(self.now, account, ran_us)
+            self.accounts.record_service(self.now, account, ran_us)
 
     # Load shedding
 
     def _reject(self, number: int, rejection: Rejection) -> None:
         self.rejected[rejection.reason] += 1
-        retry_us = self._capped(rejection.wait_us)
+        retry_us = self._cap_retry_after(rejection.wait_us)
         self._actions.append(Reject(number, rejection.reason, rejection.tenant_limit, retry_us))
 
-    def _capped(self, wait_us: int) -> int:
-        """As much of a wait as the settings allow in a Retry-After."""
+    def _cap_retry_after(self, wait_us: int) -> int:
+        """A wait limited to the maximum Retry-After of the settings; 0 if they disable Retry-After."""
         if not self.settings.retry_after:
             return 0
         return max(0, min(wait_us, self.settings.max_retry_after_us, self.options.retry_after_cap_ms * 1000))
 
     def _is_admitted_at_once(self, ticket: Ticket) -> bool:
-        """Whether a request passes the queues by: nothing is queued, or it is for the module to reject."""
+        """Whether a request bypasses the queues.
+
+        This is so if nothing is queued and its window has capacity, if admission control is disabled, or if
+        its queue deadline has passed, in which case the decision module rejects it.
+        """
         has_capacity = not self.round_robin.length and self.windows.has_capacity(ticket.job_class)
         return has_capacity or not self.options.enabled or ticket.queue_deadline_us <= self.now
 
@@ -399,7 +423,10 @@
     def _queue_rejection(
         self, request: AdmissionRequest, ticket: Ticket, promise: RetryPromise | None
     ) -> Rejection | None:
-        """Why a request can't be queued; None if it can. It may evict a request of a longer queue."""
+        """The rejection of a request that can't be queued; None if it can be.
+
+        At the limit of queued requests this may evict a request of a longer queue.
+        """
         if not request.already_accepted and (rejection := self._deadline_rejection(ticket, promise)):
             return rejection
         if self.round_robin.length < self.options.queued or self._evict_newest(ticket):
@@ -411,46 +438,53 @@
         return Rejection(RejectionReason.FULL, exceeds_share, wait_us)
 
     def _deadline_rejection(self, ticket: Ticket, promise: RetryPromise | None) -> Rejection | None:
-        """The rejection of a request that can't start in time, with a promise of when to come back."""
+        """The rejection of a request that can't start in time, and a retry promise for its caller.
+
+        Returns None if the request may be queued. A caller that returns before its promised time is rejected.
+        """
         class_queue = ticket.queue.class_queue(ticket.job_class)
         patience = ticket.queue_deadline_us - self.now
         rate = self._estimate.class_rate(self.now, class_queue)
         if promise:
             if not self.promises.is_due(self.now, promise):
                 return Rejection(RejectionReason.EARLY, True, promise.due_us - self.now)
-            self.promises.keep(promise)
+            self.promises.close(promise)
             queue_rate = self._estimate.queue_rate(self.now, ticket.queue)
             if ticket.queue.returning_work_us / queue_rate <= patience * RETURNING_PATIENCE_FACTOR:
                 ticket.returning = True
                 return None
         ahead = class_queue.work_ahead_us
         if ahead / rate <= patience or not self.costs.known[ticket.job_class]:
-            return None  # of a class that never ran, no wait can be estimated
+            return None  # no wait can be estimated for a class of which no job has ended yet
         exceeds_share = self._exceeds_share(ticket.queue)
         if exceeds_share and (account := self.accounts.get(ticket.tenant)):
             account.rejected += 1
         wait_us = self._estimate.retry_after_us(self.now, ticket)
         self.promises.make(self.now, ticket.fingerprint, ticket.tenant, class_queue, ticket.cost_us, wait_us)
-        if self._capped(wait_us) >= wait_us:
+        if self._cap_retry_after(wait_us) >= wait_us:
             target = ahead - rate * patience * TARGET_PATIENCE_SHARE
             self.promises.measure(self.now, class_queue, wait_us, target)
         return Rejection(RejectionReason.DEADLINE, exceeds_share, wait_us)
 
     def _exceeds_share(self, queue: Queue) -> bool:
-        """Whether a queue is long by its own tenant's doing: none is longer, and other tenants are here."""
+        """Whether a tenant's queue is the longest one while other tenants have open requests too."""
         if queue.is_shared or len(self.limits.usage) < 2:
             return False
         return self._longest_queue() is queue
 
     def _longest_queue(self) -> Queue | None:
-        at, queue = self._longest
-        if queue is None or not queue.length or self.now - at > LONGEST_QUEUE_CACHE_US:
+        looked_up_us, queue = self._longest
+        if queue is None or not queue.length or self.now - looked_up_us > LONGEST_QUEUE_CACHE_US:
             queue = self.round_robin.longest() if self.round_robin.length else None
             self._longest = self.now, queue
         return queue
 
     def _evict_newest(self, ticket: Ticket) -> bool:
-        """Reject the newest request of the longest queue, if that is longer than this one's would be."""
+        """Make room for ``ticket`` by rejecting the newest request of the longest queue.
+
+        Returns False, with nothing rejected, if that queue is not longer, for its weight, than the queue of
+        ``ticket`` would be with it.
+        """
         longest = self._longest_queue()
         weight = self.round_robin.weight
         if longest is None or longest is ticket.queue:
--- a/robinhill/admission/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -1,4 +1,4 @@
-"""Rate limits: token buckets, and shared limiters for tenants without an account, in bounded memory."""
+"""Rate limiters: token buckets, and a hashed table of limiters shared by tenants without an account."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket that may be overdrawn, as the work of a job is known only afterwards."""
+    """A token bucket that may be overdrawn, because the work of a job is known only after it has run."""
 
-    rate: float  # a second
+    rate: float  # tokens per second
     burst: float
     tokens: float = 0.0
     at_us: int = 0
@@ -20,55 +20,55 @@
     def __post_init__(self) -> None:
         self.tokens = self.burst
 
-    def fill(self, now: int) -> float:
-        """The tokens at this time."""
+    def refill(self, now: int) -> float:
+        """Refill the bucket up to ``now``; returns the tokens in it, which may be negative."""
         if now > self.at_us:
             self.tokens = min(self.burst, self.tokens + self.rate * (now - self.at_us) / 1e6)
             self.at_us = now
         return self.tokens
 
     def wait_us(self, now: int, need: float) -> int:
-        """Microseconds until so many tokens are there, at most the burst; 0 if they are."""
-        short = min(need, self.burst) - self.fill(now)
-        return max(0, int(short / self.rate * 1e6) + 1) if short > 1e-9 else 0
+        """Microseconds until ``need`` tokens, limited to a full burst, are available; 0 if they are."""
+        missing = min(need, self.burst) - self.refill(now)
+        return max(0, int(missing / self.rate * 1e6) + 1) if missing > 1e-9 else 0
 
-    def take(self, amount: float) -> None:
-        """Take tokens, also such as are not there."""
+    def consume(self, amount: float) -> None:
+        """Remove tokens; the level may become negative."""
         self.tokens -= amount
 
     def adopt(self, other: "TokenBucket") -> None:
-        """Continue at the level of a bucket that this one replaces, so that a reload grants no burst."""
+        """Take over the level of the bucket that this one replaces, so that a reload grants no new burst."""
         self.tokens, self.at_us = min(self.burst, other.tokens), other.at_us
 
 
 @dataclass(slots=True)
 class RateLimiter:
-    """The limits of one tenant or network on requests and on work a second."""
+    """The rate limits of one tenant or network: requests per second, and seconds of work per second."""
 
     requests: TokenBucket | None
-    work: TokenBucket | None  # in seconds
+    work: TokenBucket | None  # a token is one second of a worker's time
 
     def wait_us(self, now: int, cost_us: float) -> tuple[int, str]:
-        """Microseconds until a request of this cost is within both rates, and the limiting one's name."""
-        is_queued = [
+        """Microseconds until both rates allow a request of this cost, and the name of the limiting rate."""
+        waits = [
             (self.requests.wait_us(now, 1.0) if self.requests else 0, "requests"),
             (self.work.wait_us(now, cost_us / 1e6) if self.work else 0, "work"),
         ]
-        return max(is_queued, key=lambda x: x[0])
+        return max(waits, key=lambda x: x[0])
 
-    def take(self, cost_us: float) -> None:
-        """Charge a request."""
+    def consume(self, cost_us: float) -> None:
+        """Charge one request and its estimated work."""
         if self.requests:
-            self.requests.take(1.0)
+            self.requests.consume(1.0)
         self.charge(cost_us)
 
     def charge(self, work_us: float) -> None:
-        """Charge work beyond the estimate; give some back where it is negative."""
+        """Charge work beyond the estimate; a negative amount is refunded."""
         if self.work:
-            self.work.take(work_us / 1e6)
+            self.work.consume(work_us / 1e6)
 
     def adopt(self, other: "RateLimiter | None") -> "RateLimiter":
-        """This limiter at the levels of the one that it replaces."""
+        """Take over the levels of the limiter that this one replaces, if any; returns this limiter."""
         if other:
             for bucket, other_bucket in ((self.requests, other.requests), (self.work, other.work)):
                 if bucket and other_bucket:
@@ -77,7 +77,7 @@
 
 
 def limiter_for(limits: Limits) -> RateLimiter | None:
-    """The limiter for these limits; None if they limit no rate."""
+    """Create the rate limiter for ``limits``; None if they contain no rate."""
     requests = work = None
     if limits.requests_per_s:
         requests = TokenBucket(
@@ -89,10 +89,11 @@
 
 
 class SharedRateLimiters:
-    """Rate limiters by hash for tenants without an account, in bounded memory.
+    """Rate limiters for tenants without an account, in bounded memory.
 
-    A tenant has a limiter in each row, shared with the tenants of the same hash. It is over its limit only
-    where all of them are, so a heavy neighbour in one row does it no harm. They are created on first use.
+    The table has several rows. A tenant's hash selects one limiter in each row, which it shares with other
+    tenants. The tenant is over its limit only if all its limiters are, so a heavy tenant that shares one of
+    them does not affect it. Limiters are created on first use.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -100,7 +101,7 @@
         self.limited = limiter_for(limits) is not None
         self._limiters: dict[int, RateLimiter] = {}
 
-    def _of(self, tenant: int) -> list[RateLimiter]:
+    def _limiters_of(self, tenant: int) -> list[RateLimiter]:
         found = []
         for row in range(ROW_COUNT):
             index = row * LIMITERS_PER_ROW + (tenant >> 16 * row) % LIMITERS_PER_ROW
@@ -112,17 +113,17 @@
         return found
 
     def wait_us(self, now: int, tenant: int, cost_us: float) -> tuple[int, str]:
-        """As `RateLimiter.wait_us`, for a tenant."""
+        """The shortest `RateLimiter.wait_us` of the tenant's limiters; (0, "") if no rate is limited."""
         if not self.limited:
             return 0, ""
-        return min((m.wait_us(now, cost_us) for m in self._of(tenant)), key=lambda x: x[0])
+        return min((m.wait_us(now, cost_us) for m in self._limiters_of(tenant)), key=lambda x: x[0])
 
-    def take(self, tenant: int, cost_us: float) -> None:
-        """Charge a request of a tenant."""
-        for limiter in self._of(tenant) if self.limited else ():
-            limiter.take(cost_us)
+    def consume(self, tenant: int, cost_us: float) -> None:
+        """Charge one request and its estimated work to all limiters of a tenant."""
+        for limiter in self._limiters_of(tenant) if self.limited else ():
+            limiter.consume(cost_us)
 
     def charge(self, tenant: int, work_us: float) -> None:
-        """Charge a tenant work beyond the estimate."""
-        for limiter in self._of(tenant) if self.limited else ():
+        """Charge work beyond the estimate to all limiters of a tenant; a negative amount is refunded."""
+        for limiter in self._limiters_of(tenant) if self.limited else ():
             limiter.charge(work_us)
--- a/robinhill/admission/callers.py
+++ b/robinhill/admission/callers.py
@@ -1,4 +1,4 @@
-"""Identifies callers: the tenant of a request, as a keyed hash that nobody outside can collide with."""
+"""Identifies the tenant of a request by a keyed hash, so that callers can't construct colliding names."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 from robinhill.admission.options import AdmissionOptions
 
 SECRET_BYTES = 16
-MAX_CACHED_ADDRESSES = 4_096  # some 1 MB
-UNKNOWN = "unknown"  # a caller without a readable address
+MAX_CACHED_ADDRESSES = 4_096  # about 1 MB
+UNKNOWN = "unknown"  # tenant of callers without a valid IP address
 
 
 @dataclass(slots=True, frozen=True)
 class Caller:
-    """A request's tenant: ``tenant`` is its keyed hash, ``name`` what operators read.
+    """The sender of a request: ``tenant`` is the keyed hash of its tenant's ``name``.
 
-    ``network`` is the index of the listed network that the caller's address lies in, -1 for none.
-    ``fingerprint`` tells this caller's requests of one kind from others, for retry promises.
+    ``network`` is the index of the configured network that contains the caller's address, -1 for none.
+    ``fingerprint`` is a keyed hash of tenant, address and route key, by which retry promises are found.
     """
 
     tenant: int
@@ -28,30 +28,31 @@
 
 
 class BadNameError(ValueError):
-    """A tenant's name that is empty, too long or not printable."""
+    """The tenant header is empty, too long or not printable."""
 
 
 class Directory:
-    """Finds callers. The longest matching network wins, for IPv4 and IPv6 alike."""
+    """Maps tenant headers and addresses to callers. The longest matching network prefix applies."""
 
     def __init__(self, options: AdmissionOptions, secret: bytes) -> None:
         self.options = options
         self.secret = secret
         self._v4, self._v6 = PyTricia(32), PyTricia(128)
-        self._located: dict[str | None, tuple[int, str]] = {}  # a cache by address
+        self._located: dict[str | None, tuple[int, str]] = {}  # cache of `_locate` by address
         for number, entry in enumerate(options.networks):
             network = ipaddress.ip_network(entry.network)
             (self._v4 if network.version == 4 else self._v6).insert(str(network), number)
 
     def hash(self, text: str) -> int:
-        """64 bits, keyed: without the secret nobody can choose two names that share a queue."""
+        """A keyed 64-bit hash; without the secret nobody can choose two names that share a queue."""
         digest = blake2b(text.encode(errors="surrogateescape"), digest_size=8, key=self.secret).digest()
         return int.from_bytes(digest)
 
     def find(self, header: str | None, address: str | None, key: str = "") -> Caller:
         """The caller of a request with this tenant header, peer address and route key.
 
-        Raises BadNameError for a name that is empty, too long or not printable.
+        Without a tenant header the tenant is that of the configured network, or else the address prefix.
+        Raises BadNameError if the header is empty, too long or not printable.
         """
         if (located := self._located.get(address)) is None:
             if len(self._located) >= MAX_CACHED_ADDRESSES:
@@ -60,7 +61,9 @@
         number, prefix = located
         if header is not None:
             if not (0 < len(header) <= 64 and header.isprintable()):
-                raise BadNameError(f"{self.options.tenant_header} must be 1 to 64 printable characters")
+                raise BadNameError(
+                    f"{self.options.tenant_header} is not a valid name: expected 1 to 64 printable characters"
+                )
             name = header
         elif number >= 0 and (tenant := self.options.networks[number].tenant):
             name = tenant
@@ -69,7 +72,7 @@
         return Caller(self.hash(name), name, number, self.hash(f"{name}\0{address}\0{key}"))
 
     def _locate(self, address: str | None) -> tuple[int, str]:
-        """The listed network of an address (-1: none), and the prefix that stands for its neighbourhood."""
+        """The index of the configured network of an address (-1: none), and the prefix used as its tenant."""
         try:
             ip = ipaddress.ip_address((address or "").partition("%")[0])
         except ValueError:
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -1,44 +1,47 @@
-"""Learned cost of requests, and how much work the fleet does at a time for this scheduler."""
+"""Learned cost of requests by class, and the rate at which workers run jobs of this scheduler."""
 
 from dataclasses import dataclass, field
 from math import exp
 
-UNKNOWN_COST_US = 1_000_000.0  # of a class before any job of it has ended
+UNKNOWN_COST_US = 1_000_000.0  # assumed cost of a class before any of its jobs has ended
 COST_STEP = 1 / 16
 SMOOTHING_US = 1_000_000
 MIN_TENANT_RATIO = 0.02
-MAX_SAMPLE_FACTOR = 4  # of the mean, for one job
+MAX_SAMPLE_FACTOR = 4  # a single job counts as at most this multiple of the mean
 
 
 @dataclass(slots=True)
 class Costs:
-    """The learned running time of each class in microseconds, which is the unit of work."""
+    """The learned mean running time of each class. Work is measured in microseconds of running time."""
 
     by_class: list[float] = field(default_factory=list)
     known: list[bool] = field(default_factory=list)
 
     @classmethod
     def of(cls, classes: int) -> "Costs":
-        """Nothing learned yet for so many classes."""
+        """The initial costs for a number of classes, with none of them known."""
         return cls([UNKNOWN_COST_US] * classes, [False] * classes)
 
     def learn(self, job_class: int, ran_us: float, tenant_ratio: float) -> None:
-        """A job has ended; ``tenant_ratio``: running time of its tenant's jobs over that of their classes."""
+        """Update the mean of a class with a job that has ended.
+
+        ``tenant_ratio`` is the mean ratio of the running time of the tenant's jobs to that of their classes.
+        """
         if not self.known[job_class]:
             self.by_class[job_class], self.known[job_class] = max(1.0, ran_us), True
             return
         mean = self.by_class[job_class]
-        # Normalised by tenant, so that one tenant's long jobs don't raise the cost of others.
+        # Normalised by tenant, so that one tenant's long jobs don't raise the estimate for other tenants.
         sample = min(ran_us / max(tenant_ratio, MIN_TENANT_RATIO), MAX_SAMPLE_FACTOR * mean)
         self.by_class[job_class] = max(1.0, mean + (sample - mean) * COST_STEP)
 
 
 @dataclass(slots=True)
 class Throughput:
-    """Own jobs that run at a time, smoothed while requests are queued.
+    """The number of this scheduler's jobs that run concurrently, smoothed while requests are queued.
 
-    Since work is running time, this is the work done in a unit of time. It follows a changing fleet as fast
-    as jobs start, where a rate of completions lags by the length of a job.
+    As work is measured in running time, this number is the work done per unit of time. It follows changes of
+    the fleet as soon as jobs start, whereas a completion rate would lag by the length of a job.
     """
 
     running: int = 0
@@ -46,20 +49,21 @@
     at_us: int = 0
 
     def advance(self, now: int, waiting: bool) -> None:
-        """Account for the time since the last call. ``waiting``: requests are queued."""
-        passed = now - self.at_us
+        """Update the average for the time since the last call. ``waiting``: requests are queued."""
+        elapsed_us = now - self.at_us
         self.at_us = max(now, self.at_us)
-        if passed <= 0:
+        if elapsed_us <= 0:
             return
         if not waiting:
-            # With free capacity the number of running jobs shows the demand and not the capacity.
+            # While nothing is queued, the number of running jobs shows the demand and not the capacity, so it
+            # may raise the average but not lower it.
             self.smoothed_running = max(self.smoothed_running, float(self.running))
         else:
             self.smoothed_running += (self.running - self.smoothed_running) * (
-                1 - exp(-passed / SMOOTHING_US)
+                1 - exp(-elapsed_us / SMOOTHING_US)
             )
 
     @property
     def rate(self) -> float:
-        """Work in a unit of time; one job at least."""
+        """Work done per unit of time; at least 1, the rate of one running job."""
         return max(1.0, self.smoothed_running)
--- a/robinhill/admission/exported_state.py
+++ b/robinhill/admission/exported_state.py
@@ -1,7 +1,8 @@
-"""Admission's state as JSON values, for a successor process that may run another version.
+"""Export and import of admission control's state as JSON values, for a hand-over to a successor process.
 
-Queued requests are handed over one by one; this is what was learned of tenants and classes, the levels of
-rate limiters, and open retry promises. All versions use the same keys: a renamed attribute keeps its key.
+The state consists of what was learned about tenants and classes, the levels of rate limiters, and open retry
+promises; queued requests are handed over one by one and are not part of it. The successor may run another
+version, so the keys never change: a renamed attribute keeps its key.
 """
 
 from typing import Any
@@ -23,14 +24,14 @@
     return {name: [bucket.tokens, bucket.at_us] for name, bucket in both.items() if bucket}
 
 
-def _import_levels(limiter: RateLimiter | None, learned_values: Json) -> None:
-    for name, (tokens, at_us) in learned_values.items():
+def _import_levels(limiter: RateLimiter | None, levels: Json) -> None:
+    for name, (tokens, at_us) in levels.items():
         if limiter and (bucket := getattr(limiter, name)):
             bucket.tokens, bucket.at_us = min(bucket.burst, tokens), at_us
 
 
 def export_caller(caller: Caller) -> Json:
-    """A request's caller, which goes to the successor with the request."""
+    """The caller of a request as JSON values, which are sent to the successor with the request."""
     return {
         "tenant": caller.tenant,
         "name": caller.name,
@@ -40,12 +41,12 @@
 
 
 def import_caller(values: Json) -> Caller:
-    """The caller that another process has exported."""
+    """The caller from values that another process has exported."""
     return Caller(values["tenant"], values["name"], values["network"], values["mark"])
 
 
 def export_state(admission: Admission) -> Json:
-    """All of it, with the secret, so that both processes know tenants by the same hashes."""
+    """The state as JSON values, with the secret, so that both processes compute the same tenant hashes."""
     return {
         "secret": admission.secret.hex(),
         "costs": admission.costs.by_class,
@@ -80,7 +81,7 @@
 
 
 def import_state(admission: Admission, now: int, values: Json) -> None:
-    """Go on from another process's state; to be called before the first request. ``now``: microseconds."""
+    """Adopt another process's state; must be called before the first request. ``now``: microseconds."""
     admission.secret = bytes.fromhex(values["secret"])
     admission.directory = Directory(admission.options, admission.secret)
     if len(values["costs"]) == len(admission.costs.by_class):
@@ -93,7 +94,7 @@
     admission.throughput.smoothed_running = values["running"]
     admission.accounts.reset(values["start_us"])
     for each in values["accounts"]:
-        account: Account = admission.account(each["tenant"], each["name"])
+        account: Account = admission.new_account(each["tenant"], each["name"])
         for name in ("count", "error", "jobs", "ratio", "served_us"):
             setattr(account, name, each[name])
         account.queue.deficit_us, account.queue.settled_us = min(0.0, each["deficit_us"]), now
@@ -105,7 +106,7 @@
     for name, levels in values["networks"].items():
         _import_levels(admission.limits.network_limiters.get(name), levels)
     for each in values["promises"]:
-        queue = _queue(admission, each)
+        queue = _queue_of_promise(admission, each)
         if queue:
             admission.promises.make(
                 each["told_us"], each["mark"], each["tenant"], queue.class_queue(each["class"]),
@@ -113,7 +114,7 @@
             )  # fmt: skip
 
 
-def _queue(admission: Admission, values: Json) -> Queue | None:
+def _queue_of_promise(admission: Admission, values: Json) -> Queue | None:
     if 0 <= values["strangers"] < len(admission.shared_queues):
         return admission.shared_queues[values["strangers"]]
     account = admission.accounts.get(values["tenant"])
--- a/robinhill/admission/messages.py
+++ b/robinhill/admission/messages.py
@@ -1,4 +1,4 @@
-"""What goes into admission control and what comes out of it: requests, admissions and rejections."""
+"""The input and output types of admission control: requests, admissions and rejections."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,24 +7,24 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is rejected; the value is in log lines and metrics."""
+    """Why a request is rejected; the value appears in log lines and in the figures for operators."""
 
-    OPEN = "open"  # its tenant or network has as many requests in flight as it may
-    QUEUED = "queued"  # its tenant has as many queued as it may
-    REQUEST_RATE = "requests"
-    WORK_RATE = "work"
-    EARLY = "early"  # it came back before the time of its Retry-After
-    DEADLINE = "time"  # its queue is too long for it to start in time
-    FULL = "full"  # the queues are full, its own among the longest
-    EVICTED = "pushed_out"  # for a request of a shorter queue
-    LATE = "late"  # it was queued for as long as it can wait
+    OPEN = "open"  # the tenant or network is at its limit of open requests
+    QUEUED = "queued"  # the tenant is at its limit of queued requests
+    REQUEST_RATE = "requests"  # the tenant or network is at its limit of requests per second
+    WORK_RATE = "work"  # the tenant or network is at its limit of work per second
+    EARLY = "early"  # the caller retried before the time of its Retry-After
+    DEADLINE = "time"  # the queue is too long for the request to start in time
+    FULL = "full"  # the limit of queued requests is reached, and no other queue is long enough to evict from
+    EVICTED = "pushed_out"  # the request was removed from the longest queue in favour of a shorter one
+    LATE = "late"  # the request reached its queue deadline
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionRequest:
-    """A request has arrived. ``already_accepted``: by another process, so that no limit rejects it.
+    """An arrived request. ``time_left_us`` is the time from its arrival to its deadline.
 
-    ``time_left_us`` counts from its arrival.
+    ``already_accepted``: another process has accepted it and handed it over, so that no limit rejects it.
     """
 
     number: int
@@ -37,15 +37,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Admit:
-    """Pass the request on to the decision module."""
+    """Action: pass the request on to the decision module."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """Why and for how long a request is sent away. ``tenant_limit``: for what its own tenant does (429),
-    else for the load of all (503).
+    """The reason of a rejection and the time until a retry may succeed.
+
+    ``tenant_limit``: the tenant itself exceeds a limit or its share (status 429); otherwise the scheduler is
+    overloaded (status 503).
     """
 
     reason: RejectionReason
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: the request never ran. ``retry_us``: its Retry-After, 0 for none."""
+    """Action: answer a request that has never run. ``retry_us``: its Retry-After, 0 for none."""
 
     number: int
     reason: RejectionReason
--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -1,4 +1,4 @@
-"""Admission's part of the operators' file, as checked structs. Times are in the units that the keys name."""
+"""The admission section of the operators' file as validated structs. The keys contain the units of times."""
 
 import ipaddress
 from typing import Annotated
@@ -12,10 +12,10 @@
 
 
 class Limits(Struct, frozen=True, forbid_unknown_fields=True):
-    """What one tenant or network may use; what is left out is not limited.
+    """The limits of one tenant or network; an omitted key means no limit.
 
-    Rates are a second, work is in seconds of a worker's time; a burst is what may be used at once after a
-    rest, by default one second's worth.
+    Work is measured in seconds of a worker's time. A burst is the amount that may be used at once after an
+    idle period; it defaults to the amount of one second at the rate.
     """
 
     requests_per_s: Positive | None = None
@@ -26,23 +26,23 @@
     queued: Count | None = None
 
     def over(self, default: "Limits") -> "Limits":
-        """These, and the default's where these say nothing."""
+        """These limits, completed by those of ``default`` where a key is omitted."""
         values = {}
         for name in self.__struct_fields__:
-            tenant_limit = getattr(self, name)
-            values[name] = getattr(default, name) if tenant_limit is None else tenant_limit
+            own_limit = getattr(self, name)
+            values[name] = getattr(default, name) if own_limit is None else own_limit
         return Limits(**values)
 
 
 class Tenant(Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant that staff know by name: always has a queue of its own."""
+    """A tenant named in the operators' file, which always has a queue of its own."""
 
     weight: Annotated[float, Meta(ge=0.01, le=100)] = 1.0
     limits: Limits = Limits()
 
 
 class Network(Struct, frozen=True, forbid_unknown_fields=True):
-    """A network of callers: the tenant of those that name none, and limits on all that come from it."""
+    """A network: the tenant of its callers that send no tenant header, and limits on all its callers."""
 
     network: str
     tenant: Name | None = None
@@ -56,12 +56,12 @@
 
 
 class AdmissionOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """All of admission's settings; each has a default. Without ``enabled`` requests pass straight through."""
+    """All settings of admission control, with defaults. Without ``enabled`` nothing is queued or rejected."""
 
     enabled: bool = False
     tenant_header: Annotated[str, Meta(pattern=HEADER_FORM)] = "X-Tenant-Id"
     networks: tuple[Network, ...] = ()
-    # Callers that neither name a tenant nor come from a listed network are distinguished by such a prefix.
+    # Callers without a tenant header and outside all networks are grouped into tenants by address prefix.
     prefix_v4: Annotated[int, Meta(ge=8, le=32)] = 24
     prefix_v6: Annotated[int, Meta(ge=16, le=128)] = 48
     tenants: dict[Name, Tenant] = {}
@@ -70,21 +70,21 @@
     queues: Annotated[int, Meta(ge=1, le=4_096)] = 64
     hand: Annotated[int, Meta(ge=1, le=16)] = 4
     accounts: Annotated[int, Meta(ge=8, le=65_536)] = 512
-    # The share of the fleet that tenants never served before get together while known ones wait.
+    # The share of the fleet that all tenants in shared queues get together while other tenants are queued.
     newcomers: Annotated[float, Meta(gt=0, lt=1)] = 0.25
     retry_after_cap_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 60_000
 
     def __post_init__(self) -> None:
         if self.hand > self.queues:
-            raise ValueError("hand: must be at most queues")
+            raise ValueError("hand: exceeds the number of queues; expected at most the value of queues")
         seen = set()
         for entry in self.networks:
             network = ipaddress.ip_network(entry.network)
             if network in seen:
-                raise ValueError(f"networks: {network} stands twice")
+                raise ValueError(f"networks: {network} is listed more than once")
             seen.add(network)
 
     def limits_of(self, tenant: str) -> Limits:
-        """A tenant's limits: its own, and the default for all where it has none."""
+        """The limits of a tenant: those configured for it, completed by the default limits."""
         named = self.tenants.get(tenant)
         return named.limits.over(self.limits) if named else self.limits
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -1,9 +1,9 @@
-"""The queued requests and whose turn it is: deficit round robin by work, classes by priority weight.
+"""Fair queueing of requests: deficit round robin by work across queues, priority weight across classes.
 
 After Shreedhar and Varghese, "Efficient fair queueing using deficit round robin" (1996). In each round
-a queue may have a quantum of work admitted, in proportion to its weight. Of the queues with quantum left,
-those with a request of the highest priority weight go first, in turns; a queue that has used up its quantum
-waits for the next round.
+each queue gets a quantum of work in proportion to its weight. Among the queues with quantum left, those with
+a request of the highest priority weight are served first, in turns. A queue that has used up its quantum is
+not served before the next round.
 """
 
 from collections import OrderedDict
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, field
 from math import ceil, exp
 
-DEBT_DECAY_US = 10_000_000  # after which a debt counts 1/e
+DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's debt
 RATE_SMOOTHING_US = 3_000_000
-RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's own rate counts as much as its quota
+RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its quota
 MAX_SAVED_QUANTA = 4.0
-MIN_CLASS_RATE_SHARE = 0.05  # of its queue's rate, for a class behind others of more priority weight
+MIN_CLASS_RATE_SHARE = 0.05  # least share of a queue's rate assumed for a class with less priority weight
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """A request that is queued or admitted, until its answer."""
+    """A request in admission control, from its arrival until its final answer."""
 
     number: int
     job_class: int
@@ -29,81 +29,84 @@
     network: int
     fingerprint: int
     queue: "Queue"
-    cost_us: float  # the estimate, corrected to what it has taken so far
+    cost_us: float  # the charged work: an estimate, replaced by the running time once that exceeds it
     arrived_us: int
-    queue_deadline_us: int  # it is queued no longer than this
-    admitted_us: int = 0  # 0: it is queued
-    first_attempt_us: int = 0  # 0: it has had no attempt
-    started_us: int = 0  # 0: not that is known
-    returning: bool = False  # its client came back at the time of its Retry-After
-    in_window: bool = False  # it takes one of the window's slots
+    queue_deadline_us: int  # the request is rejected if it is still queued at this time
+    admitted_us: int = 0  # 0: still queued
+    first_attempt_us: int = 0  # 0: no attempt sent yet
+    started_us: int = 0  # 0: no start of execution reported
+    returning: bool = False  # the client retried at the time of its Retry-After
+    in_window: bool = False  # the request occupies a slot of its window
 
 
 @dataclass(slots=True, eq=False)
 class ClassQueue:
-    """The requests of one class in a queue. Classes of more priority weight go first, so rates differ."""
+    """The requests of one class in a queue.
+
+    Rates are kept by class, as classes of more priority weight are admitted first.
+    """
 
     queue: "Queue"
     job_class: int
     tickets: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)
-    work_us: float = 0.0  # of the queued requests
-    promised_us: float = 0.0  # work of clients that are to come back
-    return_share: float = 1.0  # the part of them that does come back
-    admitted_work_us: float = 0.0  # decayed
-    removed_work_us: float = 0.0  # admitted or dropped since the start
+    work_us: float = 0.0  # estimated work of the queued requests
+    promised_us: float = 0.0  # estimated work of clients with an open retry promise
+    return_share: float = 1.0  # average share of promises whose clients return
+    admitted_work_us: float = 0.0  # admitted work, decayed exponentially
+    removed_work_us: float = 0.0  # work admitted or dropped since the process started
 
     @property
     def work_ahead_us(self) -> float:
-        """Work ahead of a request that arrives now: what is queued, and what will come back before it."""
+        """Work ahead of a request that arrives now: queued requests, and clients expected to return."""
         return self.work_us + self.promised_us * self.return_share
 
 
 @dataclass(slots=True, eq=False)
 class Queue:
-    """A queue of one tenant, or a shared one of tenants without an account, by class."""
+    """A queue of one tenant, or one shared by tenants without a queue of their own, divided by class."""
 
     label: str
     weight: float = 1.0
     is_shared: bool = False
     class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
-    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # clients that came back in time
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # retries at the promised time
     returning_work_us: float = 0.0
     length: int = 0
-    work_us: float = 0.0  # of the queued requests
-    deficit_us: float = 0.0  # work that it may still have admitted in this round; below 0: a debt
-    round: int = 0  # when the deficit was last updated
-    settled_us: int = 0
-    users: int = 0  # requests queued here, or admitted from here and without an answer
-    promises: int = 0  # open ones
-    served_us: float = 0.0  # work admitted since the start
-
-    admitted_work_us: float = 0.0  # admitted while requests were queued, decayed
-    waited_us: float = 0.0  # the time of that, decayed alike
-    at_us: int = 0
+    work_us: float = 0.0  # estimated work of the queued requests
+    deficit_us: float = 0.0  # work that may still be admitted in this round; negative: a debt
+    round: int = 0  # round in which the deficit was last updated
+    settled_us: int = 0  # time since which a debt decays: when the queue last became empty
+    users: int = 0  # requests queued here, or admitted from here and not yet answered
+    promises: int = 0  # open retry promises
+    served_us: float = 0.0  # work admitted since the process started
+
+    admitted_work_us: float = 0.0  # admitted work, decayed exponentially
+    waited_us: float = 0.0  # time during which requests were queued, decayed in the same way
+    at_us: int = 0  # time of the last decay
 
     @property
-    def busy(self) -> bool:
+    def in_use(self) -> bool:
         """Whether requests or promises refer to this queue."""
         return self.users > 0 or self.promises > 0
 
     def advance(self, now: int) -> None:
-        """Decay the rates, and count time if requests are queued."""
-        passed = now - self.at_us
+        """Decay admitted work and queueing time; the latter grows by the elapsed time if requests are queued."""
+        elapsed_us = now - self.at_us
         self.at_us = now
-        if passed <= 0:
+        if elapsed_us <= 0:
             return
-        decay = exp(-passed / RATE_SMOOTHING_US)
+        decay = exp(-elapsed_us / RATE_SMOOTHING_US)
         self.admitted_work_us *= decay
-        self.waited_us = self.waited_us * decay + passed * bool(self.length)
+        self.waited_us = self.waited_us * decay + elapsed_us * bool(self.length)
         for class_queue in self.class_queues.values():
             class_queue.admitted_work_us *= decay
 
     def rate(self, prior: float) -> float:
-        """Work admitted from here in a unit of queueing time; close to the prior while that time is short."""
+        """Work admitted per unit of queueing time, close to ``prior`` while the measured time is short."""
         return (self.admitted_work_us + prior * RATE_PRIOR_US) / (self.waited_us + RATE_PRIOR_US)
 
-    def part(self, job_class: int) -> float:
-        """This class's part of the work admitted from here: all, where no other class has work ahead."""
+    def class_share(self, job_class: int) -> float:
+        """The share of a class in the admitted work; 1 if no other class has work ahead."""
         others = sum(
             class_queue.admitted_work_us
             for class_queue in self.class_queues.values()
@@ -111,48 +114,48 @@
         )
         if not others:
             return 1.0
-        tenant_limit = self.class_queue(job_class).admitted_work_us
-        return max(MIN_CLASS_RATE_SHARE, tenant_limit / (tenant_limit + others))
+        own = self.class_queue(job_class).admitted_work_us
+        return max(MIN_CLASS_RATE_SHARE, own / (own + others))
 
     def class_queue(self, job_class: int) -> ClassQueue:
-        """The requests of one class."""
+        """The requests of one class; creates an empty class queue on first use."""
         if (class_queue := self.class_queues.get(job_class)) is None:
             class_queue = self.class_queues[job_class] = ClassQueue(self, job_class)
         return class_queue
 
     def is_queued(self, job_class: int) -> bool:
-        """Whether a request of this class is queued here."""
+        """Whether a request of the class is in this queue."""
         class_queue = self.class_queues.get(job_class)
         return class_queue is not None and len(class_queue.tickets) > 0
 
     @property
     def work_ahead_us(self) -> float:
-        """Work ahead of a request that arrives now, of all classes."""
+        """Work ahead of a request that arrives now, summed over all classes."""
         return sum(class_queue.work_ahead_us for class_queue in self.class_queues.values())
 
 
 @dataclass(slots=True, eq=False)
 class DeficitRoundRobin:
-    """All queues that are not empty, and the order in which their requests are admitted."""
+    """The scheduler of all non-empty queues: determines the order in which their requests are admitted."""
 
-    order: Sequence[int]  # classes by descending priority weight
-    newcomers: float  # the quota of all shared queues together, while others are not empty
+    class_order: Sequence[int]  # classes by descending priority weight
+    newcomers: float  # quota of all shared queues together while queues of tenants are not empty
     quantum_us: float = 1.0
-    number: int = 1
-    length: int = 0
+    round_number: int = 1  # number of the current round
+    length: int = 0  # number of queued requests
     active: OrderedDict[Queue, None] = field(default_factory=OrderedDict)
     _ready: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
     _spent: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
     _shared_count: int = 0  # active shared queues
-    _tenant_weight: float = 0.0  # weight of the active queues of tenants
+    _tenant_weight: float = 0.0  # total weight of the active queues that belong to a tenant
 
     def __post_init__(self) -> None:
-        for job_class in self.order:
+        for job_class in self.class_order:
             self._ready[job_class] = OrderedDict()
             self._spent[job_class] = OrderedDict()
 
     def weight(self, queue: Queue) -> float:
-        """Quanta that a queue gets in a round. Shared queues divide theirs."""
+        """Quanta that a queue gets in a round. Active shared queues divide the newcomers' quota equally."""
         if not queue.is_shared:
             return queue.weight
         if not self._tenant_weight:
@@ -160,7 +163,10 @@
         return self._tenant_weight * self.newcomers / (1 - self.newcomers) / max(1, self._shared_count)
 
     def share(self, queue: Queue) -> float:
-        """This queue's quota of the admitted work, as long as no other queue runs empty."""
+        """The share of all admitted work that a queue gets as long as no active queue becomes empty.
+
+        An inactive queue is treated as if it were active.
+        """
         tenant_weight, shared_count = self._tenant_weight, self._shared_count
         if queue not in self.active:
             tenant_weight += queue.weight * (not queue.is_shared)
@@ -188,7 +194,7 @@
             self._ready[ticket.job_class].setdefault(queue)
 
     def remove(self, now: int, ticket: Ticket) -> None:
-        """Remove a request: it is admitted, timed out or abandoned by its client."""
+        """Remove a request that is admitted, timed out, evicted or abandoned by its client."""
         queue = ticket.queue
         class_queue = queue.class_queues[ticket.job_class]
         queue.advance(now)
@@ -205,22 +211,22 @@
             self._ready[ticket.job_class].pop(queue, None)
             self._spent[ticket.job_class].pop(queue, None)
         if not queue.length:
-            queue.work_us, queue.round, queue.settled_us = 0.0, self.number, now
+            queue.work_us, queue.round, queue.settled_us = 0.0, self.round_number, now
             del self.active[queue]
-            self._count(queue, -1)
+            self._count_active(queue, -1)
 
-    def take(
+    def dequeue(
         self, now: int, is_open: Callable[[int], bool], has_capacity: Callable[[int], bool]
     ) -> Ticket | None:
-        """The request whose turn it is, removed and charged to its queue; None if none may be admitted.
+        """Remove the next request in order and charge it to its queue; None if none may be admitted.
 
-        ``is_open`` tells whether a class may be admitted in this round, ``has_capacity`` whether another
-        round may start for it.
+        ``is_open`` returns whether requests of a class may be admitted in the current round, ``has_capacity``
+        whether a new round may start for a class.
         """
         while True:
-            for job_class in self.order:
-                if self._ready[job_class] and is_open(job_class) and (queue := self._next(job_class)):
-                    ticket = self._head(queue, job_class, is_open)
+            for job_class in self.class_order:
+                if self._ready[job_class] and is_open(job_class) and (queue := self._next_queue(job_class)):
+                    ticket = self._next_ticket(queue, job_class, is_open)
                     queue.deficit_us -= ticket.cost_us
                     queue.admitted_work_us += ticket.cost_us
                     queue.class_queues[ticket.job_class].admitted_work_us += ticket.cost_us
@@ -228,26 +234,31 @@
                     self._ready[job_class].move_to_end(queue)
                     self.remove(now, ticket)
                     return ticket
-            waiting = [q for c in self.order if self._spent[c] and has_capacity(c) for q in self._spent[c]]
+            waiting = [
+                q for c in self.class_order if self._spent[c] and has_capacity(c) for q in self._spent[c]
+            ]
             if not waiting:
                 return None
             self._start_rounds(waiting)
 
     @staticmethod
-    def _head(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
-        """The next request of a queue for a class: clients that came back in time go first, of any class."""
+    def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
+        """The next request of a queue, chosen for ``job_class``.
+
+        Requests of clients that retried at their promised time come first, of whatever open class.
+        """
         returning = next(iter(queue.returning.values()), None)
         if returning and is_open(returning.job_class):
             return returning
         return next(iter(queue.class_queues[job_class].tickets.values()))
 
     def newest(self, queue: Queue) -> Ticket:
-        """The newest request of a queue, of its class with the least priority weight."""
-        job_class = next(c for c in reversed(self.order) if queue.is_queued(c))
+        """The newest request of the class with the least priority weight that the queue contains."""
+        job_class = next(c for c in reversed(self.class_order) if queue.is_queued(c))
         return next(reversed(queue.class_queues[job_class].tickets.values()))
 
     def longest(self) -> Queue:
-        """The queue with the most work for its weight."""
+        """The queue with the most queued work in relation to its weight."""
         return max(self.active, key=lambda q: q.work_us / self.weight(q))
 
     def reweigh(self, queue: Queue, weight: float) -> None:
@@ -256,7 +267,7 @@
             self._tenant_weight += weight - queue.weight
         queue.weight = weight
 
-    def _next(self, job_class: int) -> Queue | None:
+    def _next_queue(self, job_class: int) -> Queue | None:
         ready = self._ready[job_class]
         while ready:
             queue = next(iter(ready))
@@ -267,14 +278,15 @@
         return None
 
     def _start_rounds(self, waiting: list[Queue]) -> None:
-        """Start the next round, or as many at once as the least indebted waiting queue needs."""
+        """Advance by as many rounds as the ``waiting`` queue with the least debt needs to be served."""
         rounds = max(1, min(ceil(-q.deficit_us / self._quantum(q) + 1e-9) for q in waiting))
-        self.number += rounds
+        self.round_number += rounds
         for queue in self.active:
             quantum = self._quantum(queue)
-            # Queues whose classes are closed save up; idle ones get their credit when they are active again.
+            # A queue whose classes are not admitted accumulates quanta. An empty queue is not active; it gets
+            # its quanta in `_activate`.
             queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + rounds * quantum)
-        for job_class in self.order:
+        for job_class in self.class_order:
             ready, spent = self._ready[job_class], self._spent[job_class]
             for queue in [q for q in spent if q.deficit_us > 0]:
                 del spent[queue]
@@ -284,17 +296,21 @@
         return max(1e-3, self.quantum_us * self.weight(queue))
 
     def _activate(self, now: int, queue: Queue) -> None:
-        """Credit the rounds since the queue ran empty, up to a burst; its debt has decayed with time."""
+        """Add a queue that is no longer empty to the active queues.
+
+        Its debt decays by the time since it became empty, and it gets the quanta of the rounds since then, up
+        to MAX_SAVED_QUANTA.
+        """
         self.active[queue] = None
-        self._count(queue, 1)
+        self._count_active(queue, 1)
         if queue.deficit_us < 0:
             queue.deficit_us *= exp(min(0, queue.settled_us - now) / DEBT_DECAY_US)
         quantum = self._quantum(queue)
-        passed = self.number - queue.round
-        queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + passed * quantum)
-        queue.round = self.number
+        elapsed_rounds = self.round_number - queue.round
+        queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + elapsed_rounds * quantum)
+        queue.round = self.round_number
 
-    def _count(self, queue: Queue, sign: int) -> None:
+    def _count_active(self, queue: Queue, sign: int) -> None:
         if queue.is_shared:
             self._shared_count += sign
         else:
--- a/robinhill/admission/report.py
+++ b/robinhill/admission/report.py
@@ -1,4 +1,4 @@
-"""What admission control does now, as plain values that operators read as JSON."""
+"""The current state of admission control as plain values, which operators read as JSON."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def report(admission: Admission) -> dict[str, Any]:
-    """The state of queues, windows, limits and accounts; the keys are a surface of operators' tools."""
+    """The state of queues, windows, limits and accounts. Operators' tools rely on the keys."""
     return {
         "queued": admission.round_robin.length,
         "let_in": admission.admitted,
@@ -23,10 +23,10 @@
         "accounts": len(admission.accounts.by_tenant),
         "tenants_present": len(admission.limits.usage),
         "promises": {
-            "open": admission.promises.length,
-            "right": admission.promises.right,
-            "short": admission.promises.short,
-            "long": admission.promises.long,
+            "open": admission.promises.open_count,
+            "right": admission.promises.accurate,
+            "short": admission.promises.too_short,
+            "long": admission.promises.too_long,
         },
         "heaviest": [
             {
--- a/robinhill/admission/usage_limits.py
+++ b/robinhill/admission/usage_limits.py
@@ -1,6 +1,7 @@
-"""Limits of tenants and networks: how many requests they have open and queued, and their rates.
+"""Enforcement of limits by tenant and by network: open requests, queued requests, and rates.
 
-It counts what is open and charges rate limiters; what becomes of a request beyond a limit is admission's.
+This module counts requests and charges rate limiters. What happens to a request that exceeds a limit is
+decided in admission.py.
 """
 
 from collections import Counter
@@ -12,20 +13,20 @@
 from robinhill.admission.options import AdmissionOptions
 from robinhill.admission.queues import Ticket
 
-_RATES = {"requests": RejectionReason.REQUEST_RATE, "work": RejectionReason.WORK_RATE}
-RATE_REASONS = frozenset(_RATES.values())
+_RATE_REJECTIONS = {"requests": RejectionReason.REQUEST_RATE, "work": RejectionReason.WORK_RATE}
+RATE_REASONS = frozenset(_RATE_REJECTIONS.values())
 
 
 @dataclass(slots=True)
 class TenantUsage:
-    """A tenant's requests in admission control; forgotten with the last one."""
+    """Counts of a tenant's requests in admission control; removed together with the last request."""
 
     open: int = 0
     queued: int = 0
 
 
 class UsageLimits:
-    """Usage by tenant and network, against the limits of the operators' file."""
+    """The usage of tenants and networks, checked against the limits in the operators' file."""
 
     def __init__(self, options: AdmissionOptions) -> None:
         self.options = options
@@ -35,7 +36,7 @@
         self._open_by_network: Counter[str] = Counter()
 
     def configure(self, options: AdmissionOptions) -> None:
-        """Use other options from now on; limiters keep their levels."""
+        """Replace the options. Rate limiters keep their levels, except shared ones if their limits change."""
         if options.limits != self.options.limits:
             self.shared_limiters = SharedRateLimiters(options.limits)
         self.options = options
@@ -46,7 +47,7 @@
         self.network_limiters = limiters
 
     def check(self, now: int, ticket: Ticket, account: Account | None) -> Rejection | None:
-        """The rejection of a request whose tenant or network is at a limit; None within all limits."""
+        """The rejection of a request whose tenant or network has reached a limit; None within all limits."""
         if reason := self._count_at_limit(ticket):
             return Rejection(reason, True, int(ticket.cost_us))
         waits = []
@@ -57,22 +58,22 @@
         if limiter := self._network_limiter(ticket):
             waits.append(limiter.wait_us(now, ticket.cost_us))
         wait_us, rate = max(waits, default=(0, ""))
-        return Rejection(_RATES[rate], True, wait_us) if wait_us else None
+        return Rejection(_RATE_REJECTIONS[rate], True, wait_us) if wait_us else None
 
     def open(self, ticket: Ticket, account: Account | None) -> None:
-        """Count a request and charge its estimated cost."""
+        """Count an accepted request as open, and charge its estimated cost to the rate limiters."""
         self.usage.setdefault(ticket.tenant, TenantUsage()).open += 1
         if account is None:
-            self.shared_limiters.take(ticket.tenant, ticket.cost_us)
+            self.shared_limiters.consume(ticket.tenant, ticket.cost_us)
         elif account.limiter:
-            account.limiter.take(ticket.cost_us)
+            account.limiter.consume(ticket.cost_us)
         if ticket.network >= 0:
             self._open_by_network[self._network(ticket)] += 1
             if limiter := self._network_limiter(ticket):
-                limiter.take(ticket.cost_us)
+                limiter.consume(ticket.cost_us)
 
     def close(self, ticket: Ticket) -> None:
-        """A request has ended, or its queue has dropped it."""
+        """Stop counting a request that has ended or was removed from its queue."""
         usage = self.usage[ticket.tenant]
         usage.open -= 1
         if not ticket.admitted_us:
@@ -86,7 +87,7 @@
                 del self._open_by_network[network]
 
     def charge(self, ticket: Ticket, account: Account | None, work_us: float) -> None:
-        """Charge work beyond the estimate; give some back where it is negative."""
+        """Charge work beyond the estimate to the rate limiters; a negative amount is refunded."""
         if account is None:
             self.shared_limiters.charge(ticket.tenant, work_us)
         elif account.limiter:
@@ -107,7 +108,7 @@
         return None
 
     def _network(self, ticket: Ticket) -> str:
-        """The ticket's network; a reload may have changed the table since its caller was found."""
+        """The ticket's network; empty if a reload has shortened the table since the caller was identified."""
         listed = self.options.networks
         return listed[ticket.network].network if ticket.network < len(listed) else ""
 
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -1,6 +1,6 @@
-"""Admission's window on the decision module: how many admitted requests may be without an attempt.
+"""Admission windows: limits on the admitted requests that have no attempt yet and on those that run.
 
-It adapts two bounds to how long requests wait after their admission, and decides nothing else.
+Both limits are adapted to the time that requests wait after their admission.
 """
 
 from collections.abc import Sequence
@@ -8,29 +8,33 @@
 
 from robinhill.api import JobClass
 
-IMMEDIATE_US = 20_000  # within which a job counts as placed at once
+MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a job placed within this time of its admission never had to wait
 INITIAL_SIZE = 8.0
-MIN_SIZE = 1.0  # so that the module has a request whenever a worker becomes free
+MIN_SIZE = 1.0  # so that the decision module has a request whenever a worker becomes free
 MAX_UNPLACED_REQUESTS = 32.0
 SHRINK_FACTOR = 2 / 3
-MIN_SHRINK_INTERVAL_US = 50_000  # requests that were admitted together and wait are one sign, not many
+MIN_SHRINK_INTERVAL_US = 50_000  # requests admitted together that all wait shrink the window only once
 INITIAL_SLOTS = 64.0
 SLOTS_PER_IMMEDIATE_START = 0.1
 SLOTS_PER_WAIT = 0.5
-MAX_SLOTS_FACTOR = 1.25  # of the jobs in the window, once one had to wait
-LATE_US = 20_000  # beyond the quickest delay, from which on a job counts as having waited at its worker
-LATE_SHARE = 1 / 8  # the same as a share of its own length
+MAX_SLOTS_FACTOR = 1.25  # when a job had to wait, slots are capped at this multiple of the jobs in the window
+# A job counts as having waited at its worker if its start delay exceeds that of the quickest jobs by more
+# than MIN_WORKER_WAIT_US, and by more than MIN_WORKER_WAIT_SHARE of its estimated running time.
+MIN_WORKER_WAIT_US = 20_000
+MIN_WORKER_WAIT_SHARE = 1 / 8
 BASE_DELAY_STEP = 0.02
-CALM_US = 500_000  # without a wait, after which slots grow faster; twice as fast after each half of it
+# After this time without a wait at a worker, slots grow faster: the step doubles after each half of it.
+FAST_GROWTH_AFTER_US = 500_000
 
 
 @dataclass(slots=True)
 class Window:
-    """Two bounds: on admitted requests without an attempt, and on jobs that run or are about to.
+    """Two adaptive limits on admitted requests: ``size`` on those without an attempt, ``slots`` on all.
 
-    The first grows by one with each job that is placed at once, and shrinks when one has to wait in the
-    module. The second follows the fleet's size: a job that starts at once while all slots are taken adds a
-    part of a slot, one that waits at its worker takes half a slot away.
+    ``size`` grows by one with each job that is placed immediately while others are queued, and shrinks when a
+    job has to wait in the decision module. ``slots`` follows the size of the fleet: a job that starts
+    immediately while all slots are taken adds a fraction of a slot, and a job that has to wait at its worker
+    removes half a slot.
     """
 
     size: float = INITIAL_SIZE
@@ -38,98 +42,105 @@
     last_shrunk_us: int = 0
     slots: float = INITIAL_SLOTS
     in_window: int = 0
-    waited_us: int = 0  # when a job last had to wait at its worker
-    base_delay_us: float = 0.0  # delay from an attempt to its start for the quickest jobs
+    last_wait_us: int = 0  # time at which a job that had waited at its worker last started
+    base_delay_us: float = 0.0  # delay from sending an attempt to its start, for the quickest jobs
 
     @property
     def free(self) -> bool:
-        """Whether there is a slot for one more job."""
+        """Whether a slot is free for another job."""
         return self.in_window < max(MIN_SIZE, int(self.slots))
 
     @property
     def unplaced_limit(self) -> int:
-        """How many requests the module may have without an attempt."""
+        """Maximum number of admitted requests without an attempt."""
         return max(1, int(self.size))
 
-    def placed(self, now: int, waited_us: int, more: bool) -> None:
-        """A first attempt was sent ``waited_us`` after the admission; ``more`` if others are queued."""
-        if waited_us > IMMEDIATE_US:
+    def placed(self, now: int, waited_us: int, others_queued: bool) -> None:
+        """Adapt ``size`` to a first attempt that was sent ``waited_us`` after the request's admission."""
+        if waited_us > MAX_IMMEDIATE_PLACEMENT_US:
             if now - self.last_shrunk_us >= MIN_SHRINK_INTERVAL_US:
                 self.last_shrunk_us, self.size = now, max(MIN_SIZE, self.size * SHRINK_FACTOR)
-        elif more:
+        elif others_queued:
             self.size = min(MAX_UNPLACED_REQUESTS, self.size + 1)
 
-    def execution_started(self, now: int, delay_us: int, cost_us: float, more: bool) -> None:
-        """A job of estimated length ``cost_us`` started ``delay_us`` after its attempt."""
-        # A low quantile: it falls at once and rises slowly.
+    def execution_started(self, now: int, delay_us: int, cost_us: float, others_queued: bool) -> None:
+        """Adapt ``slots`` to a job of estimated length ``cost_us`` that started ``delay_us`` after its attempt."""
+        # The base delay approximates a low quantile: it falls immediately and rises slowly.
         if delay_us < self.base_delay_us or not self.base_delay_us:
             self.base_delay_us = float(delay_us)
         else:
             self.base_delay_us += BASE_DELAY_STEP * min(delay_us - self.base_delay_us, self.base_delay_us)
-        if delay_us - self.base_delay_us > max(LATE_US, LATE_SHARE * cost_us):
-            # Slots far beyond the jobs in the window carry no information: cap them first.
+        if delay_us - self.base_delay_us > max(MIN_WORKER_WAIT_US, MIN_WORKER_WAIT_SHARE * cost_us):
+            # Slots far in excess of the jobs in the window have not been tried out, so they are capped first.
             self.slots = max(MIN_SIZE, min(self.slots, MAX_SLOTS_FACTOR * self.in_window) - SLOTS_PER_WAIT)
-            self.waited_us = now
-        elif more and self.in_window + 1 >= int(self.slots):
-            calm = min(6, max(0, now - self.waited_us - CALM_US) * 2 // CALM_US)
-            self.slots += min(1.0, SLOTS_PER_IMMEDIATE_START * 2**calm)
+            self.last_wait_us = now
+        elif others_queued and self.in_window + 1 >= int(self.slots):
+            doublings = min(
+                6, max(0, now - self.last_wait_us - FAST_GROWTH_AFTER_US) * 2 // FAST_GROWTH_AFTER_US
+            )
+            self.slots += min(1.0, SLOTS_PER_IMMEDIATE_START * 2**doublings)
 
 
 @dataclass(slots=True)
 class Windows:
-    """A window for each set of workers that classes are bound to; most classes share the one of all workers.
+    """A window for each set of workers that classes are bound to; most classes share the one for all workers.
 
-    The module places requests of higher priority weight first. So a class may be admitted beside unplaced
-    ones of less weight, as far as its tenants' quanta go; but a new round starts only once the whole window
-    has capacity, or requests in the module would starve behind large tenants.
+    The decision module places requests of higher priority weight first. So a class may be admitted beside
+    unplaced requests of classes with less weight, as long as its tenants have quantum left. A new round
+    starts only if the whole window has capacity; otherwise unplaced requests with less weight would starve
+    behind those of large tenants.
     """
 
     classes: Sequence[JobClass]
     windows: list[Window] = field(default_factory=list)
-    unplaced: list[int] = field(default_factory=list)  # by class
-    _of: list[Window] = field(default_factory=list)  # by class
-    _rivals: list[list[int]] = field(
+    unplaced: list[int] = field(default_factory=list)  # by class, admitted requests without an attempt
+    _by_class: list[Window] = field(default_factory=list)  # by class
+    _competing_classes: list[list[int]] = field(
         default_factory=list
-    )  # by class: classes of its window with no less priority weight
+    )  # by class: the classes of its window with at least its priority weight, itself included
 
     def __post_init__(self) -> None:
-        by_place: dict[object, Window] = {}
+        by_binding: dict[object, Window] = {}
         for job_class in self.classes:
-            place = (job_class.kinds, job_class.zones)
-            self._of.append(by_place.setdefault(place, Window()))
-        self.windows = list(by_place.values())
+            binding = (job_class.kinds, job_class.zones)
+            self._by_class.append(by_binding.setdefault(binding, Window()))
+        self.windows = list(by_binding.values())
         self.unplaced = [0] * len(self.classes)
         for number, job_class in enumerate(self.classes):
-            self._rivals.append([
+            self._competing_classes.append([
                 n for n, other in enumerate(self.classes)
-                if self._of[n] is self._of[number] and other.priority_weight >= job_class.priority_weight
+                if self._by_class[n] is self._by_class[number]
+                and other.priority_weight >= job_class.priority_weight
             ])  # fmt: skip
 
     def of(self, job_class: int) -> Window:
         """The window of a class."""
-        return self._of[job_class]
+        return self._by_class[job_class]
 
     def open(self, job_class: int) -> bool:
-        """Whether a request of this class may be admitted, if its tenant has quantum left in this round."""
-        window = self._of[job_class]
-        return window.free and sum(self.unplaced[c] for c in self._rivals[job_class]) < window.unplaced_limit
+        """Whether a request of this class may be admitted within the current round."""
+        window = self._by_class[job_class]
+        return (
+            window.free
+            and sum(self.unplaced[c] for c in self._competing_classes[job_class]) < window.unplaced_limit
+        )
 
     def has_capacity(self, job_class: int) -> bool:
-        """Whether a round may start for the sake of this class."""
-        window = self._of[job_class]
+        """Whether a new round may start in order to admit requests of this class."""
+        window = self._by_class[job_class]
         return window.free and window.unplaced < window.unplaced_limit
 
     def enter(self, job_class: int) -> None:
-        """A request was admitted."""
+        """Count a request that is being admitted: it takes a slot and has no attempt yet."""
         self.unplaced[job_class] += 1
-        window = self._of[job_class]
+        window = self._by_class[job_class]
         window.unplaced, window.in_window = window.unplaced + 1, window.in_window + 1
 
     def placed(self, job_class: int) -> None:
-        """An admitted request had its first attempt, or ended before."""
+        """Stop counting a request as unplaced: its first attempt was sent, or it has ended without one."""
         self.unplaced[job_class] -= 1
-        self._of[job_class].unplaced -= 1
+        self._by_class[job_class].unplaced -= 1
 
     def leave(self, job_class: int) -> None:
-        """An admitted request has ended, or takes so long that its slot counts as free."""
-        self._of[job_class].in_window -= 1
+        """Free the slot of an admitted request that has ended or is overdue."""
+        self._by_class[job_class].in_window -= 1
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -126,7 +126,7 @@
     held = len(fleet.running) + len(fleet.unplaced) + admission.queued_count
     assert len(admission.accounts.by_tenant) <= 64
     assert len(admission.limits.usage) <= held == len(admission.tickets)
-    assert len(admission.promises._expiries) <= 2 * 8192 + 1 and admission.promises.length <= 8192
+    assert len(admission.promises._expiries) <= 2 * 8192 + 1 and admission.promises.open_count <= 8192
     for _ in range(90_000):
         fleet.ask(*stranger())
         fleet.now += 20
@@ -172,7 +172,7 @@
         fleet.pass_time(1)
     assert returned > 20 and kept >= 0.9 * returned
     told = fleet.admission.promises
-    assert told.right >= 0.9 * (told.right + told.short + told.long) > 0
+    assert told.accurate >= 0.9 * (told.accurate + told.too_short + told.too_long) > 0
 
 
 def test_a_thousand_connections_of_one_tenant_take_a_bounded_part() -> None:
@@ -243,7 +243,7 @@
         fleet.ask("a")
         fleet.pass_time(20)
     window.size, window.slots = MIN_SIZE, MIN_SIZE  # as a shared slowdown left it
-    window.waited_us = fleet.now
+    window.last_wait_us = fleet.now
     begun = fleet.now
     while len(fleet.running) < 24 and fleet.now < begun + 10 * S:
         for i in range(4):
@@ -417,14 +417,14 @@
 def test_the_sketch_keeps_the_heavy_and_bounds_the_rest() -> None:
     admission = Fleet().admission
     accounts = Accounts(16)
-    heavy = [admission.account(i, f"h{i}") for i in range(4)]
+    heavy = [admission.new_account(i, f"h{i}") for i in range(4)]
     for account in heavy:
         accounts.admit(account)
     for step in range(2_000):
-        accounts.serve(step * MS, heavy[step % 4], 1000.0)
-        light = admission.account(1_000 + step, f"l{step}")
+        accounts.record_service(step * MS, heavy[step % 4], 1000.0)
+        light = admission.new_account(1_000 + step, f"l{step}")
         if accounts.admit(light) is not light:
-            accounts.serve(step * MS, light, 100.0)
+            accounts.record_service(step * MS, light, 100.0)
         assert len(accounts.by_tenant) <= 16
     assert {a.name for a in accounts.heaviest(4)} == {"h0", "h1", "h2", "h3"}
 
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -181,13 +181,13 @@
         fill(queue, cost)
         fill(queue, cost)
     for _ in range(600):
-        taken = rounds.take(0, always, always)
+        taken = rounds.dequeue(0, always, always)
         assert taken
         fill(taken.queue, costs[queues.index(taken.queue)])
     # In every round that is over a queue got its quantum, give or take its burst and its largest job.
     for queue, cost in zip(queues, costs, strict=False):
         quantum = rounds.quantum_us * queue.weight
-        assert abs(queue.served_us - rounds.number * quantum) <= (MAX_SAVED_QUANTA + 1) * quantum + cost
+        assert abs(queue.served_us - rounds.round_number * quantum) <= (MAX_SAVED_QUANTA + 1) * quantum + cost
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -201,10 +201,10 @@
         queue = data.draw(st.sampled_from(queues))
         cost = data.draw(st.floats(0.1, 2.0))
         rounds.add(0, ticket(number, queue, cost, data.draw(st.integers(0, 1))))
-        asked[number] = (rounds.number, queue.work_us, queue)
-        if data.draw(st.booleans()) and (taken := rounds.take(0, always, always)):
+        asked[number] = (rounds.round_number, queue.work_us, queue)
+        if data.draw(st.booleans()) and (taken := rounds.dequeue(0, always, always)):
             check(rounds, asked, taken)
-    while taken := rounds.take(0, always, always):
+    while taken := rounds.dequeue(0, always, always):
         check(rounds, asked, taken)
     assert not rounds.length and not rounds.active
 
@@ -215,7 +215,7 @@
     later = sum(a for n, (_, _, q) in asked.items() if q is queue and n > taken.number for a in [2.0])
     overtaken = 2.0 * 60 if taken.job_class == 0 else later
     quantum = 2.0 * queue.weight
-    assert rounds.number - since <= (ahead + overtaken) / quantum + 2
+    assert rounds.round_number - since <= (ahead + overtaken) / quantum + 2
 
 
 @pytest.mark.parametrize("strangers", [1, 4, 16])
@@ -228,7 +228,7 @@
         rounds.add(0, ticket(number, queue, 1.0))
     got: dict[bool, int] = defaultdict(int)
     for _ in range(800):
-        taken = rounds.take(0, always, always)
+        taken = rounds.dequeue(0, always, always)
         assert taken
         got[taken.queue.is_shared] += 1
     assert 0.2 <= got[True] / 800 <= 0.3
