--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -90,7 +90,7 @@
         return self.users > 0 or self.promises > 0
 
     def advance(self, now: int) -> None:
-        """Decay admitted work and queueing time; the latter grows by the elapsed time if requests are queued."""
+        """Decay the rates up to ``now``; count the elapsed time as queueing time if requests are queued."""
         elapsed_us = now - self.at_us
         self.at_us = now
         if elapsed_us <= 0:
--- a/robinhill/admission/wait_estimate.py
+++ b/robinhill/admission/wait_estimate.py
@@ -15,9 +15,9 @@
 TARGET_PATIENCE_SHARE = 0.8
 MIN_RETRY_AFTER_US = 50_000  # a caller that retries sooner would find the queue unchanged
 JITTER_SHARE = 0.03
-BOOKED_RATE_SHARE = (
-    0.75  # share of a rate given to retries: at 1, returning callers would queue up behind each other
-)
+# Only this share of a rate is promised to retries: with all of it, returning callers would queue up behind
+# each other.
+BOOKED_RATE_SHARE = 0.75
 MIN_RATE = 1e-3
 
 
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -64,7 +64,7 @@
             self.size = min(MAX_UNPLACED_REQUESTS, self.size + 1)
 
     def execution_started(self, now: int, delay_us: int, cost_us: float, others_queued: bool) -> None:
-        """Adapt ``slots`` to a job of estimated length ``cost_us`` that started ``delay_us`` after its attempt."""
+        """Adapt ``slots`` to a job of length ``cost_us`` that started ``delay_us`` after its attempt."""
         # The base delay approximates a low quantile: it falls immediately and rises slowly.
         if delay_us < self.base_delay_us or not self.base_delay_us:
             self.base_delay_us = float(delay_us)
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -1,7 +1,7 @@
-"""The actor between the clients' side and the dispatcher: it owns admission control.
+"""The admission actor, which owns admission control and stands between client connections and dispatcher.
 
-It carries out admission's actions: requests that are admitted go on to the dispatcher, and are tracked until
-their final answer. It does not choose whom to admit: that is robinhill/admission.
+It performs the actions of admission control: it passes admitted requests on to the dispatcher and tracks them
+until their final answer. Which requests are admitted is decided in robinhill/admission.
 """
 
 import asyncio
@@ -55,7 +55,7 @@
 
 
 class AdmissionActor(Actor[AdmissionMessage]):
-    """Requests come from clients; the dispatcher notifies it of what becomes of those that it admits."""
+    """Receives requests from clients, and progress of the admitted ones from the dispatcher."""
 
     def __init__(
         self,
@@ -74,11 +74,11 @@
         self.admission = Admission(
             config.settings, config.operator.admission, config.seed, secrets.token_bytes(SECRET_BYTES)
         )
-        self.traffic_recorder: TrafficRecorder | None = None  # records what passes
+        self.traffic_recorder: TrafficRecorder | None = None  # records arrivals and rejections
         self._tracked: dict[int, _TrackedRequest] = {}
         self._numbers: dict[str, int] = {}
         self._next_number = 1
-        self._due_us: int | None = None  # when the timer that is set fires
+        self._due_us: int | None = None  # time at which the pending timer fires
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             RequestAccepted: self._on_request,
             FirstAttemptSent: self._on_first_attempt_sent,
@@ -93,28 +93,28 @@
         }
         self.metrics.admission_queued = lambda: self.admission.queued_count
 
-    # For the scheduler, which loads this module only where there is admission control
+    # Called by the scheduler, which imports this module only if admission control is configured
 
     def reconfigure(self, options: AdmissionOptions) -> None:
-        """Go by other options from now on."""
+        """Replace the options of admission control."""
         self.tell(Reconfigure(options))
 
     def suspend(self, suspended: bool) -> None:
-        """Admit nothing that is queued, as it is about to go to another process; or go on."""
+        """Stop or resume admitting queued requests; a hand-over to another process suspends it."""
         self.tell(Suspend(suspended))
 
     def release(self, request: JobRequest, reply: asyncio.Future[Json]) -> None:
-        """A successor is to go on with the request; ``reply`` takes what it must know of it from here."""
+        """Release a request to the successor; ``reply`` is set to its state in admission control."""
         self.tell(ReleaseQueued(request, reply))
 
     def adopt(self, request: JobRequest, state: Json, reply: asyncio.Future[Answer], placed: bool) -> None:
-        """Go on with a request that another process has released."""
+        """Adopt a request that another process has released."""
         self.tell(AdoptReleased(request, state, reply, placed))
 
     def identify_caller(self, headers: MultiMapping[str], address: str | None) -> Caller | None:
-        """Who sends a request; None while admission control is off.
+        """Identify the caller of a request; None while admission control is disabled.
 
-        Raises MalformedError for a name that is none.
+        Raises MalformedError if the tenant header is empty, too long or not printable.
         """
         options = self.admission.options
         if not options.enabled:
@@ -200,7 +200,7 @@
                     self._reject(action)
 
     def _notify_when_answered(self, number: int, reply: asyncio.Future[Answer]) -> None:
-        """Notice its final answer, whoever gives it."""
+        """Send RequestAnswered to this actor when the request gets its final answer, from any source."""
 
         def answered(done: asyncio.Future[Answer]) -> None:
             self.tell(RequestAnswered(number, not done.cancelled() and done.result().status == 200))
@@ -229,7 +229,7 @@
 
     def _on_client_disconnected(self, now: int, message: ClientDisconnected) -> None:
         request = message.request
-        number = self._number_of(request) or self._number_under_repeated_id(request)
+        number = self._number_of(request) or self._number_of_duplicate_id(request)
         if number is None:
             self.admit(message)
             return
@@ -241,8 +241,8 @@
         else:
             self.admit(message)
 
-    def _number_under_repeated_id(self, request: JobRequest) -> int | None:
-        """The number of a request whose id another one had first."""
+    def _number_of_duplicate_id(self, request: JobRequest) -> int | None:
+        """The number of a request whose id was already in use by another request when it arrived."""
         tracked = self._tracked.items()
         return next((number for number, each in tracked if each.accepted.request is request), None)
 
@@ -253,7 +253,7 @@
         self._due_us = due
         asyncio.get_running_loop().call_later(max(0, due - now) / 1e6, self.tell, AdmissionTimerDue())
 
-    # Between two processes
+    # Hand-over between two processes of this scheduler
 
     def _release(self, now: int, message: ReleaseQueued) -> None:
         number = self._number_of(message.request)
@@ -269,7 +269,10 @@
         message.reply.set_result(state)
 
     def _adopt(self, now: int, message: AdoptReleased) -> None:
-        """It keeps its time of arrival and its tenant."""
+        """Queue a request that was still queued, or track one that was admitted; its caller is retained.
+
+        A queued request keeps its time of arrival.
+        """
         caller = exported_state.import_caller(message.state["caller"])
         if waiting := message.state.get("waiting"):
             accepted = RequestAccepted(message.request, waiting["arrived_us"], message.reply, caller)
@@ -289,17 +292,17 @@
         self._notify_when_answered(number, message.reply)
 
     def export_state(self) -> Json:
-        """What a successor must know to go on as one with this process."""
+        """The state of admission control for a successor process."""
         return exported_state.export_state(self.admission)
 
     def import_state(self, state: Json) -> None:
-        """Go on from what a predecessor knows."""
+        """Adopt the state of admission control from a predecessor process."""
         exported_state.import_state(self.admission, self.clock.now_us(), state)
 
     def stats(self) -> Answer:
-        """Admission's figures as they are now."""
-        shown = {"enabled": self.admission.options.enabled} | report(self.admission)
+        """The current figures of admission control as an answer for operators."""
+        figures = {"enabled": self.admission.options.enabled} | report(self.admission)
         names = self._classes
         for key in ("unplaced", "class_ms"):  # lists by class
-            shown[key] = dict(zip(names, shown[key], strict=True))
-        return protocol.metrics(shown)
+            figures[key] = dict(zip(names, figures[key], strict=True))
+        return protocol.metrics(figures)
--- a/robinhill/net/dispatcher/admission_messages.py
+++ b/robinhill/net/dispatcher/admission_messages.py
@@ -1,4 +1,4 @@
-"""The messages that the admission actor takes, beside those of the dispatcher's that it passes on."""
+"""The messages of the admission actor, in addition to those that it shares with the dispatcher."""
 
 import asyncio
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAnswered:
-    """An admitted request has its final answer."""
+    """An admitted request has its final answer. ``served``: with status 200."""
 
     number: int
     served: bool
@@ -26,21 +26,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Reconfigure:
-    """The operators' file has changed."""
+    """The options in the operators' file have changed."""
 
     options: AdmissionOptions
 
 
 @dataclass(slots=True, frozen=True)
 class Suspend:
-    """Admit nothing that is queued, as it is about to go to another process; or go on."""
+    """Stop or resume admitting queued requests; a hand-over to another process suspends it."""
 
     suspended: bool
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseQueued:
-    """The successor is to go on with a request; ``reply`` takes what it must know of it from here."""
+    """Release a request to the successor process.
+
+    ``reply`` is set to the request's state in admission control; empty if it is not tracked here.
+    """
 
     request: JobRequest
     reply: asyncio.Future[Json]
@@ -48,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptReleased:
-    """Go on with a request that another process has released; ``placed`` if it has an attempt in flight."""
+    """Adopt a request that another process has released. ``placed``: it has an attempt in flight."""
 
     request: JobRequest
     state: Json
@@ -58,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionTimerDue:
-    """Time has passed, after which admission control has to decide again."""
+    """The time has come at which admission control asked to be called."""
 
 
 AdmissionMessage = (
--- a/robinhill/net/dispatcher/decision_timers.py
+++ b/robinhill/net/dispatcher/decision_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the decision module has asked for."""
+"""The pending timers of the decision module."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class DecisionTimers:
-    """Timers that are set; ``notify`` is called with each as it is due."""
+    """Sets timers and lists the pending ones; ``notify`` is called with each timer when it is due."""
 
     def __init__(self, clock: Clock, notify: Callable[[TimerDue], None]) -> None:
         self.clock = clock
@@ -17,17 +17,17 @@
         self._due_us: dict[TimerDue, int] = {}
 
     def set(self, after_us: int, tag: str) -> None:
-        """Set a timer."""
+        """Set a timer that is due after ``after_us``."""
         timer = TimerDue(tag)
         self._due_us[timer] = self.clock.now_us() + after_us
         asyncio.get_running_loop().call_later(after_us / 1e6, self.notify, timer)
 
     def fired(self, timer: TimerDue) -> None:
-        """Forget a timer that was due."""
+        """Remove a timer that has fired from the pending ones."""
         self._due_us.pop(timer, None)
 
     def of_job(self, job: int) -> list[tuple[int, str]]:
-        """When timers about a job are due (us), with their tags."""
+        """The pending timers of a job: due time in microseconds, and tag."""
         return [
             (due_us, timer.tag)
             for timer, due_us in self._due_us.items()
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: the actor that owns the decision module. It gives it events and carries its actions out.
+"""The dispatcher: the actor that passes events to the decision module and performs its actions.
 
-It owns the requests in flight, the endpoints and the lease on the endpoint list. It decides nothing about
-workers itself, and does no input or output but through endpoints and the clients' replies.
+It owns the decision module, the requests in flight, the endpoints and the lease on the endpoint list. It does
+not choose workers itself, and does I/O only through endpoints and through the clients' reply futures.
 """
 
 import asyncio
@@ -66,11 +66,11 @@
 
 Json = dict[str, Any]
 NO_SUCH_WORKER = Answer(404, b"no such worker\n")
-NOT_SAVED = Answer(500, b"can't be saved\n")
+NOT_SAVED = Answer(500, b"the list of disabled workers could not be saved; nothing was changed\n")
 
 
 class Dispatcher(Actor[DispatcherMessage]):
-    """Carries events to the decision module, and its actions to endpoints and clients."""
+    """Passes events to the decision module, and the resulting actions to endpoints and clients."""
 
     def __init__(
         self,
@@ -80,14 +80,14 @@
         metrics: Metrics,
         list_lease: ListLease | None = None,
     ) -> None:
-        """``list_lease``: on the endpoint list; None: whatever list there is may be used."""
+        """``list_lease``: the lease on the endpoint list; None: a list may be used however old it is."""
         super().__init__("dispatcher", supervisor)
         self.config = config
         self.clock = clock
         self.metrics = metrics
         self.list_lease = metrics.list_lease = list_lease
-        self.list_lease_held = asyncio.Event()  # as the decision module was notified last
-        self.send_lease: Callable[[], bool] | None = None  # whether the cordons allow sending; None: always
+        self.list_lease_held = asyncio.Event()  # the state that the decision module was last notified of
+        self.send_lease: Callable[[], bool] | None = None  # whether the lease on the cordons is held
         self.balancer = Balancer(config.settings, config.seed)
         self.in_flight = InFlightRequests()
         self.idempotency_keys = idempotency.IdempotencyKeys()
@@ -99,16 +99,16 @@
         self.handover = RequestHandover(
             self.balancer, self.in_flight, self.table, self.timers, clock, self._perform
         )
-        # Takes workers' calls about requests that this process does not have.
+        # Called with workers' reports about requests that this process does not have.
         self.forward_event: Callable[[JobEvent], None] = lambda _: None
         self.notify_admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = None
         self.on_list_changed: Callable[[], None] | None = None
         self.traffic_recorder: TrafficRecorder | None = None
         self._tenant_numbers = {name: number for number, name in enumerate(config.tenants)}
-        self._reading_backlog = False  # after a stall
+        self._reading_backlog = False  # messages are deferred until discovery's backlog after a stall is read
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestAccepted: self._accept,
-            JobEvent: self._on_worker_call,
+            JobEvent: self._on_job_event,
             AttemptProgress: self._on_attempt_progress,
             AttemptEnded: self._on_attempt_ended,
             TimerDue: self._on_timer,
@@ -119,7 +119,7 @@
             DiscoveryAddressChanged: self._renew_list_lease,
             SetWorkerDisabled: self._on_set_worker_disabled,
             CordonsChanged: self._on_cordons,
-            SendLeaseChanged: lambda _: None,  # the lease is read before each message
+            SendLeaseChanged: lambda _: None,  # `receive` reads the lease before it handles any message
             HealthCheckEnded: lambda message: self._decide(
                 api.HealthCheckEnded(message.instance_id, message.alive)
             ),
@@ -134,7 +134,7 @@
             api.Fail: lambda action: self._answer(action.job, protocol.FAILED),
             api.Cancel: self._cancel,
             api.SetTimer: lambda action: self.timers.set(action.after_us, action.tag),
-            api.Subscribe: lambda _: None,  # discovery is watched from the start on
+            api.Subscribe: lambda _: None,  # the discovery watch runs from the start, without a subscription
             api.CheckHealth: self._check_health,
             api.CloseIdle: self._close_idle_connections,
             api.Log: lambda action: log.info("balancer_message", extra={"text": action.text}),
@@ -146,10 +146,11 @@
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
-        """Send only where cordons allow it; to be called before the start.
+        """Restrict sending to what cordons allow; must be called before ``start``.
 
-        ``may_send`` is called right before each write, ``on_list_changed`` after each list of discovery's.
-        ``send_lease``: whether the lease on the cordons is held; None: work goes on without one.
+        ``may_send`` is called immediately before each write to a worker, ``on_list_changed`` after each
+        endpoint list is applied. ``send_lease`` returns whether the lease on the cordons is held; None: no
+        lease is needed for sending.
         """
         self.table.may_send = may_send
         self.on_list_changed = on_list_changed
@@ -157,11 +158,11 @@
             self.send_lease, self.restrictions.send_lease_held = send_lease, False
 
     def listed(self) -> list[ListedEndpoint]:
-        """The workers on the endpoint list."""
+        """The workers on the endpoint list, without removed ones."""
         return self.table.listed()
 
     def start(self, known: EndpointList | None = None) -> None:
-        """Begin with a predecessor's list, or with that of the configuration."""
+        """Start with a predecessor's endpoint list, or else with the one in the configuration."""
         now = self.clock.now_us()
         self._perform(self.balancer.start(now))
         if self.list_lease is None or self.list_lease.is_valid(now):
@@ -172,7 +173,11 @@
         super().start()
 
     def ready(self) -> bool:
-        """After a stall, discovery's messages are handled first, whatever came before them."""
+        """Whether a message may be handled now; called by the actor loop.
+
+        After a stall, this returns False until the input from discovery has been read. Then the messages from
+        discovery are moved to the front of the mailbox.
+        """
         if self.table.catch_up and self.table.catch_up.has_unread_input():
             self._reading_backlog = True
             return False
@@ -185,7 +190,7 @@
         return True
 
     def receive(self, message: DispatcherMessage) -> None:
-        """Handle one message; both leases are read first."""
+        """Handle one message, after checking whether either lease was lost or acquired."""
         if self.send_lease and self.send_lease() is not self.restrictions.send_lease_held:
             self._set_send_lease(not self.restrictions.send_lease_held)
         self._check_list_lease()
@@ -202,22 +207,22 @@
 
     def _accept(self, message: RequestAccepted) -> None:
         request = message.request
-        if not self.in_flight.note_id(request.id):
+        if not self.in_flight.record_id(request.id):
             log.warning("duplicate_request_id", extra={"id": request.id})
-            if not message.reply.done():  # its client may have left already
+            if not message.reply.done():  # the client may have disconnected already
                 message.reply.set_result(protocol.CONFLICT)
             return
         if message.reply.cancelled():
-            return  # its client has left already
+            return  # the client has disconnected already
         deadline_us = message.arrived_us + request.time_left_us
         job = self.in_flight.add(request, deadline_us, message.reply).job
-        if self.traffic_recorder and message.caller is None:  # else admission control has recorded it
+        if self.traffic_recorder and message.caller is None:  # otherwise the admission actor has recorded it
             self.traffic_recorder.record_arrival(request, message.arrived_us, "")
         arrival = api.Request(
             job,
             request.job_class,
             max(1, deadline_us - self.clock.now_us()),
-            self._tenant_numbers.get(request.tenant, len(self._tenant_numbers)),  # unnamed: no quota
+            self._tenant_numbers.get(request.tenant, len(self._tenant_numbers)),  # not configured: no quota
             request.cost_us,
             request.client_repeat,
         )
@@ -234,7 +239,7 @@
             fields = {
                 "id": request.request.id,
                 "why": action.why.value,
-                "attempts": ", ".join(request.endings),
+                "attempts": ", ".join(request.attempt_summaries),
             }
             log.debug("request_rejected", extra=fields | self._list_fields())
         self._answer(action.job, protocol.fail_fast(action.retry_in_us))
@@ -243,7 +248,7 @@
         request = self.in_flight.by_number[job]
         request.answer_pending = False
         if request.release_reply:
-            self.handover.keep(request)
+            self.handover.abort_release(request)
         self.metrics.answered(request.request.job_class, answer)
         if self.traffic_recorder:
             self.traffic_recorder.record_answer(request.request, answer.status)
@@ -251,11 +256,15 @@
             name = self.config.classes[request.request.job_class]
             log.warning(
                 "request_failed",
-                extra={"id": request.request.id, "class": name, "attempts": ", ".join(request.endings)},
+                extra={
+                    "id": request.request.id,
+                    "class": name,
+                    "attempts": ", ".join(request.attempt_summaries),
+                },
             )
         if not request.reply.done():
             request.reply.set_result(answer)
-        self.in_flight.remove_if_over(request)
+        self.in_flight.remove_if_finished(request)
 
     def _on_client_disconnected(self, accepted: JobRequest) -> None:
         request = self.in_flight.find(accepted)
@@ -263,19 +272,19 @@
             return
         request.answer_pending = False
         if request.release_reply:
-            self.handover.keep(request)
+            self.handover.abort_release(request)
         self._decide(api.ClientDisconnected(request.job))
         for attempt in request.attempts_in_flight:
             if endpoint := self.table.endpoints.get(request.endpoints[attempt]):
                 endpoint.tell(AbandonUnwritten(request.job, attempt))
-        self.in_flight.remove_if_over(request)
+        self.in_flight.remove_if_finished(request)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
         request = self.in_flight.by_number[action.job]
-        if request.endings:
-            self._note_retry(request)
+        if request.attempt_summaries:
+            self._record_retry(request)
         until_us = request.deadline_us
         if action.timeout_us:
             until_us = min(until_us, self.clock.now_us() + action.timeout_us)
@@ -283,7 +292,7 @@
         request.endpoints.append(action.address)
         request.started_us = 0
         request.attempts_in_flight.add(attempt)
-        self._note_idempotency_key(request.request, (action.job, attempt), action.address)
+        self._record_idempotency_key(request.request, (action.job, attempt), action.address)
         if self.notify_admission and attempt == 0:
             self.notify_admission(FirstAttemptSent(request.request))
         self.table.endpoints[action.address].tell(
@@ -293,25 +302,32 @@
                 request.request,
                 until_us,
                 request.deadline_us,
-                self._write_until_us(request),
+                self._write_deadline_us(request),
                 lambda: request.wanted,
             )
         )
 
-    def _note_retry(self, request: InFlightRequest) -> None:
+    def _record_retry(self, request: InFlightRequest) -> None:
         if request.last_outcome:
             self.metrics.retries[request.last_outcome.value] += 1
-        log.debug("attempt_retried", extra={"id": request.request.id, "after": request.endings[-1]})
+        log.debug("attempt_retried", extra={"id": request.request.id, "after": request.attempt_summaries[-1]})
 
-    def _write_until_us(self, request: InFlightRequest) -> int:
-        """A connect can outlast the window in which workers drop a repeat of a keyed request."""
+    def _write_deadline_us(self, request: InFlightRequest) -> int:
+        """The time until which the next attempt may be written to the connection.
+
+        For a retry of a keyed request that may already have run, this is the end of the window in which
+        workers drop duplicates of it, as connecting can take longer than that. Otherwise it is the request's
+        deadline.
+        """
         job_class = self.config.settings.classes[request.request.job_class]
         job = self.balancer.jobs.get(request.job)
         repeated = job is not None and job.may_have_run and job_class.repeat is api.Repeat.KEYED
         return job.group_until_us if job and repeated else request.deadline_us
 
-    def _note_idempotency_key(self, request: JobRequest, attempt: tuple[int, int], instance_id: str) -> None:
-        """From now on it may run: note where a repeat of its key is dropped."""
+    def _record_idempotency_key(
+        self, request: JobRequest, attempt: tuple[int, int], instance_id: str
+    ) -> None:
+        """Record the group of workers in which duplicates of a keyed request are dropped from now on."""
         job_class = self.config.settings.classes[request.job_class]
         if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
@@ -342,13 +358,14 @@
             self._on_client_disconnected(request.request)
         request.attempts_in_flight.discard(ended.attempt)
         if request.release_reply:
-            self.handover.keep(request)  # the attempt to release is over; its endpoint may never answer
+            # The attempt has ended, so its endpoint may never answer the release.
+            self.handover.abort_release(request)
         self._record_ending(request, ended)
         if ended.result is not None:
             self._answer(ended.job, protocol.served(ended.result))
         final = not request.answer_pending
         self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, final))
-        self.in_flight.remove_if_over(request)
+        self.in_flight.remove_if_finished(request)
 
     def _record_ending(self, request: InFlightRequest, ended: AttemptEnded) -> None:
         instance_id, outcome = request.endpoints[ended.attempt], ended.outcome
@@ -357,14 +374,14 @@
                 request.request, instance_id, outcome, ended.took_us, request.started_us
             )
         request.last_outcome = outcome
-        request.endings.append(f"{instance_id} {outcome.value} {ended.took_us // 1000}ms")
-        full = outcome is api.Outcome.FULL
-        never_ran = outcome.never_ran and not (full and self.config.settings.full_may_have_run)
+        request.attempt_summaries.append(f"{instance_id} {outcome.value} {ended.took_us // 1000}ms")
+        worker_full = outcome is api.Outcome.FULL
+        never_ran = outcome.never_ran and not (worker_full and self.config.settings.full_may_have_run)
         self.idempotency_keys.record_end((ended.job, ended.attempt), never_ran)
-        if full:
+        if worker_full:
             request.returned_by.append(instance_id)
 
-    def _on_worker_call(self, event: JobEvent) -> None:
+    def _on_job_event(self, event: JobEvent) -> None:
         if event.id in self.handover.in_transit or event.id not in self.in_flight:
             self.forward_event(event)
         elif endpoint := self.table.endpoints.get(event.source):
@@ -379,7 +396,7 @@
     def _check_health(self, action: api.CheckHealth) -> None:
         instance_id = action.address
         if self.restrictions.applies_to(self.table.destinations.get(instance_id), instance_id):
-            # A disabled worker gets nothing, and its silence says nothing about it.
+            # Nothing is sent to a disabled or cordoned worker, so it counts as alive.
             self.tell(HealthCheckEnded(instance_id, True))
         elif endpoint := self.table.endpoints.get(instance_id):
             endpoint.tell(CheckHealth())
@@ -391,7 +408,8 @@
             endpoint.tell(CloseIdleConnections())
 
     def _on_endpoint_retired(self, message: EndpointRetired) -> None:
-        # What was sent to the endpoint meanwhile is not lost: it retires again once that is over.
+        # An attempt may have been sent after the endpoint reported that it is idle. The endpoint then reports
+        # again once that attempt has ended.
         busy = any(
             request.endpoints[attempt] == message.instance_id
             for request in self.in_flight.by_number.values()
@@ -406,7 +424,7 @@
             message.reply.set_result(answer)
 
     def _set_worker_disabled(self, message: SetWorkerDisabled) -> Answer:
-        """Disable a worker until it is enabled again; a repeated call changes nothing."""
+        """Disable or enable a worker; repeating a call has no effect."""
         instance_id, restrictions = message.instance_id, self.restrictions
         destination = self.table.destinations.get(instance_id)
         listed = destination is not None and destination.lifecycle is not Lifecycle.REMOVED
@@ -419,20 +437,21 @@
             return NOT_SAVED
         if destination and listed:
             self.table.update(destination)
-            self._relist()
+            self._pass_workers()
         return DONE
 
     def _on_cordons(self, message: CordonsChanged) -> None:
-        """Use other cordons; a worker that is no longer cordoned counts as started just now."""
+        """Replace the cordons; a worker that is no longer cordoned counts as started now."""
         if self.restrictions.set_cordons(self.clock.now_us(), message, self.table.listed()):
             self._apply_restrictions()
-        # Endpoints have this in their mailboxes, which the loop empties before it runs what is scheduled now.
+        # The endpoints' mailboxes contain this change by now, and the event loop processes them before the
+        # callback that is scheduled here.
         asyncio.get_running_loop().call_soon(message.on_applied)
 
     def _set_send_lease(self, held: bool) -> None:
-        """Nothing new is sent without the lease, as cordons may have changed since.
+        """Stop sending attempts when the lease is lost, as cordons may have changed; resume when it is held.
 
-        No worker was out of use by this, so none counts as started when it is over.
+        Losing the lease puts no worker out of use, so none counts as newly started afterwards.
         """
         self.restrictions.send_lease_held = held
         log.log(logging.INFO if held else logging.WARNING, "send_lease_held" if held else "send_lease_lost")
@@ -440,10 +459,13 @@
 
     def _apply_restrictions(self) -> None:
         self.table.update_all()
-        self._relist()
+        self._pass_workers()
+
+    def _pass_workers(self) -> None:
+        """Pass the workers to the decision module as a cached list.
 
-    def _relist(self) -> None:
-        """As a cached list: changes would count as discovery's, and the module would stop polling it."""
+        It would take a list of changes for one from discovery, and would stop polling.
+        """
         self._decide(api.WorkersListed(api.ListKind.CACHED, self.table.workers()))
 
     # The endpoint list and its lease
@@ -462,7 +484,8 @@
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
             self.list_lease.renew(message.received_us, received.generation)
-            self._check_list_lease()  # only now: queued requests must not be sent by the list of before
+            # Only after the update, as queued requests must not be sent by the previous list.
+            self._check_list_lease()
         if self.on_list_changed:
             self.on_list_changed()
 
@@ -481,7 +504,7 @@
         self._check_list_lease()
 
     def _check_list_lease(self) -> None:
-        """Notify the decision module when the lease on the list is lost or held again."""
+        """Notify the decision module if the lease on the endpoint list was lost or acquired."""
         if self.list_lease is None:
             return
         now = self.clock.now_us()
@@ -503,11 +526,11 @@
     # Hand-over to and from another process of this scheduler
 
     def export_state(self) -> DispatcherState:
-        """What a successor must know to decide as one with this process."""
+        """The state for a successor process, without the requests in flight."""
         return export_dispatcher(self.balancer, self.in_flight, self.restrictions)
 
     def import_state(self, state: Json) -> None:
-        """Go on from what a predecessor knows."""
+        """Adopt the state of a predecessor process, and apply its restrictions to the endpoints."""
         import_dispatcher(self.in_flight, self.restrictions, state)
         self._apply_restrictions()
         import_balancer(self.balancer, state)
@@ -515,7 +538,7 @@
     # Figures
 
     def stats(self) -> Answer:
-        """The figures as they are now."""
+        """The current metrics of this scheduler as an answer for operators."""
         queued = self.metrics.admission_queued() if self.metrics.admission_queued else 0
         self.metrics.active = len(self.in_flight) + queued
         listed = {destination.instance_id: destination for destination in self.table.listed()}
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The endpoint list as this process has it, and the endpoint actor of each worker on it.
+"""The current endpoint list, and the endpoint actor of each worker on it.
 
-Owns which endpoints exist: they are opened as workers are listed, and closed once a removed worker has no
-attempt in flight. It does not choose workers.
+An endpoint is opened when its worker is listed, and closed when the worker has been removed from the list and
+has no attempt in flight.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class EndpointTable:
-    """Listed workers and their endpoints by instance id."""
+    """The listed workers and their endpoints, by instance id."""
 
     def __init__(
         self,
@@ -49,35 +49,39 @@
         self.list_lease = list_lease
         self.destinations: dict[str, ListedEndpoint] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.catch_up: CatchUp | None = None  # after a stall; None: stalls are not detected
-        self.may_send: Callable[[ListedEndpoint], bool] | None = None  # called right before each write
+        self.catch_up: CatchUp | None = None  # detects stalls; None: stalls are not detected
+        self.may_send: Callable[[ListedEndpoint], bool] | None = None  # called immediately before each write
         self.traffic_recorder: TrafficRecorder | None = None
         self._zones = list(config.zones)
         self._machine_types = list(config.machine_types)
 
     def listed(self) -> list[ListedEndpoint]:
-        """The workers on the list; a removed one stays in the table until its attempts are over."""
+        """The workers on the list, without removed ones, which stay in the table until their attempts end."""
         return [d for d in self.destinations.values() if d.lifecycle is not Lifecycle.REMOVED]
 
     def workers(self) -> list[api.Worker]:
-        """The listed workers as the decision module sees them."""
+        """The listed workers in the representation of the decision module."""
         return [self.worker(destination) for destination in self.listed()]
 
     def worker(self, destination: ListedEndpoint) -> api.Worker:
-        """A worker as the decision module sees it: names are numbers, by settings and first appearance."""
+        """A worker in the representation of the decision module.
+
+        Zones and machine types are numbered in the order of the settings; unknown ones follow in the order of
+        their first appearance.
+        """
         destination = self.restrictions.effective(destination)
         return api.Worker(
             address=destination.instance_id,
-            zone=_number_of(self._zones, destination.zone),
+            zone=_index_of(self._zones, destination.zone),
             state=_WORKER_STATES[destination.lifecycle],
             started_us=destination.started_us,
             weight=destination.weight,
-            kind=_number_of(self._machine_types, destination.machine_type),
+            kind=_index_of(self._machine_types, destination.machine_type),
             cell=destination.cell,
         )
 
     def apply(self, received: EndpointList, complete: bool) -> None:
-        """Take a complete list, which removes whom it does not name, or changes to the one in use."""
+        """Apply changes to the list, or a complete list, which removes workers that it does not contain."""
         if complete:
             names = {destination.instance_id for destination in received.destinations}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
@@ -86,7 +90,7 @@
             self.update(destination)
 
     def update(self, destination: ListedEndpoint) -> None:
-        """Notify a worker's endpoint of its entry on the list, or open one."""
+        """Store a worker's list entry and pass it to the worker's endpoint, which is opened if necessary."""
         instance_id = destination.instance_id
         self.destinations[instance_id] = destination
         if self.traffic_recorder:
@@ -100,12 +104,12 @@
             self._open(effective)
 
     def update_all(self) -> None:
-        """Notify all endpoints again, as restrictions have changed."""
+        """Update the endpoints of all listed workers after restrictions have changed."""
         for destination in self.listed():
             self.update(destination)
 
     def open_removed(self, destination: ListedEndpoint) -> Endpoint:
-        """An endpoint for what a worker still has that is no longer listed."""
+        """Open an endpoint for a worker that is no longer listed but has an attempt in flight."""
         self.destinations[destination.instance_id] = destination
         return self._open(destination)
 
@@ -125,7 +129,7 @@
         return endpoint
 
     def retire(self, instance_id: str) -> None:
-        """Close the endpoint of a worker that has been removed, unless it is listed again."""
+        """Close the endpoint of a removed worker and forget it; has no effect if it is listed again."""
         destination = self.destinations.get(instance_id)
         if destination and destination.lifecycle is Lifecycle.REMOVED:
             del self.destinations[instance_id]
@@ -134,7 +138,7 @@
             self.supervisor.spawn(endpoint.close(), f"close {endpoint.name}")
 
     def close_idle_connections(self) -> None:
-        """Leave the workers' connections to another process."""
+        """Close idle connections to all workers, so that they are available to the successor process."""
         for endpoint in self.endpoints.values():
             endpoint.tell(CloseIdleConnections())
 
@@ -144,7 +148,7 @@
             await endpoint.close()
 
 
-def _number_of(names: list[str], name: str) -> int:
+def _index_of(names: list[str], name: str) -> int:
     if name not in names:
         names.append(name)
     return names.index(name)
--- a/robinhill/net/dispatcher/in_flight.py
+++ b/robinhill/net/dispatcher/in_flight.py
@@ -1,7 +1,6 @@
-"""Requests in flight: those that still need an answer or have an attempt at a worker.
+"""The table of requests in flight: those that still need an answer or have an attempt at a worker.
 
-The table owns the numbers that the decision module knows requests by, and the ids of recent requests. It
-sends and decides nothing.
+It assigns the numbers by which the decision module refers to requests, and holds the ids of recent requests.
 """
 
 import asyncio
@@ -13,7 +12,7 @@
 
 Json = dict[str, Any]
 
-SUCCESSOR_NUMBER_GAP = 1_000_000  # a predecessor's requests keep their numbers, ours begin so far behind them
+SUCCESSOR_NUMBER_GAP = 1_000_000  # adopted requests keep their numbers; own ones start this far above them
 MAX_RECENT_IDS = 16_384
 
 
@@ -27,31 +26,35 @@
     reply: asyncio.Future[Answer]
     answer_pending: bool = True
     attempts_in_flight: set[int] = field(default_factory=set)
-    started_us: int = 0  # when the attempt in flight began to run; 0: not that we know of
-    endpoints: list[str] = field(default_factory=list)  # of each attempt so far
-    endings: list[str] = field(default_factory=list)  # of each attempt that is over, for the log
-    last_outcome: api.Outcome | None = None  # of the attempts that ended in this process
-    returned_by: list[str] = field(default_factory=list)  # endpoints that were full
-    release_reply: asyncio.Future[Json | None] | None = None  # while it is being released to another process
+    started_us: int = 0  # when the attempt in flight was reported to run; 0: not yet
+    endpoints: list[str] = field(default_factory=list)  # instance id for each attempt so far
+    # Instance id, outcome and duration of each attempt that has ended, for the log.
+    attempt_summaries: list[str] = field(default_factory=list)
+    last_outcome: api.Outcome | None = None  # outcome of the last attempt that ended in this process
+    returned_by: list[str] = field(default_factory=list)  # workers that were full and returned the request
+    release_reply: asyncio.Future[Json | None] | None = None  # set during a release to another process
 
     @property
     def wanted(self) -> bool:
-        """Whether its client still waits; a disconnect shows in the reply before its message is handled."""
+        """Whether the client still waits for an answer.
+
+        When the client disconnects, its reply is cancelled before the message about it is handled.
+        """
         return self.answer_pending and not self.reply.cancelled()
 
     @property
     def releasable(self) -> bool:
-        """Whether it is being released, and nothing has ended that since."""
+        """Whether a release is under way, and neither an answer nor a disconnect has ended it."""
         return self.release_reply is not None and not self.release_reply.done() and self.answer_pending
 
 
 class InFlightRequests:
-    """The requests in flight by number and by id."""
+    """The requests in flight, by number and by id."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, InFlightRequest] = {}
-        self.numbers: dict[str, int] = {}  # by id: the wire's ids are text, the decision module's numbers
-        # A worker remembers the request that an id came with first, and rejects any other under that id.
+        self.numbers: dict[str, int] = {}  # by request id, the number used by the decision module
+        # Workers remember the first request received under an id, and reject others with the same id.
         self.recent_ids: dict[str, None] = {}
         self.next_number = 1
 
@@ -61,8 +64,8 @@
     def __contains__(self, request_id: str) -> bool:
         return request_id in self.numbers
 
-    def note_id(self, request_id: str) -> bool:
-        """Remember an id; False if a recent request had it."""
+    def record_id(self, request_id: str) -> bool:
+        """Record the id of a new request; False if a recent request had the same id."""
         if request_id in self.recent_ids:
             return False
         self.recent_ids[request_id] = None
@@ -71,36 +74,36 @@
         return True
 
     def add(self, request: JobRequest, deadline_us: int, reply: asyncio.Future[Answer]) -> InFlightRequest:
-        """Number a new request."""
+        """Add a new request and assign a number to it."""
         number = self.numbers[request.id] = self.next_number
         self.next_number += 1
         in_flight = self.by_number[number] = InFlightRequest(number, request, deadline_us, reply)
         return in_flight
 
     def adopt(self, in_flight: InFlightRequest) -> None:
-        """Add a request of another process, which keeps its number."""
+        """Add a request released by another process; it keeps its number."""
         request_id = in_flight.request.id
         self.recent_ids[request_id] = None
         self.by_number[in_flight.job] = in_flight
         self.numbers[request_id] = in_flight.job
 
     def find(self, request: JobRequest) -> InFlightRequest | None:
-        """This very request; not another one with the same id."""
+        """The entry of this request object; None if it has none, even if another request has the same id."""
         in_flight = self.by_number.get(self.numbers.get(request.id, 0))
         return in_flight if in_flight and in_flight.request is request else None
 
     def remove(self, in_flight: InFlightRequest) -> None:
-        """Forget a request."""
+        """Remove a request from the table; its id remains among the recent ones."""
         del self.by_number[in_flight.job]
         del self.numbers[in_flight.request.id]
 
-    def remove_if_over(self, in_flight: InFlightRequest) -> None:
-        """Forget a request that needs no answer and has no attempt in flight."""
-        over = not in_flight.answer_pending and not in_flight.attempts_in_flight
-        if over and in_flight.job in self.by_number:
+    def remove_if_finished(self, in_flight: InFlightRequest) -> None:
+        """Remove a request if it needs no answer and has no attempt in flight."""
+        finished = not in_flight.answer_pending and not in_flight.attempts_in_flight
+        if finished and in_flight.job in self.by_number:
             self.remove(in_flight)
 
     def import_state(self, recent_ids: list[str], next_number: int) -> None:
-        """Continue a predecessor's ids and numbers."""
+        """Adopt a predecessor's recent ids, and number new requests from above its numbers."""
         self.recent_ids = dict.fromkeys(recent_ids) | self.recent_ids
         self.next_number = next_number + SUCCESSOR_NUMBER_GAP
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -1,7 +1,6 @@
-"""The messages that the dispatcher takes, and what it notifies admission control of.
+"""The messages of the dispatcher, and those by which it notifies the admission actor.
 
-Values only: what is done about a message is in dispatcher.py and the modules beside it. Times are
-microseconds of the process's clock.
+They are handled in dispatcher.py and the modules beside it. Times are microseconds of the process's clock.
 """
 
 import asyncio
@@ -12,59 +11,59 @@
 from robinhill.net.workers.messages import EndpointReport
 from robinhill.protocol import Answer, EndpointList, JobEvent, JobRequest, ListedEndpoint
 
-if TYPE_CHECKING:  # admission control is loaded only where it is configured
+if TYPE_CHECKING:  # admission control is imported at run time only if it is configured
     from robinhill.admission.callers import Caller
 
 Json = dict[str, Any]
 
 
-# From clients' connections, or from admission control
+# From client connections, or from the admission actor
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAccepted:
-    """A request has been read and must be answered; ``reply`` takes its final answer."""
+    """A request has been read and must be answered; ``reply`` is set to its final answer."""
 
     request: JobRequest
     arrived_us: int
     reply: asyncio.Future[Answer]
-    caller: "Caller | None" = None  # None: it does not pass admission control
+    caller: "Caller | None" = None  # None: the request bypasses admission control
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """A client closed its connection before its answer."""
+    """A client has closed its connection before its request was answered."""
 
     request: JobRequest
 
 
-# To admission control
+# To the admission actor
 
 
 @dataclass(slots=True, frozen=True)
 class FirstAttemptSent:
-    """The first attempt of a request has been given to an endpoint."""
+    """The first attempt of a request has been passed to an endpoint."""
 
     request: JobRequest
 
 
 @dataclass(slots=True, frozen=True)
 class ExecutionStarted:
-    """A worker has begun to run a request."""
+    """A worker has started to run a request."""
 
     request: JobRequest
 
 
-# From the watch on discovery
+# From the discovery watch
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListReceived:
-    """An endpoint list, changes to it, or None if a call to discovery failed."""
+    """An endpoint list, or changes to it, from discovery; ``endpoint_list`` is None if the call failed."""
 
     endpoint_list: EndpointList | None
     cached: bool = False
-    received_us: int | None = None  # when its last byte was read; None: it does not renew the list's lease
+    received_us: int | None = None  # when its last byte was read; None: it does not renew the list lease
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryUnreachable:
-    """A call begun at ``called_us`` has shown that discovery could not be reached at ``as_of_us``."""
+    """Discovery was unreachable at ``as_of_us``, as shown by a call that started at ``called_us``."""
 
     called_us: int
     as_of_us: int
@@ -85,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAddressChanged:
-    """Discovery is watched at another address since ``at_us``."""
+    """The discovery watch has used a different address since ``at_us``."""
 
     at_us: int
 
@@ -95,17 +94,20 @@
 
 @dataclass(slots=True, frozen=True)
 class SetWorkerDisabled:
-    """An operator's call to disable a worker or to enable it again; ``reply`` takes the answer to it."""
+    """An operator's call to disable a worker or to enable it again; ``reply`` is set to its answer."""
 
     instance_id: str
     disabled: bool
     reply: asyncio.Future[Answer]
-    listed_elsewhere: bool = False  # in the other process of this scheduler, though not in this one's list
+    listed_elsewhere: bool = False  # the other process of this scheduler has the worker on its endpoint list
 
 
 @dataclass(slots=True, frozen=True)
 class CordonsChanged:
-    """Workers that ``covers`` accepts get nothing new; ``on_applied`` is called once endpoints comply."""
+    """The cordons have changed. Nothing new is sent to workers for which ``covers`` returns True.
+
+    ``on_applied`` is called once all endpoints comply.
+    """
 
     covers: Callable[[ListedEndpoint], bool]
     on_applied: Callable[[], None]
@@ -113,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendLeaseChanged:
-    """Whether this scheduler may send may have changed: the lease on the cordons is to be read again."""
+    """The lease on the cordons may have been lost or acquired; the dispatcher must read its state again."""
 
 
 # From the other process of this scheduler
@@ -121,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseRequest:
-    """Give a request up to the successor; ``reply`` takes its state, or None while it can't be released."""
+    """Release a request to the successor; ``reply`` is set to its state, or to None if that failed."""
 
     request: JobRequest
     reply: asyncio.Future[Json | None]
@@ -129,13 +131,13 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptRequest:
-    """Go on with a request that another process has released; ``reply`` takes its final answer."""
+    """Adopt a request that another process has released; ``reply`` is set to its final answer."""
 
     request: JobRequest
     state: Json
     reply: asyncio.Future[Answer]
-    adopted: asyncio.Event  # set once the request is here
-    released_here: bool = False  # this process had released it, and no other has taken it
+    adopted: asyncio.Event  # set once the request is in flight in this process
+    released_here: bool = False  # this process released the request itself, and no other process adopted it
 
 
 # From the dispatcher itself
@@ -143,7 +145,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class TimerDue:
-    """A timer of the decision module's is due."""
+    """A timer of the decision module is due."""
 
     tag: str
 
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -1,7 +1,8 @@
-"""Requests that change hands between the two processes of one scheduler while it is replaced.
+"""Hand-over of requests between the two processes of one scheduler during its replacement.
 
-A request is released here only once its endpoint has given its attempt up, so that one process alone has it
-at any moment. What goes over is JSON, whose keys stand here alone: processes of different versions read it.
+A request is released only after its endpoint has released the attempt in flight, so that at any moment only
+one process handles it. The state is transferred as JSON between processes of different versions; its keys are
+defined in this module only.
 """
 
 import asyncio
@@ -24,15 +25,15 @@
 
 
 class AttemptState(TypedDict):
-    """An attempt in flight."""
+    """The exported state of an attempt in flight."""
 
     until_us: int
-    final: bool  # read by processes of an older version
+    final: bool  # read only by processes of an older version
     sent_us: int
 
 
 class RequestState(TypedDict):
-    """A released request, but for what the client has sent."""
+    """The exported state of a released request, without the request itself."""
 
     job: int
     deadline_us: int
@@ -40,23 +41,25 @@
     endings: list[str]
     returned: list[str]
     attempt: AttemptState | None
-    destination: Json | None  # the entry of the attempt's worker on the endpoint list
+    destination: Json | None  # the endpoint list's entry of the worker that has the attempt
     module: ExportedJob
-    timers: list[list[int | str]]  # when each is due (us), and its tag
+    timers: list[list[int | str]]  # due time (us) and tag of each pending timer
 
 
 class DispatcherState(TypedDict):
-    """What a successor must know before any request."""
+    """The exported state of the dispatcher, which the successor needs before it adopts any request."""
 
     module: ExportedState
     seen: list[str]  # recent request ids
     held_out: list[str]  # disabled workers
-    outages: dict[str, list[int]]  # since when and until when a worker was out of use
-    next: int  # number of the next request
+    outages: dict[
+        str, list[int]
+    ]  # by worker, start and end (us) of its time out of use; end 0: still out of use
+    next: int  # the number of the next request
 
 
 class RequestHandover:
-    """Releases requests to another process, and adopts those that it has released."""
+    """Releases requests to another process, and adopts requests released by another process."""
 
     def __init__(
         self,
@@ -73,19 +76,23 @@
         self.timers = timers
         self.clock = clock
         self.perform = perform
-        # By id, requests on their way to another process: events about one wait until it is there, or stays.
+        # By id, requests in transit to another process. Workers' reports about such a request wait for the
+        # event, which is set once the other process has adopted the request or this one retains it.
         self.in_transit: dict[str, asyncio.Event] = {}
 
     def release(self, message: ReleaseRequest) -> None:
-        """Begin to release a request; its reply gets the state, or None if it has to stay."""
+        """Start to release a request.
+
+        The message's reply is set to the exported state, or to None if this process retains the request.
+        """
         request = self.in_flight.find(message.request)
         if request is None or not request.answer_pending or request.release_reply:
             message.reply.set_result(None)
             return
         request.release_reply = message.reply
         self.in_transit[request.request.id] = asyncio.Event()
-        # What endpoints have reported about it is before this in the endpoint's mailbox, and its ending
-        # before the answer in ours.
+        # Worker reports that were already forwarded to the endpoint precede this message in its mailbox. If
+        # the endpoint reports the end of the attempt, that precedes its answer in the dispatcher's mailbox.
         attempts = len(request.attempts_in_flight)
         endpoint = self.table.endpoints.get(request.endpoints[-1]) if attempts else None
         if not attempts:
@@ -93,29 +100,33 @@
         elif attempts == 1 and endpoint:
             endpoint.tell(ReleaseAttempt(request.job, request.request.id))
         else:
-            self.keep(request)
+            self.abort_release(request)
 
-    def keep(self, request: InFlightRequest) -> None:
-        """The request stays in this process."""
+    def abort_release(self, request: InFlightRequest) -> None:
+        """Abort the release of a request, if one is under way; this process retains the request."""
         if request.release_reply and not request.release_reply.done():
             request.release_reply.set_result(None)
         request.release_reply = None
         self.finish_transit(request.request.id)
 
     def finish_transit(self, request_id: str) -> None:
-        """A request on its way is in the other process now, or stays here."""
+        """Resume waiting worker reports: the other process has adopted the request or this one retains it."""
         if in_transit := self.in_transit.pop(request_id, None):
             in_transit.set()
 
     def attempt_released(self, message: AttemptReleased) -> None:
-        """The endpoint has given the attempt up, or can't; or there was none."""
+        """Complete or abort a release, after the endpoint has answered or if no attempt is in flight.
+
+        ``message.attempt`` is None if the endpoint could not release its attempt, or if there was none.
+        """
         request, attempt = self.in_flight.by_number.get(message.job), message.attempt
         if request is None:
-            return  # it has ended meanwhile
+            return  # the request has ended in the meantime
         remaining = len(request.attempts_in_flight) - (attempt is not None)
         if not request.releasable or remaining > 0:
-            # Its client has left meanwhile, or it was answered: what is in flight ends here.
-            self.keep(request)
+            # The client has disconnected, the request was answered, or an attempt could not be released. The
+            # attempt in flight, if any, continues in this process.
+            self.abort_release(request)
             if attempt:
                 self.table.endpoints[request.endpoints[-1]].tell(attempt)
             return
@@ -125,13 +136,13 @@
 
     def _export_request(self, request: InFlightRequest, attempt: ResumeAttempt | None) -> RequestState:
         exported_job = exported_state.export_job(self.balancer, request.job)
-        assert exported_job, "a request that needs an answer is known to the decision module"
+        assert exported_job, "the decision module does not know a request that still needs an answer"
         worker = self.table.destinations[request.endpoints[-1]] if attempt else None
         return {
             "job": request.job,
             "deadline_us": request.deadline_us,
             "endpoints": request.endpoints,
-            "endings": request.endings,
+            "endings": request.attempt_summaries,
             "returned": request.returned_by,
             "attempt": _export_attempt(attempt) if attempt else None,
             "destination": protocol.encode_listed_endpoint(worker) if worker else None,
@@ -140,11 +151,11 @@
         }
 
     def adopt(self, message: AdoptRequest) -> None:
-        """Go on with a request that was released."""
+        """Adopt a released request with its attempt in flight, its timers and its decision state."""
         state, now_us = message.state, self.clock.now_us()
         request = InFlightRequest(state["job"], message.request, state["deadline_us"], message.reply)
         request.endpoints = state["endpoints"]
-        request.endings = state["endings"]
+        request.attempt_summaries = state["endings"]
         request.returned_by = state["returned"]
         self.in_flight.adopt(request)
         if attempt := state["attempt"]:
@@ -162,7 +173,7 @@
         instance_id, number = request.endpoints[-1], len(request.endpoints) - 1
         request.attempts_in_flight = {number}
         endpoint = self.table.endpoints.get(instance_id)
-        if endpoint is None:  # it has been removed from the list meanwhile
+        if endpoint is None:  # the worker has been removed from the endpoint list in the meantime
             removed = protocol.decode_listed_endpoint(destination | {"lifecycle": "left"})
             endpoint = self.table.open_removed(removed)
         until_us, sent_us = attempt["until_us"], attempt["sent_us"]
@@ -174,7 +185,7 @@
 def export_dispatcher(
     balancer: Balancer, in_flight: InFlightRequests, restrictions: WorkerRestrictions
 ) -> DispatcherState:
-    """What a successor must know, before any request, to decide as one with this process."""
+    """Export the state that a successor needs, before it adopts any request, to make the same decisions."""
     return {
         "module": exported_state.export_state(balancer),
         "seen": list(in_flight.recent_ids),
@@ -188,14 +199,17 @@
 
 
 def import_dispatcher(in_flight: InFlightRequests, restrictions: WorkerRestrictions, state: Json) -> None:
-    """Take a predecessor's ids and restrictions; endpoints must be notified of these before the rest."""
+    """Import a predecessor's request ids and restrictions.
+
+    Endpoints must be notified of the restrictions before `import_balancer` is called.
+    """
     in_flight.import_state(state["seen"], state["next"])
     out_of_use = {instance_id: OutOfUse(*outage) for instance_id, outage in state["outages"].items()}
     restrictions.import_state(state["held_out"], out_of_use)
 
 
 def import_balancer(balancer: Balancer, state: Json) -> None:
-    """Take what a predecessor's decision module has learned."""
+    """Import the state of a predecessor's decision module."""
     exported_state.import_state(balancer, state["module"])
 
 
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -1,6 +1,7 @@
-"""Requests, attempts, answers and endpoints as the records of a recording.
+"""Creates the records of a traffic recording from requests, attempts, answers and endpoints.
 
-Bodies are left out, ids and tenants are hashed. Writing is the recorder's part, in its own thread.
+Records contain no request bodies, and only hashes of ids and tenants. The recorder writes them in a thread of
+its own.
 """
 
 from typing import TYPE_CHECKING
@@ -10,12 +11,12 @@
 from robinhill.protocol import JobRequest, ListedEndpoint
 from robinhill.record.records import Answered, Arrived, Attempted, Listed
 
-if TYPE_CHECKING:  # its compressor is loaded where something is recorded, and only there
+if TYPE_CHECKING:  # imported at run time only if recording is configured, as it loads a compression library
     from robinhill.record.recorder import Recorder
 
 
 class TrafficRecorder:
-    """Makes a record of each event; called by dispatcher and admission."""
+    """Adds a record for each event; called by the dispatcher and the admission actor."""
 
     def __init__(self, recorder: "Recorder", clock: Clock, classes: tuple[str, ...]) -> None:
         self.recorder = recorder
@@ -23,7 +24,7 @@
         self.classes = classes
 
     def record_arrival(self, request: JobRequest, at_us: int, tenant: str) -> None:
-        """Record an accepted request; its tenant is empty where there is no admission control."""
+        """Record an accepted request; ``tenant`` is empty if the request bypasses admission control."""
         tenant_hash = self.recorder.hash(tenant) if tenant else 0
         self.recorder.add(
             Arrived(
@@ -40,9 +41,10 @@
     def record_attempt(
         self, request: JobRequest, endpoint: str, outcome: Outcome, took_us: int, started_us: int
     ) -> None:
-        """Record an attempt that has ended; ``started_us``: when it began to run, 0 if that is not known."""
+        """Record an attempt that has ended; ``started_us``: when it started to run, 0 if unknown."""
         now = self.clock.now_us()
-        # Its end was reported by way of another mailbox: it did not run longer than it was in flight.
+        # The end was reported through a mailbox with some delay, so the time since the start may exceed the
+        # time in flight, which limits the running time.
         ran_us = min(took_us, now - started_us) if started_us else -1
         self.recorder.add(
             Attempted(now, self.recorder.hash(request.id), endpoint, outcome.value, took_us, ran_us)
@@ -53,7 +55,7 @@
         self.recorder.add(Answered(self.clock.now_us(), self.recorder.hash(request.id), status))
 
     def record_endpoint(self, endpoint: ListedEndpoint) -> None:
-        """Record an entry of the endpoint list as discovery gave it."""
+        """Record an entry of the endpoint list as received from discovery."""
         self.recorder.add(
             Listed(
                 self.clock.now_us(),
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -1,7 +1,7 @@
-"""Which workers get nothing new by order: disabled by operators, cordoned, or no lease to send at all.
+"""Restrictions on sending to workers: disabled workers, cordons, and a lost lease on the cordons.
 
-Owns the set of disabled workers and the times at which workers were taken out of use here. What follows from
-it for a listed worker is ``effective``; endpoints and decision module see nothing else of it.
+This module owns the set of disabled workers and the times at which workers were out of use at this scheduler.
+Endpoints and decision module learn of restrictions only through list entries changed by ``effective``.
 """
 
 import logging
@@ -16,34 +16,35 @@
 
 @dataclass(slots=True, frozen=True)
 class OutOfUse:
-    """Since when, and until when, a worker was out of use here (us; until 0: it still is)."""
+    """The time during which a worker was out of use at this scheduler (us; ``until_us`` 0: it still is)."""
 
     since_us: int
     until_us: int = 0
 
 
 class WorkerRestrictions:
-    """Disabled and cordoned workers, and whether this scheduler may send by its lease on the cordons."""
+    """Disabled and cordoned workers, and whether this scheduler holds the lease on the cordons."""
 
     def __init__(self, store: DisabledWorkerStore, now_us: int) -> None:
         self.store = store
         self.disabled = store.load()
-        # The file holds no times: a worker disabled by an earlier process counts from the start on.
+        # The file contains no times, so a worker disabled by an earlier process is out of use from now on.
         self.out_of_use = {instance_id: OutOfUse(now_us) for instance_id in self.disabled}
-        self.cordons: CordonsChanged | None = None  # the last that came
-        self.send_lease_held = True  # as endpoints and decision module were notified
+        self.cordons: CordonsChanged | None = None  # the last ones received
+        self.send_lease_held = True  # the state that endpoints and decision module were last notified of
 
     def applies_to(self, destination: ListedEndpoint | None, instance_id: str) -> bool:
-        """Whether operators have ordered that a worker gets nothing, here or at any scheduler."""
+        """Whether a worker is disabled at this scheduler or cordoned at all schedulers."""
         return instance_id in self.disabled or (
             self.cordons is not None and destination is not None and self.cordons.covers(destination)
         )
 
     def effective(self, destination: ListedEndpoint) -> ListedEndpoint:
-        """The worker as endpoints and decision module are to see it: restrictions override the list.
+        """The worker's list entry with restrictions applied, for endpoints and decision module.
 
-        The list is late: a restart while the worker was out of use may not be on it yet, and a cold worker
-        taken for a warm one would be overloaded. So one that is back in use counts as started just then.
+        A restricted worker appears as draining. A worker that is back in use counts as started at that
+        moment: it may have restarted while it was out of use without the list showing this yet, and a cold
+        worker that gets the load of a warm one would be overloaded.
         """
         if destination.lifecycle is Lifecycle.ACTIVE and (
             self.applies_to(destination, destination.instance_id) or not self.send_lease_held
@@ -55,17 +56,17 @@
         return destination
 
     def set_disabled(self, now_us: int, instance_id: str, disabled: bool) -> bool:
-        """Disable or enable a worker; False, with nothing changed, if that can't be saved."""
+        """Disable or enable a worker; False, with nothing changed, if the change could not be saved."""
         changed = self.disabled | {instance_id} if disabled else self.disabled - {instance_id}
         if not self.store.save(changed):
             return False
         self.disabled = changed
         log.info("worker_disabled" if disabled else "worker_enabled", extra={"endpoint": instance_id})
-        self._note_use(now_us, instance_id, not disabled)
+        self._record_use(now_us, instance_id, not disabled)
         return True
 
     def set_cordons(self, now_us: int, cordons: CordonsChanged, listed: list[ListedEndpoint]) -> bool:
-        """Use other cordons from now on; whether that changes anything for a listed worker."""
+        """Replace the cordons; returns whether this changes the restrictions of a listed worker."""
         before = {d.instance_id: self.applies_to(d, d.instance_id) for d in listed}
         self.cordons = cordons
         changed = False
@@ -76,10 +77,10 @@
                 continue
             changed = True
             log.info("cordoned" if restricted else "uncordoned", extra={"endpoint": instance_id})
-            self._note_use(now_us, instance_id, not restricted)
+            self._record_use(now_us, instance_id, not restricted)
         return changed
 
-    def _note_use(self, now_us: int, instance_id: str, in_use: bool) -> None:
+    def _record_use(self, now_us: int, instance_id: str, in_use: bool) -> None:
         if in_use:
             outage = self.out_of_use.get(instance_id, OutOfUse(now_us))
             self.out_of_use[instance_id] = replace(outage, until_us=now_us)
@@ -87,6 +88,6 @@
             self.out_of_use[instance_id] = OutOfUse(now_us)
 
     def import_state(self, disabled: list[str], out_of_use: dict[str, OutOfUse]) -> None:
-        """Take a predecessor's disabled workers and times."""
+        """Adopt a predecessor's disabled workers and times out of use."""
         self.disabled = set(disabled)
         self.out_of_use = out_of_use
