--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -81,7 +81,7 @@
         for entry in self.networks:
             network = ipaddress.ip_network(entry.network)
             if network in seen:
-                raise ValueError(f"networks: {network} is listed more than once")
+                raise ValueError(f"networks: {network} is listed twice")
             seen.add(network)
 
     def limits_of(self, tenant: str) -> Limits:
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -437,7 +437,7 @@
             return NOT_SAVED
         if destination and listed:
             self.table.update(destination)
-            self._pass_workers()
+            self._refresh_workers()
         return DONE
 
     def _on_cordons(self, message: CordonsChanged) -> None:
@@ -459,9 +459,9 @@
 
     def _apply_restrictions(self) -> None:
         self.table.update_all()
-        self._pass_workers()
+        self._refresh_workers()
 
-    def _pass_workers(self) -> None:
+    def _refresh_workers(self) -> None:
         """Pass the workers to the decision module as a cached list.
 
         It would take a list of changes for one from discovery, and would stop polling.
--- a/tests/test_admission_properties.py
+++ b/tests/test_admission_properties.py
@@ -1,4 +1,4 @@
-"""Admission control under arbitrary interleavings of arrive, leave, place, begin, end, time and reload."""
+"""Admission control under arbitrary interleavings of arrivals, starts, ends, disconnects, timers, reloads."""
 
 from collections import defaultdict
 from typing import Any
@@ -31,14 +31,14 @@
 )
 
 
-class World(RuleBasedStateMachine):
-    """A caller of admission control that carries its actions out and checks each."""
+class AdmissionMachine(RuleBasedStateMachine):
+    """Sends arbitrary events to admission control, and checks each action and the state after each event."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1_000 * S
         self.number = 0
-        self.state: dict[int, str] = {}  # waits, in, placed, runs; gone once answered
+        self.state: dict[int, str] = {}  # queued, admitted, placed or running; removed once answered
 
     @initialize(options=st.sampled_from(OPTIONS))
     def begin(self, options: AdmissionOptions) -> None:
@@ -46,49 +46,49 @@
 
     def perform(self, actions: list[Any]) -> None:
         for action in actions:
-            assert self.state[action.number] == "waits", "an answer to what is in, or was answered"
+            assert self.state[action.number] == "queued", "action for a request that is not queued"
             if isinstance(action, Admit):
-                self.state[action.number] = "in"
+                self.state[action.number] = "admitted"
             else:
                 assert isinstance(action, Reject) and 0 <= action.retry_us <= 10 * S
                 del self.state[action.number]
 
-    def some(self, data: Any, *states: str) -> int | None:
-        found = [n for n, state in self.state.items() if state in states]
-        return data.draw(st.sampled_from(found)) if found else None
+    def draw_number(self, data: Any, *states: str) -> int | None:
+        matching = [n for n, state in self.state.items() if state in states]
+        return data.draw(st.sampled_from(matching)) if matching else None
 
     @rule(
         tenant=st.sampled_from(TENANTS), job_class=st.integers(0, 1), left=st.integers(1, 5_000),
-        key=st.integers(0, 3), owed=st.booleans(),
+        key=st.integers(0, 3), already_accepted=st.booleans(),
     )  # fmt: skip
-    def arrive(self, tenant: str, job_class: int, left: int, key: int, owed: bool) -> None:
+    def arrive(self, tenant: str, job_class: int, left: int, key: int, already_accepted: bool) -> None:
         self.number += 1
         caller = self.admission.directory.find(tenant, "10.0.0.1", str(key))
-        self.state[self.number] = "waits"
-        ask = AdmissionRequest(self.number, job_class, caller, self.now, left * MS, owed)
-        self.perform(self.admission.arrive(self.now, ask))
+        self.state[self.number] = "queued"
+        request = AdmissionRequest(self.number, job_class, caller, self.now, left * MS, already_accepted)
+        self.perform(self.admission.arrive(self.now, request))
 
     @rule(data=st.data())
     def place(self, data: Any) -> None:
-        if number := self.some(data, "in"):
+        if number := self.draw_number(data, "admitted"):
             self.state[number] = "placed"
             self.perform(self.admission.placed(self.now, number))
 
     @rule(data=st.data())
     def start(self, data: Any) -> None:
-        if number := self.some(data, "placed"):
-            self.state[number] = "runs"
+        if number := self.draw_number(data, "placed"):
+            self.state[number] = "running"
             self.perform(self.admission.execution_started(self.now, number))
 
     @rule(data=st.data(), served=st.booleans())
     def end(self, data: Any, served: bool) -> None:
-        if number := self.some(data, "in", "placed", "runs"):
+        if number := self.draw_number(data, "admitted", "placed", "running"):
             del self.state[number]
             self.perform(self.admission.ended(self.now, number, served))
 
     @rule(data=st.data())
-    def leave(self, data: Any) -> None:
-        if number := self.some(data, "waits", "in", "placed", "runs"):
+    def disconnect(self, data: Any) -> None:
+        if number := self.draw_number(data, "queued", "admitted", "placed", "running"):
             del self.state[number]
             self.perform(self.admission.client_disconnected(self.now, number))
 
@@ -102,62 +102,62 @@
 
     @rule(seconds=st.integers(1, 100))
     def step_back(self, seconds: int) -> None:
-        """A clock that steps back changes nothing and ends nothing."""
+        """Call ``tick`` with an earlier time, which must not end any request."""
         self.perform(self.admission.tick(self.now - seconds * S))
 
     @rule(options=st.sampled_from(OPTIONS))
     def reload(self, options: AdmissionOptions) -> None:
-        before = {n for n, state in self.state.items() if state == "waits"}
+        before = {n for n, state in self.state.items() if state == "queued"}
         actions = self.admission.configure(self.now, options)
-        assert not any(isinstance(a, Reject) for a in actions), "a reload drops nothing that waits"
+        assert not any(isinstance(a, Reject) for a in actions), "a reload rejected a queued request"
         self.perform(actions)
         assert before <= set(self.state)
 
     @invariant()
     @precondition(lambda self: hasattr(self, "admission"))
-    def it_is_consistent(self) -> None:
-        waiting = [n for n, state in self.state.items() if state == "waits"]
-        assert self.admission.queued_count == len(waiting)
+    def state_is_consistent(self) -> None:
+        queued = [n for n, state in self.state.items() if state == "queued"]
+        assert self.admission.queued_count == len(queued)
         assert set(self.admission.tickets) == set(self.state)
-        # Its memory is that of what is there: a name leaves nothing behind.
+        # Usage is kept only for tenants with open requests, so that names of past tenants take no memory.
         assert sum(p.open for p in self.admission.limits.usage.values()) == len(self.state)
         assert all(p.open > 0 and p.queued >= 0 for p in self.admission.limits.usage.values())
-        assert sum(p.queued for p in self.admission.limits.usage.values()) == len(waiting)
+        assert sum(p.queued for p in self.admission.limits.usage.values()) == len(queued)
         for job_class in (0, 1):
             unplaced = [
                 n for n, s in self.state.items()
-                if s == "in" and self.admission.tickets[n].job_class == job_class
+                if s == "admitted" and self.admission.tickets[n].job_class == job_class
             ]  # fmt: skip
             assert self.admission.windows.unplaced[job_class] == len(unplaced)
-            # Work conserving: nobody waits at admission while the module has next to nothing at hand.
-            waits = any(self.admission.tickets[n].job_class == job_class for n in waiting)
-            assert not (waits and self.admission.windows.has_capacity(job_class)), (
-                "somebody waits and could go in"
+            # Admission is work-conserving: no request of a class is queued while its window has capacity.
+            class_is_queued = any(self.admission.tickets[n].job_class == job_class for n in queued)
+            assert not (class_is_queued and self.admission.windows.has_capacity(job_class)), (
+                "a request is queued although its window has capacity"
             )
         queues = {t.queue for t in self.admission.tickets.values()}
-        assert sum(q.length for q in queues) == len(waiting)
+        assert sum(q.length for q in queues) == len(queued)
         assert sum(q.users for q in queues) == len(self.state)
         assert set(self.admission.round_robin.active) == {q for q in queues if q.length}
 
     def teardown(self) -> None:
-        """Whatever waits gets its answer in bounded time."""
+        """Check that every queued request is admitted or rejected within 10 seconds."""
         if hasattr(self, "admission"):
             self.pass_time(10_000)
-            assert "waits" not in self.state.values()
+            assert "queued" not in self.state.values()
 
 
-TestWorld = World.TestCase
-TestWorld.settings = settings(
+TestAdmissionMachine = AdmissionMachine.TestCase
+TestAdmissionMachine.settings = settings(
     max_examples=60, stateful_step_count=60, deadline=None, suppress_health_check=list(HealthCheck),
     derandomize=True,
 )  # fmt: skip
 
 
-def always(job_class: int) -> bool:
+def allow_any_class(job_class: int) -> bool:
     return True
 
 
-def ticket(number: int, queue: Queue, cost: float, job_class: int = 0) -> Ticket:
+def make_ticket(number: int, queue: Queue, cost: float, job_class: int = 0) -> Ticket:
     return Ticket(number, job_class, 0, "", -1, 0, queue, cost, 0, 0)
 
 
@@ -166,25 +166,27 @@
     weights=st.lists(st.sampled_from([0.5, 1.0, 2.0, 4.0]), min_size=2, max_size=8),
     costs=st.lists(st.floats(0.1, 3.0), min_size=8, max_size=8),
 )
-def test_shares_keep_to_the_weights(weights: list[float], costs: list[float]) -> None:
-    """Queues that never run dry get work in proportion to their weights, whatever their jobs cost."""
+def test_round_robin_serves_queues_in_proportion_to_their_weights(
+    weights: list[float], costs: list[float]
+) -> None:
+    """Queues that are never empty get work in proportion to their weights, whatever their jobs cost."""
     queues = [Queue(str(i), w) for i, w in enumerate(weights)]
     rounds = DeficitRoundRobin([0], 0.25, quantum_us=max(costs))
     number = 0
 
-    def fill(queue: Queue, cost: float) -> None:
+    def add_ticket(queue: Queue, cost: float) -> None:
         nonlocal number
         number += 1
-        rounds.add(0, ticket(number, queue, cost))
+        rounds.add(0, make_ticket(number, queue, cost))
 
     for queue, cost in zip(queues, costs, strict=False):
-        fill(queue, cost)
-        fill(queue, cost)
+        add_ticket(queue, cost)
+        add_ticket(queue, cost)
     for _ in range(600):
-        taken = rounds.dequeue(0, always, always)
-        assert taken
-        fill(taken.queue, costs[queues.index(taken.queue)])
-    # In every round that is over a queue got its quantum, give or take its burst and its largest job.
+        dequeued = rounds.dequeue(0, allow_any_class, allow_any_class)
+        assert dequeued
+        add_ticket(dequeued.queue, costs[queues.index(dequeued.queue)])
+    # Each queue has got one quantum per completed round, within a tolerance of its burst and largest job.
     for queue, cost in zip(queues, costs, strict=False):
         quantum = rounds.quantum_us * queue.weight
         assert abs(queue.served_us - rounds.round_number * quantum) <= (MAX_SAVED_QUANTA + 1) * quantum + cost
@@ -192,43 +194,46 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(data=st.data())
-def test_nobody_starves(data: Any) -> None:
-    """A request is let in within as many rounds as its own queue's work before it asks for, and one more."""
+def test_round_robin_admits_each_request_within_a_bounded_number_of_rounds(data: Any) -> None:
+    """The limit is the number of rounds that the work ahead in the request's queue needs, plus a constant."""
     queues = [Queue(str(i), data.draw(st.sampled_from([0.5, 1.0, 3.0]))) for i in range(5)]
     rounds = DeficitRoundRobin([1, 0], 0.25, quantum_us=2.0)
-    asked: dict[int, tuple[int, float, Queue]] = {}
+    pending: dict[int, tuple[int, float, Queue]] = {}  # round of the arrival, work in the queue, and queue
     for number in range(1, 60):
         queue = data.draw(st.sampled_from(queues))
         cost = data.draw(st.floats(0.1, 2.0))
-        rounds.add(0, ticket(number, queue, cost, data.draw(st.integers(0, 1))))
-        asked[number] = (rounds.round_number, queue.work_us, queue)
-        if data.draw(st.booleans()) and (taken := rounds.dequeue(0, always, always)):
-            check(rounds, asked, taken)
-    while taken := rounds.dequeue(0, always, always):
-        check(rounds, asked, taken)
+        rounds.add(0, make_ticket(number, queue, cost, data.draw(st.integers(0, 1))))
+        pending[number] = (rounds.round_number, queue.work_us, queue)
+        if data.draw(st.booleans()) and (dequeued := rounds.dequeue(0, allow_any_class, allow_any_class)):
+            check_waited_rounds(rounds, pending, dequeued)
+    while dequeued := rounds.dequeue(0, allow_any_class, allow_any_class):
+        check_waited_rounds(rounds, pending, dequeued)
     assert not rounds.length and not rounds.active
 
 
-def check(rounds: DeficitRoundRobin, asked: dict[int, tuple[int, float, Queue]], taken: Ticket) -> None:
-    since, ahead, queue = asked.pop(taken.number)
-    # What came later to its own queue, of more worth, goes before it: that is its tenant's choice.
-    later = sum(a for n, (_, _, q) in asked.items() if q is queue and n > taken.number for a in [2.0])
-    overtaken = 2.0 * 60 if taken.job_class == 0 else later
+def check_waited_rounds(
+    rounds: DeficitRoundRobin, pending: dict[int, tuple[int, float, Queue]], dequeued: Ticket
+) -> None:
+    arrival_round, work_ahead, queue = pending.pop(dequeued.number)
+    # Later requests of the same queue with more priority weight may overtake this one, which only affects
+    # their own tenant.
+    later = sum(a for n, (_, _, q) in pending.items() if q is queue and n > dequeued.number for a in [2.0])
+    overtaking_work = 2.0 * 60 if dequeued.job_class == 0 else later
     quantum = 2.0 * queue.weight
-    assert rounds.round_number - since <= (ahead + overtaken) / quantum + 2
+    assert rounds.round_number - arrival_round <= (work_ahead + overtaking_work) / quantum + 2
 
 
-@pytest.mark.parametrize("strangers", [1, 4, 16])
-def test_strangers_together_keep_to_their_share(strangers: int) -> None:
-    """Guards against the cheapest flood: a thousand names must not weigh as a thousand tenants."""
-    known = [Queue(f"k{i}") for i in range(3)]
-    strange = [Queue(f"s{i}", is_shared=True) for i in range(strangers)]
+@pytest.mark.parametrize("shared_count", [1, 4, 16])
+def test_shared_queues_together_get_the_share_of_newcomers(shared_count: int) -> None:
+    """Guards against a flood of new tenant names, which must not get the share of as many tenants."""
+    tenant_queues = [Queue(f"t{i}") for i in range(3)]
+    shared_queues = [Queue(f"s{i}", is_shared=True) for i in range(shared_count)]
     rounds = DeficitRoundRobin([0], 0.25, quantum_us=1.0)
-    for number, queue in enumerate((known + strange) * 400):
-        rounds.add(0, ticket(number, queue, 1.0))
-    got: dict[bool, int] = defaultdict(int)
+    for number, queue in enumerate((tenant_queues + shared_queues) * 400):
+        rounds.add(0, make_ticket(number, queue, 1.0))
+    served_by_shared: dict[bool, int] = defaultdict(int)
     for _ in range(800):
-        taken = rounds.dequeue(0, always, always)
-        assert taken
-        got[taken.queue.is_shared] += 1
-    assert 0.2 <= got[True] / 800 <= 0.3
+        dequeued = rounds.dequeue(0, allow_any_class, allow_any_class)
+        assert dequeued
+        served_by_shared[dequeued.queue.is_shared] += 1
+    assert 0.2 <= served_by_shared[True] / 800 <= 0.3
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""What clients do to a request that is held, by repeating its id or by leaving."""
+"""The dispatcher's handling of duplicate request ids and of clients that disconnect."""
 
 import asyncio
 import json
@@ -16,35 +16,37 @@
 from .test_config import ENTRY, GIVEN
 
 
-def test_a_client_that_repeats_an_id_and_leaves_does_not_end_the_first(tmp_path: Path) -> None:
+def test_disconnect_of_a_request_with_a_duplicate_id_leaves_the_first_request_in_flight(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GIVEN))
 
-    async def repeat() -> None:
+    async def run_duplicate() -> None:
         clock = Clock()
-        given = config.load({"GW_CONFIG": str(path)})
-        dispatcher = Dispatcher(given, Supervisor(), clock, Metrics(given.classes))
+        loaded = config.load({"GW_CONFIG": str(path)})
+        dispatcher = Dispatcher(loaded, Supervisor(), clock, Metrics(loaded.classes))
         first, second = (protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ()) for _ in range(2))
         replies = [asyncio.get_running_loop().create_future() for _ in range(2)]
-        replies[1].cancel()  # its client has gone before the dispatcher looks
+        replies[1].cancel()  # the client disconnects before the dispatcher handles its request
         for request, reply in zip((first, second), replies, strict=True):
             dispatcher.receive(RequestAccepted(request, clock.now_us(), reply))
         dispatcher.receive(ClientDisconnected(second))
-        (held,) = dispatcher.in_flight.by_number.values()
-        assert held.request is first and held.answer_pending and not replies[0].done()
+        (in_flight,) = dispatcher.in_flight.by_number.values()
+        assert in_flight.request is first and in_flight.answer_pending and not replies[0].done()
 
-    asyncio.run(repeat())
+    asyncio.run(run_duplicate())
 
 
-def test_a_request_whose_client_left_is_active_until_its_attempt_ends(tmp_path: Path) -> None:
-    """Operators ask what the scheduler has in hand; a crowd of clients that leave showed as half of it."""
+def test_request_of_a_disconnected_client_counts_as_active_until_its_attempt_ends(tmp_path: Path) -> None:
+    """Guards against a low active count: it showed half of the load when many clients had disconnected."""
     path = tmp_path / "config.json"
     known = {"generation": 1, "reset": True, "instances": [ENTRY | {"lifecycle": "active"}]}
     path.write_text(json.dumps(GIVEN | {"known": known}))
 
-    async def leave() -> None:
-        clock, supervisor, given = Clock(), Supervisor(), config.load({"GW_CONFIG": str(path)})
-        dispatcher = Dispatcher(given, supervisor, clock, Metrics(given.classes))
+    async def run_disconnect() -> None:
+        clock, supervisor, loaded = Clock(), Supervisor(), config.load({"GW_CONFIG": str(path)})
+        dispatcher = Dispatcher(loaded, supervisor, clock, Metrics(loaded.classes))
         dispatcher.start()
         request = protocol.JobRequest("j1", 1, 25_000_000, False, "/x", b"", ())
         dispatcher.receive(
@@ -61,4 +63,4 @@
         await supervisor.close()
         await dispatcher.close()
 
-    asyncio.run(leave())
+    asyncio.run(run_disconnect())
