--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -25,13 +25,11 @@
     limiter: RateLimiter | None
     pinned: bool = False  # the operators' file names the tenant
     count: float = 0.0  # served work, in the sketch's scale
-    error: float = (
-        0.0  # upper limit of the overcount in `count`, inherited from the account that this one replaced
-    )
+    error: float = 0.0  # part of `count` inherited from the replaced account, possibly not this tenant's
     jobs: int = 0
     ratio: float = 1.0  # mean ratio of the running time of the tenant's jobs to the mean of their class
     served_us: float = 0.0  # work served since the process started, reported to operators
-    rejected: int = 0
+    rejected: int = 0  # rejections caused by the tenant's own rate or share, reported to operators
 
     @property
     def established(self) -> bool:
@@ -53,8 +51,8 @@
 
     capacity: int
     by_tenant: dict[int, Account] = field(default_factory=dict)
-    start_us: int = 0
-    pinned: int = 0
+    start_us: int = 0  # time at which the scale of the counts is 1
+    pinned: int = 0  # number of pinned accounts
     _heap: list[tuple[float, int]] = field(default_factory=list)  # (count when pushed, tenant)
 
     def get(self, tenant: int) -> Account | None:
@@ -125,7 +123,7 @@
         return None
 
     def heaviest(self, count: int) -> list[Account]:
-        """The ``count`` accounts with the most recently served work, heaviest first."""
+        """The ``count`` accounts with the most served work, weighted by recency; heaviest first."""
         return sorted(self.by_tenant.values(), key=lambda a: -(a.count - a.error))[:count]
 
     def _rebuild(self) -> None:
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -455,7 +455,7 @@
                 return None
         ahead = class_queue.work_ahead_us
         if ahead / rate <= patience or not self.costs.known[ticket.job_class]:
-            return None  # no wait can be estimated for a class of which no job has ended yet
+            return None  # the wait is short enough, or unknown as no job of the class has ended yet
         exceeds_share = self._exceeds_share(ticket.queue)
         if exceeds_share and (account := self.accounts.get(ticket.tenant)):
             account.rejected += 1
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -14,7 +14,7 @@
 DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's debt
 RATE_SMOOTHING_US = 3_000_000
 RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its quota
-MAX_SAVED_QUANTA = 4.0
+MAX_SAVED_QUANTA = 4.0  # limit of the deficit of a queue, in quanta
 MIN_CLASS_RATE_SHARE = 0.05  # least share of a queue's rate assumed for a class with less priority weight
 
 
@@ -29,7 +29,7 @@
     network: int
     fingerprint: int
     queue: "Queue"
-    cost_us: float  # the charged work: an estimate, replaced by the running time once that exceeds it
+    cost_us: float  # the charged work: an estimate until the running time exceeds it or the job ends
     arrived_us: int
     queue_deadline_us: int  # the request is rejected if it is still queued at this time
     admitted_us: int = 0  # 0: still queued
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True, eq=False)
 class DeficitRoundRobin:
-    """The scheduler of all non-empty queues: determines the order in which their requests are admitted."""
+    """The non-empty queues, and the order in which their requests are admitted."""
 
     class_order: Sequence[int]  # classes by descending priority weight
     newcomers: float  # quota of all shared queues together while queues of tenants are not empty
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -8,7 +8,7 @@
 
 from robinhill.api import JobClass
 
-MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a job placed within this time of its admission never had to wait
+MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a longer wait from admission to first attempt shrinks the window
 INITIAL_SIZE = 8.0
 MIN_SIZE = 1.0  # so that the decision module has a request whenever a worker becomes free
 MAX_UNPLACED_REQUESTS = 32.0
--- a/robinhill/net/dispatcher/__init__.py
+++ b/robinhill/net/dispatcher/__init__.py
@@ -1,1 +1,1 @@
-"""The actors that own the decision module and admission control, and carry out their actions."""
+"""The actors that own the decision module and admission control, and perform their actions."""
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -484,7 +484,7 @@
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
             self.list_lease.renew(message.received_us, received.generation)
-            # Only after the update, as queued requests must not be sent by the previous list.
+            # Only after the update, as queued requests must not be sent according to the previous list.
             self._check_list_lease()
         if self.on_list_changed:
             self.on_list_changed()
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -129,7 +129,7 @@
         return endpoint
 
     def retire(self, instance_id: str) -> None:
-        """Close the endpoint of a removed worker and forget it; has no effect if it is listed again."""
+        """Close the endpoint of a removed worker and drop both entries, unless the worker is listed again."""
         destination = self.destinations.get(instance_id)
         if destination and destination.lifecycle is Lifecycle.REMOVED:
             del self.destinations[instance_id]
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -52,9 +52,8 @@
     module: ExportedState
     seen: list[str]  # recent request ids
     held_out: list[str]  # disabled workers
-    outages: dict[
-        str, list[int]
-    ]  # by worker, start and end (us) of its time out of use; end 0: still out of use
+    # By worker, start and end (us) of its time out of use; end 0: it still is.
+    outages: dict[str, list[int]]
     next: int  # the number of the next request
 
 
