--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -217,7 +217,7 @@
             if rejection.tenant_limit
             else protocol.fail_fast(rejection.retry_us)
         )
-        self.metrics.answered(request.job_class, answer)
+        self.metrics.count_answer(request.job_class, answer)
         if self.traffic_recorder:
             self.traffic_recorder.record_answer(request, answer.status)
         log.debug(
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -249,7 +249,7 @@
         request.answer_pending = False
         if request.release_reply:
             self.handover.abort_release(request)
-        self.metrics.answered(request.request.job_class, answer)
+        self.metrics.count_answer(request.request.job_class, answer)
         if self.traffic_recorder:
             self.traffic_recorder.record_answer(request.request, answer.status)
         if answer is protocol.FAILED:
@@ -362,7 +362,7 @@
             self.handover.abort_release(request)
         self._record_ending(request, ended)
         if ended.result is not None:
-            self._answer(ended.job, protocol.served(ended.result))
+            self._answer(ended.job, protocol.result_answer(ended.result))
         final = not request.answer_pending
         self._decide(api.AttemptEnded(ended.job, ended.attempt, ended.outcome, ended.took_us, final))
         self.in_flight.remove_if_finished(request)
@@ -480,7 +480,7 @@
         if message.cached:
             kind = api.ListKind.CACHED
         self.table.apply(received, complete)
-        workers = [self.table.worker(destination) for destination in received.destinations]
+        workers = [self.table.worker(destination) for destination in received.endpoints]
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
             self.list_lease.renew(message.received_us, received.generation)
@@ -543,7 +543,7 @@
         self.metrics.active = len(self.in_flight) + queued
         listed = {destination.instance_id: destination for destination in self.table.listed()}
         restricted = {name for name, d in listed.items() if self.restrictions.applies_to(d, name)}
-        avoided = self.balancer.avoided(self.clock.now_us())
+        avoided = self.balancer.avoided_workers(self.clock.now_us())
         self.metrics.pool_size = len(listed)
         self.metrics.pool_ejected = len(listed.keys() & (restricted | avoided))
         return Answer(200, self.metrics.text(self.clock.now_us()).encode())
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -83,10 +83,10 @@
     def apply(self, received: EndpointList, complete: bool) -> None:
         """Apply changes to the list, or a complete list, which removes workers that it does not contain."""
         if complete:
-            names = {destination.instance_id for destination in received.destinations}
+            names = {destination.instance_id for destination in received.endpoints}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
                 self.update(replace(removed, lifecycle=Lifecycle.REMOVED))
-        for destination in received.destinations:
+        for destination in received.endpoints:
             self.update(destination)
 
     def update(self, destination: ListedEndpoint) -> None:
