--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -503,11 +503,11 @@
     """What a driven admission control knows, as its successor gets it."""
     fleet = Fleet(slots=1, run_ms=300)
     for _ in range(8):
-        fleet.ask("a")
+        fleet.send("a")
         fleet.pass_time(400)
     for _ in range(30):
-        fleet.ask("a")
-    fleet.ask("a", key="k")
+        fleet.send("a")
+    fleet.send("a", key="k")
     return _as_json(admission_state.export_state(fleet.admission))
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -44,7 +44,7 @@
             str, int
         ] = {}  # running time in ms of the jobs of tenants that differ from run_ms
 
-    def ask(
+    def send(
         self, tenant: str | None = "a", job_class: int = LOOKUP, address: str = "10.0.0.1", key: str = ""
     ) -> int:  # fmt: skip
         self.number += 1
@@ -100,10 +100,10 @@
     """
     before = sum(fleet.count(s) for s in small)
     for step in range(int(seconds * 1000)):
-        fleet.ask(*names())
+        fleet.send(*names())
         if step % 100 == 0:
             for each in small:
-                fleet.ask(each)
+                fleet.send(each)
         fleet.pass_time(1)
     return sum(fleet.count(s) for s in small) - before
 
@@ -117,7 +117,7 @@
     rng = random.Random(1)
     fleet = Fleet(slots=8, accounts=64, queued=200)
     for each in ("s0", "s1", "s2") * 10:  # these tenants get accounts before the flood
-        fleet.ask(each)
+        fleet.send(each)
         fleet.pass_time(50)
 
     def new_tenant() -> tuple[str | None, int, str]:
@@ -133,7 +133,7 @@
     assert len(admission.limits.usage) <= open_count == len(admission.tickets)
     assert len(admission.promises._expiries) <= 2 * 8192 + 1 and admission.promises.open_count <= 8192
     for _ in range(90_000):
-        fleet.ask(*new_tenant())
+        fleet.send(*new_tenant())
         fleet.now += 20
     assert len(admission.accounts.by_tenant) <= 64
     assert len(admission.limits.usage) <= len(admission.tickets) <= 300
@@ -143,16 +143,16 @@
 def test_early_retry_is_rejected_with_the_remaining_wait_and_keeps_its_promise() -> None:
     fleet = Fleet(slots=1, run_ms=400)
     for _ in range(4):
-        fleet.ask("b")
+        fleet.send("b")
         fleet.pass_time(500)
     for _ in range(30):
-        fleet.ask("b")
-        fleet.ask("a")
-    first = fleet.rejected[fleet.ask("a", key="k")]
+        fleet.send("b")
+        fleet.send("a")
+    first = fleet.rejected[fleet.send("a", key="k")]
     retry_times = []
     for _ in range(20):
         fleet.now += 1 * MS
-        retry_times.append(fleet.rejected[fleet.ask("a", key="k")].retry_us)
+        retry_times.append(fleet.rejected[fleet.send("a", key="k")].retry_us)
     assert retry_times == sorted(retry_times, reverse=True) and retry_times[-1] == first.retry_us - 20 * MS
     assert fleet.admission.promises.by_fingerprint[
         fleet.admission.directory.find("a", "10.0.0.1", "k").fingerprint
@@ -167,11 +167,11 @@
     for step in range(8_000):
         if step % 50 == 0:
             key = f"k{step}"
-            if rejection := fleet.rejected.get(fleet.ask("a", key=key)):
+            if rejection := fleet.rejected.get(fleet.send("a", key=key)):
                 waiting.append((fleet.now + rejection.retry_us, key))
         for at, key in [w for w in waiting if w[0] <= fleet.now]:
             waiting.remove((at, key))
-            number, returned = fleet.ask("a", key=key), returned + 1
+            number, returned = fleet.send("a", key=key), returned + 1
             accepted += number not in fleet.rejected
         fleet.pass_time(1)
     assert returned > 20 and accepted >= 0.9 * returned
@@ -181,12 +181,12 @@
 
 def test_open_limit_bounds_a_tenant_that_sends_a_thousand_requests_at_once() -> None:
     fleet = Fleet(slots=4, limits=Limits(open=10, queued=5))
-    numbers = [fleet.ask("a") for _ in range(1000)]
+    numbers = [fleet.send("a") for _ in range(1000)]
     open_now = [n for n in numbers if n not in fleet.rejected]
     assert len(open_now) == 10
     rejections = [fleet.rejected[n] for n in numbers if n in fleet.rejected]
     assert all(r.tenant_limit and r.reason.value in ("open", "queued") and r.retry_us > 0 for r in rejections)
-    other = fleet.ask("b")
+    other = fleet.send("b")
     assert other not in fleet.rejected
 
 
@@ -197,8 +197,8 @@
     work = {"light": 0, "heavy": 0}
     for step in range(60_000):
         if step % 3 == 0:
-            fleet.ask("light")
-            fleet.ask("heavy", RENEWAL)
+            fleet.send("light")
+            fleet.send("heavy", RENEWAL)
         for number in fleet.running:
             work[fleet.names[number]] += 1
         fleet.pass_time(1)
@@ -208,15 +208,15 @@
 def test_idle_tenant_accumulates_a_bounded_burst() -> None:
     fleet = Fleet(slots=1, run_ms=50)
     for each in ("idle", "busy") * 4:
-        fleet.ask(each)
+        fleet.send(each)
         fleet.pass_time(120)
     for _ in range(400):  # a backlog of the other tenant while this one is idle
-        fleet.ask("busy", RENEWAL)
+        fleet.send("busy", RENEWAL)
         fleet.pass_time(50)
     start = len(fleet.served)
     for _ in range(40):
-        fleet.ask("idle", RENEWAL)
-        fleet.ask("busy", RENEWAL)
+        fleet.send("idle", RENEWAL)
+        fleet.send("busy", RENEWAL)
     fleet.pass_time(1_000)
     since = fleet.served[start:]
     first_busy = since[1:].index("busy")
@@ -228,11 +228,11 @@
     """Guards against a burst of requests at all workers when they are available again."""
     fleet = Fleet(slots=4)
     for _ in range(20):
-        fleet.ask("a")
+        fleet.send("a")
         fleet.pass_time(60)
     fleet.slots = 0
     for i in range(300):
-        fleet.ask(f"t{i % 30}", RENEWAL)
+        fleet.send(f"t{i % 30}", RENEWAL)
         fleet.pass_time(5)
         assert len(fleet.unplaced) <= MAX_UNPLACED_REQUESTS
     assert fleet.admission.queued_count > 0 or fleet.rejected
@@ -242,14 +242,14 @@
     fleet = Fleet(slots=32, run_ms=100)
     window = fleet.admission.windows.windows[0]
     for _ in range(50):
-        fleet.ask("a")
+        fleet.send("a")
         fleet.pass_time(20)
     window.size, window.slots = MIN_SIZE, MIN_SIZE  # the state after all workers were slow at the same time
     window.last_wait_us = fleet.now
     start = fleet.now
     while len(fleet.running) < 24 and fleet.now < start + 10 * S:
         for i in range(4):
-            fleet.ask(f"t{i}", RENEWAL)
+            fleet.send(f"t{i}", RENEWAL)
         fleet.pass_time(5)
     assert fleet.now - start <= 5 * S
 
@@ -260,55 +260,55 @@
     """
     fleet = Fleet(slots=4)
     for _ in range(30):
-        fleet.ask("a")
+        fleet.send("a")
         fleet.pass_time(60)
     window = fleet.admission.windows.windows[0]
     window.slots = 4.0
-    lost = [fleet.ask("a", RENEWAL) for _ in range(4)]
+    lost = [fleet.send("a", RENEWAL) for _ in range(4)]
     for number in lost:
         fleet.running.pop(number, None)
-    queued = fleet.ask("b", RENEWAL)
+    queued = fleet.send("b", RENEWAL)
     assert fleet.admission.is_queued(queued)
     fleet.pass_time(3_000)
-    later = fleet.ask("b", RENEWAL)
+    later = fleet.send("b", RENEWAL)
     assert later in fleet.running
 
 
 def test_clock_that_steps_back_is_treated_as_stopped() -> None:
     fleet = Fleet(slots=1, limits=Limits(requests_per_s=1.0))
-    fleet.ask("a")
+    fleet.send("a")
     fleet.now -= 3_600 * S
-    rejection = fleet.rejected[fleet.ask("a")]
+    rejection = fleet.rejected[fleet.send("a")]
     assert rejection.tenant_limit and 0 < rejection.retry_us <= 1.1 * S
     fleet.now += 3_600 * S + 2 * S
-    assert fleet.ask("a") not in fleet.rejected
+    assert fleet.send("a") not in fleet.rejected
 
 
 def test_rate_limiters_keep_their_levels_over_a_reload_and_a_hand_over() -> None:
     limits = Limits(requests_per_s=0.1, requests_burst=2)
     fleet = Fleet(tenants={"a": Tenant(limits=limits)})
-    fleet.ask("a")
-    fleet.ask("a")
-    assert fleet.rejected[fleet.ask("a")].reason.value == "requests"
+    fleet.send("a")
+    fleet.send("a")
+    assert fleet.rejected[fleet.send("a")].reason.value == "requests"
     options = AdmissionOptions(enabled=True, tenants={"a": Tenant(weight=3, limits=limits)})
     fleet.perform(fleet.admission.configure(fleet.now, options))
-    assert fleet.rejected[fleet.ask("a")].reason.value == "requests"
+    assert fleet.rejected[fleet.send("a")].reason.value == "requests"
     successor = Fleet(tenants={"a": Tenant(limits=limits)})
     exported_state.import_state(
         successor.admission, successor.now, exported_state.export_state(fleet.admission)
     )
-    assert successor.rejected[successor.ask("a")].reason.value == "requests"
-    assert successor.ask("b") not in successor.rejected
+    assert successor.rejected[successor.send("a")].reason.value == "requests"
+    assert successor.send("b") not in successor.rejected
 
 
 def test_successor_imports_accounts_costs_and_promises() -> None:
     fleet = Fleet(slots=1, run_ms=300)
     for _ in range(8):
-        fleet.ask("a")
+        fleet.send("a")
         fleet.pass_time(400)
     for _ in range(30):
-        fleet.ask("a")
-    rejection = fleet.rejected[fleet.ask("a", key="k")]
+        fleet.send("a")
+    rejection = fleet.rejected[fleet.send("a", key="k")]
     exported = exported_state.export_state(fleet.admission)
     successor = Fleet(slots=1, run_ms=300)
     exported_state.import_state(successor.admission, successor.now, exported)
@@ -318,8 +318,8 @@
     successor.now = fleet.now + 1 * MS
     successor.slots = 0
     for _ in range(40):
-        successor.ask("b", RENEWAL)
-    early = successor.rejected[successor.ask("a", key="k")]
+        successor.send("b", RENEWAL)
+    early = successor.rejected[successor.send("a", key="k")]
     assert early.reason.value == "early" and early.retry_us == rejection.retry_us - 1 * MS
 
 
@@ -327,22 +327,22 @@
     fleet = Fleet(slots=0, queued=10)
     for each in ("a", "b") * 4:  # both tenants get accounts
         fleet.slots = 4
-        fleet.ask(each)
+        fleet.send(each)
         fleet.pass_time(200)
     fleet.slots = 0
-    large = [fleet.ask("a", RENEWAL) for _ in range(18)]
+    large = [fleet.send("a", RENEWAL) for _ in range(18)]
     assert fleet.admission.queued_count == 10
-    small = fleet.ask("b", RENEWAL)
+    small = fleet.send("b", RENEWAL)
     assert small not in fleet.rejected and fleet.rejected[large[-1]].reason.value == "pushed_out"
     assert fleet.rejected[large[-1]].tenant_limit
-    assert fleet.rejected[fleet.ask("a", RENEWAL)].reason.value in ("full", "time")
+    assert fleet.rejected[fleet.send("a", RENEWAL)].reason.value in ("full", "time")
 
 
 def test_request_of_more_priority_weight_precedes_queued_requests_of_other_tenants() -> None:
     fleet = Fleet(slots=0)
     for i in range(20):
-        fleet.ask(f"t{i}", LOOKUP)
-    renewal = fleet.ask("z", RENEWAL)
+        fleet.send(f"t{i}", LOOKUP)
+    renewal = fleet.send("z", RENEWAL)
     fleet.slots = 9  # for the eight requests that are admitted already, and the next one
     fleet.perform([])
     assert renewal in fleet.running
@@ -350,7 +350,7 @@
 
 def test_queued_requests_are_removed_at_disconnect_and_rejected_at_their_queue_deadline() -> None:
     fleet = Fleet(slots=0, queued=5)
-    numbers = [fleet.ask(f"t{i}", RENEWAL) for i in range(13)]
+    numbers = [fleet.send(f"t{i}", RENEWAL) for i in range(13)]
     assert fleet.admission.queued_count == 5
     fleet.perform(fleet.admission.client_disconnected(fleet.now, numbers[-1]))
     assert fleet.admission.queued_count == 4
@@ -409,16 +409,16 @@
     """Guards against a flood from one network in which each request has a new tenant name."""
     network = Network("10.1.0.0/16", limits=Limits(requests_per_s=1, requests_burst=3))
     fleet = Fleet(slots=50, networks=(network,))
-    numbers = [fleet.ask(f"name-{i}", address="10.1.2.3") for i in range(10)]
+    numbers = [fleet.send(f"name-{i}", address="10.1.2.3") for i in range(10)]
     assert sum(n in fleet.rejected for n in numbers) == 7
-    assert fleet.ask("other", address="10.2.0.1") not in fleet.rejected
+    assert fleet.send("other", address="10.2.0.1") not in fleet.rejected
 
 
 def test_default_limits_apply_to_tenants_without_an_account() -> None:
     fleet = Fleet(slots=50, limits=Limits(requests_per_s=1, requests_burst=2))
-    numbers = [fleet.ask("new") for _ in range(5)]
+    numbers = [fleet.send("new") for _ in range(5)]
     assert sum(n in fleet.rejected for n in numbers) == 3
-    assert fleet.ask("newer") not in fleet.rejected
+    assert fleet.send("newer") not in fleet.rejected
 
 
 def test_accounts_retain_the_heaviest_tenants_at_bounded_size() -> None:
@@ -440,7 +440,7 @@
     """A request without time left is admitted immediately, while others of its tenant are queued."""
     fleet = Fleet(slots=1)
     for _ in range(20):
-        fleet.ask("a")
+        fleet.send("a")
     admission = fleet.admission
     (usage,) = admission.limits.usage.values()
     before = usage.queued
