--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -418,7 +418,10 @@
         ({"voters": {"v1": VOTER, "v2": VOTER}}, "mesh.voters.v1.address: 127.0.0.1:9411 is named 2 times"),
         ({"voters": {"v1": VOTER}, "regions": {"west": ["a"]}}, "mesh.voters.v1.region: 'east' is no known"),
         ({"voters": {"v1": VOTER}, "regions": {"east": ["b"]}}, "mesh.voters.v1.zone: 'a' is no zone of"),
-        ({"voters": {"v1": VOTER}, "on_lost_by_kind": {"cart": "hold"}}, "mesh.on_lost_by_kind.cart: no rec"),
+        (
+            {"voters": {"v1": VOTER}, "on_lost_by_kind": {"cart": "hold"}},
+            "mesh.on_lost_by_kind.cart: there is no record kind",
+        ),
         ({"voters": {"v1": VOTER}, "peers": {"s1": "127.0.0.1:9412"}}, "mesh.peers: can't be named beside"),
         ({"voters": {f"v{n}": VOTER for n in range(14)}}, "mesh.voters: 14 are named"),
         ({"voters": {"v1": VOTER | {"colour": "red"}}}, "mesh.voters"),
