--- a/robinhill/gang/__init__.py
+++ b/robinhill/gang/__init__.py
@@ -1,1 +1,1 @@
-"""Stragglers in gangs of jobs. Decisions only: no input or output."""
+"""Detection of stragglers in gangs of jobs. Decisions only: no input or output."""
--- a/robinhill/gang/errors.py
+++ b/robinhill/gang/errors.py
@@ -1,44 +1,44 @@
-"""What can be wrong with gangs, and what an operator can do about it."""
+"""Errors about gangs, each with advice for the operator."""
 
 from robinhill.errors import RobinhillError
 
 
 class GangError(RobinhillError):
-    """Something about a gang of jobs is wrong; the job itself runs all the same, as one without a gang."""
+    """A job's gang membership is refused; the job itself still runs, as one without a gang."""
 
     code = "GangError"
 
 
 class MalformedGang(GangError):
-    """A request's gang header can't be read."""
+    """A request's gang header can't be parsed."""
 
     code = "MalformedGang"
-    advice = "tell the portal's developers: the header must read id=NAME;size=COUNT;index=0..COUNT-1, once"
+    advice = "tell the portal's developers: send the header once, as id=NAME;size=COUNT;index=0..COUNT-1"
 
 
 class GangMismatch(GangError):
-    """A member says another size than the members before it."""
+    """A member states a gang size that differs from that of the members before it."""
 
     code = "GangMismatch"
-    advice = "tell the portal's developers: all members of a gang must give one size, and ids are used once"
+    advice = "tell the portal's developers: all members of a gang must state the same size; never reuse an id"
 
 
 class DuplicateMember(GangError):
-    """Two requests at a time claim one place in a gang."""
+    """A request names a gang index whose member is still under way in another request."""
 
     code = "DuplicateMember"
-    advice = "tell the portal's developers: each member has an index of its own, and a repeat waits its turn"
+    advice = "tell the portal's developers: give each member its own index; repeat it only after it has ended"
 
 
 class GangsFull(GangError):
-    """More gangs or members are under way than are followed."""
+    """The limit of gangs or members is reached, and each gang held has members under way here."""
 
     code = "GangsFull"
-    advice = "nothing is lost but looking for stragglers there; raise gangs or members in the operators' file"
+    advice = "the jobs run, but are not checked for stragglers; raise gangs or members in the operators' file"
 
 
 class NoSuchGang(GangError):
-    """No gang of this id is known here."""
+    """This scheduler holds no gang with the given id."""
 
     code = "NoSuchGang"
-    advice = "put its tenant before the id (TENANT/ID), and ask soon, at a scheduler that had members"
+    advice = "give it as TENANT/ID, at a scheduler with members of it, within 15 minutes of its last update"
--- a/robinhill/gang/evidence.py
+++ b/robinhill/gang/evidence.py
@@ -1,4 +1,4 @@
-"""A worker whose members lag in several gangs becomes evidence, as one observer's word."""
+"""Evidence that a worker is slow: members of several gangs lag there. It is the report of one observer."""
 
 from collections import OrderedDict, deque
 from itertools import islice
@@ -6,66 +6,69 @@
 
 from robinhill.gang.messages import Evidence
 
-WHAT = "slow"
-WINDOW_US = 600_000_000  # what a worker did more than ten minutes ago counts no more
-# One gang may be unlucky with a long job; two that are at the same worker hardly.
-GANGS = 2
-# At least this share of its members judged of late must have lagged: hints that are wrong blame nobody.
-SHARE = 0.5
-JUDGED = 32  # members kept of each worker
-WORKERS = 4_096  # kept; the least recently judged is forgotten
-AVOIDED = 64  # workers named to be avoided: more would be most of a small fleet
-AGAIN_US = 60_000_000  # evidence is renewed no more often while it holds
+EVIDENCE_KIND = "slow"
+WINDOW_US = 600_000_000  # observations older than ten minutes are ignored
+# One gang may lag by chance, with a long job; that two gangs lag by chance at the same worker is unlikely.
+MIN_GANGS = 2
+# At least this share of a worker's recent observations must be lags, so that wrong cost hints of some jobs
+# don't count against the worker.
+MIN_LAGGING_SHARE = 0.5
+MAX_OBSERVATIONS_PER_WORKER = 32
+MAX_WORKERS = 4_096  # beyond it, the least recently observed worker is forgotten
+MAX_AVOIDED_WORKERS = 64  # to avoid more would exclude most of a small fleet
+RENEWAL_INTERVAL_US = 60_000_000  # evidence on the same worker is not reported more often
 
 
-class Ledger:
-    """What became of members at each worker, bounded."""
+class SlownessLedger:
+    """Records for each worker which members lagged there; bounded in workers and in entries for each."""
 
     def __init__(self, observer: str) -> None:
         self.observer = observer
-        # Of each member judged: when, in which gang, its index, and how far behind (0: it went as its peers).
-        self._judged: OrderedDict[str, deque[tuple[int, str, int, float]]] = OrderedDict()
-        self._told: dict[str, int] = {}
+        # For each worker: time, gang, member index and slowdown against the member's peers (0: not slower).
+        self._observations: OrderedDict[str, deque[tuple[int, str, int, float]]] = OrderedDict()
+        self._reported_us: dict[str, int] = {}
 
-    def judged(self, now_us: int, worker: str, gang: str, index: int, behind: float) -> None:
-        """One member's stay at a worker is judged, once: it lagged ``behind`` times, or (0) did not."""
-        entries = self._judged.setdefault(worker, deque(maxlen=JUDGED))
-        self._judged.move_to_end(worker)
-        entries.append((now_us, gang, index, behind))
-        if len(self._judged) > WORKERS:
-            forgotten, _ = self._judged.popitem(last=False)
-            self._told.pop(forgotten, None)
+    def record(self, now_us: int, worker: str, gang: str, index: int, slowdown: float) -> None:
+        """Record one member's run at a worker, once: it was ``slowdown`` times slower than its peers, or 0 if
+        it did not lag."""
+        entries = self._observations.setdefault(worker, deque(maxlen=MAX_OBSERVATIONS_PER_WORKER))
+        self._observations.move_to_end(worker)
+        entries.append((now_us, gang, index, slowdown))
+        if len(self._observations) > MAX_WORKERS:
+            forgotten, _ = self._observations.popitem(last=False)
+            self._reported_us.pop(forgotten, None)
 
     def retract(self, worker: str, gang: str, index: int) -> None:
-        """The member lagged at another worker too: it was the job."""
-        if entries := self._judged.get(worker):
+        """Remove a member's observation at a worker: it lagged at another worker too, so the job is long."""
+        if entries := self._observations.get(worker):
             kept = [x for x in entries if (x[1], x[2]) != (gang, index)]
             entries.clear()
             entries.extend(kept)
 
-    def _lags(self, now_us: int, worker: str) -> list[tuple[int, str, int, float]]:
-        """Its members that lagged of late, if they are a large enough share of those judged."""
-        entries = [x for x in self._judged.get(worker, ()) if x[0] > now_us - WINDOW_US]
+    def _recent_lags(self, now_us: int, worker: str) -> list[tuple[int, str, int, float]]:
+        """The lags observed at a worker within WINDOW_US; empty if they are below MIN_LAGGING_SHARE of the
+        observations in that time."""
+        entries = [x for x in self._observations.get(worker, ()) if x[0] > now_us - WINDOW_US]
         lagged = [x for x in entries if x[3]]
-        return lagged if len(lagged) >= SHARE * len(entries) else []
+        return lagged if len(lagged) >= MIN_LAGGING_SHARE * len(entries) else []
 
-    def slow(self, now_us: int) -> tuple[str, ...]:
-        """Workers that seem slow, be it from one gang: too little to tell others, enough to choose among
-        equals. Those judged last come first, AVOIDED at most."""
-        found = (worker for worker in reversed(self._judged) if self._lags(now_us, worker))
-        return tuple(islice(found, AVOIDED))
+    def slow_workers(self, now_us: int) -> tuple[str, ...]:
+        """Workers at which members lagged, if only in one gang: too little to report as evidence, enough to
+        prefer other workers. The most recently observed come first, MAX_AVOIDED_WORKERS at most."""
+        found = (worker for worker in reversed(self._observations) if self._recent_lags(now_us, worker))
+        return tuple(islice(found, MAX_AVOIDED_WORKERS))
 
-    def evidence(self, now_us: int, workers: list[str]) -> list[Evidence]:
-        """What there is against these workers and was not told of late."""
+    def due_evidence(self, now_us: int, workers: list[str]) -> list[Evidence]:
+        """Evidence against these workers, without those reported within RENEWAL_INTERVAL_US."""
         found = []
         for worker in sorted(set(workers)):
-            lagged = self._lags(now_us, worker)
+            lagged = self._recent_lags(now_us, worker)
             gangs = tuple(sorted({x[1] for x in lagged}))
-            if len(gangs) < GANGS:
+            if len(gangs) < MIN_GANGS:
                 continue
-            if now_us < self._told.get(worker, -AGAIN_US) + AGAIN_US:
+            if now_us < self._reported_us.get(worker, -RENEWAL_INTERVAL_US) + RENEWAL_INTERVAL_US:
                 continue
-            self._told[worker] = now_us
-            how_much = median(x[3] for x in lagged)
-            found.append(Evidence(worker, self.observer, WHAT, how_much, now_us, gangs))
+            self._reported_us[worker] = now_us
+            median_slowdown = median(x[3] for x in lagged)
+            found.append(Evidence(worker, self.observer, EVIDENCE_KIND, median_slowdown, now_us, gangs))
         return found
--- a/robinhill/gang/figures.py
+++ b/robinhill/gang/figures.py
@@ -1,27 +1,31 @@
-"""The gangs' figures: counts since the start, and the tail of the gangs that ended of late."""
+"""The metrics of gangs: counters since the start, and the tails of the gangs that ended last."""
 
 from collections import Counter, deque
 from dataclasses import dataclass, field
 from statistics import median, quantiles
 
-KEPT = 256  # gangs whose tails are kept: enough for a 99th percentile that means something
+MAX_TAILS = 256  # tails retained: enough for a meaningful 99th percentile
 
 
 @dataclass(slots=True)
-class GangFigures:
-    """``counts``: lags, moved, copied, spared, shared, alike, refused, evidence. ``tails_us``: by gang."""
+class GangMetrics:
+    """``counts``: by the counter names in `values`. ``tails_us``: one for each gang that has ended.
+
+    A gang's tail is the time from the end of its median member to the end of its last one.
+    """
 
     counts: Counter[str] = field(default_factory=Counter)
-    tails_us: deque[int] = field(default_factory=lambda: deque(maxlen=KEPT))
+    tails_us: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_TAILS))
 
-    def ended(self, ends_us: list[int]) -> None:
-        """A gang is over: its tail is from its median member's end to its last one's, as heard here."""
+    def record_tail(self, ends_us: list[int]) -> None:
+        """Record the tail of a gang that has ended, from the times at which this scheduler learned of its
+        members' ends."""
         self.tails_us.append(max(ends_us) - int(median(ends_us)))
 
     def values(self, gangs: int, members: int) -> list[tuple[str, int, str]]:
-        """Name, value and type (c for counts, g for gauges), as ``net/figures.py`` writes lines.
+        """Name, value and type (c for counters, g for gauges) of each metric.
 
-        ``gang.tail_ms`` is the 99th percentile of the gangs kept.
+        ``gang.tail_ms`` is the 99th percentile of the tails retained.
         """
         tails = sorted(self.tails_us)
         high = quantiles(tails, n=100, method="inclusive")[98] if len(tails) > 1 else sum(tails)
--- a/robinhill/gang/membership.py
+++ b/robinhill/gang/membership.py
@@ -1,4 +1,4 @@
-"""A job's place in its gang, and the header of a request that names it."""
+"""The membership of a job in a gang, and the request header that states it."""
 
 import re
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 from robinhill.gang.errors import MalformedGang
 
 HEADER = "X-Gang"
-# Larger gangs would make a shared record of over 32 kB; a season report has some tens of parts.
+# The shared record of a larger gang would exceed 32 kB; a season report has some tens of parts.
 MAX_SIZE = 128
-MAX_HEADER = 160  # characters; the longest proper one has some 90
-MAX_NAME = 128  # characters of a gang's name with its owner; keys of records are not longer
+MAX_HEADER = 160  # characters; the longest valid header has about 90
+MAX_NAME = 128  # characters of a gang's name with its owner; the limit of record keys in the mesh
 _FIELD_FORM = re.compile(r"\s*([a-z]+)\s*=\s*([!-:<-~]+)\s*", re.ASCII)
 _ID_FORM = re.compile(r"[A-Za-z0-9._:-]{1,64}", re.ASCII)
 _NUMBER_FORM = re.compile(r"[0-9]{1,4}", re.ASCII)
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Membership:
-    """A job's place in its gang, as its header names it. ``owner`` keeps tenants' ids apart."""
+    """The gang of a job and the job's index in it. ``owner`` separates equal ids of different tenants."""
 
     id: str
     size: int
@@ -26,32 +26,32 @@
 
     @property
     def gang(self) -> str:
-        """What the gang is called among schedulers and by operators."""
+        """The gang's name in the mesh and for operators."""
         return f"{self.owner}/{self.id}" if self.owner else self.id
 
 
 def read_membership(values: list[str], owner: str = "") -> Membership | None:
-    """Decode all values of the gang header of one request; None where there is none.
+    """Parse the gang header of one request from all its values; None if the request has no such header.
 
-    ``owner`` is the tenant, where admission control tells one. Keys that a newer portal may add are passed
-    over. Raises MalformedGang.
+    ``owner`` is the tenant, if admission control identifies one. Unknown keys are ignored, as newer portals
+    may add some. Raises MalformedGang.
     """
     if not values:
         return None
     if len(values) > 1:
-        raise MalformedGang("the gang header stands more than once")
+        raise MalformedGang(f"the request has {len(values)} gang headers, expected one")
     if len(values[0]) > MAX_HEADER:
-        raise MalformedGang(f"the gang header has {len(values[0])} characters, at most {MAX_HEADER} are read")
+        raise MalformedGang(f"the gang header has {len(values[0])} characters, at most {MAX_HEADER} allowed")
     fields: dict[str, str] = {}
     for part in values[0].strip().removesuffix(";").split(";"):
         if not (form := _FIELD_FORM.fullmatch(part)):
-            raise MalformedGang(f"the gang header has {part[:40]!r} where key=value is due")
+            raise MalformedGang(f"the gang header has {part[:40]!r} where key=value is expected")
         if form[1] in fields:
-            raise MalformedGang(f"the gang header names {form[1][:40]!r} twice")
+            raise MalformedGang(f"the gang header has the key {form[1][:40]!r} twice")
         fields[form[1]] = form[2]
     name, size, index = (fields.get(key, "") for key in ("id", "size", "index"))
     if not _ID_FORM.fullmatch(name):
-        raise MalformedGang("a gang's id must be 1 to 64 letters, digits or any of . _ : -")
+        raise MalformedGang(f"a gang's id must be 1 to 64 letters, digits or . _ : -, is {name[:80]!r}")
     for key, text in (("size", size), ("index", index)):
         if not _NUMBER_FORM.fullmatch(text):
             raise MalformedGang(f"a gang's {key} must be a whole number, is {text[:40]!r}")
--- a/robinhill/gang/messages.py
+++ b/robinhill/gang/messages.py
@@ -1,7 +1,7 @@
-"""What the parts of the package tell each other: what a look finds of members, and what follows.
+"""The data types of straggler detection: the phase of a member, verdicts on it, moves and evidence.
 
-Times are microseconds of this process's own clock, which never steps back; they are times of hearing. What a
-worker or another scheduler says of its own clock is used nowhere.
+Times are microseconds of this process's monotonic clock at the receipt of a message. Timestamps of workers or
+other schedulers are not used.
 """
 
 from dataclasses import dataclass
@@ -11,51 +11,52 @@
 
 
 class Phase(IntEnum):
-    """How far a member has come, as schedulers tell each other. A number of a newer peer counts as GONE."""
+    """The phase of a member, as schedulers report it to each other. An unknown number counts as GONE."""
 
-    WAITING = 0  # taken, or sent to a worker that has not begun it
+    WAITING = 0  # accepted, or sent to a worker that has not started it
     RUNNING = 1
     DONE = 2
-    GONE = 3  # failed, refused or left by its client
+    GONE = 3  # failed, refused or abandoned by its client
 
 
 class Reason(Enum):
-    """Why a member was or was not called a straggler; the value is for people."""
+    """Why a member was or was not judged to be a straggler; the value is text for people."""
 
     ENDED = "it has ended"
-    NOT_BEGUN = "it has not begun to run"
-    EARLY = "it has run too shortly to tell"
-    FEW_PEERS = "too few peers ran beside it to compare with"
-    WITHIN = "it goes as its peers do"
-    ONCE = "it is behind its peers, but not yet for enough looks in a row"
-    ALIKE = "so many of its gang are behind that the gang is slowed, not the member"
-    SHARED = "so many members of other gangs are behind too that all are slowed, not the member"
-    WORKER_FINE = "it is behind its peers, but others at its worker are not: it is the job that is long"
-    PAUSED = "this scheduler itself was away before the look"
-    LAGS = "it lags: it is behind its peers, for enough looks in a row"
+    NOT_STARTED = "it has not started to run"
+    TOO_EARLY = "it has run for too short a time to compare"
+    FEW_PEERS = "too few peers are comparable with it"
+    NOT_SLOWER = "it is not slower than its peers"
+    UNCONFIRMED = "it is slower than its peers, but not yet in enough consecutive evaluations"
+    GANG_SLOW = "so many members of its gang are slow that the cause is the gang, not the member"
+    ALL_SLOW = "members of other gangs are slow or queued too, so all are slowed, not this member"
+    WORKER_NORMAL = "it is slower than its peers, but others at its worker are not, so the job itself is long"
+    PAUSED = "this scheduler itself was paused before the evaluation"
+    LAGS = "it lags: it was slower than its peers in enough consecutive evaluations"
 
 
 class Decision(Enum):
-    """What followed for one that lags; the value is for people."""
+    """The action taken on a straggler, or why there was none; the value is text for people."""
 
     NOTHING = "nothing"
     MOVED = "it was withdrawn and placed anew"
     COPIED = "a second attempt was started beside it"
-    UNSAFE = "it stays: a second run would do harm"
-    BEGUN = "it stays: it is keyed and has begun"
-    ONCE_MOVED = "it stays: it was moved before, so the job itself is long"
-    NO_GAIN = "it stays: a fresh run would not end sooner by the margin"
-    GANG_SPENT = "it stays: its gang has used up its moves"
-    ALL_SPENT = "it stays: the moves of all gangs are used up for now"
+    UNSAFE = "it is not moved: a second run may do harm"
+    KEYED_STARTED = "it is not moved: it is keyed and has started"
+    ALREADY_MOVED = "it is not moved: it was moved before, so the job itself is long"
+    NO_GAIN = "it is not moved: a fresh run would not end sooner by the required margin"
+    GANG_BUDGET_SPENT = "it is not moved: its gang has used up its moves"
+    GLOBAL_BUDGET_SPENT = "it is not moved: the moves of all gangs are used up for now"
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What the last look found of one member. ``at_us``: when; numbers that are not known are None.
+    """The result for one member of the evaluation at ``at_us``; unknown numbers are None.
 
-    ``behind``: how many times slower than its peers it goes, by their median. ``bound``: above which it is
-    beyond what chance makes of equals. ``peers``: with how many it was compared. ``remaining_us`` and
-    ``fresh_us``: what it is thought to need yet where it runs, and from the start elsewhere.
+    ``slowdown``: how many times slower than its peers the member is, by their median. ``threshold``: the
+    slowdown that equal members rarely exceed by chance. ``peers``: the number of peers it was compared with.
+    ``streak``: the number of consecutive evaluations that found it slow. ``remaining_us`` and ``fresh_us``:
+    the estimated time until its end where it runs, and for a run from the start elsewhere.
     """
 
     gang: str
@@ -63,13 +64,13 @@
     at_us: int
     reason: Reason
     worker: str = ""
-    behind: float | None = None
-    bound: float | None = None
+    slowdown: float | None = None
+    threshold: float | None = None
     peers: int = 0
-    looks: int = 0
+    streak: int = 0
     remaining_us: int | None = None
     fresh_us: int | None = None
-    silent: bool = False  # judged by its time alone: no word on its progress
+    silent: bool = False  # judged by its elapsed time alone, for lack of recent progress reports
     decision: Decision = Decision.NOTHING
 
     @property
@@ -79,10 +80,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """To be carried out: withdraw ``attempt`` of ``job`` from ``worker`` and place it anew at another.
+    """An instruction to withdraw ``attempt`` of ``job`` from ``worker`` and place the job at another one.
 
-    With ``copy`` the attempt stays and a second one starts beside it; the first to end is the answer.
-    ``avoid``: workers that lag themselves by what is known here; to be passed by where others are free.
+    With ``copy`` the attempt continues and a second one starts beside it; the first to complete answers.
+    ``avoid``: workers that seem slow to this scheduler; they are used only if no other worker is free.
     """
 
     job: int
@@ -96,34 +97,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """That a worker is slow, as one observer found in several gangs; for the mesh and for cordons.
+    """One observer's finding that a worker is slow, from lags in several gangs; for the mesh and cordons.
 
-    ``how_much``: how many times slower than its members' peers, by the median. ``at_us``: Unix time.
+    ``what``: the kind of evidence. ``median_slowdown``: the median, over its lagging members, of how many
+    times slower they were than their peers. ``at_us``: Unix time.
     """
 
     worker: str
     observer: str
     what: str
-    how_much: float
+    median_slowdown: float
     at_us: int
     gangs: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
-    """What one look found: verdicts of all members that run here, moves to make, evidence to share."""
+class Evaluation:
+    """The result of one evaluation: verdicts on the members under way here, moves, and evidence to share."""
 
     verdicts: tuple[Verdict, ...] = ()
     moves: tuple[Move, ...] = ()
     evidence: tuple[Evidence, ...] = ()
 
 
-def safe_to_move(repeat: Repeat, begun: bool) -> Decision:
-    """Whether a second run can do no harm: NOTHING if so, else why not.
+def safe_to_move(repeat: Repeat, has_started: bool) -> Decision:
+    """Return NOTHING if a second run of the job does no harm, otherwise the reason not to move it.
 
-    A keyed job that has not begun may go elsewhere: were the withdrawal late, its key would drop the repeat
-    within its scope, which the module keeps to. Once it has begun, part of it may have been done.
+    A keyed job that has not started may be moved: should the withdrawal arrive too late, the key makes the
+    platform drop the repeated run within the key's scope, and the decision module places the job only there.
+    Once the job has started, part of its effects may have happened.
     """
     if repeat is Repeat.UNSAFE:
         return Decision.UNSAFE
-    return Decision.BEGUN if repeat is Repeat.KEYED and begun else Decision.NOTHING
+    return Decision.KEYED_STARTED if repeat is Repeat.KEYED and has_started else Decision.NOTHING
--- a/robinhill/gang/moves.py
+++ b/robinhill/gang/moves.py
@@ -1,4 +1,4 @@
-"""What follows for a member that lags: whether it may be moved, gains by it, and whether budgets allow it."""
+"""The decision for a straggler: whether a move is safe, would end it sooner, and is within the budgets."""
 
 from dataclasses import dataclass
 
@@ -6,19 +6,21 @@
 from robinhill.gang.messages import Decision, safe_to_move
 from robinhill.gang.options import GangOptions
 
-# Members placed and moved count for the budget of all with this half-life: a bad minute is over in a few.
-HALF_LIFE_US = 30_000_000
-# A member is moved once: one that lags at two workers is itself long, and so it would be at a third. Only
-# where others lag at the second worker too it was bad luck, and it goes once more.
-MOVES_OF_MEMBER = 1
-# Placing anew costs a way to another worker and back, and this scheduler's own time.
-OVERHEAD_US = 20_000
-# With copies allowed: below so many fresh runs yet to go, what was done is too dear to throw away.
-COPY_BELOW = 2.0
+# The counts of placements and moves decay with this half-life, so that a bad minute stops limiting moves
+# after a few minutes.
+BUDGET_HALF_LIFE_US = 30_000_000
+# A member is moved once: if it lags at two workers, the job itself is long and would lag at a third. If other
+# members lag at the second worker too, that worker is slow, and the member may be moved once more.
+MAX_MOVES_PER_MEMBER = 1
+# A new placement costs a round trip to another worker and this scheduler's own processing time.
+MOVE_OVERHEAD_US = 20_000
+# Where copies are allowed: if the member needs less than this many fresh runs to finish, a copy is started
+# beside it, as its progress is worth more than the copy costs. Otherwise it is withdrawn and placed anew.
+COPY_BELOW_FRESH_RUNS = 2.0
 
 
-class Budget:
-    """Moves of all gangs against members placed, both fading: at most a share of them, and one."""
+class MoveBudget:
+    """Limits the moves of all gangs to a share of the members placed, plus one; both counts decay."""
 
     def __init__(self, share: float) -> None:
         self._share = share
@@ -26,57 +28,61 @@
         self._placed = 0.0
         self._moved = 0.0
 
-    def _fade(self, now_us: int) -> None:
+    def _decay(self, now_us: int) -> None:
         if now_us > self._at_us:
-            left = 0.5 ** ((now_us - self._at_us) / HALF_LIFE_US)
-            self._placed *= left
-            self._moved *= left
+            decay = 0.5 ** ((now_us - self._at_us) / BUDGET_HALF_LIFE_US)
+            self._placed *= decay
+            self._moved *= decay
             self._at_us = now_us
 
-    def placed(self, now_us: int) -> None:
-        """A member was placed, by whatever cause."""
-        self._fade(now_us)
+    def record_placement(self, now_us: int) -> None:
+        """Count a placement of a member, whether first, retried or moved."""
+        self._decay(now_us)
         self._placed += 1
 
     def allows(self, now_us: int) -> bool:
-        """Whether one more move is within it. A share of 0 allows none."""
-        self._fade(now_us)
+        """Whether the budget allows one more move. A share of 0 allows none."""
+        self._decay(now_us)
         return self._share > 0 and self._moved + 1 <= 1 + self._share * self._placed
 
-    def moved(self, now_us: int) -> None:
-        self._fade(now_us)
+    def record_move(self, now_us: int) -> None:
+        self._decay(now_us)
         self._moved += 1
 
 
 @dataclass(slots=True, frozen=True)
 class MoveCandidate:
-    """One member that lags, for the decision. Durations in microseconds."""
+    """A straggler, as `decide` needs it. Durations are in microseconds."""
 
     repeat: Repeat
-    begun: bool
+    has_started: bool
     moves: int  # of this member so far
     gang_size: int
-    gang_moves: int  # of its gang so far, wherever
+    gang_moves: int  # of its gang so far, at all schedulers
     remaining_us: int
     fresh_us: int
-    others_lag: bool = False  # members other than it lag where it is, by what is known here
+    other_members_lag: bool = False  # other members lag at its worker, as far as this scheduler knows
 
 
-def decide(candidate: MoveCandidate, options: GangOptions, budget: Budget, now_us: int) -> Decision:
-    """What follows; MOVED and COPIED are counted in the budget of all."""
-    if (harm := safe_to_move(candidate.repeat, candidate.begun)) is not Decision.NOTHING:
-        return harm
-    if candidate.moves >= MOVES_OF_MEMBER + candidate.others_lag:
-        return Decision.ONCE_MOVED
-    fresh_us = candidate.fresh_us + OVERHEAD_US
+def decide(candidate: MoveCandidate, options: GangOptions, budget: MoveBudget, now_us: int) -> Decision:
+    """Decide whether to move or copy a straggler. A move or copy is counted in ``budget``."""
+    if (refusal := safe_to_move(candidate.repeat, candidate.has_started)) is not Decision.NOTHING:
+        return refusal
+    if candidate.moves >= MAX_MOVES_PER_MEMBER + candidate.other_members_lag:
+        return Decision.ALREADY_MOVED
+    fresh_us = candidate.fresh_us + MOVE_OVERHEAD_US
     if candidate.remaining_us <= fresh_us * (1 + options.margin):
         return Decision.NO_GAIN
-    # Of a small gang one may always be moved, unless none may at all.
-    most = max(1, int(options.moves_of_gang * candidate.gang_size)) if options.moves_of_gang else 0
-    if candidate.gang_moves >= most:
-        return Decision.GANG_SPENT
+    # A small gang may always move one member, unless moves_of_gang is 0.
+    max_gang_moves = max(1, int(options.moves_of_gang * candidate.gang_size)) if options.moves_of_gang else 0
+    if candidate.gang_moves >= max_gang_moves:
+        return Decision.GANG_BUDGET_SPENT
     if not budget.allows(now_us):
-        return Decision.ALL_SPENT
-    budget.moved(now_us)
-    both = options.copies and candidate.repeat is Repeat.SAFE and candidate.begun
-    return Decision.COPIED if both and candidate.remaining_us < COPY_BELOW * fresh_us else Decision.MOVED
+        return Decision.GLOBAL_BUDGET_SPENT
+    budget.record_move(now_us)
+    may_copy = options.copies and candidate.repeat is Repeat.SAFE and candidate.has_started
+    return (
+        Decision.COPIED
+        if may_copy and candidate.remaining_us < COPY_BELOW_FRESH_RUNS * fresh_us
+        else Decision.MOVED
+    )
--- a/robinhill/gang/options.py
+++ b/robinhill/gang/options.py
@@ -1,4 +1,4 @@
-"""The gangs' part of the operators' file, as a checked struct; each key has a default."""
+"""The options of gangs in the operators' file, as a validated struct with a default for each key."""
 
 from typing import Annotated
 
@@ -11,15 +11,17 @@
 
 
 class GangOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """All settings of gangs; times are in the units that the keys name.
-
-    ``header`` names a member's gang. ``look_ms``: how often members are compared. ``peers``: the fewest that
-    one is compared with. ``looks``: so many in a row must find it behind. ``ratio``: how many times slower
-    than its peers it must be at least. ``margin``: by which share the time that it still needs must exceed a
-    fresh run's before it is moved. ``moves_of_gang`` and ``moves_of_all``: the share of members, of one gang
-    and of all that were placed lately, that may be moved. ``copies``: whether a second attempt may run beside
-    the first (only where the platform allows it). ``tells_start``: workers say when a job starts; without
-    it, a keyed job counts as started once it is sent. ``gangs`` and ``members``: how many are held at most.
+    """All options of gangs; a suffix of a key names its unit.
+
+    ``header``: the request header that states a job's gang. ``look_ms``: the interval at which members are
+    compared with their peers. ``peers``: the least number of peers for a comparison. ``looks``: the number of
+    consecutive evaluations that must find a member slow before it counts as a straggler. ``ratio``: the least
+    slowdown against its peers for that. ``margin``: the share by which the remaining time of a straggler must
+    exceed the time of a fresh run before it is moved. ``moves_of_gang``: the share of a gang's members that
+    may be moved. ``moves_of_all``: the share of all recently placed members that may be moved. ``copies``:
+    whether a second attempt may run beside the first (only where the platform allows it). ``tells_start``:
+    whether workers report when a job starts; if not, a keyed job counts as started once it is sent.
+    ``gangs`` and ``members``: the largest numbers of gangs and members in memory.
     """
 
     header: Annotated[str, Meta(pattern=HEADER_FORM)] = HEADER
@@ -33,7 +35,7 @@
     copies: bool = False
     tells_start: bool = True
     gangs: Annotated[int, Meta(ge=1, le=65_536)] = 1_024
-    members: Annotated[int, Meta(ge=3, le=262_144)] = 16_384  # some 1 kB each
+    members: Annotated[int, Meta(ge=3, le=262_144)] = 16_384  # about 1 kB of memory each
 
     @property
     def look_us(self) -> int:
--- a/robinhill/gang/share.py
+++ b/robinhill/gang/share.py
@@ -1,8 +1,8 @@
-"""Progress of gangs as schedulers share it: one record for each gang, a word for each member.
+"""The progress of gangs in the mesh: one record for each gang, with one update for each member.
 
-Words hold durations and shares, no times: a receiver sets them against its own time of hearing, so clocks
-need not agree. Each member's latest word holds, by a number of its own that grows with each word; whoever
-takes a member over goes on from the largest number that it has seen.
+Updates hold durations and shares but no timestamps: a receiver relates them to its own time of receipt, so
+the clocks of schedulers need not agree. The update with the highest sequence number of a member is valid. A
+scheduler that takes over a member continues from the highest sequence number that it has received.
 """
 
 from typing import Annotated
@@ -16,12 +16,13 @@
 from robinhill.mesh.records import Kind, Record
 
 NAME = "gang.progress"
-# A gang's record renews with each word; members that tell none for a quarter of an hour are forgotten.
+# Each update of a member renews the gang's record; without any for a quarter of an hour, it expires.
 LIFETIME_US = 900_000_000
-BOUND = 4_096  # gangs; some 5 MB at 16 members each
-FULL = 1_000_000  # a whole share
-UNKNOWN = -1
-# A forged number beyond this is refused: at the largest one a member's words could never be followed.
+MAX_GANGS = 4_096  # records in the mesh; about 5 MB at 16 members each
+FULL_SHARE = 1_000_000  # the share of a job that is done completely
+UNKNOWN_SHARE = -1
+# Higher sequence numbers are rejected: after a forged update with the largest one, no update of that member
+# could ever replace it.
 MAX_SEQUENCE = 1 << 40
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Text = Annotated[str, Meta(max_length=256)]
@@ -29,12 +30,12 @@
 
 
 class MemberUpdate(Struct, frozen=True, array_like=True, order=True):
-    """One member as its scheduler last told. ``share`` in millionths, -1 where no word on it came."""
+    """The state of one member as reported by its scheduler. ``share`` is in millionths, -1 if unknown."""
 
     index: Annotated[int, Meta(ge=0, lt=MAX_SIZE)]
     sequence: Annotated[int, Meta(ge=0, le=MAX_SEQUENCE)]
     phase: Annotated[int, Meta(ge=0, le=255)]
-    share: Annotated[int, Meta(ge=UNKNOWN, le=FULL)]
+    share: Annotated[int, Meta(ge=UNKNOWN_SHARE, le=FULL_SHARE)]
     waited_us: Count
     run_us: Count
     hint_us: Count
@@ -49,7 +50,7 @@
 
 
 class Progress(Struct, frozen=True, array_like=True):
-    """A gang: its size and the words of its members by ascending index."""
+    """The progress of a gang: its size and the updates of its members in ascending order of index."""
 
     size: Annotated[int, Meta(ge=1, le=MAX_SIZE)]
     members: Annotated[tuple[MemberUpdate, ...], Meta(max_length=MAX_SIZE)]
@@ -64,21 +65,22 @@
 
 
 def decode(data: bytes) -> Progress:
-    """Raises ForeignState for what is not a gang's progress. What a newer peer adds to words is left out."""
+    """Decode a record. Fields that a newer peer appends to updates are ignored. Raises ForeignState."""
     try:
         value = _decoder.decode(data)
-    except (msgspec.MsgspecError, ValueError) as e:  # the latter: text that is no UTF-8
-        raise ForeignState(f"progress of a gang can't be read: {e}") from e
+    except (msgspec.MsgspecError, ValueError) as e:  # ValueError: text is not valid UTF-8
+        raise ForeignState(f"the progress of a gang can't be decoded: {e}") from e
     return merge(value, value)
 
 
 def _precedence(update: MemberUpdate) -> tuple[bool, int, MemberUpdate]:
-    # What is done is done: a client's repeat elsewhere takes nothing back. The word itself breaks ties.
+    # DONE is final: a client's retry at another scheduler doesn't replace it. The update itself breaks ties.
     return update.phase == Phase.DONE, update.sequence, update
 
 
 def merge(a: Progress, b: Progress) -> Progress:
-    """Each member's latest word; sizes that differ (a portal's fault) make the larger one."""
+    """Merge two values: the latest update of each member, and the larger size if they differ, which is an
+    error of the portal."""
     latest: dict[int, MemberUpdate] = {}
     for update in (*a.members, *b.members):
         held = latest.get(update.index)
@@ -88,9 +90,9 @@
 
 
 def _evict(record: Record) -> tuple[int, str]:
-    return record.stamp.wall_us, record.key  # those not heard of for longest go first
+    return record.stamp.wall_us, record.key  # the least recently updated record is evicted first
 
 
 KIND = Kind(
-    NAME, encode, decode, merge, lifetime_us=LIFETIME_US, bound=BOUND, evict=_evict, persistent=False
-)  # progress from before a restart says nothing: the attempts ended with it
+    NAME, encode, decode, merge, lifetime_us=LIFETIME_US, bound=MAX_GANGS, evict=_evict, persistent=False
+)  # not persistent, as a restart ends the attempts whose progress it is
--- a/robinhill/gang/straggle.py
+++ b/robinhill/gang/straggle.py
@@ -1,16 +1,18 @@
-"""When a member is behind its peers: pairwise over the time that both ran, with a robust bound.
-
-For each peer the member's rate and the peer's are taken over the time *that both ran*. A slowdown of all,
-from whatever moment on, is in both and cancels out; ends from before it prove nothing against those after it.
-The vote of a peer is the logarithm of the ratio, as slowness multiplies. The projected end of the member is
-beyond its peers' when the median vote is above a bound.
-
-The bound is such that of 200 gangs of equals one would have a member beyond it. Its spread is Qn
-(Rousseeuw and Croux, "Alternatives to the median absolute deviation", 1993), not the MAD: it also withstands
-that nearly half of the peers are wild, but does not assume that votes lie symmetrically and uses a sample of
-7 to 15 twice as well (82% against 37% of the normal efficiency). Where there are few peers even that is
-luck: three that happen to agree would make any fourth a straggler. So it is pooled with what is usual for
-equals, weighed as so many further peers, and the quantile is Student's for what both know together.
+"""The test whether a member is slower than its peers: pairwise rates over common run time, robust threshold.
+
+For each peer, the progress rates of the member and the peer are compared over the time *that both ran*. A
+general slowdown, whenever it starts, is in both rates and cancels out; members that ended before the slowdown
+are no evidence against members that run during it. The vote of a peer is the logarithm of the ratio of the
+rates, as slowdowns multiply. A member is slow if the median vote exceeds a threshold.
+
+The threshold is set so that a member exceeds it in one of 200 gangs whose members are all equal. The spread
+of the votes is estimated by Qn (Rousseeuw and Croux, "Alternatives to the median absolute deviation", 1993)
+instead of the MAD. Both tolerate outliers among nearly half of the peers, but Qn does not assume that the
+votes are distributed symmetrically, and its efficiency for samples of 7 to 15 is twice as high (82% for
+normal values, against 37%). With few peers the spread of a sample is unreliable: if three happen to agree,
+any fourth member would look like a straggler. Therefore it is pooled with the usual spread of equal members,
+which counts as PRIOR_WEIGHT further peers, and the quantile is that of Student's t for the pooled degrees of
+freedom.
 """
 
 import math
@@ -19,82 +21,86 @@
 from functools import lru_cache
 from statistics import NormalDist, median
 
-from robinhill.gang.progress import SLOWEST, Curve
-
-# The usual spread of ln(time for a hint) among equals: hints are off by about a fifth.
-USUAL_SPREAD = 0.2
-USUAL_WEIGHT = 8  # the peers that this counts for
-# How often a gang of equals may have a member called at a look. Each of its members is one chance for it.
-FALSE_IN_GANG = 0.005
-# Of a silent one only the least is known that it can be behind, as if it ended this moment: it is probably
-# behind by more, and waiting for surety costs what a move could gain.
-FALSE_SILENT = 0.05
-# Consistency of Qn for samples of 2 to 9, and beyond (Croux and Rousseeuw, 1992).
+from robinhill.gang.progress import MIN_RATE, Curve
+
+# The usual spread of ln(run time / hint) among equal members: hints are off by about a fifth.
+PRIOR_SPREAD = 0.2
+PRIOR_WEIGHT = 8  # the number of peers that the usual spread counts for
+# The rate at which one evaluation finds a straggler in a gang of equal members. Each member is tested, so the
+# rate is divided by the number of members.
+GANG_FALSE_ALARM_RATE = 0.005
+# The same rate for a silent member. Only a lower limit of its slowdown is known, as if it ended now. The true
+# slowdown is probably higher, and waiting for certainty costs the time that a move could save.
+SILENT_FALSE_ALARM_RATE = 0.05
+# Consistency factors of Qn: for samples of 2 to 9 values, and for normal values (Croux and Rousseeuw, 1992).
 _QN_SMALL = (0.399, 0.994, 0.512, 0.844, 0.611, 0.857, 0.669, 0.872)
 _QN_NORMAL = 2.2219
-# A run together must be this share of the member's usual run to compare rates over: words are coarse.
-LEAST_TOGETHER = 0.15
-# A member is silent once it had no word for this share of its usual run; then its time alone is judged.
-SILENT_AFTER = 0.5
+# Rates are compared over at least this share of the member's usual run time, as progress reports are coarse.
+MIN_OVERLAP_SHARE = 0.15
+# A member is silent after no progress report for this share of its usual run time. Its elapsed time alone is
+# judged then.
+SILENT_AFTER_SHARE = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Runner:
-    """A member as it is compared: its curve, and what it would usually need (microseconds).
+    """A member in a comparison: its progress curve and its usual run time. Durations are in microseconds.
 
-    ``heard_us``: until when it is known to have waited or run. ``waited_us``: from its placing to its start,
-    or so far. ``kind`` is None where its kind's pace is part of ``usual_us``; else only its like compare.
+    ``known_until_us``: the latest time at which it is known to have waited or run. ``waited_us``: the time
+    from its placement to its start, or until now. ``kind``: the machine type of its worker, and then it is
+    compared with members at that type only; None if ``usual_us`` accounts for the type's speed.
     """
 
     curve: Curve
     usual_us: float
-    received_us: int
+    known_until_us: int
     waited_us: int = 0
     kind: str | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         return not self.curve.empty
 
     @property
     def run_us(self) -> int:
-        """So long it is known to run; 0 before its start."""
-        return max(0, self.received_us - self.curve.first_us) if self.begun else 0
+        """The time for which it is known to have run; 0 before its start."""
+        return max(0, self.known_until_us - self.curve.first_us) if self.has_started else 0
 
     @property
     def silent(self) -> bool:
-        """Whether it runs without a word on its progress, or with none of late."""
+        """Whether it runs and has reported no progress, or none for SILENT_AFTER_SHARE of its usual run."""
         curve = self.curve
         if curve.ended or curve.empty:
             return False
-        return not curve.updates or self.received_us - curve.last_us > SILENT_AFTER * self.usual_us
+        return not curve.updates or self.known_until_us - curve.last_us > SILENT_AFTER_SHARE * self.usual_us
 
     def pace(self) -> float | None:
-        """Time spent for each unit of usual work, over its whole run; for silent ones at the least."""
-        if not self.begun:
+        """Run time per unit of usual work over the whole run, a lower limit if silent; None if unknown."""
+        if not self.has_started:
             return None
         if self.silent:
             return self.run_us / self.usual_us
-        rate = self.curve.whole_rate
-        return None if rate is None else 1 / max(SLOWEST, rate * self.usual_us)
+        rate = self.curve.overall_rate
+        return None if rate is None else 1 / max(MIN_RATE, rate * self.usual_us)
 
 
 @dataclass(slots=True, frozen=True)
-class Compared:
-    """The votes of a member's peers in short: ``behind`` times slower, where ``bound`` is for equals."""
+class Comparison:
+    """The summary of the peers' votes: how many times slower the member is, and the threshold for that."""
 
-    behind: float
-    bound: float
+    slowdown: float
+    threshold: float
     peers: int
     silent: bool
 
     @property
-    def beyond(self) -> bool:
-        return self.behind > self.bound
+    def exceeds_threshold(self) -> bool:
+        return self.slowdown > self.threshold
 
 
 def spread(values: Sequence[float]) -> float:
-    """Qn of a sample: as the standard deviation for normal values, and unmoved by nearly half of them."""
+    """The Qn estimate of a sample's spread: the standard deviation for normal values, robust against outliers
+    among nearly half of the values."""
     n = len(values)
     if n < 2:
         return 0.0
@@ -107,22 +113,27 @@
     return factor * _QN_NORMAL * apart[half * (half - 1) // 2 - 1]
 
 
-def bound(votes: Sequence[float], ratio: float, false: float = FALSE_IN_GANG) -> float:
-    """The logarithm above which the median vote is beyond chance; never below that of ``ratio``."""
+def log_threshold(
+    votes: Sequence[float], ratio: float, false_alarm_rate: float = GANG_FALSE_ALARM_RATE
+) -> float:
+    """The limit that the median vote of equal members rarely exceeds by chance; at least ln(``ratio``)."""
     n = len(votes)
-    variance = (USUAL_WEIGHT * USUAL_SPREAD**2 + n * spread(votes) ** 2) / (USUAL_WEIGHT + n)
-    # The median of n is itself uncertain: its variance is pi / (2 n) of a value's.
-    return max(math.log(ratio), _quantile(n, false) * math.sqrt(variance * (1 + math.pi / (2 * n))))
+    variance = (PRIOR_WEIGHT * PRIOR_SPREAD**2 + n * spread(votes) ** 2) / (PRIOR_WEIGHT + n)
+    # The median of n values has a variance itself: pi / (2 n) times that of a single value.
+    return max(
+        math.log(ratio), _quantile(n, false_alarm_rate) * math.sqrt(variance * (1 + math.pi / (2 * n)))
+    )
 
 
 @lru_cache(maxsize=256)
-def _quantile(peers: int, false: float) -> float:
-    """Student's for a gang's share of the error, by the expansion in Abramowitz and Stegun, 26.7.5.
+def _quantile(peers: int, false_alarm_rate: float) -> float:
+    """The quantile of Student's t for one member's share of a gang's false-alarm rate.
 
-    To within 1% of the true one from 10 degrees of freedom on, and there are no fewer.
+    Computed by the expansion in Abramowitz and Stegun, 26.7.5. Its error is below 1% from 10 degrees of
+    freedom on, and there are no fewer, as at least 3 peers are compared.
     """
-    z = NormalDist().inv_cdf(1 - false / (peers + 1))
-    freedom = USUAL_WEIGHT + peers - 1
+    z = NormalDist().inv_cdf(1 - false_alarm_rate / (peers + 1))
+    freedom = PRIOR_WEIGHT + peers - 1
     first = (z**3 + z) / 4
     second = (5 * z**5 + 16 * z**3 + 3 * z) / 96
     third = (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / 384
@@ -130,64 +141,66 @@
 
 
 def compare(
-    member: Runner, peers: Sequence[Runner], ratio: float, least: int, pace: float = 1.0
-) -> Compared | None:
-    """A member under way against its peers; None where fewer than ``least`` can be compared with it.
+    member: Runner, peers: Sequence[Runner], ratio: float, min_peers: int, pace: float = 1.0
+) -> Comparison | None:
+    """Compare a member under way with its peers; None if fewer than ``min_peers`` are comparable with it.
 
-    ``pace``: time that a unit of usual work takes of late, everywhere. Members that wait or are silent can't
-    be compared over the time that both ran: it stands in for that.
+    ``pace``: the recent run time per unit of usual work at all workers. It is used for members that wait or
+    are silent, which can't be compared over the time that both ran.
     """
     silent = member.silent
     vote: Callable[[Runner, Runner, float], float | None]
-    vote = _vote_on_silent if silent else _vote if member.begun else _vote_on_waiting
+    vote = _vote_on_silent if silent else _vote if member.has_started else _vote_on_waiting
     cast = [vote(member, peer, pace) for peer in peers if peer.kind == member.kind]
     votes = [x for x in cast if x is not None]
-    if len(votes) < least:
+    if len(votes) < min_peers:
         return None
     median_vote = median(votes)
     if silent and member.run_us:
         median_vote = min(median_vote, math.log(member.run_us / (member.usual_us * pace)))
-    limit = bound(votes, ratio, FALSE_SILENT if silent else FALSE_IN_GANG)
-    return Compared(math.exp(median_vote), math.exp(limit), len(votes), silent)
+    limit = log_threshold(votes, ratio, SILENT_FALSE_ALARM_RATE if silent else GANG_FALSE_ALARM_RATE)
+    return Comparison(math.exp(median_vote), math.exp(limit), len(votes), silent)
 
 
 def _vote(member: Runner, peer: Runner, _: float) -> float | None:
-    """ln(how many times slower than the peer), over the time that both are known in."""
+    """ln(how many times slower than the peer) over the time that both curves cover; None if that is short."""
     member_curve, peer_curve = member.curve, peer.curve
     if not peer_curve.updates or member_curve.empty:
         return None
     begin = max(member_curve.first_us, peer_curve.first_us)
     end = min(member_curve.last_us, peer_curve.last_us)
-    if end - begin < LEAST_TOGETHER * member.usual_us:
+    if end - begin < MIN_OVERLAP_SHARE * member.usual_us:
         return None
-    member_rate = max(SLOWEST, member_curve.rate(begin, end) * member.usual_us)
-    peer_rate = max(SLOWEST, peer_curve.rate(begin, end) * peer.usual_us)
+    member_rate = max(MIN_RATE, member_curve.rate(begin, end) * member.usual_us)
+    peer_rate = max(MIN_RATE, peer_curve.rate(begin, end) * peer.usual_us)
     return math.log(peer_rate / member_rate)
 
 
 def _vote_on_silent(member: Runner, peer: Runner, _: float) -> float | None:
-    """The same for a member without words: at best it ends this very moment.
+    """The vote on a silent member, on the best case for it that it ends now; None without evidence.
 
-    A peer that is silent too votes that it is as the member, unless it has waited even longer for its end:
-    so only ends and words of others can make a silent member look slow, and only once they are the most.
+    A silent peer votes that the member is not slower, or that it is faster if the peer has run longer still.
+    So only peers that ended or report progress make a silent member look slow, and only in majority.
     """
-    if not (elapsed := member.run_us) or not peer.begun:
+    if not (elapsed := member.run_us) or not peer.has_started:
         return None
-    own_at_best = max(SLOWEST, member.usual_us / elapsed)
+    own_at_best = max(MIN_RATE, member.usual_us / elapsed)
     if peer.silent:
-        waited = max(1, peer.run_us)
-        return min(0.0, math.log(max(SLOWEST, peer.usual_us / waited) / own_at_best))
-    if peer.curve.last_us < member.curve.first_us or (peer_curve := peer.pace()) is None:
-        return None  # it ran before the member did: that proves nothing now
-    return -math.log(peer_curve * own_at_best)
+        peer_elapsed = max(1, peer.run_us)
+        return min(0.0, math.log(max(MIN_RATE, peer.usual_us / peer_elapsed) / own_at_best))
+    if peer.curve.last_us < member.curve.first_us or (peer_pace := peer.pace()) is None:
+        return None  # the peer's run was over before the member started: no evidence on the present speed
+    return -math.log(peer_pace * own_at_best)
 
 
 def _vote_on_waiting(member: Runner, peer: Runner, pace: float) -> float | None:
-    """The same for a member that has not begun: its wait and a usual run, against the peer's wait and that.
+    """The vote on a member that has not started, by its wait plus a usual run against the peer's wait plus
+    the same run.
 
-    A peer that waits too votes that it is as the member, unless it has waited even longer.
+    A peer that waits too votes that the member is not slower, or that it is faster if the peer has waited
+    longer still.
     """
     run = member.usual_us * pace
     member_us, peer_us = member.waited_us + run, peer.waited_us + run
     vote = math.log(member_us / peer_us)
-    return vote if peer.begun else min(0.0, vote)
+    return vote if peer.has_started else min(0.0, vote)
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -11,8 +11,8 @@
 from robinhill.gang.errors import DuplicateMember, GangMismatch, GangsFull, MalformedGang, NoSuchGang
 from robinhill.gang.gangs import Gangs
 from robinhill.gang.membership import Membership, read_membership
-from robinhill.gang.messages import Decision, Look, Reason
-from robinhill.gang.moves import Budget
+from robinhill.gang.messages import Decision, Evaluation, Reason
+from robinhill.gang.moves import MoveBudget
 from robinhill.gang.options import GangOptions
 from robinhill.gang.progress import MAX_POINTS, Curve
 from robinhill.gang.share import MAX_SEQUENCE, MemberUpdate, Progress, decode, encode, merge
@@ -34,7 +34,7 @@
         self.paces: dict[int, float] = {}  # of jobs under way
         self.left: dict[int, float] = {}
         self.silent: set[int] = set()
-        self.looks: list[Look] = []
+        self.looks: list[Evaluation] = []
 
     def begin(
         self, paces: list[float], repeat: Repeat = Repeat.SAFE, gang: str = "g", first: int = 0,
@@ -106,7 +106,7 @@
     play.run(4)
     assert play.called == {7} and play.moved == [7]
     reasons = [v.reason for look in play.looks for v in look.verdicts if v.index == 7]
-    assert reasons[reasons.index(Reason.LAGS) - 1] is Reason.ONCE
+    assert reasons[reasons.index(Reason.LAGS) - 1] is Reason.UNCONFIRMED
 
 
 @pytest.mark.parametrize("repeat", [Repeat.UNSAFE, Repeat.KEYED])
@@ -119,7 +119,7 @@
     assert play.called == {7} and not play.moved
     found = [x for look in play.looks for x in look.evidence]
     assert [(x.worker, x.observer, x.what, x.gangs) for x in found] == [("w7", "s1", "slow", ("g", "h"))]
-    assert found[0].how_much > 2
+    assert found[0].median_slowdown > 2
 
 
 def test_two_peers_are_too_few() -> None:
@@ -197,17 +197,17 @@
 
 
 def test_budget_of_all_gangs_is_kept_and_fades() -> None:
-    budget = Budget(0.1)
+    budget = MoveBudget(0.1)
     granted = 0
     for _ in range(100):
-        budget.placed(T0)
+        budget.record_placement(T0)
     for _ in range(100):
         if budget.allows(T0):
-            budget.moved(T0)
+            budget.record_move(T0)
             granted += 1
     assert granted == 11  # a tenth, and one
     assert budget.allows(T0 + 3_600 * S)
-    assert not Budget(0).allows(T0)
+    assert not MoveBudget(0).allows(T0)
 
 
 def test_gangs_budget_and_copies() -> None:
@@ -216,7 +216,7 @@
     play.run(4)
     assert len(play.moved) == 1
     decisions = {v.decision for look in play.looks for v in look.verdicts if v.lags}
-    assert Decision.GANG_SPENT in decisions
+    assert Decision.GANG_BUDGET_SPENT in decisions
 
 
 def words_of(index: int) -> st.SearchStrategy[MemberUpdate]:
@@ -290,7 +290,7 @@
     if delay < S:
         text = near.explain(now, "g").text()
         assert "at scheduler far" in text and "times as slow as" in text
-        assert dict((n, v) for n, v, _ in far.figures())["gang.members"] == 7
+        assert dict((n, v) for n, v, _ in far.metrics())["gang.members"] == 7
 
 
 def test_places_are_taken_once_and_sizes_agree() -> None:
@@ -333,7 +333,7 @@
     play = Play(GangOptions(moves_of_all=0))
     play.begin([1.0] * 5 + [2.0])
     play.run(9)
-    assert dict((n, v) for n, v, _ in play.gangs.figures())["gang.tail_ms"] == 4_000
+    assert dict((n, v) for n, v, _ in play.gangs.metrics())["gang.tail_ms"] == 4_000
 
 
 @given(st.lists(st.tuples(st.integers(-5, 50), st.floats(allow_nan=True)), max_size=80))
