--- a/robinhill/gang/membership.py
+++ b/robinhill/gang/membership.py
@@ -39,7 +39,7 @@
     if not values:
         return None
     if len(values) > 1:
-        raise MalformedGang(f"the request has {len(values)} gang headers, expected one")
+        raise MalformedGang("the request has more than one gang header")
     if len(values[0]) > MAX_HEADER:
         raise MalformedGang(f"the gang header has {len(values[0])} characters, at most {MAX_HEADER} allowed")
     fields: dict[str, str] = {}
@@ -51,7 +51,7 @@
         fields[form[1]] = form[2]
     name, size, index = (fields.get(key, "") for key in ("id", "size", "index"))
     if not _ID_FORM.fullmatch(name):
-        raise MalformedGang(f"a gang's id must be 1 to 64 letters, digits or . _ : -, is {name[:80]!r}")
+        raise MalformedGang("a gang's id must be 1 to 64 letters, digits or any of . _ : -")
     for key, text in (("size", size), ("index", index)):
         if not _NUMBER_FORM.fullmatch(text):
             raise MalformedGang(f"a gang's {key} must be a whole number, is {text[:40]!r}")
--- a/robinhill/gang/table.py
+++ b/robinhill/gang/table.py
@@ -25,7 +25,7 @@
 # Progress is reported to other schedulers in steps of this share, which is about 20 updates for a member.
 PROGRESS_STEP = 0.05
 MIN_REPORTING_PEERS = 3  # other members with a known pace that are needed to learn a machine type's speed
-UPDATE_TEXT = 128  # characters of the names of a worker, machine type or scheduler in an update
+MAX_UPDATE_NAME_CHARS = 128  # characters of the names of a worker, machine type or scheduler in an update
 
 
 @dataclass(slots=True, eq=False)
@@ -83,9 +83,9 @@
             self.run_us(now_us),
             self.hint_us,
             self.moves,
-            self.kind[:UPDATE_TEXT],
-            self.worker[:UPDATE_TEXT],
-            origin[:UPDATE_TEXT],
+            self.kind[:MAX_UPDATE_NAME_CHARS],
+            self.worker[:MAX_UPDATE_NAME_CHARS],
+            origin[:MAX_UPDATE_NAME_CHARS],
         )
 
 
@@ -344,5 +344,7 @@
         while self.members >= self._max_members or (gang is None and len(self) >= self._max_gangs):
             if not self._idle or (gang and next(iter(self._idle.values())) is gang):
                 what = f"the table is full with {len(self)} gangs and {self.members} members"
-                raise GangsFull(f"{what}, and no gang can be evicted as all have members under way here")
+                raise GangsFull(
+                    f"{what}, and no other gang can be evicted, as all have members under way here"
+                )
             self._evict_oldest()
