--- a/robinhill/record/__init__.py
+++ b/robinhill/record/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings of what passes: a framed, versioned, compressed format, and the records that it holds."""
+"""Traffic recordings: the framed, versioned, compressed file format, its records, and the writer."""
--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -1,8 +1,8 @@
-"""The format of a recording: a header, then frames that are independent of each other.
+"""The file format of a recording: a header, then frames that are independent of each other.
 
-A frame is its length, its checksum and a compressed list of records. A file that ends in the middle of one,
-as a kill leaves it, is read up to the last complete frame; a damaged frame ends the reading there too, as its
-length can't be trusted.
+A frame consists of its length, its checksum and a compressed list of records. If a file ends within a frame,
+as after a kill of the process, it is read up to the last complete frame. A damaged frame also ends the
+reading, as its length can't be trusted.
 """
 
 import struct
@@ -18,99 +18,108 @@
 
 MAGIC = b"robinhill recording\n"
 VERSION = 1
-_HEAD = struct.Struct("<20sI")
-_FRAME = struct.Struct("<II")
-MAX_FRAME_BYTES = 16 << 20  # compressed; anything longer is damage
-MAX_UNPACKED_BYTES = 64 << 20  # of a frame, so that a small one can't fill the memory
+_HEADER = struct.Struct("<20sI")
+_FRAME_HEADER = struct.Struct("<II")
+MAX_FRAME_BYTES = 16 << 20  # compressed; a greater length means that the frame is damaged
+MAX_UNPACKED_BYTES = 64 << 20  # of one frame, so that a small damaged or forged frame can't exhaust memory
 COMPRESSION_LEVEL = 3
 SUFFIX = ".rec"
 
 
 class RecordingError(ValueError):
-    """A file is no recording that this version can read; the message names it and says why."""
+    """A file is not a recording, is of another version, or is damaged; the message says which."""
 
 
 def header() -> bytes:
-    """The first bytes of a recording."""
-    return _HEAD.pack(MAGIC, VERSION)
+    """The header of a recording: magic bytes and version."""
+    return _HEADER.pack(MAGIC, VERSION)
 
 
 def frame(records: list[Record]) -> bytes:
-    """Records as one frame."""
+    """Encode records as one frame."""
     packed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(encode(records))
-    return _FRAME.pack(len(packed), crc32(packed)) + packed
+    return _FRAME_HEADER.pack(len(packed), crc32(packed)) + packed
 
 
 @dataclass(slots=True)
-class Reading:
-    """The content of a file; ``lost``: bytes after the last complete frame, ``why`` they can't be read."""
+class FileContent:
+    """The records of a file. ``lost``: bytes after the last readable frame; ``why``: the reason, if any."""
 
     records: list[Record]
     lost: int = 0
     why: str = ""
 
 
-def read(path: Path) -> Reading:
-    """The records of one file. Raises RecordingError for another kind of file or another version."""
+def read(path: Path) -> FileContent:
+    """Read the records of one file up to the first damaged or incomplete frame.
+
+    Raises RecordingError if the file can't be opened, is not a recording, or is of another version.
+    """
     try:
         data = path.read_bytes()
     except OSError as e:
         raise RecordingError(f"{path}: can't be read: {e.strerror}") from e
-    if len(data) < _HEAD.size:
-        raise RecordingError(f"{path}: is no recording")
-    magic, version = _HEAD.unpack_from(data)
+    if len(data) < _HEADER.size:
+        raise RecordingError(f"{path}: not a recording: shorter than the header")
+    magic, version = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise RecordingError(f"{path}: is no recording")
+        raise RecordingError(f"{path}: not a recording: wrong magic bytes")
     if version != VERSION:
-        raise RecordingError(f"{path}: is of version {version}, this program reads {VERSION}")
-    reading = Reading([])
-    at = _HEAD.size
+        raise RecordingError(f"{path}: recording of version {version}, but this program reads {VERSION}")
+    content = FileContent([])
+    offset = _HEADER.size
     try:
-        for end, records in _frames(data, at):
-            reading.records += records
-            at = end
+        for end, records in _frames(data, offset):
+            content.records += records
+            offset = end
     except RecordingError as e:
-        reading.why = str(e)
-    reading.lost = len(data) - at
-    return reading
-
-
-def _frames(data: bytes, at: int) -> Iterator[tuple[int, list[Record]]]:
-    unpack = zstandard.ZstdDecompressor()
-    while at < len(data):
-        if at + _FRAME.size > len(data):
-            raise RecordingError("ends within a frame's head")
-        length, checksum = _FRAME.unpack_from(data, at)
-        start, end = at + _FRAME.size, at + _FRAME.size + length
+        content.why = str(e)
+    content.lost = len(data) - offset
+    return content
+
+
+def _frames(data: bytes, offset: int) -> Iterator[tuple[int, list[Record]]]:
+    """Yield the end offset and the records of each frame. Raises RecordingError at the first damaged one."""
+    decompressor = zstandard.ZstdDecompressor()
+    while offset < len(data):
+        if offset + _FRAME_HEADER.size > len(data):
+            raise RecordingError("the file ends within a frame's header")
+        length, checksum = _FRAME_HEADER.unpack_from(data, offset)
+        start, end = offset + _FRAME_HEADER.size, offset + _FRAME_HEADER.size + length
         if length > MAX_FRAME_BYTES:
-            raise RecordingError(f"a frame of {length} bytes at byte {at} is damaged")
+            raise RecordingError(
+                f"the frame at byte {offset} is damaged: its length of {length} is too large"
+            )
         if end > len(data):
-            raise RecordingError("ends within a frame")
+            raise RecordingError("the file ends within a frame")
         packed = data[start:end]
         if crc32(packed) != checksum:
-            raise RecordingError(f"the frame at byte {at} is damaged")
+            raise RecordingError(f"the frame at byte {offset} is damaged: its checksum differs")
         try:
-            yield end, decode(unpack.decompress(packed, max_output_size=MAX_UNPACKED_BYTES))
+            yield end, decode(decompressor.decompress(packed, max_output_size=MAX_UNPACKED_BYTES))
         except (zstandard.ZstdError, msgspec.DecodeError) as e:
-            raise RecordingError(f"the frame at byte {at} can't be unpacked: {e}") from e
-        at = end
+            raise RecordingError(f"the frame at byte {offset} can't be decoded: {e}") from e
+        offset = end
 
 
 def files(path: Path) -> list[Path]:
-    """The files of a recording in the order of writing: those of a folder, or the one file."""
+    """The files of a recording in the order of writing: all in the folder ``path``, or the file ``path``."""
     return sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
 
 
 def read_all(path: Path) -> tuple[list[Record], list[str]]:
-    """All records of a folder or file, and a note on each file with unreadable bytes."""
+    """Read all records of a folder or file. Returns them and a note on each file with unreadable bytes.
+
+    Raises RecordingError if there is no file, or if one of them is not a recording of this version.
+    """
     found = files(path)
     if not found:
-        raise RecordingError(f"{path}: holds no recording")
+        raise RecordingError(f"{path}: the folder has no recordings")
     records: list[Record] = []
     notes = []
     for file in found:
-        reading = read(file)
-        records += reading.records
-        if reading.lost:
-            notes.append(f"{file.name}: the last {reading.lost} bytes could not be read: {reading.why}")
+        content = read(file)
+        records += content.records
+        if content.lost:
+            notes.append(f"{file.name}: the last {content.lost} bytes can't be read: {content.why}")
     return records, notes
--- a/robinhill/record/options.py
+++ b/robinhill/record/options.py
@@ -1,4 +1,4 @@
-"""The operators' file on recording."""
+"""The options of traffic recording in the operators' file."""
 
 from typing import Annotated
 
@@ -6,7 +6,10 @@
 
 
 class RecordOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' file on recording; without a folder nothing is recorded."""
+    """Options of traffic recording; it is off without a ``folder``.
+
+    ``file_mb``: the size at which a new file begins. ``total_mb``: the limit for all files of this scheduler.
+    """
 
     folder: str | None = None
     file_mb: Annotated[float, Meta(gt=0, le=10_000)] = 16.0
@@ -14,4 +17,6 @@
 
     def __post_init__(self) -> None:
         if self.total_mb < 2 * self.file_mb:
-            raise ValueError("total_mb: must be at least twice file_mb, as whole files are removed")
+            raise ValueError(
+                "total_mb: must be at least twice file_mb, as the limit is kept by removing whole files"
+            )
--- a/robinhill/record/recorder.py
+++ b/robinhill/record/recorder.py
@@ -1,4 +1,4 @@
-"""The writer of a recording: a thread of its own, so that the event loop never waits for a disk."""
+"""The writer of a recording: a separate thread, so that the event loop never waits for the disk."""
 
 import contextlib
 import logging
@@ -15,14 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-FLUSH_INTERVAL_S = 0.5  # a kill loses the records of this time
+FLUSH_INTERVAL_S = 0.5  # a kill of the process loses up to this time of records
 FRAME_RECORDS = 4_096
-MAX_QUEUED_RECORDS = 50_000  # some 10 MB; beyond that, records are dropped and counted
+MAX_QUEUED_RECORDS = 50_000  # about 10 MB; beyond it, records are dropped and counted
 BYTES_PER_MB = 1_000_000
 
 
 class Recorder:
-    """Takes records from the event loop and writes them in frames; counts those that it has to drop."""
+    """Queues records of the event loop and writes them in frames to files; counts those that it drops."""
 
     def __init__(self, options: RecordOptions, name: str) -> None:
         assert options.folder
@@ -33,7 +33,7 @@
         self.dropped = 0
         self._secret = secrets.token_bytes(16)
         self._queue: deque[Record] = deque()
-        self._dropped_recorded = 0  # of those dropped, how many the recording tells of
+        self._dropped_recorded = 0  # dropped records that are reported in the recording
         self._failing = False
         self._stop = threading.Event()
         self._file: Path | None = None
@@ -46,23 +46,23 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Write all queued records and end the thread; blocks until it has ended."""
+        """Write all queued records and stop the thread; blocks until it has stopped."""
         self._stop.set()
         self._thread.join()
 
     def hash(self, text: str) -> int:
-        """An id as a keyed hash, stable within a process; the key is in no recording."""
+        """The keyed hash of an id, stable within a process; the key is never written to a recording."""
         digest = blake2b(text.encode(errors="surrogateescape"), digest_size=8, key=self._secret).digest()
         return int.from_bytes(digest) >> 1
 
     def add(self, record: Record) -> None:
-        """Queue a record; never blocks."""
+        """Queue a record without blocking; a full queue drops it."""
         if len(self._queue) >= MAX_QUEUED_RECORDS:
             self.dropped += 1
         else:
             self._queue.append(record)
 
-    # In the thread
+    # In the writer thread
 
     def _run(self) -> None:
         while not self._stop.wait(FLUSH_INTERVAL_S):
@@ -89,25 +89,25 @@
             self.written += sum(not isinstance(r, Dropped) for r in records)
 
     def _write(self, data: bytes) -> None:
-        """Append a frame, to a new file where this one is full."""
+        """Append a frame, in a new file if it doesn't fit into the present one."""
         if self._file is None or self._size + len(data) > self.options.file_mb * BYTES_PER_MB:
-            self._begin()
+            self._start_file()
         assert self._file
         with self._file.open("ab") as file:
             file.write(data)
         self._size += len(data)
 
-    def _begin(self) -> None:
+    def _start_file(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         self._serial += 1
-        stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
-        self._file = self.folder / f"{stamp}-{self.name}-{self._serial:06d}{SUFFIX}"
+        timestamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
+        self._file = self.folder / f"{timestamp}-{self.name}-{self._serial:06d}{SUFFIX}"
         self._file.write_bytes(header())
         self._size = len(header())
-        self._trim()
+        self._remove_oldest_files()
 
-    def _trim(self) -> None:
-        """Remove the oldest files of this scheduler beyond the bound on disk."""
+    def _remove_oldest_files(self) -> None:
+        """Remove the oldest files of this scheduler until the total size leaves room for one more file."""
         own_files = sorted(self.folder.glob(f"*-{self.name}-*{SUFFIX}"))
         sizes = {path: path.stat().st_size for path in own_files}
         capacity = (self.options.total_mb - self.options.file_mb) * BYTES_PER_MB
--- a/robinhill/record/records.py
+++ b/robinhill/record/records.py
@@ -1,4 +1,4 @@
-"""The records of a recording: no bodies; ids and tenants as keyed hashes. Times are Unix microseconds."""
+"""The records of a recording: no bodies; ids and tenants are keyed hashes. Times are Unix microseconds."""
 
 import msgspec
 from msgspec import Struct
@@ -11,13 +11,13 @@
     id: int
     kind: str
     tenant: int
-    size: int  # of its body, in bytes
+    size: int  # of the request body, in bytes
     time_left_us: int
     is_client_retry: bool
 
 
 class Attempted(Struct, frozen=True, tag="t", array_like=True):
-    """An attempt has ended: where, how, after how long, and how long it had run of that (-1: not known)."""
+    """An attempt ended: ``took_us`` after it was sent, of which the job ran for ``ran_us`` (-1: unknown)."""
 
     at_us: int
     id: int
@@ -28,7 +28,7 @@
 
 
 class Answered(Struct, frozen=True, tag="f", array_like=True):
-    """A request got its final answer."""
+    """The final answer to a request was sent."""
 
     at_us: int
     id: int
@@ -36,7 +36,7 @@
 
 
 class Listed(Struct, frozen=True, tag="l", array_like=True):
-    """An entry of the list has changed."""
+    """An entry of the endpoint list has changed."""
 
     at_us: int
     worker: str
@@ -47,7 +47,8 @@
 
 
 class Dropped(Struct, frozen=True, tag="d", array_like=True):
-    """So many records could not be kept since the last of this kind: the disk or the writer was too slow."""
+    """``count`` records were dropped since the previous record of this kind, as the disk or the writer thread
+    was too slow or the disk failed."""
 
     at_us: int
     count: int
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,5 +1,5 @@
-"""Recordings: what a kill, damage or a full disk leaves is read as far as it can be trusted, and nothing is
-lost silently.
+"""Recordings: files after a kill, damage or disk errors are read up to the first unreadable frame, and all
+lost records are reported.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from robinhill.model.recorded import load
 from robinhill.model.sites import KINDS
 from robinhill.model.trace import Asked, fit, mend
-from robinhill.record import recorder as module
+from robinhill.record import recorder as recorder_module
 from robinhill.record.frames import RecordingError, frame, header, read, read_all
 from robinhill.record.options import RecordOptions
 from robinhill.record.recorder import Recorder
@@ -34,88 +34,94 @@
     return data
 
 
-def test_every_cut_of_a_file_is_read_up_to_the_last_whole_frame(tmp_path: Path) -> None:
-    """A kill leaves any prefix: none may raise, none may show a record that was not written whole."""
+def test_truncated_file_is_read_up_to_last_complete_frame(tmp_path: Path) -> None:
+    """A kill may leave any prefix of a file. Reading it must not raise or return an incomplete record."""
     frames: list[list[Record]] = [[arrived(n), Answered(n, n, 200)] for n in range(4)]
     path = tmp_path / "a.rec"
     data = write(path, *frames)
     ends = [len(header())]
-    for each in frames:
-        ends.append(ends[-1] + len(frame(each)))
-    for cut in range(len(header()), len(data) + 1):
-        path.write_bytes(data[:cut])
-        reading = read(path)
-        whole = sum(end <= cut for end in ends[1:])
-        assert reading.records == [r for f in frames[:whole] for r in f]
-        assert reading.lost == cut - ends[whole] and bool(reading.why) == bool(reading.lost)
-
-
-def test_damage_ends_the_reading_and_is_told(tmp_path: Path) -> None:
+    for records in frames:
+        ends.append(ends[-1] + len(frame(records)))
+    for length in range(len(header()), len(data) + 1):
+        path.write_bytes(data[:length])
+        content = read(path)
+        complete = sum(end <= length for end in ends[1:])
+        assert content.records == [r for f in frames[:complete] for r in f]
+        assert content.lost == length - ends[complete] and bool(content.why) == bool(content.lost)
+
+
+def test_damaged_frame_ends_the_reading_with_a_reason(tmp_path: Path) -> None:
+    """Any single damaged byte of the second frame hides it and the third one."""
     path = tmp_path / "a.rec"
     data = write(path, [arrived(1)], [arrived(2)], [arrived(3)])
     first = len(header()) + len(frame([arrived(1)]))
-    for place in range(first, first + len(frame([arrived(2)]))):
-        path.write_bytes(data[:place] + bytes([data[place] ^ 0xFF]) + data[place + 1 :])
-        reading = read(path)
-        assert reading.records == [arrived(1)] and reading.lost and reading.why
+    for offset in range(first, first + len(frame([arrived(2)]))):
+        path.write_bytes(data[:offset] + bytes([data[offset] ^ 0xFF]) + data[offset + 1 :])
+        content = read(path)
+        assert content.records == [arrived(1)] and content.lost and content.why
 
 
-def test_another_version_and_no_recording_are_refused(tmp_path: Path) -> None:
+def test_reading_other_versions_and_other_files_raises(tmp_path: Path) -> None:
     path = tmp_path / "a.rec"
     path.write_bytes(header()[:-4] + struct.pack("<I", 9))
     with pytest.raises(RecordingError, match="version 9"):
         read(path)
     path.write_bytes(b"{}")
-    with pytest.raises(RecordingError, match="no recording"):
+    with pytest.raises(RecordingError, match="not a recording"):
         read(path)
     with pytest.raises(RecordingError, match="can't be read"):
         read_all(tmp_path / "nothing")
 
 
-def test_files_rotate_and_the_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "FRAME_RECORDS", 50)
-    made = Recorder(RecordOptions(str(tmp_path), file_mb=0.002, total_mb=0.01), "n1")
+def test_files_rotate_within_the_limit_of_total_size(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(recorder_module, "FRAME_RECORDS", 50)
+    recorder = Recorder(RecordOptions(str(tmp_path), file_mb=0.002, total_mb=0.01), "n1")
     for number in range(5_000):
-        made.add(Arrived(number, made.hash(str(number)), "x", made.hash(str(-number)), 1, 2, False))
-    made.start()
-    made.close()
+        recorder.add(
+            Arrived(number, recorder.hash(str(number)), "x", recorder.hash(str(-number)), 1, 2, False)
+        )
+    recorder.start()
+    recorder.close()
     files = sorted(tmp_path.glob("*.rec"))
     assert len(files) > 2 and sum(f.stat().st_size for f in files) <= 10_000
     records, notes = read_all(tmp_path)
-    assert not notes and made.written == 5_000 and isinstance(records[-1], Arrived)
-    assert records[-1].at_us == 4_999  # the newest are kept
+    assert not notes and recorder.written == 5_000 and isinstance(records[-1], Arrived)
+    assert records[-1].at_us == 4_999  # the newest records are retained
 
 
-def test_what_can_not_be_kept_is_counted_in_the_recording(
+def test_dropped_records_are_counted_in_the_recording(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "MAX_QUEUED_RECORDS", 10)
-    made = Recorder(RecordOptions(str(tmp_path)), "n1")
+    """With a queue of 10, 15 of 25 records are dropped, and the recording begins with their number."""
+    monkeypatch.setattr(recorder_module, "MAX_QUEUED_RECORDS", 10)
+    recorder = Recorder(RecordOptions(str(tmp_path)), "n1")
     for number in range(25):
-        made.add(arrived(number))
-    assert made.dropped == 15
-    made.start()
-    made.close()
+        recorder.add(arrived(number))
+    assert recorder.dropped == 15
+    recorder.start()
+    recorder.close()
     records, _ = read_all(tmp_path)
     assert isinstance(records[0], Dropped) and records[0].count == 15 and len(records) == 11
 
 
-def test_a_folder_that_can_not_be_written_stops_nothing(tmp_path: Path) -> None:
+def test_unwritable_folder_drops_records_without_an_error(tmp_path: Path) -> None:
+    """The recorder must not fail where its folder can't be created, here below a file."""
     (tmp_path / "file").write_text("")
-    made = Recorder(RecordOptions(str(tmp_path / "file" / "folder")), "n1")
-    made.add(arrived(1))
-    made.start()
-    made.close()
-    assert made.dropped == 1 and made.written == 0
+    recorder = Recorder(RecordOptions(str(tmp_path / "file" / "folder")), "n1")
+    recorder.add(arrived(1))
+    recorder.start()
+    recorder.close()
+    assert recorder.dropped == 1 and recorder.written == 0
 
 
-def test_a_trace_with_faults_is_an_error_with_the_place_or_a_told_repair(tmp_path: Path) -> None:
+def test_faulty_trace_is_repaired_with_a_note_or_rejected_with_the_place(tmp_path: Path) -> None:
+    """Records out of order and requests without a run are repaired; other faults raise DescriptionError."""
     path = tmp_path / "a.rec"
     write(path, [arrived(1), arrived(3), arrived(2), Attempted(1_003 * S, 2, "w", "completed", 900, 500)])
     trace = load(path, KINDS)
     assert [a.at_us for a in trace.asked] == [0, S, 2 * S] and trace.asked[1].work_us == 500
     assert any("out of order" in r for r in trace.repairs) and any("never served" in r for r in trace.repairs)
-    for faulty, says in (
+    for faulty, message in (
         ([arrived(1), arrived(1, "unheard-of")], "unheard-of"),
         ([arrived(1), arrived(2), arrived(3, at_s=-60)], "record 2: the clock steps back by 62.0 s"),
         ([arrived(1), arrived(300)], "nothing for 299 s after 0.0 s"),
@@ -123,11 +129,11 @@
     ):
         records: list[Record] = list(faulty)
         write(path, records)
-        with pytest.raises(DescriptionError, match=says):
+        with pytest.raises(DescriptionError, match=message):
             load(path, KINDS)
 
 
-def test_a_description_fits_the_trace_that_it_came_from() -> None:
+def test_description_fitted_to_a_trace_has_its_rate_classes_and_tenants() -> None:
     asked = [
         Asked(n, n * 100_000, KINDS[n % 2].name, n % 4 if n % 8 < 4 else 0, 1000.0 + n) for n in range(400)
     ]
@@ -136,10 +142,10 @@
     assert all(abs(k.share - 0.5) < 0.01 for k in traffic.kinds) and traffic.tenant_skew > 0.3
 
 
-def test_the_program_records_what_passes(tmp_path: Path) -> None:
-    """From sockets to a trace: each request once, with its class, tenant, ending and the time that it ran."""
+def test_scheduler_records_each_request_once(tmp_path: Path) -> None:
+    """Requests over sockets are recorded with class, tenant, outcome and run time, and load as a trace."""
 
-    async def play() -> tuple[int, str]:
+    async def run_clients() -> tuple[int, str]:
         operator = {"admission": {"enabled": True}, "record": {"folder": str(tmp_path)}}
         async with town(workers=2, operator=operator) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=3)
@@ -148,7 +154,7 @@
             assert await here.program.stop() == 0
             return len(clients.asked), stats
 
-    asked, stats = asyncio.run(play())
+    asked, stats = asyncio.run(run_clients())
     assert "app.record.dropped:0|c" in stats
     records, notes = read_all(tmp_path)
     arrivals = [r for r in records if isinstance(r, Arrived)]
