--- a/robinhill/checker/__init__.py
+++ b/robinhill/checker/__init__.py
@@ -1,1 +1,1 @@
-"""What happened in a run, as a list of events, and a checker of the rules that reads nothing else."""
+"""The journal of events of a run, and checkers of the schedulers' rules that read the journal only."""
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -1,19 +1,19 @@
-"""A checker of one scheduler's rules that reads a journal only, independent of the code that it checks."""
+"""A checker of the rules for one scheduler; it reads the journal only, independent of the code it checks."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
 from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
 
-DRAIN_GRACE_S = 0.55  # half a second, and 50 ms for sockets
+DRAIN_GRACE_S = 0.55  # the limit of half a second, and 50 ms for delays of sockets
 REJECTION_STATUSES = (429, 503)
 
 
 def broken(journal: Journal, unsafe: Iterable[str], *, ended: bool = True, late_s: float = 0.0) -> list[str]:
-    """Violations of the rules, one line each.
+    """Check the rules for one scheduler. Returns one line for each violation.
 
-    ``unsafe``: classes that may not run twice; ``ended``: whether every request must be answered; ``late_s``:
-    by how much workers may have been late in recording a cancellation.
+    ``unsafe``: the classes whose jobs must not run twice. ``ended``: whether every request must have been
+    answered. ``late_s``: the delay with which workers may have recorded the end of an attempt.
     """
     events = sorted(journal.events, key=lambda e: e.at)
     by_request: dict[str, list[Event]] = defaultdict(list)
@@ -23,9 +23,9 @@
     found: list[str] = []
     kinds = set(unsafe)
     for request, request_events in by_request.items():
-        found += _answers(request, request_events, ended)
-        found += _attempts(request, request_events, kinds, late_s)
-    found += _drains(events)
+        found += _answer_violations(request, request_events, ended)
+        found += _attempt_violations(request, request_events, kinds, late_s)
+    found += _drain_violations(events)
     found += [
         f"{e.worker} was pushed over"
         for e in events
@@ -34,8 +34,8 @@
     return found
 
 
-def _answers(request: str, request_events: list[Event], ended: bool) -> list[str]:
-    """Each request gets exactly one final answer, and 200 only if a worker has run it to its end."""
+def _answer_violations(request: str, request_events: list[Event], ended: bool) -> list[str]:
+    """Check that each request gets exactly one final answer, and 200 only if a worker ran it to its end."""
     counts = Counter(e.what for e in request_events)
     found = []
     if counts[What.ANSWERED] > 1:
@@ -48,23 +48,26 @@
     return found
 
 
-def _attempts(request: str, request_events: list[Event], unsafe: set[str], late_s: float) -> list[str]:
-    """Never two attempts at a time; an unsafe one that may have run is neither retried nor rejected."""
+def _attempt_violations(
+    request: str, request_events: list[Event], unsafe: set[str], late_s: float
+) -> list[str]:
+    """Check that a request has one attempt at a time, and that an unsafe one is neither retried nor rejected
+    after it may have run."""
     found = []
-    in_flight: set[str] = set()  # workers with an attempt
+    in_flight: set[str] = set()  # workers that have an attempt of the request
     may_have_run = False
     kind = next((e.kind for e in request_events if e.kind), "")
     for event in request_events:
         if event.what is What.SENT:
-            if in_flight and not in_flight <= _freed(request_events, event.at, late_s):
-                found.append(f"{request} was at {event.worker} while at {', '.join(sorted(in_flight))}")
+            if in_flight and not in_flight <= _workers_ended_within(request_events, event.at, late_s):
+                found.append(f"{request} was sent to {event.worker} while at {', '.join(sorted(in_flight))}")
             if kind in unsafe and may_have_run:
                 found.append(f"{request} ({kind}) was sent again though it may have run")
             in_flight.add(event.worker)
             may_have_run = True
         elif event.what is What.RETURNED:
             in_flight.discard(event.worker)
-            may_have_run = False  # earlier attempts were handed back too, or are reported above
+            may_have_run = False  # earlier attempts were returned too, or are reported above
         elif event.what in (What.ENDED, What.CANCELLED):
             in_flight.discard(event.worker)
         elif (
@@ -77,18 +80,18 @@
     return found
 
 
-def _freed(request_events: list[Event], at: float, late_s: float) -> set[str]:
-    """Workers that recorded soon after a moment that their attempt was over."""
-    over = (What.CANCELLED, What.ENDED, What.RETURNED)
+def _workers_ended_within(request_events: list[Event], at: float, late_s: float) -> set[str]:
+    """The workers that recorded the end of their attempt within ``late_s`` after the time ``at``."""
+    ending_events = (What.CANCELLED, What.ENDED, What.RETURNED)
     return (
-        {e.worker for e in request_events if e.what in over and at <= e.at <= at + late_s}
+        {e.worker for e in request_events if e.what in ending_events and at <= e.at <= at + late_s}
         if late_s
         else set()
     )
 
 
-def _drains(events: list[Event]) -> list[str]:
-    """No new attempt at a worker later than the grace after discovery has listed it as draining."""
+def _drain_violations(events: list[Event]) -> list[str]:
+    """Check that a worker gets no attempt later than DRAIN_GRACE_S after discovery listed it as draining."""
     draining_since: dict[str, float] = {}
     found = []
     for event in events:
@@ -100,5 +103,5 @@
             event.what is What.SENT and event.at - draining_since.get(event.worker, event.at) > DRAIN_GRACE_S
         ):
             late = event.at - draining_since[event.worker]
-            found.append(f"{event.worker} got {event.request} {late:.2f} s after it was told to leave")
+            found.append(f"{event.worker} got {event.request} {late:.2f} s after it was listed as draining")
     return found
--- a/tests/test_checker_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -1,4 +1,4 @@
-"""The checker of several schedulers' promises sees each that is broken, and no other."""
+"""The checker of the rules for several schedulers: it reports each violation, and nothing else."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from robinhill.checker.mesh import Terms, broken, equal_after, late_sends, lists
 
 W = What
-HOLD, SERVE = Terms(0.5, holds=True), Terms(0.5, holds=False)
+HOLD, SERVE = Terms(0.5, is_hold_mode=True), Terms(0.5, is_hold_mode=False)
 UP = [(0.0, W.UP, "", "", "", "a"), (0.0, W.UP, "", "", "", "b")]
 SET = [(1.0, W.CORDON_REQUESTED, "c", "w", "", "a"), (1.1, W.CORDONED, "c", "w", "", "a")]
 LIFT = [(2.0, W.LIFT_REQUESTED, "c", "w", "", "b"), (2.1, W.LIFTED, "c", "w", "", "b")]
@@ -14,7 +14,7 @@
 
 
 def send(at: float, by: str = "b", request: str = "j-0") -> list[Row]:
-    """A job that nobody asked for is sent, and ends at once."""
+    """A job that no client requested is sent and ends at once."""
     return [(at, W.SENT, request, "w", "", by), (at, W.ENDED, request, "w", "", by)]
 
 
@@ -22,11 +22,11 @@
     return [(start, W.FAULT_STARTED, "", "", "", on), (end, W.FAULT_ENDED, "", "", "", on)]
 
 
-def digests(at: float, **told: str) -> list[Row]:
-    return [(at, W.DIGEST, "", "", d, s) for s, d in told.items()]
+def digests(at: float, **reported: str) -> list[Row]:
+    return [(at, W.DIGEST, "", "", d, s) for s, d in reported.items()]
 
 
-def look(by: str, ids: str, at: float = 9.0) -> list[Row]:
+def listed(by: str, ids: str, at: float = 9.0) -> list[Row]:
     return [(at, W.CORDONS_LISTED, "", "", ids, by)]
 
 
@@ -38,78 +38,95 @@
 
 
 @pytest.mark.parametrize(
-    "terms, parts, says",
+    "terms, parts, expected",
     [
         (HOLD, [SET, send(1.5)], ""),
-        (HOLD, [SET, send(1.7)], "w got j-0 from b, cordoned by c: 0.100 s past the bound"),
+        (HOLD, [SET, send(1.7)], "w got j-0 from b while cordoned by c: 0.100 s past the bound"),
         (HOLD, [SET, fault(0.5, 3.0), send(1.7)], "past the bound"),
-        (HOLD, [SET[:1], send(1.7)], ""),  # never accepted
+        (HOLD, [SET[:1], send(1.7)], ""),  # the cordon was not accepted
         (HOLD, [SET, LIFT[:1], send(2.5)], ""),
-        (HOLD, [SET[:1], LIFT[:1], [(2.1, W.CORDONED, "c", "w", "", "a")], send(9.0)], ""),  # crossed
+        (
+            HOLD,
+            [SET[:1], LIFT[:1], [(2.1, W.CORDONED, "c", "w", "", "a")], send(9.0)],
+            "",
+        ),  # the calls crossed
         (HOLD, [SET, LIFT, SET[:1], send(1.7)], "past the bound"),
         (HOLD, [SET, [(1.2, W.IN_FORCE, "c", "w", "", "a")], send(1.3)], "after it was in force"),
         (SERVE, [SET, send(1.7)], "past the bound"),
         (SERVE, [SET, fault(1.5, 3.0), send(2.9)], ""),
-        (SERVE, [SET, fault(1.5, 3.0), send(5.0)], ""),  # links have two seconds to come back, and the bound
+        (
+            SERVE,
+            [SET, fault(1.5, 3.0), send(5.0)],
+            "",
+        ),  # within two seconds for links to recover, plus the bound
         (SERVE, [SET, fault(1.5, 3.0), send(5.7)], "past the bound"),
-        (SERVE, [SET, fault(1.0, 9.0, "a"), send(5.7)], ""),  # who accepted it is cut off
-        (SERVE, [SET, fault(1.0, 9.0), fault(1.2, 1.4), send(5.7)], ""),  # one of two faults is over
+        (SERVE, [SET, fault(1.0, 9.0, "a"), send(5.7)], ""),  # the scheduler that accepted it is cut off
+        (SERVE, [SET, fault(1.0, 9.0), fault(1.2, 1.4), send(5.7)], ""),  # one of two faults has ended
     ],
 )
-def test_sends_to_a_cordoned_worker(terms: Terms, parts: list[list[Row]], says: str) -> None:
-    faults = late_sends(journal(*parts).events, terms)
-    assert (says in faults[0]) if says else not faults
+def test_late_sends_reports_sends_to_a_cordoned_worker(
+    terms: Terms, parts: list[list[Row]], expected: str
+) -> None:
+    found = late_sends(journal(*parts).events, terms)
+    assert (expected in found[0]) if expected else not found
 
 
 @pytest.mark.parametrize(
-    "parts, says",
+    "parts, expected",
     [
-        ([SET, look("a", "c"), look("b", "c")], []),
-        ([SET, look("a", "c"), look("b", "")], ["b lost c"]),
-        ([SET, LIFT, look("a", ""), look("b", "c")], ["c came back at b"]),
-        ([SET[:1], LIFT, [(2.2, W.CORDONED, "c", "w", "", "a")], look("b", "")], []),  # calls that crossed
-        ([SET, LIFT[:1], look("a", ""), look("b", "c")], []),  # the lift was not answered: either may be
-        ([SET[:1], LIFT, look("b", "c")], []),  # nor was the cordon
-        ([look("a", "d")], ["a lists d, which nobody set"]),
-        ([SET, look("b", "", at=2.0)], []),  # not settled yet
+        ([SET, listed("a", "c"), listed("b", "c")], []),
+        ([SET, listed("a", "c"), listed("b", "")], ["b does not list the accepted cordon c"]),
+        ([SET, LIFT, listed("a", ""), listed("b", "c")], ["c was lifted but is listed by b"]),
+        ([SET[:1], LIFT, [(2.2, W.CORDONED, "c", "w", "", "a")], listed("b", "")], []),  # the calls crossed
+        ([SET, LIFT[:1], listed("a", ""), listed("b", "c")], []),  # the lift was not answered: both are valid
+        ([SET[:1], LIFT, listed("b", "c")], []),  # the cordon was not answered: it may take effect later
+        ([listed("a", "d")], ["a lists d, which was never requested"]),
+        ([SET, listed("b", "", at=2.0)], []),  # replicas need not be equal yet
     ],
 )
-def test_lists_once_all_is_settled(parts: list[list[Row]], says: list[str]) -> None:
-    assert lists(journal(*parts).events, HOLD) == says
+def test_lists_reports_missing_lifted_and_unrequested_cordons(
+    parts: list[list[Row]], expected: list[str]
+) -> None:
+    assert lists(journal(*parts).events, HOLD) == expected
 
 
 @pytest.mark.parametrize(
-    "parts, took",
+    "parts, took_s",
     [
         ([fault(1.0, 2.0), digests(2.5, a="x", b="x")], 0.5),
-        ([fault(1.0, 2.0), digests(1.5, a="x", b="x")], None),  # before the heal
+        ([fault(1.0, 2.0), digests(1.5, a="x", b="x")], None),  # reported before the end of the fault
         ([fault(1.0, 2.0), digests(2.5, a="x", b="y"), digests(5.0, b="x")], 3.0),
-        ([fault(1.0, 2.0), digests(2.5, a="x", b="x"), digests(3.0, a="y")], None),  # not for good
-        ([fault(1.0, 2.0), digests(2.5, a="x")], None),  # b says nothing
+        ([fault(1.0, 2.0), digests(2.5, a="x", b="x"), digests(3.0, a="y")], None),  # equal only for a time
+        ([fault(1.0, 2.0), digests(2.5, a="x")], None),  # b reports no digest
         ([fault(1.0, 2.0), [(2.1, W.DOWN, "", "", "", "b")], digests(2.5, a="x")], 0.5),
     ],
 )
-def test_copies_after_the_last_heal(parts: list[list[Row]], took: float | None) -> None:
+def test_equal_after_measures_the_time_from_the_last_fault(
+    parts: list[list[Row]], took_s: float | None
+) -> None:
+    """More than 2 s, or never, is a violation; no other is reported."""
     made = journal(*parts)
-    assert equal_after(made.events) == took
-    says = broken(made, HOLD, [])
-    assert bool(says) == (took is None or took > 2.0) and all("copies" in s for s in says)
+    assert equal_after(made.events) == took_s
+    found = broken(made, HOLD, [])
+    assert bool(found) == (took_s is None or took_s > 2.0) and all("copies" in s for s in found)
 
 
-def test_an_unsafe_job_began_for_two_schedulers_and_the_rules_of_one_still_count() -> None:
-    same = digests(0.5, a="x", b="x")
-    twice = [
+def test_broken_reports_unsafe_jobs_started_twice_and_concurrent_attempts() -> None:
+    """An unsafe job starts for two schedulers; one request has attempts at two workers at the same time."""
+    equal = digests(0.5, a="x", b="x")
+    started_twice = [
         (1.0, W.EXECUTION_STARTED, "k-0", "w", "charge", "a"),
         (2.0, W.EXECUTION_STARTED, "k-1", "v", "charge", "b"),
     ]
-    assert broken(journal(twice, same), HOLD, ["charge"]) == ["k is unsafe and began 2 times"]
-    assert not broken(journal(twice, same), HOLD, ["renewal"])
-    (both,) = broken(journal([(1.0, W.SENT, "j-0", "v", "", "a")], send(1.5), same), HOLD, [])
-    assert "j-0 was at w while at v" in both
+    assert broken(journal(started_twice, equal), HOLD, ["charge"]) == ["k is unsafe and was started 2 times"]
+    assert not broken(journal(started_twice, equal), HOLD, ["renewal"])
+    (concurrent,) = broken(journal([(1.0, W.SENT, "j-0", "v", "", "a")], send(1.5), equal), HOLD, [])
+    assert "j-0 was sent to w while at v" in concurrent
 
 
-def test_a_worker_that_noted_late_that_it_was_called_off_is_no_second_attempt() -> None:
+def test_cancellation_recorded_late_is_tolerated_up_to_late_s() -> None:
+    """On a busy host, worker v records the cancellation 0.2 s after the next attempt reached worker w."""
     events = [(1.0, W.SENT, "j-0", "v", "", "a"), *send(1.5), (1.7, W.CANCELLED, "j-0", "v", "", "")]
-    same = digests(0.5, a="x", b="x")
-    assert "while at v" in broken(journal(events, same), Terms(0.5, holds=True, late_s=0.1), [])[0]
-    assert not broken(journal(events, same), Terms(0.5, holds=True, late_s=0.3), [])
+    equal = digests(0.5, a="x", b="x")
+    assert "while at v" in broken(journal(events, equal), Terms(0.5, is_hold_mode=True, late_s=0.1), [])[0]
+    assert not broken(journal(events, equal), Terms(0.5, is_hold_mode=True, late_s=0.3), [])
