--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class FileContent:
-    """The records of a file. ``lost``: bytes after the last readable frame; ``why``: the reason, if any."""
+    """The records of a file; ``lost``: bytes after the last readable frame; ``why``: the reason."""
 
     records: list[Record]
     lost: int = 0
--- a/tests/test_checker_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -64,7 +64,7 @@
         (SERVE, [SET, fault(1.0, 9.0), fault(1.2, 1.4), send(5.7)], ""),  # one of two faults has ended
     ],
 )
-def test_late_sends_reports_sends_to_a_cordoned_worker(
+def test_sends_to_a_cordoned_worker_past_the_bound_are_reported(
     terms: Terms, parts: list[list[Row]], expected: str
 ) -> None:
     found = late_sends(journal(*parts).events, terms)
@@ -84,7 +84,7 @@
         ([SET, listed("b", "", at=2.0)], []),  # replicas need not be equal yet
     ],
 )
-def test_lists_reports_missing_lifted_and_unrequested_cordons(
+def test_missing_lifted_and_unrequested_cordons_are_reported(
     parts: list[list[Row]], expected: list[str]
 ) -> None:
     assert lists(journal(*parts).events, HOLD) == expected
@@ -101,7 +101,7 @@
         ([fault(1.0, 2.0), [(2.1, W.DOWN, "", "", "", "b")], digests(2.5, a="x")], 0.5),
     ],
 )
-def test_equal_after_measures_the_time_from_the_last_fault(
+def test_time_from_the_last_fault_to_equal_replicas_is_measured(
     parts: list[list[Row]], took_s: float | None
 ) -> None:
     """More than 2 s, or never, is a violation; no other is reported."""
@@ -111,7 +111,7 @@
     assert bool(found) == (took_s is None or took_s > 2.0) and all("copies" in s for s in found)
 
 
-def test_broken_reports_unsafe_jobs_started_twice_and_concurrent_attempts() -> None:
+def test_unsafe_jobs_started_twice_and_concurrent_attempts_are_reported() -> None:
     """An unsafe job starts for two schedulers; one request has attempts at two workers at the same time."""
     equal = digests(0.5, a="x", b="x")
     started_twice = [
