--- a/robinhill/checker/journal.py
+++ b/robinhill/checker/journal.py
@@ -29,9 +29,7 @@
     LIFT_REQUESTED = auto()  # an operator's call to lift a cordon was sent to a scheduler
     LIFTED = auto()  # the scheduler accepted the call
     CORDONS_LISTED = auto()  # a scheduler lists the ids in ``kind``, separated by blanks, as in force
-    RECOVERY_CHECKED = (
-        auto()
-    )  # a cordon was set at a scheduler after all faults; status 1: it came into force
+    RECOVERY_CHECKED = auto()  # a cordon was set at a scheduler after all faults; status 1: it is in force
     DIGEST = auto()  # a scheduler reports the digest of its replica, in ``kind``
     FAULT_STARTED = auto()  # a fault of a scheduler or one of its links has started
     FAULT_ENDED = auto()  # the fault has ended
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -20,7 +20,7 @@
 
     bound_s: float  # from the acceptance of a cordon to the last send to its worker
     is_hold_mode: (
-        bool  # no scheduler sends without a majority (`hold`); otherwise `serve`, a weaker guarantee
+        bool  # `hold`: no scheduler sends without a majority; otherwise `serve`, which promises less
     )
     convergence_s: float = 2.0  # from the end of the last fault until all replicas are equal
     recovery_s: float = 2.0  # for links to recover after a fault; `serve` guarantees nothing until then
@@ -44,9 +44,9 @@
 def broken(journal: Journal, terms: Terms, unsafe: Iterable[str], *, ended: bool = True) -> list[str]:
     """Check the rules for one scheduler and for several. Returns one line for each violation."""
     events = sorted(journal.events, key=lambda e: e.at)
-    kinds = set(unsafe)
-    found = rules.broken(journal, kinds, ended=ended, late_s=terms.late_s)
-    found += once(events, kinds)
+    unsafe_classes = set(unsafe)
+    found = rules.broken(journal, unsafe_classes, ended=ended, late_s=terms.late_s)
+    found += once(events, unsafe_classes)
     found += late_sends(events, terms)
     found += lists(events, terms)
     found += copies(events, terms)
@@ -109,7 +109,8 @@
 
 
 def late_sends(events: Iterable[Event], terms: Terms) -> list[str]:
-    """Check that nothing is sent to a cordoned worker past the bound, or after the cordon is in force.
+    """Check that nothing is sent to a cordoned worker past the bound, nor after the cordon was
+    reported to be in force.
 
     With `serve` this holds only if both the sending scheduler and the one that accepted the cordon have been
     without a fault for `Terms.recovery_s`.
@@ -148,8 +149,15 @@
 
 def _settled_at(events: Iterable[Event]) -> float:
     """The time of the last end of a fault, start of a scheduler, operator's call or answer to a call."""
-    last = (What.FAULT_ENDED, What.UP, What.CORDON_REQUESTED, What.CORDONED, What.LIFT_REQUESTED, What.LIFTED)
-    return max((e.at for e in events if e.what in last), default=0.0)
+    event_types = (
+        What.FAULT_ENDED,
+        What.UP,
+        What.CORDON_REQUESTED,
+        What.CORDONED,
+        What.LIFT_REQUESTED,
+        What.LIFTED,
+    )
+    return max((e.at for e in events if e.what in event_types), default=0.0)
 
 
 def lists(events: list[Event], terms: Terms) -> list[str]:
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -21,10 +21,10 @@
         if event.request:
             by_request[event.request].append(event)
     found: list[str] = []
-    kinds = set(unsafe)
+    unsafe_classes = set(unsafe)
     for request, request_events in by_request.items():
         found += _answer_violations(request, request_events, ended)
-        found += _attempt_violations(request, request_events, kinds, late_s)
+        found += _attempt_violations(request, request_events, unsafe_classes, late_s)
     found += _drain_violations(events)
     found += [
         f"{e.worker} was pushed over"
--- a/robinhill/gang/explain.py
+++ b/robinhill/gang/explain.py
@@ -10,9 +10,9 @@
     """The current state of one member. Durations are in microseconds.
 
     ``scheduler`` is empty for a member whose job this scheduler holds. ``phase`` is text for people.
-    ``share`` is the share of the job that is done, None where no progress was reported. ``last`` is the
-    verdict of the latest evaluation; ``straggler_verdict`` is the latest that found the member to be a
-    straggler, at ``worker`` or at an earlier one.
+    ``share`` is the share of the job that is done, None where no progress was reported. ``last_verdict`` is
+    that of the latest evaluation; ``straggler_verdict`` is the latest one that found the member to be a
+    straggler, at ``worker`` or at an earlier worker.
     """
 
     index: int
@@ -24,7 +24,7 @@
     run_us: int
     usual_us: int | None
     moves: int
-    last: Verdict | None = None
+    last_verdict: Verdict | None = None
     straggler_verdict: Verdict | None = None
 
     def line(self) -> str:
@@ -35,8 +35,8 @@
         head += f" (usually {self.usual_us / 1e6:.2f} s)" if self.usual_us else ""
         if self.scheduler:
             return f"{head}; at scheduler {self.scheduler}, which evaluates it"
-        parts = [head, *([_reason(self.last)] if self.last else [])]
-        if self.straggler_verdict and self.straggler_verdict != self.last:
+        parts = [head, *([_reason(self.last_verdict)] if self.last_verdict else [])]
+        if self.straggler_verdict and self.straggler_verdict != self.last_verdict:
             parts.append(f"earlier, at {self.straggler_verdict.worker}: {_reason(self.straggler_verdict)}")
         return "; ".join(parts)
 
--- a/robinhill/gang/figures.py
+++ b/robinhill/gang/figures.py
@@ -28,10 +28,10 @@
         ``gang.tail_ms`` is the 99th percentile of the tails retained.
         """
         tails = sorted(self.tails_us)
-        high = quantiles(tails, n=100, method="inclusive")[98] if len(tails) > 1 else sum(tails)
+        p99_us = quantiles(tails, n=100, method="inclusive")[98] if len(tails) > 1 else sum(tails)
         names = ("lags", "moved", "copied", "spared", "alike", "shared", "refused", "evidence")
         return [
-            ("gang.tail_ms", int(high / 1_000), "g"),
+            ("gang.tail_ms", int(p99_us / 1_000), "g"),
             ("gang.tail_ms.median", int(median(tails) / 1_000) if tails else 0, "g"),
             ("gang.held", gangs, "g"),
             ("gang.members", members, "g"),
--- a/robinhill/gang/gangs.py
+++ b/robinhill/gang/gangs.py
@@ -40,7 +40,7 @@
 # median slowdown against their own gangs is not above this factor.
 WORKER_NORMAL_MIN_MEMBERS = 2
 WORKER_NORMAL_SLOWDOWN = 1.25
-ENDED_PACE_MAX_AGE_US = 2_000_000  # runs that ended earlier don't count for that
+ENDED_PACE_MAX_AGE_US = 2_000_000  # runs that ended earlier are ignored in that median
 # If the time since the last evaluation exceeds both this number of intervals and this duration, the scheduler
 # itself was paused. Progress reports are then unread in its sockets, and members only seem to be silent.
 PAUSE_INTERVALS = 5
@@ -142,7 +142,12 @@
                 self._paces.record_end(
                     now_us, local.kind, local.hint_us, local.run_us(now_us), log_relative_pace
                 )
-            if attempt == local.attempt and not local.is_judged and local.last and local.last.peers:
+            if (
+                attempt == local.attempt
+                and not local.is_judged
+                and local.last_verdict
+                and local.last_verdict.peers
+            ):
                 self._ledger.record(now_us, local.worker, gang.name, local.membership.index, 0.0)
         local.phase = Phase.DONE if done else Phase.GONE
         del self._table.jobs[job]
@@ -192,10 +197,12 @@
         Returns an empty result if less than half the interval has passed since the last evaluation.
         """
         now_us = self._advance(now_us)
-        since = now_us - self._evaluated_us
-        if since < self.options.look_us // 2:
+        elapsed_us = now_us - self._evaluated_us
+        if elapsed_us < self.options.look_us // 2:
             return Evaluation()
-        paused = self._evaluated_us > 0 and since > max(PAUSE_MIN_US, PAUSE_INTERVALS * self.options.look_us)
+        paused = self._evaluated_us > 0 and elapsed_us > max(
+            PAUSE_MIN_US, PAUSE_INTERVALS * self.options.look_us
+        )
         self._evaluated_us = now_us
         self._table.expire(now_us)
         recent_slowdown = self._paces.recent_slowdown(now_us)
@@ -203,25 +210,27 @@
             self._backlog_until_us = now_us + BACKLOG_DRAIN_US
         views = [self._view(gang, now_us, recent_slowdown, paused) for gang in self._table.active()]
         running = sum(len(view.running) for view in views)
-        behind = [view for view in views if view.local_behind]
-        count = sum(view.local_behind for view in behind)
-        all_slow = len(behind) > 1 and count >= ALL_SLOW_MIN_MEMBERS and count > ALL_SLOW_SHARE * running
-        worker_paces = _paces_by_worker(views) if behind else {}
+        slow_views = [view for view in views if view.local_slow]
+        slow = sum(view.local_slow for view in slow_views)
+        all_slow = len(slow_views) > 1 and slow >= ALL_SLOW_MIN_MEMBERS and slow > ALL_SLOW_SHARE * running
+        worker_paces = _paces_by_worker(views) if slow_views else {}
         verdicts: list[Verdict] = []
-        lag: list[tuple[Gang, LocalMember, Verdict]] = []
+        stragglers: list[tuple[Gang, LocalMember, Verdict]] = []
         for view in views:
             for local, verdict in self._verdicts(view, all_slow, worker_paces):
-                local.last = verdict
+                local.last_verdict = verdict
                 if verdict.lags:
-                    lag.append((view.gang, local, verdict))
+                    stragglers.append((view.gang, local, verdict))
                 else:
                     verdicts.append(verdict)
         # Members that gain most by a move come first, as the budgets may not suffice for all.
-        lag.sort(key=lambda x: ((x[2].fresh_us or 0) - (x[2].remaining_us or 0), x[2].gang, x[2].index))
+        stragglers.sort(
+            key=lambda x: ((x[2].fresh_us or 0) - (x[2].remaining_us or 0), x[2].gang, x[2].index)
+        )
         moves: list[Move] = []
-        for gang, local, verdict in lag:
+        for gang, local, verdict in stragglers:
             verdicts.append(self._decide(now_us, gang, local, verdict, moves))
-        evidence = self._ledger.due_evidence(now_us, [local.worker for _, local, _ in lag])
+        evidence = self._ledger.due_evidence(now_us, [local.worker for _, local, _ in stragglers])
         self.counters.counts["evidence"] += len(evidence)
         verdicts.sort(key=lambda x: (x.gang, x.index))
         return Evaluation(tuple(verdicts), tuple(moves), tuple(evidence))
@@ -250,13 +259,13 @@
                 view.compared[index] = self._compare(view, index)
             else:
                 elsewhere.append(index)
-        behind = sum(x is not None and x.exceeds_threshold for x in view.compared.values())
-        view.local_behind = behind
-        if behind:  # remote members are compared only to tell whether the whole gang is slow
-            behind += sum(
+        slow = sum(x is not None and x.exceeds_threshold for x in view.compared.values())
+        view.local_slow = slow
+        if slow:  # remote members are compared only to tell whether the whole gang is slow
+            slow += sum(
                 x is not None and x.exceeds_threshold for x in (self._compare(view, i) for i in elsewhere)
             )
-            view.gang_slow = behind > max(1, GANG_SLOW_SHARE * len(runners))
+            view.gang_slow = slow > max(1, GANG_SLOW_SHARE * len(runners))
         return view
 
     def _compare(self, view: "_GangView", index: int) -> Comparison | None:
@@ -382,9 +391,8 @@
         if not local.is_judged:
             local.is_judged = True
             self.counters.counts["lags"] += 1
-            if (
-                local.moved_from and not other_members_lag
-            ):  # it lags here too: the job is the cause, not the worker before
+            if local.moved_from and not other_members_lag:
+                # It lags at a second worker, so the job is the cause and not the worker before.
                 self._ledger.retract(local.moved_from, gang.name, index)
             elif has_started:
                 self._ledger.record(now_us, local.worker, gang.name, index, verdict.slowdown or 0.0)
@@ -401,7 +409,7 @@
             self._mark_changed(gang, index)
         elif decision in (Decision.GANG_BUDGET_SPENT, Decision.GLOBAL_BUDGET_SPENT):
             self.counters.counts["spared"] += 1
-        local.last = local.straggler_verdict = verdict
+        local.last_verdict = local.straggler_verdict = verdict
         return verdict
 
     # Reports
@@ -416,7 +424,7 @@
         for index in sorted({*held.local, *held.remote}):
             usual = int(runners[index].usual_us) if index in runners else None
             if local := held.current_local(index):
-                last = local.last
+                last = local.last_verdict
                 if not local.active and last:
                     last = replace(last, reason=Reason.ENDED)
                 reported = MemberReport(
@@ -494,9 +502,8 @@
 }
 
 
-_PacesByWorker = dict[
-    str, list[tuple[str, int, float]]
-]  # by worker: gang, index, pace over the gang's median
+# For each worker: gang, member index, and pace over the median pace of the gang.
+_PacesByWorker = dict[str, list[tuple[str, int, float]]]
 
 
 def _paces_by_worker(views: "list[_GangView]") -> _PacesByWorker:
@@ -523,7 +530,7 @@
         "compared",
         "gang",
         "gang_slow",
-        "local_behind",
+        "local_slow",
         "now_us",
         "paces",
         "paused",
@@ -549,9 +556,9 @@
         self.usual_pace = usual_pace  # the median of `paces`
         self.recent_slowdown = recent_slowdown  # the same pace by the recently ended runs of all gangs
         self.running: set[int] = set()  # local members that wait, or have run for long enough to compare
-        self.compared: dict[int, Comparison | None] = {}
+        self.compared: dict[int, Comparison | None] = {}  # None: too few comparable peers
         self.gang_slow = False
-        self.local_behind = 0
+        self.local_slow = 0
         self.paused = False
 
     def remaining_us(self, index: int) -> int:
@@ -564,11 +571,15 @@
         runner = self.runners[index]
         if not runner.has_started:
             return runner.waited_us + int(runner.usual_us * self.usual_pace)
-        since = self.now_us - runner.curve.last_us
-        reported = runner.curve.remaining_us()
+        since_report_us = self.now_us - runner.curve.last_us
+        at_report_us = runner.curve.remaining_us()
         if runner.silent:
-            return runner.run_us if reported is None else max(since, reported - since)
-        return max(0, (reported or 0) - since)
+            return (
+                runner.run_us
+                if at_report_us is None
+                else max(since_report_us, at_report_us - since_report_us)
+            )
+        return max(0, (at_report_us or 0) - since_report_us)
 
     def fresh_us(self, index: int) -> int:
         """The estimated time of a fresh run at another worker, by the median wait and pace of the peers."""
--- a/robinhill/gang/progress.py
+++ b/robinhill/gang/progress.py
@@ -147,9 +147,8 @@
         self._run_ratios: deque[float] = deque(maxlen=MAX_ENDS)
         self._end_count = 0
         self._scale = 1.0
-        self._recent_slowdowns: deque[tuple[int, float]] = deque(
-            maxlen=MAX_ENDS_PER_KIND
-        )  # time, run time over the usual one
+        # The time of each end, and the run time over the usual one.
+        self._recent_slowdowns: deque[tuple[int, float]] = deque(maxlen=MAX_ENDS_PER_KIND)
 
     def record_end(
         self, now_us: int, kind: str, hint_us: int, run_us: int, log_relative_pace: float | None
--- a/robinhill/gang/straggle.py
+++ b/robinhill/gang/straggle.py
@@ -105,12 +105,12 @@
     if n < 2:
         return 0.0
     half = n // 2 + 1
-    apart = sorted(abs(a - b) for i, a in enumerate(values) for b in values[:i])
+    distances = sorted(abs(a - b) for i, a in enumerate(values) for b in values[:i])
     if n <= 9:
         factor = _QN_SMALL[n - 2]
     else:
         factor = n / (n + 1.4) if n % 2 else n / (n + 3.8)
-    return factor * _QN_NORMAL * apart[half * (half - 1) // 2 - 1]
+    return factor * _QN_NORMAL * distances[half * (half - 1) // 2 - 1]
 
 
 def log_threshold(
--- a/robinhill/gang/table.py
+++ b/robinhill/gang/table.py
@@ -50,7 +50,7 @@
     streak: int = 0
     counted_us: int = -1  # time of the last report or evaluation that increased the streak
     is_judged: bool = False  # whether the latest attempt has been counted as a lag
-    last: Verdict | None = None
+    last_verdict: Verdict | None = None
     straggler_verdict: Verdict | None = None
     sent_share: float = 0.0
 
@@ -188,12 +188,12 @@
             if local := self.current_local(index):
                 if local.phase is Phase.GONE or not local.placed_us:
                     continue
-                usual, kind = _usual(local.hint_us or hint, local.kind, paces)
+                usual, kind = _usual_run(local.hint_us or hint, local.kind, paces)
                 received = now_us if local.active else local.ended_us
                 found[index] = Runner(local.curve, usual, received, local.waited_us(now_us), kind)
             elif (remote := self.remote[index]).update.current_phase is not Phase.GONE:
                 update = remote.update
-                usual, kind = _usual(update.hint_us or hint, update.kind, paces)
+                usual, kind = _usual_run(update.hint_us or hint, update.kind, paces)
                 since = (
                     min(now_us - remote.received_us, MAX_EXTRAPOLATION_US)
                     if update.current_phase is not Phase.DONE
@@ -216,7 +216,7 @@
         )
 
 
-def _usual(hint_us: float, kind: str, paces: Paces) -> tuple[float, str | None]:
+def _usual_run(hint_us: float, kind: str, paces: Paces) -> tuple[float, str | None]:
     """The usual run time at a machine type, and the type itself if its speed is not known, else None."""
     if not hint_us:
         return DEFAULT_USUAL_US, kind
