--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,7 +1,8 @@
-"""Ladders of sizes: how costs grow with workers, schedulers, members and tenants.
+"""Scaling benchmarks: the growth of costs with the numbers of workers, schedulers, gang members and tenants.
 
     python -m benchmarks.scale PART [--sizes 10,100,1000]
 
-Each part prints its ladder, a linear slope with its standard error and the exponent of growth.
-``docs/CAPACITY.md`` is worked out from these slopes; ``tests/test_scale.py`` asserts the exponents.
+Each part prints the costs at several sizes, a linear slope with its standard error, and the exponent of
+growth. The figures in ``docs/CAPACITY.md`` are computed from these slopes; ``tests/test_scale.py`` asserts
+the exponents.
 """
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,8 @@
-"""The command: one part each. Run alone on its cores; the hollow parts also check against real processes."""
+"""Measures how one cost of the program grows with its size.
+
+Run it while the machine is otherwise idle. The parts with hollow schedulers (sharing, spread) also compare
+these with real processes.
+"""
 
 from collections.abc import Callable, Sequence
 
@@ -18,23 +22,28 @@
     "quotas": quotas.run,
     "recorder": recorder.run,
     "requests": requests.run,
-    # "control": the control group's voters and observers, once it has a ladder of its own
+    # There is no part yet for the voters and observers of the control group ("control").
 }
 
 
 def _sizes(context: click.Context, parameter: click.Parameter, text: str) -> Sizes:
     try:
-        found = [int(part) for part in text.split(",") if part]
+        sizes = [int(part) for part in text.split(",") if part]
     except ValueError:
-        raise click.BadParameter("whole numbers with commas are wanted") from None
-    if any(size < 1 for size in found):
-        raise click.BadParameter("sizes must be 1 or more")
-    return found
+        raise click.BadParameter("expected whole numbers separated by commas, such as 10,100") from None
+    if any(size < 1 for size in sizes):
+        raise click.BadParameter("each size must be at least 1")
+    return sizes
 
 
 @click.command(help=__doc__)
 @click.argument("part", type=click.Choice(sorted(PARTS)))
-@click.option("--sizes", default="", callback=_sizes, help="in place of the part's own, such as 10,100,1000")
+@click.option(
+    "--sizes",
+    default="",
+    callback=_sizes,
+    help="Sizes to measure instead of the defaults of the part, such as 10,100,1000.",
+)
 def main(part: str, sizes: Sizes) -> None:
     PARTS[part](sizes)
 
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -1,4 +1,7 @@
-"""What a call costs: time, executed lines, allocated memory. Lines and bytes are the same on each machine."""
+"""Measures the cost of a call: CPU time, executed lines and allocated memory.
+
+Lines and bytes are the same on each machine.
+"""
 
 import gc
 import statistics
@@ -12,18 +15,18 @@
 REPEATS = 5
 
 
-def microseconds(call: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Median processor time of one call, in microseconds."""
-    taken = []
+def median_cpu_us(call: Callable[[], object], repeats: int = REPEATS) -> float:
+    """Median CPU time of one call, in microseconds."""
+    times_us = []
     for _ in range(repeats):
-        begun = time.process_time_ns()
+        start_ns = time.process_time_ns()
         call()
-        taken.append((time.process_time_ns() - begun) / 1000)
-    return statistics.median(taken)
+        times_us.append((time.process_time_ns() - start_ns) / 1000)
+    return statistics.median(times_us)
 
 
 def executed_lines(call: Callable[[], object]) -> int:
-    """Lines of Python that a call executes: its steps, without those inside functions written in C."""
+    """The number of Python lines that a call executes; work inside C functions is not counted."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
@@ -41,7 +44,7 @@
 
 
 def allocated_bytes(make: Callable[[], object]) -> int:
-    """Bytes that are held by what ``make`` returns, and by what it left behind elsewhere."""
+    """Bytes that remain allocated after ``make``: those of its result, and others that it did not free."""
     started = not tracemalloc.is_tracing()
     if started:
         tracemalloc.start()
@@ -56,8 +59,8 @@
     return after - before
 
 
-async def allocated_by(make: Callable[[], Awaitable[object]]) -> int:
-    """The same as `allocated_bytes` of work that waits: bytes that it has left behind."""
+async def allocated_bytes_async(make: Callable[[], Awaitable[object]]) -> int:
+    """Bytes that remain allocated after the coroutine function ``make``, without those of its result."""
     tracemalloc.start()
     try:
         gc.collect()
--- a/benchmarks/scale/fitting.py
+++ b/benchmarks/scale/fitting.py
@@ -1,4 +1,4 @@
-"""From a ladder of sizes to a slope with its error and an exponent of growth."""
+"""Fits measured costs over a series of sizes: a linear slope with its error, and an exponent of growth."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 import numpy as np
 from scipy import stats
 
-FEWEST_POINTS = 3  # two always lie on a line and leave no error to tell
+MIN_POINTS = 3  # a line through two points has no residuals, so the error of its slope is unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Point:
-    """A cost that was measured at a size."""
+    """One measured cost and the size at which it was measured."""
 
     size: float
     cost: float
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Growth:
-    """``cost = base + slope * size`` by least squares, and ``cost ~ size ** exponent`` over the whole ladder.
+    """Least-squares fits of ``cost = base + slope * size`` and of ``cost ~ size ** exponent`` to all points.
 
-    Errors are standard errors. ``last_exponent`` is that of the two largest sizes alone: a constant part
-    hides growth at small sizes.
+    Errors are standard errors. ``last_exponent`` is computed from the two largest sizes alone, because a
+    constant part of the cost hides growth at small sizes.
     """
 
     slope: float
@@ -33,23 +33,26 @@
     last_exponent: float
 
     def at(self, size: float) -> float:
-        """The cost at a size by the line; beyond the ladder this is an extrapolation."""
+        """The cost at a size by the linear fit; outside the measured sizes this is an extrapolation."""
         return self.base + self.slope * size
 
     def __str__(self) -> str:
         return (
-            f"slope {self.slope:.4g} +- {self.slope_error:.2g} each, base {self.base:.4g}; "
+            f"slope {self.slope:.4g} +- {self.slope_error:.2g}, base {self.base:.4g}; "
             f"exponent {self.exponent:.2f} +- {self.exponent_error:.2f}, "
             f"{self.last_exponent:.2f} between the two largest sizes"
         )
 
 
 def growth(points: Sequence[Point]) -> Growth:
-    """Raises ValueError for fewer than `FEWEST_POINTS`, or for costs that are not above 0."""
-    if len(points) < FEWEST_POINTS:
-        raise ValueError(f"{len(points)} sizes, at least {FEWEST_POINTS} are needed")
+    """Fit the growth of the measured costs.
+
+    Raises ValueError for fewer than `MIN_POINTS` points, or for a cost that is not above 0.
+    """
+    if len(points) < MIN_POINTS:
+        raise ValueError(f"got costs at {len(points)} sizes, a fit needs at least {MIN_POINTS}")
     if min(point.cost for point in points) <= 0:
-        raise ValueError("each cost must be above 0")
+        raise ValueError("each cost must be above 0 to fit an exponent")
     ordered = sorted(points, key=lambda point: point.size)
     sizes = np.array([point.size for point in ordered])
     costs = np.array([point.cost for point in ordered])
@@ -63,20 +66,20 @@
 
 
 def exponent(points: Sequence[Point]) -> float:
-    """The exponent of growth over the whole ladder."""
+    """The exponent of growth over all points."""
     return growth(points).exponent
 
 
-def print_ladder(title: str, unit: str, points: Sequence[Point], size: str) -> None:
-    """The ladder as a table, with its growth where there are enough sizes."""
-    print(f"{title}, by {size} [{unit}]")
+def print_scaling(title: str, unit: str, points: Sequence[Point], size_name: str) -> None:
+    """Print the costs by size as a table, with their growth where there are enough points for a fit."""
+    print(f"{title}, by {size_name} [{unit}]")
     for point in points:
         print(f"  {point.size:>8,.0f}  {point.cost:,.4g}")
-    if len(points) >= FEWEST_POINTS and min(point.cost for point in points) > 0:
+    if len(points) >= MIN_POINTS and min(point.cost for point in points) > 0:
         print(f"  {growth(points)}", flush=True)
 
 
-def print_ratio(what: str, hollow: float, real: float) -> None:
-    """The check of a hollow form against real processes of the same size."""
+def print_ratio(metric: str, hollow: float, real: float) -> None:
+    """Print a metric of hollow schedulers relative to that of as many real processes."""
     ratio = hollow / real if real else float("nan")
-    print(f"  check, {what}: hollow {hollow:,.4g}, real {real:,.4g}, ratio {ratio:.2f}", flush=True)
+    print(f"  validation, {metric}: hollow {hollow:,.4g}, real {real:,.4g}, ratio {ratio:.2f}", flush=True)
--- a/benchmarks/scale/nodes.py
+++ b/benchmarks/scale/nodes.py
@@ -1,4 +1,4 @@
-"""Decision modules with any number of workers, for the ladders."""
+"""Decision modules with any number of workers, for the scaling measurements."""
 
 from robinhill import api
 from robinhill.logic import Balancer
@@ -9,7 +9,7 @@
 
 
 def settings(latency_objective_us: int = 100_000, deadline_us: int = 5 * SECOND_US) -> api.Settings:
-    """One class of jobs that may be repeated; workers tell when a job starts."""
+    """Settings with one class of retryable jobs, whose starts the workers report."""
     job_class = api.JobClass(latency_objective_us, deadline_us, stretch=2.0, repeat=api.Repeat.SAFE)
     return api.Settings(
         (job_class,),
@@ -22,7 +22,7 @@
 
 
 def worker(number: int, zones: int = 21) -> api.Worker:
-    """The worker of this number: long warm, in one of so many zones."""
+    """The worker with this number, past its slow start, in one of the ``zones``."""
     octets = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
     return api.Worker(f"{octets}:{ADDRESS_PORT}", zone=number % zones, kind=number % 4)
 
@@ -32,35 +32,38 @@
 
 
 class Node:
-    """One decision module and its clock."""
+    """One decision module with its own clock, which the caller advances.
 
-    def __init__(self, worker_count: int, given: api.Settings | None = None) -> None:
+    ``in_flight``: jobs that the module has sent to workers, oldest first.
+    """
+
+    def __init__(self, worker_count: int, custom_settings: api.Settings | None = None) -> None:
         self.now_us = START_US
-        self.balancer = Balancer(given or settings(), seed=7)
+        self.balancer = Balancer(custom_settings or settings(), seed=7)
         self.balancer.start(self.now_us)
         self.deadline_us = self.balancer.settings.classes[0].deadline_us
         self.jobs = 0
-        self.sent: list[int] = []
-        self.list(api.ListKind.FULL, workers(worker_count))
+        self.in_flight: list[int] = []
+        self.apply_list(api.ListKind.FULL, workers(worker_count))
 
-    def list(self, kind: api.ListKind, listed: list[api.Worker]) -> None:
+    def apply_list(self, kind: api.ListKind, listed: list[api.Worker]) -> None:
         self.balancer.handle(self.now_us, api.WorkersListed(kind, listed))
 
     def arrive(self, after_us: int = 0) -> None:
-        """A request comes."""
+        """Advance the clock by ``after_us``, then handle the arrival of a request."""
         self.now_us += after_us
         self.jobs += 1
         self._handle(api.Arrived(api.Request(self.jobs, 0, self.deadline_us)))
 
-    def start_first(self) -> None:
-        """The oldest job that is out begins to run."""
-        self._handle(api.JobStarted(self.sent[0], 0))
+    def start_oldest(self) -> None:
+        """Handle the report that the oldest job in flight has started to run."""
+        self._handle(api.JobStarted(self.in_flight[0], 0))
 
-    def end_first(self, took_us: int = 50_000) -> None:
-        """The oldest job that is out ends well."""
-        self._handle(api.AttemptEnded(self.sent.pop(0), 0, api.Outcome.COMPLETED, took_us, True))
+    def end_oldest(self, took_us: int = 50_000) -> None:
+        """Handle the successful end of the oldest job in flight."""
+        self._handle(api.AttemptEnded(self.in_flight.pop(0), 0, api.Outcome.COMPLETED, took_us, True))
 
     def _handle(self, event: api.Event) -> None:
-        """Whatever is sent by an event is noted."""
+        """Handle an event and add the jobs that the module sends in response to ``in_flight``."""
         actions = self.balancer.handle(self.now_us, event)
-        self.sent += [action.job for action in actions if isinstance(action, api.Send)]
+        self.in_flight += [action.job for action in actions if isinstance(action, api.Send)]
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,5 +1,6 @@
-"""The program as real processes for the ladders: one scheduler with many listed workers, or several idle ones
-that share.
+"""Real processes for the scaling measurements: a scheduler with many listed workers, and usage of schedulers.
+
+One emulated worker stands for all listed workers.
 """
 
 import asyncio
@@ -21,18 +22,18 @@
 from robinhill.emulator.worker import Worker
 from robinhill.model.workers import Job
 
-MOST_PROCESSES = 24
+MAX_PROCESSES = 24
 WORKER_NAME = "worker"
-SLOTS = 8_192  # one stand-in answers for all listed workers
+WORKER_SLOTS = 8_192  # of the one emulated worker that runs the jobs of all listed workers
 LONG_KIND = JobKind("long", 60_000, 60_000, 2.0, 120_000)
 SHORT_KIND = JobKind("short", 2, 500, 2.0, 2_000)
 SETTLE_S = 1.0
-COUNTER = "mesh."
+COUNTER_PREFIX = "mesh."
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
-    """A scheduler under way, to which one stand-in is listed under so many names."""
+class RunningScheduler:
+    """A running scheduler whose endpoint list names one emulated worker many times."""
 
     site: Site
     journal: Journal
@@ -43,23 +44,26 @@
         return int(psutil.Process(self.program.pid).memory_info().rss)
 
     def kill(self) -> None:
-        """End it at once, whatever it owes."""
+        """Kill the process without a drain; pending requests get no answer."""
         self.program.signal(signal.SIGKILL)
 
 
-class ManyNamed(Worker):
-    """One stand-in that is listed under many names, each with an address of its own where it is sent to."""
+class MultiNameWorker(Worker):
+    """An emulated worker that is listed under many names, each with an address of its own."""
 
     def _tell(self, listen: str | None, what: str, job: Job) -> None:
-        words = {"id": job.request, "from": job.scheduler, "state": what}  # the name that was sent to
+        # `job.scheduler` is the listed name whose address received the job, see `_add_entries`.
+        report = {"id": job.request, "from": job.scheduler, "state": what}
         if what == "done":
-            words["result"] = job.request
-        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(words)))
+            report["result"] = job.request
+        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(report)))
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
 
-async def _list(discovery: Discovery, worker: ManyNamed, worker_count: int, serving: bool) -> None:
+async def _add_entries(
+    discovery: Discovery, worker: MultiNameWorker, worker_count: int, serving: bool
+) -> None:
     entry = discovery.entries.pop(worker.name)
     for number in range(worker_count):
         name = f"worker-{number:05}"
@@ -68,24 +72,24 @@
 
 
 @asynccontextmanager
-async def listing(worker_count: int, serving: bool = True) -> AsyncIterator[Listing]:
-    """One real scheduler with so many listed workers; it has ended behind the block.
+async def scheduler_with_workers(worker_count: int, serving: bool = True) -> AsyncIterator[RunningScheduler]:
+    """Run one real scheduler with ``worker_count`` listed workers; stop it at the end of the block.
 
-    Without ``serving`` all workers are listed at one address, and nothing may be asked for.
+    Without ``serving`` all workers are listed with the same address, and no requests may be sent.
     """
     site, journal = Site((LONG_KIND, SHORT_KIND)), Journal()
-    worker = ManyNamed(WORKER_NAME, site, journal, slots=SLOTS, queue_limit=SLOTS)
+    worker = MultiNameWorker(WORKER_NAME, site, journal, slots=WORKER_SLOTS, queue_limit=WORKER_SLOTS)
     discovery = Discovery([worker], journal)
     with tempfile.TemporaryDirectory(prefix="robinhill-scale-") as folder:
         program = Program(Path(folder), site, discovery)
         worker.scheduler = program.listen
         await worker.start()
         await discovery.start()
-        await _list(discovery, worker, worker_count, serving)
+        await _add_entries(discovery, worker, worker_count, serving)
         try:
             await program.start()
             await asyncio.sleep(SETTLE_S)
-            yield Listing(site, journal, program)
+            yield RunningScheduler(site, journal, program)
         finally:
             if program.process and program.process.returncode is None:
                 await program.stop()
@@ -95,28 +99,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What one process has used since its start: processor seconds, bytes of shared state written, and
-    resident bytes now.
-    """
+    """CPU seconds and replication bytes sent since the start of one process, and its resident memory now."""
 
     cpu_s: float
     sent_bytes: float
     resident_bytes: float
 
 
-async def usage_of(here: Rig, name: str) -> Usage:
-    """A scheduler's use, by the kernel's account and its own counters."""
-    program = here.programs[name]
+async def read_usage(processes: Rig, name: str) -> Usage:
+    """The usage of one scheduler, from the kernel's accounting and from the scheduler's own counters."""
+    program = processes.programs[name]
     process = psutil.Process(program.pid)
     used = process.cpu_times()
     _, text = await program.call("GET", "/ops/stats")
-    return Usage(used.user + used.system, counter(text, "bytes_out"), process.memory_info().rss)
+    return Usage(used.user + used.system, read_counter(text, "bytes_out"), process.memory_info().rss)
 
 
-def counter(stats: str, name: str) -> float:
-    """A counter of the shared state from the text of a scheduler's statistics."""
+def read_counter(stats: str, name: str) -> float:
+    """The value of a replication counter in a scheduler's statistics; raises KeyError if it is not there."""
     for line in stats.splitlines():
         key, _, value = line.partition(":")
-        if key.endswith(COUNTER + name):
+        if key.endswith(COUNTER_PREFIX + name):
             return float(value.partition("|")[0])
     raise KeyError(name)
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -1,10 +1,10 @@
-"""What tenants' quotas cost at admission, and how much several schedulers admit together for one quota."""
+"""Cost of tenants' quotas in admission control, and the rate that several schedulers admit for one quota."""
 
 import random
 from collections.abc import Sequence
 
-from benchmarks.scale.counting import allocated_bytes, executed_lines, microseconds
-from benchmarks.scale.fitting import Point, print_ladder
+from benchmarks.scale.counting import allocated_bytes, executed_lines, median_cpu_us
+from benchmarks.scale.fitting import Point, print_scaling
 from robinhill import api
 from robinhill.admission.admission import Admission
 from robinhill.admission.messages import AdmissionRequest, Admit
@@ -15,24 +15,24 @@
 SECOND_US = 1_000_000
 START_US = 1_000 * SECOND_US
 QUOTA_PER_S = 100.0
-ASKED_PER_S = 2_000  # of one tenant over all schedulers: more than any number of them admits
-SECONDS = 2
-REQUESTS = 200  # in one timing or count
-APART_US = 2_000
+OFFERED_PER_S = 2_000  # one tenant's requests to all schedulers; more than all of `SCHEDULERS` admit
+DURATION_S = 2
+REQUESTS_PER_RUN = 200
+REQUEST_INTERVAL_US = 2_000
 SETTINGS = api.Settings((api.JobClass(100_000, 5 * SECOND_US, repeat=api.Repeat.SAFE),), reports_start=True)
 
 
-def name_of(tenant: int) -> str:
+def tenant_name(tenant: int) -> str:
     return f"team-{tenant:04}"
 
 
 class AdmittingScheduler:
-    """One scheduler's admission with so many tenants that have quotas; each admitted request ends at once."""
+    """Admission control of one scheduler; each tenant has a quota, an admitted request ends immediately."""
 
     def __init__(self, tenants: int, seed: int = 7) -> None:
         limits = Limits(requests_per_s=QUOTA_PER_S, requests_burst=QUOTA_PER_S)
-        named = {name_of(tenant): Tenant(limits=limits) for tenant in range(tenants)}
-        options = AdmissionOptions(enabled=True, tenants=named)
+        configured = {tenant_name(tenant): Tenant(limits=limits) for tenant in range(tenants)}
+        options = AdmissionOptions(enabled=True, tenants=configured)
         self.admission = Admission(SETTINGS, options, seed, bytes(16))
         self.tenants = tenants
         self.random = random.Random(seed)
@@ -41,12 +41,12 @@
         self.admitted = 0
 
     def request(self, tenant: int, after_us: int = 0) -> None:
-        """A request of a tenant's comes, runs and ends if it is admitted."""
+        """Advance the clock by ``after_us``, then handle a tenant's request, with its end if admitted."""
         self.now_us += after_us
         self.number += 1
-        caller = self.admission.directory.find(name_of(tenant), "127.0.0.1", str(self.number))
-        ask = AdmissionRequest(self.number, 0, caller, self.now_us, 5 * SECOND_US)
-        for action in self.admission.arrive(self.now_us, ask):
+        caller = self.admission.directory.find(tenant_name(tenant), "127.0.0.1", str(self.number))
+        message = AdmissionRequest(self.number, 0, caller, self.now_us, 5 * SECOND_US)
+        for action in self.admission.arrive(self.now_us, message):
             if isinstance(action, Admit):
                 self.admitted += 1
                 self._run(action.number)
@@ -56,56 +56,57 @@
         self.admission.execution_started(self.now_us, number)
         self.admission.ended(self.now_us, number, True)
 
-    def requests(self) -> None:
-        """A count of requests of tenants drawn evenly."""
-        for _ in range(REQUESTS):
-            self.request(self.random.randrange(self.tenants), APART_US)
+    def run_requests(self) -> None:
+        """Handle `REQUESTS_PER_RUN` requests, each of a tenant that is drawn uniformly at random."""
+        for _ in range(REQUESTS_PER_RUN):
+            self.request(self.random.randrange(self.tenants), REQUEST_INTERVAL_US)
 
 
-def warmed(tenants: int) -> AdmittingScheduler:
-    admission = AdmittingScheduler(tenants)
-    admission.requests()
-    return admission
+def warmed_up_scheduler(tenants: int) -> AdmittingScheduler:
+    scheduler = AdmittingScheduler(tenants)
+    scheduler.run_requests()
+    return scheduler
 
 
 def request_us(tenants: int) -> float:
-    """Microseconds of one request at admission, to its end."""
-    return microseconds(warmed(tenants).requests) / REQUESTS
+    """Microseconds of one request in admission control, from its arrival to its end."""
+    return median_cpu_us(warmed_up_scheduler(tenants).run_requests) / REQUESTS_PER_RUN
 
 
 def request_lines(tenants: int) -> float:
-    """Executed lines of the same."""
-    return executed_lines(warmed(tenants).requests) / REQUESTS
+    """Executed lines of one request in admission control, from its arrival to its end."""
+    return executed_lines(warmed_up_scheduler(tenants).run_requests) / REQUESTS_PER_RUN
 
 
-def held_bytes(tenants: int) -> int:
-    """Bytes that admission holds for so many tenants."""
-    return allocated_bytes(lambda: warmed(tenants))
+def state_bytes(tenants: int) -> int:
+    """Bytes that admission control allocates with ``tenants`` tenants."""
+    return allocated_bytes(lambda: warmed_up_scheduler(tenants))
 
 
 def admitted_per_s(schedulers: int) -> float:
-    """Requests a second that are admitted of one tenant that asks all schedulers in turn, its quota the same
-    at each.
+    """Admitted requests a second of one tenant that sends to all schedulers in rotation.
+
+    Each scheduler applies the full quota of the tenant.
     """
-    admissions = [AdmittingScheduler(1, seed) for seed in range(schedulers)]
-    for number in range(ASKED_PER_S * SECONDS):
-        at_us = START_US + number * SECOND_US // ASKED_PER_S
-        admission = admissions[number % schedulers]
-        admission.request(0, at_us - admission.now_us)
-    return sum(admission.admitted for admission in admissions) / SECONDS
+    instances = [AdmittingScheduler(1, seed) for seed in range(schedulers)]
+    for number in range(OFFERED_PER_S * DURATION_S):
+        at_us = START_US + number * SECOND_US // OFFERED_PER_S
+        scheduler = instances[number % schedulers]
+        scheduler.request(0, at_us - scheduler.now_us)
+    return sum(scheduler.admitted for scheduler in instances) / DURATION_S
 
 
 def run(sizes: Sequence[int]) -> None:
-    """All ladders; ``sizes`` are of tenants, empty for all."""
+    """Print all figures; ``sizes`` are numbers of tenants, by default `TENANTS`."""
     counts = sizes or TENANTS
     for title, unit, measure in (
-        ("one request at admission", "us", request_us),
-        ("one request at admission", "lines", request_lines),
-        ("admission's state", "bytes", held_bytes),
+        ("one request in admission control", "us", request_us),
+        ("one request in admission control", "lines", request_lines),
+        ("state of admission control", "bytes", state_bytes),
     ):
-        print_ladder(title, unit, [Point(n, measure(n)) for n in counts], "tenants with quotas")
+        print_scaling(title, unit, [Point(n, measure(n)) for n in counts], "tenants with quotas")
     points = [Point(n, admitted_per_s(n)) for n in SCHEDULERS]
-    print_ladder(
-        f"admitted of one tenant whose quota is {QUOTA_PER_S:g} a second, with a burst of as many",
-        "requests a second", points, "schedulers",
+    print_scaling(
+        f"admitted requests of one tenant with a quota of {QUOTA_PER_S:g}/s and a burst of as many",
+        "requests/s", points, "schedulers",
     )  # fmt: skip
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -1,4 +1,7 @@
-"""What sharing costs each scheduler while nothing changes, by schedulers: processor time, bytes, memory."""
+"""Cost of replication to each scheduler while nothing changes, by the number of schedulers.
+
+Measured are CPU time, bytes and messages sent, and memory.
+"""
 
 import asyncio
 import shutil
@@ -10,9 +13,9 @@
 import psutil
 
 from benchmarks.scale import hollow
-from benchmarks.scale.counting import allocated_by
-from benchmarks.scale.fitting import Point, print_ladder, print_ratio
-from benchmarks.scale.processes import MOST_PROCESSES, Usage, listing, usage_of
+from benchmarks.scale.counting import allocated_bytes_async
+from benchmarks.scale.fitting import Point, print_ratio, print_scaling
+from benchmarks.scale.processes import MAX_PROCESSES, Usage, read_usage, scheduler_with_workers
 from robinhill.emulator.rig import Rig, rig
 from robinhill.mesh.acknowledgements import acknowledgement_kind
 from robinhill.mesh.freshness import Freshness
@@ -20,131 +23,147 @@
 from robinhill.mesh.session import Identity, Session
 
 SCHEDULERS = (4, 12, 24, 48)
-CHECKED = (4, 12)  # sizes that real processes reach too
+VALIDATED_SIZES = (4, 12)  # sizes at which hollow schedulers are compared with real processes
 MEMORY_SCHEDULERS = (4, 12, 24)
-QUIET_S = 5.0  # after all are linked, before anything is counted
-SECONDS = 10.0
+SETTLE_S = 5.0  # from the moment that all links are established to the start of the measurement
+MEASURE_S = 10.0
 MEGABYTE = 1e6
-NAMED = (16, 64, 256, 1_000)  # schedulers by the operators' file, for the size of one answer
-INTERVAL_US = 1_000_000
-AGE_US = 500_000
-FIRST_PING = 1 << 40  # a number that no session's own pings reach
-TURNS = 4  # until two that have greeted each other have asked and answered
-UNIX_US = 1_700_000_000_000_000
+CONFIGURED_SCHEDULERS = (16, 64, 256, 1_000)  # numbers of configured peers, for the size of one answer
+PING_INTERVAL_US = 1_000_000
+KNOWLEDGE_AGE_US = 500_000
+PRESET_PING_NUMBER = 1 << 40  # larger than any number that a session gives to its own pings
+ROUNDS = 4  # ping intervals until both sessions have exchanged hello, ping and answer
+UNIX_START_US = 1_700_000_000_000_000
 
 
 @dataclass(slots=True, frozen=True)
-class Idle:
-    """What each scheduler uses while nothing changes: share of a core, bytes and messages written a second;
-    resident bytes for real processes.
+class IdleUsage:
+    """Resources that each scheduler uses on average while nothing changes.
+
+    ``cpu_share`` is the fraction of one core. ``messages_per_s`` is 0 for real processes, and
+    ``resident_bytes`` is 0 for hollow schedulers. ``manually_confirmed``: see `hollow.Fleet`.
     """
 
-    core_share: float
+    cpu_share: float
     bytes_per_s: float
     messages_per_s: float = 0.0
     resident_bytes: float = 0.0
-    vouched: int = 0
+    manually_confirmed: int = 0
 
 
-COSTS: tuple[tuple[str, str, Callable[[Idle], float]], ...] = (
-    ("hollow, share of a core each", "of 1", lambda idle: idle.core_share),
-    ("hollow, written each", "bytes a second", lambda idle: idle.bytes_per_s),
-    ("hollow, written each", "messages a second", lambda idle: idle.messages_per_s),
+COSTS: tuple[tuple[str, str, Callable[[IdleUsage], float]], ...] = (
+    ("CPU time of each hollow scheduler", "cores", lambda idle: idle.cpu_share),
+    ("bytes sent by each hollow scheduler", "bytes/s", lambda idle: idle.bytes_per_s),
+    ("messages sent by each hollow scheduler", "messages/s", lambda idle: idle.messages_per_s),
 )
 
 
-async def _hollow_idle(shape: hollow.Shape, seconds: float) -> Idle:
+async def _hollow_idle(shape: hollow.Shape, seconds: float) -> IdleUsage:
     async with hollow.fleet(shape) as fleet:
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         before = fleet.totals()
         await asyncio.sleep(seconds)
         used = fleet.totals().since(before)
-        each = shape.schedulers * seconds
-        return Idle(used.cpu_s / each, used.bytes / each, used.messages / each, vouched=fleet.vouched)
+        scheduler_s = shape.schedulers * seconds
+        return IdleUsage(
+            used.cpu_s / scheduler_s,
+            used.bytes / scheduler_s,
+            used.messages / scheduler_s,
+            manually_confirmed=fleet.manually_confirmed,
+        )
 
 
-def hollow_idle(schedulers: int, seconds: float = SECONDS) -> Idle:
-    """Of hollow schedulers; bytes and messages are the same on each machine."""
+def hollow_idle(schedulers: int, seconds: float = MEASURE_S) -> IdleUsage:
+    """Idle usage of hollow schedulers; bytes and messages are the same on each machine."""
     return hollow.run(_hollow_idle(hollow.Shape(schedulers), seconds))
 
 
-def _end(name: str, names: tuple[str, ...], opens: bool) -> Session:
+def _make_session(name: str, names: tuple[str, ...], opens: bool) -> Session:
+    """A session of a caught-up scheduler that knows the age of its knowledge of all schedulers."""
     replica = Replica(name, 1, [acknowledgement_kind()])
     freshness = Freshness(name, names, hollow.BOUND_MS * 1000)
     freshness.caught_up = True
-    freshness.pinged(0, names[-1], FIRST_PING)
-    freshness.answered(0, names[-1], FIRST_PING, {other: AGE_US for other in names})
-    return Session(Identity("scale", name, 1, names), replica, freshness, opens, INTERVAL_US)
+    freshness.pinged(0, names[-1], PRESET_PING_NUMBER)
+    freshness.answered(0, names[-1], PRESET_PING_NUMBER, {other: KNOWLEDGE_AGE_US for other in names})
+    return Session(Identity("scale", name, 1, names), replica, freshness, opens, PING_INTERVAL_US)
 
 
 def answer_bytes(schedulers: int) -> int:
-    """Bytes of the largest message between two that are in step, who know the age of all: an answer."""
+    """Bytes of the largest message between two schedulers whose copies are equal: the answer to a ping.
+
+    It lists the age of the knowledge of every configured scheduler. The messages of the first round are left
+    out: the hello is among them.
+    """
     names = tuple(f"s{number:03}" for number in range(schedulers))
-    ends = (_end(names[0], names, True), _end(names[1], names, False))
+    sessions = (_make_session(names[0], names, True), _make_session(names[1], names, False))
     largest = 0
-    for turn in range(TURNS):
-        at_us = 1 + turn * INTERVAL_US
-        for _ in range(TURNS):
-            for one, other in (ends, ends[::-1]):
-                while (message := one.draw(UNIX_US + at_us, at_us)) is not None:
-                    largest = max(largest, len(message)) if turn else 0
-                    other.receive(UNIX_US + at_us, at_us, message)
+    for round_number in range(ROUNDS):
+        at_us = 1 + round_number * PING_INTERVAL_US
+        for _ in range(ROUNDS):
+            for sender, receiver in (sessions, sessions[::-1]):
+                while (message := sender.draw(UNIX_START_US + at_us, at_us)) is not None:
+                    largest = max(largest, len(message)) if round_number else 0
+                    receiver.receive(UNIX_START_US + at_us, at_us, message)
     return largest
 
 
-async def _use(here: Rig) -> list[Usage]:
-    return await asyncio.gather(*(usage_of(here, name) for name in here.names))
+async def _read_all_usage(processes: Rig) -> list[Usage]:
+    return await asyncio.gather(*(read_usage(processes, name) for name in processes.names))
 
 
-async def _real_idle(schedulers: int) -> Idle:
+async def _real_idle(schedulers: int) -> IdleUsage:
     folder = Path(tempfile.mkdtemp(prefix="robinhill-scale-"))
     mesh = {"bound_ms": hollow.BOUND_MS, "on_lost": "hold"}
-    async with rig(schedulers, folder, mesh=mesh, workers=1) as here:
-        await asyncio.sleep(QUIET_S)
-        before = await _use(here)
-        await asyncio.sleep(SECONDS)
-        after = await _use(here)
+    async with rig(schedulers, folder, mesh=mesh, workers=1) as processes:
+        await asyncio.sleep(SETTLE_S)
+        before = await _read_all_usage(processes)
+        await asyncio.sleep(MEASURE_S)
+        after = await _read_all_usage(processes)
     shutil.rmtree(folder)
-    each = schedulers * SECONDS
-    return Idle(
-        sum(late.cpu_s - early.cpu_s for early, late in zip(before, after, strict=True)) / each,
-        sum(late.sent_bytes - early.sent_bytes for early, late in zip(before, after, strict=True)) / each,
+    scheduler_s = schedulers * MEASURE_S
+    return IdleUsage(
+        sum(late.cpu_s - early.cpu_s for early, late in zip(before, after, strict=True)) / scheduler_s,
+        sum(late.sent_bytes - early.sent_bytes for early, late in zip(before, after, strict=True))
+        / scheduler_s,
         resident_bytes=sum(late.resident_bytes for late in after) / schedulers,
     )
 
 
-def real_idle(schedulers: int) -> Idle:
-    """Of real processes that share, with one worker and no requests."""
-    if schedulers > MOST_PROCESSES:
-        raise ValueError(f"at most {MOST_PROCESSES} processes")
+def real_idle(schedulers: int) -> IdleUsage:
+    """Idle usage of real processes that replicate, with one worker and no requests.
+
+    Raises ValueError for more than `MAX_PROCESSES`.
+    """
+    if schedulers > MAX_PROCESSES:
+        raise ValueError(f"the number of schedulers exceeds the limit of {MAX_PROCESSES} real processes")
     return asyncio.run(_real_idle(schedulers))
 
 
-async def _alone() -> Idle:
-    async with listing(1, serving=False) as here:
-        process = psutil.Process(here.program.pid)
+async def _standalone_idle() -> IdleUsage:
+    async with scheduler_with_workers(1, serving=False) as scheduler:
+        process = psutil.Process(scheduler.program.pid)
         before = process.cpu_times()
-        await asyncio.sleep(SECONDS)
+        await asyncio.sleep(MEASURE_S)
         after = process.cpu_times()
         used = after.user + after.system - before.user - before.system
-        return Idle(used / SECONDS, 0.0, resident_bytes=here.resident_bytes)
+        return IdleUsage(used / MEASURE_S, 0.0, resident_bytes=scheduler.resident_bytes)
 
 
-def alone() -> Idle:
-    """Of one real process that shares with nobody: the part that is not sharing's."""
-    return asyncio.run(_alone())
+def standalone_idle() -> IdleUsage:
+    """Idle usage of one real process without peers: the baseline without replication."""
+    return asyncio.run(_standalone_idle())
 
 
 async def _fleet_bytes(schedulers: int) -> int:
-    opened = hollow.fleet(hollow.Shape(schedulers))
+    fleet = hollow.fleet(hollow.Shape(schedulers))
 
-    async def make() -> None:
-        await opened.__aenter__()
-        await asyncio.sleep(QUIET_S)
+    async def start_fleet() -> None:
+        await fleet.__aenter__()
+        await asyncio.sleep(SETTLE_S)
 
-    held = await allocated_by(make)
-    await opened.__aexit__(None, None, None)
-    return held
+    allocated = await allocated_bytes_async(start_fleet)
+    await fleet.__aexit__(None, None, None)
+    return allocated
 
 
 def hollow_bytes(schedulers: int) -> float:
@@ -152,37 +171,49 @@
     return hollow.run(_fleet_bytes(schedulers)) / schedulers
 
 
-def check(schedulers: int) -> Idle:
-    """Print the hollow form's figures over those of real processes; the real ones."""
-    real, thin = real_idle(schedulers), hollow_idle(schedulers)
+def validate(schedulers: int) -> IdleUsage:
+    """Print the usage of hollow schedulers relative to real processes; returns that of the processes."""
+    real, simulated = real_idle(schedulers), hollow_idle(schedulers)
     print(f"{schedulers} schedulers:")
-    print_ratio("bytes a second", thin.bytes_per_s, real.bytes_per_s)
-    print_ratio("share of a core", thin.core_share, real.core_share)
+    print_ratio("bytes/s", simulated.bytes_per_s, real.bytes_per_s)
+    print_ratio("CPU cores", simulated.cpu_share, real.cpu_share)
     return real
 
 
-def check_all() -> None:
-    """The checks against real processes, and what of their cost is not sharing's."""
-    base = alone()
-    print(f"alone: {base.core_share:.4f} of a core, {base.resident_bytes / MEGABYTE:.1f} MB resident")
-    for count in CHECKED:
-        real = check(count)
-        more = (real.resident_bytes - base.resident_bytes) / MEGABYTE
-        print(f"  real: {real.resident_bytes / MEGABYTE:.1f} MB resident, {more:.1f} MB more than alone")
+def validate_all() -> None:
+    """Compare hollow schedulers with real processes, and these with one process that does not replicate."""
+    baseline = standalone_idle()
+    print(
+        f"one process without peers: {baseline.cpu_share:.4f} CPU cores,"
+        f" {baseline.resident_bytes / MEGABYTE:.1f} MB resident"
+    )
+    for count in VALIDATED_SIZES:
+        real = validate(count)
+        added_mb = (real.resident_bytes - baseline.resident_bytes) / MEGABYTE
+        print(
+            f"  real processes: {real.resident_bytes / MEGABYTE:.1f} MB resident each,"
+            f" {added_mb:.1f} MB more than without peers"
+        )
 
 
 def run(sizes: Sequence[int]) -> None:
-    """Checks and ladders; ``sizes`` are of hollow schedulers and leave the checks and memory out."""
+    """Print the idle costs by the number of hollow schedulers.
+
+    With explicit ``sizes``, the comparison with real processes and the memory measurement are left out.
+    """
     if not sizes:
-        check_all()
-    found = {count: hollow_idle(count) for count in sizes or SCHEDULERS}
+        validate_all()
+    results = {count: hollow_idle(count) for count in sizes or SCHEDULERS}
     for title, unit, cost in COSTS:
-        print_ladder(title, unit, [Point(n, cost(idle)) for n, idle in found.items()], "schedulers")
-    for count, idle in found.items():
-        if idle.vouched:
-            print(f"  {count} schedulers: {idle.vouched} did not count for majorities until vouched for")
-    points = [Point(count, answer_bytes(count)) for count in NAMED]
-    print_ladder("one answer, with the ages of all", "bytes", points, "schedulers")
+        print_scaling(title, unit, [Point(n, cost(idle)) for n, idle in results.items()], "schedulers")
+    for count, idle in results.items():
+        if idle.manually_confirmed:
+            print(
+                f"  {count} schedulers: {idle.manually_confirmed} counted for majorities only after"
+                " an operator confirmed them"
+            )
+    points = [Point(count, answer_bytes(count)) for count in CONFIGURED_SCHEDULERS]
+    print_scaling("one answer, with the knowledge ages of all schedulers", "bytes", points, "schedulers")
     if not sizes:
         points = [Point(count, hollow_bytes(count)) for count in MEMORY_SCHEDULERS]
-        print_ladder("hollow, allocated each", "bytes", points, "schedulers")
+        print_scaling("memory allocated for each hollow scheduler", "bytes", points, "schedulers")
