--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on loopback, outside CI: each module is one command that prints ratios taken in one run."""
+"""Benchmarks that run on loopback and not in CI; each module is a command, and its ratios are of one run."""
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,12 +1,12 @@
-"""What admission control does and costs: `python -m benchmarks.admission [PART ...]`.
+"""Effects and costs of admission control: `python -m benchmarks.admission [PART ...]`.
 
 All parts take about six minutes.
 
-fair      50 small tenants and a large one at 2.4 times the fleet's capacity, with admission on and off
-returns   Retry-After: who comes back when told is let in, and the time that was really needed
-memory    100,000 tenant names, and as many IPv6 addresses, at admission alone
-cost      CPU of the program for a request, with admission control on and off, in turns in one run
-speed     decisions a second of admission control alone at 10, 1,000 and 100,000 tenants
+fair      fairness between 50 small tenants and a large one at 2.4 times the fleet's capacity, on and off
+returns   accuracy of Retry-After: whether a retry is admitted, and how long the client really had to wait
+memory    memory of admission control, without the program, for 100,000 tenant names and IPv6 addresses
+cost      CPU time of the program for a request, with admission control on and off by turns in one run
+speed     decisions a second of admission control, without the program, at 10, 1,000 and 100,000 tenants
 """
 
 import asyncio
@@ -33,88 +33,113 @@
 from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
-ON: Json = {"admission": {"enabled": True}}
-OFF: Json = {"admission": {"enabled": False}}
-SMALL = 50
-LOAD = 2.4
-WARM_S = 6.0  # each run is played so long before it counts: nothing is learned at its start
-FAIR_S = 60.0  # long enough that one lost renewal is a small part of a tenant's worth
-RETURNS_S = 40.0
-UNSAFE = ["renewal-charge"]
+ADMISSION_ON: Json = {"admission": {"enabled": True}}
+ADMISSION_OFF: Json = {"admission": {"enabled": False}}
+SMALL_TENANTS = 50
+LOAD_FACTOR = 2.4
+WARM_UP_S = 6.0  # left out of the results, since admission control has learned nothing at the start of a run
+FAIRNESS_S = 60.0  # long enough that one lost renewal is a small part of a tenant's worth
+RETRY_AFTER_S = 40.0
+NON_RETRYABLE_KINDS = ["renewal-charge"]
 
 
-async def play(
+async def run_load(
     operator: Json, tenants: Callable[[Town], list[Tenant]], seconds: float
 ) -> tuple[Town, Clients, Json]:
-    """One run; its rules are checked. What was asked in the first seconds is left out of the result."""
-    async with town(operator=operator, workers=8) as here:
-        clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=11)
-        begun = time.monotonic()
-        await clients.play(tenants(here), seconds + WARM_S)
-        admission = await here.program.admission()
-        clients.asked = [a for a in clients.asked if a.tries and a.tries[0].at > begun + WARM_S]
-        if faults := broken(here.journal, UNSAFE):
-            print(f"  RULES BROKEN: {len(faults)}, such as {faults[0]}")
+    """Run clients against one installation and check its journal with `robinhill.checker`.
+
+    Jobs that were requested during the warm-up are removed from ``Clients.asked``.
+    """
+    async with town(operator=operator, workers=8) as installation:
+        clients = Clients(
+            installation.site, lambda: installation.program.listen, installation.journal, seed=11
+        )
+        start_s = time.monotonic()
+        await clients.play(tenants(installation), seconds + WARM_UP_S)
+        admission = await installation.program.admission()
+        clients.asked = [job for job in clients.asked if job.tries and job.tries[0].at > start_s + WARM_UP_S]
+        if violations := broken(installation.journal, NON_RETRYABLE_KINDS):
+            print(f"  RULES BROKEN: {len(violations)} violations, such as {violations[0]}")
         if clients.latest_s > 0.25:
-            print(f"  clients were up to {clients.latest_s:.2f} s late: this machine was too slow")
-    return here, clients, admission
+            print(f"  requests were sent up to {clients.latest_s:.2f} s late: this machine was too slow")
+    return installation, clients, admission
 
 
-def crowd(here: Town, small_share: float = 0.8, **of_large: Any) -> list[Tenant]:
-    """Small tenants that ask for less than their fair share, and a large one that asks for all the rest."""
-    a_request_s = here.site.mean_work_ms / 1000
-    fair = here.slots / (SMALL + 1) / a_request_s
-    small = [Tenant(f"club-{i}", fair * small_share) for i in range(SMALL)]
-    large = LOAD * here.slots / a_request_s - SMALL * fair * small_share
-    return [*small, Tenant("large", large, **of_large)]
+def small_and_large_tenants(
+    installation: Town, small_share: float = 0.8, **large_options: Any
+) -> list[Tenant]:
+    """Small tenants that each request ``small_share`` of their fair share, and a large one.
 
+    The large tenant's rate brings the total load to `LOAD_FACTOR` times the capacity.
+    """
+    request_work_s = installation.site.mean_work_ms / 1000
+    fair_rate = installation.slots / (SMALL_TENANTS + 1) / request_work_s
+    small = [Tenant(f"club-{i}", fair_rate * small_share) for i in range(SMALL_TENANTS)]
+    large_rate = LOAD_FACTOR * installation.slots / request_work_s - SMALL_TENANTS * fair_rate * small_share
+    return [*small, Tenant("large", large_rate, **large_options)]
 
-def by_tenant(asked: list[Asked]) -> dict[str, list[Asked]]:
+
+def group_by_tenant(jobs: list[Asked]) -> dict[str, list[Asked]]:
     grouped: dict[str, list[Asked]] = defaultdict(list)
-    for each in asked:
-        grouped[each.tenant].append(each)
+    for job in jobs:
+        grouped[job.tenant].append(job)
     return grouped
 
 
-async def fair() -> None:
-    """Served worth of each small tenant over what it asked for, which is less than its fair share."""
+async def measure_fairness() -> None:
+    """Share of each tenant's requested worth that is served in time, with admission control on and off."""
     rows = []
-    for name, operator in (("on", ON), ("off", OFF)):
-        here, clients, _ = await play(operator, crowd, FAIR_S)
-        grouped = by_tenant(clients.asked)
+    for name, operator in (("on", ADMISSION_ON), ("off", ADMISSION_OFF)):
+        installation, clients, _ = await run_load(operator, small_and_large_tenants, FAIRNESS_S)
+        grouped = group_by_tenant(clients.asked)
         small = sorted(served_worth(v) for k, v in grouped.items() if k != "large")
-        work = sum(a.work_s for a in clients.asked if a.in_time) / (FAIR_S * here.slots)
+        work = sum(a.work_s for a in clients.asked if a.in_time) / (FAIRNESS_S * installation.slots)
         rows.append((name, small[0], statistics.median(small), served_worth(grouped["large"]), work))
-    print(f"  {SMALL} small tenants and a large one at {LOAD} times the capacity, served worth in time:")
-    print("  admission   least of the small   their median   the large one   fleet's time used")
-    for name, least, median, large, work in rows:
-        print(f"  {name:4} {least:20.1%} {median:14.1%} {large:15.1%} {work:19.1%}")
+    print(
+        f"  {SMALL_TENANTS} small tenants and a large one at {LOAD_FACTOR} times the capacity,"
+        " share of worth served in time:"
+    )
+    print("  admission    lowest small   median small    large tenant     fleet time used")
+    for name, lowest, median, large, work in rows:
+        print(f"  {name:4} {lowest:20.1%} {median:14.1%} {large:15.1%} {work:19.1%}")
 
 
-async def returns() -> None:
-    """Callers that come back when they are told."""
-    _, clients, admission = await play(ON, lambda here: crowd(here, retries=30), RETURNS_S)
-    first = [a for a in clients.asked if a.tries[0].status in REFUSALS and len(a.tries) > 1]
-    let_in = [a for a in first if a.tries[1].status not in REFUSALS]
+async def measure_retry_after() -> None:
+    """Accuracy of Retry-After for clients that retry a rejected request after the delay it states."""
+    _, clients, admission = await run_load(
+        ADMISSION_ON, lambda installation: small_and_large_tenants(installation, retries=30), RETRY_AFTER_S
+    )
+    retried = [job for job in clients.asked if job.tries[0].status in REFUSALS and len(job.tries) > 1]
+    admitted = [job for job in retried if job.tries[1].status not in REFUSALS]
     ratios = []
-    for asked in first:
-        if asked.tries[-1].status in REFUSALS or asked.tries[0].retry_after_s is None:
+    for job in retried:
+        if job.tries[-1].status in REFUSALS or job.tries[0].retry_after_s is None:
             continue
-        last = asked.tries[-1]
-        ratios.append(asked.tries[0].retry_after_s / max(0.001, last.at - asked.tries[0].at))
+        last = job.tries[-1]
+        ratios.append(job.tries[0].retry_after_s / max(0.001, last.at - job.tries[0].at))
     for kind in Site().kinds:
-        its = [a for a in first if a.kind.name == kind.name]
-        good = sum(a.tries[1].status not in REFUSALS for a in its)
-        told = statistics.median([a.tries[0].retry_after_s or 0.0 for a in its] or [0.0])
-        print(f"  {kind.name}: {good} of {len(its)} let in when they came back, told {told:.2f} s (median)")
-    near = sum(0.5 <= r <= 2 for r in ratios)
+        of_kind = [job for job in retried if job.kind.name == kind.name]
+        admitted_count = sum(job.tries[1].status not in REFUSALS for job in of_kind)
+        delay_s = statistics.median([job.tries[0].retry_after_s or 0.0 for job in of_kind] or [0.0])
+        print(
+            f"  {kind.name}: {admitted_count} of {len(of_kind)} admitted at the first retry,"
+            f" median Retry-After {delay_s:.2f} s"
+        )
+    accurate = sum(0.5 <= r <= 2 for r in ratios)
     promises = admission["promises"]
-    judged = promises["right"] + promises["short"] + promises["long"]
-    print(f"  callers told to come back that did: {len(first)}, let in then: {len(let_in) / len(first):.1%}")
-    print(f"  told / time until they were let in, within a factor of two: {near / max(1, len(ratios)):.1%}")
+    evaluated = promises["right"] + promises["short"] + promises["long"]
     print(
-        f"  told / time their queue needed, as admission has it: {promises['right'] / max(1, judged):.1%}"
-        f" of {judged} (too short {promises['short']}, too long {promises['long']})"
+        f"  rejected requests that were retried: {len(retried)},"
+        f" admitted at the first retry: {len(admitted) / len(retried):.1%}"
+    )
+    print(
+        "  Retry-After within a factor of two of the time until admission:"
+        f" {accurate / max(1, len(ratios)):.1%}"
+    )
+    print(
+        "  Retry-After correct by admission control's own estimate of the queueing time:"
+        f" {promises['right'] / max(1, evaluated):.1%}"
+        f" of {evaluated} (too short {promises['short']}, too long {promises['long']})"
     )
 
 
@@ -135,8 +160,12 @@
 )  # fmt: skip
 
 
-class Alone:
-    """Admission control without sockets: workers of so many slots that run each job for its class's mean."""
+class StandaloneAdmission:
+    """Admission control without sockets, with emulated workers that have ``slots`` slots in total.
+
+    Jobs start as soon as a slot is free. While all slots are in use, every second request ends the oldest
+    running job.
+    """
 
     def __init__(self, slots: int) -> None:
         self.admission = Admission(SETTINGS, AdmissionOptions(enabled=True), 7, bytes(16))
@@ -148,96 +177,103 @@
         self.number = 0
 
     def step(self, header: str | None, address: str, passed_us: int) -> None:
-        """A request comes, and of those that run the oldest ends where all slots are taken."""
+        """Advance the clock by ``passed_us``, handle the arrival of a request, then end and start jobs."""
         self.now += passed_us
         self.number += 1
         job_class = self.random.randrange(3)
         left = SETTINGS.classes[job_class].deadline_us
         caller = self.admission.directory.find(header, address, str(self.number))
-        self.carry_out(
+        self._apply(
             self.admission.arrive(self.now, AdmissionRequest(self.number, job_class, caller, self.now, left))
         )
         due = self.admission.next_us
         if due is not None and due <= self.now:
-            self.carry_out(self.admission.tick(self.now))
-        # Twice as much is asked for as the workers do: something always waits.
+            self._apply(self.admission.tick(self.now))
+        # One job ends for every two requests, so the load is twice the capacity and the queue is never empty.
         if len(self.running) >= self.slots and self.number % 2:
-            self.carry_out(self.admission.ended(self.now, self.running.pop(0), True))
+            self._apply(self.admission.ended(self.now, self.running.pop(0), True))
         while self.pending and len(self.running) < self.slots:
             number = self.pending.pop(0)
             self.running.append(number)
-            self.carry_out(self.admission.placed(self.now, number))
-            self.carry_out(self.admission.execution_started(self.now, number))
+            self._apply(self.admission.placed(self.now, number))
+            self._apply(self.admission.execution_started(self.now, number))
 
-    def carry_out(self, actions: list[Any]) -> None:
+    def _apply(self, actions: list[Any]) -> None:
         self.pending += [a.number for a in actions if isinstance(a, Admit)]
 
 
-async def memory() -> None:
-    """Resident memory of admission control while names come that were never seen."""
+async def measure_memory() -> None:
+    """Resident memory that admission control adds while each request has a new tenant name or address."""
     rng = random.Random(5)
-    for what in ("names", "IPv6 addresses"):
-        alone = Alone(20)
+    for identifiers in ("names", "IPv6 addresses"):
+        standalone = StandaloneAdmission(20)
         for i in range(3_000):
-            alone.step(f"club-{i % 50}", "127.0.0.1", 2_000)
+            standalone.step(f"club-{i % 50}", "127.0.0.1", 2_000)
         gc.collect()
         before = psutil.Process().memory_info().rss
         for i in range(100_000):
-            header = f"flood-{i}" if what == "names" else None
+            header = f"flood-{i}" if identifiers == "names" else None
             address = "127.0.0.1" if header else str(ipaddress.IPv6Address(rng.getrandbits(128)))
-            alone.step(header, address, 1_000)
+            standalone.step(header, address, 1_000)
         gc.collect()
-        more = (psutil.Process().memory_info().rss - before) / 1e6
-        metrics = report(alone.admission)
+        added_mb = (psutil.Process().memory_info().rss - before) / 1e6
+        metrics = report(standalone.admission)
         print(
-            f"  100,000 {what}: {more:.1f} MB more, {metrics['accounts']} accounts,"
-            f" {metrics['queued']} queued, {metrics['let_in']} let in"
+            f"  100,000 {identifiers}: {added_mb:.1f} MB more, {metrics['accounts']} accounts,"
+            f" {metrics['queued']} queued, {metrics['let_in']} admitted"
         )
 
 
-async def cost() -> None:
-    """One program, reloaded between admission control on and off in turns, under the same calm load."""
-    spent: dict[str, list[float]] = defaultdict(list)
-    async with town(operator=ON, workers=8) as here:
-        process = psutil.Process(here.program.pid)
-        rate = 0.5 * here.slots / (here.site.mean_work_ms / 1000)
-        tenants = [Tenant(f"club-{i}", rate / SMALL) for i in range(SMALL)]
+async def measure_cpu_cost() -> None:
+    """CPU time of one process per request at half load, with admission control on and off by turns."""
+    cpu_ms: dict[str, list[float]] = defaultdict(list)
+    async with town(operator=ADMISSION_ON, workers=8) as installation:
+        process = psutil.Process(installation.program.pid)
+        rate = 0.5 * installation.slots / (installation.site.mean_work_ms / 1000)
+        tenants = [Tenant(f"club-{i}", rate / SMALL_TENANTS) for i in range(SMALL_TENANTS)]
         for turn in range(9):
-            name, operator = (("on", ON), ("off", OFF))[turn % 2]
-            here.program.reload(operator)
-            clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=turn)
-            used = process.cpu_times()
+            name, operator = (("on", ADMISSION_ON), ("off", ADMISSION_OFF))[turn % 2]
+            installation.program.reload(operator)
+            clients = Clients(
+                installation.site, lambda: installation.program.listen, installation.journal, seed=turn
+            )
+            before = process.cpu_times()
             await clients.play(tenants, 8.0)
-            now = process.cpu_times()
-            if turn:  # the first one warms up
-                cpu = now.user + now.system - used.user - used.system
-                spent[name].append(cpu / len(clients.asked) * 1000)
-    on, off = statistics.median(spent["on"]), statistics.median(spent["off"])
-    print(f"  CPU a request: admission control on {on:.3f} ms, off {off:.3f} ms, ratio {on / off:.3f}")
+            after = process.cpu_times()
+            if turn:  # the first turn is the warm-up
+                cpu_s = after.user + after.system - before.user - before.system
+                cpu_ms[name].append(cpu_s / len(clients.asked) * 1000)
+    on, off = statistics.median(cpu_ms["on"]), statistics.median(cpu_ms["off"])
+    print(f"  CPU per request: admission control on {on:.3f} ms, off {off:.3f} ms, ratio {on / off:.3f}")
 
 
-async def speed() -> None:
-    """Decisions (arrivals with all that follows from them) a second."""
+async def measure_decision_rate() -> None:
+    """Decisions a second: arrivals, each with the ends and starts of jobs that follow."""
     rates = {}
     for tenants in (10, 1_000, 100_000):
-        alone = Alone(20)
+        standalone = StandaloneAdmission(20)
         for i in range(5_000):
-            alone.step(f"club-{i % tenants}", "127.0.0.1", 2_000)
-        begun, steps = time.perf_counter(), 40_000
+            standalone.step(f"club-{i % tenants}", "127.0.0.1", 2_000)
+        start_s, steps = time.perf_counter(), 40_000
         for _ in range(steps):
-            alone.step(f"club-{alone.random.randrange(tenants)}", "127.0.0.1", 2_000)
-        rates[tenants] = steps / (time.perf_counter() - begun)
+            standalone.step(f"club-{standalone.random.randrange(tenants)}", "127.0.0.1", 2_000)
+        rates[tenants] = steps / (time.perf_counter() - start_s)
     for tenants, rate in rates.items():
-        print(f"  {tenants:7,} tenants: {rate:8,.0f} decisions a second, {rate / rates[10]:.2f} of the first")
+        print(
+            f"  {tenants:7,} tenants: {rate:8,.0f} decisions/s,"
+            f" {rate / rates[10]:.2f} of the rate with 10 tenants"
+        )
 
 
 PARTS: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
-    "memory": memory, "speed": speed, "fair": fair, "returns": returns, "cost": cost,
+    "memory": measure_memory, "speed": measure_decision_rate, "fair": measure_fairness,
+    "returns": measure_retry_after, "cost": measure_cpu_cost,
 }  # fmt: skip
 
 
 def main(names: list[str]) -> None:
-    gc.disable()  # the emulators' own pauses would look like waiting workers; a run's garbage is small
+    # Garbage collection in this process would make its emulated workers look slow; a run's garbage is small.
+    gc.disable()
     for name in names or PARTS:
         print(f"{name}: {(PARTS[name].__doc__ or '').splitlines()[0]}")
         asyncio.run(PARTS[name]())
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -1,10 +1,10 @@
-"""Replaces a running scheduler of one source tree by one of another, under load: is every request answered?
+"""Replaces a running scheduler of one source tree by one of another under load, as an upgrade does.
 
     python -m benchmarks.handover OLD NEW [--admission]
 
-OLD and NEW are roots of source trees, such as clones of two revisions. Both processes share a listening
-socket and a state folder, as in an upgrade. Prints one JSON object; the exit code is 1 if a request got no
-answer, a rule was broken or the old process did not end in order.
+OLD and NEW are the roots of two source trees, such as clones of two revisions. Both processes share a
+listening socket and a state folder. Prints the result as a JSON object. The exit code is 1 if a request got
+no answer, a rule of `robinhill.checker` was violated, or the exit code of the old process was not 0.
 """
 
 import asyncio
@@ -35,38 +35,42 @@
 LOAD_S = 10.0
 BEFORE_HANDOVER_S = 3.0
 BEFORE_SIGTERM_S = 0.5
-END_S = 20.0
-NO_ANSWER = 0
+EXIT_TIMEOUT_S = 20.0
+NO_ANSWER = 0  # the status that `Clients` records for a request without an answer
 LOAD = [Tenant("one", 60.0), Tenant("two", 30.0)]  # requests a second
-HANDED_OVER = "event=handed_over"
+HANDED_OVER_EVENT = "event=handed_over"
 
 
 @dataclass(slots=True, frozen=True)
 class HandoverResult:
-    """What became of the requests and of the process that was replaced."""
+    """Answers to the requests, and the exit of the replaced process. Field names are keys of the JSON output.
+
+    ``old`` and ``new``: roots of the source trees. ``exit_code``: of the old process. ``handed_over``: the
+    number of handed_over events in the log of the old process.
+    """
 
     old: str
     new: str
     admission: bool
     exit_code: int
-    answers: dict[int, int]  # by status; 0: none
+    answers: dict[int, int]  # counts by HTTP status; `NO_ANSWER` for requests without an answer
     handed_over: int
     broken_rules: list[str]
 
     @property
     def failed(self) -> bool:
-        """Whether a request was lost, a rule broken or the exit code not 0."""
+        """Whether a request got no answer, a rule was violated or the exit code was not 0."""
         return bool(self.exit_code or self.answers.get(NO_ANSWER) or self.broken_rules)
 
 
-def entry_of(root: str) -> tuple[str, ...]:
-    """What the interpreter runs so that the program comes from another source tree."""
+def interpreter_arguments(root: str) -> tuple[str, ...]:
+    """Arguments of the Python interpreter that run the program from the source tree at ``root``."""
     code = f"import sys; sys.path[0] = {root!r}; from robinhill.commands import main; sys.exit(main())"
     return ("-c", code)
 
 
 async def replace(old_root: str, new_root: str, admission: bool) -> HandoverResult:
-    """Play one replacement on loopback; takes some 12 s."""
+    """Run both programs on loopback and replace the old by the new one; takes some 12 s."""
     site, journal = Site(), Journal()
     workers = [Worker(f"w{i}", site, journal, SLOTS, speed=1.0 - 0.3 * (i % 2)) for i in range(WORKERS)]
     discovery = Discovery(workers, journal)
@@ -79,11 +83,12 @@
         state.mkdir()
 
         def program(name: str, root: str) -> Program:
-            own_folder = Path(folder) / name
-            own_folder.mkdir()
+            program_folder = Path(folder) / name
+            program_folder.mkdir()
             return Program(
-                own_folder, site, discovery, operator, listen=listen, state=state, entry=entry_of(root),
-                env={"GW_SOCKET_FD": str(listener.fileno())}, pass_fds=(listener.fileno(),),
+                program_folder, site, discovery, operator, listen=listen, state=state,
+                entry=interpreter_arguments(root), env={"GW_SOCKET_FD": str(listener.fileno())},
+                pass_fds=(listener.fileno(),),
             )  # fmt: skip
 
         old, new = program("old", old_root), program("new", new_root)
@@ -99,26 +104,26 @@
         await asyncio.sleep(BEFORE_SIGTERM_S)
         old.signal(signal.SIGTERM)
         assert old.process
-        async with asyncio.timeout(END_S):
+        async with asyncio.timeout(EXIT_TIMEOUT_S):
             exit_code = await old.process.wait()
         await load
-        statuses = Counter(attempt.status for asked in clients.asked for attempt in asked.tries)
-        handed_over = old.log.read_text().count(HANDED_OVER)
+        statuses = Counter(attempt.status for job in clients.asked for attempt in job.tries)
+        handed_over = old.log.read_text().count(HANDED_OVER_EVENT)
         await new.stop()
         await discovery.stop()
         for worker in workers:
             await worker.stop()
-    unsafe = [kind.name for kind in site.kinds if kind.repeat == "fragile"]
-    found = broken(journal, unsafe)
-    return HandoverResult(old_root, new_root, admission, exit_code, dict(statuses), handed_over, found)
+    non_retryable = [kind.name for kind in site.kinds if kind.repeat == "fragile"]
+    violations = broken(journal, non_retryable)
+    return HandoverResult(old_root, new_root, admission, exit_code, dict(statuses), handed_over, violations)
 
 
 @click.command()
 @click.argument("old", type=click.Path(exists=True, file_okay=False, resolve_path=True))
 @click.argument("new", type=click.Path(exists=True, file_okay=False, resolve_path=True))
-@click.option("--admission", is_flag=True, help="with admission control")
+@click.option("--admission", is_flag=True, help="Enable admission control.")
 def main(old: str, new: str, admission: bool) -> None:
-    """Replace a process of OLD by one of NEW under load."""
+    """Replace a scheduler of source tree OLD by one of source tree NEW under load."""
     result = asyncio.run(replace(old, new, admission))
     click.echo(json.dumps(asdict(result)))
     sys.exit(result.failed)
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,12 +1,13 @@
-"""What the model costs and how true it is: `python -m benchmarks.model [PART ...]`. About eight minutes for
-all parts.
+"""Cost and accuracy of the model: `python -m benchmarks.model [PART ...]`.
+
+All parts take about eight minutes.
 
 speed     simulated seconds and events a second on one core, at 10 workers x 2 schedulers and at 1,000 x 20
-compare   one comparison to +-2% of served worth on the shipped site, on all cores
-false     100 comparisons of a side with itself under other seeds: how many find a difference
-faithful  the model against loopback, served worth on five small days, with the interval of the difference
-history   two revisions of the module whose figures in the simulator's journal differ clearly
-record    what recording costs a request, on and off in turns in one run
+compare   time of one comparison to +-2% of served worth on the shipped site, on all cores
+false     false positives: 100 comparisons of equal sides under different seeds
+faithful  served worth in the model against real processes on loopback, in five scaled-down situations
+history   comparison of two revisions of the module whose figures in the simulator's journal differ clearly
+record    CPU time of recording for a request, with recording on and off by turns in one run
 """
 
 import asyncio
@@ -31,11 +32,12 @@
 from robinhill.model.trace import draw
 from robinhill.model.world import Side, World
 
-OLD, NEW = "b5b2696", "HEAD"  # the module before and after `99bc2f4..`: see `journal/` and docs/ROADMAP.md
+# Revisions of the module before and after the changes `99bc2f4..`, see `journal/` and docs/ROADMAP.md.
+OLD_REVISION, NEW_REVISION = "b5b2696", "HEAD"
 
 
-async def speed() -> None:
-    """One run on one core."""
+async def measure_speed() -> None:
+    """Simulation speed of one run on one core, for a small and a large installation."""
     small = replace(sites.CLUBS, fleet=replace(sites.CLUBS.fleet, machines=(Machine("std", 10),)))
     large = replace(
         sites.CLUBS,
@@ -45,47 +47,55 @@
     )
     for name, description in (("10 x 2", small), ("1,000 x 20", large)):
         trace = draw(description, 1)
-        begun = time.process_time()
+        start_s = time.process_time()
         result = World(description, trace, Side(), 1).play()
-        took = time.process_time() - begun
+        cpu_s = time.process_time() - start_s
         print(
-            f"  {name:10} {description.seconds / took:8.1f} simulated seconds a second,"
-            f" {result.steps / took:9,.0f} events a second, {result.firsts / took:7,.0f} requests a second"
+            f"  {name:10} {description.seconds / cpu_s:8.1f} simulated seconds per CPU second,"
+            f" {result.steps / cpu_s:9,.0f} events/s, {result.firsts / cpu_s:7,.0f} requests/s"
         )
 
 
-async def comparison() -> None:
-    """Admission control on against off, on the day with all troubles."""
+async def measure_comparison() -> None:
+    """Comparison of admission control on and off, in the situation with all kinds of faults."""
     from robinhill.admission.options import AdmissionOptions
 
-    begun = time.monotonic()
-    done = compare(
+    start_s = time.monotonic()
+    comparison = compare(
         sites.site("clubs-all"),
         Version("off"),
         Version("on", admission=AdmissionOptions(enabled=True)),
         until=0.02,
     )
-    print(f"  {done.verdict}")
-    print(f"  {len(done.results_a)} pairs in {time.monotonic() - begun:.0f} s: {done.why}")
+    print(f"  {comparison.verdict}")
+    print(
+        f"  {len(comparison.results_a)} pairs in {time.monotonic() - start_s:.0f} s; stopped because:"
+        f" {comparison.why}"
+    )
 
 
-async def false() -> None:
-    """Runs of one side, paired at random: differences of nothing."""
+async def measure_false_positives() -> None:
+    """False positives among 100 comparisons of runs of one side that are paired at random."""
     description = replace(sites.site("clubs-all"), seconds=30.0)
-    done = compare(description, Version("a"), Version("b"), until=1e-9, most=LOOKS[-1], processes=None)
-    shares = [r.share for r in done.results_a]
+    comparison = compare(description, Version("a"), Version("b"), until=1e-9, most=LOOKS[-1], processes=None)
+    shares = [r.share for r in comparison.results_a]
     import numpy as np
 
-    rng, found = np.random.default_rng(5), 0
+    rng, false_positives = np.random.default_rng(5), 0
     for trial in range(100):
         left, right = (rng.choice(shares, LOOKS[-1]) for _ in range(2))
         values = list(right - left)
-        found += any(may_stop(values[:look], 1e-9, trial).why == "the difference is sure" for look in LOOKS)
-    print(f"  of 100 comparisons of like with like {found} find a difference; {len(shares)} runs drawn from")
+        false_positives += any(
+            may_stop(values[:pairs], 1e-9, trial).why == "the difference is sure" for pairs in LOOKS
+        )
+    print(
+        f"  {false_positives} of 100 comparisons of equal sides find a difference;"
+        f" the pairs were drawn from {len(shares)} runs"
+    )
 
 
-async def faithful() -> None:
-    """Five small days, several seeds each."""
+async def measure_accuracy() -> None:
+    """Served worth in the model less that of real processes on loopback, with its confidence interval."""
     for name in ("calm", "silent", "surge", "slow", "all"):
         differences = []
         for seed in (1, 2, 3):
@@ -97,44 +107,46 @@
                 break
             differences.append(modelled.share - real.share)
         else:
-            print(f"  {name:8} model less loopback: {interval(differences, 1)}")
+            print(f"  {name:8} served worth, model minus loopback: {interval(differences, 1)}")
 
 
-async def history() -> None:
-    """The module of an older revision over the wire, against this one."""
+async def compare_revisions() -> None:
+    """Comparison of the module of an older revision, run as a process of its own, with the present one."""
     for name in ("clubs-silent", "clubs-all"):
-        with version(OLD) as old, version("this") as new:
-            done = compare(replace(sites.site(name), seconds=40.0), old, new, until=0.02, most=24)
-        print(f"  {name}: {done.verdict}")
+        with version(OLD_REVISION) as old, version("this") as new:
+            comparison = compare(replace(sites.site(name), seconds=40.0), old, new, until=0.02, most=24)
+        print(f"  {name}: {comparison.verdict}")
 
 
-async def record() -> None:
-    """Two programs under the same load in turns, one of them recording."""
-    spent: dict[str, list[float]] = {"on": [], "off": []}
+async def measure_recording() -> None:
+    """CPU time per request of two programs that run by turns at the same load, one of them recording."""
+    cpu_ms: dict[str, list[float]] = {"on": [], "off": []}
     for _ in range(3):
-        for name in spent:
+        for name in cpu_ms:
             with tempfile.TemporaryDirectory() as folder:
                 operator: dict[str, Any] = {"record": {"folder": folder}} if name == "on" else {}
-                async with town(operator=operator, workers=8) as here:
-                    process = psutil.Process(here.program.pid)
-                    rate = 0.5 * here.slots / (here.site.mean_work_ms / 1000)
-                    clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=2)
+                async with town(operator=operator, workers=8) as installation:
+                    process = psutil.Process(installation.program.pid)
+                    rate = 0.5 * installation.slots / (installation.site.mean_work_ms / 1000)
+                    clients = Clients(
+                        installation.site, lambda: installation.program.listen, installation.journal, seed=2
+                    )
                     before = process.cpu_times()
                     await clients.play([Tenant("a", rate)], 8.0)
                     after = process.cpu_times()
-                    cpu = after.user + after.system - before.user - before.system
-                    spent[name].append(cpu / len(clients.asked) * 1000)
-    on, off = (statistics.median(spent[name]) for name in ("on", "off"))
-    print(f"  CPU a request: recording {on:.3f} ms, not {off:.3f} ms, ratio {on / off:.3f}")
+                    cpu_s = after.user + after.system - before.user - before.system
+                    cpu_ms[name].append(cpu_s / len(clients.asked) * 1000)
+    on, off = (statistics.median(cpu_ms[name]) for name in ("on", "off"))
+    print(f"  CPU per request: with recording {on:.3f} ms, without {off:.3f} ms, ratio {on / off:.3f}")
 
 
 PARTS: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
-    "speed": speed,
-    "compare": comparison,
-    "false": false,
-    "faithful": faithful,
-    "history": history,
-    "record": record,
+    "speed": measure_speed,
+    "compare": measure_comparison,
+    "false": measure_false_positives,
+    "faithful": measure_accuracy,
+    "history": compare_revisions,
+    "record": measure_recording,
 }
 
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,6 +1,6 @@
-"""Real processes for the scaling measurements: a scheduler with many listed workers, and usage of schedulers.
+"""Runs real scheduler processes for the scaling measurements and reads their resource usage.
 
-One emulated worker stands for all listed workers.
+A scheduler can have any number of listed workers, since one emulated worker runs the jobs of all of them.
 """
 
 import asyncio
