--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -2,8 +2,8 @@
 
 All parts take about six minutes.
 
-fair      fairness between 50 small tenants and a large one at 2.4 times the fleet's capacity, on and off
-returns   accuracy of Retry-After: whether a retry is admitted, and how long the client really had to wait
+fair      50 small tenants and a large one at 2.4 times the fleet's capacity, with admission on and off
+returns   accuracy of Retry-After: share of retries that are admitted, and the wait that was really needed
 memory    memory of admission control, without the program, for 100,000 tenant names and IPv6 addresses
 cost      CPU time of the program for a request, with admission control on and off by turns in one run
 speed     decisions a second of admission control, without the program, at 10, 1,000 and 100,000 tenants
@@ -137,7 +137,7 @@
         f" {accurate / max(1, len(ratios)):.1%}"
     )
     print(
-        "  Retry-After correct by admission control's own estimate of the queueing time:"
+        "  Retry-After within a factor of two of the queueing time measured by admission control:"
         f" {promises['right'] / max(1, evaluated):.1%}"
         f" of {evaluated} (too short {promises['short']}, too long {promises['long']})"
     )
@@ -171,32 +171,34 @@
         self.admission = Admission(SETTINGS, AdmissionOptions(enabled=True), 7, bytes(16))
         self.slots = slots
         self.random = random.Random(3)
-        self.now = 1_000_000_000
+        self.now_us = 1_000_000_000
         self.running: list[int] = []
         self.pending: list[int] = []
         self.number = 0
 
     def step(self, header: str | None, address: str, passed_us: int) -> None:
         """Advance the clock by ``passed_us``, handle the arrival of a request, then end and start jobs."""
-        self.now += passed_us
+        self.now_us += passed_us
         self.number += 1
         job_class = self.random.randrange(3)
-        left = SETTINGS.classes[job_class].deadline_us
+        time_left_us = SETTINGS.classes[job_class].deadline_us
         caller = self.admission.directory.find(header, address, str(self.number))
         self._apply(
-            self.admission.arrive(self.now, AdmissionRequest(self.number, job_class, caller, self.now, left))
+            self.admission.arrive(
+                self.now_us, AdmissionRequest(self.number, job_class, caller, self.now_us, time_left_us)
+            )
         )
-        due = self.admission.next_us
-        if due is not None and due <= self.now:
-            self._apply(self.admission.tick(self.now))
+        due_us = self.admission.next_us
+        if due_us is not None and due_us <= self.now_us:
+            self._apply(self.admission.tick(self.now_us))
         # One job ends for every two requests, so the load is twice the capacity and the queue is never empty.
         if len(self.running) >= self.slots and self.number % 2:
-            self._apply(self.admission.ended(self.now, self.running.pop(0), True))
+            self._apply(self.admission.ended(self.now_us, self.running.pop(0), True))
         while self.pending and len(self.running) < self.slots:
             number = self.pending.pop(0)
             self.running.append(number)
-            self._apply(self.admission.placed(self.now, number))
-            self._apply(self.admission.execution_started(self.now, number))
+            self._apply(self.admission.placed(self.now_us, number))
+            self._apply(self.admission.execution_started(self.now_us, number))
 
     def _apply(self, actions: list[Any]) -> None:
         self.pending += [a.number for a in actions if isinstance(a, Admit)]
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -119,7 +119,7 @@
 
 
 async def measure_recording() -> None:
-    """CPU time per request of two programs that run by turns at the same load, one of them recording."""
+    """CPU time per request of a program with and without recording, by turns at the same load."""
     cpu_ms: dict[str, list[float]] = {"on": [], "off": []}
     for _ in range(3):
         for name in cpu_ms:
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -79,7 +79,7 @@
 
 
 def _make_session(name: str, names: tuple[str, ...], opens: bool) -> Session:
-    """A session of a caught-up scheduler that knows the age of its knowledge of all schedulers."""
+    """A session of a caught-up scheduler that knows the age of its knowledge about every scheduler."""
     replica = Replica(name, 1, [acknowledgement_kind()])
     freshness = Freshness(name, names, hollow.BOUND_MS * 1000)
     freshness.caught_up = True
@@ -91,8 +91,8 @@
 def answer_bytes(schedulers: int) -> int:
     """Bytes of the largest message between two schedulers whose copies are equal: the answer to a ping.
 
-    It lists the age of the knowledge of every configured scheduler. The messages of the first round are left
-    out: the hello is among them.
+    The answer lists the age of the sender's knowledge about every configured scheduler. The messages of the
+    first round are left out, because the hello is among them.
     """
     names = tuple(f"s{number:03}" for number in range(schedulers))
     sessions = (_make_session(names[0], names, True), _make_session(names[1], names, False))
@@ -181,7 +181,7 @@
 
 
 def validate_all() -> None:
-    """Compare hollow schedulers with real processes, and these with one process that does not replicate."""
+    """Compare hollow schedulers with real processes, and real processes with one that has no peers."""
     baseline = standalone_idle()
     print(
         f"one process without peers: {baseline.cpu_share:.4f} CPU cores,"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -46,9 +46,9 @@
 def test_decision_lines_grow_linearly_with_workers() -> None:
     """BREACH: each arrival iterates over all listed workers.
 
-    How many workers an arrival evaluates fully depends on the position of the best one, so the cost between
-    two neighbouring sizes varies by a factor of two. The exponent is therefore that of all sizes, and the
-    cost per worker has bounds at three sizes.
+    The number of workers that an arrival evaluates fully depends on how early it finds the best one, so the
+    growth between two neighbouring sizes varies by a factor of two. The asserted exponent is therefore that
+    of all sizes together, and the cost per worker has bounds at three sizes.
     """
     measured = measure_growth(decision.arrival_lines, (*WORKERS, 3_000))
     assert_exponent(measured.exponent, (0.85, 1.2))
@@ -92,7 +92,7 @@
 
 
 def test_endpoint_memory_grows_linearly_with_workers() -> None:
-    """BREACH of the order of magnitude of the module's memory: an unused endpoint takes several kilobytes."""
+    """BREACH of the order of magnitude of the decision module: an unused endpoint takes several kilobytes."""
     measured = measure_growth(memory.endpoint_bytes, (30, 100, 300))
     assert_exponent(measured.last_exponent, LINEAR)
     assert 2_000 < measured.slope < 20_000  # bytes for each endpoint
@@ -111,7 +111,7 @@
 
 
 def test_ping_answer_bytes_grow_linearly_with_schedulers() -> None:
-    """BREACH: each answer lists the age of the knowledge of every scheduler, up to 256 schedulers."""
+    """BREACH: each answer lists the age of the knowledge about every scheduler, up to 256 schedulers."""
     measured = measure_growth(sharing.answer_bytes, (16, 64, 250))
     assert_exponent(measured.last_exponent, (0.8, 1.1))
     assert 1 < measured.slope < 6  # bytes for each scheduler
@@ -170,7 +170,7 @@
 
 
 def test_replica_rejects_cordon_targets_above_8192() -> None:
-    """BREACH: a target stays in the state for 30 days, and the state holds fewer than the 10,000 workers."""
+    """BREACH: targets are retained for 30 days, and a replica holds fewer than the 10,000 planned workers."""
     replica = Replica("s000", 1, [cordon_kind()])
     now_us = 1_700_000_000_000_000
 
