--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -16,7 +16,7 @@
 
 
 def warmed_up_node(worker_count: int) -> Node:
-    """A node that has run some jobs. A new node recomputes the prices of all workers at almost any arrival."""
+    """A node that has run some jobs; a new node reprices all workers at almost every arrival."""
     node = Node(worker_count)
     for _ in range(WARM_UP_REQUESTS):
         run_request(node)
