--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -35,7 +35,7 @@
 from robinhill.net.dispatcher.messages import CordonsChanged, SendLeaseChanged
 from robinhill.net.peers import peer_connections, replication
 from robinhill.net.peers.peer_connections import MAX_LINKS_WITHOUT_HELLO, PeerConnections
-from robinhill.net.peers.peer_link import PATH
+from robinhill.net.peers.peer_link import MESH_PATH
 from robinhill.net.peers.replication import Replication
 from robinhill.protocol import Answer, Lifecycle, ListedEndpoint
 
@@ -152,7 +152,7 @@
         self.network, self.own = network, own
 
     async def ws_connect(self, url: str, **options: object) -> LinkEnd:
-        address = url.removeprefix("http://").removesuffix(PATH)
+        address = url.removeprefix("http://").removesuffix(MESH_PATH)
         return await self.network.connect(self.own, address)
 
     async def close(self) -> None:
