--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -27,7 +27,7 @@
 from robinhill.admission.messages import AdmissionRequest, Admit
 from robinhill.admission.options import AdmissionOptions
 from robinhill.admission.report import report
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import REFUSALS, Asked, Clients, Tenant, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import Site
@@ -58,7 +58,7 @@
         await clients.play(tenants(installation), seconds + WARM_UP_S)
         admission = await installation.program.admission()
         clients.asked = [job for job in clients.asked if job.tries and job.tries[0].at > start_s + WARM_UP_S]
-        if violations := broken(installation.journal, NON_RETRYABLE_KINDS):
+        if violations := find_violations(installation.journal, NON_RETRYABLE_KINDS):
             print(f"  RULES BROKEN: {len(violations)} violations, such as {violations[0]}")
         if clients.latest_s > 0.25:
             print(f"  requests were sent up to {clients.latest_s:.2f} s late: this machine was too slow")
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -230,7 +230,7 @@
 
     def look(self, which: int) -> None:
         gangs = self.schedulers[which]
-        found = gangs.look(self.now)
+        found = gangs.evaluate(self.now)
         for verdict in found.verdicts:
             if verdict.lags:
                 call = self._job(verdict.gang, verdict.index).number, verdict.worker
@@ -242,7 +242,7 @@
         for move in found.moves:
             self.withdraw(move)
         if self.scene.share_us is not None:
-            for name, told in gangs.changes(self.now):
+            for name, told in gangs.progress_to_publish(self.now):
                 for other in range(len(self.schedulers)):
                     if other != which:
                         self.at(self.scene.share_us, self.hear, other, name, told)
@@ -257,7 +257,7 @@
         return self._index[gang, index]
 
     def hear(self, other: int, name: str, told: Progress) -> None:
-        self.schedulers[other].peers(self.now, name, told)
+        self.schedulers[other].receive_progress(self.now, name, told)
 
     def withdraw(self, move: Move) -> None:
         job = self.jobs[move.job]
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -22,7 +22,7 @@
 import click
 
 from robinhill.checker.journal import Journal
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
@@ -114,7 +114,7 @@
         for worker in workers:
             await worker.stop()
     non_retryable = [kind.name for kind in site.kinds if kind.repeat == "fragile"]
-    violations = broken(journal, non_retryable)
+    violations = find_violations(journal, non_retryable)
     return HandoverResult(old_root, new_root, admission, exit_code, dict(statuses), handed_over, violations)
 
 
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -23,7 +23,7 @@
 
 import orjson
 
-from robinhill.checker.journal import What
+from robinhill.checker.journal import EventType
 from robinhill.emulator.relay import Harm
 from robinhill.emulator.rig import BOUND_MS, EQUAL_S, Rig, play, rig, schedule_of
 
@@ -116,7 +116,9 @@
     told = await it.cordon(name, worker, id_, WAIT_S)
     answered = time.monotonic() - begun
     await asyncio.sleep(WATCH_S)
-    sends = [e.at for e in it.journal.events if e.what is What.SENT and e.worker == worker and e.at >= begun]
+    sends = [
+        e.at for e in it.journal.events if e.what is EventType.SENT and e.worker == worker and e.at >= begun
+    ]
     await it.lift(name, worker, id_, WAIT_S)
     lifted, begun_then = time.monotonic(), it.journal.started_jobs[worker]
     try:
@@ -136,7 +138,7 @@
 
     def used() -> bool:
         its = it.journal.events[first:]
-        return {e.scheduler for e in its if e.what is What.SENT and e.worker == worker} >= set(it.names)
+        return {e.scheduler for e in its if e.what is EventType.SENT and e.worker == worker} >= set(it.names)
 
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(WAIT_S):
--- a/benchmarks/scale/gang.py
+++ b/benchmarks/scale/gang.py
@@ -48,13 +48,13 @@
     """Microseconds of one straggler evaluation."""
     gangs = make_gang(members)
     times = iter(range(evaluation_time_us(), 10 * evaluation_time_us(), SECOND_US // 2))
-    return median_cpu_us(lambda: gangs.look(next(times)))
+    return median_cpu_us(lambda: gangs.evaluate(next(times)))
 
 
 def evaluation_lines(members: int) -> int:
     """Executed lines of one straggler evaluation."""
     gangs = make_gang(members)
-    return executed_lines(lambda: gangs.look(evaluation_time_us()))
+    return executed_lines(lambda: gangs.evaluate(evaluation_time_us()))
 
 
 def state_bytes(members: int) -> int:
--- a/robinhill/checker/journal.py
+++ b/robinhill/checker/journal.py
@@ -8,7 +8,7 @@
 UNAVOIDABLE_STATUS = 2  # the status of an OVERLOADED event that no scheduler could have avoided
 
 
-class What(Enum):
+class EventType(Enum):
     """The types of events: of a request, a worker or a scheduler."""
 
     REQUESTED = auto()  # a client has sent a request
@@ -42,7 +42,7 @@
     """One event; ``at`` is the time by the monotonic clock, in seconds."""
 
     at: float
-    what: What
+    what: EventType
     request: str = ""
     worker: str = ""
     status: int = 0
@@ -60,11 +60,11 @@
     def add(self, event: Event) -> None:
         """Append an event with its own time."""
         self.events.append(event)
-        if event.what is What.EXECUTION_STARTED:
+        if event.what is EventType.EXECUTION_STARTED:
             self.started_jobs[event.worker] += 1
 
     def record(
-        self, what: What, request: str = "", worker: str = "", status: int = 0, kind: str = "",
+        self, what: EventType, request: str = "", worker: str = "", status: int = 0, kind: str = "",
         scheduler: str = "",
     ) -> None:  # fmt: skip
         """Append an event with the present time."""
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -11,11 +11,11 @@
 from math import inf
 
 from robinhill.checker import rules
-from robinhill.checker.journal import Event, Journal, What
+from robinhill.checker.journal import Event, EventType, Journal
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class Limits:
     """The limits that are checked."""
 
     bound_s: float  # from the acceptance of a cordon to the last send to its worker
@@ -41,26 +41,30 @@
     is_ambiguous: bool = False  # a lift was requested after a call to set it: the order of effects is unknown
 
 
-def broken(journal: Journal, terms: Terms, unsafe: Iterable[str], *, ended: bool = True) -> list[str]:
+def find_violations(
+    journal: Journal, limits: Limits, unsafe: Iterable[str], *, ended: bool = True
+) -> list[str]:
     """Check the rules for one scheduler and for several. Returns one line for each violation."""
     events = sorted(journal.events, key=lambda e: e.at)
     unsafe_classes = set(unsafe)
-    found = rules.broken(journal, unsafe_classes, ended=ended, late_s=terms.late_s)
-    found += once(events, unsafe_classes)
-    found += late_sends(events, terms)
-    found += lists(events, terms)
-    found += copies(events, terms)
-    found += recovered(events)
+    found = rules.find_violations(journal, unsafe_classes, ended=ended, late_s=limits.late_s)
+    found += repeated_unsafe_jobs(events, unsafe_classes)
+    found += late_sends(events, limits)
+    found += list_violations(events, limits)
+    found += replica_violations(events, limits)
+    found += recovery_violations(events)
     return found
 
 
-def once(events: list[Event], unsafe: set[str]) -> list[str]:
+def repeated_unsafe_jobs(events: list[Event], unsafe: set[str]) -> list[str]:
     """Check that an unsafe job starts at most once, at whichever scheduler its client retries.
 
     A request's id is the client's key, a dash, and the number of the client's attempt.
     """
     starts = Counter(
-        e.request.rpartition("-")[0] for e in events if e.what is What.EXECUTION_STARTED and e.kind in unsafe
+        e.request.rpartition("-")[0]
+        for e in events
+        if e.what is EventType.EXECUTION_STARTED and e.kind in unsafe
     )
     return [f"{key} is unsafe and was started {n} times" for key, n in starts.items() if key and n > 1]
 
@@ -74,9 +78,9 @@
 
     def record(self, event: Event) -> None:
         """Apply the start or end of a fault."""
-        if event.what is What.FAULT_STARTED:
+        if event.what is EventType.FAULT_STARTED:
             self._faults[event.scheduler] += 1
-        elif event.what is What.FAULT_ENDED:
+        elif event.what is EventType.FAULT_ENDED:
             self._faults[event.scheduler] -= 1
             self._healthy_since[event.scheduler] = event.at
 
@@ -87,33 +91,33 @@
 
 def _apply_event(cordons: dict[str, CordonState], event: Event) -> None:
     """Apply an operator's call or its answer. An unanswered call may have had its effect or have it later."""
-    if event.what is What.CORDON_REQUESTED:
+    if event.what is EventType.CORDON_REQUESTED:
         cordon = cordons.setdefault(event.request, CordonState(event.worker, event.scheduler))
         cordon.pending_calls += 1
         cordon.lifted = cordon.is_ambiguous = False
     elif event.request not in cordons:
         return
     cordon = cordons[event.request]
-    if event.what is What.CORDONED:
+    if event.what is EventType.CORDONED:
         cordon.pending_calls -= 1
         if not cordon.is_ambiguous:
             cordon.accepted_at = event.at if cordon.accepted_at is None else cordon.accepted_at
             cordon.accepted_by = event.scheduler
-    elif event.what is What.IN_FORCE:
+    elif event.what is EventType.IN_FORCE:
         cordon.in_force_at = event.at if not cordon.is_ambiguous else None
-    elif event.what is What.LIFT_REQUESTED:
+    elif event.what is EventType.LIFT_REQUESTED:
         cordon.accepted_at = cordon.in_force_at = None
         cordon.is_ambiguous = True
-    elif event.what is What.LIFTED:
+    elif event.what is EventType.LIFTED:
         cordon.lifted = cordon.pending_calls == 0
 
 
-def late_sends(events: Iterable[Event], terms: Terms) -> list[str]:
+def late_sends(events: Iterable[Event], limits: Limits) -> list[str]:
     """Check that nothing is sent to a cordoned worker past the bound, nor after the cordon was
     reported to be in force.
 
     With `serve` this holds only if both the sending scheduler and the one that accepted the cordon have been
-    without a fault for `Terms.recovery_s`.
+    without a fault for `Limits.recovery_s`.
     """
     cordons: dict[str, CordonState] = {}
     health = _Health()
@@ -121,22 +125,22 @@
     for event in events:
         health.record(event)
         _apply_event(cordons, event)
-        if event.what is not What.SENT:
+        if event.what is not EventType.SENT:
             continue
         healthy_since = -inf
         for id_, cordon in cordons.items():
             if cordon.worker != event.worker or cordon.accepted_at is None:
                 continue
-            if not terms.is_hold_mode:
+            if not limits.is_hold_mode:
                 healthy_since = (
-                    max(health.since(event.scheduler), health.since(cordon.accepted_by)) + terms.recovery_s
+                    max(health.since(event.scheduler), health.since(cordon.accepted_by)) + limits.recovery_s
                 )
-            past_bound_s = event.at - max(cordon.accepted_at, healthy_since) - terms.bound_s
+            past_bound_s = event.at - max(cordon.accepted_at, healthy_since) - limits.bound_s
             after_in_force_s = (
                 event.at - max(cordon.in_force_at, healthy_since) if cordon.in_force_at is not None else -inf
             )
-            if max(past_bound_s, after_in_force_s) > terms.grace_s + terms.late_s:
-                is_past_bound = past_bound_s > terms.grace_s + terms.late_s
+            if max(past_bound_s, after_in_force_s) > limits.grace_s + limits.late_s:
+                is_past_bound = past_bound_s > limits.grace_s + limits.late_s
                 why = (
                     f"{past_bound_s:.3f} s past the bound"
                     if is_past_bound
@@ -150,17 +154,17 @@
 def _settled_at(events: Iterable[Event]) -> float:
     """The time of the last end of a fault, start of a scheduler, operator's call or answer to a call."""
     event_types = (
-        What.FAULT_ENDED,
-        What.UP,
-        What.CORDON_REQUESTED,
-        What.CORDONED,
-        What.LIFT_REQUESTED,
-        What.LIFTED,
+        EventType.FAULT_ENDED,
+        EventType.UP,
+        EventType.CORDON_REQUESTED,
+        EventType.CORDONED,
+        EventType.LIFT_REQUESTED,
+        EventType.LIFTED,
     )
     return max((e.at for e in events if e.what in event_types), default=0.0)
 
 
-def lists(events: list[Event], terms: Terms) -> list[str]:
+def list_violations(events: list[Event], limits: Limits) -> list[str]:
     """Check the cordons that each scheduler lists after all faults and calls, once replicas are equal.
 
     A scheduler must list each cordon that was accepted and not lifted, none that was lifted, and none that
@@ -169,10 +173,10 @@
     cordons: dict[str, CordonState] = {}
     listed: dict[str, set[str]] = {}
     equal_s = equal_after(events)
-    settled_at = _settled_at(events) + (terms.convergence_s if equal_s is None else equal_s)
+    settled_at = _settled_at(events) + (limits.convergence_s if equal_s is None else equal_s)
     for event in events:
         _apply_event(cordons, event)
-        if event.what is What.CORDONS_LISTED and event.at >= settled_at:
+        if event.what is EventType.CORDONS_LISTED and event.at >= settled_at:
             listed[event.scheduler] = set(event.kind.split())
     found = []
     for scheduler, ids in listed.items():
@@ -200,11 +204,11 @@
     digests: dict[str, str] = {}
     equal_since_s: float | None = None
     for event in events:
-        if event.what is What.UP:
+        if event.what is EventType.UP:
             live.add(event.scheduler)
-        elif event.what is What.DOWN:
+        elif event.what is EventType.DOWN:
             live.discard(event.scheduler)
-        elif event.what is What.DIGEST and event.at >= settled_at:
+        elif event.what is EventType.DIGEST and event.at >= settled_at:
             digests[event.scheduler] = event.kind
             if {d for s, d in digests.items() if s in live} != {event.kind} or not live <= set(digests):
                 equal_since_s = None
@@ -213,15 +217,17 @@
     return equal_since_s
 
 
-def recovered(events: list[Event]) -> list[str]:
+def recovery_violations(events: list[Event]) -> list[str]:
     """Check that after all faults each scheduler sends again, and that a cordon set at it comes into force.
 
     Without this rule, a scheduler that never sends would satisfy all other rules.
     """
-    last_fault_end = max((e.at for e in events if e.what in (What.FAULT_ENDED, What.UP)), default=0.0)
-    live = sorted({e.scheduler for e in events if e.what is What.UP})
-    sent = {e.scheduler for e in events if e.what is What.SENT and e.at > last_fault_end}
-    recovery_checks = [e for e in events if e.what is What.RECOVERY_CHECKED and e.at > last_fault_end]
+    last_fault_end = max(
+        (e.at for e in events if e.what in (EventType.FAULT_ENDED, EventType.UP)), default=0.0
+    )
+    live = sorted({e.scheduler for e in events if e.what is EventType.UP})
+    sent = {e.scheduler for e in events if e.what is EventType.SENT and e.at > last_fault_end}
+    recovery_checks = [e for e in events if e.what is EventType.RECOVERY_CHECKED and e.at > last_fault_end]
     found = [
         f"{name} sent nothing after the last fault had ended"
         for name in live
@@ -234,15 +240,15 @@
     ]
 
 
-def copies(events: list[Event], terms: Terms) -> list[str]:
-    """Check that all replicas are equal within `Terms.convergence_s` after the last fault, and stay so."""
-    if not any(e.what is What.UP for e in events):
+def replica_violations(events: list[Event], limits: Limits) -> list[str]:
+    """Check that all replicas are equal within `Limits.convergence_s` after the last fault, and stay so."""
+    if not any(e.what is EventType.UP for e in events):
         return []
     equal_s = equal_after(events)
     if equal_s is None:
         return ["the schedulers' copies of the records did not become or stay equal"]
     return (
         [f"the schedulers' copies of the records became equal only {equal_s:.2f} s after the last fault"]
-        if equal_s > terms.convergence_s
+        if equal_s > limits.convergence_s
         else []
     )
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -3,13 +3,15 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
+from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, EventType, Journal
 
 DRAIN_GRACE_S = 0.55  # the limit of half a second, and 50 ms for delays of sockets
 REJECTION_STATUSES = (429, 503)
 
 
-def broken(journal: Journal, unsafe: Iterable[str], *, ended: bool = True, late_s: float = 0.0) -> list[str]:
+def find_violations(
+    journal: Journal, unsafe: Iterable[str], *, ended: bool = True, late_s: float = 0.0
+) -> list[str]:
     """Check the rules for one scheduler. Returns one line for each violation.
 
     ``unsafe``: the classes whose jobs must not run twice. ``ended``: whether every request must have been
@@ -27,9 +29,9 @@
         found += _attempt_violations(request, request_events, unsafe_classes, late_s)
     found += _drain_violations(events)
     found += [
-        f"{e.worker} was pushed over"
+        f"{e.worker} was sent more than its slow start allows"
         for e in events
-        if e.what is What.OVERLOADED and e.status != UNAVOIDABLE_STATUS
+        if e.what is EventType.OVERLOADED and e.status != UNAVOIDABLE_STATUS
     ]
     return found
 
@@ -38,13 +40,17 @@
     """Check that each request gets exactly one final answer, and 200 only if a worker ran it to its end."""
     counts = Counter(e.what for e in request_events)
     found = []
-    if counts[What.ANSWERED] > 1:
-        found.append(f"{request} was answered {counts[What.ANSWERED]} times")
-    if ended and counts[What.REQUESTED] and not (counts[What.ANSWERED] or counts[What.CLIENT_DISCONNECTED]):
+    if counts[EventType.ANSWERED] > 1:
+        found.append(f"{request} was answered {counts[EventType.ANSWERED]} times")
+    if (
+        ended
+        and counts[EventType.REQUESTED]
+        and not (counts[EventType.ANSWERED] or counts[EventType.CLIENT_DISCONNECTED])
+    ):
         found.append(f"{request} was never answered")
-    served = any(e.what is What.ANSWERED and e.status == 200 for e in request_events)
-    if served and not counts[What.ENDED]:
-        found.append(f"{request} was served with nobody's result")
+    served = any(e.what is EventType.ANSWERED and e.status == 200 for e in request_events)
+    if served and not counts[EventType.ENDED]:
+        found.append(f"{request} got status 200 without the result of a worker")
     return found
 
 
@@ -58,20 +64,20 @@
     may_have_run = False
     kind = next((e.kind for e in request_events if e.kind), "")
     for event in request_events:
-        if event.what is What.SENT:
+        if event.what is EventType.SENT:
             if in_flight and not in_flight <= _workers_ended_within(request_events, event.at, late_s):
                 found.append(f"{request} was sent to {event.worker} while at {', '.join(sorted(in_flight))}")
             if kind in unsafe and may_have_run:
                 found.append(f"{request} ({kind}) was sent again though it may have run")
             in_flight.add(event.worker)
             may_have_run = True
-        elif event.what is What.RETURNED:
+        elif event.what is EventType.RETURNED:
             in_flight.discard(event.worker)
             may_have_run = False  # earlier attempts were returned too, or are reported above
-        elif event.what in (What.ENDED, What.CANCELLED):
+        elif event.what in (EventType.ENDED, EventType.CANCELLED):
             in_flight.discard(event.worker)
         elif (
-            event.what is What.ANSWERED
+            event.what is EventType.ANSWERED
             and event.status in REJECTION_STATUSES
             and kind in unsafe
             and may_have_run
@@ -82,7 +88,7 @@
 
 def _workers_ended_within(request_events: list[Event], at: float, late_s: float) -> set[str]:
     """The workers that recorded the end of their attempt within ``late_s`` after the time ``at``."""
-    ending_events = (What.CANCELLED, What.ENDED, What.RETURNED)
+    ending_events = (EventType.CANCELLED, EventType.ENDED, EventType.RETURNED)
     return (
         {e.worker for e in request_events if e.what in ending_events and at <= e.at <= at + late_s}
         if late_s
@@ -95,12 +101,13 @@
     draining_since: dict[str, float] = {}
     found = []
     for event in events:
-        if event.what is What.DRAINING:
+        if event.what is EventType.DRAINING:
             draining_since.setdefault(event.worker, event.at)
-        elif event.what is What.STARTED:
+        elif event.what is EventType.STARTED:
             draining_since.pop(event.worker, None)
         elif (
-            event.what is What.SENT and event.at - draining_since.get(event.worker, event.at) > DRAIN_GRACE_S
+            event.what is EventType.SENT
+            and event.at - draining_since.get(event.worker, event.at) > DRAIN_GRACE_S
         ):
             late = event.at - draining_since[event.worker]
             found.append(f"{event.worker} got {event.request} {late:.2f} s after it was listed as draining")
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -13,7 +13,7 @@
 import orjson
 
 from robinhill import config, logs
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
@@ -65,7 +65,7 @@
         await asyncio.wait([playing, waiting])
         click.echo(await _table(here, clients.asked))
         unsafe = [k.name for k in site.kinds if k.repeat == "fragile"]
-        faults = broken(here.journal, unsafe, ended=not stopped)
+        faults = find_violations(here.journal, unsafe, ended=not stopped)
         code = await here.program.stop()
     click.echo(f"The scheduler ended with {code}; rules broken: {len(faults)}.")
     for fault in faults[:10]:
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Asked, Clients, Planned, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
@@ -92,7 +92,7 @@
         return Real(
             served_worth(counted),
             {k: served_worth(v) for k, v in kinds.items()},
-            broken(here.journal, unsafe),
+            find_violations(here.journal, unsafe),
             clients.latest_s,
         )
 
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -26,8 +26,8 @@
 import aiohttp
 import orjson
 
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.mesh import Terms, broken, equal_after
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.mesh import Limits, equal_after, find_violations
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
@@ -157,20 +157,20 @@
 
     async def cordon(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
         """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
-        self.journal.record(What.CORDON_REQUESTED, id_, worker, scheduler=name)
+        self.journal.record(EventType.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
         status, reply = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
         if reply.get("accepted"):
-            self.journal.record(What.CORDONED, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.CORDONED, id_, worker, status, scheduler=name)
         if reply.get("in_force"):
-            self.journal.record(What.IN_FORCE, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.IN_FORCE, id_, worker, status, scheduler=name)
         return reply
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
-        self.journal.record(What.LIFT_REQUESTED, id_, worker, scheduler=name)
+        self.journal.record(EventType.LIFT_REQUESTED, id_, worker, scheduler=name)
         status, reply = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
         if reply.get("accepted"):
-            self.journal.record(What.LIFTED, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.LIFTED, id_, worker, status, scheduler=name)
         return reply
 
     async def digest(self, name: str) -> str | None:
@@ -183,7 +183,7 @@
 
         async def look(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
-                self.journal.record(What.DIGEST, kind=digest, scheduler=name)
+                self.journal.record(EventType.DIGEST, kind=digest, scheduler=name)
 
         await asyncio.gather(*map(look, self.names))
 
@@ -198,7 +198,7 @@
 
     async def play_whole(self, schedule: Schedule, equal_within_s: float) -> float | None:
         """Play a schedule and what proves it; seconds until copies were equal, None if they never were."""
-        self.journal.events[:] = [e for e in self.journal.events if e.what is not What.DIGEST]
+        self.journal.events[:] = [e for e in self.journal.events if e.what is not EventType.DIGEST]
         await self.play(schedule)
         equal = await self.equal(equal_within_s)
         await self.lists()
@@ -220,7 +220,7 @@
             status, reply = await self.ask(name, "GET", "/ops/cordons")
             if status == 200:
                 ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
-                self.journal.record(What.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
+                self.journal.record(EventType.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
     async def prove(self) -> None:
         """Once all faults are over: each scheduler serves, and a cordon at each comes into force."""
@@ -230,7 +230,10 @@
             path = cordon_path(f"proof-{name}", PROOF_S)
             _, reply = await self.ask(name, "PUT", path, body)
             self.journal.record(
-                What.RECOVERY_CHECKED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
+                EventType.RECOVERY_CHECKED,
+                worker=worker,
+                status=int(bool(reply.get("in_force"))),
+                scheduler=name,
             )
 
         await self.load(PROOF_LOAD_S)
@@ -242,10 +245,10 @@
         for kept in self._kept.pop(name, []):
             kept.close()
         await self.programs[name].start()
-        self.journal.record(What.UP, scheduler=name)
+        self.journal.record(EventType.UP, scheduler=name)
 
     async def kill(self, name: str) -> None:
-        self.journal.record(What.DOWN, scheduler=name)
+        self.journal.record(EventType.DOWN, scheduler=name)
         await self.programs[name].kill()
         self._keep(name)
 
@@ -291,7 +294,7 @@
 
     async def begin(self, fault: Fault) -> None:
         for name in fault.touched(self.names):
-            self.journal.record(What.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
+            self.journal.record(EventType.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
         harm = link_harm(fault)
         match fault.trouble:
             case Trouble.ONE_WAY | Trouble.DEAF:
@@ -340,7 +343,7 @@
         if fault.trouble in KILLS:
             await self.start(name)
         for touched in fault.touched(self.names):
-            self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=touched)
+            self.journal.record(EventType.FAULT_ENDED, kind=fault.trouble.name, scheduler=touched)
 
     async def play(self, schedule: Schedule) -> None:
         """Faults and calls at their times under load, until all is over and answered."""
@@ -463,7 +466,7 @@
 
     broken: list[str]
     equal_s: float | None
-    counts: Counter[What]
+    counts: Counter[EventType]
     late_s: float  # this machine's own lateness
     journal: Journal
     links: dict[str, int]  # what befell messages between schedulers
@@ -472,8 +475,9 @@
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
         return (
-            f"{n[What.SENT]} sends, {n[What.CORDONED]} of {n[What.CORDON_REQUESTED]} cordons accepted, "
-            f"{n[What.LIFTED]} of {n[What.LIFT_REQUESTED]} lifts; copies equal {equal}; "
+            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of "
+            f"{n[EventType.CORDON_REQUESTED]} cordons accepted, "
+            f"{n[EventType.LIFTED]} of {n[EventType.LIFT_REQUESTED]} lifts; copies equal {equal}; "
             f"this machine was late by {self.late_s:.3f} s at most"
         )
 
@@ -487,8 +491,8 @@
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
         equal = await running.play_whole(schedule, EQUAL_S + SPARE_S)
         late = running.lateness.worst_s
-    terms = Terms(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
-    return running.outcome(broken(running.journal, terms, UNSAFE), equal, late)
+    terms = Limits(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
+    return running.outcome(find_violations(running.journal, terms, UNSAFE), equal, late)
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
--- a/robinhill/gang/gangs.py
+++ b/robinhill/gang/gangs.py
@@ -156,7 +156,7 @@
 
     # Exchange with other schedulers
 
-    def peers(self, now_us: int, gang: str, reported: Progress) -> None:
+    def receive_progress(self, now_us: int, gang: str, reported: Progress) -> None:
         """Apply a changed record of the mesh: the progress of a gang's members at other schedulers."""
         now_us = self._advance(now_us)
         held, updated = self._table.receive(now_us, gang, reported)
@@ -169,7 +169,7 @@
         if held and updated:
             self._record_tail(held)
 
-    def changes(self, now_us: int) -> list[tuple[str, Progress]]:
+    def progress_to_publish(self, now_us: int) -> list[tuple[str, Progress]]:
         """Return the progress of gangs with changed local members, to be written into the mesh.
 
         While a gang is active here, it is returned at most once per evaluation interval. Gangs whose members
@@ -191,7 +191,7 @@
 
     # Evaluation
 
-    def look(self, now_us: int) -> Evaluation:
+    def evaluate(self, now_us: int) -> Evaluation:
         """Compare the members that run here with their peers, and decide on moves.
 
         Returns an empty result if less than half the interval has passed since the last evaluation.
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
+from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, EventType, Journal
 from robinhill.model.describe import Fleet, Machine
 
 
@@ -94,12 +94,12 @@
 
     def take(self, job: Job) -> bool:
         """Whether it takes the job; else it never ran here."""
-        self._note(What.SENT, job)
+        self._note(EventType.SENT, job)
         self._press(job)
         fits = job.slots <= self.machine.slots and job.memory <= self.machine.memory
         full = len(self.waiting) >= self.machine.queue and (self.waiting or not self._fits(job))
         if self.silent or self.lifecycle != "active" or full or not fits:
-            self._note(What.RETURNED, job)
+            self._note(EventType.RETURNED, job)
             return False
         job.left_us = job.work_us
         self.waiting.append(job)
@@ -108,7 +108,7 @@
 
     def cancel(self, request: str) -> None:
         """Waiting work is dropped, where workers do so; what runs goes on, and nobody is told."""
-        self._emit(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
+        self._emit(Event(self.engine.now / 1e6, EventType.CANCELLED, request, self.name))
         for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
             self.waiting.remove(job)
         for job in [*self.running, *self.waiting]:
@@ -123,7 +123,7 @@
         self.silent = True
         for job in [*self.running, *self.waiting]:
             self.wasted_us += job.work_us - job.left_us
-            self._note(What.ENDED, job)
+            self._note(EventType.ENDED, job)
         self.running.clear()
         self.waiting.clear()
         self.programs.clear()
@@ -135,7 +135,7 @@
         """It starts again, cold."""
         self.silent, self.fell, self.started_us, self._at_us = False, False, self.engine.now, self.engine.now
         self.lifecycle = "active"
-        self._emit(Event(self.engine.now / 1e6, What.STARTED, worker=self.name))
+        self._emit(Event(self.engine.now / 1e6, EventType.STARTED, worker=self.name))
 
     def restart(self) -> None:
         """A release: what it runs is killed, and its agent tells; then it starts anew."""
@@ -151,7 +151,7 @@
         self.lifecycle = "leaving"
         if self.fleet.drain_returns:
             for job in self.waiting:
-                self._note(What.RETURNED, job)
+                self._note(EventType.RETURNED, job)
                 job.tell("returned", job)
             self.waiting.clear()
 
@@ -180,7 +180,7 @@
                 break
             self.running.append(job)
             self._fetch(job)
-            self._note(What.EXECUTION_STARTED, job)
+            self._note(EventType.EXECUTION_STARTED, job)
             job.tell("started", job)
         self._plan()
 
@@ -240,7 +240,7 @@
         if over:
             self.running = [job for job in self.running if job.left_us > 1.0]
             for job in over:
-                self._note(What.ENDED, job)
+                self._note(EventType.ENDED, job)
                 if job.quiet:
                     self.wasted_us += job.work_us
                 else:
@@ -266,10 +266,10 @@
             self.fell = True
             told = sum(w for _, w, knew in self._pressed if knew)
             excused = UNAVOIDABLE_STATUS if told * 3 < pressed * 2 else 0
-            self._emit(Event(now / 1e6, What.OVERLOADED, worker=self.name, status=excused))
+            self._emit(Event(now / 1e6, EventType.OVERLOADED, worker=self.name, status=excused))
             self.vanish()
 
-    def _note(self, what: What, job: Job) -> None:
+    def _note(self, what: EventType, job: Job) -> None:
         at = self.engine.now / 1e6
         self._emit(Event(at, what, job.request, self.name, kind=job.kind, scheduler=job.scheduler))
 
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -17,8 +17,8 @@
 from robinhill import api
 from robinhill.admission.admission import Admission
 from robinhill.admission.options import AdmissionOptions
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.rules import broken
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.rules import find_violations
 from robinhill.logic import Balancer
 from robinhill.model.describe import Description, DescriptionError, JobKind, Trouble
 from robinhill.model.engine import Engine
@@ -235,7 +235,7 @@
             self.engine.after(S, self._tell_change, entry)
             return
         if entry.state is not api.WorkerState.READY:
-            self._emit(What.DRAINING, worker=entry.address)
+            self._emit(EventType.DRAINING, worker=entry.address)
         for node in self.nodes:
             if node.subscribed:
                 node.listed(api.WorkersListed(api.ListKind.CHANGES, [entry]))
@@ -256,7 +256,7 @@
             return
         rng = stream(self.seed, CLIENTS, asked.number, wish.tries)
         node = self._choose(candidates, rng)
-        self._emit(What.REQUESTED, str(number), kind=asked.kind)
+        self._emit(EventType.REQUESTED, str(number), kind=asked.kind)
         self._count_present(1)
         since = now
         answered = [False]
@@ -265,7 +265,7 @@
             if answered[0]:
                 return
             answered[0] = True
-            self._emit(What.ANSWERED, str(number), status=status, kind=asked.kind)
+            self._emit(EventType.ANSWERED, str(number), status=status, kind=asked.kind)
             self._count_present(-1)
             self._stays.append(self.engine.now - since)
             self.result.statuses[status] = self.result.statuses.get(status, 0) + 1
@@ -278,7 +278,7 @@
             """Its scheduler has died, or owes it an answer past its time."""
             if not answered[0]:
                 answered[0] = True
-                self._emit(What.CLIENT_DISCONNECTED, str(number))
+                self._emit(EventType.CLIENT_DISCONNECTED, str(number))
                 self._count_present(-1)
                 self._stays.append(self.engine.now - since)
                 if node.alive:
@@ -450,7 +450,7 @@
         r.wasted_s = sum(w.wasted_us for w in self.workers.values()) / S
         r.busy_s = sum(w.busy_us for w in self.workers.values()) / S
         unsafe = [k.name for k in self.d.traffic.kinds if k.repeat == "fragile"]
-        r.broken = broken(self.journal, unsafe)
+        r.broken = find_violations(self.journal, unsafe)
         self._count_present(0)
         span = self.engine.now - START_US
         r.mean_present = self._present_sum / span
@@ -459,5 +459,7 @@
         r.steps = self.engine.steps
         return r
 
-    def _emit(self, what: What, request: str = "", worker: str = "", status: int = 0, kind: str = "") -> None:
+    def _emit(
+        self, what: EventType, request: str = "", worker: str = "", status: int = 0, kind: str = ""
+    ) -> None:
         self.journal.events.append(Event(self.engine.now / 1e6, what, request, worker, status, kind))
--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True)
 class FileContent:
-    """The records of a file; ``lost``: bytes after the last readable frame; ``why``: the reason."""
+    """The records of a file; ``unread_bytes``: bytes after the last readable frame; ``why``: the reason."""
 
     records: list[Record]
-    lost: int = 0
+    unread_bytes: int = 0
     why: str = ""
 
 
@@ -74,7 +74,7 @@
             offset = end
     except RecordingError as e:
         content.why = str(e)
-    content.lost = len(data) - offset
+    content.unread_bytes = len(data) - offset
     return content
 
 
@@ -120,6 +120,6 @@
     for file in found:
         content = read(file)
         records += content.records
-        if content.lost:
-            notes.append(f"{file.name}: the last {content.lost} bytes can't be read: {content.why}")
+        if content.unread_bytes:
+            notes.append(f"{file.name}: the last {content.unread_bytes} bytes can't be read: {content.why}")
     return records, notes
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -441,7 +441,7 @@
 def load_recording(path: Path) -> list[Any]:
     """The records of a recording, which must be complete."""
     reading = read_recording(path)
-    assert not reading.lost
+    assert not reading.unread_bytes
     return reading.records
 
 
--- a/tests/test_checker_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.mesh import Terms, broken, equal_after, late_sends, lists
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.mesh import Limits, equal_after, find_violations, late_sends, list_violations
 
-W = What
-HOLD, SERVE = Terms(0.5, is_hold_mode=True), Terms(0.5, is_hold_mode=False)
+W = EventType
+HOLD, SERVE = Limits(0.5, is_hold_mode=True), Limits(0.5, is_hold_mode=False)
 UP = [(0.0, W.UP, "", "", "", "a"), (0.0, W.UP, "", "", "", "b")]
 SET = [(1.0, W.CORDON_REQUESTED, "c", "w", "", "a"), (1.1, W.CORDONED, "c", "w", "", "a")]
 LIFT = [(2.0, W.LIFT_REQUESTED, "c", "w", "", "b"), (2.1, W.LIFTED, "c", "w", "", "b")]
-Row = tuple[float, What, str, str, str, str]
+Row = tuple[float, EventType, str, str, str, str]
 
 
 def send(at: float, by: str = "b", request: str = "j-0") -> list[Row]:
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "terms, parts, expected",
+    "limits, parts, expected",
     [
         (HOLD, [SET, send(1.5)], ""),
         (HOLD, [SET, send(1.7)], "w got j-0 from b while cordoned by c: 0.100 s past the bound"),
@@ -65,9 +65,9 @@
     ],
 )
 def test_sends_to_a_cordoned_worker_past_the_bound_are_reported(
-    terms: Terms, parts: list[list[Row]], expected: str
+    limits: Limits, parts: list[list[Row]], expected: str
 ) -> None:
-    found = late_sends(journal(*parts).events, terms)
+    found = late_sends(journal(*parts).events, limits)
     assert (expected in found[0]) if expected else not found
 
 
@@ -87,7 +87,7 @@
 def test_missing_lifted_and_unrequested_cordons_are_reported(
     parts: list[list[Row]], expected: list[str]
 ) -> None:
-    assert lists(journal(*parts).events, HOLD) == expected
+    assert list_violations(journal(*parts).events, HOLD) == expected
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     """More than 2 s, or never, is a violation; no other is reported."""
     made = journal(*parts)
     assert equal_after(made.events) == took_s
-    found = broken(made, HOLD, [])
+    found = find_violations(made, HOLD, [])
     assert bool(found) == (took_s is None or took_s > 2.0) and all("copies" in s for s in found)
 
 
@@ -118,9 +118,11 @@
         (1.0, W.EXECUTION_STARTED, "k-0", "w", "charge", "a"),
         (2.0, W.EXECUTION_STARTED, "k-1", "v", "charge", "b"),
     ]
-    assert broken(journal(started_twice, equal), HOLD, ["charge"]) == ["k is unsafe and was started 2 times"]
-    assert not broken(journal(started_twice, equal), HOLD, ["renewal"])
-    (concurrent,) = broken(journal([(1.0, W.SENT, "j-0", "v", "", "a")], send(1.5), equal), HOLD, [])
+    assert find_violations(journal(started_twice, equal), HOLD, ["charge"]) == [
+        "k is unsafe and was started 2 times"
+    ]
+    assert not find_violations(journal(started_twice, equal), HOLD, ["renewal"])
+    (concurrent,) = find_violations(journal([(1.0, W.SENT, "j-0", "v", "", "a")], send(1.5), equal), HOLD, [])
     assert "j-0 was sent to w while at v" in concurrent
 
 
@@ -128,5 +130,8 @@
     """On a busy host, worker v records the cancellation 0.2 s after the next attempt reached worker w."""
     events = [(1.0, W.SENT, "j-0", "v", "", "a"), *send(1.5), (1.7, W.CANCELLED, "j-0", "v", "", "")]
     equal = digests(0.5, a="x", b="x")
-    assert "while at v" in broken(journal(events, equal), Terms(0.5, is_hold_mode=True, late_s=0.1), [])[0]
-    assert not broken(journal(events, equal), Terms(0.5, is_hold_mode=True, late_s=0.3), [])
+    assert (
+        "while at v"
+        in find_violations(journal(events, equal), Limits(0.5, is_hold_mode=True, late_s=0.1), [])[0]
+    )
+    assert not find_violations(journal(events, equal), Limits(0.5, is_hold_mode=True, late_s=0.3), [])
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -4,18 +4,23 @@
 
 import pytest
 
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.rules import broken
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import town
 from robinhill.emulator.site import Site
 
-ASKED, ANSWERED, GONE, SENT = What.REQUESTED, What.ANSWERED, What.CLIENT_DISCONNECTED, What.SENT
-RETURNED, ENDED, CALLED_OFF = What.RETURNED, What.ENDED, What.CANCELLED
+ASKED, ANSWERED, GONE, SENT = (
+    EventType.REQUESTED,
+    EventType.ANSWERED,
+    EventType.CLIENT_DISCONNECTED,
+    EventType.SENT,
+)
+RETURNED, ENDED, CALLED_OFF = EventType.RETURNED, EventType.ENDED, EventType.CANCELLED
 UNSAFE = ["renewal-charge"]
 
 
-def journal(*events: tuple[What, str, int]) -> Journal:
+def journal(*events: tuple[EventType, str, int]) -> Journal:
     """Events of one renewal, each with a worker and a status, a tenth of a second apart."""
     made = Journal()
     for number, (what, worker, status) in enumerate(events):
@@ -32,7 +37,7 @@
         ([(ASKED, "", 0), (GONE, "", 0)], ""),
         ([(ASKED, "", 0)], "never answered"),
         ([(ASKED, "", 0), (ANSWERED, "", 503), (ANSWERED, "", 503)], "answered 2 times"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "nobody's result"),
+        ([(ASKED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "without the result of a worker"),
         ([(ASKED, "", 0), (SENT, "a", 0), (SENT, "b", 0), (ENDED, "a", 0), (ANSWERED, "", 200)],
          "while at a"),
         ([(ASKED, "", 0), (SENT, "a", 0), (CALLED_OFF, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
@@ -41,22 +46,22 @@
         ([(ASKED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (ANSWERED, "", 503)], ""),
     ],
 )  # fmt: skip
-def test_the_checker_sees_what_breaks_a_rule(events: list[tuple[What, str, int]], says: str) -> None:
-    found = broken(journal(*events), UNSAFE)
+def test_the_checker_sees_what_breaks_a_rule(events: list[tuple[EventType, str, int]], says: str) -> None:
+    found = find_violations(journal(*events), UNSAFE)
     assert (says in found[0]) if says else not found
 
 
 def test_the_checker_sees_late_sends_and_pushed_workers() -> None:
     made = Journal(
-        [Event(1.0, What.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
+        [Event(1.0, EventType.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
     )
-    (late,) = broken(made, UNSAFE)
+    (late,) = find_violations(made, UNSAFE)
     assert "a got k 0.70 s after" in late
-    made.events.append(Event(2.0, What.STARTED, worker="a"))
+    made.events.append(Event(2.0, EventType.STARTED, worker="a"))
     made.events.append(Event(3.0, SENT, "l", "a"))
-    assert len(broken(made, UNSAFE)) == 1
-    made.events.append(Event(4.0, What.OVERLOADED, worker="a"))
-    assert "pushed over" in broken(made, UNSAFE)[-1]
+    assert len(find_violations(made, UNSAFE)) == 1
+    made.events.append(Event(4.0, EventType.OVERLOADED, worker="a"))
+    assert "more than its slow start allows" in find_violations(made, UNSAFE)[-1]
 
 
 def test_no_herd_leaves_admission_after_every_worker_was_silent() -> None:
@@ -83,7 +88,7 @@
                 here.discovery.tell(worker)
             await playing
             assert await here.program.stop() == 0
-            return broken(here.journal, UNSAFE), here.journal.started_jobs.total() - before
+            return find_violations(here.journal, UNSAFE), here.journal.started_jobs.total() - before
 
     faults, served_after = asyncio.run(play())
     assert not faults and served_after > 0
@@ -100,8 +105,8 @@
                 await asyncio.sleep(0.05)
             here.discovery.tell(here.workers[0], "leaving")
             await playing
-            assert any(e.what is What.DRAINING for e in here.journal.events)
+            assert any(e.what is EventType.DRAINING for e in here.journal.events)
             assert await here.program.stop() == 0
-            return broken(here.journal, UNSAFE)
+            return find_violations(here.journal, UNSAFE)
 
     assert not asyncio.run(play())
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -58,7 +58,7 @@
                     self.gangs.ended(self.now, job, 0, True)
                 elif job not in self.silent:
                     self.gangs.progress(self.now, job, 0, 1 - self.remaining[job] / 4)
-            self.evaluations.append(self.gangs.look(self.now))
+            self.evaluations.append(self.gangs.evaluate(self.now))
         return self
 
     @property
@@ -186,7 +186,7 @@
     sim.silent = {6, 7}
     sim.run(4)
     sim.now += 30 * S  # without receiving the ends of both
-    found = sim.gangs.look(sim.now)
+    found = sim.gangs.evaluate(sim.now)
     assert {v.reason for v in found.verdicts} == {Reason.PAUSED}
 
 
@@ -201,7 +201,7 @@
         now += INTERVAL
         for i in range(8):
             gangs.progress(now, i, 0, step / (64 if i == 7 else 16))
-        reason = {v.index: v.reason for v in gangs.look(now).verdicts}
+        reason = {v.index: v.reason for v in gangs.evaluate(now).verdicts}
     assert reason[7] is Reason.FEW_PEERS
 
 
@@ -288,15 +288,15 @@
         for i in range(8):
             gangs, at, share = (near, now, step / 64) if i == 7 else (far, now + ahead, step / 16)
             gangs.progress(at, i, 0, share) if share < 1 else gangs.ended(at, i, 0, True)
-        for name, progress in far.changes(now + ahead):
+        for name, progress in far.progress_to_publish(now + ahead):
             in_transit += [(now + delay, name, decode(encode(progress)))] * (2 if doubled else 1)
         rng.shuffle(in_transit)
         for due, name, progress in in_transit:
             if due <= now:
-                near.peers(now, name, progress)
+                near.receive_progress(now, name, progress)
         in_transit = [x for x in in_transit if x[0] > now]
-        stragglers |= {(v.index, v.worker) for v in near.look(now).verdicts if v.lags}
-        assert not any(v.lags for v in far.look(now + ahead).verdicts)
+        stragglers |= {(v.index, v.worker) for v in near.evaluate(now).verdicts if v.lags}
+        assert not any(v.lags for v in far.evaluate(now + ahead).verdicts)
     assert stragglers == {(7, "w7")}
     if delay < S:
         text = near.explain(now, "g").text()
@@ -325,7 +325,7 @@
     for job, (name, index, far, ends) in enumerate(steps):
         if far:
             update = MemberUpdate(index, job, 1, -1, 0, job, 0, 0, "", "w", "p")
-            gangs.peers(T0 + job, f"g{name}", Progress(6, (update,)))
+            gangs.receive_progress(T0 + job, f"g{name}", Progress(6, (update,)))
         else:
             try:
                 gangs.joined(T0 + job, job, Membership(f"g{name}", 6, index), Repeat.SAFE)
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -15,7 +15,7 @@
 import aiohttp
 import pytest
 
-from robinhill.checker.journal import What
+from robinhill.checker.journal import EventType
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
@@ -34,7 +34,7 @@
     """A site whose program has served requests at all of its workers."""
     async with town(Site(kinds=KINDS, changes=dict(changes)), workers=4) as here:
         await play(here, 1.0)
-        assert {e.worker for e in here.journal.events if e.what is What.SENT} == {"w0", "w1", "w2", "w3"}
+        assert {e.worker for e in here.journal.events if e.what is EventType.SENT} == {"w0", "w1", "w2", "w3"}
         yield here
 
 
@@ -63,7 +63,7 @@
 
 
 def sent_to_left(here: Town, since: float) -> int:
-    return sum(e.what is What.SENT and e.worker in LEFT and e.at > since for e in here.journal.events)
+    return sum(e.what is EventType.SENT and e.worker in LEFT and e.at > since for e in here.journal.events)
 
 
 @pytest.mark.parametrize("changes", [ASK, PUSH], ids=["ask", "push"])
@@ -180,7 +180,7 @@
             answers = await play(here, 1.0)
             assert sent_to_left(here, told) == 0 and set(answers) == {503}
             here.discovery.torn = False
-            while not any(e.what is What.SENT and e.at > told for e in here.journal.events):
+            while not any(e.what is EventType.SENT and e.at > told for e in here.journal.events):
                 await play(here, 0.2)
                 assert time.monotonic() - told < 10
             assert set(await play(here, 1.0)) == {200}
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -47,7 +47,9 @@
         content = read(path)
         complete = sum(end <= length for end in ends[1:])
         assert content.records == [r for f in frames[:complete] for r in f]
-        assert content.lost == length - ends[complete] and bool(content.why) == bool(content.lost)
+        assert content.unread_bytes == length - ends[complete] and bool(content.why) == bool(
+            content.unread_bytes
+        )
 
 
 def test_damaged_frame_ends_the_reading_with_a_reason(tmp_path: Path) -> None:
@@ -58,7 +60,7 @@
     for offset in range(first, first + len(frame([arrived(2)]))):
         path.write_bytes(data[:offset] + bytes([data[offset] ^ 0xFF]) + data[offset + 1 :])
         content = read(path)
-        assert content.records == [arrived(1)] and content.lost and content.why
+        assert content.records == [arrived(1)] and content.unread_bytes and content.why
 
 
 def test_reading_other_versions_and_other_files_raises(tmp_path: Path) -> None:
