--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -271,9 +271,9 @@
         in_force_ms = sorted(line["in_force_ms"])
         if in_force_ms:
             print(
-                f"  {len(in_force_ms)} cordons in force after {statistics.median(in_force_ms):.0f} ms "
-                f"(median), {max(in_force_ms):.0f} ms (maximum); {line['not_in_force']} not within "
-                f"{CORDON_TIMEOUT_S} s"
+                f"  in force after {statistics.median(in_force_ms):.0f} ms (median), "
+                f"{max(in_force_ms):.0f} ms (maximum), of {len(in_force_ms)} cordons; "
+                f"{line['not_in_force']} not within {CORDON_TIMEOUT_S} s"
             )
 
 
