--- a/benchmarks/mesh_replica.py
+++ b/benchmarks/mesh_replica.py
@@ -1,6 +1,7 @@
-"""What one copy of shared state costs: `python -m benchmarks.mesh_replica`. Some seconds, no network.
+"""Measures the cost of one replica of the shared state: `python -m benchmarks.mesh_replica`.
 
-CPU of this process for each call (best of five), and memory a record, at 10,000 keyed requests.
+Prints the CPU time of this process for each call (best of five rounds), and the memory per record, with
+10,000 records of requests with an idempotency key. Takes some seconds and uses no network.
 """
 
 import gc
@@ -11,17 +12,17 @@
 import msgspec
 
 from robinhill.mesh import record_kinds
-from robinhill.mesh import snapshot as rest
+from robinhill.mesh import snapshot as snapshot_file
 from robinhill.mesh.records import Record
 from robinhill.mesh.replica import Replica
 
-RECORDS = 10_000
+RECORD_COUNT = 10_000
 NOW_US = 1_800_000_000_000_000
 WINDOW_US = 600_000_000
 ORIGIN = "scheduler-1.zone-a"
 
 
-def fresh() -> Replica:
+def create_replica() -> Replica:
     return Replica(
         ORIGIN,
         NOW_US,
@@ -33,71 +34,103 @@
     return record_kinds.Outcome(state, 1, NOW_US + i, WINDOW_US, "zone-a", ORIGIN, bytes(16))
 
 
-def cpu_s(call: Callable[[], object], prepare: Callable[[], object] = lambda: None, times: int = 1) -> float:
-    """CPU time of one call in seconds: the best of five rounds of ``times`` calls."""
+def cpu_s(
+    call: Callable[[], object], prepare: Callable[[], object] = lambda: None, calls_per_round: int = 1
+) -> float:
+    """Return the CPU time of one call in seconds: the best of five rounds of ``calls_per_round`` calls.
+
+    ``prepare`` is called before each round and is not measured.
+    """
     best = float("inf")
     for _ in range(5):
         prepare()
-        begun = time.process_time()
-        for _ in range(times):
+        start_s = time.process_time()
+        for _ in range(calls_per_round):
             call()
-        best = min(best, (time.process_time() - begun) / times)
+        best = min(best, (time.process_time() - start_s) / calls_per_round)
     return best
 
 
 def main() -> None:
-    source = fresh()
-    keys = [f"club-{i % 50}/{i:08d}" for i in range(RECORDS)]
+    source = create_replica()
+    keys = [f"club-{i % 50}/{i:08d}" for i in range(RECORD_COUNT)]
     for i, key in enumerate(keys):
         source.write(NOW_US + i, "request", key, outcome(record_kinds.PLACED, i))
-    packed = msgspec.msgpack.encode(list(source.snapshot()))
+    encoded = msgspec.msgpack.encode(list(source.snapshot()))
     decode = msgspec.msgpack.Decoder(list[Record]).decode
-    copies = [fresh()]
+    replicas = [create_replica()]
 
-    def take_all(records: list[Record]) -> None:
+    def merge_all(records: list[Record]) -> None:
         for record in records:
-            copies[0].merge(NOW_US + RECORDS, record)
+            replicas[0].merge(NOW_US + RECORD_COUNT, record)
 
     tracemalloc.start()
-    take_all(decode(packed))
+    merge_all(decode(encoded))
     gc.collect()
-    memory = tracemalloc.get_traced_memory()[0] / RECORDS
+    bytes_per_record = tracemalloc.get_traced_memory()[0] / RECORD_COUNT
     tracemalloc.stop()
-    first = decode(packed)
-    now = NOW_US + 2 * RECORDS
-    second = [source.write(now, "request", key, outcome(record_kinds.ENDED, i)) for i, key in enumerate(keys)]
+    initial = decode(encoded)
+    now_us = NOW_US + 2 * RECORD_COUNT
+    updated = [
+        source.write(now_us, "request", key, outcome(record_kinds.ENDED, i)) for i, key in enumerate(keys)
+    ]
 
-    def empty() -> None:
-        copies[0] = fresh()
+    def create_empty() -> None:
+        replicas[0] = create_replica()
 
-    def filled() -> None:
-        empty()
-        take_all(first)
+    def create_filled() -> None:
+        create_empty()
+        merge_all(initial)
 
-    def repair() -> None:
-        copies[0].write(now, "drain", "s", record_kinds.Drain(now, ORIGIN, True, ""))
-        copies[0].digest(now)
+    def write_and_digest() -> None:
+        replicas[0].write(now_us, "drain", "s", record_kinds.Drain(now_us, ORIGIN, True, ""))
+        replicas[0].digest(now_us)
 
-    def walk() -> None:
+    def read_all_changes() -> None:
         cursor = 0
-        while cursor < copies[0].head:
-            cursor = copies[0].since(cursor, 256)[1]
-
-    def save() -> bytes:
-        return b"".join(rest.encode(rest.SnapshotHeader("home", ORIGIN, 1, now), copies[0].snapshot()))
-
-    print(f"on the wire {len(packed) / RECORDS:.0f} bytes a record, in memory {memory:.0f}")
-    print(f"take: new {RECORDS / cpu_s(lambda: take_all(first), empty):,.0f} records/s", end="")
-    print(f", merging {RECORDS / cpu_s(lambda: take_all(second), filled):,.0f}", end="")
-    print(f", known already {RECORDS / cpu_s(lambda: take_all(second)):,.0f}")
-    print(f"digest: {cpu_s(repair, times=500) * 1e6:.1f} us with a write before each", end="")
-    print(f", {cpu_s(lambda: copies[0].digest(now), times=10_000) * 1e6:.2f} us unchanged", end="")
-    print(f"; one range {cpu_s(lambda: copies[0].in_range(7), times=500) * 1e6:.1f} us")
-    print(f"all changes {cpu_s(walk) * 1e3:.1f} ms, save {cpu_s(save) * 1e3:.1f} ms", end="")
-    file = save()
-    print(f", read {cpu_s(lambda: rest.decode(file, 'home')) * 1e3:.1f} ms of {len(file):,} bytes")
-    over = now + WINDOW_US + 60_000_000
-    print(f"collect: {cpu_s(lambda: copies[0].collect(over), filled) * 1e3:.1f} ms for {1_000:,} records")
+        while cursor < replicas[0].head:
+            cursor = replicas[0].since(cursor, 256)[1]
+
+    def encode_snapshot() -> bytes:
+        return b"".join(
+            snapshot_file.encode(
+                snapshot_file.SnapshotHeader("home", ORIGIN, 1, now_us), replicas[0].snapshot()
+            )
+        )
+
+    print(f"{len(encoded) / RECORD_COUNT:.0f} bytes per record encoded, {bytes_per_record:.0f} in memory")
+    print(
+        f"merge: {RECORD_COUNT / cpu_s(lambda: merge_all(initial), create_empty):,.0f} new records/s", end=""
+    )
+    print(
+        f", {RECORD_COUNT / cpu_s(lambda: merge_all(updated), create_filled):,.0f} updated records/s", end=""
+    )
+    print(f", {RECORD_COUNT / cpu_s(lambda: merge_all(updated)):,.0f} unchanged records/s")
+    print(
+        f"digest: {cpu_s(write_and_digest, calls_per_round=500) * 1e6:.1f} us including a write before it",
+        end="",
+    )
+    print(
+        f", {cpu_s(lambda: replicas[0].digest(now_us), calls_per_round=10_000) * 1e6:.2f} us cached", end=""
+    )
+    print(
+        f"; records of one range {cpu_s(lambda: replicas[0].in_range(7), calls_per_round=500) * 1e6:.1f} us"
+    )
+    print(
+        f"read all changes {cpu_s(read_all_changes) * 1e3:.1f} ms, "
+        f"encode a snapshot {cpu_s(encode_snapshot) * 1e3:.1f} ms",
+        end="",
+    )
+    snapshot = encode_snapshot()
+    print(
+        f", decode {cpu_s(lambda: snapshot_file.decode(snapshot, 'home')) * 1e3:.1f} ms"
+        f" for {len(snapshot):,} bytes"
+    )
+    expired_us = now_us + WINDOW_US + 60_000_000
+    print(
+        f"collect: {cpu_s(lambda: replicas[0].collect(expired_us), create_filled) * 1e3:.1f} ms"
+        f" for {1_000:,} expired records"
+    )
 
 
 if __name__ == "__main__":
