--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -123,10 +123,10 @@
     options: argparse.Namespace, voters: list[Program], schedulers: list[Program], standalone: Program
 ) -> Json:
     before = [await read_usage(program) for program in (*voters, *schedulers, standalone)]
-    started_s = time.monotonic()
+    start_s = time.monotonic()
     in_force_ms, failed = await _set_cordons(options, schedulers)
-    await asyncio.sleep(max(0.0, started_s + options.seconds - time.monotonic()))
-    seconds = time.monotonic() - started_s
+    await asyncio.sleep(max(0.0, start_s + options.seconds - time.monotonic()))
+    seconds = time.monotonic() - start_s
     after = [await read_usage(program) for program in (*voters, *schedulers, standalone)]
     rates = [
         {
--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -26,7 +26,7 @@
     Budget,
     Explorer,
     OneBelowMajority,
-    Remaining,
+    RemainingBudget,
     Rules,
     Scheduler,
     SearchResult,
@@ -181,17 +181,17 @@
         return Observer(lease, voter).seal()
 
     def _create_voter(
-        self, name: str, incarnations: list[int], caught_up: bool, names: frozenset[str]
+        self, name: str, incarnations: list[int], caught_up: bool, voter_list: frozenset[str]
     ) -> Scheduler:
-        listed = names if name in names else self.new_list
-        freshness = self.rules.freshness(name, listed, BOUND_US)
+        voters = voter_list if name in voter_list else self.new_list
+        freshness = self.rules.freshness(name, voters, BOUND_US)
         freshness.caught_up = caught_up
         _set_incarnations(freshness, self.names, incarnations)
         node = Scheduler(name, freshness, Acceptance(freshness.quorum), False, incarnations)
         node.seal()
         return node
 
-    def _successor(self, state: State, step: str, remaining: Remaining) -> ControlState:
+    def _successor(self, state: State, step: str, remaining: RemainingBudget) -> ControlState:
         assert isinstance(state, ControlState)
         successor = ControlState(state.now_us, remaining, state.nodes, state.in_transit, state.ping_numbers)
         successor.accepted_us = state.accepted_us
@@ -414,13 +414,13 @@
         done.previous, done.step = sent.previous, f"{sent.step} and its answer arrive"
         return done
 
-    def _crash(self, state: State, index: int, remaining: Remaining) -> State:
+    def _crash(self, state: State, index: int, remaining: RemainingBudget) -> State:
         assert isinstance(state, ControlState)
         successor = super()._crash(state, index, remaining)
         assert isinstance(successor, ControlState)
         name, incarnations = self.names[index], successor.nodes[index].incarnations
-        names = self.new_list if state.reloaded_us[index] >= 0 else self.old_list
-        restarted = self._create_voter(name, incarnations, self.rules.counts_before_catch_up, names)
+        voter_list = self.new_list if state.reloaded_us[index] >= 0 else self.old_list
+        restarted = self._create_voter(name, incarnations, self.rules.counts_before_catch_up, voter_list)
         successor.nodes = _replace_at(successor.nodes, index, restarted)
         successor.settled = _replace_at(
             state.settled, index, state.settled[index] or state.reloaded_us[index] >= 0
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -31,7 +31,7 @@
 DEFAULT_RESULTS_FILE = "mesh-figures.jsonl"
 CORDON_WORKERS = 3  # few, so that each receives jobs often and the time of the last send is precise
 CORDON_LOAD_PER_S = 150.0  # requests; above some 200 the emulators, all in one process, are late themselves
-QUIET_S = 0.4  # observed after the reply to a cordon, for sends that are later still
+OBSERVATION_S = 0.4  # observed after the reply to a cordon, for sends that are later still
 CORDON_TIMEOUT_S = 5.0
 WARM_UP_S = 2.0
 
@@ -95,7 +95,7 @@
         async with rig(processes, folder, seed=options.seed, mesh=mesh, workers=CORDON_WORKERS) as cluster:
             for relay in cluster.relays.values():
                 relay.suffer(link_fault)
-            seconds = WARM_UP_S + options.trials * (QUIET_S + 3 * CORDON_TIMEOUT_S)
+            seconds = WARM_UP_S + options.trials * (OBSERVATION_S + 3 * CORDON_TIMEOUT_S)
             load = asyncio.get_running_loop().create_task(cluster.load(seconds, CORDON_LOAD_PER_S))
             await cluster.journal.until(
                 lambda: all(cluster.journal.started_jobs[w] > 20 for w in cluster.workers)
@@ -130,8 +130,8 @@
     called_s = time.monotonic()
     response = await cluster.cordon(name, worker, id_, CORDON_TIMEOUT_S)
     answer_s = time.monotonic() - called_s
-    await asyncio.sleep(QUIET_S)
-    sent_s = [
+    await asyncio.sleep(OBSERVATION_S)
+    send_times_s = [
         e.at
         for e in cluster.journal.events
         if e.what is What.SENT and e.worker == worker and e.at >= called_s
@@ -144,7 +144,7 @@
         resumed_ms: float | None = (time.monotonic() - lifted_s) * 1000
     except TimeoutError:
         resumed_ms = None
-    last_ms = (max(sent_s, default=called_s) - called_s) * 1000
+    last_ms = (max(send_times_s, default=called_s) - called_s) * 1000
     in_force = bool(response.get("in_force"))
     return {"last_ms": last_ms, "answer_ms": answer_s * 1000, "in_force": in_force, "back_ms": resumed_ms}
 
--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -25,7 +25,7 @@
 from robinhill.mesh.records import Stamp
 
 TICK_US = 1_000
-BOUND_US = 1_500  # one tick, and the allowances for clock rates that add up while ages are relayed
+BOUND_US = 1_500  # one tick, with room for the allowances for clock rates that add up while ages are relayed
 CORDON = Stamp(1, 0, "a", 1)
 
 Link = tuple[str, str]
@@ -54,7 +54,7 @@
     atomic_exchanges: bool = False
 
 
-class Remaining(NamedTuple):
+class RemainingBudget(NamedTuple):
     """The numbers of events that may still happen in a state."""
 
     ticks: int
@@ -163,7 +163,7 @@
     def __init__(
         self,
         now_us: int,
-        remaining: Remaining,
+        remaining: RemainingBudget,
         nodes: tuple[Scheduler, ...],
         in_transit: tuple[tuple[Message, ...], ...],
         ping_numbers: tuple[int, ...],
@@ -221,7 +221,9 @@
         incarnations = [1] * len(self.names)
         nodes = tuple(self._create_scheduler(name, incarnations, caught_up=True) for name in self.names)
         budget = self.budget
-        remaining = Remaining(budget.ticks, budget.pings, budget.crashes, budget.losses, budget.duplicates)
+        remaining = RemainingBudget(
+            budget.ticks, budget.pings, budget.crashes, budget.losses, budget.duplicates
+        )
         return State(0, remaining, nodes, ((),) * len(self.links), (0,) * len(self.links))
 
     def search(self) -> SearchResult:
@@ -305,14 +307,14 @@
         node.seal()
         return node
 
-    def _successor(self, state: State, step: str, remaining: Remaining) -> State:
+    def _successor(self, state: State, step: str, remaining: RemainingBudget) -> State:
         successor = State(state.now_us, remaining, state.nodes, state.in_transit, state.ping_numbers)
         successor.accepted_us = state.accepted_us
         successor.previous = state
         successor.step = step
         return successor
 
-    def _set_cordon(self, state: State, remaining: Remaining) -> State:
+    def _set_cordon(self, state: State, remaining: RemainingBudget) -> State:
         node = state.nodes[0].clone()
         node.has_change = True
         node.acceptance.track(state.now_us, CORDON)
@@ -320,7 +322,7 @@
         self._confirm_own(successor, node)
         return self._with_node(successor, node)
 
-    def _ping(self, state: State, index: int, remaining: Remaining) -> State:
+    def _ping(self, state: State, index: int, remaining: RemainingBudget) -> State:
         link = self.links[index]
         node = state.nodes[self.names.index(link[0])].clone()
         number = state.ping_numbers[index] + 1
@@ -391,7 +393,7 @@
         if confirms and node.acceptance.confirmed(state.now_us, node.name, incarnation, CORDON):
             state.accepted_us = state.now_us
 
-    def _crash(self, state: State, index: int, remaining: Remaining) -> State:
+    def _crash(self, state: State, index: int, remaining: RemainingBudget) -> State:
         """Crash a scheduler and restart it without memory in one step.
 
         A longer outage is the same to the others: they learn of the restart only by its first message.
