--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -253,7 +253,7 @@
     def detect_stragglers(self, scheduler: int) -> None:
         """Evaluate the gangs of one scheduler, carry out its moves, and share its progress records."""
         gangs = self.schedulers[scheduler]
-        evaluation = gangs.look(self.now_us)
+        evaluation = gangs.evaluate(self.now_us)
         for verdict in evaluation.verdicts:
             if verdict.lags:
                 call = self._job(verdict.gang, verdict.index).number, verdict.worker
@@ -267,7 +267,7 @@
         for move in evaluation.moves:
             self.withdraw(move)
         if self.scenario.share_delay_us is not None:
-            for name, progress in gangs.changes(self.now_us):
+            for name, progress in gangs.progress_to_publish(self.now_us):
                 for other in range(len(self.schedulers)):
                     if other != scheduler:
                         self.schedule(
@@ -285,7 +285,7 @@
         return self._index[gang, index]
 
     def receive_progress(self, scheduler: int, name: str, progress: Progress) -> None:
-        self.schedulers[scheduler].peers(self.now_us, name, progress)
+        self.schedulers[scheduler].receive_progress(self.now_us, name, progress)
 
     def withdraw(self, move: Move) -> None:
         """Withdraw the attempt that a scheduler moves, and place the job at another worker."""
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -23,7 +23,7 @@
 
 import orjson
 
-from robinhill.checker.journal import What
+from robinhill.checker.journal import EventType
 from robinhill.emulator.relay import Harm
 from robinhill.emulator.rig import BOUND_MS, EQUAL_S, Rig, play, rig, schedule_of
 
@@ -134,7 +134,7 @@
     send_times_s = [
         e.at
         for e in cluster.journal.events
-        if e.what is What.SENT and e.worker == worker and e.at >= called_s
+        if e.what is EventType.SENT and e.worker == worker and e.at >= called_s
     ]
     await cluster.lift(name, worker, id_, CORDON_TIMEOUT_S)
     lifted_s, started_before = time.monotonic(), cluster.journal.started_jobs[worker]
@@ -159,7 +159,7 @@
 
     def used() -> bool:
         events = cluster.journal.events[first:]
-        return {e.scheduler for e in events if e.what is What.SENT and e.worker == worker} >= set(
+        return {e.scheduler for e in events if e.what is EventType.SENT and e.worker == worker} >= set(
             cluster.names
         )
 
