--- a/robinhill/model/__init__.py
+++ b/robinhill/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the fleet in simulated time, on which two settings or versions are compared (docs/model.md)."""
+"""A simulation of the fleet, that compares two settings or versions of the scheduler (docs/model.md)."""
--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -1,5 +1,6 @@
-"""Two sides on the same situations: paired runs over many seeds on all cores, until the difference is
-known.
+"""Comparison of two sides by paired runs over many seeds, on all cores, until their difference is known.
+
+Both runs of a pair simulate the same seed: the same arrivals, workers and faults.
 """
 
 import multiprocessing
@@ -33,22 +34,25 @@
 
 
 class Version(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A side as a file or a command line names it: what differs from this tree as it stands."""
+    """A side of a comparison as specified by a file or a command line: its changes to this source tree."""
 
     name: str
-    settings: dict[str, Any] = {}  # of api.Settings, by field
+    settings: dict[str, Any] = {}  # values for fields of api.Settings, by the field's name
     clients: dict[str, Any] = {}
     admission: AdmissionOptions | None = None
-    root: str | None = None  # a checked-out tree of another revision, whose module plays
+    root: str | None = None  # checked-out tree of another revision, whose decision module is used
 
     def side(self) -> Side:
-        """For one run of this tree's module; `play` gives it another one where a root is named."""
+        """Return the side for one run. It has this tree's module, which `play` replaces if a root is set."""
         return Side(self.name, dict(self.settings), self.admission, dict(self.clients))
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """A run that came to no result: a crash, a hang, or a broken rule. It is the comparison's result then."""
+    """A run without a valid result: its module crashed, hung, or violated a rule of the checker.
+
+    A comparison ends at the first failed run and reports it in place of a difference.
+    """
 
     side: str
     seed: int
@@ -59,7 +63,11 @@
 
 
 def play(description: Description, version: Version, seed: int, trace: Trace | None = None) -> Outcome:
-    """One run of one side; the trace is drawn from the seed unless one is given."""
+    """Run one side on the situation once. Without a trace, one is drawn from the seed.
+
+    Raises DescriptionError for a faulty description, trace or setting; every other error is returned as a
+    Failed.
+    """
     opened: list[WireModule] = []
     side = version.side()
     if version.root:
@@ -75,17 +83,19 @@
         raise
     except ModuleFailedError as e:
         return Failed(version.name, seed, str(e))
-    except Exception:  # a fault of the module's is a result, and must not end the other side's runs
+    except Exception:  # the module's faults are results, and must not end the other side's runs
         return Failed(version.name, seed, traceback.format_exc(limit=-3).strip().splitlines()[-1])
     finally:
         for module_ in opened:
             module_.close()
     if result.broken:
-        return Failed(version.name, seed, f"broke a rule {len(result.broken)} times: {result.broken[0]}")
+        return Failed(
+            version.name, seed, f"violated the checker's rules {len(result.broken)} times: {result.broken[0]}"
+        )
     return result
 
 
-def _pair(
+def _play_pair(
     description: Description, a: Version, b: Version, trace: Trace | None, seed: int
 ) -> tuple[Any, Any]:
     return play(description, a, seed, trace), play(description, b, seed, trace)
@@ -93,8 +103,8 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """All pairs of a comparison, in the order of their seeds, and what they show. Differences are B less
-    A.
+    """All pairs of a comparison, in the order of their seeds, and their statistics. Differences are side B's
+    values minus side A's.
     """
 
     description: str
@@ -111,31 +121,36 @@
 
     @property
     def verdict(self) -> str:
-        """What it says, in words; no single number hides a class that loses."""
+        """The result in one sentence. It names the job classes that gain and lose, as the overall difference
+        alone would hide a loss.
+        """
         if self.failed:
             first = self.failed[0]
             return f"{first.side} failed on seed {first.seed}: {first.why}"
         found = self.differences["served worth"]
-        if not found.sure:
-            words = f"no difference in served worth was found: {found}"
+        if not found.excludes_zero:
+            text = f"no difference in served worth was found: {found}"
         else:
             better = self.b if found.mean > 0 else self.a
-            words = f"{better} serves more worth: {self.b} less {self.a} is {found}"
+            text = f"{better} serves more worth: {self.b} minus {self.a} is {found}"
         gains = [k for k, i in self.by_kind.items() if i.low > 0]
         losses = [k for k, i in self.by_kind.items() if i.high < 0]
         if gains and losses:
-            words += f"; it helps {', '.join(gains)} and hurts {', '.join(losses)}"
-        return words
+            text += f"; it helps {', '.join(gains)} and hurts {', '.join(losses)}"
+        return text
 
-    def sum_up(self, seed: int) -> None:
-        """Fill in the differences from the pairs there are."""
+    def summarize(self, seed: int) -> None:
+        """Compute means and differences from the pairs run so far; the seed is that of the bootstrap."""
         pairs = list(zip(self.results_a, self.results_b, strict=True))
         if not pairs:
             return
         for name, metric in METRICS.items():
-            ours = [(metric(a), metric(b)) for a, b in pairs]
-            self.means[name] = (sum(x for x, _ in ours) / len(ours), sum(y for _, y in ours) / len(ours))
-            self.differences[name] = interval([y - x for x, y in ours], seed, LOOK_LEVEL)
+            values = [(metric(a), metric(b)) for a, b in pairs]
+            self.means[name] = (
+                sum(x for x, _ in values) / len(values),
+                sum(y for _, y in values) / len(values),
+            )
+            self.differences[name] = interval([y - x for x, y in values], seed, LOOK_LEVEL)
         for kind in pairs[0][0].by_kind:
             self.by_kind[kind] = interval(
                 [_share(b.by_kind, kind) - _share(a.by_kind, kind) for a, b in pairs], seed, LOOK_LEVEL
@@ -164,16 +179,20 @@
     trace: Trace | None = None,
     processes: int | None = None,
     most: int = LOOKS[-1],
-    progress: Callable[[int, str], None] = lambda pairs, words: None,
+    progress: Callable[[int, str], None] = lambda pairs, difference: None,
 ) -> Comparison:
-    """Play pairs until the difference in served worth is known. The same seed gives the same result, bit for
-    bit, whatever the number of processes: pairs count in the order of their seeds."""
+    """Run pairs until `may_stop` ends the comparison by the difference in served worth.
+
+    ``until`` is the half-width of the interval at which the difference counts as known, ``most`` the maximum
+    number of pairs. The same seed gives the same result, bit for bit, for any number of processes, as pairs
+    are evaluated in the order of their seeds.
+    """
     comparison = Comparison(description.name, a.name, b.name)
-    work = partial(_pair, description, a, b, trace)
-    for first, second in _in_order(work, range(seed, seed + most), processes):
+    run_pair = partial(_play_pair, description, a, b, trace)
+    for first, second in _results_in_seed_order(run_pair, range(seed, seed + most), processes):
         comparison.failed += [x for x in (first, second) if isinstance(x, Failed)]
         if comparison.failed:
-            comparison.why = "a side failed"
+            comparison.why = "a run of a side failed"
             break
         comparison.results_a.append(first)
         comparison.results_b.append(second)
@@ -182,38 +201,41 @@
             y.share - x.share for x, y in zip(comparison.results_a, comparison.results_b, strict=True)
         ]
         progress(pairs, f"{sum(differences) / pairs:+.4f}")
-        stop = may_stop(differences, until, seed)
-        if stop.yes:
-            comparison.why = stop.why
+        decision = may_stop(differences, until, seed)
+        if decision.stops:
+            comparison.why = decision.why
             break
     else:
-        comparison.why = f"{most} pairs were asked for"
-    comparison.sum_up(seed)
+        comparison.why = f"the requested maximum of {most} pairs is reached"
+    comparison.summarize(seed)
     return comparison
 
 
-def _in_order(
-    work: Callable[[int], tuple[Any, Any]], seeds: range, processes: int | None
+def _results_in_seed_order(
+    run_pair: Callable[[int], tuple[Any, Any]], seeds: range, processes: int | None
 ) -> Iterator[tuple[Any, Any]]:
-    """Results in the order of the seeds, worked on by as many processes as there are cores."""
+    """Run the pairs in parallel and yield their results in the order of the seeds.
+
+    ``processes`` defaults to the number of cores.
+    """
     count = processes or os.cpu_count() or 1
     if count == 1:
-        yield from map(work, seeds)
+        yield from map(run_pair, seeds)
         return
-    # Started afresh: a copy of this process might hold locks of threads that it does not have.
+    # Not "fork": the copied process could hold locks whose owning threads do not exist in it.
     context = multiprocessing.get_context("forkserver")
     with ProcessPoolExecutor(count, mp_context=context) as pool:
         done: dict[int, tuple[Any, Any]] = {}
         running: dict[Future[tuple[Any, Any]], int] = {}
-        left, wanted = iter(seeds), iter(seeds)
-        turn = next(wanted, None)
+        unstarted, unreported = iter(seeds), iter(seeds)
+        next_seed = next(unreported, None)
         try:
-            while turn is not None:
-                while len(running) < count and (seed := next(left, None)) is not None:
-                    running[pool.submit(work, seed)] = seed
-                while turn is not None and turn in done:
-                    yield done.pop(turn)
-                    turn = next(wanted, None)
+            while next_seed is not None:
+                while len(running) < count and (seed := next(unstarted, None)) is not None:
+                    running[pool.submit(run_pair, seed)] = seed
+                while next_seed is not None and next_seed in done:
+                    yield done.pop(next_seed)
+                    next_seed = next(unreported, None)
                 if running:
                     for future in wait(running, return_when=FIRST_COMPLETED).done:
                         done[running.pop(future)] = future.result()
--- a/robinhill/model/describe.py
+++ b/robinhill/model/describe.py
@@ -1,7 +1,7 @@
-"""Descriptions of traffic, fleet and troubles as JSON files: checked structs, errors name the key.
+"""Descriptions of traffic, fleet and faults as JSON files. Errors of their validation name the faulty key.
 
-Times are in the units that the keys name. A description is all that a run needs beside a seed; a recorded
-trace can stand for its traffic.
+The suffix of a key is its unit. A run needs only a description and a seed; a recorded trace can replace the
+traffic that is drawn from the description.
 """
 
 from pathlib import Path
@@ -16,12 +16,15 @@
 
 
 class DescriptionError(ValueError):
-    """A description, trace or result that can't be used; says where and why."""
+    """A description, trace or setting that can't be used. The message names the place and the fault."""
 
 
 class JobKind(Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of jobs. ``work_ms`` is the mean running time on a core of speed 1, lognormal with the spread
-    ``sigma`` or exponential.
+    """A class of jobs.
+
+    ``share`` is its weight among all arrivals. ``work_ms`` is the mean running time on a core of speed 1;
+    ``lengths`` selects the distribution of running times, for which ``sigma`` is the spread of the lognormal
+    one. A job is served in time within ``aim_ms`` plus ``stretch`` times its own running time.
     """
 
     name: str
@@ -39,8 +42,9 @@
 
 
 class Traffic(Struct, frozen=True, forbid_unknown_fields=True):
-    """What clients ask for. The rate follows a wave of a period; tenants have shares of it, falling as
-    1/rank^skew, and so have schedulers and programs. A job needs one program, where there are any.
+    """The arrivals of jobs. Their rate is a sine wave of relative amplitude ``wave`` and period ``wave_s``
+    around ``rate_per_s``. Tenants, schedulers and programs have shares of it that fall as 1/rank^skew. A job
+    needs one of ``programs`` programs; with 0, jobs need none.
     """
 
     rate_per_s: Positive
@@ -55,7 +59,10 @@
 
 
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
-    """What clients do when they are refused or fail: retries with back-off, some heeding Retry-After."""
+    """Retries of clients after a refusal or an error.
+
+    A client waits for an exponential backoff, or with probability ``heed`` for the time in Retry-After.
+    """
 
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
     back_off_ms: Ms = 200.0
@@ -64,7 +71,7 @@
 
 
 class Machine(Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of worker. ``speed`` is drawn evenly from the range for each one."""
+    """A kind of worker. The speed of each worker is drawn from a uniform distribution over ``speed``."""
 
     name: str
     count: Annotated[int, Meta(ge=1, le=100_000)]
@@ -74,18 +81,18 @@
     speed: tuple[float, float] = (1.0, 1.0)
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 16
     connections: Annotated[int, Meta(ge=1)] = 512
-    programs: Annotated[int, Meta(ge=1)] = 4  # it keeps so many, the last used ones
+    programs: Annotated[int, Meta(ge=1)] = 4  # size of its LRU cache of programs
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    """Workers, schedulers, and what lies between them."""
+    """Workers, schedulers, the network between them, and the settings that schedulers derive from it."""
 
     machines: tuple[Machine, ...]
     schedulers: Annotated[int, Meta(ge=1, le=1000)] = 2
     zones: tuple[str, ...] = ("a",)
-    near_ms: Ms = 0.3  # one way within a zone
-    far_ms: Ms = 8.0  # and between two
-    connect_cost_ms: Ms = 0.5  # work that a new connection costs a worker
+    near_ms: Ms = 0.3  # one-way delay within a zone
+    far_ms: Ms = 8.0  # one-way delay between two zones
+    connect_cost_ms: Ms = 0.5  # core time that a worker spends on a new connection
     connect_timeout_ms: Positive = 200.0
     cold_s: Positive = 8.8
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32
@@ -93,22 +100,22 @@
     tip_after_s: Positive = 1.0
     list_delay_s: tuple[float, float] = (0.5, 2.0)
     drain_returns: bool = True
-    fetch_ms: Ms = 0.0  # work to fetch a program that a worker does not have
-    cancel_drops: bool = True  # a cancel takes waiting work out of the queue
+    fetch_ms: Ms = 0.0  # core time that a worker spends on fetching a program outside its cache
+    cancel_drops: bool = True  # a cancelled job is removed from the worker's queue
     probes: bool = True
     waste_price: Annotated[float, Meta(ge=0)] = 0.02
     handshake_price: Annotated[float, Meta(ge=0)] = 0.0
-    keepalive_s: Positive = 15.0  # idle connections are closed after it
+    keepalive_s: Positive = 15.0  # time after which a worker closes an idle connection
     max_retry_after_s: Annotated[float, Meta(ge=0)] = 2.0
     most_tries: Annotated[int, Meta(ge=1)] = 4
 
 
-class Trouble(Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that goes wrong from ``at_s`` for ``for_s``.
+class Fault(Struct, frozen=True, forbid_unknown_fields=True):
+    """A fault or a surge of load that begins at ``at_s`` and lasts ``for_s``.
 
-    ``part`` is the share of workers (or of schedulers for ``crash``, of a zone's workers for ``partition``)
-    that it strikes, ``size`` a factor (``surge``, ``slow``), or a share of
-    jobs (``errors``).
+    ``part`` is the share of workers that it affects, or of schedulers for ``crash``; ``surge``, ``partition``
+    and ``discovery`` ignore it. ``size`` is the factor of the arrival rate (``surge``) or of the running time
+    (``slow``), or the share of jobs that fail (``errors``).
     """
 
     kind: Literal["silent", "surge", "slow", "release", "drain", "crash", "partition", "errors", "discovery"]
@@ -119,34 +126,34 @@
 
 
 class Description(Struct, frozen=True, forbid_unknown_fields=True):
-    """One situation: how long it lasts, what is asked for, who serves it and what goes wrong."""
+    """One situation to simulate: its duration, traffic, fleet, clients and faults."""
 
     name: str
     seconds: Positive
     traffic: Traffic
     fleet: Fleet
     clients: Clients = Clients()
-    troubles: tuple[Trouble, ...] = ()
-    warm_s: Ms = 0.0  # what is asked before counts nowhere
+    troubles: tuple[Fault, ...] = ()
+    warm_s: Ms = 0.0  # requests that arrive before are excluded from the served worth
 
     def __post_init__(self) -> None:
         names = [k.name for k in self.traffic.kinds]
         if not names or len(set(names)) < len(names):
-            raise ValueError("traffic.kinds: must name at least one class, and each once")
+            raise ValueError("traffic.kinds: must contain at least one class, and each name only once")
         for number, machine in enumerate(self.fleet.machines):
             low, high = machine.speed
             if not 0 < low <= high:
                 raise ValueError(
-                    f"fleet.machines[{number}].speed: must be two numbers above 0, the lower first"
+                    f"fleet.machines[{number}].speed: must be two numbers above 0, the lower one first"
                 )
         if not self.fleet.machines:
-            raise ValueError("fleet.machines: must hold at least one kind")
+            raise ValueError("fleet.machines: must contain at least one kind")
         if self.warm_s >= self.seconds:
-            raise ValueError("warm_s: must be less than seconds")
+            raise ValueError("warm_s: must be less than seconds, the duration of the situation")
 
 
 def read(path: Path) -> Description:
-    """A description from a file; a DescriptionError names the file and the faulty key."""
+    """Read a description from a file. Raises DescriptionError with the file and the faulty key."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Description)
     except OSError as e:
--- a/robinhill/model/recorded.py
+++ b/robinhill/model/recorded.py
@@ -1,4 +1,4 @@
-"""A recording of real traffic as a trace: each job's length from how long it ran where it was served."""
+"""Conversion of a recording of real traffic to a trace. A job's length is its running time at its worker."""
 
 from pathlib import Path
 from statistics import median
@@ -8,31 +8,32 @@
 from robinhill.record.frames import read_all
 from robinhill.record.records import Answered, Arrived, Attempted, Dropped
 
-CLOCK_STEP_US = 5_000_000  # a record so far before the one in front of it tells of a step of the clock
+CLOCK_STEP_US = 5_000_000  # a time this far before the latest one is a step of the clock, not reordering
 
 
 def load(path: Path, kinds: tuple[JobKind, ...]) -> Trace:
-    """The wishes in a recording, first tries alone: the model's clients make their own retries.
+    """Read a recording as a trace. Clients' retries are left out, as the model's clients make their own.
 
-    What was never served has its class's median length. Raises DescriptionError with the place for what
-    can't be used; what was mended stands in the trace's ``repairs``.
+    A job that was never served gets its class's median length, or without any served job of its class the
+    mean of the description. The trace's ``repairs`` list what was repaired. Raises DescriptionError, with the
+    place in the recording, for a fault that can't be repaired.
     """
     records, notes = read_all(path)
     arrivals: list[Arrived] = []
-    ran: dict[int, int] = {}
+    ran_us_by_id: dict[int, int] = {}
     dropped = 0
-    latest = 0
+    latest_us = 0
     for number, record in enumerate(records):
-        if record.at_us < latest - CLOCK_STEP_US:
+        if record.at_us < latest_us - CLOCK_STEP_US:
             raise DescriptionError(
-                f"{path}: record {number}: the clock steps back by {(latest - record.at_us) / 1e6:.1f} s"
+                f"{path}: record {number}: the clock steps back by {(latest_us - record.at_us) / 1e6:.1f} s"
             )
-        latest = max(latest, record.at_us)
+        latest_us = max(latest_us, record.at_us)
         match record:
             case Arrived():
                 arrivals.append(record)
             case Attempted(id=wire_id, outcome="completed", ran_us=ran_us) if ran_us >= 0:
-                ran[wire_id] = ran_us
+                ran_us_by_id[wire_id] = ran_us
             case Dropped(count=count):
                 dropped += count
             case Answered() | _:
@@ -41,27 +42,27 @@
     lengths: dict[str, list[int]] = {}
     for a in arrivals:
         if a.kind not in known:
-            raise DescriptionError(f"{path}: class {a.kind!r} is not among those of the description")
-        if a.id in ran:
-            lengths.setdefault(a.kind, []).append(ran[a.id])
-    usual = {k.name: median(lengths[k.name]) if k.name in lengths else k.work_ms * 1000 for k in kinds}
+            raise DescriptionError(f"{path}: class {a.kind!r} is not among the classes of the description")
+        if a.id in ran_us_by_id:
+            lengths.setdefault(a.kind, []).append(ran_us_by_id[a.id])
+    default_us = {k.name: median(lengths[k.name]) if k.name in lengths else k.work_ms * 1000 for k in kinds}
     tenants: dict[int, int] = {}
-    asked = [
+    requests = [
         Asked(
             n,
             a.at_us,
             a.kind,
             tenants.setdefault(a.tenant, len(tenants)),
-            float(ran.get(a.id, usual[a.kind])),
+            float(ran_us_by_id.get(a.id, default_us[a.kind])),
             a.time_left_us,
         )
         for n, a in enumerate(a for a in arrivals if not a.is_client_retry)
     ]
-    trace = mend(asked)
-    unserved = sum(a.id not in ran for a in arrivals)
+    trace = mend(requests)
+    unserved = sum(a.id not in ran_us_by_id for a in arrivals)
     if unserved:
-        notes.append(f"{unserved} requests were never served and got their class's median length")
+        notes.append(f"{unserved} requests were never served; each got the median length of its class")
     if dropped:
-        notes.append(f"{dropped} records were dropped while recording")
+        notes.append(f"{dropped} records were dropped by the recorder")
     trace.repairs = notes + trace.repairs
     return trace
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -20,7 +20,7 @@
 from robinhill.checker.journal import Event, Journal, What
 from robinhill.checker.rules import broken
 from robinhill.logic import Balancer
-from robinhill.model.describe import Description, DescriptionError, JobKind, Trouble
+from robinhill.model.describe import Description, DescriptionError, Fault, JobKind
 from robinhill.model.engine import Engine
 from robinhill.model.node import RETIRED_SHARE, Arrival, Module, Node
 from robinhill.model.trace import Asked, Trace
@@ -324,7 +324,7 @@
 
     # Troubles
 
-    def _plan(self, trouble: Trouble, number: int) -> None:
+    def _plan(self, trouble: Fault, number: int) -> None:
         at, end = START_US + trouble.at_s * S, START_US + (trouble.at_s + trouble.for_s) * S
         rng = stream(self.seed, TROUBLES, number)
         workers = list(self.workers.values())
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -21,11 +21,11 @@
     Clients,
     Description,
     DescriptionError,
+    Fault,
     Fleet,
     JobKind,
     Machine,
     Traffic,
-    Trouble,
     read,
     write,
 )
@@ -98,10 +98,10 @@
     assert not result.broken and 0.5 < result.share <= 1.0
 
 
-@pytest.mark.parametrize("name", sorted(sites.TROUBLES))
+@pytest.mark.parametrize("name", sorted(sites.FAULTS))
 def test_every_situation_ends_with_one_answer_for_each_request(name: str) -> None:
     description = replace(
-        SMALL, troubles=tuple(replace(t, at_s=t.at_s / 4, for_s=t.for_s / 4) for t in sites.TROUBLES[name])
+        SMALL, troubles=tuple(replace(t, at_s=t.at_s / 4, for_s=t.for_s / 4) for t in sites.FAULTS[name])
     )
     for side in (Side(), Side(admission=AdmissionOptions(enabled=True))):
         result = World(description, draw(description, 5), side, 5).play()
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("kind", ["drain", "crash", "partition", "errors", "discovery"])
 def test_the_other_troubles_play_and_keep_the_rules(kind: Any) -> None:
-    trouble = Trouble(kind, 4.0, 3.0, part=0.5, size=0.3 if kind == "errors" else 2.0)
+    trouble = Fault(kind, 4.0, 3.0, part=0.5, size=0.3 if kind == "errors" else 2.0)
     description = replace(SMALL, troubles=(trouble,))
     result = World(description, draw(description, 6), Side(), 6).play()
     assert not result.broken and result.served < result.wanted * 1.0001
@@ -167,32 +167,32 @@
     assert "no difference" in same.verdict
 
 
-def test_a_side_that_fails_is_the_result_and_no_mean_is_made() -> None:
+def test_a_failed_side_is_reported_and_no_differences_are_computed() -> None:
     class Crashing(Balancer):
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
             if self.state.sends > 40:
-                raise RuntimeError("lost its way")
+                raise RuntimeError("injected crash")
             return super().handle(now, event)
 
-    class Breaking(Balancer):
-        """Now and then sends a job twice at once."""
+    class DuplicateSending(Balancer):
+        """Sends a job twice at once whenever the number of its sends is a multiple of 50."""
 
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
             actions = super().handle(now, event)
             return actions + [a for a in actions if isinstance(a, api.Send) and self.state.sends % 50 == 0]
 
-    class Sided(Version, frozen=True):
+    class FailingVersion(Version, frozen=True):
         def side(self) -> Side:
-            made = super().side()
-            made.module = Crashing if self.name == "crash" else Breaking
-            return made
+            side = super().side()
+            side.module = Crashing if self.name == "crash" else DuplicateSending
+            return side
 
-    for name, says in (("crash", "lost its way"), ("rules", "broke a rule")):
-        outcome = play(SMALL, Sided(name), 2)
-        assert isinstance(outcome, Failed) and says in outcome.why, outcome
-    done = Comparison("small", "a", "b", failed=[Failed("b", 3, "broke a rule")])
-    done.sum_up(1)
-    assert done.verdict == "b failed on seed 3: broke a rule" and not done.differences
+    for name, reason in (("crash", "injected crash"), ("rules", "violated the checker's rules")):
+        outcome = play(SMALL, FailingVersion(name), 2)
+        assert isinstance(outcome, Failed) and reason in outcome.why, outcome
+    comparison = Comparison("small", "a", "b", failed=[Failed("b", 3, "reason")])
+    comparison.summarize(1)
+    assert comparison.verdict == "b failed on seed 3: reason" and not comparison.differences
 
 
 def test_another_revisions_module_plays_over_the_wire_as_the_same_module_here() -> None:
@@ -219,7 +219,7 @@
         Traffic(36.0, (kind,)),
         Fleet((Machine("std", 5, cores=4, slots=4),), schedulers=2, max_retry_after_s=0.0),
         Clients(retries=retries, back_off_ms=20, back_off_factor=1.0, heed=0.0),
-        (Trouble("surge", 10, 6, size=3.0),),
+        (Fault("surge", 10, 6, size=3.0),),
     )
 
 
