--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -1,7 +1,6 @@
-"""A scheduler in simulated time: the real decision module, admission control where it is on, and a network
-round them.
+"""A scheduler in simulated time: the real decision module and admission control in a simulated network.
 
-What the sockets do on a site is here a few delays and outcomes, as PROTOCOL's table tells them.
+The network is simulated by delays and by the outcomes of attempts that the protocol's table defines.
 """
 
 from collections import Counter
@@ -17,12 +16,13 @@
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
 
-RETIRED_SHARE = 0.6  # of the time after which idle connections are closed: ours are retired then
-ADDRESS = "10.0.0.1"
+# Schedulers stop reusing an idle connection after this share of the time at which the worker closes it.
+IDLE_RETIREMENT_SHARE = 0.6
+CLIENT_ADDRESS = "10.0.0.1"
 
 
-class Module(Protocol):
-    """The decision module, or one of another revision behind a pipe."""
+class DecisionModule(Protocol):
+    """The interface of this tree's decision module and of another revision's module in its own process."""
 
     def start(self, now: int) -> list[api.Action]: ...
     def handle(self, now: int, event: api.Event) -> list[api.Action]: ...
@@ -30,34 +30,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A client's try as it reaches a scheduler; ``work_us`` on a core of speed 1."""
+    """A client's request on its arrival at a scheduler. ``work_us`` is its running time on a core of speed 1;
+    ``is_retry`` tells that the client has sent the same job before.
+    """
 
     number: int
     kind: int
     tenant: int
     work_us: float
     deadline_us: int
-    again: bool = False
+    is_retry: bool = False
     program: int = -1
 
 
-Answer = Callable[[int, int], None]  # status, microseconds to stay away
+AnswerCallback = Callable[[int, int], None]  # HTTP status and the time of Retry-After in microseconds
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _PendingRequest:
     arrival: Arrival
-    until_us: int
-    answer: Answer
+    expires_at_us: int
+    answer: AnswerCallback
     addresses: list[str] = field(default_factory=list)
     sent_us: list[int] = field(default_factory=list)
-    out: set[int] = field(default_factory=set)
-    owed: bool = True
+    in_flight: set[int] = field(default_factory=set)
+    unanswered: bool = True
 
 
 @dataclass(slots=True)
 class Counts:
-    """What a scheduler did."""
+    """Counters of one scheduler."""
 
     tries: int = 0
     crossings: int = 0
@@ -68,88 +70,94 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One scheduler. Outcomes come back after the way's time; a worker that is silent says nothing."""
+    """One scheduler. It receives a worker's reports after the network's delay; a silent worker sends none."""
 
     name: str
     zone: int
     engine: Engine
-    module: Module
+    module: DecisionModule
     admission: Admission | None
     workers: dict[str, Worker]
-    kinds: tuple[Any, ...]  # of the description
-    way_us: Callable[[int, int], float]  # between two zones, one way
+    kinds: tuple[Any, ...]  # the JobKinds of the description
+    one_way_us: Callable[[int, int], float]  # by the zones of sender and receiver
     connect_timeout_us: int
-    fails: Callable[[Worker], bool]  # whether a job that begins there is to end in an error
-    retire_us: float  # idle connections are retired after it
+    fails: Callable[[Worker], bool]  # draws whether the next job at this worker ends in an error
+    retire_after_us: float  # a connection that was idle for longer is not reused
     counts: Counts = field(default_factory=Counts)
     alive: bool = True
     subscribed: bool = False
     on_subscribe: Callable[["Node"], None] = lambda node: None
-    held: dict[int, _Held] = field(default_factory=dict)
-    idle: dict[str, list[int]] = field(default_factory=dict)  # when idle connections were last used
+    pending: dict[int, _PendingRequest] = field(default_factory=dict)
+    idle: dict[str, list[int]] = field(default_factory=dict)  # times of last use of each idle connection
     tenants: dict[int, Caller] = field(default_factory=dict)
-    starts: dict[str, int] = field(default_factory=dict)  # workers' last starts, as far as it was told
+    known_starts_us: dict[str, int] = field(default_factory=dict)  # workers' last starts that it has received
     _admission_due_us: int | None = None
 
     def start(self) -> None:
         self._perform(self.module.start(self.engine.now))
 
-    def listed(self, event: api.WorkersListed) -> None:
+    def update_workers(self, event: api.WorkersListed) -> None:
         if self.alive:
             if event.kind is api.ListKind.FAILED:
                 self.subscribed = False
-            self.starts.update((w.address, w.started_us) for w in event.workers)
-            self._decide(event)
+            self.known_starts_us.update((w.address, w.started_us) for w in event.workers)
+            self._handle_event(event)
 
     def crash(self) -> None:
-        """It is gone: clients hear nothing, and what it sent runs on."""
+        """Stop the scheduler. Its clients receive no answers, and the workers execute what it has sent."""
         self.alive = False
-        self.held.clear()
+        self.pending.clear()
 
     # Requests
 
-    def take(self, arrival: Arrival, answer: Answer) -> None:
-        """A client's request is here."""
+    def receive_request(self, arrival: Arrival, answer: AnswerCallback) -> None:
+        """Pass a client's request to admission control, or without it directly to the decision module."""
         now = self.engine.now
-        held = _Held(arrival, now + arrival.deadline_us, answer)
-        self.held[arrival.number] = held
-        self.engine.at(held.until_us, self._deadline, arrival.number)
+        pending = _PendingRequest(arrival, now + arrival.deadline_us, answer)
+        self.pending[arrival.number] = pending
+        self.engine.at(pending.expires_at_us, self._deadline_passed, arrival.number)
         if self.admission is None:
-            self._let_in(arrival.number)
+            self._admit(arrival.number)
             return
         if (caller := self.tenants.get(arrival.tenant)) is None:
-            caller = self.admission.directory.find(f"tenant-{arrival.tenant}", ADDRESS)
+            caller = self.admission.directory.find(f"tenant-{arrival.tenant}", CLIENT_ADDRESS)
             self.tenants[arrival.tenant] = caller
         caller = Caller(caller.tenant, caller.name, -1, caller.fingerprint ^ arrival.number)
-        ask = AdmissionRequest(arrival.number, arrival.kind, caller, now, arrival.deadline_us)
-        self._at_admission(self.admission.arrive(now, ask))
+        admission_request = AdmissionRequest(arrival.number, arrival.kind, caller, now, arrival.deadline_us)
+        self._perform_admission(self.admission.arrive(now, admission_request))
 
-    def leave(self, number: int) -> None:
-        """Its client has gone."""
-        held = self.held.get(number)
-        if held is None or not held.owed or not self.alive:
+    def client_disconnected(self, number: int) -> None:
+        """Stop answering a request, as its client has disconnected.
+
+        If it waits in the queue of admission control it is removed there; otherwise the decision module is
+        notified.
+        """
+        pending = self.pending.get(number)
+        if pending is None or not pending.unanswered or not self.alive:
             return
-        held.owed = False
-        waits = self.admission.is_queued(number) if self.admission else False
+        pending.unanswered = False
+        was_queued = self.admission.is_queued(number) if self.admission else False
         if self.admission:
-            self._at_admission(self.admission.client_disconnected(self.engine.now, number))
-        if not waits:
-            self._decide(api.ClientDisconnected(number))
-        self._forget(number)
-
-    def _let_in(self, number: int) -> None:
-        held = self.held[number]
-        arrival, left = held.arrival, held.until_us - self.engine.now
-        request = api.Request(number, arrival.kind, max(1, left), tenant=0, client_repeat=arrival.again)
-        self._decide(api.Arrived(request))
-
-    def _at_admission(self, actions: list[AdmissionAction]) -> None:
+            self._perform_admission(self.admission.client_disconnected(self.engine.now, number))
+        if not was_queued:
+            self._handle_event(api.ClientDisconnected(number))
+        self._remove_if_finished(number)
+
+    def _admit(self, number: int) -> None:
+        pending = self.pending[number]
+        arrival, time_left_us = pending.arrival, pending.expires_at_us - self.engine.now
+        request = api.Request(
+            number, arrival.kind, max(1, time_left_us), tenant=0, client_repeat=arrival.is_retry
+        )
+        self._handle_event(api.Arrived(request))
+
+    def _perform_admission(self, actions: list[AdmissionAction]) -> None:
         for action in actions:
             if isinstance(action, Admit):
-                self._let_in(action.number)
+                self._admit(action.number)
             else:
                 self.counts.refused[action.reason.value] += 1
-                self._final(action.number, 429 if action.tenant_limit else 503, action.retry_us)
+                self._answer(action.number, 429 if action.tenant_limit else 503, action.retry_us)
         assert self.admission
         due = self.admission.next_us
         if due is not None and (self._admission_due_us is None or due < self._admission_due_us):
@@ -159,33 +167,33 @@
     def _admission_tick(self, due: int) -> None:
         if self.alive and self.admission and self._admission_due_us == due:
             self._admission_due_us = None
-            self._at_admission(self.admission.tick(self.engine.now))
+            self._perform_admission(self.admission.tick(self.engine.now))
 
-    def _deadline(self, number: int) -> None:
-        """The client's limit: attempts that are out have timed out."""
-        held = self.held.get(number)
-        if held is None or not self.alive:
+    def _deadline_passed(self, number: int) -> None:
+        """The request's deadline has passed: cancel its attempts in flight and report them as timed out."""
+        pending = self.pending.get(number)
+        if pending is None or not self.alive:
             return
-        for attempt in sorted(held.out):
-            self._call_off(held, attempt)
-            self._ended(number, attempt, api.Outcome.TIMEOUT)
+        for attempt in sorted(pending.in_flight):
+            self._send_cancel(pending, attempt)
+            self._attempt_ended(number, attempt, api.Outcome.TIMEOUT)
 
-    def _final(self, number: int, status: int, wait_us: int = 0) -> None:
-        held = self.held.get(number)
-        if held is None or not held.owed:
+    def _answer(self, number: int, status: int, retry_after_us: int = 0) -> None:
+        pending = self.pending.get(number)
+        if pending is None or not pending.unanswered:
             return
-        held.owed = False
-        held.answer(status, wait_us)
-        self._forget(number)
+        pending.unanswered = False
+        pending.answer(status, retry_after_us)
+        self._remove_if_finished(number)
 
-    def _forget(self, number: int) -> None:
-        held = self.held.get(number)
-        if held and not held.owed and not held.out:
-            del self.held[number]
+    def _remove_if_finished(self, number: int) -> None:
+        pending = self.pending.get(number)
+        if pending and not pending.unanswered and not pending.in_flight:
+            del self.pending[number]
 
-    # The module
+    # Decision module
 
-    def _decide(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         if self.alive:
             self._perform(self.module.handle(self.engine.now, event))
 
@@ -194,17 +202,17 @@
             match action:
                 case api.Send(job=number, address=address, timeout_us=timeout):
                     self._send(number, address, timeout)
-                case api.Reject(job=number, retry_in_us=wait):
+                case api.Reject(job=number, retry_in_us=retry_after_us):
                     self.counts.refused["module"] += 1
-                    self._over_at_admission(number, False)
-                    self._final(number, 503, wait)
+                    self._end_admission(number, False)
+                    self._answer(number, 503, retry_after_us)
                 case api.Fail(job=number):
-                    self._over_at_admission(number, False)
-                    self._final(number, 502)
+                    self._end_admission(number, False)
+                    self._answer(number, 502)
                 case api.Cancel(job=number, attempt=attempt):
-                    self._withdraw(number, attempt)
+                    self._cancel(number, attempt)
                 case api.SetTimer(after_us=after, tag=tag):
-                    self.engine.after(after, self._decide, api.TimerFired(tag))
+                    self.engine.after(after, self._handle_event, api.TimerFired(tag))
                 case api.Subscribe():
                     self.subscribed = True
                     self.on_subscribe(self)
@@ -213,137 +221,140 @@
                 case api.CloseIdle(address=address):
                     self._close_idle(address)
 
-    def _over_at_admission(self, number: int, served: bool) -> None:
+    def _end_admission(self, number: int, served: bool) -> None:
         if self.admission:
-            self._at_admission(self.admission.ended(self.engine.now, number, served))
+            self._perform_admission(self.admission.ended(self.engine.now, number, served))
 
     # Attempts
 
     def _send(self, number: int, address: str, timeout_us: int) -> None:
-        held, worker, now = self.held[number], self.workers[address], self.engine.now
-        attempt = len(held.addresses)
-        held.addresses.append(address)
-        held.sent_us.append(now)
-        held.out.add(attempt)
+        pending, worker, now = self.pending[number], self.workers[address], self.engine.now
+        attempt = len(pending.addresses)
+        pending.addresses.append(address)
+        pending.sent_us.append(now)
+        pending.in_flight.add(attempt)
         self.counts.tries += 1
         self.counts.crossings += worker.zone != self.zone
         if self.admission and attempt == 0:
-            self._at_admission(self.admission.placed(now, number))
-        if timeout_us and now + timeout_us < held.until_us:
-            self.engine.after(timeout_us, self._timed_out, number, attempt)
-        way = self.way_us(self.zone, worker.zone)
-        idle = [t for t in self.idle.get(address, []) if now - t < self.retire_us]
+            self._perform_admission(self.admission.placed(now, number))
+        if timeout_us and now + timeout_us < pending.expires_at_us:
+            self.engine.after(timeout_us, self._attempt_timed_out, number, attempt)
+        delay_us = self.one_way_us(self.zone, worker.zone)
+        idle = [t for t in self.idle.get(address, []) if now - t < self.retire_after_us]
         if idle:
             idle.pop()
             self.idle[address] = idle
-            self.engine.after(way, self._arrive, number, attempt, worker)
+            self.engine.after(delay_us, self._deliver, number, attempt, worker)
             return
         self.idle[address] = idle
         self.counts.connects += 1
-        self.engine.after(2 * way, self._connected, number, attempt, worker)
+        self.engine.after(2 * delay_us, self._connected, number, attempt, worker)
 
     def _connected(self, number: int, attempt: int, worker: Worker) -> None:
         if not worker.reachable(self.zone) or not worker.connect():
-            rest = max(0.0, self.connect_timeout_us - 2 * self.way_us(self.zone, worker.zone))
-            self.engine.after(rest, self._unconnected, number, attempt)
+            remaining_us = max(0.0, self.connect_timeout_us - 2 * self.one_way_us(self.zone, worker.zone))
+            self.engine.after(remaining_us, self._connect_failed, number, attempt)
             return
-        if not self._waits_for(number, attempt):
+        if not self._is_in_flight(number, attempt):
             worker.disconnect()
             return
-        self.engine.after(self.way_us(self.zone, worker.zone), self._arrive, number, attempt, worker)
+        self.engine.after(self.one_way_us(self.zone, worker.zone), self._deliver, number, attempt, worker)
 
-    def _unconnected(self, number: int, attempt: int) -> None:
-        if self._waits_for(number, attempt):
-            self._ended(number, attempt, api.Outcome.CONNECT_FAILED)
+    def _connect_failed(self, number: int, attempt: int) -> None:
+        if self._is_in_flight(number, attempt):
+            self._attempt_ended(number, attempt, api.Outcome.CONNECT_FAILED)
 
-    def _waits_for(self, number: int, attempt: int) -> bool:
-        held = self.held.get(number)
-        return self.alive and held is not None and attempt in held.out
+    def _is_in_flight(self, number: int, attempt: int) -> bool:
+        pending = self.pending.get(number)
+        return self.alive and pending is not None and attempt in pending.in_flight
 
-    def _arrive(self, number: int, attempt: int, worker: Worker) -> None:
-        """The request's last byte is at the worker."""
-        if not worker.reachable(self.zone) or not self._waits_for(number, attempt):
-            return  # written into nothing: no word will come
-        arrival = self.held[number].arrival
+    def _deliver(self, number: int, attempt: int, worker: Worker) -> None:
+        """Hand the job to the worker, which has now received the request completely."""
+        if not worker.reachable(self.zone) or not self._is_in_flight(number, attempt):
+            return  # the request is lost, and no report will follow
+        arrival = self.pending[number].arrival
         kind = self.kinds[arrival.kind]
 
-        def tell(what: str, job: Job) -> None:
+        def report(state: str, job: Job) -> None:
             if worker.reachable(self.zone):
-                way = self.way_us(self.zone, worker.zone)
-                self.engine.after(way, self._told, number, attempt, what)
+                delay_us = self.one_way_us(self.zone, worker.zone)
+                self.engine.after(delay_us, self._receive_report, number, attempt, state)
 
         job = Job(
-            str(number), kind.name, arrival.work_us, kind.slots, kind.memory, tell,
-            told=self.starts.get(worker.name, 0) >= worker.started_us, fails=self.fails(worker),
-            program=arrival.program,
+            str(number), kind.name, arrival.work_us, kind.slots, kind.memory, report,
+            start_known=self.known_starts_us.get(worker.name, 0) >= worker.started_us,
+            fails=self.fails(worker), program=arrival.program,
         )  # fmt: skip
         self.idle.setdefault(worker.name, []).append(self.engine.now)
         if not worker.take(job):
-            tell("returned", job)
+            report("returned", job)
 
-    def _told(self, number: int, attempt: int, what: str) -> None:
-        if not self._waits_for(number, attempt):
+    def _receive_report(self, number: int, attempt: int, state: str) -> None:
+        if not self._is_in_flight(number, attempt):
             return
-        match what:
+        match state:
             case "started":
                 if self.admission:
-                    self._at_admission(self.admission.execution_started(self.engine.now, number))
-                self._decide(api.JobStarted(number, attempt))
+                    self._perform_admission(self.admission.execution_started(self.engine.now, number))
+                self._handle_event(api.JobStarted(number, attempt))
             case "done":
-                self._ended(number, attempt, api.Outcome.COMPLETED)
+                self._attempt_ended(number, attempt, api.Outcome.COMPLETED)
             case "returned":
-                self._ended(number, attempt, api.Outcome.FULL)
+                self._attempt_ended(number, attempt, api.Outcome.FULL)
             case "lost":
-                self._ended(number, attempt, api.Outcome.RESET)
+                self._attempt_ended(number, attempt, api.Outcome.RESET)
             case "failed":
-                self._ended(number, attempt, api.Outcome.ERROR)
+                self._attempt_ended(number, attempt, api.Outcome.ERROR)
 
-    def _ended(self, number: int, attempt: int, outcome: api.Outcome) -> None:
-        held = self.held[number]
-        held.out.discard(attempt)
+    def _attempt_ended(self, number: int, attempt: int, outcome: api.Outcome) -> None:
+        pending = self.pending[number]
+        pending.in_flight.discard(attempt)
         if outcome is api.Outcome.COMPLETED:
-            self._over_at_admission(number, True)
-            self._final(number, 200)
-        took = self.engine.now - held.sent_us[attempt]
-        self._decide(api.AttemptEnded(number, attempt, outcome, took, not held.owed))
-        self._forget(number)
-
-    def _timed_out(self, number: int, attempt: int) -> None:
-        if self._waits_for(number, attempt):
-            self._withdraw(number, attempt, api.Outcome.TIMEOUT)
-
-    def _withdraw(self, number: int, attempt: int, outcome: api.Outcome = api.Outcome.CANCELLED) -> None:
-        """Called off first, told afterwards; a worker that does not confirm may have it still."""
-        if not self._waits_for(number, attempt):
+            self._end_admission(number, True)
+            self._answer(number, 200)
+        took_us = self.engine.now - pending.sent_us[attempt]
+        self._handle_event(api.AttemptEnded(number, attempt, outcome, took_us, not pending.unanswered))
+        self._remove_if_finished(number)
+
+    def _attempt_timed_out(self, number: int, attempt: int) -> None:
+        if self._is_in_flight(number, attempt):
+            self._cancel(number, attempt, api.Outcome.TIMEOUT)
+
+    def _cancel(self, number: int, attempt: int, outcome: api.Outcome = api.Outcome.CANCELLED) -> None:
+        """Send a cancel to the worker, and report the outcome after its confirmation.
+
+        Without a confirmation the outcome is a timeout, as the worker may still execute the job.
+        """
+        if not self._is_in_flight(number, attempt):
             return
-        held = self.held[number]
-        worker = self.workers[held.addresses[attempt]]
-        way = self.way_us(self.zone, worker.zone)
+        pending = self.pending[number]
+        worker = self.workers[pending.addresses[attempt]]
+        delay_us = self.one_way_us(self.zone, worker.zone)
         if worker.reachable(self.zone):
-            self.engine.after(way, worker.cancel, str(number))
-            self.engine.after(2 * way, self._withdrawn, number, attempt, outcome)
+            self.engine.after(delay_us, worker.cancel, str(number))
+            self.engine.after(2 * delay_us, self._cancelled, number, attempt, outcome)
         else:
-            self.engine.after(self.connect_timeout_us, self._withdrawn, number, attempt, api.Outcome.TIMEOUT)
+            self.engine.after(self.connect_timeout_us, self._cancelled, number, attempt, api.Outcome.TIMEOUT)
 
-    def _withdrawn(self, number: int, attempt: int, outcome: api.Outcome) -> None:
-        if self._waits_for(number, attempt):
-            self._ended(number, attempt, outcome)
+    def _cancelled(self, number: int, attempt: int, outcome: api.Outcome) -> None:
+        if self._is_in_flight(number, attempt):
+            self._attempt_ended(number, attempt, outcome)
 
-    def _call_off(self, held: _Held, attempt: int) -> None:
-        worker = self.workers[held.addresses[attempt]]
+    def _send_cancel(self, pending: _PendingRequest, attempt: int) -> None:
+        worker = self.workers[pending.addresses[attempt]]
         if worker.reachable(self.zone):
-            way = self.way_us(self.zone, worker.zone)
-            self.engine.after(way, worker.cancel, str(held.arrival.number))
+            delay_us = self.one_way_us(self.zone, worker.zone)
+            self.engine.after(delay_us, worker.cancel, str(pending.arrival.number))
 
-    # The rest
+    # Health checks and connections
 
     def _probe(self, address: str) -> None:
         self.counts.probes += 1
         worker = self.workers[address]
         alive = worker.reachable(self.zone)
-        way = self.way_us(self.zone, worker.zone)
-        delay = 4 * way if alive else 1_000_000
-        self.engine.after(delay, self._decide, api.HealthCheckEnded(address, alive))
+        delay_us = self.one_way_us(self.zone, worker.zone)
+        response_us = 4 * delay_us if alive else 1_000_000
+        self.engine.after(response_us, self._handle_event, api.HealthCheckEnded(address, alive))
 
     def _close_idle(self, address: str) -> None:
         worker = self.workers[address]
--- a/robinhill/model/trace.py
+++ b/robinhill/model/trace.py
@@ -138,7 +138,8 @@
         fitted.append(
             JobKind(
                 name, len(lengths) / len(trace.asked), sum(lengths) / len(lengths) / 1000, kind.aim_ms,
-                kind.deadline_ms, min(3.0, sigma), kind.stretch, kind.worth, kind.repeat, kind.slots, kind.memory,
+                kind.deadline_ms, min(3.0, sigma), kind.stretch, kind.worth, kind.repeat, kind.slots,
+                kind.memory,
             )
         )  # fmt: skip
     counts = sorted(tenants.values(), reverse=True)
--- a/robinhill/model/wire.py
+++ b/robinhill/model/wire.py
@@ -1,4 +1,7 @@
-"""A decision module of another revision: in a process of its own, spoken to over the simulator's wire."""
+"""Client of a decision module of another revision, which runs in its own process.
+
+Events and actions are exchanged by the simulator's protocol, as lines of JSON over pipes.
+"""
 
 import subprocess
 import sys
@@ -12,18 +15,18 @@
 from robinhill.settings import REPEATS, SCOPES
 
 Json = Any
-ANSWER_LIMIT_S = 60.0  # as the bench: a module that thinks for longer hangs
-_NAMES = {outcome: name for name, outcome in OUTCOMES.items()}
-_REPEATS = {repeat: name for name, repeat in REPEATS.items()}
-_SCOPES = {scope: name for scope, name in ((s, n) for n, s in SCOPES.items())}
+ANSWER_LIMIT_S = 60.0  # as in the bench: a module without a reply for longer counts as hanging
+_OUTCOME_NAMES = {outcome: name for name, outcome in OUTCOMES.items()}
+_REPEAT_NAMES = {repeat: name for name, repeat in REPEATS.items()}
+_SCOPE_NAMES = {scope: name for scope, name in ((s, n) for n, s in SCOPES.items())}
 
 
 class ModuleFailedError(RuntimeError):
-    """The other module has crashed, hangs, or said what is no reply."""
+    """The process of the other module has exited, hangs, or has sent an invalid reply."""
 
 
 def write_settings(s: api.Settings) -> dict[str, Json]:
-    """The module's settings as the start message's options."""
+    """Encode the module's settings as the options of the ``Launch`` message."""
     classes = [
         {
             "name": f"class-{n}",
@@ -31,8 +34,8 @@
             "hard-limit-us": c.deadline_us,
             "worth": c.priority_weight,
             "late-worth": c.late_priority_weight,
-            "repeat": _REPEATS[c.repeat],
-            "dedup-scope": _SCOPES[c.scope],
+            "repeat": _REPEAT_NAMES[c.repeat],
+            "dedup-scope": _SCOPE_NAMES[c.scope],
             "memory-span-us": c.memory_us,
             "stream": c.stream,
             "aim-stretch": c.stretch,
@@ -66,7 +69,10 @@
 
 
 class WireModule:
-    """Handles events as the module in this process would; each is a batch of its own."""
+    """A decision module in another process, with the interface of the module in this one.
+
+    Each event is sent as a batch of its own, whose reply is awaited. Raises ModuleFailedError.
+    """
 
     def __init__(self, root: Path, settings: api.Settings, seed: int) -> None:
         self.process = subprocess.Popen(
@@ -76,18 +82,18 @@
         self.launch: list[Json] = ["Launch", str(seed), write_settings(settings)]
 
     def start(self, now: int) -> list[api.Action]:
-        return self._batch(now, [self.launch])
+        return self._exchange_batch(now, [self.launch])
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        return self._batch(now, _write(event))
+        return self._exchange_batch(now, _encode_event(event))
 
     def close(self) -> None:
-        """End the process; it must not outlive its run."""
+        """Kill the module's process, so that it does not outlive its run."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.communicate()
 
-    def _batch(self, now: int, messages: list[Json]) -> list[api.Action]:
+    def _exchange_batch(self, now: int, messages: list[Json]) -> list[api.Action]:
         assert self.process.stdin and self.process.stdout
         line = orjson.dumps({"sim-time-us": now, "nodes": [{"node": 0, "msgs": messages}]})
         try:
@@ -95,24 +101,24 @@
             self.process.stdin.flush()
             reply = self.process.stdout.readline()
         except OSError as e:
-            raise ModuleFailedError(f"the other module has ended: {self._words()}") from e
+            raise ModuleFailedError(f"the other module's process exited: {self._last_error_line()}") from e
         if not reply:
-            raise ModuleFailedError(f"the other module has ended: {self._words()}")
+            raise ModuleFailedError(f"the other module's process exited: {self._last_error_line()}")
         try:
             nodes = orjson.loads(reply)["nodes"]
-            return [_read(c) for node in nodes for c in node["cmds"]]
+            return [_decode_command(c) for node in nodes for c in node["cmds"]]
         except (orjson.JSONDecodeError, KeyError, IndexError, TypeError) as e:
-            raise ModuleFailedError(f"the other module said what is no reply: {reply[:80]!r}") from e
+            raise ModuleFailedError(f"the other module sent an invalid reply: {reply[:80]!r}") from e
 
-    def _words(self) -> str:
+    def _last_error_line(self) -> str:
         assert self.process.stderr
         self.process.kill()
-        told = self.process.stderr.read().decode(errors="replace").strip().splitlines()
-        return told[-1][:200] if told else "without a word"
+        lines = self.process.stderr.read().decode(errors="replace").strip().splitlines()
+        return lines[-1][:200] if lines else "it wrote nothing to stderr"
 
 
-def _write(event: api.Event) -> list[Json]:
-    """An event as the wire's messages."""
+def _encode_event(event: api.Event) -> list[Json]:
+    """Encode an event as messages of the simulator's protocol."""
     match event:
         case api.WorkersListed(kind=kind, workers=workers):
             rows = [
@@ -121,7 +127,7 @@
             ]
             return [["Pool", 0, rows], ["Targets", int(kind), 1, 0]]
         case api.ListLeaseChanged():
-            return []  # the simulator's wire tells no lease: its lists are never unconfirmed
+            return []  # the simulator's protocol has no list lease: its lists always count as confirmed
         case api.Arrived(request=r):
             attrs = 1 * bool(r.work_hint_us) + 2 * r.client_repeat
             return [
@@ -145,7 +151,7 @@
         case api.StreamStarted(job=job, attempt=attempt):
             return [["UnderWay", job, attempt, None, 0]]
         case api.AttemptEnded(job=job, attempt=attempt, outcome=outcome, took_us=took, final=final):
-            return [["Done", job, _NAMES[outcome], attempt, final, took, None]]
+            return [["Done", job, _OUTCOME_NAMES[outcome], attempt, final, took, None]]
         case api.ClientDisconnected(job=job):
             return [["ClientGone", job]]
         case api.TimerFired(tag=tag):
@@ -154,25 +160,25 @@
             return [["Sampled", address, "completed" if alive else "overdue", 0]]
 
 
-def _read(m: list[Json]) -> api.Action:
-    """One of the module's commands as an action."""
-    match m[0]:
+def _decode_command(command: list[Json]) -> api.Action:
+    """Decode a command of the module as an action. Raises KeyError for an unknown command."""
+    match command[0]:
         case "Route":
-            return api.Send(m[1], m[2], m[3])
+            return api.Send(command[1], command[2], command[3])
         case "Reject":
-            return api.Reject(m[1], m[2])
+            return api.Reject(command[1], command[2])
         case "FinishError":
-            return api.Fail(m[1])
+            return api.Fail(command[1])
         case "StopAttempt":
-            return api.Cancel(m[1], m[2])
+            return api.Cancel(command[1], command[2])
         case "Sleep":
-            return api.SetTimer(m[1], m[2])
+            return api.SetTimer(command[1], command[2])
         case "Listen":
             return api.Subscribe()
         case "SoundOut":
-            return api.CheckHealth(m[1])
+            return api.CheckHealth(command[1])
         case "DropConns":
-            return api.CloseIdle(m[1])
+            return api.CloseIdle(command[1])
         case "Trace":
-            return api.Log(m[1])
-    raise KeyError(m[0])
+            return api.Log(command[1])
+    raise KeyError(command[0])
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -1,6 +1,4 @@
-"""A worker in simulated time: cores that its jobs share, slots, memory, a queue in order, cold starts and
-pauses.
-"""
+"""A simulated worker: cores shared by its jobs, slots, memory, a FIFO queue, slow start and faults."""
 
 from collections import OrderedDict, deque
 from collections.abc import Callable
@@ -12,39 +10,39 @@
 from robinhill.model.describe import Fleet, Machine
 
 
-class Agenda(Protocol):
-    """Simulated time, or this machine's."""
+class Clock(Protocol):
+    """The current time and delayed calls, in simulated time or on this machine's clock."""
 
     @property
     def now(self) -> int: ...
     def after(self, delay_us: float, call: Callable[..., Any], *arguments: Any) -> None: ...
 
 
-Tell = Callable[[str, "Job"], None]  # started, done, lost, returned or failed
+ReportCallback = Callable[[str, "Job"], None]  # state (started, done, lost, returned or failed) and job
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An attempt at a worker. ``tell`` takes what becomes of it to the scheduler that sent it."""
+    """An attempt at a worker. ``report`` sends each change of its state to the scheduler."""
 
     request: str
     kind: str
     work_us: float  # on a core of speed 1
     slots: int
     memory: float
-    tell: Tell
-    told: bool = True  # its scheduler knows of the worker's last start
-    left_us: float = 0.0
+    report: ReportCallback
+    start_known: bool = True  # when sending it, the scheduler knew of the worker's last start
+    remaining_us: float = 0.0  # of its work
     fails: bool = False  # it ends in an error
-    quiet: bool = False  # called off: nobody is told
-    scheduler: str = ""  # that sent it, by name
-    program: int = -1  # that it needs; -1: none
+    cancelled: bool = False  # its end is not reported
+    scheduler: str = ""  # name of the scheduler that sent it
+    program: int = -1  # number of the program that it needs; -1: none
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """Jobs on more slots than cores share the cores evenly (processor sharing); waiting ones start in
-    order.
+    """A worker. Running jobs share its cores evenly if there are more jobs than cores (processor sharing).
+    Waiting jobs start in the order of their arrival.
     """
 
     name: str
@@ -53,125 +51,134 @@
     machine: Machine
     speed: float
     fleet: Fleet
-    engine: Agenda
+    engine: Clock
     journal: Journal
-    started_us: int = 0  # 0: long ago, so it is warm
+    started_us: int = 0  # 0: long enough ago that its slow start is over
     lifecycle: str = "active"
     silent: bool = False
-    slow: float = 1.0
+    slowdown: float = 1.0
     error_share: float = 0.0
-    cut: set[int] = field(default_factory=set)  # zones whose schedulers can't reach it
+    unreachable_zones: set[int] = field(default_factory=set)  # whose schedulers can't reach it
     running: list[Job] = field(default_factory=list)
     waiting: deque[Job] = field(default_factory=deque)
-    programs: OrderedDict[int, None] = field(default_factory=OrderedDict)  # kept; the last used one last
+    programs: OrderedDict[int, None] = field(default_factory=OrderedDict)  # cached; least recently used first
     connections: int = 0
-    fell: bool = False
+    overloaded: bool = False
     busy_us: float = 0.0  # core time spent on jobs
-    wasted_us: float = 0.0  # of it, on jobs that nobody was told of
-    _at_us: int = 0  # when what the running jobs have left was last brought up to date
-    _turn: int = 0  # numbers the planned ends: an older one than the newest is void
-    _burden_us: float = 0.0  # core time owed for connections, before any job goes on
-    _pressed: deque[tuple[int, float, bool]] = field(default_factory=deque)
+    wasted_us: float = 0.0  # work on cancelled jobs, and on jobs lost in a failure
+    _advanced_at_us: int = 0  # time up to which `remaining_us` of the running jobs is computed
+    _plan_number: int = 0  # of the last planned step; planned steps with a lower number are void
+    _connect_work_us: float = 0.0  # core time that connection setup still needs
+    _recent_sends: deque[tuple[int, float, bool]] = field(default_factory=deque)  # time, work, start_known
 
-    # Taking
+    # Connections and jobs
 
     def reachable(self, zone: int) -> bool:
-        """Whether a scheduler of a zone gets any word through."""
-        return not self.silent and zone not in self.cut
+        """Whether messages between this worker and the schedulers of a zone are delivered."""
+        return not self.silent and zone not in self.unreachable_zones
 
     def connect(self) -> bool:
-        """A new connection: it costs the worker work, and there are only so many."""
+        """Accept a connection, which costs core time. Returns False at the limit of connections."""
         if self.connections >= self.machine.connections:
             return False
         self.connections += 1
         self._advance()
-        self._burden_us += self.fleet.connect_cost_ms * 1000
-        self._plan()
+        self._connect_work_us += self.fleet.connect_cost_ms * 1000
+        self._plan_step()
         return True
 
     def disconnect(self) -> None:
         self.connections -= 1
 
     def take(self, job: Job) -> bool:
-        """Whether it takes the job; else it never ran here."""
-        self._note(What.SENT, job)
-        self._press(job)
+        """Queue a job. Returns False, and never runs the job, if it is rejected: the worker is silent or
+        draining, its queue is full, or the job needs more slots or memory than the worker has.
+        """
+        self._record_job(What.SENT, job)
+        self._check_overload(job)
         fits = job.slots <= self.machine.slots and job.memory <= self.machine.memory
         full = len(self.waiting) >= self.machine.queue and (self.waiting or not self._fits(job))
         if self.silent or self.lifecycle != "active" or full or not fits:
-            self._note(What.RETURNED, job)
+            self._record_job(What.RETURNED, job)
             return False
-        job.left_us = job.work_us
+        job.remaining_us = job.work_us
         self.waiting.append(job)
-        self._pump()
+        self._start_waiting()
         return True
 
     def cancel(self, request: str) -> None:
-        """Waiting work is dropped, where workers do so; what runs goes on, and nobody is told."""
-        self._emit(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
+        """Cancel a request. Its waiting jobs are removed from the queue if ``cancel_drops`` is set; all its other
+        jobs are executed, but their end is not reported.
+        """
+        self._record(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
         for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
             self.waiting.remove(job)
         for job in [*self.running, *self.waiting]:
             if job.request == request:
-                job.quiet = True
+                job.cancelled = True
 
-    # What goes wrong
+    # Faults
 
     def vanish(self) -> None:
-        """It says nothing more; what it had is lost without a word."""
+        """Become silent: lose all jobs without a report, and exchange no messages until `come_back`."""
         self._advance()
         self.silent = True
         for job in [*self.running, *self.waiting]:
-            self.wasted_us += job.work_us - job.left_us
-            self._note(What.ENDED, job)
+            self.wasted_us += job.work_us - job.remaining_us
+            self._record_job(What.ENDED, job)
         self.running.clear()
         self.waiting.clear()
         self.programs.clear()
-        self._pressed.clear()
-        self._burden_us = 0.0
-        self._turn += 1
+        self._recent_sends.clear()
+        self._connect_work_us = 0.0
+        self._plan_number += 1
 
     def come_back(self) -> None:
-        """It starts again, cold."""
-        self.silent, self.fell, self.started_us, self._at_us = False, False, self.engine.now, self.engine.now
+        """Start again with a slow start."""
+        self.silent, self.overloaded, self.started_us, self._advanced_at_us = (
+            False,
+            False,
+            self.engine.now,
+            self.engine.now,
+        )
         self.lifecycle = "active"
-        self._emit(Event(self.engine.now / 1e6, What.STARTED, worker=self.name))
+        self._record(Event(self.engine.now / 1e6, What.STARTED, worker=self.name))
 
     def restart(self) -> None:
-        """A release: what it runs is killed, and its agent tells; then it starts anew."""
+        """Restart for a release: kill all jobs, report them as lost unless cancelled, and start again."""
         lost = [*self.running, *self.waiting]
         self.vanish()
         for job in lost:
-            if not job.quiet:
-                job.tell("lost", job)
+            if not job.cancelled:
+                job.report("lost", job)
         self.come_back()
 
     def drain(self) -> None:
-        """It takes nothing new, and hands back what waits where workers do so."""
+        """Reject new jobs. If the fleet's ``drain_returns`` is set, return the waiting jobs to schedulers."""
         self.lifecycle = "leaving"
         if self.fleet.drain_returns:
             for job in self.waiting:
-                self._note(What.RETURNED, job)
-                job.tell("returned", job)
+                self._record_job(What.RETURNED, job)
+                job.report("returned", job)
             self.waiting.clear()
 
-    def pace(self, slow: float) -> None:
-        """From now on work takes so many times as long."""
+    def pace(self, slowdown: float) -> None:
+        """Multiply the running times of jobs by a factor from now on."""
         self._advance()
-        self.slow = slow
-        self._plan()
+        self.slowdown = slowdown
+        self._plan_step()
 
-    # Running
+    # Execution
 
-    def warm(self) -> float:
-        """The share of its capacity that it has now."""
+    def warm_share(self) -> float:
+        """Return the share of its capacity that the worker has now; below 1 during slow start."""
         if not self.started_us:
             return 1.0
         passed = (self.engine.now - self.started_us) / (self.fleet.cold_s * 1e6)
         return min(1.0, self.fleet.cold_from + (1 - self.fleet.cold_from) * passed)
 
-    def _pump(self) -> None:
-        """Start waiting jobs in order; the first waits until it fits."""
+    def _start_waiting(self) -> None:
+        """Start waiting jobs in order, up to the first one for which slots or memory are missing."""
         self._advance()
         while self.waiting:
             job = self.waiting.popleft()
@@ -179,99 +186,102 @@
                 self.waiting.appendleft(job)
                 break
             self.running.append(job)
-            self._fetch(job)
-            self._note(What.EXECUTION_STARTED, job)
-            job.tell("started", job)
-        self._plan()
-
-    def _fetch(self, job: Job) -> None:
-        """A program that is not here is fetched while the job holds its slots, and the oldest one dropped."""
+            self._load_program(job)
+            self._record_job(What.EXECUTION_STARTED, job)
+            job.report("started", job)
+        self._plan_step()
+
+    def _load_program(self, job: Job) -> None:
+        """Add the time to fetch the job's program to its work unless the program is cached, and evict the
+        least recently used program from a full cache.
+        """
         if job.program < 0:
             return
         if job.program not in self.programs:
-            job.left_us += self.fleet.fetch_ms * 1000
+            job.remaining_us += self.fleet.fetch_ms * 1000
         self.programs[job.program] = None
         self.programs.move_to_end(job.program)
         if len(self.programs) > self.machine.programs:
             self.programs.popitem(last=False)
 
     def _fits(self, job: Job) -> bool:
-        """Whether it can run beside what runs now."""
+        """Whether the slots and memory not used by running jobs suffice for a job."""
         slots = sum(j.slots for j in self.running) + job.slots
         memory = sum(j.memory for j in self.running) + job.memory
         return slots <= self.machine.slots and memory <= self.machine.memory
 
-    def _rate(self) -> float:
-        """Work that one job gets done in a unit of time."""
+    def _job_rate(self) -> float:
+        """Return the work that each running job completes per unit of time."""
         if not self.running:
             return 0.0
         share = min(1.0, self.machine.cores / len(self.running))
-        return share * self.speed * self.warm() / self.slow
+        return share * self.speed * self.warm_share() / self.slowdown
 
     def _advance(self) -> None:
-        """Bring what the running jobs have left up to now."""
-        passed, self._at_us = self.engine.now - self._at_us, self.engine.now
+        """Update the remaining work of the running jobs to the current time."""
+        passed, self._advanced_at_us = self.engine.now - self._advanced_at_us, self.engine.now
         if passed <= 0 or not self.running:
             return
-        paid = min(self._burden_us, passed * 0.5)  # connections are set up beside the jobs, on half the time
-        self._burden_us -= paid
-        done = (passed - paid) * self._rate()
+        connecting = min(self._connect_work_us, passed * 0.5)  # connection setup gets at most half the time
+        self._connect_work_us -= connecting
+        done = (passed - connecting) * self._job_rate()
         for job in self.running:
-            job.left_us -= done
+            job.remaining_us -= done
         self.busy_us += done * len(self.running)
 
-    def _plan(self) -> None:
-        """Plan the next end; while it warms up, at short steps, as its speed changes."""
-        self._turn += 1
+    def _plan_step(self) -> None:
+        """Plan a step at the next end of a job; earlier during slow start, as the speed changes meanwhile."""
+        self._plan_number += 1
         if not self.running:
             return
-        rate = self._rate()
-        soonest = min(job.left_us for job in self.running) / rate if rate else inf
-        delay = max(1.0, soonest + self._burden_us)
-        if self.warm() < 1:
+        rate = self._job_rate()
+        soonest = min(job.remaining_us for job in self.running) / rate if rate else inf
+        delay = max(1.0, soonest + self._connect_work_us)
+        if self.warm_share() < 1:
             delay = min(delay, 50_000)
-        self.engine.after(delay + 0.999, self._step, self._turn)
+        self.engine.after(delay + 0.999, self._step, self._plan_number)
 
-    def _step(self, turn: int) -> None:
-        if turn != self._turn:
+    def _step(self, plan_number: int) -> None:
+        if plan_number != self._plan_number:
             return
         self._advance()
-        over = [job for job in self.running if job.left_us <= 1.0]
-        if over:
-            self.running = [job for job in self.running if job.left_us > 1.0]
-            for job in over:
-                self._note(What.ENDED, job)
-                if job.quiet:
+        ended = [job for job in self.running if job.remaining_us <= 1.0]
+        if ended:
+            self.running = [job for job in self.running if job.remaining_us > 1.0]
+            for job in ended:
+                self._record_job(What.ENDED, job)
+                if job.cancelled:
                     self.wasted_us += job.work_us
                 else:
-                    job.tell("failed" if job.fails else "done", job)
-        self._pump()
+                    job.report("failed" if job.fails else "done", job)
+        self._start_waiting()
 
-    def _press(self, job: Job) -> None:
-        """A cold worker that is sent more than it can bear within the window falls over and stays down.
+    def _check_overload(self, job: Job) -> None:
+        """Make the worker fail silently if it is sent too much work during its slow start.
 
-        It counts as pushed only where two thirds of that came from schedulers that had been told of its
-        start.
+        The limit is ``fall_multiple`` times its present capacity over the last ``tip_after_s``. The schedulers
+        are responsible for the overload only if those that knew of the worker's start sent at least two thirds
+        of the work.
         """
-        if self.warm() >= 1 or self.fell:
+        if self.warm_share() >= 1 or self.overloaded:
             return
         now, window = self.engine.now, self.fleet.tip_after_s * 1e6
-        self._pressed.append((now, job.work_us, job.told))
-        while self._pressed[0][0] < now - window:
-            self._pressed.popleft()
-        able = self.warm() * min(self.machine.cores, self.machine.slots) * self.speed * window
-        # One job alone is no burst, however long it turns out to be.
-        pressed = sum(w for _, w, _ in self._pressed)
-        if pressed - max(w for _, w, _ in self._pressed) > self.fleet.fall_multiple * able:
-            self.fell = True
-            told = sum(w for _, w, knew in self._pressed if knew)
-            excused = UNAVOIDABLE_STATUS if told * 3 < pressed * 2 else 0
-            self._emit(Event(now / 1e6, What.OVERLOADED, worker=self.name, status=excused))
+        self._recent_sends.append((now, job.work_us, job.start_known))
+        while self._recent_sends[0][0] < now - window:
+            self._recent_sends.popleft()
+        capacity = self.warm_share() * min(self.machine.cores, self.machine.slots) * self.speed * window
+        # The longest job is left out, as a single job of any length is no overload.
+        sent = sum(w for _, w, _ in self._recent_sends)
+        if sent - max(w for _, w, _ in self._recent_sends) > self.fleet.fall_multiple * capacity:
+            self.overloaded = True
+            sent_knowingly = sum(w for _, w, start_known in self._recent_sends if start_known)
+            status = UNAVOIDABLE_STATUS if sent_knowingly * 3 < sent * 2 else 0
+            self._record(Event(now / 1e6, What.OVERLOADED, worker=self.name, status=status))
             self.vanish()
 
-    def _note(self, what: What, job: Job) -> None:
+    def _record_job(self, what: What, job: Job) -> None:
         at = self.engine.now / 1e6
-        self._emit(Event(at, what, job.request, self.name, kind=job.kind, scheduler=job.scheduler))
+        self._record(Event(at, what, job.request, self.name, kind=job.kind, scheduler=job.scheduler))
 
-    def _emit(self, event: Event) -> None:
+    def _record(self, event: Event) -> None:
         self.journal.add(event)
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -22,7 +22,7 @@
 from robinhill.logic import Balancer
 from robinhill.model.describe import Description, DescriptionError, Fault, JobKind
 from robinhill.model.engine import Engine
-from robinhill.model.node import RETIRED_SHARE, Arrival, Module, Node
+from robinhill.model.node import IDLE_RETIREMENT_SHARE, Arrival, DecisionModule, Node
 from robinhill.model.trace import Asked, Trace
 from robinhill.model.workers import Worker
 
@@ -50,7 +50,7 @@
     settings: dict[str, Any] = field(default_factory=dict)  # of api.Settings, by field
     admission: AdmissionOptions | None = None
     clients: dict[str, Any] = field(default_factory=dict)  # of the description's clients, by key
-    module: Callable[[api.Settings, int], Module] | None = None
+    module: Callable[[api.Settings, int], DecisionModule] | None = None
 
 
 @dataclass(slots=True)
@@ -194,7 +194,7 @@
             way,
             int(fleet.connect_timeout_ms * 1000),
             fails,
-            RETIRED_SHARE * fleet.keepalive_s * S,
+            IDLE_RETIREMENT_SHARE * fleet.keepalive_s * S,
             on_subscribe=self._subscribe,
         )
 
@@ -213,12 +213,14 @@
     def _subscribe(self, node: Node) -> None:
         delay = self._list_delay()
         if self.discovery_down:
-            self.engine.after(S, node.listed, api.WorkersListed(api.ListKind.FAILED))
+            self.engine.after(S, node.update_workers, api.WorkersListed(api.ListKind.FAILED))
         else:
             self.engine.after(delay / 4, self._tell_all, node)
 
     def _tell_all(self, node: Node) -> None:
-        node.listed(api.WorkersListed(api.ListKind.FULL, [self._entry(w) for w in self.workers.values()]))
+        node.update_workers(
+            api.WorkersListed(api.ListKind.FULL, [self._entry(w) for w in self.workers.values()])
+        )
 
     def _list_delay(self) -> float:
         low, high = self.d.fleet.list_delay_s
@@ -238,7 +240,7 @@
             self._emit(What.DRAINING, worker=entry.address)
         for node in self.nodes:
             if node.subscribed:
-                node.listed(api.WorkersListed(api.ListKind.CHANGES, [entry]))
+                node.update_workers(api.WorkersListed(api.ListKind.CHANGES, [entry]))
 
     # Clients
 
@@ -282,12 +284,12 @@
                 self._count_present(-1)
                 self._stays.append(self.engine.now - since)
                 if node.alive:
-                    node.leave(number)
+                    node.client_disconnected(number)
                 self._failed(wish, 0, 0)
 
         deadline = int(asked.deadline_us or self.d.traffic.kinds[kind].deadline_ms * 1000)
         arrival = Arrival(number, kind, asked.tenant, asked.work_us, deadline, wish.tries > 1, asked.program)
-        self.engine.after(self.d.fleet.near_ms * 1000, node.take, arrival, answer)
+        self.engine.after(self.d.fleet.near_ms * 1000, node.receive_request, arrival, answer)
         self.engine.after(deadline + 100_000, give_up)
 
     def _choose(self, candidates: list[Node], rng: np.random.Generator) -> Node:
@@ -369,8 +371,8 @@
         last = len(self.zones) - 1
         for worker in self.workers.values():
             others = {z for z in range(len(self.zones)) if (z == last) != (worker.zone == last)}
-            self.engine.at(at, worker.cut.update, others)
-            self.engine.at(end, worker.cut.difference_update, others)
+            self.engine.at(at, worker.unreachable_zones.update, others)
+            self.engine.at(end, worker.unreachable_zones.difference_update, others)
 
     def _come_back(self, worker: Worker) -> None:
         worker.come_back()
@@ -389,7 +391,7 @@
         if down:
             for node in self.nodes:
                 if node.subscribed:
-                    node.listed(api.WorkersListed(api.ListKind.FAILED))
+                    node.update_workers(api.WorkersListed(api.ListKind.FAILED))
 
     def _restart_node(self, index: int) -> None:
         self.nodes[index] = self._make_node(index)
@@ -398,7 +400,7 @@
     def _start_node(self, node: Node) -> None:
         node.start()
         known = [self._entry(w) for w in self.workers.values()]
-        node.listed(api.WorkersListed(api.ListKind.CACHED, known))
+        node.update_workers(api.WorkersListed(api.ListKind.CACHED, known))
 
     # Playing
 
--- a/tests/test_thin_fleet.py
+++ b/tests/test_thin_fleet.py
@@ -9,7 +9,7 @@
 from robinhill.logic import Balancer
 from robinhill.model import sites
 from robinhill.model.describe import Description
-from robinhill.model.node import Module
+from robinhill.model.node import DecisionModule
 from robinhill.model.trace import draw
 from robinhill.model.world import Result, Side, World
 
@@ -56,12 +56,12 @@
         return [api.Send(job, address)]
 
 
-def round_robin(_: api.Settings, seed: int) -> Module:
+def round_robin(_: api.Settings, seed: int) -> DecisionModule:
     """From a random start, in an order of its own."""
     return Oblivious(lambda sends, workers: sends % workers, random.Random(seed))
 
 
-def plain_random(_: api.Settings, seed: int) -> Module:
+def plain_random(_: api.Settings, seed: int) -> DecisionModule:
     rng = random.Random(seed)
     return Oblivious(lambda sends, workers: rng.randrange(workers), rng)
 
@@ -78,7 +78,7 @@
     )
 
 
-def played(module: Callable[[api.Settings, int], Module]) -> Result:
+def played(module: Callable[[api.Settings, int], DecisionModule]) -> Result:
     description = small_observatory()
     return World(description, draw(description, SEED), Side(module=module), SEED).play()
 
