--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -107,8 +107,8 @@
         return True
 
     def cancel(self, request: str) -> None:
-        """Cancel a request. Its waiting jobs are removed from the queue if ``cancel_drops`` is set; all its other
-        jobs are executed, but their end is not reported.
+        """Cancel a request. Its waiting jobs are removed from the queue if ``cancel_drops`` is set. Its other
+        jobs are executed without reporting their end.
         """
         self._record(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
         for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
@@ -259,9 +259,9 @@
     def _check_overload(self, job: Job) -> None:
         """Make the worker fail silently if it is sent too much work during its slow start.
 
-        The limit is ``fall_multiple`` times its present capacity over the last ``tip_after_s``. The schedulers
-        are responsible for the overload only if those that knew of the worker's start sent at least two thirds
-        of the work.
+        The limit is ``fall_multiple`` times its present capacity, over the last ``tip_after_s`` seconds. The
+        schedulers are responsible for the overload only if those that knew of the worker's start sent two
+        thirds of the work or more.
         """
         if self.warm_share() >= 1 or self.overloaded:
             return
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -1,9 +1,9 @@
-"""One run of the model: traffic, fleet, troubles and schedulers, and what came of it.
+"""One run of the simulation, with its traffic, fleet, faults, clients and schedulers, and its result.
 
-All chance comes from one seed, by a tree of streams: arrivals, fleet, troubles and clients each have their
-own, keyed by what they are for and not by the order in which they are used. So two sides meet the same
-arrivals, workers and troubles, and a stream that one side's behaviour draws from more often changes nothing
-for the rest (common random numbers).
+All random numbers derive from one seed by a tree of streams. Arrivals, fleet, faults and clients have their
+own streams, keyed by their purpose and not by the order of their use. So both sides of a comparison get the
+same arrivals, workers and faults, and a side that draws more often from one stream changes no other stream
+(common random numbers).
 """
 
 from collections import Counter, defaultdict
@@ -27,40 +27,45 @@
 from robinhill.model.workers import Worker
 
 S = 1_000_000
-START_US = 1_000_000_000 * S  # an hour on the clock of Unix, as the module gets on a site
-WINDOW_S = 10.0  # of the worst stretch
-REFUSALS = (429, 503)
-REPEATS = {"retryable": api.Repeat.SAFE, "fragile": api.Repeat.UNSAFE}
-FLEET, TRAFFIC, TROUBLES, CLIENTS, NODES, ERRORS, LISTS = range(7)  # branches of the seed's tree
-END_S = 40.0  # after the last arrival everything that was asked for has ended
+START_US = 1_000_000_000 * S  # start of a run as Unix time, as the module's times on a site are Unix times
+WINDOW_S = 10.0  # length of the windows of arrival for which served worth is evaluated
+REFUSAL_STATUSES = (429, 503)
+REPEAT_POLICIES = {"retryable": api.Repeat.SAFE, "fragile": api.Repeat.UNSAFE}
+FLEET, TRAFFIC, TROUBLES, CLIENTS, NODES, ERRORS, LISTS = range(7)  # first spawn keys of the random streams
+END_MARGIN_S = (
+    40.0  # added to the longest time of all tries of a job, so that every request ends within the run
+)
 
 
 def stream(seed: int, *keys: int) -> np.random.Generator:
-    """The stream of chance for what these keys name."""
+    """Return the random stream of these spawn keys; the first one is its purpose, such as ``FLEET``."""
     return np.random.default_rng(np.random.SeedSequence(entropy=seed, spawn_key=keys))
 
 
 @dataclass(slots=True)
 class Side:
-    """What is compared: the module (of this tree, or one that ``module`` makes), its settings and the
-    admission's.
+    """One side of a comparison: its decision module, the module's settings, admission control and clients.
+
+    Without a factory in ``module``, this tree's module is used.
     """
 
     name: str = "this"
-    settings: dict[str, Any] = field(default_factory=dict)  # of api.Settings, by field
+    settings: dict[str, Any] = field(default_factory=dict)  # values for fields of api.Settings, by name
     admission: AdmissionOptions | None = None
-    clients: dict[str, Any] = field(default_factory=dict)  # of the description's clients, by key
+    clients: dict[str, Any] = field(default_factory=dict)  # values for keys of the description's clients
     module: Callable[[api.Settings, int], DecisionModule] | None = None
 
 
 @dataclass(slots=True)
 class Result:
-    """What a run shows. Worth is in the classes' worth times core seconds, latencies in milliseconds."""
+    """The figures of a run. A job's worth is the ``worth`` of its class times its core seconds; latencies are
+    in milliseconds.
+    """
 
     seed: int
     wanted: float = 0.0
     served: float = 0.0
-    by_kind: dict[str, tuple[float, float]] = field(default_factory=dict)  # wanted, served
+    by_kind: dict[str, tuple[float, float]] = field(default_factory=dict)  # worth requested, worth served
     by_tenant: dict[int, tuple[float, float]] = field(default_factory=dict)
     worst_window: float = 1.0
     firsts: int = 0
@@ -73,24 +78,24 @@
     wasted_s: float = 0.0
     busy_s: float = 0.0
     latencies: dict[str, list[float]] = field(default_factory=dict)
-    windows: list[float] = field(default_factory=list)  # served worth over wanted, by windows of arrival
+    windows: list[float] = field(default_factory=list)  # share of worth served, by windows of arrival
     broken: list[str] = field(default_factory=list)
-    mean_present: float = 0.0  # requests in the system, for Little's law
+    mean_present: float = 0.0  # mean number of requests in the system, for Little's law
     mean_stay_s: float = 0.0
     arrival_rate: float = 0.0
     steps: int = 0
 
     @property
     def share(self) -> float:
-        """Served worth over what was asked for."""
+        """The share of the requested worth that was served in time."""
         return self.served / self.wanted if self.wanted else 1.0
 
 
 @dataclass(slots=True, eq=False)
-class _Wish:
-    """What a client wants: one job, in one or more tries."""
+class _ClientJob:
+    """A job of a client, which the client requests in one or more tries."""
 
-    asked: Asked
+    traced: Asked
     tries: int = 0
     done: bool = False
     in_time: bool = False
@@ -98,7 +103,10 @@
 
 
 class World:
-    """A run. Build it, ``play`` it, read its result."""
+    """The simulated site of one run. ``play`` may be called once and returns the result.
+
+    Raises DescriptionError if the trace or the side's settings don't fit the description.
+    """
 
     def __init__(self, description: Description, trace: Trace, side: Side, seed: int) -> None:
         self.d, self.trace, self.side, self.seed = description, trace, side, seed
@@ -107,15 +115,15 @@
         self.result = Result(seed)
         self.discovery_down = False
         self.zones = list(description.fleet.zones)
-        self._numbers = 0
-        self._present, self._present_at, self._present_sum = 0, START_US, 0.0
-        self._stays: list[int] = []
-        self._wishes: list[_Wish] = []
+        self._last_number = 0
+        self._in_system, self._in_system_at_us, self._in_system_sum = 0, START_US, 0.0
+        self._stays_us: list[int] = []
+        self._jobs: list[_ClientJob] = []
         self._clients = {**asdict(description.clients), **side.clients}
         kinds = {k.name: i for i, k in enumerate(description.traffic.kinds)}
-        for asked in trace.asked:
-            if asked.kind not in kinds:
-                raise DescriptionError(f"trace: class {asked.kind!r} is not among traffic.kinds")
+        for traced in trace.asked:
+            if traced.kind not in kinds:
+                raise DescriptionError(f"trace: class {traced.kind!r} is not among traffic.kinds")
         self.kind_index = kinds
         self.settings = self._settings()
         self.workers = {w.name: w for w in self._make_workers()}
@@ -131,7 +139,7 @@
             api.JobClass(
                 latency_objective_us=int(k.aim_ms * 1000), deadline_us=int(k.deadline_ms * 1000),
                 priority_weight=k.worth,
-                stretch=k.stretch, repeat=REPEATS[k.repeat],
+                stretch=k.stretch, repeat=REPEAT_POLICIES[k.repeat],
             )
             for k in self.d.traffic.kinds
         )  # fmt: skip
@@ -147,23 +155,23 @@
         }  # fmt: skip
         unknown = set(self.side.settings) - set(api.Settings.__dataclass_fields__)
         if unknown:
-            raise DescriptionError(f"side {self.side.name}: no such setting: {', '.join(sorted(unknown))}")
+            raise DescriptionError(f"side {self.side.name}: unknown settings: {', '.join(sorted(unknown))}")
         return api.Settings(**(values | self.side.settings))
 
     def _make_workers(self) -> list[Worker]:
         rng = stream(self.seed, FLEET)
-        made: list[Worker] = []
+        workers: list[Worker] = []
         for kind, machine in enumerate(self.d.fleet.machines):
             for _ in range(machine.count):
                 speed = float(rng.uniform(*machine.speed))
-                number = len(made)
+                number = len(workers)
                 zone = number % len(self.zones)
-                made.append(
+                workers.append(
                     Worker(
                         f"w{number}", zone, kind, machine, speed, self.d.fleet, self.engine, self.journal
                     )
                 )  # fmt: skip
-        return made
+        return workers
 
     def _make_node(self, number: int) -> Node:
         zone = number % len(self.zones)
@@ -175,7 +183,7 @@
             admission = Admission(settings, self.side.admission, seed, number.to_bytes(16))
         fleet = self.d.fleet
 
-        def way(a: int, b: int) -> float:
+        def one_way_us(a: int, b: int) -> float:
             return (fleet.near_ms if a == b else fleet.far_ms) * 1000
 
         errors = stream(self.seed, ERRORS, number)
@@ -191,7 +199,7 @@
             admission,
             self.workers,
             self.d.traffic.kinds,
-            way,
+            one_way_us,
             int(fleet.connect_timeout_ms * 1000),
             fails,
             IDLE_RETIREMENT_SHARE * fleet.keepalive_s * S,
@@ -215,9 +223,9 @@
         if self.discovery_down:
             self.engine.after(S, node.update_workers, api.WorkersListed(api.ListKind.FAILED))
         else:
-            self.engine.after(delay / 4, self._tell_all, node)
+            self.engine.after(delay / 4, self._send_full_list, node)
 
-    def _tell_all(self, node: Node) -> None:
+    def _send_full_list(self, node: Node) -> None:
         node.update_workers(
             api.WorkersListed(api.ListKind.FULL, [self._entry(w) for w in self.workers.values()])
         )
@@ -227,14 +235,14 @@
         rng = stream(self.seed, LISTS, self.engine.now % (1 << 40))
         return float(rng.uniform(low, high)) * S
 
-    def changed(self, worker: Worker) -> None:
-        """A worker's entry has changed: schedulers that watch hear of it late."""
+    def publish_entry(self, worker: Worker) -> None:
+        """Send a worker's changed entry to the subscribed schedulers after discovery's delay."""
         entry = self._entry(worker)
-        self.engine.after(self._list_delay(), self._tell_change, entry)
+        self.engine.after(self._list_delay(), self._send_list_change, entry)
 
-    def _tell_change(self, entry: api.Worker) -> None:
+    def _send_list_change(self, entry: api.Worker) -> None:
         if self.discovery_down:
-            self.engine.after(S, self._tell_change, entry)
+            self.engine.after(S, self._send_list_change, entry)
             return
         if entry.state is not api.WorkerState.READY:
             self._emit(What.DRAINING, worker=entry.address)
@@ -244,149 +252,155 @@
 
     # Clients
 
-    def _ask(self, wish: _Wish) -> None:
-        """A client's try, at a scheduler of its choice that lives."""
-        asked, now = wish.asked, self.engine.now
-        wish.tries += 1
-        if wish.tries == 1:
-            wish.began_us = now
-        self._numbers += 1
-        number, kind = self._numbers, self.kind_index[asked.kind]
+    def _send_request(self, job: _ClientJob) -> None:
+        """Send a client's request to one of the running schedulers, for the first time or as a retry."""
+        traced, now = job.traced, self.engine.now
+        job.tries += 1
+        if job.tries == 1:
+            job.began_us = now
+        self._last_number += 1
+        number, kind = self._last_number, self.kind_index[traced.kind]
         candidates = [n for n in self.nodes if n.alive]
         if not candidates:
-            self._failed(wish, 0, 0)
+            self._retry(job, 0, 0)
             return
-        rng = stream(self.seed, CLIENTS, asked.number, wish.tries)
-        node = self._choose(candidates, rng)
-        self._emit(What.REQUESTED, str(number), kind=asked.kind)
-        self._count_present(1)
-        since = now
+        rng = stream(self.seed, CLIENTS, traced.number, job.tries)
+        node = self._choose_scheduler(candidates, rng)
+        self._emit(What.REQUESTED, str(number), kind=traced.kind)
+        self._count_in_system(1)
+        sent_at_us = now
         answered = [False]
 
-        def answer(status: int, wait_us: int) -> None:
+        def answer(status: int, retry_after_us: int) -> None:
             if answered[0]:
                 return
             answered[0] = True
-            self._emit(What.ANSWERED, str(number), status=status, kind=asked.kind)
-            self._count_present(-1)
-            self._stays.append(self.engine.now - since)
+            self._emit(What.ANSWERED, str(number), status=status, kind=traced.kind)
+            self._count_in_system(-1)
+            self._stays_us.append(self.engine.now - sent_at_us)
             self.result.statuses[status] = self.result.statuses.get(status, 0) + 1
             if status == 200:
-                self._served(wish, self.engine.now - since)
+                self._record_success(job, self.engine.now - sent_at_us)
             else:
-                self._failed(wish, status, wait_us)
+                self._retry(job, status, retry_after_us)
 
-        def give_up() -> None:
-            """Its scheduler has died, or owes it an answer past its time."""
+        def disconnect() -> None:
+            """Disconnect without an answer: the scheduler has crashed or exceeds the deadline."""
             if not answered[0]:
                 answered[0] = True
                 self._emit(What.CLIENT_DISCONNECTED, str(number))
-                self._count_present(-1)
-                self._stays.append(self.engine.now - since)
+                self._count_in_system(-1)
+                self._stays_us.append(self.engine.now - sent_at_us)
                 if node.alive:
                     node.client_disconnected(number)
-                self._failed(wish, 0, 0)
+                self._retry(job, 0, 0)
 
-        deadline = int(asked.deadline_us or self.d.traffic.kinds[kind].deadline_ms * 1000)
-        arrival = Arrival(number, kind, asked.tenant, asked.work_us, deadline, wish.tries > 1, asked.program)
+        deadline_us = int(traced.deadline_us or self.d.traffic.kinds[kind].deadline_ms * 1000)
+        arrival = Arrival(
+            number, kind, traced.tenant, traced.work_us, deadline_us, job.tries > 1, traced.program
+        )
         self.engine.after(self.d.fleet.near_ms * 1000, node.receive_request, arrival, answer)
-        self.engine.after(deadline + 100_000, give_up)
+        self.engine.after(deadline_us + 100_000, disconnect)
 
-    def _choose(self, candidates: list[Node], rng: np.random.Generator) -> Node:
-        """The scheduler that the front gives a client; where they have unequal shares, by the share."""
+    def _choose_scheduler(self, candidates: list[Node], rng: np.random.Generator) -> Node:
+        """Choose a scheduler as the load balancer in front of them does, at random by their shares."""
         if not self.d.traffic.scheduler_skew:
             return candidates[int(rng.integers(len(candidates)))]
         shares = np.array([self.node_shares[node.name] for node in candidates])
         return candidates[int(np.searchsorted(np.cumsum(shares), rng.random() * shares.sum()))]
 
-    def _served(self, wish: _Wish, took_us: int) -> None:
-        kind = self.d.traffic.kinds[self.kind_index[wish.asked.kind]]
-        wish.done = True
-        limit = kind.aim_ms * 1000 + kind.stretch * wish.asked.work_us
-        wish.in_time = took_us <= limit
-        self.result.latencies.setdefault(wish.asked.kind, []).append(took_us / 1000)
-
-    def _failed(self, wish: _Wish, status: int, wait_us: int) -> None:
-        """Try again, as clients do: unsafe jobs only after a refusal."""
-        kind = self.d.traffic.kinds[self.kind_index[wish.asked.kind]]
-        safe = kind.repeat == "retryable" or status in REFUSALS
-        if wish.tries > self._clients["retries"] or not safe:
+    def _record_success(self, job: _ClientJob, took_us: int) -> None:
+        kind = self.d.traffic.kinds[self.kind_index[job.traced.kind]]
+        job.done = True
+        limit = kind.aim_ms * 1000 + kind.stretch * job.traced.work_us
+        job.in_time = took_us <= limit
+        self.result.latencies.setdefault(job.traced.kind, []).append(took_us / 1000)
+
+    def _retry(self, job: _ClientJob, status: int, retry_after_us: int) -> None:
+        """Plan the client's next try after a failed one, if it has retries left.
+
+        A job that must not run twice is retried only after a refusal, as it may have run after any other
+        failure.
+        """
+        kind = self.d.traffic.kinds[self.kind_index[job.traced.kind]]
+        safe = kind.repeat == "retryable" or status in REFUSAL_STATUSES
+        if job.tries > self._clients["retries"] or not safe:
             return
-        rng = stream(self.seed, CLIENTS, wish.asked.number, 1000 + wish.tries)
-        back_off = self._clients["back_off_ms"] * self._clients["back_off_factor"] ** (wish.tries - 1)
-        wait = back_off * 1000 * float(rng.uniform(0.5, 1.5))
-        if wait_us and rng.random() < self._clients["heed"]:
-            wait = wait_us
-        self.engine.after(wait, self._ask, wish)
-
-    def _count_present(self, change: int) -> None:
+        rng = stream(self.seed, CLIENTS, job.traced.number, 1000 + job.tries)
+        back_off_ms = self._clients["back_off_ms"] * self._clients["back_off_factor"] ** (job.tries - 1)
+        wait_us = back_off_ms * 1000 * float(rng.uniform(0.5, 1.5))
+        if retry_after_us and rng.random() < self._clients["heed"]:
+            wait_us = retry_after_us
+        self.engine.after(wait_us, self._send_request, job)
+
+    def _count_in_system(self, change: int) -> None:
         now = self.engine.now
-        self._present_sum += self._present * (now - self._present_at)
-        self._present, self._present_at = self._present + change, now
+        self._in_system_sum += self._in_system * (now - self._in_system_at_us)
+        self._in_system, self._in_system_at_us = self._in_system + change, now
 
-    # Troubles
+    # Faults
 
-    def _plan(self, trouble: Fault, number: int) -> None:
-        at, end = START_US + trouble.at_s * S, START_US + (trouble.at_s + trouble.for_s) * S
+    def _plan_fault(self, fault: Fault, number: int) -> None:
+        at, end = START_US + fault.at_s * S, START_US + (fault.at_s + fault.for_s) * S
         rng = stream(self.seed, TROUBLES, number)
         workers = list(self.workers.values())
-        count = max(1, round(trouble.part * len(workers)))
-        struck = [workers[i] for i in sorted(rng.permutation(len(workers))[:count])]
-        match trouble.kind:
+        count = max(1, round(fault.part * len(workers)))
+        affected = [workers[i] for i in sorted(rng.permutation(len(workers))[:count])]
+        match fault.kind:
             case "silent":
-                for worker in struck:
+                for worker in affected:
                     self.engine.at(int(at + rng.uniform(0, 0.2 * S)), worker.vanish)
-                    self.engine.at(int(end + rng.uniform(0, 0.2 * S)), self._come_back, worker)
+                    self.engine.at(int(end + rng.uniform(0, 0.2 * S)), self._restart_worker, worker)
             case "slow":
-                for worker in struck:
-                    self.engine.at(int(at), worker.pace, trouble.size)
+                for worker in affected:
+                    self.engine.at(int(at), worker.pace, fault.size)
                     self.engine.at(int(end), worker.pace, 1.0)
             case "release":
-                gap = trouble.for_s * S / max(1, len(struck))
-                for i, worker in enumerate(struck):
-                    self.engine.at(int(at + i * gap), self._release, worker)
+                gap = fault.for_s * S / max(1, len(affected))
+                for i, worker in enumerate(affected):
+                    self.engine.at(int(at + i * gap), self._release_worker, worker)
             case "drain":
-                for worker in struck:
-                    self.engine.at(int(at), self._drain, worker)
-                    self.engine.at(int(end), self._come_back, worker)
+                for worker in affected:
+                    self.engine.at(int(at), self._drain_worker, worker)
+                    self.engine.at(int(end), self._restart_worker, worker)
             case "errors":
-                for worker in struck:
-                    self.engine.at(int(at), setattr, worker, "error_share", min(1.0, trouble.size))
+                for worker in affected:
+                    self.engine.at(int(at), setattr, worker, "error_share", min(1.0, fault.size))
                     self.engine.at(int(end), setattr, worker, "error_share", 0.0)
             case "partition":
                 self._plan_partition(int(at), int(end))
             case "discovery":
-                self.engine.at(int(at), self._discovery, True)
-                self.engine.at(int(end), self._discovery, False)
+                self.engine.at(int(at), self._set_discovery_down, True)
+                self.engine.at(int(end), self._set_discovery_down, False)
             case "crash":
-                count = max(1, round(trouble.part * len(self.nodes)))
+                count = max(1, round(fault.part * len(self.nodes)))
                 for index in sorted(rng.permutation(len(self.nodes))[:count]):
                     self.engine.at(int(at), self.nodes[int(index)].crash)
                     self.engine.at(int(end), self._restart_node, int(index))
             case "surge":
-                pass  # it is in the trace
+                pass  # the trace contains the surge
 
     def _plan_partition(self, at: int, end: int) -> None:
-        """The last zone is cut off from the others."""
+        """Disconnect the last zone from all others for a time."""
         last = len(self.zones) - 1
         for worker in self.workers.values():
             others = {z for z in range(len(self.zones)) if (z == last) != (worker.zone == last)}
             self.engine.at(at, worker.unreachable_zones.update, others)
             self.engine.at(end, worker.unreachable_zones.difference_update, others)
 
-    def _come_back(self, worker: Worker) -> None:
+    def _restart_worker(self, worker: Worker) -> None:
         worker.come_back()
-        self.changed(worker)
+        self.publish_entry(worker)
 
-    def _release(self, worker: Worker) -> None:
+    def _release_worker(self, worker: Worker) -> None:
         worker.restart()
-        self.changed(worker)
+        self.publish_entry(worker)
 
-    def _drain(self, worker: Worker) -> None:
+    def _drain_worker(self, worker: Worker) -> None:
         worker.drain()
-        self.changed(worker)
+        self.publish_entry(worker)
 
-    def _discovery(self, down: bool) -> None:
+    def _set_discovery_down(self, down: bool) -> None:
         self.discovery_down = down
         if down:
             for node in self.nodes:
@@ -402,43 +416,43 @@
         known = [self._entry(w) for w in self.workers.values()]
         node.update_workers(api.WorkersListed(api.ListKind.CACHED, known))
 
-    # Playing
+    # Run and result
 
     def play(self) -> Result:
-        """Let it all happen, and sum it up. The rules are checked from the journal alone."""
-        for number, trouble in enumerate(self.d.troubles):
-            self._plan(trouble, number)
+        """Run the simulation and return its result. The checker evaluates its rules on the journal alone."""
+        for number, fault in enumerate(self.d.troubles):
+            self._plan_fault(fault, number)
         for node in self.nodes:
             self._start_node(node)
-        for asked in self.trace.asked:
-            wish = _Wish(asked)
-            self._wishes.append(wish)
-            self.engine.at(START_US + asked.at_us, self._ask, wish)
+        for traced in self.trace.asked:
+            job = _ClientJob(traced)
+            self._jobs.append(job)
+            self.engine.at(START_US + traced.at_us, self._send_request, job)
         longest = max(k.deadline_ms for k in self.d.traffic.kinds) / 1000
         tries = 1 + int(self._clients["retries"])
-        end_s = self.d.seconds + min(600.0, tries * (longest + 3.0) + END_S)
+        end_s = self.d.seconds + min(600.0, tries * (longest + 3.0) + END_MARGIN_S)
         self.engine.run(START_US + int(end_s * S))
-        return self._sum_up()
+        return self._summarize()
 
-    def _sum_up(self) -> Result:
+    def _summarize(self) -> Result:
         r = self.result
         warm = self.d.warm_s * S
         kinds: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
         tenants: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
         windows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
-        for wish in self._wishes:
-            asked = wish.asked
-            if asked.at_us < warm:
+        for job in self._jobs:
+            traced = job.traced
+            if traced.at_us < warm:
                 continue
-            kind: JobKind = self.d.traffic.kinds[self.kind_index[asked.kind]]
-            worth = kind.worth * asked.work_us / S
-            got = worth * wish.in_time
-            r.firsts, r.wanted, r.served = r.firsts + 1, r.wanted + worth, r.served + got
+            kind: JobKind = self.d.traffic.kinds[self.kind_index[traced.kind]]
+            worth = kind.worth * traced.work_us / S
+            served = worth * job.in_time
+            r.firsts, r.wanted, r.served = r.firsts + 1, r.wanted + worth, r.served + served
             for table, key in (
-                (kinds, asked.kind), (tenants, asked.tenant), (windows, int(asked.at_us / S / WINDOW_S)),
+                (kinds, traced.kind), (tenants, traced.tenant), (windows, int(traced.at_us / S / WINDOW_S)),
             ):  # fmt: skip
                 entry = table[key]  # type: ignore[index]
-                entry[0], entry[1] = entry[0] + worth, entry[1] + got
+                entry[0], entry[1] = entry[0] + worth, entry[1] + served
         r.by_kind = {k: (v[0], v[1]) for k, v in sorted(kinds.items())}
         r.by_tenant = {k: (v[0], v[1]) for k, v in sorted(tenants.items())}
         shares = [v[1] / v[0] if v[0] else 1.0 for _, v in sorted(windows.items())]
@@ -453,11 +467,11 @@
         r.busy_s = sum(w.busy_us for w in self.workers.values()) / S
         unsafe = [k.name for k in self.d.traffic.kinds if k.repeat == "fragile"]
         r.broken = broken(self.journal, unsafe)
-        self._count_present(0)
+        self._count_in_system(0)
         span = self.engine.now - START_US
-        r.mean_present = self._present_sum / span
-        r.mean_stay_s = sum(self._stays) / len(self._stays) / S if self._stays else 0.0
-        r.arrival_rate = len(self._stays) / (span / S)
+        r.mean_present = self._in_system_sum / span
+        r.mean_stay_s = sum(self._stays_us) / len(self._stays_us) / S if self._stays_us else 0.0
+        r.arrival_rate = len(self._stays_us) / (span / S)
         r.steps = self.engine.steps
         return r
 
