--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -32,9 +32,7 @@
 REFUSAL_STATUSES = (429, 503)
 REPEAT_POLICIES = {"retryable": api.Repeat.SAFE, "fragile": api.Repeat.UNSAFE}
 FLEET, TRAFFIC, TROUBLES, CLIENTS, NODES, ERRORS, LISTS = range(7)  # first spawn keys of the random streams
-END_MARGIN_S = (
-    40.0  # added to the longest time of all tries of a job, so that every request ends within the run
-)
+END_MARGIN_S = 40.0  # added to the longest time of all tries of a job, so that each ends in the run
 
 
 def stream(seed: int, *keys: int) -> np.random.Generator:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model against formulas, against itself, and on the hard cases that it is there to show."""
+"""The simulation: queueing formulas, reproducibility, comparisons, faults and its command-line interface."""
 
 import math
 from dataclasses import asdict
@@ -47,51 +47,56 @@
 )
 
 
-def station(cores: int, slots: int, rate: float, seed: int, count: int = 30_000) -> tuple[float, float]:
-    """Mean stay at one worker with Poisson arrivals and exponential work of mean 1, and its standard
-    error.
+def mean_response_time(
+    cores: int, slots: int, rate: float, seed: int, count: int = 30_000
+) -> tuple[float, float]:
+    """Return the mean response time of one worker and its standard error, in seconds. Arrivals are Poisson,
+    work is exponential with mean 1 s.
     """
     rng, engine = np.random.default_rng(seed), Engine()
     machine = Machine("m", 1, cores=cores, slots=slots, memory=1e9, queue=10**5)
     worker = Worker("w", 0, 0, machine, 1.0, Fleet((machine,)), engine, Journal())
-    stays: list[float] = []
+    times: list[float] = []
     at = 0.0
     for number in range(count):
         at += rng.exponential(1 / rate)
 
-        def tell(what: str, job: Job, since: float = at) -> None:
-            if what == "done":
-                stays.append(engine.now / S - since)
+        def report(state: str, job: Job, arrived: float = at) -> None:
+            if state == "done":
+                times.append(engine.now / S - arrived)
 
-        job = Job(str(number), "k", rng.exponential(1.0) * S, 1, 0.0, tell)
+        job = Job(str(number), "k", rng.exponential(1.0) * S, 1, 0.0, report)
         engine.at(int(at * S), worker.take, job)
     engine.run(int((at + 1_000) * S))
-    assert len(stays) == count
-    batches = np.array(stays).reshape(30, -1).mean(axis=1)  # neighbours are alike: batches are hardly
-    return float(np.mean(stays)), float(batches.std(ddof=1) / math.sqrt(30))
+    assert len(times) == count
+    # Successive response times are correlated, so that the error is estimated by batch means.
+    batches = np.array(times).reshape(30, -1).mean(axis=1)
+    return float(np.mean(times)), float(batches.std(ddof=1) / math.sqrt(30))
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The chance of waiting in M/M/c."""
+    """Return the probability that a job has to wait in an M/M/c queue."""
     top = load**servers / math.factorial(servers) * servers / (servers - load)
     return top / (sum(load**k / math.factorial(k) for k in range(servers)) + top)
 
 
 @pytest.mark.parametrize(
-    "cores, slots, rate, wanted",
+    "cores, slots, rate, expected",
     [
-        (1, 1, 0.7, 1 / (1 - 0.7)),  # M/M/1, first come first served
-        (4, 4, 3.0, 1 + erlang_c(4, 3.0) / (4 - 3.0)),  # M/M/4
-        (1, 10_000, 0.6, 1 / (1 - 0.6)),  # processor sharing: as M/M/1 in the mean
+        (1, 1, 0.7, 1 / (1 - 0.7)),  # M/M/1 with a FIFO queue
+        (4, 4, 3.0, 1 + erlang_c(4, 3.0) / (4 - 3.0)),  # M/M/4 with a FIFO queue
+        (1, 10_000, 0.6, 1 / (1 - 0.6)),  # M/M/1 with processor sharing has the same mean as with FIFO
     ],
 )
-def test_a_worker_keeps_to_the_formulas(cores: int, slots: int, rate: float, wanted: float) -> None:
-    mean, error = station(cores, slots, rate, seed=11)
-    assert abs(mean - wanted) < 4 * error + 0.01, (mean, wanted, error)
+def test_worker_mean_response_time_matches_formulas(
+    cores: int, slots: int, rate: float, expected: float
+) -> None:
+    mean, error = mean_response_time(cores, slots, rate, seed=11)
+    assert abs(mean - expected) < 4 * error + 0.01, (mean, expected, error)
 
 
 @pytest.mark.parametrize("name", ["clubs", "clubs-all"])
-def test_littles_law_holds_and_no_rule_is_broken(name: str) -> None:
+def test_run_satisfies_littles_law_and_the_checkers_rules(name: str) -> None:
     description = sites.site(name)
     result = World(description, draw(description, 3), Side(), 3).play()
     assert result.mean_present == pytest.approx(result.arrival_rate * result.mean_stay_s, rel=1e-6)
@@ -99,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(sites.FAULTS))
-def test_every_situation_ends_with_one_answer_for_each_request(name: str) -> None:
+def test_each_request_gets_one_answer_under_each_shipped_fault(name: str) -> None:
     description = replace(
         SMALL, troubles=tuple(replace(t, at_s=t.at_s / 4, for_s=t.for_s / 4) for t in sites.FAULTS[name])
     )
@@ -109,62 +114,64 @@
 
 
 @pytest.mark.parametrize("kind", ["drain", "crash", "partition", "errors", "discovery"])
-def test_the_other_troubles_play_and_keep_the_rules(kind: Any) -> None:
-    trouble = Fault(kind, 4.0, 3.0, part=0.5, size=0.3 if kind == "errors" else 2.0)
-    description = replace(SMALL, troubles=(trouble,))
+def test_faults_outside_shipped_situations_have_an_effect_and_keep_the_rules(kind: Any) -> None:
+    fault = Fault(kind, 4.0, 3.0, part=0.5, size=0.3 if kind == "errors" else 2.0)
+    description = replace(SMALL, troubles=(fault,))
     result = World(description, draw(description, 6), Side(), 6).play()
     assert not result.broken and result.served < result.wanted * 1.0001
     if kind not in ("crash", "errors", "partition"):
         return
-    # On one small day the draw of who sends where weighs as much as the trouble: all twelve together.
-    rough = [World(description, draw(description, seed), Side(), seed).play() for seed in range(1, 13)]
-    calm = [World(SMALL, draw(SMALL, seed), Side(), seed).play() for seed in range(1, 13)]
-    share, tries = sum(r.share for r in rough), sum(r.tries for r in rough)
-    assert share < sum(r.share for r in calm) or tries > sum(r.tries for r in calm)
+    # In one small run the random choices of workers matter as much as the fault, so that 12 runs are summed.
+    with_fault = [World(description, draw(description, seed), Side(), seed).play() for seed in range(1, 13)]
+    without = [World(SMALL, draw(SMALL, seed), Side(), seed).play() for seed in range(1, 13)]
+    share, tries = sum(r.share for r in with_fault), sum(r.tries for r in with_fault)
+    assert share < sum(r.share for r in without) or tries > sum(r.tries for r in without)
 
 
-def test_the_same_seed_gives_the_same_result_whatever_the_processes() -> None:
+def test_same_seed_gives_the_same_result_for_any_number_of_processes() -> None:
     a, b = Version("a"), Version("b", settings={"max_attempts": 1})
-    one = compare(SMALL, a, b, seed=5, most=6, processes=1)
-    three = compare(SMALL, a, b, seed=5, most=6, processes=3)
-    assert report.as_json(one) == report.as_json(three)
-    again = play(SMALL, a, 5)
-    assert not isinstance(again, Failed) and asdict(again) == asdict(one.results_a[0])
+    serial = compare(SMALL, a, b, seed=5, most=6, processes=1)
+    parallel = compare(SMALL, a, b, seed=5, most=6, processes=3)
+    assert report.as_json(serial) == report.as_json(parallel)
+    repeated = play(SMALL, a, 5)
+    assert not isinstance(repeated, Failed) and asdict(repeated) == asdict(serial.results_a[0])
 
 
-def test_arrivals_workers_and_troubles_are_common_to_both_sides() -> None:
+def test_both_sides_get_the_same_arrivals_and_workers() -> None:
     worlds = [World(SMALL, draw(SMALL, 9), side, 9) for side in (Side(), Side(settings={"probes": False}))]
     first, second = ([(w.name, w.speed) for w in world.workers.values()] for world in worlds)
     assert first == second and worlds[0].trace.asked == worlds[1].trace.asked
 
 
-def test_equal_sides_show_no_difference_in_95_of_100_comparisons() -> None:
-    """Independent noise that both sides draw alike, skewed as served worth is, at all planned looks."""
+def test_at_most_5_of_100_comparisons_of_equal_sides_report_a_difference() -> None:
+    """Both sides draw independent values of one distribution, skewed like that of served worth. Each comparison
+    stops at one of the planned looks.
+    """
     rng = np.random.default_rng(17)
-    wrong = 0
+    false_positives = 0
     for trial in range(100):
         values = list(rng.exponential(0.02, LOOKS[-2]) - rng.exponential(0.02, LOOKS[-2]))
         for look in LOOKS[:-1]:
             if may_stop(values[:look], 0.001, trial).why == "the difference is sure":
-                wrong += 1
+                false_positives += 1
                 break
-    assert wrong <= 5
+    assert false_positives <= 5
 
 
-def test_a_known_difference_of_two_points_is_found() -> None:
+def test_difference_of_two_percentage_points_is_detected() -> None:
     rng = np.random.default_rng(18)
-    found = 0
+    detected = 0
     for trial in range(20):
         values = list(0.02 + rng.normal(0, 0.03, LOOKS[-1]))
-        looks = [may_stop(values[:look], 0.002, trial) for look in LOOKS]
-        found += any(stop.why == "the difference is sure" for stop in looks)
-    assert found >= 19
+        decisions = [may_stop(values[:look], 0.002, trial) for look in LOOKS]
+        detected += any(decision.why == "the difference is sure" for decision in decisions)
+    assert detected >= 19
 
 
-def test_a_against_a_is_exactly_nothing_and_stops_at_the_first_look() -> None:
-    same = compare(SMALL, Version("a"), Version("b"), processes=4)
-    assert len(same.results_a) == LOOKS[0] and same.differences["served worth"].mean == 0.0
-    assert "no difference" in same.verdict
+def test_comparison_of_equal_sides_stops_at_the_first_look_without_a_difference() -> None:
+    comparison = compare(SMALL, Version("a"), Version("b"), processes=4)
+    assert len(comparison.results_a) == LOOKS[0] and comparison.differences["served worth"].mean == 0.0
+    assert "no difference" in comparison.verdict
 
 
 def test_a_failed_side_is_reported_and_no_differences_are_computed() -> None:
@@ -195,14 +202,14 @@
     assert comparison.verdict == "b failed on seed 3: reason" and not comparison.differences
 
 
-def test_another_revisions_module_plays_over_the_wire_as_the_same_module_here() -> None:
-    """The tree itself as another revision: the wire must change nothing, bit for bit."""
-    here, there = play(SMALL, Version("here"), 4), play(SMALL, Version("there", root=str(ROOT)), 4)
-    assert not isinstance(here, Failed) and not isinstance(there, Failed), there
-    assert asdict(here) == asdict(there)
+def test_module_in_another_process_gives_the_same_result_as_in_this_one() -> None:
+    """This tree plays the other revision. A loss or change in the protocol would change the result."""
+    local, remote = play(SMALL, Version("here"), 4), play(SMALL, Version("there", root=str(ROOT)), 4)
+    assert not isinstance(local, Failed) and not isinstance(remote, Failed), remote
+    assert asdict(local) == asdict(remote)
 
 
-def test_a_module_that_ends_over_the_wire_is_a_failure_with_its_last_words(tmp_path: Path) -> None:
+def test_exit_of_the_other_modules_process_is_a_failure_with_its_last_error_line(tmp_path: Path) -> None:
     (tmp_path / "robinhill").mkdir()
     (tmp_path / "robinhill" / "__init__.py").write_text("")
     (tmp_path / "robinhill" / "adapter.py").write_text("raise SystemExit('no module here')")
@@ -211,7 +218,7 @@
 
 
 def metastable(retries: int) -> Description:
-    """Slow work and impatient clients: what is late is asked for again, and again."""
+    """A fleet prone to metastable failure: jobs are slow, and clients retry late ones after 10 to 30 ms."""
     kind = JobKind("lookup", 1.0, 400, 600, 1_500, 0.3, 1.0)
     return Description(
         "metastable",
@@ -223,8 +230,10 @@
     )
 
 
-def test_retries_without_limit_keep_a_fleet_down_after_the_surge_and_limited_ones_do_not() -> None:
-    """The load of the retries outlives the surge that began it; what differs is the clients' limit alone."""
+def test_unlimited_retries_prolong_an_overload_and_limited_ones_do_not() -> None:
+    """With unlimited retries, their load continues after the surge that caused it; with a limit the fleet
+    recovers.
+    """
     ends = {}
     for retries in (1, 100):
         description = metastable(retries)
@@ -234,15 +243,18 @@
     assert ends[100][2] > 3 * ends[1][2], ends
 
 
-def test_a_change_that_helps_one_class_and_hurts_another_is_told_as_that() -> None:
-    done = Comparison("x", "a", "b")
-    done.differences = {"served worth": interval([0.001, -0.001] * 10, 1)}
-    done.by_kind = {"lookup": interval([0.03, 0.04] * 10, 1), "report": interval([-0.05, -0.04] * 10, 1)}
-    assert "helps lookup and hurts report" in done.verdict
+def test_verdict_names_the_classes_that_gain_and_lose() -> None:
+    comparison = Comparison("x", "a", "b")
+    comparison.differences = {"served worth": interval([0.001, -0.001] * 10, 1)}
+    comparison.by_kind = {
+        "lookup": interval([0.03, 0.04] * 10, 1),
+        "report": interval([-0.05, -0.04] * 10, 1),
+    }
+    assert "helps lookup and hurts report" in comparison.verdict
 
 
 @pytest.mark.parametrize(
-    "text, says",
+    "text, message",
     [
         ('{"name": 1}', "name"),
         ('{"name": "x", "secs": 1}', "secs"),
@@ -250,28 +262,28 @@
         ('{"name":"x","seconds":9,"traffic":{"rate_per_s":1,"kinds":[]},"fleet":{"machines":[]}}', "kinds"),
     ],
 )
-def test_a_faulty_description_names_its_key(text: str, says: str, tmp_path: Path) -> None:
+def test_error_of_a_faulty_description_names_the_key(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "d.json"
     path.write_text(text)
-    with pytest.raises(DescriptionError, match=says):
+    with pytest.raises(DescriptionError, match=message):
         read(path)
-    done = CliRunner().invoke(cli, ["model", "run", str(path)], standalone_mode=False)
-    assert done.return_value == 2
+    result = CliRunner().invoke(cli, ["model", "run", str(path)], standalone_mode=False)
+    assert result.return_value == 2
 
 
-def test_a_class_that_the_description_does_not_know_is_an_error() -> None:
+def test_trace_with_a_class_outside_the_description_is_an_error() -> None:
     other = replace(SMALL, traffic=replace(SMALL.traffic, kinds=(JobKind("other", 1, 1, 1, 1),)))
     with pytest.raises(DescriptionError, match=r"not among traffic\.kinds"):
         World(other, draw(SMALL, 1), Side(), 1)
 
 
-def test_the_command_writes_table_json_and_a_page_without_network(tmp_path: Path) -> None:
+def test_compare_command_writes_table_json_and_self_contained_html(tmp_path: Path) -> None:
     (tmp_path / "d.json").write_bytes(write(SMALL))
     (tmp_path / "b.json").write_text('{"settings": {"max_attempts": 1}}')
-    words = ["model", "compare", "this", str(tmp_path / "b.json"), "--on", str(tmp_path / "d.json")]
-    words += ["--until", "20%", "--processes", "2", "--json", str(tmp_path / "r.json")]
-    done = CliRunner().invoke(cli, [*words, "--html", str(tmp_path / "r.html")], standalone_mode=False)
-    assert done.return_value == 0, done.output
-    assert "served worth" in done.output and '"verdict"' in (tmp_path / "r.json").read_text()
+    arguments = ["model", "compare", "this", str(tmp_path / "b.json"), "--on", str(tmp_path / "d.json")]
+    arguments += ["--until", "20%", "--processes", "2", "--json", str(tmp_path / "r.json")]
+    result = CliRunner().invoke(cli, [*arguments, "--html", str(tmp_path / "r.html")], standalone_mode=False)
+    assert result.return_value == 0, result.output
+    assert "served worth" in result.output and '"verdict"' in (tmp_path / "r.json").read_text()
     page = (tmp_path / "r.html").read_text()
     assert page.count("data:image/png;base64,") == 3 and "http" not in page.replace("http-equiv", "")
--- a/tests/test_thin_fleet.py
+++ b/tests/test_thin_fleet.py
@@ -1,4 +1,8 @@
-"""Many schedulers of a few requests a second each: the module against policies that know nothing."""
+"""Many schedulers with a few requests per second each: the decision module against load-blind policies.
+
+A scheduler with so little traffic learns little of the workers' load. The module must still serve as much as
+policies that use no knowledge of load.
+"""
 
 import random
 from collections.abc import Callable
@@ -14,11 +18,15 @@
 from robinhill.model.world import Result, Side, World
 
 SEED = 1
-MARGIN = 0.02  # of the worth asked for
+MARGIN = 0.02  # tolerated deficit, as a share of the requested worth
+
 
+class LoadBlindModule:
+    """A decision module that sends each job to a worker chosen without regard to load.
 
-class Oblivious:
-    """Sends each job to the worker that ``pick`` names by the number of sends; again only if turned away."""
+    ``pick`` returns the worker's index for the number of sends so far and the number of workers. A job is
+    sent again only if the worker returned it, six times in all.
+    """
 
     def __init__(self, pick: Callable[[int, int], int], rng: random.Random) -> None:
         self.pick, self.rng = pick, rng
@@ -57,17 +65,19 @@
 
 
 def round_robin(_: api.Settings, seed: int) -> DecisionModule:
-    """From a random start, in an order of its own."""
-    return Oblivious(lambda sends, workers: sends % workers, random.Random(seed))
+    """Create a module that sends to the workers in turn, in a random order of its own."""
+    return LoadBlindModule(lambda sends, workers: sends % workers, random.Random(seed))
 
 
 def plain_random(_: api.Settings, seed: int) -> DecisionModule:
     rng = random.Random(seed)
-    return Oblivious(lambda sends, workers: rng.randrange(workers), rng)
+    return LoadBlindModule(lambda sends, workers: rng.randrange(workers), rng)
 
 
 def small_observatory() -> Description:
-    """A third of all machines and of the traffic: still thin, at a ninth of the time."""
+    """The observatory with a third of the workers, schedulers and traffic, for 11 s: each scheduler gets the
+    same rate of requests, and the test needs a ninth of the time.
+    """
     fleet, traffic = sites.OBSERVATORY.fleet, sites.OBSERVATORY.traffic
     machines = tuple(replace(machine, count=machine.count // 3) for machine in fleet.machines)
     return replace(
@@ -78,15 +88,15 @@
     )
 
 
-def played(module: Callable[[api.Settings, int], DecisionModule]) -> Result:
+def play(module: Callable[[api.Settings, int], DecisionModule]) -> Result:
     description = small_observatory()
     return World(description, draw(description, SEED), Side(module=module), SEED).play()
 
 
-def test_thin_schedulers_serve_what_oblivious_policies_serve() -> None:
-    ours = played(Balancer)
-    others = {policy.__name__: played(policy).share for policy in (round_robin, plain_random)}
-    assert not ours.broken
-    assert ours.share >= max(others.values()) - MARGIN, (ours.share, others)
-    # Work for nobody is load as well.
-    assert ours.wasted_s <= 0.03 * ours.busy_s, (ours.wasted_s, ours.busy_s)
+def test_module_serves_as_much_worth_as_load_blind_policies() -> None:
+    result = play(Balancer)
+    others = {policy.__name__: play(policy).share for policy in (round_robin, plain_random)}
+    assert not result.broken
+    assert result.share >= max(others.values()) - MARGIN, (result.share, others)
+    # Jobs that run after their cancellation are load without a benefit.
+    assert result.wasted_s <= 0.03 * result.busy_s, (result.wasted_s, result.busy_s)
