--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -183,9 +183,9 @@
 ) -> Comparison:
     """Run pairs until `may_stop` ends the comparison by the difference in served worth.
 
-    ``until`` is the half-width of the interval at which the difference counts as known, ``most`` the maximum
-    number of pairs. The same seed gives the same result, bit for bit, for any number of processes, as pairs
-    are evaluated in the order of their seeds.
+    ``until`` is the half-width of the interval at which the difference counts as known; ``most`` is the
+    maximum number of pairs. The same seed gives the same result, bit for bit, for any number of processes, as
+    pairs are evaluated in the order of their seeds.
     """
     comparison = Comparison(description.name, a.name, b.name)
     run_pair = partial(_play_pair, description, a, b, trace)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -144,8 +144,8 @@
 
 
 def test_at_most_5_of_100_comparisons_of_equal_sides_report_a_difference() -> None:
-    """Both sides draw independent values of one distribution, skewed like that of served worth. Each comparison
-    stops at one of the planned looks.
+    """Both sides draw independent values from one distribution, skewed like that of served worth. The rule is
+    evaluated at all planned looks but the last.
     """
     rng = np.random.default_rng(17)
     false_positives = 0
