--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -1,6 +1,6 @@
 """Comparison of two sides by paired runs over many seeds, on all cores, until their difference is known.
 
-Both runs of a pair simulate the same seed: the same arrivals, workers and faults.
+Both runs of a pair use the same seed and thus get the same arrivals, workers and faults.
 """
 
 import multiprocessing
@@ -103,8 +103,9 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """All pairs of a comparison, in the order of their seeds, and their statistics. Differences are side B's
-    values minus side A's.
+    """All pairs of a comparison, in the order of their seeds, and their statistics.
+
+    A difference is the value of side B minus that of side A.
     """
 
     description: str
--- a/robinhill/model/describe.py
+++ b/robinhill/model/describe.py
@@ -22,9 +22,9 @@
 class JobKind(Struct, frozen=True, forbid_unknown_fields=True):
     """A class of jobs.
 
-    ``share`` is its weight among all arrivals. ``work_ms`` is the mean running time on a core of speed 1;
-    ``lengths`` selects the distribution of running times, for which ``sigma`` is the spread of the lognormal
-    one. A job is served in time within ``aim_ms`` plus ``stretch`` times its own running time.
+    ``share`` is its share of all arrivals, relative to those of the other classes. ``work_ms`` is the mean
+    running time on a core of speed 1, ``lengths`` the distribution of running times, and ``sigma`` the spread
+    of a lognormal one. A job is served in time within ``aim_ms`` plus ``stretch`` times its own running time.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    """Workers, schedulers, the network between them, and the settings that schedulers derive from it."""
+    """Workers, schedulers, the network between them, and settings of the schedulers."""
 
     machines: tuple[Machine, ...]
     schedulers: Annotated[int, Meta(ge=1, le=1000)] = 2
@@ -94,12 +94,12 @@
     far_ms: Ms = 8.0  # one-way delay between two zones
     connect_cost_ms: Ms = 0.5  # core time that a worker spends on a new connection
     connect_timeout_ms: Positive = 200.0
-    cold_s: Positive = 8.8
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32
-    fall_multiple: Positive = 3.0
-    tip_after_s: Positive = 1.0
-    list_delay_s: tuple[float, float] = (0.5, 2.0)
-    drain_returns: bool = True
+    cold_s: Positive = 8.8  # duration of a worker's slow start
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32  # share of its capacity when slow start begins
+    fall_multiple: Positive = 3.0  # a worker in slow start fails if it is sent this multiple of its capacity
+    tip_after_s: Positive = 1.0  # time over which the sent work is summed for `fall_multiple`
+    list_delay_s: tuple[float, float] = (0.5, 2.0)  # lowest and highest delay of a change of the worker list
+    drain_returns: bool = True  # a draining worker returns the jobs in its queue
     fetch_ms: Ms = 0.0  # core time that a worker spends on fetching a program outside its cache
     cancel_drops: bool = True  # a cancelled job is removed from the worker's queue
     probes: bool = True
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -51,9 +51,9 @@
     arrival: Arrival
     expires_at_us: int
     answer: AnswerCallback
-    addresses: list[str] = field(default_factory=list)
-    sent_us: list[int] = field(default_factory=list)
-    in_flight: set[int] = field(default_factory=set)
+    addresses: list[str] = field(default_factory=list)  # of the worker, by attempt
+    sent_us: list[int] = field(default_factory=list)  # by attempt
+    in_flight: set[int] = field(default_factory=set)  # numbers of attempts
     unanswered: bool = True
 
 
@@ -61,11 +61,11 @@
 class Counts:
     """Counters of one scheduler."""
 
-    tries: int = 0
-    crossings: int = 0
-    probes: int = 0
-    connects: int = 0
-    refused: Counter[str] = field(default_factory=Counter)
+    tries: int = 0  # attempts sent to workers
+    crossings: int = 0  # attempts sent to a worker in another zone
+    probes: int = 0  # health checks
+    connects: int = 0  # new connections
+    refused: Counter[str] = field(default_factory=Counter)  # requests, by reason
 
 
 @dataclass(slots=True, eq=False)
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -61,27 +61,27 @@
     """
 
     seed: int
-    wanted: float = 0.0
-    served: float = 0.0
-    by_kind: dict[str, tuple[float, float]] = field(default_factory=dict)  # worth requested, worth served
+    wanted: float = 0.0  # worth of all jobs requested after `warm_s`
+    served: float = 0.0  # worth of those jobs that were served in time
+    by_kind: dict[str, tuple[float, float]] = field(default_factory=dict)  # worth wanted, worth served
     by_tenant: dict[int, tuple[float, float]] = field(default_factory=dict)
-    worst_window: float = 1.0
-    firsts: int = 0
-    tries: int = 0
-    crossings: int = 0
-    probes: int = 0
-    connects: int = 0
-    statuses: dict[int, int] = field(default_factory=dict)
-    refused: dict[str, int] = field(default_factory=dict)
+    worst_window: float = 1.0  # lowest of `windows`
+    firsts: int = 0  # jobs requested after `warm_s`, without the clients' retries
+    tries: int = 0  # attempts sent to workers
+    crossings: int = 0  # attempts sent to a worker in another zone
+    probes: int = 0  # health checks
+    connects: int = 0  # new connections to workers
+    statuses: dict[int, int] = field(default_factory=dict)  # answers by HTTP status
+    refused: dict[str, int] = field(default_factory=dict)  # refused requests by reason
     wasted_s: float = 0.0
     busy_s: float = 0.0
-    latencies: dict[str, list[float]] = field(default_factory=dict)
+    latencies: dict[str, list[float]] = field(default_factory=dict)  # of served jobs, by class
     windows: list[float] = field(default_factory=list)  # share of worth served, by windows of arrival
-    broken: list[str] = field(default_factory=list)
+    broken: list[str] = field(default_factory=list)  # violations found by the checker
     mean_present: float = 0.0  # mean number of requests in the system, for Little's law
-    mean_stay_s: float = 0.0
-    arrival_rate: float = 0.0
-    steps: int = 0
+    mean_stay_s: float = 0.0  # mean time of a request in the system
+    arrival_rate: float = 0.0  # requests per second, with retries
+    steps: int = 0  # simulated events
 
     @property
     def share(self) -> float:
