--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -277,7 +277,7 @@
         World(other, draw(SMALL, 1), Side(), 1)
 
 
-def test_compare_command_writes_table_json_and_self_contained_html(tmp_path: Path) -> None:
+def test_cli_compare_writes_table_json_and_self_contained_html(tmp_path: Path) -> None:
     (tmp_path / "d.json").write_bytes(write(SMALL))
     (tmp_path / "b.json").write_text('{"settings": {"max_attempts": 1}}')
     arguments = ["model", "compare", "this", str(tmp_path / "b.json"), "--on", str(tmp_path / "d.json")]
