--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, Journal, What
+from robinhill.checker.journal import UNAVOIDABLE_STATUS, Event, EventType, Journal
 from robinhill.model.describe import Fleet, Machine
 
 
@@ -94,12 +94,12 @@
         """Queue a job. Returns False, and never runs the job, if it is rejected: the worker is silent or
         draining, its queue is full, or the job needs more slots or memory than the worker has.
         """
-        self._record_job(What.SENT, job)
+        self._record_job(EventType.SENT, job)
         self._check_overload(job)
         fits = job.slots <= self.machine.slots and job.memory <= self.machine.memory
         full = len(self.waiting) >= self.machine.queue and (self.waiting or not self._fits(job))
         if self.silent or self.lifecycle != "active" or full or not fits:
-            self._record_job(What.RETURNED, job)
+            self._record_job(EventType.RETURNED, job)
             return False
         job.remaining_us = job.work_us
         self.waiting.append(job)
@@ -110,7 +110,7 @@
         """Cancel a request. Its waiting jobs are removed from the queue if ``cancel_drops`` is set. Its other
         jobs are executed without reporting their end.
         """
-        self._record(Event(self.engine.now / 1e6, What.CANCELLED, request, self.name))
+        self._record(Event(self.engine.now / 1e6, EventType.CANCELLED, request, self.name))
         for job in [j for j in self.waiting if j.request == request and self.fleet.cancel_drops]:
             self.waiting.remove(job)
         for job in [*self.running, *self.waiting]:
@@ -125,7 +125,7 @@
         self.silent = True
         for job in [*self.running, *self.waiting]:
             self.wasted_us += job.work_us - job.remaining_us
-            self._record_job(What.ENDED, job)
+            self._record_job(EventType.ENDED, job)
         self.running.clear()
         self.waiting.clear()
         self.programs.clear()
@@ -142,7 +142,7 @@
             self.engine.now,
         )
         self.lifecycle = "active"
-        self._record(Event(self.engine.now / 1e6, What.STARTED, worker=self.name))
+        self._record(Event(self.engine.now / 1e6, EventType.STARTED, worker=self.name))
 
     def restart(self) -> None:
         """Restart for a release: kill all jobs, report them as lost unless cancelled, and start again."""
@@ -158,7 +158,7 @@
         self.lifecycle = "leaving"
         if self.fleet.drain_returns:
             for job in self.waiting:
-                self._record_job(What.RETURNED, job)
+                self._record_job(EventType.RETURNED, job)
                 job.report("returned", job)
             self.waiting.clear()
 
@@ -187,7 +187,7 @@
                 break
             self.running.append(job)
             self._load_program(job)
-            self._record_job(What.EXECUTION_STARTED, job)
+            self._record_job(EventType.EXECUTION_STARTED, job)
             job.report("started", job)
         self._plan_step()
 
@@ -249,7 +249,7 @@
         if ended:
             self.running = [job for job in self.running if job.remaining_us > 1.0]
             for job in ended:
-                self._record_job(What.ENDED, job)
+                self._record_job(EventType.ENDED, job)
                 if job.cancelled:
                     self.wasted_us += job.work_us
                 else:
@@ -276,10 +276,10 @@
             self.overloaded = True
             sent_knowingly = sum(w for _, w, start_known in self._recent_sends if start_known)
             status = UNAVOIDABLE_STATUS if sent_knowingly * 3 < sent * 2 else 0
-            self._record(Event(now / 1e6, What.OVERLOADED, worker=self.name, status=status))
+            self._record(Event(now / 1e6, EventType.OVERLOADED, worker=self.name, status=status))
             self.vanish()
 
-    def _record_job(self, what: What, job: Job) -> None:
+    def _record_job(self, what: EventType, job: Job) -> None:
         at = self.engine.now / 1e6
         self._record(Event(at, what, job.request, self.name, kind=job.kind, scheduler=job.scheduler))
 
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -17,8 +17,8 @@
 from robinhill import api
 from robinhill.admission.admission import Admission
 from robinhill.admission.options import AdmissionOptions
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.rules import broken
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.rules import find_violations
 from robinhill.logic import Balancer
 from robinhill.model.describe import Description, DescriptionError, Fault, JobKind
 from robinhill.model.engine import Engine
@@ -243,7 +243,7 @@
             self.engine.after(S, self._send_list_change, entry)
             return
         if entry.state is not api.WorkerState.READY:
-            self._emit(What.DRAINING, worker=entry.address)
+            self._emit(EventType.DRAINING, worker=entry.address)
         for node in self.nodes:
             if node.subscribed:
                 node.update_workers(api.WorkersListed(api.ListKind.CHANGES, [entry]))
@@ -264,7 +264,7 @@
             return
         rng = stream(self.seed, CLIENTS, traced.number, job.tries)
         node = self._choose_scheduler(candidates, rng)
-        self._emit(What.REQUESTED, str(number), kind=traced.kind)
+        self._emit(EventType.REQUESTED, str(number), kind=traced.kind)
         self._count_in_system(1)
         sent_at_us = now
         answered = [False]
@@ -273,7 +273,7 @@
             if answered[0]:
                 return
             answered[0] = True
-            self._emit(What.ANSWERED, str(number), status=status, kind=traced.kind)
+            self._emit(EventType.ANSWERED, str(number), status=status, kind=traced.kind)
             self._count_in_system(-1)
             self._stays_us.append(self.engine.now - sent_at_us)
             self.result.statuses[status] = self.result.statuses.get(status, 0) + 1
@@ -286,7 +286,7 @@
             """Disconnect without an answer: the scheduler has crashed or exceeds the deadline."""
             if not answered[0]:
                 answered[0] = True
-                self._emit(What.CLIENT_DISCONNECTED, str(number))
+                self._emit(EventType.CLIENT_DISCONNECTED, str(number))
                 self._count_in_system(-1)
                 self._stays_us.append(self.engine.now - sent_at_us)
                 if node.alive:
@@ -464,7 +464,7 @@
         r.wasted_s = sum(w.wasted_us for w in self.workers.values()) / S
         r.busy_s = sum(w.busy_us for w in self.workers.values()) / S
         unsafe = [k.name for k in self.d.traffic.kinds if k.repeat == "fragile"]
-        r.broken = broken(self.journal, unsafe)
+        r.broken = find_violations(self.journal, unsafe)
         self._count_in_system(0)
         span = self.engine.now - START_US
         r.mean_present = self._in_system_sum / span
@@ -473,5 +473,7 @@
         r.steps = self.engine.steps
         return r
 
-    def _emit(self, what: What, request: str = "", worker: str = "", status: int = 0, kind: str = "") -> None:
+    def _emit(
+        self, what: EventType, request: str = "", worker: str = "", status: int = 0, kind: str = ""
+    ) -> None:
         self.journal.events.append(Event(self.engine.now / 1e6, what, request, worker, status, kind))
