--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -26,7 +26,7 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import town
 from robinhill.model import sites
-from robinhill.model.compare import Failed, Version, compare, play
+from robinhill.model.compare import FailedRun, Version, compare, play
 from robinhill.model.describe import Machine
 from robinhill.model.statistics import LOOKS, interval, may_stop
 from robinhill.model.trace import draw
@@ -77,7 +77,9 @@
 async def measure_false_positives() -> None:
     """False positives among 100 comparisons of runs of one side that are paired at random."""
     description = replace(sites.site("clubs-all"), seconds=30.0)
-    comparison = compare(description, Version("a"), Version("b"), until=1e-9, most=LOOKS[-1], processes=None)
+    comparison = compare(
+        description, Version("a"), Version("b"), until=1e-9, max_pairs=LOOKS[-1], processes=None
+    )
     shares = [r.share for r in comparison.results_a]
     import numpy as np
 
@@ -86,7 +88,7 @@
         left, right = (rng.choice(shares, LOOKS[-1]) for _ in range(2))
         values = list(right - left)
         false_positives += any(
-            may_stop(values[:pairs], 1e-9, trial).why == "the difference is sure" for pairs in LOOKS
+            may_stop(values[:pairs], 1e-9, trial).why == "the difference is significant" for pairs in LOOKS
         )
     print(
         f"  {false_positives} of 100 comparisons of equal sides find a difference;"
@@ -102,8 +104,8 @@
             description = loopback.small_day(name)
             modelled = play(description, Version("model"), seed)
             real = await loopback.play(description, seed)
-            if isinstance(modelled, Failed) or real.broken:
-                print(f"  {name}: {modelled if isinstance(modelled, Failed) else real.broken[0]}")
+            if isinstance(modelled, FailedRun) or real.broken:
+                print(f"  {name}: {modelled if isinstance(modelled, FailedRun) else real.broken[0]}")
                 break
             differences.append(modelled.share - real.share)
         else:
@@ -114,7 +116,7 @@
     """Comparison of the module of an older revision, run as a process of its own, with the present one."""
     for name in ("clubs-silent", "clubs-all"):
         with version(OLD_REVISION) as old, version("this") as new:
-            comparison = compare(replace(sites.site(name), seconds=40.0), old, new, until=0.02, most=24)
+            comparison = compare(replace(sites.site(name), seconds=40.0), old, new, until=0.02, max_pairs=24)
         print(f"  {name}: {comparison.verdict}")
 
 
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -17,7 +17,7 @@
 from robinhill.model import sites
 from robinhill.model.describe import Description, Fleet, Machine
 from robinhill.model.trace import Trace, draw
-from robinhill.model.world import FLEET, TROUBLES, stream
+from robinhill.model.world import FAULTS, FLEET, stream
 
 S = 1_000_000
 SCALE = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
@@ -81,7 +81,7 @@
             worker.core.speed = float(rng.uniform(*machine.speed))
         _plan(description, seed, here)
         clients = Clients(site, lambda: here.program.listen, here.journal, seed)
-        planned = [Planned(a.at_us / S, f"tenant-{a.tenant}", a.kind, a.work_us / S) for a in trace.asked]
+        planned = [Planned(a.at_us / S, f"tenant-{a.tenant}", a.kind, a.work_us / S) for a in trace.requests]
         c = description.clients
         await clients.replay(planned, c.retries, c.back_off_ms / 1000, c.back_off_factor)
         counted = [a for a in clients.asked if a.at >= description.warm_s and a.tries]
@@ -101,18 +101,18 @@
     """The same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
-        rng = stream(seed, TROUBLES, number)
+        rng = stream(seed, FAULTS, number)
         count = max(1, round(trouble.part * len(here.workers)))
         struck = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
         for worker in struck:
             if trouble.kind == "silent":
-                loop.call_later(trouble.at_s, worker.vanish)
+                loop.call_later(trouble.at_s, worker.fail_silently)
                 loop.call_later(trouble.at_s + trouble.for_s, _return, here, worker)
             elif trouble.kind == "slow":
-                loop.call_later(trouble.at_s, worker.pace, trouble.size)
-                loop.call_later(trouble.at_s + trouble.for_s, worker.pace, 1.0)
+                loop.call_later(trouble.at_s, worker.set_slowdown, trouble.size)
+                loop.call_later(trouble.at_s + trouble.for_s, worker.set_slowdown, 1.0)
 
 
 def _return(here: Town, worker: Worker) -> None:
-    worker.come_back()
+    worker.restart_cold()
     here.discovery.tell(worker)
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -26,7 +26,7 @@
 
 
 class RealTime:
-    """The model's agenda on this machine's clock: `now` advances by itself, calls are the event loop's
+    """The model's clock in real time: `now` advances by itself, calls are the event loop's
     timers.
     """
 
@@ -107,7 +107,7 @@
         return "{}:{}".format(*runner.addresses[0])
 
     async def stop(self) -> None:
-        self.core.vanish()
+        self.core.fail_silently()
         self._awake.set()
         for task in list(self._calls):
             task.cancel()
@@ -118,20 +118,20 @@
 
     # What goes wrong
 
-    def vanish(self) -> None:
+    def fail_silently(self) -> None:
         """Say nothing from now on; what it ran is lost without a word."""
         self._awake.clear()
-        self.core.vanish()
+        self.core.fail_silently()
 
-    def come_back(self) -> None:
+    def restart_cold(self) -> None:
         """Start again, cold."""
-        self.core.come_back()
+        self.core.restart_cold()
         self.started_unix_ms = int(time.time() * 1000)
         self._awake.set()
 
-    def pace(self, slow: float) -> None:
+    def set_slowdown(self, slow: float) -> None:
         """Take so many times as long from now on."""
-        self.core.pace(slow)
+        self.core.set_slowdown(slow)
 
     # The protocol
 
--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Failed:
+class FailedRun:
     """A run without a valid result: its module crashed, hung, or violated a rule of the checker.
 
     A comparison ends at the first failed run and reports it in place of a difference.
@@ -59,14 +59,14 @@
     why: str
 
 
-Outcome = Result | Failed
+Outcome = Result | FailedRun
 
 
 def play(description: Description, version: Version, seed: int, trace: Trace | None = None) -> Outcome:
     """Run one side on the situation once. Without a trace, one is drawn from the seed.
 
     Raises DescriptionError for a faulty description, trace or setting; every other error is returned as a
-    Failed.
+    FailedRun.
     """
     opened: list[WireModule] = []
     side = version.side()
@@ -82,14 +82,14 @@
     except DescriptionError:
         raise
     except ModuleFailedError as e:
-        return Failed(version.name, seed, str(e))
+        return FailedRun(version.name, seed, str(e))
     except Exception:  # the module's faults are results, and must not end the other side's runs
-        return Failed(version.name, seed, traceback.format_exc(limit=-3).strip().splitlines()[-1])
+        return FailedRun(version.name, seed, traceback.format_exc(limit=-3).strip().splitlines()[-1])
     finally:
         for module_ in opened:
             module_.close()
     if result.broken:
-        return Failed(
+        return FailedRun(
             version.name, seed, f"violated the checker's rules {len(result.broken)} times: {result.broken[0]}"
         )
     return result
@@ -113,7 +113,7 @@
     b: str
     results_a: list[Result] = field(default_factory=list)
     results_b: list[Result] = field(default_factory=list)
-    failed: list[Failed] = field(default_factory=list)
+    failed: list[FailedRun] = field(default_factory=list)
     why: str = ""
     differences: dict[str, Interval] = field(default_factory=dict)
     means: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -179,19 +179,19 @@
     seed: int = 1,
     trace: Trace | None = None,
     processes: int | None = None,
-    most: int = LOOKS[-1],
+    max_pairs: int = LOOKS[-1],
     progress: Callable[[int, str], None] = lambda pairs, difference: None,
 ) -> Comparison:
     """Run pairs until `may_stop` ends the comparison by the difference in served worth.
 
-    ``until`` is the half-width of the interval at which the difference counts as known; ``most`` is the
+    ``until`` is the half-width of the interval at which the difference counts as known; ``max_pairs`` is the
     maximum number of pairs. The same seed gives the same result, bit for bit, for any number of processes, as
     pairs are evaluated in the order of their seeds.
     """
     comparison = Comparison(description.name, a.name, b.name)
     run_pair = partial(_play_pair, description, a, b, trace)
-    for first, second in _results_in_seed_order(run_pair, range(seed, seed + most), processes):
-        comparison.failed += [x for x in (first, second) if isinstance(x, Failed)]
+    for first, second in _results_in_seed_order(run_pair, range(seed, seed + max_pairs), processes):
+        comparison.failed += [x for x in (first, second) if isinstance(x, FailedRun)]
         if comparison.failed:
             comparison.why = "a run of a side failed"
             break
@@ -207,7 +207,7 @@
             comparison.why = decision.why
             break
     else:
-        comparison.why = f"the requested maximum of {most} pairs is reached"
+        comparison.why = f"the requested maximum of {max_pairs} pairs is reached"
     comparison.summarize(seed)
     return comparison
 
--- a/robinhill/model/recorded.py
+++ b/robinhill/model/recorded.py
@@ -4,7 +4,7 @@
 from statistics import median
 
 from robinhill.model.describe import DescriptionError, JobKind
-from robinhill.model.trace import Asked, Trace, mend
+from robinhill.model.trace import Trace, TracedRequest, repair_trace
 from robinhill.record.frames import read_all
 from robinhill.record.records import Answered, Arrived, Attempted, Dropped
 
@@ -48,7 +48,7 @@
     default_us = {k.name: median(lengths[k.name]) if k.name in lengths else k.work_ms * 1000 for k in kinds}
     tenants: dict[int, int] = {}
     requests = [
-        Asked(
+        TracedRequest(
             n,
             a.at_us,
             a.kind,
@@ -58,7 +58,7 @@
         )
         for n, a in enumerate(a for a in arrivals if not a.is_client_retry)
     ]
-    trace = mend(requests)
+    trace = repair_trace(requests)
     unserved = sum(a.id not in ran_us_by_id for a in arrivals)
     if unserved:
         notes.append(f"{unserved} requests were never served; each got the median length of its class")
--- a/robinhill/model/statistics.py
+++ b/robinhill/model/statistics.py
@@ -79,7 +79,7 @@
         return StopDecision(False)
     found = interval(differences, seed, LOOK_LEVEL)
     if found.excludes_zero:
-        return StopDecision(True, "the difference is sure")
+        return StopDecision(True, "the difference is significant")
     if found.half_width <= until:
         return StopDecision(True, f"the difference is known to within {until:.1%}")
     if len(differences) >= LOOKS[-1]:
--- a/robinhill/model/trace.py
+++ b/robinhill/model/trace.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class TracedRequest:
     """One request of a trace; ``at_us`` is the time since the trace's start."""
 
     number: int
@@ -29,12 +29,12 @@
 class Trace:
     """Requests in the order of their times; ``repairs`` describes the repairs of a recorded trace."""
 
-    asked: list[Asked]
+    requests: list[TracedRequest]
     repairs: list[str] = field(default_factory=list)
 
     @property
     def seconds(self) -> float:
-        return self.asked[-1].at_us / S if self.asked else 0.0
+        return self.requests[-1].at_us / S if self.requests else 0.0
 
 
 def draw(description: Description, seed: int) -> Trace:
@@ -57,7 +57,7 @@
     if traffic.programs:
         ranks = 1.0 / np.arange(1, traffic.programs + 1) ** traffic.program_skew
         programs = rng.choice(traffic.programs, size=count, p=ranks / ranks.sum())
-    requests: list[Asked] = []
+    requests: list[TracedRequest] = []
     for at, thinning_draw, kind, tenant, z, program in zip(
         times, thinning_draws, kinds, tenants, lengths, programs, strict=True
     ):
@@ -65,7 +65,9 @@
             continue
         job: JobKind = traffic.kinds[int(kind)]
         work = job.work_ms * 1000 * relative_length(job, float(z))
-        requests.append(Asked(len(requests), int(at * S), job.name, int(tenant), work, program=int(program)))
+        requests.append(
+            TracedRequest(len(requests), int(at * S), job.name, int(tenant), work, program=int(program))
+        )
     return Trace(requests)
 
 
@@ -85,7 +87,7 @@
     return rate
 
 
-def mend(requests: list[Asked], longest_gap_s: float = 60.0) -> Trace:
+def repair_trace(requests: list[TracedRequest], longest_gap_s: float = 60.0) -> Trace:
     """Sort recorded requests by time, let them start at 0, and number them anew.
 
     The returned trace lists these repairs. Raises DescriptionError for an empty trace and for a gap longer
@@ -107,7 +109,8 @@
                 " so recording may have been interrupted; cut the trace there"
             )
     repaired = [
-        Asked(n, a.at_us - start, a.kind, a.tenant, a.work_us, a.deadline_us) for n, a in enumerate(ordered)
+        TracedRequest(n, a.at_us - start, a.kind, a.tenant, a.work_us, a.deadline_us)
+        for n, a in enumerate(ordered)
     ]
     return Trace(repaired, repairs)
 
@@ -117,11 +120,11 @@
     the number of tenants with their skew. Raises DescriptionError for fewer than ten arrivals or for a class
     that is not in ``kinds``.
     """
-    if len(trace.asked) < 10:
-        raise DescriptionError(f"trace: {len(trace.asked)} arrivals are too few to fit; 10 are needed")
+    if len(trace.requests) < 10:
+        raise DescriptionError(f"trace: {len(trace.requests)} arrivals are too few to fit; 10 are needed")
     by_kind: dict[str, list[float]] = {}
     tenants: dict[int, int] = {}
-    for a in trace.asked:
+    for a in trace.requests:
         by_kind.setdefault(a.kind, []).append(a.work_us)
         tenants[a.tenant] = tenants.get(a.tenant, 0) + 1
     known = {k.name: k for k in kinds}
@@ -137,14 +140,14 @@
         kind = known[name]
         fitted.append(
             JobKind(
-                name, len(lengths) / len(trace.asked), sum(lengths) / len(lengths) / 1000, kind.aim_ms,
+                name, len(lengths) / len(trace.requests), sum(lengths) / len(lengths) / 1000, kind.aim_ms,
                 kind.deadline_ms, min(3.0, sigma), kind.stretch, kind.worth, kind.repeat, kind.slots,
                 kind.memory,
             )
         )  # fmt: skip
     counts = sorted(tenants.values(), reverse=True)
     return Traffic(
-        rate_per_s=len(trace.asked) / max(trace.seconds, 1e-6),
+        rate_per_s=len(trace.requests) / max(trace.seconds, 1e-6),
         kinds=tuple(sorted(fitted, key=lambda k: k.name)),
         tenants=len(counts),
         tenant_skew=_skew(counts),
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -119,8 +119,8 @@
 
     # Faults
 
-    def vanish(self) -> None:
-        """Become silent: lose all jobs without a report, and exchange no messages until `come_back`."""
+    def fail_silently(self) -> None:
+        """Become silent: lose all jobs without a report, and exchange no messages until `restart_cold`."""
         self._advance()
         self.silent = True
         for job in [*self.running, *self.waiting]:
@@ -133,7 +133,7 @@
         self._connect_work_us = 0.0
         self._plan_number += 1
 
-    def come_back(self) -> None:
+    def restart_cold(self) -> None:
         """Start again with a slow start."""
         self.silent, self.overloaded, self.started_us, self._advanced_at_us = (
             False,
@@ -147,11 +147,11 @@
     def restart(self) -> None:
         """Restart for a release: kill all jobs, report them as lost unless cancelled, and start again."""
         lost = [*self.running, *self.waiting]
-        self.vanish()
+        self.fail_silently()
         for job in lost:
             if not job.cancelled:
                 job.report("lost", job)
-        self.come_back()
+        self.restart_cold()
 
     def drain(self) -> None:
         """Reject new jobs. If the fleet's ``drain_returns`` is set, return the waiting jobs to schedulers."""
@@ -162,7 +162,7 @@
                 job.report("returned", job)
             self.waiting.clear()
 
-    def pace(self, slowdown: float) -> None:
+    def set_slowdown(self, slowdown: float) -> None:
         """Multiply the running times of jobs by a factor from now on."""
         self._advance()
         self.slowdown = slowdown
@@ -277,7 +277,7 @@
             sent_knowingly = sum(w for _, w, start_known in self._recent_sends if start_known)
             status = UNAVOIDABLE_STATUS if sent_knowingly * 3 < sent * 2 else 0
             self._record(Event(now / 1e6, EventType.OVERLOADED, worker=self.name, status=status))
-            self.vanish()
+            self.fail_silently()
 
     def _record_job(self, what: EventType, job: Job) -> None:
         at = self.engine.now / 1e6
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -23,7 +23,7 @@
 from robinhill.model.describe import Description, DescriptionError, Fault, JobKind
 from robinhill.model.engine import Engine
 from robinhill.model.node import IDLE_RETIREMENT_SHARE, Arrival, DecisionModule, Node
-from robinhill.model.trace import Asked, Trace
+from robinhill.model.trace import Trace, TracedRequest
 from robinhill.model.workers import Worker
 
 S = 1_000_000
@@ -31,7 +31,7 @@
 WINDOW_S = 10.0  # length of the windows of arrival for which served worth is evaluated
 REFUSAL_STATUSES = (429, 503)
 REPEAT_POLICIES = {"retryable": api.Repeat.SAFE, "fragile": api.Repeat.UNSAFE}
-FLEET, TRAFFIC, TROUBLES, CLIENTS, NODES, ERRORS, LISTS = range(7)  # first spawn keys of the random streams
+FLEET, TRAFFIC, FAULTS, CLIENTS, NODES, ERRORS, LISTS = range(7)  # first spawn keys of the random streams
 END_MARGIN_S = 40.0  # added to the longest time of all tries of a job, so that each ends in the run
 
 
@@ -93,7 +93,7 @@
 class _ClientJob:
     """A job of a client, which the client requests in one or more tries."""
 
-    traced: Asked
+    traced: TracedRequest
     tries: int = 0
     done: bool = False
     in_time: bool = False
@@ -119,7 +119,7 @@
         self._jobs: list[_ClientJob] = []
         self._clients = {**asdict(description.clients), **side.clients}
         kinds = {k.name: i for i, k in enumerate(description.traffic.kinds)}
-        for traced in trace.asked:
+        for traced in trace.requests:
             if traced.kind not in kinds:
                 raise DescriptionError(f"trace: class {traced.kind!r} is not among traffic.kinds")
         self.kind_index = kinds
@@ -340,19 +340,19 @@
 
     def _plan_fault(self, fault: Fault, number: int) -> None:
         at, end = START_US + fault.at_s * S, START_US + (fault.at_s + fault.for_s) * S
-        rng = stream(self.seed, TROUBLES, number)
+        rng = stream(self.seed, FAULTS, number)
         workers = list(self.workers.values())
         count = max(1, round(fault.part * len(workers)))
         affected = [workers[i] for i in sorted(rng.permutation(len(workers))[:count])]
         match fault.kind:
             case "silent":
                 for worker in affected:
-                    self.engine.at(int(at + rng.uniform(0, 0.2 * S)), worker.vanish)
+                    self.engine.at(int(at + rng.uniform(0, 0.2 * S)), worker.fail_silently)
                     self.engine.at(int(end + rng.uniform(0, 0.2 * S)), self._restart_worker, worker)
             case "slow":
                 for worker in affected:
-                    self.engine.at(int(at), worker.pace, fault.size)
-                    self.engine.at(int(end), worker.pace, 1.0)
+                    self.engine.at(int(at), worker.set_slowdown, fault.size)
+                    self.engine.at(int(end), worker.set_slowdown, 1.0)
             case "release":
                 gap = fault.for_s * S / max(1, len(affected))
                 for i, worker in enumerate(affected):
@@ -387,7 +387,7 @@
             self.engine.at(end, worker.unreachable_zones.difference_update, others)
 
     def _restart_worker(self, worker: Worker) -> None:
-        worker.come_back()
+        worker.restart_cold()
         self.publish_entry(worker)
 
     def _release_worker(self, worker: Worker) -> None:
@@ -422,7 +422,7 @@
             self._plan_fault(fault, number)
         for node in self.nodes:
             self._start_node(node)
-        for traced in self.trace.asked:
+        for traced in self.trace.requests:
             job = _ClientJob(traced)
             self._jobs.append(job)
             self.engine.at(START_US + traced.at_us, self._send_request, job)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -79,12 +79,12 @@
             while here.journal.started_jobs.total() < 40:
                 await asyncio.sleep(0.05)
             for worker in here.workers:
-                worker.vanish()
+                worker.fail_silently()
             while sum(e.what is ASKED for e in here.journal.events) < 200:
                 await asyncio.sleep(0.05)
             before = here.journal.started_jobs.total()
             for worker in here.workers:
-                worker.come_back()
+                worker.restart_cold()
                 here.discovery.tell(worker)
             await playing
             assert await here.program.stop() == 0
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,7 +16,7 @@
 from robinhill.commands import cli
 from robinhill.logic import Balancer
 from robinhill.model import report, sites
-from robinhill.model.compare import Comparison, Failed, Version, compare, play
+from robinhill.model.compare import Comparison, FailedRun, Version, compare, play
 from robinhill.model.describe import (
     Clients,
     Description,
@@ -130,17 +130,17 @@
 
 def test_same_seed_gives_the_same_result_for_any_number_of_processes() -> None:
     a, b = Version("a"), Version("b", settings={"max_attempts": 1})
-    serial = compare(SMALL, a, b, seed=5, most=6, processes=1)
-    parallel = compare(SMALL, a, b, seed=5, most=6, processes=3)
+    serial = compare(SMALL, a, b, seed=5, max_pairs=6, processes=1)
+    parallel = compare(SMALL, a, b, seed=5, max_pairs=6, processes=3)
     assert report.as_json(serial) == report.as_json(parallel)
     repeated = play(SMALL, a, 5)
-    assert not isinstance(repeated, Failed) and asdict(repeated) == asdict(serial.results_a[0])
+    assert not isinstance(repeated, FailedRun) and asdict(repeated) == asdict(serial.results_a[0])
 
 
 def test_both_sides_get_the_same_arrivals_and_workers() -> None:
     worlds = [World(SMALL, draw(SMALL, 9), side, 9) for side in (Side(), Side(settings={"probes": False}))]
     first, second = ([(w.name, w.speed) for w in world.workers.values()] for world in worlds)
-    assert first == second and worlds[0].trace.asked == worlds[1].trace.asked
+    assert first == second and worlds[0].trace.requests == worlds[1].trace.requests
 
 
 def test_at_most_5_of_100_comparisons_of_equal_sides_report_a_difference() -> None:
@@ -152,7 +152,7 @@
     for trial in range(100):
         values = list(rng.exponential(0.02, LOOKS[-2]) - rng.exponential(0.02, LOOKS[-2]))
         for look in LOOKS[:-1]:
-            if may_stop(values[:look], 0.001, trial).why == "the difference is sure":
+            if may_stop(values[:look], 0.001, trial).why == "the difference is significant":
                 false_positives += 1
                 break
     assert false_positives <= 5
@@ -164,7 +164,7 @@
     for trial in range(20):
         values = list(0.02 + rng.normal(0, 0.03, LOOKS[-1]))
         decisions = [may_stop(values[:look], 0.002, trial) for look in LOOKS]
-        detected += any(decision.why == "the difference is sure" for decision in decisions)
+        detected += any(decision.why == "the difference is significant" for decision in decisions)
     assert detected >= 19
 
 
@@ -196,8 +196,8 @@
 
     for name, reason in (("crash", "injected crash"), ("rules", "violated the checker's rules")):
         outcome = play(SMALL, FailingVersion(name), 2)
-        assert isinstance(outcome, Failed) and reason in outcome.why, outcome
-    comparison = Comparison("small", "a", "b", failed=[Failed("b", 3, "reason")])
+        assert isinstance(outcome, FailedRun) and reason in outcome.why, outcome
+    comparison = Comparison("small", "a", "b", failed=[FailedRun("b", 3, "reason")])
     comparison.summarize(1)
     assert comparison.verdict == "b failed on seed 3: reason" and not comparison.differences
 
@@ -205,7 +205,7 @@
 def test_module_in_another_process_gives_the_same_result_as_in_this_one() -> None:
     """This tree plays the other revision. A loss or change in the protocol would change the result."""
     local, remote = play(SMALL, Version("here"), 4), play(SMALL, Version("there", root=str(ROOT)), 4)
-    assert not isinstance(local, Failed) and not isinstance(remote, Failed), remote
+    assert not isinstance(local, FailedRun) and not isinstance(remote, FailedRun), remote
     assert asdict(local) == asdict(remote)
 
 
@@ -214,7 +214,7 @@
     (tmp_path / "robinhill" / "__init__.py").write_text("")
     (tmp_path / "robinhill" / "adapter.py").write_text("raise SystemExit('no module here')")
     outcome = play(SMALL, Version("old", root=str(tmp_path)), 4)
-    assert isinstance(outcome, Failed) and "no module here" in outcome.why
+    assert isinstance(outcome, FailedRun) and "no module here" in outcome.why
 
 
 def metastable(retries: int) -> Description:
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -13,7 +13,7 @@
 from robinhill.model.describe import DescriptionError
 from robinhill.model.recorded import load
 from robinhill.model.sites import KINDS
-from robinhill.model.trace import Asked, fit, mend
+from robinhill.model.trace import TracedRequest, fit, repair_trace
 from robinhill.record import recorder as recorder_module
 from robinhill.record.frames import RecordingError, frame, header, read, read_all
 from robinhill.record.options import RecordOptions
@@ -121,7 +121,7 @@
     path = tmp_path / "a.rec"
     write(path, [arrived(1), arrived(3), arrived(2), Attempted(1_003 * S, 2, "w", "completed", 900, 500)])
     trace = load(path, KINDS)
-    assert [a.at_us for a in trace.asked] == [0, S, 2 * S] and trace.asked[1].work_us == 500
+    assert [a.at_us for a in trace.requests] == [0, S, 2 * S] and trace.requests[1].work_us == 500
     assert any("out of order" in r for r in trace.repairs) and any("never served" in r for r in trace.repairs)
     for faulty, message in (
         ([arrived(1), arrived(1, "unheard-of")], "unheard-of"),
@@ -137,9 +137,10 @@
 
 def test_description_fitted_to_a_trace_has_its_rate_classes_and_tenants() -> None:
     asked = [
-        Asked(n, n * 100_000, KINDS[n % 2].name, n % 4 if n % 8 < 4 else 0, 1000.0 + n) for n in range(400)
+        TracedRequest(n, n * 100_000, KINDS[n % 2].name, n % 4 if n % 8 < 4 else 0, 1000.0 + n)
+        for n in range(400)
     ]
-    traffic = fit(mend(asked), KINDS)
+    traffic = fit(repair_trace(asked), KINDS)
     assert abs(traffic.rate_per_s - 10) < 0.1 and len(traffic.kinds) == 2 and traffic.tenants == 4
     assert all(abs(k.share - 0.5) < 0.01 for k in traffic.kinds) and traffic.tenant_skew > 0.3
 
@@ -165,4 +166,4 @@
     assert {r.id for r in arrivals} == {r.id for r in answers} and len({r.tenant for r in arrivals}) == 2
     served = [r for r in records if isinstance(r, Attempted) and r.outcome == "completed"]
     assert served and all(0 < r.ran_us <= r.took_us for r in served)
-    assert len(load(tmp_path, KINDS).asked) == asked
+    assert len(load(tmp_path, KINDS).requests) == asked
