--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,7 @@
-"""One small test for each failure found on the bench."""
+"""Regression tests of the decision module: one for each failure found on the bench.
+
+Parentheses name the bench's incident, site or day on which the failure was observed.
+"""
 
 import pytest
 
@@ -9,30 +12,30 @@
 O = api.Outcome  # noqa: E741
 
 
-def started(node: Node, job: int, after_us: int = 0) -> list[api.Action]:
+def start_job(node: Node, job: int, after_us: int = 0) -> list[api.Action]:
     return node.do(api.JobStarted(job, 0), after_us)
 
 
-def test_a_worker_with_an_own_waiting_job_is_not_ready() -> None:
-    """Blind rotation queued jobs behind jobs (all three deployments, plain design)."""
+def test_worker_with_a_waiting_job_of_this_node_gets_no_other() -> None:
+    """Rotation without regard to waiting jobs queued jobs behind jobs (all three deployments, plain design)."""
     node = Node(2, reports_start=True)
     first, second = sent_to(node.ask()), sent_to(node.ask(MS))
     assert {first, second} == {"w0", "w1"}
     assert not only(node.ask(MS), api.Send)
-    assert sent_to(started(node, 2, MS)) == second
+    assert sent_to(start_job(node, 2, MS)) == second
     assert not only(node.ask(MS), api.Send)
     assert sent_to(node.end(1, after_us=20 * MS)) == first
 
 
-def test_overload_is_refused_at_the_aim_not_answered_late() -> None:
-    """Every answer late in overload (incident i9047f8)."""
+def test_held_request_is_rejected_at_its_latency_objective() -> None:
+    """During overload, every answer was late and no request was rejected (incident i9047f8)."""
     node = Node(1, reports_start=True)
     node.ask()
     assert not only(node.ask(MS), api.Send)
     assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject) == [api.Reject(2, 0)]
 
 
-def test_the_most_worth_for_its_work_is_served_first() -> None:
+def test_held_job_of_the_highest_value_per_work_is_sent_first() -> None:
     node = Node(1, classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)))
     node.ask()
     node.ask(MS, job_class=0)
@@ -40,37 +43,37 @@
     assert only(node.end(1, after_us=20 * MS), api.Send)[0].job == 3
 
 
-def test_a_clients_further_try_has_less_of_its_aim_left() -> None:
+def test_client_retry_has_only_the_rest_of_its_latency_objective() -> None:
     node = Node(1)
     node.ask()
     node.ask(MS)
-    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject)  # its client comes again
+    assert only(node.do(api.TimerFired("held"), 110 * MS), api.Reject)  # the client retries
     node.ask(MS, left_us=5 * S - 95 * MS)
     assert only(node.do(api.TimerFired("held"), 6 * MS), api.Reject)
 
 
-def test_an_attempt_with_a_hint_ends_when_worthless() -> None:
-    """Late jobs spent the workers (incident i9047f8)."""
+def test_attempt_with_a_work_hint_times_out_when_its_answer_has_no_value() -> None:
+    """Attempts whose answers could only be late used up the workers' capacity (incident i9047f8)."""
     node = Node(2)
     (send,) = only(node.ask(work_hint_us=100 * MS), api.Send)
     assert 300 * MS <= send.timeout_us <= 400 * MS
     assert only(node.end(1, O.TIMEOUT, send.timeout_us, after_us=send.timeout_us), api.Reject)
 
 
-def test_a_hinted_job_avoids_a_kind_too_slow_for_its_aim() -> None:
+def test_long_hinted_job_avoids_a_machine_type_too_slow_for_its_objective() -> None:
     """Long jobs timed out on slow workers (hinted site, rough-1 and big-2)."""
     node = Node([api.Worker("slow", kind=1), api.Worker("fast")])
     for _ in range(12):
-        where = sent_to(node.ask(work_hint_us=10 * MS))
-        took = 90 * MS if where == "slow" else 10 * MS
+        address = sent_to(node.ask(work_hint_us=10 * MS))
+        took = 90 * MS if address == "slow" else 10 * MS
         node.end(node.jobs, took_us=took, after_us=took)
     for _ in range(4):
         assert sent_to(node.ask(MS, work_hint_us=400 * MS)) == "fast"
         node.end(node.jobs, took_us=400 * MS, after_us=400 * MS)
 
 
-def test_an_own_job_that_waits_past_use_is_withdrawn() -> None:
-    """Late jobs ran although worthless (incidents i7b4fb2, i75c0bb)."""
+def test_job_that_starts_too_late_to_have_value_is_cancelled() -> None:
+    """Jobs ran although their answers were too late to have any value (incidents i7b4fb2, i75c0bb)."""
     node = Node(2, reports_start=True, classes=(klass(repeat=api.Repeat.UNSAFE),))
     (timer,) = only(node.ask(), api.SetTimer)
     (timer,) = only(node.do(api.TimerFired(timer.tag), timer.after_us), api.SetTimer)
@@ -80,15 +83,17 @@
     assert only(node.end(1, O.CANCELLED), api.Fail)
 
 
-def test_no_withdrawal_and_no_move_where_waste_is_dear() -> None:
-    """A cancel stops nothing there: withdrawn jobs ran on for nobody (keyed site at full size, 0.00)."""
+def test_waiting_job_is_neither_cancelled_nor_moved_if_waste_is_costly() -> None:
+    """A high ``waste_price`` means that cancelling stops no work: cancelled jobs ran on without a client
+    (keyed site at full size, 0.00)."""
     node = Node(2, reports_start=True, waste_price=0.2)
     assert not only(node.ask(), api.SetTimer)
     assert not only(node.ask(2 * S), api.Cancel)
 
 
-def test_a_safe_job_that_does_not_start_is_moved() -> None:
-    """Blind among 100 nodes, a third of the jobs queued (unsafe site at full size)."""
+def test_safe_job_that_does_not_start_is_moved() -> None:
+    """Each of 100 nodes is unaware of the others' jobs, and a third of the jobs waited in workers' queues
+    (unsafe site at full size)."""
     node = Node(2, reports_start=True)
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
@@ -97,44 +102,45 @@
     assert sent_to(node.end(1, O.CANCELLED, 26 * MS)) != sent_to(actions)
 
 
-def test_withdrawals_of_waiting_jobs_keep_to_a_part_of_what_is_served() -> None:
-    """Withdrawn jobs ran on: with a place free for others, most work was for nobody (genova-sala, calm)."""
+def test_moves_of_waiting_jobs_are_limited_to_a_share_of_completed_jobs() -> None:
+    """Cancelled jobs ran on: while other workers had free slots, most work was done for jobs that had been
+    moved away (genova-sala, calm)."""
     node = Node(60, reports_start=True)
     due: list[tuple[int, str]] = []
     for _ in range(40):
         (timer,) = only(node.ask(MS), api.SetTimer)
         due.append((node.now + timer.after_us, timer.tag))
-    withdrawn, looks = 0, 0
+    cancelled, checks = 0, 0
     while due and node.now < 1_002 * S:
         due.sort()
         at, tag = due.pop(0)
-        node.now, looks = max(node.now, at), looks + 1
+        node.now, checks = max(node.now, at), checks + 1
         actions = node.do(api.TimerFired(tag))
-        withdrawn += len(only(actions, api.Cancel))
+        cancelled += len(only(actions, api.Cancel))
         due += [(node.now + timer.after_us, timer.tag) for timer in only(actions, api.SetTimer)]
-    assert withdrawn == 1 and looks > 80  # nothing was served; they are looked at again
+    assert cancelled == 1 and checks > 80  # no job has completed, and the waiting jobs are checked repeatedly
 
 
-def test_what_is_served_lets_waiting_jobs_move() -> None:
+def test_completed_jobs_allow_moves_of_waiting_jobs() -> None:
     node = Node(60, reports_start=True)
     for _ in range(40):
         node.ask(MS)
     for job in range(1, 31):
-        started(node, job)
+        start_job(node, job)
         node.end(job)
-    looks = [node.do(api.TimerFired(f"look {job} 0")) for job in range(31, 41)]
-    assert sum(len(only(actions, api.Cancel)) for actions in looks) == 4  # of 30 a tenth, and one
+    checks = [node.do(api.TimerFired(f"look {job} 0")) for job in range(31, 41)]
+    assert sum(len(only(actions, api.Cancel)) for actions in checks) == 4  # 10 % of 30 completed jobs, plus 1
 
 
-def test_a_worker_that_jobs_are_moved_from_does_not_look_fast() -> None:
+def test_move_away_from_a_worker_raises_its_estimated_job_time() -> None:
     node = Node(2, reports_start=True)
     worker = node.balancer.workers[sent_to(node.ask())]
-    started(node, 1)
+    start_job(node, 1)
     node.end(1, took_us=200 * MS)
     before = worker.job_time_us
     while node.balancer.attempts or worker.unstarted_attempt is None:
         if sent_to(node.ask(MS)) != worker.entry.address:
-            started(node, node.jobs)
+            start_job(node, node.jobs)
             node.end(node.jobs, took_us=200 * MS)
         else:
             node.do(api.TimerFired(f"look {node.jobs} 0"), 25 * MS)
@@ -143,15 +149,16 @@
     assert worker.job_time_us > before
 
 
-def test_a_started_job_is_not_moved() -> None:
+def test_started_job_is_not_moved() -> None:
     node = Node(2, reports_start=True)
     (timer,) = only(node.ask(), api.SetTimer)
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     assert not node.do(api.TimerFired(timer.tag), timer.after_us)
 
 
-def test_waits_over_the_aim_shed_the_least_worth_first() -> None:
-    """Everything was queued and late in overload, nothing refused (incidents if560c8, if420f9)."""
+def test_waits_above_the_latency_objective_shed_the_least_valuable_jobs_first() -> None:
+    """During overload, all requests were queued until they were late, and none was rejected (incidents
+    if560c8, if420f9)."""
     node = Node(
         40,
         classes=(klass(priority_weight=1.0), klass(priority_weight=9.0)),
@@ -163,22 +170,23 @@
         actions = node.ask(10 * MS, job_class=i % 2)
         refused[i % 2] += len(only(actions, api.Reject))
         for send in only(actions, api.Send):
-            started(node, send.job, MS if i < 80 else 150 * MS)
+            start_job(node, send.job, MS if i < 80 else 150 * MS)
             node.end(send.job, took_us=200 * MS)
     assert refused[0] > 2 * refused[1] > 0
     for _ in range(200):
         for send in only(node.ask(10 * MS, job_class=1), api.Send):
-            started(node, send.job, MS)
+            start_job(node, send.job, MS)
             node.end(send.job)
     assert node.balancer.overload.shed_share == 0
 
 
-def test_a_worker_never_met_leans_on_its_kind() -> None:
-    """Each worker was met once in ten seconds: speeds were the size of the last job (all at full size)."""
+def test_job_time_of_an_unused_worker_is_estimated_by_its_machine_type() -> None:
+    """A node sent each worker one job in ten seconds, so that the estimated speed of a worker was merely the
+    length of its last job (all sites at full size)."""
     node = Node([api.Worker(f"w{i}", kind=i % 2) for i in range(20)])
     for _ in range(10):
-        where = sent_to(node.ask(10 * MS))
-        node.end(node.jobs, took_us=(50 if int(where[1:]) % 2 else 200) * MS)
+        address = sent_to(node.ask(10 * MS))
+        node.end(node.jobs, took_us=(50 if int(address[1:]) % 2 else 200) * MS)
     for worker in node.balancer.workers.values():
         node.balancer.weights.update_worker(worker)
     fast = [x for x in node.balancer.workers.values() if x.entry.kind == 1]
@@ -186,68 +194,70 @@
     assert max(x.job_time_us for x in fast) < min(x.job_time_us for x in slow)
 
 
-def test_a_full_own_zone_spills_into_another() -> None:
-    """The own zone went first however full: a third of all jobs late at once (hinted site at full size)."""
+def test_jobs_of_a_full_own_zone_spill_into_another() -> None:
+    """The node's own zone was preferred however full it was, and a third of all jobs were late at the same
+    time (hinted site at full size)."""
     node = Node(
         [api.Worker(f"w{i}", zone=i % 2) for i in range(20)], cross_zone_price=0.02, reports_start=True
     )
-    picks = []
+    zones = []
     for _ in range(200):
-        where = sent_to(node.ask(20 * MS))
-        picks.append(int(where[1:]) % 2)
-        started(node, node.jobs, 2 * MS if picks[-1] or len(picks) < 100 else 90 * MS)
+        address = sent_to(node.ask(20 * MS))
+        zones.append(int(address[1:]) % 2)
+        start_job(node, node.jobs, 2 * MS if zones[-1] or len(zones) < 100 else 90 * MS)
         node.end(node.jobs)
-    assert sum(picks[50:100]) < 10 < 40 < sum(picks[150:])
+    assert sum(zones[50:100]) < 10 < 40 < sum(zones[150:])
 
 
-def test_many_nodes_do_not_meet_a_cold_worker_together() -> None:
-    """Every node sent its next job to a worker just listed (deploy day of the unsafe site at full size)."""
-    met = []
+def test_nodes_send_their_first_jobs_to_a_cold_worker_at_different_times() -> None:
+    """Every node sent its next job to the worker that had just been listed (deploy day of the unsafe site at
+    full size)."""
+    first_jobs = []
     for seed in range(30):
         node = Node(20, seed=seed, fleet_size=30)
         for _ in range(40):
             node.ask(200 * MS)
             node.end(node.jobs)
         node.listed(api.ListKind.CHANGES, api.Worker("new", started_us=node.now))
-        where = ""
+        first = ""
         for i in range(60):
-            where = where or (f"{i}" if sent_to(node.ask(200 * MS)) == "new" else "")
+            first = first or (f"{i}" if sent_to(node.ask(200 * MS)) == "new" else "")
             node.end(node.jobs)
-        met.append(int(where or 60))
-    assert len(set(met)) >= 10 and sum(m < 5 for m in met) < 10
+        first_jobs.append(int(first or 60))
+    assert len(set(first_jobs)) >= 10 and sum(job < 5 for job in first_jobs) < 10
 
 
-def test_no_withdrawal_where_late_answers_have_worth_or_cancelling_is_barred() -> None:
+def test_waiting_job_is_not_cancelled_if_late_answers_have_value_or_cancelling_is_off() -> None:
     for changes in ({"cancelling": False}, {"classes": (klass(late_priority_weight=0.5),)}):
         node = Node(2, reports_start=True, **changes)
         node.ask()
         assert not only(node.ask(2 * S), api.Cancel)
 
 
-def test_fast_failures_do_not_look_like_speed() -> None:
-    """A worker that fails at once drew ever more jobs."""
+def test_worker_that_fails_quickly_is_not_taken_for_a_fast_one() -> None:
+    """A worker that fails each job immediately was taken for a fast one and received more and more jobs."""
     node = Node(6)
-    bad, hits = "w3", 0
+    failing, sends = "w3", 0
     for _ in range(120):
-        where = sent_to(node.ask(20 * MS))
-        hits += where == bad
-        if where == bad:
+        address = sent_to(node.ask(20 * MS))
+        sends += address == failing
+        if address == failing:
             node.end(node.jobs, O.ERROR, MS, after_us=MS)
             node.end(node.jobs, took_us=40 * MS, attempt=1, after_us=15 * MS)
         else:
             node.end(node.jobs, took_us=40 * MS, after_us=15 * MS)
-    assert hits <= 8
+    assert sends <= 8
 
 
-def test_a_failing_worker_comes_back_by_trial() -> None:
+def test_ejected_worker_is_readmitted_by_a_trial_job() -> None:
     node = Node(2)
     worker = node.balancer.workers["w0"]
     while not worker.consecutive_ejections:
-        where = sent_to(node.ask(20 * MS))
-        node.end(node.jobs, O.CONNECT_FAILED if where == "w0" else O.COMPLETED, 10 * MS)
+        address = sent_to(node.ask(20 * MS))
+        node.end(node.jobs, O.CONNECT_FAILED if address == "w0" else O.COMPLETED, 10 * MS)
         node.end(node.jobs, attempt=1)
-    back = [sent_to(node.ask(100 * MS)) for _ in range(8) if node.end(node.jobs) is not None]
-    assert "w0" in back and worker.consecutive_ejections == 0
+    addresses = [sent_to(node.ask(100 * MS)) for _ in range(8) if node.end(node.jobs) is not None]
+    assert "w0" in addresses and worker.consecutive_ejections == 0
 
 
 def test_at_most_half_of_the_workers_are_ejected() -> None:
@@ -259,60 +269,61 @@
     assert sum(node.now < worker.ejected_until_us for worker in node.balancer.workers.values()) <= 2
 
 
-def test_a_silent_worker_is_shunned_before_it_answers() -> None:
+def test_worker_with_an_unanswered_job_is_avoided_before_the_timeout() -> None:
     node = Node(3)
     for worker in node.balancer.workers.values():
         worker.concurrency_limit = 5.0
     for _ in range(30):
         node.ask(10 * MS)
         node.end(node.jobs, took_us=30 * MS, after_us=5 * MS)
-    frozen = sent_to(node.ask(10 * MS))
-    picks = []
+    silent = sent_to(node.ask(10 * MS))
+    addresses = []
     for _ in range(40):
-        picks.append(sent_to(node.ask(20 * MS)))
-        if picks[-1] != frozen:
+        addresses.append(sent_to(node.ask(20 * MS)))
+        if addresses[-1] != silent:
             node.end(node.jobs, took_us=30 * MS, after_us=5 * MS)
-    assert picks.count(frozen) <= 2
+    assert addresses.count(silent) <= 2
 
 
-def test_one_huge_job_does_not_banish_a_worker() -> None:
+def test_one_long_job_barely_changes_the_job_time_of_a_worker() -> None:
     node = Node(2)
     for i in range(60):
-        where = sent_to(node.ask(100 * MS))
-        huge = where == "w0" and i == 20
-        node.end(node.jobs, took_us=20 * S if huge else 40 * MS, after_us=40 * MS)
+        address = sent_to(node.ask(100 * MS))
+        long = address == "w0" and i == 20
+        node.end(node.jobs, took_us=20 * S if long else 40 * MS, after_us=40 * MS)
     assert node.balancer.workers["w0"].job_time_us < 200 * MS
 
 
-def test_ready_workers_of_the_own_zone_go_first_where_crossing_costs() -> None:
+def test_ready_workers_of_the_own_zone_are_preferred_if_crossing_costs() -> None:
     workers = [api.Worker(f"w{i}", zone=i % 2) for i in range(4)]
     node = Node(workers, cross_zone_price=0.02, reports_start=True)
-    picks = {sent_to(node.ask(MS)), sent_to(node.ask(MS))}
-    assert picks == {"w0", "w2"}
+    addresses = {sent_to(node.ask(MS)), sent_to(node.ask(MS))}
+    assert addresses == {"w0", "w2"}
     assert sent_to(node.ask(MS)) in {"w1", "w3"}
 
 
-def test_many_held_jobs_cost_no_pick_each() -> None:
-    """A pick for each held job at each event ran over the CPU share (incident ifb1051)."""
+def test_number_of_worker_choices_does_not_grow_with_the_held_jobs() -> None:
+    """One worker choice per held job at every event exceeded the scheduler's CPU share (incident ifb1051)."""
     node = Node(1)
     node.ask()
     for _ in range(200):
         node.ask()
     calls = 0
-    pick = node.balancer.choice.choose
+    choose = node.balancer.choice.choose
 
-    def counted(now: int, job: object) -> object:
+    def count_and_choose(now: int, job: object) -> object:
         nonlocal calls
         calls += 1
-        return pick(now, job)  # type: ignore[arg-type]
+        return choose(now, job)  # type: ignore[arg-type]
 
-    node.balancer.choice.choose = counted  # type: ignore[method-assign, assignment]
+    node.balancer.choice.choose = count_and_choose  # type: ignore[method-assign, assignment]
     node.do(api.TimerFired("held"), MS)
     assert calls <= 2
 
 
-def test_a_fleet_too_slow_for_a_safe_margin_is_still_used() -> None:
-    """A hard margin of fit refused all long jobs on a slow fleet (hinted site, rough-2: 0.04)."""
+def test_long_job_is_sent_though_all_workers_are_too_slow_for_a_safety_margin() -> None:
+    """A fixed safety margin on the predicted run time rejected all long jobs when every worker was slow
+    (hinted site, rough-2: 0.04)."""
     node = Node(2)
     for _ in range(2):
         node.ask(work_hint_us=100 * MS)
@@ -320,61 +331,67 @@
     assert only(node.ask(MS, work_hint_us=400 * MS), api.Send)
 
 
-def test_unbound_work_spares_machines_that_bound_work_needs() -> None:
-    """Bound jobs waited 2.6 s (90 %) behind work that could go anywhere (igp site, big-1)."""
+def test_unrestricted_jobs_avoid_the_machines_that_restricted_jobs_need() -> None:
+    """Jobs restricted to a machine type waited 2.6 s (90th percentile) behind unrestricted jobs (igp site,
+    big-1)."""
     workers = [api.Worker(f"w{i}", kind=i % 2) for i in range(20)]
     node = Node(workers, classes=(klass(kinds=frozenset({1})), klass()), reports_start=True)
-    picks = []
+    sends = []
     for i in range(200):
-        bound = i % 2 == 0
-        where = sent_to(node.ask(20 * MS, job_class=int(not bound)))
-        picks.append((bound, int(where[1:]) % 2))
-        started(node, node.jobs, MS)
-        node.end(node.jobs, took_us=(300 if bound else 100) * MS)
-    assert all(kind for bound, kind in picks if bound)
-    assert sum(kind for bound, kind in picks[100:] if not bound) == 0, "bound work alone fills its machines"
+        restricted = i % 2 == 0
+        address = sent_to(node.ask(20 * MS, job_class=int(not restricted)))
+        sends.append((restricted, int(address[1:]) % 2))
+        start_job(node, node.jobs, MS)
+        node.end(node.jobs, took_us=(300 if restricted else 100) * MS)
+    assert all(kind for restricted, kind in sends if restricted)
+    assert sum(kind for restricted, kind in sends[100:] if not restricted) == 0, (
+        "restricted jobs alone fill the machines of their type"
+    )
 
 
-def test_a_keyed_job_that_does_not_start_moves_within_its_group() -> None:
-    """Blind among 100 nodes, keyed jobs queued while workers of their cell had room (igp site)."""
+def test_keyed_job_that_does_not_start_is_moved_within_its_group() -> None:
+    """Each of 100 nodes is unaware of the others' jobs, and keyed jobs waited in queues while other workers
+    of their cell had free slots (igp site)."""
     workers = [api.Worker(f"w{i}", cell=i // 2) for i in range(4)]
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.CELL)
     node = Node(workers, classes=(keyed,), reports_start=True)
     actions = node.ask()
-    where = sent_to(actions)
+    address = sent_to(actions)
     (timer,) = only(actions, api.SetTimer)
     assert only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel) == [api.Cancel(1, 0)]
     second = sent_to(node.end(1, O.CANCELLED, 26 * MS))
-    assert second != where and int(second[1:]) // 2 == int(where[1:]) // 2
+    assert second != address and int(second[1:]) // 2 == int(address[1:]) // 2
     node = Node(1, classes=(keyed,), reports_start=True)
     (timer,) = only(node.ask(), api.SetTimer)
-    assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel), "nowhere to go"
+    assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel), "no other worker exists"
 
 
-def test_a_dearer_crossing_keeps_more_jobs_at_home() -> None:
-    """Half of the jobs crossed depots at 12 points for each once (launceston site, all days)."""
-    home = []
+def test_higher_price_of_crossing_keeps_more_jobs_in_the_own_zone() -> None:
+    """Half of the jobs went to another zone although each crossing costs 12 points (launceston site, all
+    days)."""
+    in_own_zone = []
     for price in (0.001, 0.2):
         workers = [api.Worker(f"w{i}", zone=i % 2) for i in range(10)]
         node = Node(workers, cross_zone_price=price, reports_start=True)
         for _ in range(100):
-            where = sent_to(node.ask(20 * MS))
-            home.append(int(where[1:]) % 2 == 0)
-            started(node, node.jobs, 20 * MS)
+            address = sent_to(node.ask(20 * MS))
+            in_own_zone.append(int(address[1:]) % 2 == 0)
+            start_job(node, node.jobs, 20 * MS)
             node.end(node.jobs, took_us=200 * MS)
-    assert sum(home[120:]) > sum(home[20:100])
+    assert sum(in_own_zone[120:]) > sum(in_own_zone[20:100])
 
 
-def test_a_lost_answer_does_not_look_like_a_slow_or_full_worker() -> None:
-    """Workers that lose answers were shunned and the others drowned (ledger site, big-1)."""
+def test_lost_answer_does_not_count_as_slowness_overload_or_failure() -> None:
+    """Workers whose answers are lost were avoided as slow or full, which overloaded the others (ledger site,
+    big-1)."""
     node = Node(2, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     for _ in range(6):
         node.ask(MS)
-        started(node, node.jobs)
+        start_job(node, node.jobs)
         node.end(node.jobs)
     worker = node.balancer.workers[sent_to(node.ask(MS))]
     before, shed = worker.job_time_us, node.balancer.overload.shed_share
-    started(node, node.jobs)
+    start_job(node, node.jobs)
     node.end(node.jobs, O.TIMEOUT, 5 * S, after_us=5 * S)
     assert (
         worker.job_time_us == before
@@ -383,21 +400,21 @@
     )
 
 
-def test_a_slow_worker_that_tells_progress_is_no_lost_answer() -> None:
+def test_timeout_after_a_progress_report_counts_as_slowness() -> None:
     node = Node(2, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     worker = node.balancer.workers[sent_to(node.ask())]
-    started(node, 1)
+    start_job(node, 1)
     node.do(api.JobProgress(1, 0, 0.3), 4 * S)
     node.end(1, O.TIMEOUT, 5 * S, after_us=S)
     assert worker.job_time_us > S
 
 
-def test_a_safe_job_whose_answer_is_lost_is_sent_again() -> None:
-    """Nothing came after the start: 8 % of the answers never arrived (ledger site, big-1)."""
+def test_safe_job_without_further_progress_reports_is_moved() -> None:
+    """8 % of the answers never arrived, and nothing was reported after the job's start (ledger site, big-1)."""
     node = Node(2, reports_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     (timer,) = only(node.do(api.TimerFired(timer.tag), timer.after_us), api.SetTimer)
     node.do(api.JobProgress(1, 0, 0.9), S)
     (timer,) = only(node.do(api.TimerFired(timer.tag), timer.after_us), api.SetTimer)
@@ -405,8 +422,9 @@
     assert sent_to(node.end(1, O.CANCELLED)) != sent_to(actions)
 
 
-def test_a_jam_without_hints_does_not_become_normal() -> None:
-    """90 % late and 5 % refused for 30 s after the trouble had ended (launceston site, overload)."""
+def test_lasting_slowdown_without_hints_is_shed_and_not_learned_as_usual() -> None:
+    """The run times of an overload were learned as the usual ones: for 30 s after the overload, 90 % of the
+    answers were late and 5 % of the requests were rejected (launceston site, overload)."""
     node = Node(40)
     for i in range(400):
         for send in only(node.ask(20 * MS), api.Send):
@@ -414,26 +432,26 @@
     assert node.balancer.overload.shed_share > 0.5
 
 
-def test_open_connections_go_first_where_new_ones_have_a_price() -> None:
-    """A quarter of all sends met a worker for the first time (ledger site, big days)."""
-    met = []
+def test_workers_with_open_connections_are_preferred_if_handshakes_cost() -> None:
+    """A quarter of all sends went to a worker without an open connection (ledger site, big days)."""
+    used_workers = []
     for price in (0.0, 0.1):
         node = Node(50, handshake_price=price, keepalive_us=30 * S, reports_start=True)
-        seen = set()
+        addresses = set()
         for _ in range(60):
-            seen.add(sent_to(node.ask(300 * MS)))
-            started(node, node.jobs, MS)
+            addresses.add(sent_to(node.ask(300 * MS)))
+            start_job(node, node.jobs, MS)
             node.end(node.jobs)
-        met.append(len(seen))
-    assert met[0] == 50 and met[1] <= 10
+        used_workers.append(len(addresses))
+    assert used_workers[0] == 50 and used_workers[1] <= 10
 
 
-def test_a_late_job_with_late_worth_is_held_only_while_it_can_be_served() -> None:
-    """Held until the client gave up, when nobody could serve it any more."""
+def test_late_job_with_value_is_held_only_while_it_can_meet_its_deadline() -> None:
+    """A late job that no worker could complete in time any more was held until its client gave up."""
     node = Node(1, classes=(klass(late_priority_weight=0.5),), reports_start=True)
     for _ in range(3):
         node.ask(MS)
-        started(node, node.jobs)
+        start_job(node, node.jobs)
         node.end(node.jobs, took_us=S)
     node.ask()
     node.ask()
@@ -441,8 +459,8 @@
     assert only(node.do(api.TimerFired("held"), S + 100 * MS), api.Reject) == [api.Reject(5, 0)]
 
 
-def test_what_is_given_up_is_answered_at_once() -> None:
-    """Nothing lies between the decision and the answer: no timer is set for a request given up on."""
+def test_request_given_up_is_rejected_immediately() -> None:
+    """The rejection follows the decision without a delay: no timer is set for the request."""
     node = Node(1, max_attempts=1)
     node.ask()
     actions = node.end(1, O.FULL)
@@ -451,28 +469,29 @@
     assert only(actions, api.Reject) and not only(actions, api.SetTimer)
 
 
-def test_full_for_one_class_backs_off_that_class_alone() -> None:
-    """Workers with room turned one class away: each met them again and again (ledger site, big-2)."""
+def test_worker_full_for_one_class_is_avoided_for_that_class_alone() -> None:
+    """Workers with free slots refused one class as full, and jobs of that class were sent to them again and
+    again (ledger site, big-2)."""
     node = Node(6, classes=(klass(), klass()), reports_start=True)
-    picks: list[tuple[int, str]] = []
+    sends: list[tuple[int, str]] = []
     for i in range(120):
-        where = sent_to(node.ask(20 * MS, job_class=i % 2))
-        picks.append((i % 2, where))
-        full = i % 2 == 0 and where in ("w0", "w1", "w2")
+        address = sent_to(node.ask(20 * MS, job_class=i % 2))
+        sends.append((i % 2, address))
+        full = i % 2 == 0 and address in ("w0", "w1", "w2")
         for attempt in range(4):
             if not full:
-                started(node, node.jobs)
+                start_job(node, node.jobs)
                 node.end(node.jobs, attempt=attempt)
                 break
-            again = only(node.end(node.jobs, O.FULL, MS, attempt=attempt), api.Send)
-            full = bool(again) and again[0].address in ("w0", "w1", "w2")
-    turned = [w for c, w in picks if c == 0 and w in ("w0", "w1", "w2")]
-    others = [w for c, w in picks if c == 1 and w in ("w0", "w1", "w2")]
-    assert len(turned) <= 6 and len(others) > 20
+            retries = only(node.end(node.jobs, O.FULL, MS, attempt=attempt), api.Send)
+            full = bool(retries) and retries[0].address in ("w0", "w1", "w2")
+    refused = [w for c, w in sends if c == 0 and w in ("w0", "w1", "w2")]
+    accepted = [w for c, w in sends if c == 1 and w in ("w0", "w1", "w2")]
+    assert len(refused) <= 6 and len(accepted) > 20
     assert not any(worker.consecutive_ejections for worker in node.balancer.workers.values())
 
 
-def test_a_class_turned_away_everywhere_is_still_sent() -> None:
+def test_class_refused_by_all_workers_is_still_sent() -> None:
     node = Node(2, reports_start=True)
     for _ in range(3):
         node.balancer.overload.shed_share = 0.0
@@ -481,45 +500,48 @@
             node.end(node.jobs, O.FULL, MS, attempt=attempt)
 
 
-def test_the_advice_when_to_come_back_follows_what_a_late_answer_is_worth() -> None:
-    for late, advice in ((0.0, 2 * S), (0.5, 50 * MS)):
+def test_retry_after_depends_on_the_value_of_late_answers() -> None:
+    for late, retry_after_us in ((0.0, 2 * S), (0.5, 50 * MS)):
         node = Node(
             1, classes=(klass(late_priority_weight=late),), retry_after=True, max_retry_after_us=2 * S
         )
         node.ask()
         node.end(1)
-        assert only(node.ask(left_us=0), api.Reject) == [api.Reject(2, advice)]
+        assert only(node.ask(left_us=0), api.Reject) == [api.Reject(2, retry_after_us)]
 
 
-def test_a_keyed_job_moves_only_when_it_waits_longer_than_usual() -> None:
-    """Moved at once, keyed jobs lost their turn for another queue (igp site, rough-1 and overload)."""
+def test_keyed_job_is_moved_only_after_a_longer_wait_than_a_safe_one() -> None:
+    """Keyed jobs that were moved immediately lost their place in one queue only to wait in another (igp site,
+    rough-1 and overload)."""
     workers = [api.Worker(f"w{i}", cell=i // 2) for i in range(4)]
     waits = []
     for repeat in (api.Repeat.KEYED, api.Repeat.SAFE):
         node = Node(workers, classes=(klass(repeat=repeat, scope=api.Scope.CELL),), reports_start=True)
         for _ in range(8):
             node.ask(MS)
-            started(node, node.jobs, 80 * MS)
+            start_job(node, node.jobs, 80 * MS)
             node.end(node.jobs)
         waits.append(only(node.ask(MS), api.SetTimer)[-1].after_us)
     assert waits[0] >= waits[1] + 40 * MS
 
 
-def test_lost_jobs_take_no_room() -> None:
-    """Jobs whose answers were lost filled every worker till they timed out (ledger site, twin of big-1)."""
+def test_job_without_progress_reports_takes_up_no_concurrency() -> None:
+    """Jobs whose answers were lost counted as running until their timeouts, so that every worker looked full
+    (ledger site, twin of big-1)."""
     node = Node(1, reports_start=True, progress_us=S, classes=(klass(repeat=api.Repeat.UNSAFE),))
     node.ask()
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     node.balancer.workers["w0"].concurrency_limit = 1.0
-    assert not only(node.ask(S), api.Send), "it may still run"
-    assert only(node.ask(S), api.Send), "silent for more than one and a half progress intervals"
+    assert not only(node.ask(S), api.Send), "the first job may still run"
+    assert only(node.ask(S), api.Send), "no report of it for more than one and a half progress intervals"
 
 
-def test_a_job_of_untold_length_waits_longer_than_its_bare_aim() -> None:
-    """Lookups were refused after 0.3 s though a usual one could have waited 1 s (calm and rude days)."""
+def test_job_without_a_hint_is_held_longer_once_the_usual_run_time_is_known() -> None:
+    """Lookups were rejected after 0.3 s, although a lookup of the usual length can wait for 1 s and still be
+    in time (calm and rude days)."""
     node = Node(1, reports_start=True)
     node.ask()
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     node.end(1, took_us=400 * MS, after_us=400 * MS)
     node.ask()
     node.ask(MS)
@@ -529,10 +551,11 @@
     assert only(node.do(api.TimerFired("held"), 710 * MS), api.Reject)
 
 
-def test_a_worker_not_heard_from_gets_a_job_on_a_new_connection() -> None:
-    """Renewals written to the open connections of a vanished machine were lost (fleet days)."""
+def test_worker_without_recent_responses_gets_its_job_on_a_new_connection() -> None:
+    """Renewals written to the open connections of a machine that had become unreachable were lost (fleet
+    days)."""
     node = Node(1, reports_start=True)
-    assert not only(node.ask(), api.CloseIdle)  # none can be open
+    assert not only(node.ask(), api.CloseIdle)  # no connection can be open yet
     node.end(1, after_us=50 * MS)
     assert not only(node.ask(100 * MS), api.CloseIdle)
     node.end(2, after_us=50 * MS)
@@ -543,19 +566,20 @@
     "repeat, alive, moved",
     [(api.Repeat.SAFE, False, True), (api.Repeat.SAFE, True, False), (api.Repeat.UNSAFE, False, False)],
 )
-def test_a_job_started_on_a_silent_worker_is_moved_where_safe(
+def test_job_started_on_an_unreachable_worker_is_moved_if_safe(
     repeat: api.Repeat, alive: bool, moved: bool
 ) -> None:
-    """It was waited for until the client's limit (days with vanished workers)."""
+    """The scheduler waited for the answer until the client's deadline (days with workers that become
+    unreachable)."""
     classes = (klass(latency_objective_us=3 * S, repeat=repeat),)
     node = Node(1, classes=classes, reports_start=True, probes=True, connect_timeout_us=200 * MS)
     node.ask()
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     node.ask(S)
     node.listed(api.ListKind.CHANGES, *(api.Worker(f"w{i}") for i in (1, 2)))
     failed = node.end(2, O.CONNECT_FAILED, 200 * MS, after_us=200 * MS)
     assert only(failed, api.CheckHealth) == [api.CheckHealth("w0")]
-    # A pause of a busy machine can swallow one probe.
+    # One failed probe is not enough: a busy machine that pauses can miss one.
     assert (only(node.do(api.HealthCheckEnded("w0", alive), 250 * MS), api.CheckHealth) == []) == alive
     cancelled = only(node.do(api.HealthCheckEnded("w0", alive), 250 * MS), api.Cancel)
     assert cancelled == [api.Cancel(1, 0)] * moved
@@ -563,84 +587,89 @@
         assert sent_to(node.end(1, O.CANCELLED, 2 * S, after_us=500 * MS)) != "w0"
 
 
-def test_a_worker_that_loses_its_answers_is_picked_last() -> None:
-    """It starts jobs and ends none: seven renewals in a row were lost to two of them (lost answers)."""
+def test_worker_with_an_overdue_answer_is_chosen_last() -> None:
+    """Such a worker starts jobs, but its answers never arrive: seven consecutive renewals were lost on two
+    such workers (lost answers)."""
     node = Node(2, reports_start=True, probes=True)
     for job in (1, 2):
         node.ask()
-        started(node, job, MS)
+        start_job(node, job, MS)
         node.end(job, took_us=100 * MS, after_us=100 * MS)
-    lost = sent_to(node.ask())
-    (overdue,) = only(started(node, 3, MS), api.SetTimer)
+    losing = sent_to(node.ask())
+    (overdue,) = only(start_job(node, 3, MS), api.SetTimer)
     assert overdue.tag == "overdue 3 0" and overdue.after_us >= 200 * MS
     assert only(node.do(api.TimerFired(overdue.tag), overdue.after_us), api.CheckHealth) == [
-        api.CheckHealth(lost)
+        api.CheckHealth(losing)
     ]
-    node.do(api.HealthCheckEnded(lost, True), MS)
+    node.do(api.HealthCheckEnded(losing, True), MS)
     for job in range(4, 8):
-        assert sent_to(node.ask(MS)) != lost
-        started(node, job, MS)
+        assert sent_to(node.ask(MS)) != losing
+        start_job(node, job, MS)
         node.end(job, after_us=100 * MS)
     node.end(3, after_us=MS)
-    assert sent_to(node.ask(MS)) == lost
+    assert sent_to(node.ask(MS)) == losing
 
 
-def test_a_worker_shows_its_room_within_a_few_starts() -> None:
-    """At a tenth a start, home workers with idle slots counted as full: a third of all jobs crossed zones."""
+def test_concurrency_limit_grows_quickly_with_prompt_starts() -> None:
+    """The concurrency limit grew by a tenth per start: workers of the node's own zone with idle slots counted as
+    full, and a third of all jobs crossed zones."""
     node = Node(1, reports_start=True)
     for job in range(1, 9):
-        assert sent_to(node.ask(MS)) == "w0", f"no room for job {job}"
-        started(node, job, MS)
+        assert sent_to(node.ask(MS)) == "w0", f"the worker counts as full for job {job}"
+        start_job(node, job, MS)
 
 
-def test_what_may_not_be_repeated_avoids_a_worker_that_failed_of_late() -> None:
-    """Renewals were a failing worker's trial jobs after each ejection, and were lost there (reload days)."""
+def test_unsafe_job_avoids_a_worker_that_failed_recently() -> None:
+    """Renewals were the trial jobs of a failing worker after each of its ejections, and were lost there
+    (reload days)."""
     node = Node(3, classes=(klass(), klass(repeat=api.Repeat.UNSAFE)), reports_start=True)
-    bad = sent_to(node.ask())
-    assert sent_to(node.end(1, O.RESET, MS, after_us=MS)) != bad
+    failed = sent_to(node.ask())
+    assert sent_to(node.end(1, O.RESET, MS, after_us=MS)) != failed
     node.end(1, attempt=1, took_us=3 * S, after_us=MS)
-    places = []
+    addresses = []
     for job in range(2, 14):
-        places.append(sent_to(node.ask(S, job_class=int(job < 8))))
-        started(node, job, MS)
+        addresses.append(sent_to(node.ask(S, job_class=int(job < 8))))
+        start_job(node, job, MS)
         node.end(job, took_us=3 * S, after_us=MS)
-    assert bad not in places[:6] and bad in places[6:]
+    assert failed not in addresses[:6] and failed in addresses[6:]
 
 
-def test_a_safe_job_that_breaks_after_a_long_run_is_sent_again() -> None:
-    """Reports killed with a released worker were refused, though long ones had time for another run."""
+def test_safe_job_reset_after_a_long_run_is_retried_if_time_is_left() -> None:
+    """Reports that ended with the release of their worker were rejected, although even the long ones had time
+    for another run."""
     node = Node(2, reports_start=True)
     node.ask()
-    started(node, 1, MS)
+    start_job(node, 1, MS)
     assert sent_to(node.end(1, O.RESET, S, after_us=S))
-    started(node, 1)
+    start_job(node, 1)
     node.do(api.JobStarted(1, 1))
     assert only(node.end(1, O.RESET, 3 * S, attempt=1, after_us=4500 * MS), api.Reject)
 
 
-def test_where_own_jobs_wait_a_worker_rests_between_two() -> None:
-    """Eight nodes with one job each at a worker wait for each other there (Kalevi, overload, big-1)."""
+def test_worker_gets_the_next_job_after_a_pause_if_jobs_waited_there() -> None:
+    """Eight nodes that each keep one job at the same worker queue behind each other there (Kalevi, overload,
+    big-1)."""
 
-    def pause(waits_us: int) -> int:
+    def pause_us(waits_us: int) -> int:
         node = Node(1, reports_start=True, fleet_size=8)
         for job in range(1, 8):
             while not only(node.ask(10 * MS), api.Send):
                 pass
-            started(node, node.jobs, 5 * MS + waits_us * (job > 1))
+            start_job(node, node.jobs, 5 * MS + waits_us * (job > 1))
             node.end(node.jobs, after_us=20 * MS)
         before = node.now
         while not only(node.ask(10 * MS), api.Send):
             pass
         return node.now - before
 
-    assert pause(0) == 10 * MS and pause(60 * MS) > 50 * MS
+    assert pause_us(0) == 10 * MS and pause_us(60 * MS) > 50 * MS
 
 
-def test_of_held_jobs_those_that_are_late_go_last() -> None:
-    """Answers that were late already took the places of others that could be in time (Kalevi, overload)."""
-    for late_worth, first in ((0.2, 3), (0.9, 2)):
+def test_held_jobs_that_are_late_rank_by_their_value_when_late() -> None:
+    """Jobs that were already late took the slots of jobs that could still be in time (Kalevi, overload)."""
+    for late_weight, first in ((0.2, 3), (0.9, 2)):
         classes = (
-            klass(priority_weight=3.0, late_priority_weight=late_worth),
+            klass(priority_weight=3.0, late_priority_weight=late_weight),
             klass(priority_weight=2.0, late_priority_weight=0.5),
         )
         node = Node(1, reports_start=True, classes=classes, value_by_work=True)
@@ -649,27 +678,28 @@
         node.do(api.TimerFired("held"), 110 * MS)
         node.ask(MS, job_class=1)
         node.do(api.TimerFired("held"), MS)
-        assert only(started(node, 1, MS), api.Send)[0].job == first
+        assert only(start_job(node, 1, MS), api.Send)[0].job == first
 
 
-def test_a_node_with_few_jobs_out_leaves_waiting_jobs_alone_that_could_go_anywhere() -> None:
-    """200 such nodes moved one job in nine to workers as full, and what they withdrew ran on all the same."""
+def test_node_with_few_jobs_in_flight_does_not_move_waiting_jobs() -> None:
+    """200 nodes with few jobs each moved one job in nine, to workers just as full, while the cancelled
+    attempts ran on."""
     node = Node(60, reports_start=True, fleet_size=200)
     for _ in range(20):
         node.ask(200 * MS)
-        started(node, node.jobs)
+        start_job(node, node.jobs)
         node.end(node.jobs)
     (timer,) = only(node.ask(200 * MS), api.SetTimer)
     assert node.balancer.state.few_in_flight
     assert not only(node.do(api.TimerFired(timer.tag), timer.after_us), api.Cancel)
-    assert not only(node.do(api.TimerFired(timer.tag), 2 * S), api.Cancel), "past its aim neither"
+    assert not only(node.do(api.TimerFired(timer.tag), 2 * S), api.Cancel), "nor past the latency objective"
 
 
-def test_a_node_with_many_jobs_out_still_moves_a_job_that_does_not_start() -> None:
+def test_node_with_many_jobs_in_flight_moves_a_job_that_does_not_start() -> None:
     node = Node(2, reports_start=True, fleet_size=200)
     for _ in range(20):
         node.ask(10 * MS)
-        started(node, node.jobs)
+        start_job(node, node.jobs)
         node.end(node.jobs, took_us=300 * MS)
     (timer,) = only(node.ask(), api.SetTimer)
     assert not node.balancer.state.few_in_flight
