--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -17,7 +17,7 @@
 
 
 def test_worker_with_a_waiting_job_of_this_node_gets_no_other() -> None:
-    """Rotation without regard to waiting jobs queued jobs behind jobs (all three deployments, plain design)."""
+    """Rotation that ignored waiting jobs put jobs behind others (all three deployments, plain design)."""
     node = Node(2, reports_start=True)
     first, second = sent_to(node.ask()), sent_to(node.ask(MS))
     assert {first, second} == {"w0", "w1"}
@@ -410,7 +410,7 @@
 
 
 def test_safe_job_without_further_progress_reports_is_moved() -> None:
-    """8 % of the answers never arrived, and nothing was reported after the job's start (ledger site, big-1)."""
+    """8 % of the answers never arrived, and no report followed the job's start (ledger site, big-1)."""
     node = Node(2, reports_start=True, progress_us=S, classes=(klass(late_priority_weight=0.5),))
     actions = node.ask()
     (timer,) = only(actions, api.SetTimer)
@@ -611,8 +611,8 @@
 
 
 def test_concurrency_limit_grows_quickly_with_prompt_starts() -> None:
-    """The concurrency limit grew by a tenth per start: workers of the node's own zone with idle slots counted as
-    full, and a third of all jobs crossed zones."""
+    """The concurrency limit grew by a tenth per start: workers of the node's own zone with idle slots counted
+    as full, and a third of all jobs crossed zones."""
     node = Node(1, reports_start=True)
     for job in range(1, 9):
         assert sent_to(node.ask(MS)) == "w0", f"the worker counts as full for job {job}"
