--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: small settings and a node to drive by hand."""
+"""Shared helpers: default settings, a balancer that is driven event by event, and known failures."""
 
 from typing import Any
 
@@ -42,7 +42,11 @@
 
 
 class Node:
-    """One balancer and its clock."""
+    """A balancer and its simulated clock.
+
+    ``workers``: the workers of the first endpoint list, or their number. Each method advances the clock by
+    ``after_us``, handles one event and returns the balancer's actions.
+    """
 
     def __init__(self, workers: list[api.Worker] | int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1_000 * S
@@ -88,8 +92,8 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Tests that are listed as known failures fail without failing the run."""
+    """Mark the tests in the list of known failures as expected failures; see ``known_red``."""
     entries = known_red.read(known_red.LIST.read_text()) if known_red.LIST.exists() else []
     option = config.option
-    chosen = option.file_or_dir or option.keyword or option.markexpr
-    known_red.mark(entries, items, whole_suite=not chosen)
+    selected = option.file_or_dir or option.keyword or option.markexpr
+    known_red.mark(entries, items, whole_suite=not selected)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,7 +14,7 @@
 from .conftest import MS, S, only, settings
 
 START = 1_000 * S
-START_DELAY_US = 5 * MS  # from the send of a job to its start, which the worker reports at once
+SEND_TO_START_US = 5 * MS  # delay from the send of a job to its start at the worker
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,6 +60,7 @@
     ``traffic_shares``: the share of the jobs that arrives at each node.
     ``arrivals_s``: the arrival time of each job, instead of a constant rate.
     ``starts_s``: the start time of each node; jobs that arrive at a node before its start are dropped.
+    ``changes``: settings that differ from those of ``conftest.settings``.
     """
     rng, sequence = random.Random(nodes), itertools.count()
     balancers = []
@@ -82,7 +83,7 @@
             began = now
             if outcome is not api.Outcome.CONNECT_FAILED:
                 began = max(
-                    now + START_DELAY_US, heapq.heappop(free_from.setdefault(send.address, [0] * slots))
+                    now + SEND_TO_START_US, heapq.heappop(free_from.setdefault(send.address, [0] * slots))
                 )
                 heapq.heappush(free_from[send.address], began + took)
                 schedule(began, node, api.JobStarted(send.job, attempt))
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -1,8 +1,8 @@
-"""The program's outward surfaces under names of their own, for the compatibility tests.
+"""Access to the program's external interfaces under fixed names, for the compatibility tests.
 
-The literals in ``tests/test_compat_*.py`` never change. This module alone knows what the code behind a
-surface is called now: a rename is followed here, and nowhere in those tests. Samples are built with
-keywords, so that fields that trade places show as other bytes.
+External interfaces are messages, files, settings, metrics and the command line. The literals in
+``tests/test_compat_*.py`` never change. When the code behind an interface is renamed, this module changes
+and those tests do not. Samples are built with keywords, so that fields that swap places change the bytes.
 """
 
 import asyncio
@@ -19,8 +19,7 @@
 import msgspec
 
 import robinhill
-from robinhill import api
-from robinhill import protocol as messages
+from robinhill import api, protocol
 from robinhill.admission import exported_state as admission_state
 from robinhill.admission.callers import Caller
 from robinhill.commands import cli
@@ -33,13 +32,13 @@
 from robinhill.errors import RobinhillError
 from robinhill.gang import share as gang
 from robinhill.mesh import acknowledgements, frames, record_kinds, snapshot, swim_messages
-from robinhill.mesh import records as shared
+from robinhill.mesh import records as mesh_records
 from robinhill.mesh.replica import Replica
 from robinhill.net.cordons import replies
 from robinhill.net.metrics import Metrics
 from robinhill.net.operators.disabled_workers import DisabledWorkerStore
 from robinhill.net.peers.snapshot_store import SnapshotStore
-from robinhill.placement import exported_state as memory
+from robinhill.placement import exported_state as placement_state
 from robinhill.placement import timers
 from robinhill.protocol import JobEvent, JobRequest, JobState, Lifecycle, ListedEndpoint
 from robinhill.record import records as recording
@@ -53,7 +52,7 @@
 
 Json = dict[str, Any]
 
-# Bytes: messages, records and values
+# Encodings: messages, records and their values
 
 SAMPLES: dict[str, msgspec.Struct] = {
     "control.mesh": control.MeshData(data=b"data1"),
@@ -92,10 +91,10 @@
     "control.offer": control.Offer(
         number=1,
         records=(
-            shared.Record(
+            mesh_records.Record(
                 kind="kind2",
                 key="key3",
-                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                stamp=mesh_records.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
                 until_us=8,
                 value=b"value9",
             ),
@@ -109,10 +108,10 @@
     "control.RangePart": control.RangePart(
         index=1,
         records=(
-            shared.Record(
+            mesh_records.Record(
                 kind="kind2",
                 key="key3",
-                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                stamp=mesh_records.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
                 until_us=8,
                 value=b"value9",
             ),
@@ -124,10 +123,10 @@
             control.RangePart(
                 index=1,
                 records=(
-                    shared.Record(
+                    mesh_records.Record(
                         kind="kind2",
                         key="key3",
-                        stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                        stamp=mesh_records.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
                         until_us=8,
                         value=b"value9",
                     ),
@@ -141,10 +140,10 @@
         position=1,
         urgent=True,
         records=(
-            shared.Record(
+            mesh_records.Record(
                 kind="kind2",
                 key="key3",
-                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                stamp=mesh_records.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
                 until_us=8,
                 value=b"value9",
             ),
@@ -155,11 +154,11 @@
         number=1, accepted=True, in_force=True, lagging_count=2, lagging_names=("names3",)
     ),
     "control.refused": control.Refused(why="why1"),
-    "shared.Stamp": shared.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
-    "shared.Record": shared.Record(
+    "shared.Stamp": mesh_records.Stamp(wall_us=1, count=2, origin="origin3", incarnation=4),
+    "shared.Record": mesh_records.Record(
         kind="kind1",
         key="key2",
-        stamp=shared.Stamp(wall_us=3, count=4, origin="origin5", incarnation=6),
+        stamp=mesh_records.Stamp(wall_us=3, count=4, origin="origin5", incarnation=6),
         until_us=7,
         value=b"value8",
     ),
@@ -175,10 +174,10 @@
     "frames.push": frames.Push(
         number=1,
         records=(
-            shared.Record(
+            mesh_records.Record(
                 kind="kind2",
                 key="key3",
-                stamp=shared.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
+                stamp=mesh_records.Stamp(wall_us=4, count=5, origin="origin6", incarnation=7),
                 until_us=8,
                 value=b"value9",
             ),
@@ -325,18 +324,21 @@
 
 
 def encode(sample: msgspec.Struct) -> bytes:
-    """A sample as it travels inside a message or file."""
+    """Encode a sample as it is encoded inside a message or file."""
     return msgspec.msgpack.encode(sample)
 
 
 def decode(data: bytes, name: str) -> msgspec.Struct:
-    """Bytes as the sample of that name."""
+    """Decode bytes as the type of the sample of that name."""
     decoded: msgspec.Struct = msgspec.msgpack.decode(data, type=type(SAMPLES[name]))
     return decoded
 
 
-def pass_on(name: str, data: bytes) -> bytes:
-    """A whole message of a link, read and written again by the module that owns its format."""
+def reencode_message(name: str, data: bytes) -> bytes:
+    """Decode a whole message and encode it again by the module that owns its format.
+
+    Raises KeyError if ``name`` is not a message of the control group or of the mesh.
+    """
     if name.startswith("control."):
         return control.write(control.read(data))
     if name.startswith("frames."):
@@ -346,7 +348,7 @@
 
 _REQUESTS = record_kinds.request_kind(record_kinds.MAX_RETRY_WINDOW_US)
 
-VALUES: Mapping[str, Callable[[bytes], bytes]] = {
+VALUE_CODECS: Mapping[str, Callable[[bytes], bytes]] = {
     "cordon": lambda data: cordon_codec.encode(cordon_codec.decode(data)),
     "notice": lambda data: acknowledgements.encode(acknowledgements.decode(data)),
     "gang.progress": lambda data: gang.encode(gang.decode(data)),
@@ -354,23 +356,24 @@
     "evidence": lambda data: record_kinds.EVIDENCE_KIND.encode(record_kinds.EVIDENCE_KIND.decode(data)),
     "request": lambda data: _REQUESTS.encode(_REQUESTS.decode(data)),
 }
-"""Values of records by the name of their kind, read and written again."""
+"""For each kind of record: decodes the value of a record and encodes it again."""
 
 
-def kind_names() -> list[str]:
-    """The names of the kinds that a member of the control group replicates, in order, and of the others."""
+def record_kind_names() -> list[str]:
+    """Names of the record kinds: those that the control group replicates, in order, and then the others."""
     return [kind.name for kind in control_kinds()] + [acknowledgements.KIND_NAME, gang.NAME]
 
 
 def digests() -> dict[str, str]:
-    """What two processes compare: of a record, of parts, of a list of names, of a whole copy."""
+    """The digests that processes compare: of a record, of byte strings, of a list of names, of a replica."""
     record = SAMPLES["shared.Record"]
-    assert isinstance(record, shared.Record)
+    assert isinstance(record, mesh_records.Record)
     replica = Replica("s1", 5, (cordon_codec.cordon_kind(), record_kinds.DRAIN_KIND))
-    stamp = shared.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
+    stamp = mesh_records.Stamp(wall_us=1_000_000, count=0, origin="s2", incarnation=3)
     drain = encode(SAMPLES["kinds.Drain"])
     replica.merge(
-        2_000_000, shared.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain)
+        2_000_000,
+        mesh_records.Record(kind="drain", key="s9", stamp=stamp, until_us=3_600_000_000, value=drain),
     )
     return {
         "record": frames.record_digest(record).hex(),
@@ -384,25 +387,25 @@
 
 
 def write_snapshot(folder: Path) -> None:
-    """Save one record of each kind as a scheduler, or a voter, does."""
+    """Save a snapshot of ``stored_records`` by the store that schedulers and voters use."""
     store = SnapshotStore(folder, "fernvale", "s1")
-    owner = snapshot.SnapshotHeader(
+    header = snapshot.SnapshotHeader(
         installation="fernvale", origin="s1", incarnation=77, saved_us=1_700_000_000_000_000
     )
-    store.write(owner, stored_records())
+    store.write(header, stored_records())
 
 
 def read_snapshot(folder: Path) -> tuple[tuple[str, str, int, int], list[bytes]]:
-    """Whose file it is, and its records as bytes."""
-    owner, records = SnapshotStore(folder, "fernvale", "s1").load()
-    assert owner
-    head = owner.installation, owner.origin, owner.incarnation, owner.saved_us
-    return head, [encode(record) for record in records]
+    """Load a snapshot: the fields of its header, and its records as bytes."""
+    header, records = SnapshotStore(folder, "fernvale", "s1").load()
+    assert header
+    fields = header.installation, header.origin, header.incarnation, header.saved_us
+    return fields, [encode(record) for record in records]
 
 
-def stored_records() -> list[shared.Record]:
-    """A record of each kind, as they lie in a snapshot."""
-    stamp = shared.Stamp(wall_us=1_700_000_000_000_000, count=1, origin="s1", incarnation=77)
+def stored_records() -> list[mesh_records.Record]:
+    """One record of each kind that a snapshot holds, in the order of the snapshot."""
+    stamp = mesh_records.Stamp(wall_us=1_700_000_000_000_000, count=1, origin="s1", incarnation=77)
     values = {
         "cordon": "cordon.value",
         "notice": "notices.Notice",
@@ -411,7 +414,7 @@
         "gang.progress": "gang.Progress",
     }
     return [
-        shared.Record(
+        mesh_records.Record(
             kind=kind, key=f"key-{kind}", stamp=stamp, until_us=1 << 52, value=encode(SAMPLES[name])
         )
         for kind, name in values.items()
@@ -419,80 +422,83 @@
 
 
 def save_disabled_workers(folder: Path, names: set[str]) -> bool:
-    """Keep the workers that operators have taken out."""
+    """Save the names of the workers that operators have disabled."""
     return DisabledWorkerStore(folder).save(names)
 
 
 def load_disabled_workers(folder: Path) -> set[str]:
-    """Those workers as the last process left them."""
+    """Load the disabled workers that the last process saved."""
     return DisabledWorkerStore(folder).load()
 
 
-def recorded() -> list[Any]:
-    """A record of each type that a recording holds."""
+def recording_records() -> list[Any]:
+    """One record of each type that a recording holds."""
     return [SAMPLES[f"recording.{tag}"] for tag in "atfld"]
 
 
 def write_recording(path: Path) -> None:
-    """A recording with one frame."""
-    path.write_bytes(recording_header() + recording_frame(recorded()))
+    """Write a recording with one frame, which holds ``recording_records()``."""
+    path.write_bytes(recording_header() + recording_frame(recording_records()))
 
 
 def load_recording(path: Path) -> list[Any]:
-    """The records of a recording, which must be complete."""
+    """Read the records of a recording and check that no bytes of it are unreadable."""
     reading = read_recording(path)
     assert not reading.unread_bytes
     return reading.records
 
 
-# What a process hands to its successor
+# Hand-over to a successor
 
 
-def _driven() -> Node:
+def _used_node() -> Node:
+    """A node with completed jobs, a running one, and one that is retried after a failed connection."""
     node = Node(3, reports_start=True)
     for _ in range(40):
         worker = sent_to(node.ask(after_us=10 * MS))
         node.end(node.jobs, took_us=300 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
-    node.do(api.JobStarted(_open_job(node), 0), 20 * MS)
+    node.do(api.JobStarted(_submit_job(node), 0), 20 * MS)
     worker = sent_to(node.ask(after_us=10 * MS))
     node.end(node.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
     node.ask(after_us=10 * MS)
     return node
 
 
-def _open_job(node: Node) -> int:
+def _submit_job(node: Node) -> int:
     node.ask(after_us=10 * MS)
     return node.jobs
 
 
 def exported_state() -> Json:
-    """What a driven decision module knows, as its successor gets it."""
-    return _as_json(memory.export_state(_driven().balancer))
+    """State that a decision module in use exports for its successor."""
+    return _as_json(placement_state.export_state(_used_node().balancer))
 
 
 def reexported_state(state: Json) -> Json:
-    """The same, told to a fresh module and exported by it."""
+    """Import a decision module's state into a new module and export it again."""
     node = Node(3, reports_start=True)
-    memory.import_state(node.balancer, state)
-    return _as_json(memory.export_state(node.balancer))
+    placement_state.import_state(node.balancer, state)
+    return _as_json(placement_state.export_state(node.balancer))
 
 
-def handed_over_jobs() -> list[Json]:
-    """The jobs that the driven module still has, as a successor gets them."""
-    balancer = _driven().balancer
-    return [_as_json(memory.export_job(balancer, number)) for number in sorted(balancer.jobs)]
+def exported_jobs() -> list[Json]:
+    """Jobs that a decision module in use has not completed, as exported for its successor."""
+    balancer = _used_node().balancer
+    return [_as_json(placement_state.export_job(balancer, number)) for number in sorted(balancer.jobs)]
 
 
-def handed_over_again(jobs: list[Json]) -> list[Json]:
-    """The same, taken by a fresh module and handed over by it."""
+def reexported_jobs(jobs: list[Json]) -> list[Json]:
+    """Import jobs into a new decision module and export them again."""
     node = Node(3, reports_start=True)
     for job in jobs:
-        memory.import_job(node.balancer, node.now, job)
-    return [_as_json(memory.export_job(node.balancer, number)) for number in sorted(node.balancer.jobs)]
+        placement_state.import_job(node.balancer, node.now, job)
+    return [
+        _as_json(placement_state.export_job(node.balancer, number)) for number in sorted(node.balancer.jobs)
+    ]
 
 
 def timer_tags() -> list[str]:
-    """The tags of timers, which go along with the jobs that they are about."""
+    """Tags of the decision module's timers, which are handed over with the jobs."""
     return [timers.AttemptTimer(check, 5, 2).tag for check in timers.AttemptCheck] + [
         timers.QUEUE_CHECK,
         timers.LIST_POLL,
@@ -500,7 +506,7 @@
 
 
 def exported_admission() -> Json:
-    """What a driven admission control knows, as its successor gets it."""
+    """State that an admission control in use exports for its successor."""
     fleet = Fleet(slots=1, run_ms=300)
     for _ in range(8):
         fleet.send("a")
@@ -512,66 +518,66 @@
 
 
 def reexported_admission(state: Json) -> Json:
-    """The same, told to a fresh admission control and exported by it."""
+    """Import admission state into a new admission control and export it again."""
     fleet = Fleet(slots=1, run_ms=300)
     admission_state.import_state(fleet.admission, fleet.now, state)
     return _as_json(admission_state.export_state(fleet.admission))
 
 
 def exported_caller() -> Json:
-    """A request's tenant as it goes along with the request."""
+    """The tenant and origin of a request, as handed over with the request."""
     caller = Caller(tenant=1, name="name2", network=3, fingerprint=4)
     written = _as_json(admission_state.export_caller(caller))
     assert admission_state.import_caller(written) == caller
     return written
 
 
-def handed_request() -> Json:
-    """A client's request as it goes to a successor."""
+def exported_request() -> Json:
+    """A client's request, as handed over to a successor."""
     request = JobRequest(
         id="id1", job_class=2, time_left_us=3, client_repeat=True, target="/target4", body=b"body\xff",
         headers=(("key5", "value6"),), tenant="tenant7", cost_us=8, key="key9",
     )  # fmt: skip
-    written = _as_json(messages.encode_handed_over_request(request))
-    assert messages.decode_handed_over_request(written) == request
+    written = _as_json(protocol.encode_handed_over_request(request))
+    assert protocol.decode_handed_over_request(written) == request
     return written
 
 
-def worker_event() -> Json:
-    """A worker's call about a job as it goes from process to process."""
+def encoded_worker_event() -> Json:
+    """A worker's report about a job, as one process forwards it to the other."""
     event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
-    written = _as_json(messages.encode_job_event(event))
-    assert messages.decode_job_event_object(written) == event
+    written = _as_json(protocol.encode_job_event(event))
+    assert protocol.decode_job_event_object(written) == event
     return written
 
 
-def listed_worker() -> Json:
-    """An entry of the endpoint list as it goes from process to process."""
+def encoded_listed_worker() -> Json:
+    """An entry of the endpoint list, as one process sends it to the other."""
     entry = ListedEndpoint(
         instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
         lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
     )  # fmt: skip
-    written = _as_json(messages.encode_listed_endpoint(entry))
-    assert messages.decode_listed_endpoint(written) == entry
+    written = _as_json(protocol.encode_listed_endpoint(entry))
+    assert protocol.decode_listed_endpoint(written) == entry
     return written
 
 
 def _as_json(value: Any) -> Json:
-    told: Json = json.loads(json.dumps(value))
-    return told
+    decoded: Json = json.loads(json.dumps(value))
+    return decoded
 
 
 # Operators
 
 
 def error_types() -> set[str]:
-    """The ``type`` in operators' answers, of every error that they may meet."""
+    """The ``type`` of each error class in error replies to operators."""
     load_all_modules()
     return {_type_of(error) for error in _subclasses(RobinhillError)}
 
 
 def load_all_modules() -> None:
-    """Import every module of the package, so that all subclasses are known."""
+    """Import every module of the package, so that ``__subclasses__`` finds all classes."""
     for module in pkgutil.walk_packages(robinhill.__path__, "robinhill."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
@@ -591,25 +597,25 @@
         yield from _subclasses(each)
 
 
-def json_keys() -> dict[str, list[str]]:
-    """Keys of what operators read as JSON."""
-    shown = {
+def operator_json_keys() -> dict[str, list[str]]:
+    """Keys of the JSON that operators receive or send."""
+    structs = {
         "unconfirmed": views.UnconfirmedView,
         "cordon": views.CordonView,
         "listing": views.Listing,
         "answer": views.ChangeSummary,
         "put": views.PutBody,
     }
-    return {name: list(struct.__struct_encode_fields__) for name, struct in shown.items()}
+    return {name: list(struct.__struct_encode_fields__) for name, struct in structs.items()}
 
 
 def cordon_states() -> list[str]:
-    """The states of a cordon in operators' answers."""
+    """States of a cordon in replies to operators."""
     return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
 def operator_file_keys() -> list[str]:
-    """All keys of the operators' file, dotted."""
+    """All keys of the operators' file, with dots between the levels."""
     return sorted(_keys(OperatorFile, ""))
 
 
@@ -620,13 +626,13 @@
             yield from _keys(field.type, f"{prefix}{field.encode_name}.")
 
 
-def figures_text() -> str:
-    """The figures of a process that has just started."""
+def initial_metrics() -> str:
+    """The metrics of a process that has just started."""
     return Metrics(("class-a",)).text()
 
 
-def enumerations() -> list[list[str]]:
-    """Values of all enumerations whose values are text."""
+def string_enumerations() -> list[list[str]]:
+    """The values of each enumeration of the package whose values are all strings."""
     load_all_modules()
     found = [each for each in _subclasses(Enum) if each.__module__.startswith("robinhill.")]
     values = [[member.value for member in each] for each in found]
@@ -634,14 +640,14 @@
 
 
 def command_line() -> dict[str, list[str]]:
-    """Each command with its flags and arguments."""
+    """The flags and arguments of each command, by the command's name."""
     found: dict[str, list[str]] = {}
 
     def walk(name: str, command: click.Command) -> None:
         found[name] = sorted(text for each in command.params for text in (*each.opts, *each.secondary_opts))
         if isinstance(command, click.Group):
-            for below, subcommand in command.commands.items():
-                walk(f"{name} {below}".strip(), subcommand)
+            for subcommand_name, subcommand in command.commands.items():
+                walk(f"{name} {subcommand_name}".strip(), subcommand)
 
     walk("", cli)
     return found
@@ -649,11 +655,11 @@
 
 @asynccontextmanager
 async def process_with_a_running_job(folder: Path, request_id: str) -> AsyncIterator[None]:
-    """A scheduler that a successor can find in this folder; one job of a client runs at its worker w1."""
-    async with world(folder) as here:
-        process = here.scheduler()
+    """Run a draining scheduler with a client's job at worker w1 and its hand-over socket in ``folder``."""
+    async with world(folder) as site:
+        process = site.scheduler()
         await process.start()
-        await here.running(process, request_id)
+        await site.running(process, request_id)
         drain = asyncio.create_task(process.drain())
         try:
             yield
--- a/tests/test_compat_bytes.py
+++ b/tests/test_compat_bytes.py
@@ -1,7 +1,7 @@
-"""Bytes and files as the versions before have them: messages, records, snapshots, recordings.
+"""Compatibility of encoded messages, records, snapshots and recordings with earlier versions.
 
-Expectations are literals of the version of 2026-12-02. They are not edited: other processes of a fleet, and
-files on disk, still have this form.
+The expected values are literals of the reference version of 2026-12-02. They are not edited, because other
+processes of a fleet and files on disk still use this format.
 """
 
 from pathlib import Path
@@ -10,9 +10,9 @@
 
 from . import surfaces
 
-FILES = Path(__file__).parent / "compat"
+COMPAT_FILES = Path(__file__).parent / "compat"
 
-BYTES = {
+ENCODED_SAMPLES = {
     "control.mesh": "92a46d657368c4056461746131",
     "control.status": "95a673746174757301c3c407766f74657273329192a77374617274733304",
     "control.barrier": "94a76261727269657201c3c3",
@@ -94,7 +94,7 @@
     "replica": "b589c77c97dac175f85d0a586b7d5dc7",
 }
 
-VALUES = {
+SAMPLE_OF_KIND = {
     "cordon": "cordon.value",
     "notice": "notices.Notice",
     "gang.progress": "gang.Progress",
@@ -103,91 +103,93 @@
 }
 
 
-@pytest.mark.parametrize("name", BYTES)
-def test_a_message_has_the_bytes_of_before(name: str) -> None:
-    assert surfaces.encode(surfaces.SAMPLES[name]).hex() == BYTES[name]
+@pytest.mark.parametrize("name", ENCODED_SAMPLES)
+def test_sample_encodes_to_the_reference_bytes(name: str) -> None:
+    assert surfaces.encode(surfaces.SAMPLES[name]).hex() == ENCODED_SAMPLES[name]
 
 
-@pytest.mark.parametrize("name", BYTES)
-def test_bytes_of_before_are_read(name: str) -> None:
-    assert surfaces.decode(bytes.fromhex(BYTES[name]), name) == surfaces.SAMPLES[name]
+@pytest.mark.parametrize("name", ENCODED_SAMPLES)
+def test_reference_bytes_decode_to_the_sample(name: str) -> None:
+    assert surfaces.decode(bytes.fromhex(ENCODED_SAMPLES[name]), name) == surfaces.SAMPLES[name]
 
 
-def test_every_sample_has_its_literal() -> None:
-    assert set(surfaces.SAMPLES) == set(BYTES)
+def test_every_sample_has_reference_bytes() -> None:
+    assert set(surfaces.SAMPLES) == set(ENCODED_SAMPLES)
 
 
-CONTROL = [name for name in BYTES if name.startswith("control.") and name != "control.RangePart"]
+CONTROL_MESSAGES = [
+    name for name in ENCODED_SAMPLES if name.startswith("control.") and name != "control.RangePart"
+]
 
 
-@pytest.mark.parametrize("name", CONTROL)
-def test_a_message_of_the_control_group_passes_its_reader_and_writer(name: str) -> None:
-    data = bytes.fromhex(BYTES[name])
-    assert surfaces.pass_on(name, data) == data
+@pytest.mark.parametrize("name", CONTROL_MESSAGES)
+def test_control_message_is_decoded_and_encoded_unchanged(name: str) -> None:
+    data = bytes.fromhex(ENCODED_SAMPLES[name])
+    assert surfaces.reencode_message(name, data) == data
 
 
-FRAMES = [name for name in BYTES if name.startswith("frames.") and name != "frames.Part"]
+MESH_FRAMES = [name for name in ENCODED_SAMPLES if name.startswith("frames.") and name != "frames.Part"]
 
 
-@pytest.mark.parametrize("name", FRAMES)
-def test_a_frame_of_the_mesh_passes_its_reader_and_writer(name: str) -> None:
-    data = b"\x91" + bytes.fromhex(BYTES[name])  # a message is a list of frames
-    assert surfaces.pass_on(name, data) == data
+@pytest.mark.parametrize("name", MESH_FRAMES)
+def test_mesh_frame_is_decoded_and_encoded_unchanged(name: str) -> None:
+    data = b"\x91" + bytes.fromhex(ENCODED_SAMPLES[name])  # a message is a list of frames
+    assert surfaces.reencode_message(name, data) == data
 
 
-@pytest.mark.parametrize("kind", VALUES)
-def test_the_value_of_a_record_passes_its_kind(kind: str) -> None:
-    data = bytes.fromhex(BYTES[VALUES[kind]])
-    assert surfaces.VALUES[kind](data) == data
+@pytest.mark.parametrize("kind", SAMPLE_OF_KIND)
+def test_value_of_a_record_is_decoded_and_encoded_unchanged(kind: str) -> None:
+    data = bytes.fromhex(ENCODED_SAMPLES[SAMPLE_OF_KIND[kind]])
+    assert surfaces.VALUE_CODECS[kind](data) == data
 
 
-def test_evidence_passes_its_kind() -> None:
-    data = b"\x91" + bytes.fromhex(BYTES["kinds.Sighting"])
-    assert surfaces.VALUES["evidence"](data) == data
+def test_evidence_is_decoded_and_encoded_unchanged() -> None:
+    data = b"\x91" + bytes.fromhex(ENCODED_SAMPLES["kinds.Sighting"])
+    assert surfaces.VALUE_CODECS["evidence"](data) == data
 
 
-def test_kinds_have_the_names_of_before() -> None:
-    assert surfaces.kind_names() == KIND_NAMES
+def test_record_kinds_keep_their_names() -> None:
+    assert surfaces.record_kind_names() == KIND_NAMES
 
 
-def test_digests_are_those_of_before() -> None:
+def test_digests_are_unchanged() -> None:
     assert surfaces.digests() == DIGESTS
 
 
-def test_a_snapshot_has_the_bytes_of_before(tmp_path: Path) -> None:
+def test_snapshot_file_has_the_reference_bytes(tmp_path: Path) -> None:
     surfaces.write_snapshot(tmp_path)
-    assert (tmp_path / "mesh.state").read_bytes() == (FILES / "mesh.state").read_bytes()
+    assert (tmp_path / "mesh.state").read_bytes() == (COMPAT_FILES / "mesh.state").read_bytes()
 
 
-def test_a_snapshot_of_before_is_read() -> None:
-    owner, records = surfaces.read_snapshot(FILES)
+def test_snapshot_of_the_reference_version_is_loaded() -> None:
+    owner, records = surfaces.read_snapshot(COMPAT_FILES)
     assert owner == ("fernvale", "s1", 77, 1_700_000_000_000_000)
     assert records == [surfaces.encode(record) for record in surfaces.stored_records()]
     assert len(records) == 5
 
 
-def test_a_damaged_snapshot_is_set_aside_under_the_name_of_before(tmp_path: Path) -> None:
-    (tmp_path / "mesh.state").write_bytes((FILES / "mesh.state").read_bytes()[:-1])
+def test_damaged_snapshot_is_renamed_with_the_same_suffix(tmp_path: Path) -> None:
+    (tmp_path / "mesh.state").write_bytes((COMPAT_FILES / "mesh.state").read_bytes()[:-1])
     with pytest.raises(AssertionError):
         surfaces.read_snapshot(tmp_path)
     assert [path.name for path in tmp_path.iterdir()] == ["mesh.state.aside"]
 
 
-def test_the_file_of_disabled_workers_has_the_bytes_of_before(tmp_path: Path) -> None:
+def test_file_of_disabled_workers_has_the_reference_bytes(tmp_path: Path) -> None:
     assert surfaces.save_disabled_workers(tmp_path, {"w2", "w1"})
     assert (tmp_path / "held-out.json").read_bytes() == b'["w1","w2"]'
 
 
-def test_the_file_of_disabled_workers_of_before_is_read() -> None:
-    assert surfaces.load_disabled_workers(FILES) == {"w1", "w2"}
+def test_file_of_disabled_workers_of_the_reference_version_is_loaded() -> None:
+    assert surfaces.load_disabled_workers(COMPAT_FILES) == {"w1", "w2"}
 
 
-def test_a_recording_of_before_is_read() -> None:
-    assert surfaces.load_recording(FILES / "one.rec") == surfaces.recorded()
+def test_recording_of_the_reference_version_is_read() -> None:
+    assert surfaces.load_recording(COMPAT_FILES / "one.rec") == surfaces.recording_records()
 
 
-def test_a_recording_begins_as_before(tmp_path: Path) -> None:
+def test_recording_begins_with_the_same_header(tmp_path: Path) -> None:
     surfaces.write_recording(tmp_path / "new.rec")
     data = (tmp_path / "new.rec").read_bytes()
     assert data[:24] == b"robinhill recording\n\x01\x00\x00\x00"
-    assert surfaces.load_recording(tmp_path / "new.rec") == surfaces.recorded()
+    assert surfaces.load_recording(tmp_path / "new.rec") == surfaces.recording_records()
--- a/tests/test_compat_handover.py
+++ b/tests/test_compat_handover.py
@@ -1,7 +1,7 @@
-"""A process hands over to its successor in the form of before, and takes what the version before hands over.
+"""Compatibility of the hand-over between a process and its successor with earlier versions.
 
-Expectations are literals of the version of 2026-12-02, here and in ``tests/compat``. They are not edited:
-while a scheduler is upgraded its two processes are of different versions.
+The expected values, here and in ``tests/compat``, are literals of the reference version of 2026-12-02. They
+are not edited, because the two processes run different versions while a scheduler is upgraded.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 from . import surfaces
 
-FILES = Path(__file__).parent / "compat"
+COMPAT_FILES = Path(__file__).parent / "compat"
 
 CALLER = {"tenant": 1, "name": "name2", "network": 3, "mark": 4}
 REQUEST = {
@@ -44,12 +44,12 @@
 TIMER_TAGS = ["look 5 2", "overdue 5 2", "held", "list"]
 
 
-def _load(name: str) -> Any:
-    return json.loads((FILES / name).read_text())
+def load_json(name: str) -> Any:
+    return json.loads((COMPAT_FILES / name).read_text())
 
 
 def assert_same(found: Any, expected: Any, where: str = "") -> None:
-    """Equal, but for what another processor's arithmetic does to the last digits of a number."""
+    """Check equality; floats may differ by rounding, whose last digits depend on the processor."""
     if isinstance(expected, dict):
         assert list(found) == list(expected), where
         for key, value in expected.items():
@@ -64,64 +64,66 @@
         assert found == expected, where
 
 
-def test_exported_state_is_that_of_before() -> None:
-    assert_same(surfaces.exported_state(), _load("state.json"))
+def test_decision_state_is_exported_in_the_reference_format() -> None:
+    assert_same(surfaces.exported_state(), load_json("state.json"))
 
 
-def test_state_of_before_is_taken_and_handed_on() -> None:
-    assert_same(surfaces.reexported_state(_load("state.json")), _load("state_reexported.json"))
+def test_decision_state_of_the_reference_version_is_imported() -> None:
+    assert_same(surfaces.reexported_state(load_json("state.json")), load_json("state_reexported.json"))
 
 
-def test_jobs_are_handed_over_as_before() -> None:
-    assert_same(surfaces.handed_over_jobs(), _load("jobs.json"))
+def test_jobs_are_exported_in_the_reference_format() -> None:
+    assert_same(surfaces.exported_jobs(), load_json("jobs.json"))
 
 
-def test_jobs_of_before_are_taken_and_handed_on() -> None:
-    assert_same(surfaces.handed_over_again(_load("jobs.json")), _load("jobs.json"))
+def test_jobs_of_the_reference_version_are_imported() -> None:
+    assert_same(surfaces.reexported_jobs(load_json("jobs.json")), load_json("jobs.json"))
 
 
-def test_exported_admission_is_that_of_before() -> None:
-    assert_same(surfaces.exported_admission(), _load("admission.json"))
+def test_admission_state_is_exported_in_the_reference_format() -> None:
+    assert_same(surfaces.exported_admission(), load_json("admission.json"))
 
 
-def test_admission_of_before_is_taken_and_handed_on() -> None:
-    assert_same(surfaces.reexported_admission(_load("admission.json")), _load("admission_reexported.json"))
+def test_admission_state_of_the_reference_version_is_imported() -> None:
+    assert_same(
+        surfaces.reexported_admission(load_json("admission.json")), load_json("admission_reexported.json")
+    )
 
 
-def test_a_caller_is_handed_over_as_before() -> None:
+def test_caller_is_exported_in_the_reference_format() -> None:
     assert surfaces.exported_caller() == CALLER
 
 
-def test_a_request_is_handed_over_as_before() -> None:
-    assert surfaces.handed_request() == REQUEST
+def test_request_is_exported_in_the_reference_format() -> None:
+    assert surfaces.exported_request() == REQUEST
 
 
-def test_a_workers_call_is_passed_on_as_before() -> None:
-    assert surfaces.worker_event() == WORKER_EVENT
+def test_worker_event_is_forwarded_in_the_reference_format() -> None:
+    assert surfaces.encoded_worker_event() == WORKER_EVENT
 
 
-def test_an_entry_of_the_list_is_passed_on_as_before() -> None:
-    assert surfaces.listed_worker() == LISTED_WORKER
+def test_listed_worker_is_sent_in_the_reference_format() -> None:
+    assert surfaces.encoded_listed_worker() == LISTED_WORKER
 
 
-def test_timers_have_the_tags_of_before() -> None:
+def test_timers_keep_their_tags() -> None:
     assert surfaces.timer_tags() == TIMER_TAGS
 
 
-HELLO = ["clock_anchor_ns", "list_confirmed_us", "list_until_us", "discovery", "known"]
-KNOWN = ["generation", "reset", "instances"]
-INSTANCE = ["instanceId", "hostPort", "zone", "machineType", "cell", "lifecycle", "weight", "startedAtMs"]
-MEMORY = ["decider", "drained", "door"]
-DECIDER = ["module", "seen", "held_out", "outages", "next"]
-ADOPT = [
+HELLO_KEYS = ["clock_anchor_ns", "list_confirmed_us", "list_until_us", "discovery", "known"]
+KNOWN_KEYS = ["generation", "reset", "instances"]
+ENTRY_KEYS = ["instanceId", "hostPort", "zone", "machineType", "cell", "lifecycle", "weight", "startedAtMs"]
+MEMORY_KEYS = ["decider", "drained", "door"]
+DECIDER_KEYS = ["module", "seen", "held_out", "outages", "next"]
+ADOPT_KEYS = [
     "job", "deadline_us", "endpoints", "endings", "returned", "attempt", "destination", "module", "timers",
     "door", "request",
 ]  # fmt: skip
-ATTEMPT = ["until_us", "final", "sent_us"]
+ATTEMPT_KEYS = ["until_us", "final", "sent_us"]
 
 
 class Link:
-    """The successor's end of the link to a running process."""
+    """The successor's end of the hand-over link to a running process."""
 
     def __init__(self, path: Path) -> None:
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -130,8 +132,8 @@
         self.buffer = b""
         self.fds: list[int] = []
 
-    def hear(self) -> Any:
-        """The next message, within 10 s."""
+    def receive(self) -> Any:
+        """Return the next message; raises TimeoutError after 10 s."""
         while b"\n" not in self.buffer:
             data, fds, _, _ = socket.recv_fds(self.sock, 1 << 16, 8)
             assert data, "the process has closed the link"
@@ -140,45 +142,46 @@
         line, _, self.buffer = self.buffer.partition(b"\n")
         return json.loads(line)
 
-    def ask(self, number: int, what: str) -> Any:
-        """The answer to a question; it carries the question's number."""
-        question = {"ask": number, "what": what, "fd": False, "body": {}}
-        self.sock.sendall(json.dumps(question).encode() + b"\n")
-        answer = self.hear()
+    def call(self, number: int, what: str) -> Any:
+        """Send a request and return the body of its answer, which must carry the request's number."""
+        request = {"ask": number, "what": what, "fd": False, "body": {}}
+        self.sock.sendall(json.dumps(request).encode() + b"\n")
+        answer = self.receive()
         assert list(answer) == ["answer", "body"] and answer["answer"] == number
         return answer["body"]
 
     def close(self) -> None:
-        """End the link and what came over it."""
+        """Close the link and the file descriptors received over it."""
         self.sock.close()
         for fd in self.fds:
             os.close(fd)
 
 
-def test_the_link_between_two_processes_has_the_questions_and_keys_of_before(tmp_path: Path) -> None:
-    """A process of the version before asks; a request that runs is handed to it with its client's socket."""
+def test_handover_link_keeps_its_requests_and_keys(tmp_path: Path) -> None:
+    """A successor of the reference version takes over; the request of a running job is handed over with its
+    client's socket."""
 
-    async def play() -> None:
+    async def take_over() -> None:
         async with surfaces.process_with_a_running_job(tmp_path, "j1"):
             link = Link(tmp_path / "robinhill.sock")
             try:
-                hello = await asyncio.to_thread(link.ask, 1, "hello")
-                assert list(hello) == HELLO
-                assert list(hello["known"]) == KNOWN
-                assert list(hello["known"]["instances"][0]) == INSTANCE
-                memory = await asyncio.to_thread(link.ask, 2, "memory")
-                assert list(memory) == MEMORY
-                assert list(memory["decider"]) == DECIDER
-                assert await asyncio.to_thread(link.ask, 3, "serving") == {}
-                adopt = await asyncio.to_thread(link.hear)
+                hello = await asyncio.to_thread(link.call, 1, "hello")
+                assert list(hello) == HELLO_KEYS
+                assert list(hello["known"]) == KNOWN_KEYS
+                assert list(hello["known"]["instances"][0]) == ENTRY_KEYS
+                memory = await asyncio.to_thread(link.call, 2, "memory")
+                assert list(memory) == MEMORY_KEYS
+                assert list(memory["decider"]) == DECIDER_KEYS
+                assert await asyncio.to_thread(link.call, 3, "serving") == {}
+                adopt = await asyncio.to_thread(link.receive)
                 assert {k: adopt[k] for k in ("ask", "what", "fd")} == {"ask": 1, "what": "adopt", "fd": True}
-                assert sorted(adopt["body"]) == sorted(ADOPT)
-                assert list(adopt["body"]["attempt"]) == ATTEMPT
-                assert list(adopt["body"]["destination"]) == INSTANCE
+                assert sorted(adopt["body"]) == sorted(ADOPT_KEYS)
+                assert list(adopt["body"]["attempt"]) == ATTEMPT_KEYS
+                assert list(adopt["body"]["destination"]) == ENTRY_KEYS
                 assert list(adopt["body"]["request"]) == list(REQUEST)
                 assert adopt["body"]["endpoints"] == ["w1"]
                 assert len(link.fds) == 1
             finally:
                 link.close()
 
-    asyncio.run(play())
+    asyncio.run(take_over())
--- a/tests/test_compat_names.py
+++ b/tests/test_compat_names.py
@@ -1,7 +1,7 @@
-"""Names that others use, as the versions before have them: answers, figures, flags, keys, exit codes.
+"""Compatibility of external names with earlier versions: replies, metrics, flags, keys and exit codes.
 
-Expectations are literals of the version of 2026-12-02. They are not edited: dashboards, scripts, files and
-other processes still use these names.
+The expected values are literals of the reference version of 2026-12-02. They are not edited, because
+dashboards, scripts, files and other processes still use these names.
 """
 
 import ast
@@ -121,7 +121,7 @@
     "record.total_mb",
 ]
 
-FIGURES = [
+METRICS = [
     "behind:{}|g",
     "bytes.{}:{}|g",
     "bytes_in:{}|c",
@@ -164,7 +164,7 @@
     "{}:{}|c",
 ]
 
-FIGURES_AT_A_START = [
+INITIAL_METRICS = [
     "app.responses.class-a.ok:0|c",
     "app.responses.class-a.shed:0|c",
     "app.responses.class-a.errors:0|c",
@@ -530,7 +530,7 @@
     "zone",
     "zones",
 ]
-"""Keys of settings, answers and messages between processes that the code writes or reads as text."""
+"""Keys of settings, replies and messages between processes, which the code holds as string constants."""
 
 
 def _sources() -> list[ast.Module]:
@@ -538,8 +538,8 @@
 
 
 @pytest.fixture(scope="module")
-def texts() -> set[str]:
-    """All text constants of the program, and formatted ones with {} for each value."""
+def source_strings() -> set[str]:
+    """All string constants of the program, and its f-strings with {} for each value."""
     found = set()
     for tree in _sources():
         for node in ast.walk(tree):
@@ -551,53 +551,53 @@
     return found
 
 
-def test_errors_have_the_types_of_before() -> None:
+def test_errors_keep_their_types() -> None:
     assert ERROR_TYPES - surfaces.error_types() == set()
 
 
-def test_json_for_operators_has_the_keys_of_before() -> None:
-    assert surfaces.json_keys() == JSON_KEYS
+def test_json_for_operators_keeps_its_keys() -> None:
+    assert surfaces.operator_json_keys() == JSON_KEYS
 
 
-def test_cordons_have_the_states_of_before() -> None:
+def test_cordons_keep_their_states() -> None:
     assert surfaces.cordon_states() == CORDON_STATES
 
 
-def test_the_operators_file_has_the_keys_of_before() -> None:
+def test_operators_file_keeps_its_keys() -> None:
     assert surfaces.operator_file_keys() == OPERATOR_FILE_KEYS
 
 
-def test_figures_have_the_names_of_before(texts: set[str]) -> None:
-    found = {text for text in texts if re.fullmatch(r"[a-z_.{}]+:\{\}\|[cg]", text)}
-    assert sorted(found) == FIGURES
+def test_metrics_keep_their_names(source_strings: set[str]) -> None:
+    found = {text for text in source_strings if re.fullmatch(r"[a-z_.{}]+:\{\}\|[cg]", text)}
+    assert sorted(found) == METRICS
 
 
-def test_a_process_shows_the_figures_of_before() -> None:
-    assert surfaces.figures_text().splitlines() == FIGURES_AT_A_START
+def test_new_process_reports_the_same_metrics() -> None:
+    assert surfaces.initial_metrics().splitlines() == INITIAL_METRICS
 
 
-def test_enumerations_have_the_values_of_before() -> None:
-    found = surfaces.enumerations()
+def test_enumerations_keep_their_values() -> None:
+    found = surfaces.string_enumerations()
     assert [each for each in ENUMERATIONS if each not in found] == []
 
 
-def test_the_command_line_is_that_of_before() -> None:
+def test_command_line_keeps_its_flags_and_arguments() -> None:
     assert surfaces.command_line() == COMMAND_LINE
 
 
-def test_the_environment_has_the_variables_of_before(texts: set[str]) -> None:
-    assert sorted(text for text in texts if re.fullmatch(r"GW_[A-Z_]+", text)) == ENVIRONMENT
+def test_environment_variables_keep_their_names(source_strings: set[str]) -> None:
+    assert sorted(text for text in source_strings if re.fullmatch(r"GW_[A-Z_]+", text)) == ENVIRONMENT
 
 
-def test_paths_are_those_of_before(texts: set[str]) -> None:
-    assert [path for path in PATHS if path not in texts] == []
+def test_http_paths_are_unchanged(source_strings: set[str]) -> None:
+    assert [path for path in PATHS if path not in source_strings] == []
 
 
-def test_keys_are_those_of_before(texts: set[str]) -> None:
-    assert [key for key in TEXT_KEYS if key not in texts] == []
+def test_keys_in_settings_replies_and_messages_are_unchanged(source_strings: set[str]) -> None:
+    assert [key for key in TEXT_KEYS if key not in source_strings] == []
 
 
-def test_the_deploy_file_has_the_keys_of_before() -> None:
+def test_deploy_file_keeps_its_keys() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert list(deploy) == ["build", "run", "sim", "policy", "node", "packages"]
     assert deploy["run"] == "exec .venv/bin/python -m robinhill"
@@ -606,7 +606,7 @@
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
 
 
-def test_what_pages_import_is_there() -> None:
+def test_documented_imports_work() -> None:
     code = "from robinhill import Balancer, Settings, api; from robinhill.logic import Balancer as B"
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
 
@@ -621,7 +621,7 @@
         (["--help"], 0),
     ],
 )
-def test_exit_codes_are_those_of_before(arguments: list[str], code: int, tmp_path: Path) -> None:
+def test_exit_codes_are_unchanged(arguments: list[str], code: int, tmp_path: Path) -> None:
     env = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     env["PYTHONPATH"] = str(ROOT)
     command = [sys.executable, "-m", "robinhill", *arguments]
