--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,6 +1,7 @@
 """Regression tests of the decision module: one for each failure found on the bench.
 
-Parentheses name the bench's incident, site or day on which the failure was observed.
+Parentheses name the bench's incident, site or day on which the failure was observed. Lookups, renewals and
+reports are job classes of the bench's sites.
 """
 
 import pytest
@@ -129,7 +130,7 @@
         start_job(node, job)
         node.end(job)
     checks = [node.do(api.TimerFired(f"look {job} 0")) for job in range(31, 41)]
-    assert sum(len(only(actions, api.Cancel)) for actions in checks) == 4  # 10 % of 30 completed jobs, plus 1
+    assert sum(len(only(actions, api.Cancel)) for actions in checks) == 4  # 10 % of 30 jobs, plus 1
 
 
 def test_move_away_from_a_worker_raises_its_estimated_job_time() -> None:
@@ -165,14 +166,14 @@
         reports_start=True,
         waste_price=0.2,
     )
-    refused = [0, 0]
+    rejected = [0, 0]
     for i in range(400):
         actions = node.ask(10 * MS, job_class=i % 2)
-        refused[i % 2] += len(only(actions, api.Reject))
+        rejected[i % 2] += len(only(actions, api.Reject))
         for send in only(actions, api.Send):
             start_job(node, send.job, MS if i < 80 else 150 * MS)
             node.end(send.job, took_us=200 * MS)
-    assert refused[0] > 2 * refused[1] > 0
+    assert rejected[0] > 2 * rejected[1] > 0
     for _ in range(200):
         for send in only(node.ask(10 * MS, job_class=1), api.Send):
             start_job(node, send.job, MS)
@@ -635,8 +636,8 @@
 
 
 def test_safe_job_reset_after_a_long_run_is_retried_if_time_is_left() -> None:
-    """Reports that ended with the release of their worker were rejected, although even the long ones had time
-    for another run."""
+    """Reports that were killed when their worker was released were rejected, although even the long ones had
+    time for another run."""
     node = Node(2, reports_start=True)
     node.ask()
     start_job(node, 1, MS)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,7 @@
 """Simulations of many schedulers: effects that add up over them, and facts that each learns too late alone.
 
 Also: no job is sent again after its end. Parentheses name the bench's site and day of an observed failure.
+Charges are a job class of the bench's sites.
 """
 
 import random
@@ -30,7 +31,7 @@
 
 
 @pytest.mark.parametrize("nodes", [40, 200])
-def test_unsafe_jobs_avoid_failing_workers_more_than_safe_jobs(nodes: int) -> None:
+def test_unsafe_jobs_avoid_failing_workers_more_than_safe_jobs_do(nodes: int) -> None:
     """Each of 40 nodes sends a job to the same worker once in 30 s and learned on its own that the worker
     fails. The jobs that revealed it were charges (unsafe jobs) as often as others: 36 of 859 charges of a day
     were lost (zone+vast)."""
@@ -46,21 +47,21 @@
 def test_one_failure_deters_a_node_with_few_jobs_from_a_worker() -> None:
     """A node that sends a worker one job per second needs several failures, because one alone may be chance.
     A node with few jobs per worker avoids the worker after one failure."""
-    retries_per_failure = {}
+    sends_after_failure = {}
     for nodes in (1, 40):
         sent = play(nodes, WORKERS[:20], 30, 40, fail_half_if_failing, classes=(SAFE,))
         failed: set[tuple[int, str]] = set()
-        attempts: Counter[tuple[int, str]] = Counter()
+        later_sends: Counter[tuple[int, str]] = Counter()
         for s in sent:
             if (s.node, s.worker) in failed:
-                attempts[s.node, s.worker] += 1
+                later_sends[s.node, s.worker] += 1
             if s.outcome is O.ERROR:
                 failed.add((s.node, s.worker))
-        retries_per_failure[nodes] = sum(attempts.values()) / len(failed)
-    assert retries_per_failure[1] > 2 and retries_per_failure[40] < 0.2
+        sends_after_failure[nodes] = sum(later_sends.values()) / len(failed)
+    assert sends_after_failure[1] > 2 and sends_after_failure[40] < 0.2
 
 
-def test_unsafe_jobs_use_new_workers_nearly_as_much_as_safe_jobs() -> None:
+def test_unsafe_jobs_use_new_workers_nearly_as_much_as_safe_jobs_do() -> None:
     """Six in ten workers are replaced. Of 194 charges (unsafe jobs) in the next 5 s, only one went to a new
     worker; the remaining workers were known but full, and 4 in 10 charges waited there (join+vast)."""
     new = [api.Worker(f"new{i}", started_us=START + 20 * S) for i in range(36)]
@@ -167,8 +168,8 @@
 
 
 def test_keyed_job_that_ran_past_its_dedup_window_is_failed() -> None:
-    """The dedup window of a job that had started was assumed to end later. The job was held past its window,
-    when no worker may run it again."""
+    """A job that had started was expected to take longer and was held past its dedup window, after which no
+    worker may run it again."""
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, memory_us=300 * MS)
     node = Node(2, classes=(keyed,), reports_start=True)
     node.ask()
