--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,8 +44,8 @@
 class Node:
     """A balancer and its simulated clock.
 
-    ``workers``: the workers of the first endpoint list, or their number. Each method advances the clock by
-    ``after_us``, handles one event and returns the balancer's actions.
+    ``workers``: the workers of the first endpoint list, or their number. Each method handles one event and
+    returns the balancer's actions. Those with ``after_us`` advance the clock by it first.
     """
 
     def __init__(self, workers: list[api.Worker] | int = 4, seed: int = 7, **changes: Any) -> None:
