--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,4 +1,4 @@
-"""Client connections that end, with something else arriving in that very instant; each crossing is forced."""
+"""Client connections that close, time out or disconnect just as a request arrives; races are forced."""
 
 import asyncio
 import os
@@ -29,12 +29,12 @@
 from .test_exchanges import Connection as Peer
 from .test_exchanges import Player
 
-PATIENCE_S = 5.0
+STEP_TIMEOUT_S = 5.0
 JOB = b"POST /x HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\n\r\nwork"
 
 
 class InboundServer:
-    """A listener whose handler claims each request and answers when it is let."""
+    """A listener whose handler claims each request and sends its answer once the test sets ``may_answer``."""
 
     def __init__(self, budget: int = 16) -> None:
         self.supervisor = Supervisor()
@@ -43,9 +43,9 @@
         self.socket.setblocking(False)
         self.address = self.socket.getsockname()
         self.claimed = 0
-        self.gone = 0
+        self.disconnected = 0
         self.claims = asyncio.Condition()
-        self.let = asyncio.Event()
+        self.may_answer = asyncio.Event()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
@@ -54,16 +54,16 @@
             self.claimed += 1
             self.claims.notify_all()
         try:
-            await self.let.wait()
+            await self.may_answer.wait()
         except asyncio.CancelledError:
-            self.gone += 1
+            self.disconnected += 1
             raise
         return web.Response(body=b"done")
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Let the loop turn until it holds; whatever makes it hold comes from the sockets."""
-        async with asyncio.timeout(PATIENCE_S):
-            while not holds():
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Run the event loop until socket events make ``condition`` true."""
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            while not condition():
                 await asyncio.sleep(0)
 
     def client(self) -> socket.socket:
@@ -74,29 +74,32 @@
 
 @asynccontextmanager
 async def inbound_server(budget: int = 16) -> AsyncIterator[InboundServer]:
-    made = InboundServer(budget)
-    made.listener.listen(made.socket)
+    server = InboundServer(budget)
+    server.listener.listen(server.socket)
     try:
-        yield made
+        yield server
     finally:
-        made.listener.close()
-        await made.listener.shutdown(0.1)
-        await made.supervisor.close()
+        server.listener.close()
+        await server.listener.shutdown(0.1)
+        await server.supervisor.close()
 
 
-def run(play: Callable[[], Awaitable[None]]) -> None:
-    async def in_time() -> None:
-        async with asyncio.timeout(PATIENCE_S):
-            await play()
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            await scenario()
 
-    asyncio.run(in_time())
+    asyncio.run(run_with_timeout())
 
 
 async def answer(sock: socket.socket) -> tuple[int, bytes]:
-    """The status of the next answer, and what comes behind its head until the end of the connection."""
+    """Read until the connection ends.
+
+    Return the status of the first answer, 0 if there is none, and all bytes that follow its head.
+    """
     loop, data = asyncio.get_running_loop(), b""
-    while piece := await loop.sock_recv(sock, 65536):
-        data += piece
+    while chunk := await loop.sock_recv(sock, 65536):
+        data += chunk
     head, _, rest = data.partition(b"\r\n\r\n")
     return (int(head.split()[1]) if head else 0), rest
 
@@ -107,84 +110,84 @@
 
 
 @pytest.mark.parametrize(
-    "first, behind",
+    "first_request, pipelined",
     [
         (JOB, JOB * 64),
         (JOB, b"\x00\xff no HTTP \r\n" * 800_000),
         (JOB, JOB[:-1] + b"x" * 2_000_000),
         (UPGRADE, b"x" * 2_000_000),
     ],
-    ids=["requests", "no HTTP", "half a request and much more", "another protocol"],
+    ids=["requests", "not HTTP", "incomplete request and excess bytes", "another protocol"],
 )
-def test_a_client_that_sends_much_behind_its_request_and_goes_has_gone(first: bytes, behind: bytes) -> None:
-    """The server stopped reading when enough had come: the end of the connection lay unread behind it."""
+def test_disconnect_behind_unread_pipelined_bytes_is_detected(first_request: bytes, pipelined: bytes) -> None:
+    """The server stopped reading at its buffer limit, so the end of the connection stayed unread."""
 
-    async def play() -> None:
-        async with inbound_server() as here:
-            sock = here.client()
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            sock = server.client()
             loop = asyncio.get_running_loop()
-            await loop.sock_sendall(sock, first)
-            await here.until(lambda: here.claimed == 1)
-            await loop.sock_sendall(sock, behind)
+            await loop.sock_sendall(sock, first_request)
+            await server.until(lambda: server.claimed == 1)
+            await loop.sock_sendall(sock, pipelined)
             sock.close()
-            await here.until(lambda: here.gone == 1)
-            assert here.claimed == 1
-            await here.until(lambda: not here.listener.open)
+            await server.until(lambda: server.disconnected == 1)
+            assert server.claimed == 1
+            await server.until(lambda: not server.listener.open)
 
-    run(play)
+    run(scenario)
 
 
-def test_a_client_that_sends_too_much_behind_its_request_gets_both_answers() -> None:
-    """Its request is answered, and what it did wrong gets 400."""
+def test_client_that_pipelines_too_many_requests_gets_its_answer_and_a_400() -> None:
+    """The first request is answered; the pipelined bytes beyond the limit are rejected with 400."""
 
-    async def play() -> None:
-        async with inbound_server() as here:
-            sock = here.client()
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            sock = server.client()
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, JOB * 64)
-            await here.until(lambda: here.claimed == 1)
-            here.let.set()
+            await server.until(lambda: server.claimed == 1)
+            server.may_answer.set()
             status, rest = await answer(sock)
             assert status == 200
             assert rest.startswith(b"doneHTTP/1.1 400 Bad Request\r\n")
             sock.close()
-            await here.until(lambda: not here.listener.open)
-            assert here.claimed == 1
+            await server.until(lambda: not server.listener.open)
+            assert server.claimed == 1
 
-    run(play)
+    run(scenario)
 
 
-@pytest.mark.parametrize("way", ["close", "half-close", "reset"])
-def test_a_client_that_goes_as_its_request_arrives_has_gone(
-    way: str, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("ending", ["close", "half-close", "reset"])
+def test_client_that_disconnects_right_after_its_request_counts_as_disconnected(
+    ending: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Request and end are in the kernel together; it has done nothing wrong."""
-
-    async def play() -> None:
-        async with inbound_server() as here:
-            sock = here.client()
-            connection = await only(here.listener)
-            arrive(connection, sock, JOB)
-            if way == "reset":
+    """The kernel holds the request and the end of the connection at once; nothing is logged as an error."""
+
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            sock = server.client()
+            connection = await only_connection(server.listener)
+            send_to_kernel(connection, sock, JOB)
+            if ending == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            if way == "half-close":
+            if ending == "half-close":
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            await here.until(lambda: not here.listener.open)
+            await server.until(lambda: not server.listener.open)
             await asyncio.sleep(0)
-            assert here.gone == here.claimed <= 1
+            assert server.disconnected == server.claimed <= 1
             sock.close()
 
-    run(play)
+    run(scenario)
     assert not caplog.records
 
 
 def inbound(report: Callable[[RequestAccepted | ClientDisconnected], None], sockets: int = 64) -> Inbound:
-    """The client side by itself; who reads what it reports answers for the dispatcher."""
-    nowhere = Address("127.0.0.1", 1)
+    """Build the client side without a dispatcher: ``report`` receives its events instead."""
+    unused = Address("127.0.0.1", 1)
     known = EndpointList(0, True, ())
-    config = Config("n1", nowhere, nowhere, None, None, 7, sockets, None, known, settings(), ("x",), (), ())
+    config = Config("n1", unused, unused, None, None, 7, sockets, None, known, settings(), ("x",), (), ())
 
     async def deliver(event: JobEvent) -> None:
         raise AssertionError(event)
@@ -193,284 +196,286 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_goes_while_its_connection_changes_hands_has_gone(reset: bool) -> None:
-    """The end of its connection waits in the kernel when the process that takes over first looks."""
+def test_client_that_disconnects_during_the_hand_over_of_its_connection_is_reported(reset: bool) -> None:
+    """The end of the connection is unread in the kernel when the successor adopts the descriptor."""
 
-    async def play() -> None:
-        told: list[RequestAccepted | ClientDisconnected] = []
-        here = inbound(told.append)
+    async def scenario() -> None:
+        events: list[RequestAccepted | ClientDisconnected] = []
+        client_side = inbound(events.append)
         listening = socket.create_server(("127.0.0.1", 0))
         client = socket.create_connection(listening.getsockname())
-        ours, _ = listening.accept()
+        accepted, _ = listening.accept()
         if reset:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.close()
         request = JobRequest("a", 0, 5_000_000, False, "/x", b"work", ())
         reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        await here.adopt(request, reply, ours.detach())
-        while told != [ClientDisconnected(request)]:
-            assert not told
+        await client_side.adopt(request, reply, accepted.detach())
+        while events != [ClientDisconnected(request)]:
+            assert not events
             await asyncio.sleep(0)
-        assert not here.pending_count
+        assert not client_side.pending_count
         listening.close()
-        await here.close()
+        await client_side.close()
 
-    run(play)
+    run(scenario)
 
 
-async def only(listener: Listener) -> Connection:
-    """The one connection there is."""
+async def only_connection(listener: Listener) -> Connection:
+    """Wait until a connection is open; return it, and fail where there is more than one."""
     while not listener.open:
         await asyncio.sleep(0)
     (connection,) = listener.open
     return connection
 
 
-def arrive(connection: Connection, sock: socket.socket, data: bytes) -> None:
-    """Bring bytes into the kernel's buffer of our side while the loop stands still."""
+def send_to_kernel(connection: Connection, sock: socket.socket, data: bytes) -> None:
+    """Send bytes and block the event loop until the server's kernel buffer holds them unread."""
     sock.sendall(data)
     while not connection._has_unread_bytes():
         pass
 
 
-def test_a_request_whose_last_byte_comes_as_its_time_is_up_is_answered(
+def test_request_whose_last_byte_arrives_at_the_request_timeout_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Both in one turn of the loop: the byte is read first, and the handler has yet to begin."""
+    """One iteration of the event loop reads the byte and fires the timeout, before the handler starts."""
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
 
-    async def play() -> None:
-        async with inbound_server() as here:
-            here.let.set()
-            sock = here.client()
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            server.may_answer.set()
+            sock = server.client()
             sock.sendall(JOB[:-1])
-            connection = await only(here.listener)
-            await here.until(lambda: connection._has_new_bytes)
-            arrive(connection, sock, JOB[-1:])
+            connection = await only_connection(server.listener)
+            await server.until(lambda: connection._has_new_bytes)
+            send_to_kernel(connection, sock, JOB[-1:])
             due = connection._phase_start + client_connection.REQUEST_TIMEOUT_S
-            time.sleep(max(0.0, due - asyncio.get_running_loop().time()) + 0.01)  # the loop stands still
-            await here.until(lambda: connection.has_served)
+            time.sleep(max(0.0, due - asyncio.get_running_loop().time()) + 0.01)  # blocks the loop
+            await server.until(lambda: connection.has_served)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
 
-    run(play)
+    run(scenario)
 
 
-@pytest.mark.parametrize("first", [b"", JOB[:-1]], ids=["whole", "last byte"])
-def test_a_request_that_waits_to_be_read_when_its_time_is_up_is_answered(first: bytes) -> None:
-    async def play() -> None:
-        async with inbound_server() as here:
-            here.let.set()
-            sock = here.client()
-            connection = await only(here.listener)
-            if first:
-                sock.sendall(first)
-                await here.until(lambda: connection._has_new_bytes)
-            arrive(connection, sock, JOB[len(first) :])
+@pytest.mark.parametrize("already_read", [b"", JOB[:-1]], ids=["whole request unread", "last byte unread"])
+def test_request_that_is_unread_at_the_request_timeout_is_answered(already_read: bytes) -> None:
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            server.may_answer.set()
+            sock = server.client()
+            connection = await only_connection(server.listener)
+            if already_read:
+                sock.sendall(already_read)
+                await server.until(lambda: connection._has_new_bytes)
+            send_to_kernel(connection, sock, JOB[len(already_read) :])
             connection._on_request_timeout()
-            await here.until(lambda: connection.has_served)
+            await server.until(lambda: connection.has_served)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("read", [True, False])
-def test_a_request_that_begins_as_a_connection_has_rested_enough_is_answered(read: bool) -> None:
-    async def play() -> None:
-        async with inbound_server() as here:
-            here.let.set()
-            sock = here.client()
+def test_request_that_starts_to_arrive_at_the_keepalive_timeout_is_answered(read: bool) -> None:
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            server.may_answer.set()
+            sock = server.client()
             sock.sendall(JOB)
-            connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.has_served)
-            arrive(connection, sock, JOB[:20])
+            connection = await only_connection(server.listener)
+            await server.until(lambda: connection._waiter is not None and connection.has_served)
+            send_to_kernel(connection, sock, JOB[:20])
             if read:
-                await here.until(lambda: connection._has_new_bytes)
+                await server.until(lambda: connection._has_new_bytes)
             connection._next_keepalive_close_time = 0.0
             connection._process_keepalive()
             sock.sendall(JOB[20:])
-            await here.until(lambda: here.claimed == 2)
+            await server.until(lambda: server.claimed == 2)
             sock.shutdown(socket.SHUT_WR)
             status, rest = await answer(sock)
             assert status == 200 and rest.count(b"200 OK") == 1
 
-    run(play)
+    run(scenario)
 
 
-@pytest.mark.parametrize("by", ["retire", "spare"])
-def test_a_resting_connection_on_which_a_request_has_just_arrived_stays(by: str) -> None:
-    """A close would reset it, and a request that is read behind a shutdown must go nowhere."""
+@pytest.mark.parametrize("closed_by", ["idle close", "budget"])
+def test_idle_connection_with_an_unread_request_stays_open(closed_by: str) -> None:
+    """Closing it would reset the connection, and a request read after a shutdown must not be processed."""
 
-    async def play() -> None:
-        async with inbound_server(budget=1) as here:
-            here.let.set()
-            sock = here.client()
+    async def scenario() -> None:
+        async with inbound_server(budget=1) as server:
+            server.may_answer.set()
+            sock = server.client()
             sock.sendall(JOB)
-            connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.has_served)
-            arrive(connection, sock, JOB)
-            if by == "retire":
-                here.listener.close_idle()
+            connection = await only_connection(server.listener)
+            await server.until(lambda: connection._waiter is not None and connection.has_served)
+            send_to_kernel(connection, sock, JOB)
+            if closed_by == "idle close":
+                server.listener.close_idle()
             else:
-                assert not here.listener._free_capacity()
-            await here.until(lambda: here.claimed == 2)
+                assert not server.listener._free_capacity()
+            await server.until(lambda: server.claimed == 2)
             sock.shutdown(socket.SHUT_WR)
             status, rest = await answer(sock)
             assert status == 200 and rest.count(b"200 OK") == 1
 
-    run(play)
+    run(scenario)
 
 
-def test_a_request_that_crosses_the_shutdown_of_its_connection_goes_nowhere() -> None:
-    """Its client reads the end without an answer and sends it again elsewhere."""
+def test_request_sent_after_the_shutdown_of_its_connection_is_not_processed() -> None:
+    """The client reads the end of the connection without an answer and retries on another connection."""
 
-    async def play() -> None:
-        async with inbound_server() as here:
-            here.let.set()
-            sock = here.client()
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            server.may_answer.set()
+            sock = server.client()
             sock.sendall(JOB)
-            connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None and connection.has_served)
-            here.listener.close_idle()
+            connection = await only_connection(server.listener)
+            await server.until(lambda: connection._waiter is not None and connection.has_served)
+            server.listener.close_idle()
             assert (await answer(sock))[0] == 200
             sock.sendall(JOB)
             while not connection._has_unread_bytes():
                 await asyncio.sleep(0)
             sock.shutdown(socket.SHUT_WR)
-            await here.until(lambda: not here.listener.open)
-            assert here.claimed == 1
+            await server.until(lambda: not server.listener.open)
+            assert server.claimed == 1
 
-    run(play)
+    run(scenario)
 
 
-def test_an_answer_that_has_not_left_is_not_cut_off_to_make_room() -> None:
-    """Its client reads slowly; the connection has ended, but the rest of its answer is still ours."""
+def test_connection_with_an_unsent_rest_of_an_answer_is_not_closed_to_free_capacity() -> None:
+    """The client reads slowly: the connection is closing, but the server still buffers part of the answer."""
     size = 60_000
 
-    async def play() -> None:
-        async with inbound_server(budget=1) as here:
+    async def scenario() -> None:
+        async with inbound_server(budget=1) as server:
 
-            async def much(request: web.BaseRequest) -> web.StreamResponse:
+            async def large_answer(request: web.BaseRequest) -> web.StreamResponse:
                 await request.read()
                 connection_of(request).begin_answer(serves=False)
                 response = web.Response(body=b"x" * size)
                 response.force_close()
                 return response
 
-            here.listener.handler = much
+            server.listener.handler = large_answer
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            sock.connect(here.address)
+            sock.connect(server.address)
             sock.setblocking(False)
-            connection = await only(here.listener)
+            connection = await only_connection(server.listener)
             assert connection._raw_transport
-            ours = connection._raw_transport.get_extra_info("socket")
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            server_sock = connection._raw_transport.get_extra_info("socket")
+            server_sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             sock.sendall(JOB)
-            await here.until(lambda: connection._phase is client_connection._Phase.CLOSING)
+            await server.until(lambda: connection._phase is client_connection._Phase.CLOSING)
             assert connection._raw_transport.get_write_buffer_size()
             connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
-            assert not here.listener._free_capacity()
+            assert not server.listener._free_capacity()
             status, rest = await answer(sock)
             assert status == 200 and len(rest) == size
             sock.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_who_comes_waits_for_the_descriptors_of_those_that_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sixteen more than the budget were open for a turn of the loop: discovery's call found no descriptor."""
+def test_new_clients_are_accepted_only_once_evicted_connections_have_freed_descriptors(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The listener exceeded its budget by 16 for one loop iteration, and the call to discovery got EMFILE."""
     monkeypatch.setattr(client_connection, "MIN_SILENCE_S", 0.0)
 
-    async def play() -> None:
-        async with inbound_server(budget=16) as here:
-            idle = [here.client() for _ in range(16)]
-            await here.until(lambda: len(here.listener.open) == 16)
-            more = [here.client() for _ in range(16)]
-            before, most = len(os.listdir("/proc/self/fd")), 0
-            here.listener._loop.remove_reader(here.socket)
+    async def scenario() -> None:
+        async with inbound_server(budget=16) as server:
+            idle = [server.client() for _ in range(16)]
+            await server.until(lambda: len(server.listener.open) == 16)
+            more = [server.client() for _ in range(16)]
+            fds_before, max_fds = len(os.listdir("/proc/self/fd")), 0
+            server.listener._loop.remove_reader(server.socket)
 
             def accept() -> None:
-                nonlocal most
-                here.listener._accept()
-                most = max(most, len(os.listdir("/proc/self/fd")))
+                nonlocal max_fds
+                server.listener._accept()
+                max_fds = max(max_fds, len(os.listdir("/proc/self/fd")))
 
-            here.listener._loop.add_reader(here.socket, accept)
+            server.listener._loop.add_reader(server.socket, accept)
             sock = more[-1]
             sock.sendall(JOB)
-            await here.until(lambda: here.claimed == 1)
-            assert most <= before
-            for each in idle + more:
-                each.close()
+            await server.until(lambda: server.claimed == 1)
+            assert max_fds <= fds_before
+            for client in idle + more:
+                client.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_smaller_budget_takes_the_idle_connections_and_leaves_those_that_carry_requests() -> None:
-    """Where more carry requests than the new budget holds, it comes to be kept as they end."""
+def test_reduced_budget_closes_idle_connections_and_spares_those_with_requests_in_flight() -> None:
+    """Connections with requests may exceed the new budget; the excess shrinks as their requests end."""
 
-    async def play() -> None:
-        async with inbound_server() as here:
-            busy = [here.client() for _ in range(3)]
+    async def scenario() -> None:
+        async with inbound_server() as server:
+            busy = [server.client() for _ in range(3)]
             for sock in busy:
                 sock.sendall(JOB)
-            await here.until(lambda: here.claimed == 3)
-            idle = here.client()
-            await here.until(lambda: len(here.listener.open) == 4)
-            for connection in here.listener.open:
+            await server.until(lambda: server.claimed == 3)
+            idle = server.client()
+            await server.until(lambda: len(server.listener.open) == 4)
+            for connection in server.listener.open:
                 connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
-            here.listener.set_budget(1)
+            server.listener.set_budget(1)
             assert (await answer(idle))[0] == 0
-            assert len(here.listener.open) == 3
-            here.let.set()
+            assert len(server.listener.open) == 3
+            server.may_answer.set()
             for sock in busy:
                 sock.shutdown(socket.SHUT_WR)
                 assert await answer(sock) == (200, b"done")
 
-    run(play)
+    run(scenario)
 
 
 @asynccontextmanager
 async def program() -> AsyncIterator[tuple[Scheduler, Address]]:
-    """The whole program in this process, with neither workers nor discovery."""
+    """Run the complete scheduler in this process, without workers and without discovery."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = Address(*free.getsockname())
     known = EndpointList(0, True, ())
     chosen = settings(must_subscribe=True)
-    nowhere = Address("127.0.0.1", 1)
-    made = Scheduler(Config("n1", listen, nowhere, None, None, 7, 64, None, known, chosen, ("x",), (), ()))
-    await made.start()
+    unused = Address("127.0.0.1", 1)
+    program = Scheduler(Config("n1", listen, unused, None, None, 7, 64, None, known, chosen, ("x",), (), ()))
+    await program.start()
     try:
-        yield made, listen
+        yield program, listen
     finally:
-        await made.close()
+        await program.close()
 
 
 def job(wire_id: str) -> bytes:
-    """A whole request of the program's only class."""
+    """Build a complete request of the program's only job class."""
     return (
         f"POST /x HTTP/1.1\r\nHost: s\r\nX-Request-ID: {wire_id}\r\nX-Priority-Class: x\r\n"
         "Content-Length: 4\r\n\r\nwork"
     ).encode()
 
 
-def test_a_request_that_is_half_here_when_nothing_is_owed_any_more_is_answered(
+def test_partially_received_request_is_answered_after_the_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The program went 0.05 s after its last answer, and the rest of the request met a closed connection."""
+    """The program exited 0.05 s after its last answer; the rest of the request hit a closed connection."""
     monkeypatch.setattr(scheduler, "ACCEPT_AFTER_SIGTERM_S", 0.0)
 
-    async def play() -> None:
-        async with program() as (here, listen):
+    async def scenario() -> None:
+        async with program() as (process, listen):
             sock = socket.create_connection((listen.host, listen.port))
             sock.setblocking(False)
             sock.sendall(job("a")[:-1])
-            connection = await only(here.inbound._listener)
+            connection = await only_connection(process.inbound._listener)
             while not connection._has_new_bytes:
                 await asyncio.sleep(0)
-            await here.drain()
-            closing = asyncio.create_task(here.inbound.close())
+            await process.drain()
+            closing = asyncio.create_task(process.inbound.close())
             await asyncio.sleep(0)
             await asyncio.get_running_loop().sock_sendall(sock, job("a")[-1:])
             status, rest = await answer(sock)
@@ -478,78 +483,78 @@
             sock.close()
             await closing
 
-    run(play)
+    run(scenario)
 
 
-@pytest.mark.parametrize("kept", [True, False])
-def test_a_request_that_waits_to_be_read_when_the_program_closes_is_answered(kept: bool) -> None:
-    """On a connection that has rested, and on one that waits to be accepted."""
+@pytest.mark.parametrize("accepted", [True, False])
+def test_unread_request_is_answered_when_the_program_closes(accepted: bool) -> None:
+    """Covers an idle accepted connection, and a connection that is still in the listen queue."""
 
-    async def play() -> None:
-        async with program() as (here, listen):
+    async def scenario() -> None:
+        async with program() as (process, listen):
             sock = socket.create_connection((listen.host, listen.port))
-            if kept:
-                connection = await only(here.inbound._listener)
-                arrive(connection, sock, job("a"))
+            if accepted:
+                connection = await only_connection(process.inbound._listener)
+                send_to_kernel(connection, sock, job("a"))
             else:
                 sock.sendall(job("a"))
             sock.setblocking(False)
-            closing = asyncio.create_task(here.inbound.close())
+            closing = asyncio.create_task(process.inbound.close())
             status, rest = await answer(sock)
             assert status == 503 and rest.startswith(b"refused")
             sock.close()
             await closing
 
-    run(play)
+    run(scenario)
 
 
-def test_a_request_read_in_the_turn_in_which_room_is_made_is_answered() -> None:
-    """Its connection was silent long enough to go; the handler has yet to begin."""
+def test_request_read_just_before_capacity_is_freed_is_answered() -> None:
+    """The connection was idle long enough to be closed for capacity, and its handler has not started yet."""
 
-    async def play() -> None:
-        async with inbound_server(budget=1) as here:
-            here.let.set()
-            sock = here.client()
-            connection = await only(here.listener)
-            await here.until(lambda: connection._waiter is not None)
+    async def scenario() -> None:
+        async with inbound_server(budget=1) as server:
+            server.may_answer.set()
+            sock = server.client()
+            connection = await only_connection(server.listener)
+            await server.until(lambda: connection._waiter is not None)
             connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
-            arrive(connection, sock, JOB)
+            send_to_kernel(connection, sock, JOB)
             connection._raw_transport._read_ready()  # type: ignore[union-attr]
-            assert not here.listener._free_capacity()
-            await here.until(lambda: here.claimed == 1)
+            assert not server.listener._free_capacity()
+            await server.until(lambda: server.claimed == 1)
             sock.shutdown(socket.SHUT_WR)
             assert await answer(sock) == (200, b"done")
 
-    run(play)
+    run(scenario)
 
 
-def test_a_process_with_a_successor_stays_while_a_request_may_be_on_its_way() -> None:
-    """A connection that is too young to be retired is open still: what came there then was lost."""
+def test_client_side_is_not_quiescent_while_an_open_connection_may_carry_a_request() -> None:
+    """A predecessor exited with a connection open that was too young to close; a request on it was lost."""
 
-    async def play() -> None:
-        async with program() as (here, listen):
+    async def scenario() -> None:
+        async with program() as (process, listen):
             sock = socket.create_connection((listen.host, listen.port))
-            connection = await only(here.inbound._listener)
-            assert not here.inbound.is_quiescent
+            connection = await only_connection(process.inbound._listener)
+            assert not process.inbound.is_quiescent
             connection._phase_start -= 2 * client_connection.MIN_SILENCE_S
-            here.inbound._listener.close_idle()
-            assert here.inbound.is_quiescent
+            process.inbound._listener.close_idle()
+            assert process.inbound.is_quiescent
             sock.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_program_from_discovery(
+def test_idle_clients_that_exhaust_the_descriptors_do_not_block_the_call_to_discovery(
     tmp_path: Path,
 ) -> None:
-    """Discovery is down and comes back; the idle clients stay all the while."""
+    """Discovery fails and recovers while the idle clients stay connected."""
     player = Player(tmp_path)
     try:
         player.workers("w2 w1", "")
         player.limits('{"sockets": 64}', "")
         player.at = player.ports["s"].getsockname()
         player.run()
-        at = player.ports["d"].getsockname()
+        discovery_address = player.ports["d"].getsockname()
         assert player.quiet
         player.quiet.stop()
         player.ports["d"].close()
@@ -558,9 +563,9 @@
         player.job("c1 renewal-charge j1 25000m", "")
         player.take("w1.1 j1 202", "")
         player.event("w1 j1 started", "")
-        with socket.create_server(at) as back:
-            back.settimeout(10)
-            discovery = Peer(back.accept()[0])
+        with socket.create_server(discovery_address) as restarted:
+            restarted.settimeout(10)
+            discovery = Peer(restarted.accept()[0])
             assert discovery.message().startswith("GET /v1/endpoints?watch=1")
             player.job("c2 renewal-charge j2 25000m", "")
             player.take("w2.1 j2 202", "")
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -1,4 +1,4 @@
-"""What is owed when a call to discovery or a watch ends, in whatever way and in whatever moment."""
+"""The scheduler recovers from calls to discovery and watches that fail, in any way and in any phase."""
 
 import asyncio
 import contextlib
@@ -32,119 +32,126 @@
 from .conftest import MS, S, settings
 from .test_config import GIVEN
 
-# Many schedulers and one discovery, in simulated time
+# A simulated fleet of schedulers that share one discovery
 
-QUEUE_US = 2 * S  # discovery fails calls that wait longer
-Ending = Literal["start", "reset", "silent"]
-Failure = Literal["refused", "never comes up", "never answered", "503"]
-LASTS_US = {
+DISCOVERY_QUEUE_TIMEOUT_US = 2 * S  # discovery fails calls that are queued for longer
+Trigger = Literal["start", "reset", "silent"]
+Failure = Literal["refused", "connect timeout", "response timeout", "503"]
+FAILURE_DURATION_US = {
     "refused": MS,
-    "never comes up": S,
-    "never answered": watch_schedule.CALL_TIMEOUT_US,
+    "connect timeout": S,
+    "response timeout": watch_schedule.CALL_TIMEOUT_US,
     "503": 5 * MS,
 }
 
 
 @dataclass(slots=True)
 class Fleet:
-    """All lose their watches, or start, at 0; discovery can be reached from ``back_us`` on."""
+    """Schedulers that share one discovery and all start, or lose their watches, at time 0.
+
+    With the trigger ``silent``, each scheduler notices the loss at its silence timeout. Calls fail with
+    ``failure`` until discovery becomes reachable at ``reachable_from_us``.
+    """
 
     size: int
-    service_us: int  # for one call, and one at a time
-    back_us: int = 0
+    service_us: int  # time that discovery spends on one call; it serves one call at a time
+    reachable_from_us: int = 0
     failure: Failure = "refused"
-    calls: list[int] = field(default_factory=list)  # that reached discovery
-    listed: dict[int, int] = field(default_factory=dict)  # when each had its list
+    calls: list[int] = field(default_factory=list)  # times of the calls that reached discovery
+    list_received_us: dict[int, int] = field(default_factory=dict)  # by the scheduler's number
 
-    def play(self, ending: Ending, seed: int) -> None:
-        chance, queue = random.Random(seed), list[tuple[int, int, str, int]]()
+    def simulate(self, trigger: Trigger, seed: int) -> None:
+        rng, queue = random.Random(seed), list[tuple[int, int, str, int]]()
         schedules = [
             WatchSchedule(False, random.Random(seed * 1000 + i), self.size) for i in range(self.size)
         ]
         waiting, busy = deque[tuple[int, int]](), False
 
-        def put(at_us: int, what: str, number: int = -1) -> None:
-            heapq.heappush(queue, (at_us, len(queue), what, number))
+        def push_event(at_us: int, kind: str, number: int = -1) -> None:
+            heapq.heappush(queue, (at_us, len(queue), kind, number))
 
         for number, schedule in enumerate(schedules):
-            if ending == "start":
-                put(schedule.start(0), "call", number)
+            if trigger == "start":
+                push_event(schedule.start(0), "call", number)
                 continue
             schedule.record_call(-100 * S)
-            schedule.record_received(-chance.randrange(2 * S))
-            ended = 0 if ending == "reset" else schedule.silence_deadline_us()
-            put(ended + schedule.record_lost(ended), "call", number)
+            schedule.record_received(-rng.randrange(2 * S))
+            lost_us = 0 if trigger == "reset" else schedule.silence_deadline_us()
+            push_event(lost_us + schedule.record_lost(lost_us), "call", number)
         while queue:
-            now, _, what, number = heapq.heappop(queue)
-            if what == "call":
+            now, _, kind, number = heapq.heappop(queue)
+            if kind == "call":
                 schedules[number].record_call(now)
-                if now < self.back_us:
-                    put(now + LASTS_US[self.failure], "failed", number)
+                if now < self.reachable_from_us:
+                    push_event(now + FAILURE_DURATION_US[self.failure], "failed", number)
                     continue
                 self.calls.append(now)
                 waiting.append((now, number))
                 if not busy:
                     busy = True
-                    put(now, "next")
-            elif what == "failed":
-                put(now + schedules[number].record_lost(now), "call", number)
-            elif what == "answered":
+                    push_event(now, "serve next")
+            elif kind == "failed":
+                push_event(now + schedules[number].record_lost(now), "call", number)
+            elif kind == "answered":
                 schedules[number].record_received(now)
-                self.listed[number] = now
+                self.list_received_us[number] = now
             else:
-                while waiting and now - waiting[0][0] > QUEUE_US:
-                    put(now, "failed", waiting.popleft()[1])
+                while waiting and now - waiting[0][0] > DISCOVERY_QUEUE_TIMEOUT_US:
+                    push_event(now, "failed", waiting.popleft()[1])
                 busy = bool(waiting)
                 if busy:
-                    put(now + self.service_us, "answered", waiting.popleft()[1])
-                    put(now + self.service_us, "next")
+                    push_event(now + self.service_us, "answered", waiting.popleft()[1])
+                    push_event(now + self.service_us, "serve next")
 
-    def most_calls(self, within_us: int) -> int:
-        first, most = 0, 0
+    def max_calls(self, window_us: int) -> int:
+        """Return the largest number of calls that reached discovery in any window of this length."""
+        first, largest = 0, 0
         for last, at_us in enumerate(self.calls):
-            while at_us - self.calls[first] >= within_us:
+            while at_us - self.calls[first] >= window_us:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            largest = max(largest, last - first + 1)
+        return largest
 
 
 @pytest.mark.parametrize("size, service_us", [(200, 20 * MS), (40, 100 * MS), (6, 200 * MS)])
-@pytest.mark.parametrize("ending", ["start", "reset", "silent"])
-def test_all_have_the_list_within_the_bound_and_calls_are_spread(
-    size: int, service_us: int, ending: Ending
+@pytest.mark.parametrize("trigger", ["start", "reset", "silent"])
+def test_fleet_spreads_its_calls_and_receives_the_list_within_the_bound(
+    size: int, service_us: int, trigger: Trigger
 ) -> None:
     for seed in range(3):
         fleet = Fleet(size, service_us)
-        fleet.play(ending, seed)
-        assert len(fleet.listed) == size
-        assert max(fleet.listed.values()) <= watch_schedule.LIST_CHANGE_BOUND_US
+        fleet.simulate(trigger, seed)
+        assert len(fleet.list_received_us) == size
+        assert max(fleet.list_received_us.values()) <= watch_schedule.LIST_CHANGE_BOUND_US
         if size > 6:
-            assert fleet.most_calls(50 * MS) <= size // 10 + 4
-            assert fleet.most_calls(S) <= size * 0.85
+            assert fleet.max_calls(50 * MS) <= size // 10 + 4
+            assert fleet.max_calls(S) <= size * 0.85
 
 
 @pytest.mark.parametrize("size, service_us", [(200, 20 * MS), (40, 100 * MS), (6, 200 * MS)])
-@pytest.mark.parametrize("failure", LASTS_US)
-def test_all_have_the_list_within_the_bound_after_an_outage_of_any_kind(
+@pytest.mark.parametrize("failure", FAILURE_DURATION_US)
+def test_fleet_receives_the_list_within_the_bound_after_a_discovery_outage(
     size: int, service_us: int, failure: Failure
 ) -> None:
     for seed in range(3):
         fleet = Fleet(size, service_us, 8 * S, failure)
-        fleet.play("reset", seed)
-        assert max(fleet.listed.values()) <= 8 * S + watch_schedule.LIST_CHANGE_BOUND_US
+        fleet.simulate("reset", seed)
+        assert max(fleet.list_received_us.values()) <= 8 * S + watch_schedule.LIST_CHANGE_BOUND_US
         if size > 6:
-            assert fleet.most_calls(50 * MS) <= size // 10 + 4
-            assert fleet.most_calls(S) <= size * 0.7
+            assert fleet.max_calls(50 * MS) <= size // 10 + 4
+            assert fleet.max_calls(S) <= size * 0.7
 
 
-def test_where_calls_cost_more_than_there_is_time_discovery_is_never_idle_until_all_have_the_list() -> None:
+def test_fleet_keeps_overloaded_discovery_busy_until_all_have_the_list() -> None:
+    """Serving all calls takes 10 s, longer than the bound, so discovery must not be idle in between."""
     for seed in range(3):
         fleet = Fleet(200, 50 * MS)
-        fleet.play("reset", seed)
-        assert max(fleet.listed.values()) <= 200 * 50 * MS + S  # the work itself, and a second
+        fleet.simulate("reset", seed)
+        # The service time of all calls, and 1 s
+        assert max(fleet.list_received_us.values()) <= 200 * 50 * MS + S
 
 
-def test_without_a_watch_the_bound_is_no_longer_than_the_poll_interval() -> None:
+def test_first_poll_starts_within_half_of_the_poll_interval_and_of_the_bound() -> None:
     for poll_interval_us in (2 * S, 4 * S, 10 * S):
         given = settings(must_subscribe=True, poll_interval_us=poll_interval_us, fleet_size=200)
         for seed in range(20):
@@ -153,27 +160,28 @@
 
 
 @pytest.mark.parametrize("fleet_size", [1, 200])
-def test_no_wait_for_a_call_is_longer_than_half_of_the_bound(fleet_size: int) -> None:
-    chance = random.Random(7)
+def test_backoff_never_exceeds_half_of_the_bound(fleet_size: int) -> None:
+    rng = random.Random(7)
     schedule, now = WatchSchedule(False, random.Random(1), fleet_size), 0
     now += schedule.start(now)
     for _ in range(5_000):
         schedule.record_call(now)
-        now += chance.choice([1, 20 * MS, S, 2 * S, 3 * S])
-        if chance.random() < 0.2:
+        now += rng.choice([1, 20 * MS, S, 2 * S, 3 * S])
+        if rng.random() < 0.2:
             schedule.record_received(now)
-            now += chance.choice([0, S, watch_schedule.WATCH_SILENCE_TIMEOUT_US])
-        wait = schedule.record_lost(now)
-        assert 0 <= wait <= watch_schedule.LIST_CHANGE_BOUND_US // 2
-        now += wait
+            now += rng.choice([0, S, watch_schedule.WATCH_SILENCE_TIMEOUT_US])
+        backoff = schedule.record_lost(now)
+        assert 0 <= backoff <= watch_schedule.LIST_CHANGE_BOUND_US // 2
+        now += backoff
 
 
-# On real sockets
+# The watcher on real sockets
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def told(generation: int, **more: object) -> bytes:
+def list_line(generation: int, **more: object) -> bytes:
+    """Build one line of a watch: a complete list with one worker, whose entry ``more`` changes."""
     entry = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m"} | more
     entry["lifecycle"] = "active"
     return orjson.dumps({"generation": generation, "reset": True, "instances": [entry], "more": [{}]}) + b"\n"
@@ -185,7 +193,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call to discovery: what was asked, and the connection to answer on."""
+    """A call to discovery: the request target, and the connection on which the test answers."""
 
     target: str
     reader: asyncio.StreamReader
@@ -198,20 +206,20 @@
         self.writer.close()
 
     def reset(self) -> None:
-        """RST behind what was written."""
+        """Reset the connection after the bytes that were written."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.close()
 
-    async def left(self) -> None:
-        """Until the program has closed its side."""
+    async def closed_by_program(self) -> None:
+        """Wait until the program has closed its side of the connection."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(4096):
                 pass
 
 
 class Discovery:
-    """An address that refuses until it listens; each call is answered by the test."""
+    """A discovery address that refuses connections until ``listen``; the test answers each call."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -222,16 +230,16 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> "Discovery":
-        self.server = await asyncio.start_server(self._called, sock=self.sock)
+        self.server = await asyncio.start_server(self._receive_call, sock=self.sock)
         return self
 
-    async def _called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _receive_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         call = Call(head.split()[1], reader, writer)
         self.open.append(call)
         self.calls.put_nowait(call)
 
-    async def call(self) -> Call:
+    async def next_call(self) -> Call:
         return await self.calls.get()
 
     def close(self) -> None:
@@ -242,15 +250,15 @@
         self.sock.close()
 
 
-class Latest(random.Random):
-    """Each wait is as long as it may be."""
+class MaxRandom(random.Random):
+    """Returns nearly 1, so that each random backoff is as long as possible."""
 
     def random(self) -> float:
         return 0.999
 
 
-class Watching:
-    """The actor on its own, what it reports, and the discoveries that it may be sent to."""
+class WatcherHarness:
+    """A list watcher without a scheduler, its reports, and two discovery addresses for it to call."""
 
     def __init__(self, *, pushed: bool = False, schedule: WatchSchedule | None = None) -> None:
         self.reports: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
@@ -261,327 +269,331 @@
             self.discoveries[0].address, 41, schedule, Clock(), self.supervisor, self.reports.put_nowait
         )
 
-    async def failed(self) -> None:
-        """A call has failed, and nothing was told meanwhile."""
+    async def next_failure(self) -> None:
+        """Wait for the next report, which must be a failed call."""
         assert (await self.reports.get()).endpoint_list is None
 
-    async def generation(self) -> int:
-        """Of the next list that is told; calls that fail meanwhile are skipped."""
+    async def next_generation(self) -> int:
+        """Wait for the next reported list and return its generation; skip reports of failed calls."""
         while not (report := await self.reports.get()).endpoint_list:
             pass
         return report.endpoint_list.generation
 
 
 @contextlib.asynccontextmanager
-async def watching(*, pushed: bool = False, schedule: WatchSchedule | None = None) -> AsyncIterator[Watching]:
-    here = Watching(pushed=pushed, schedule=schedule)
+async def watcher_harness(
+    *, pushed: bool = False, schedule: WatchSchedule | None = None
+) -> AsyncIterator[WatcherHarness]:
+    harness = WatcherHarness(pushed=pushed, schedule=schedule)
     try:
         async with asyncio.timeout(10):
-            yield here
-            assert not here.supervisor.failed.done()
+            yield harness
+            assert not harness.supervisor.failed.done()
     finally:
-        await here.supervisor.close()
-        for discovery in here.discoveries:
+        await harness.supervisor.close()
+        for discovery in harness.discoveries:
             discovery.close()
 
 
-def test_a_new_process_whose_first_calls_are_refused_retries_until_discovery_is_there() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            here.actor.start()
-            await here.failed()
-            await here.failed()
-            discovery = await here.discoveries[0].listen()
-            call = await discovery.call()
+def test_new_process_retries_refused_calls_until_discovery_is_reachable() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            harness.actor.start()
+            await harness.next_failure()
+            await harness.next_failure()
+            discovery = await harness.discoveries[0].listen()
+            call = await discovery.next_call()
             assert call.target.endswith("watch=1&after=41")
-            call.send(HEAD + chunk(told(42)))
-            assert await here.generation() == 42
+            call.send(HEAD + chunk(list_line(42)))
+            assert await harness.next_generation() == 42
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def _reset_unread(call: Call) -> None:
+def _reset_without_answer(call: Call) -> None:
     call.reset()
 
 
-def _end_unanswered(call: Call) -> None:
+def _close_without_answer(call: Call) -> None:
     call.end()
 
 
-def _busy(call: Call) -> None:
+def _answer_503(call: Call) -> None:
     call.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-def _cut_in_the_head(call: Call) -> None:
+def _close_within_head(call: Call) -> None:
     call.send(HEAD[:-3])
     call.end()
 
 
-def _cut_in_a_list(call: Call) -> None:
-    call.send(HEAD + chunk(told(43)[:-5]))
+def _close_within_list(call: Call) -> None:
+    call.send(HEAD + chunk(list_line(43)[:-5]))
     call.end()
 
 
-def _reset_in_a_list(call: Call) -> None:
-    call.send(HEAD + chunk(told(43)[:-5]))
+def _reset_within_list(call: Call) -> None:
+    call.send(HEAD + chunk(list_line(43)[:-5]))
     call.reset()
 
 
-def _cut_in_a_chunk(call: Call) -> None:
-    call.send(HEAD + chunk(told(43))[:-9])
+def _close_within_chunk(call: Call) -> None:
+    call.send(HEAD + chunk(list_line(43))[:-9])
     call.end()
 
 
-ENDINGS = [
-    _reset_unread, _end_unanswered, _busy, _cut_in_the_head, _cut_in_a_list, _reset_in_a_list,
-    _cut_in_a_chunk,
+FAILURES = [
+    _reset_without_answer, _close_without_answer, _answer_503, _close_within_head, _close_within_list,
+    _reset_within_list, _close_within_chunk,
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
-    "watched, ending",
-    [*((False, ending) for ending in ENDINGS), (True, _reset_unread), (True, _end_unanswered)],
+    "watched, fail",
+    [*((False, fail) for fail in FAILURES), (True, _reset_without_answer), (True, _close_without_answer)],
 )
-def test_a_call_or_watch_that_ends_is_followed_by_another_from_the_last_complete_list(
-    watched: bool, ending: Callable[[Call], None]
+def test_failed_call_or_watch_is_retried_from_the_last_complete_list(
+    watched: bool, fail: Callable[[Call], None]
 ) -> None:
-    async def play() -> None:
-        async with watching() as here:
-            discovery = await here.discoveries[0].listen()
-            here.actor.start()
-            call, known = await discovery.call(), 41
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            discovery = await harness.discoveries[0].listen()
+            harness.actor.start()
+            call, known = await discovery.next_call(), 41
             if watched:
-                call.send(HEAD + chunk(told(42)))
-                known = await here.generation()
-            ending(call)
-            await here.failed()
-            again = await discovery.call()
-            assert again.target.endswith(f"after={known}")
-            again.send(HEAD + chunk(told(44)))
-            assert await here.generation() == 44
+                call.send(HEAD + chunk(list_line(42)))
+                known = await harness.next_generation()
+            fail(call)
+            await harness.next_failure()
+            retry = await discovery.next_call()
+            assert retry.target.endswith(f"after={known}")
+            retry.send(HEAD + chunk(list_line(44)))
+            assert await harness.next_generation() == 44
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-# What discovery may send wrong: each is a lost watch, is logged and ends nothing else.
-WRONG = {
+# Malformed responses of discovery. Each one loses the watch and is logged, and has no other effect.
+MALFORMED_RESPONSES = {
     "not http": b"\x00\x01\x02 nonsense\r\n\r\n",
-    "a head without end": b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,
-    "status that is none": b"HTTP/1.1 2x0 OK\r\n\r\n",
-    "redirect": b"HTTP/1.1 302 Found\r\nLocation: http://[::bad/\r\nContent-Length: 0\r\n\r\n",
-    "bytes in the reason": b"HTTP/1.1 500 \xff\xfe\r\nContent-Length: 0\r\n\r\n",
-    "bad length": b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+    "endless head": b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,
+    "invalid status": b"HTTP/1.1 2x0 OK\r\n\r\n",
+    "invalid redirect": b"HTTP/1.1 302 Found\r\nLocation: http://[::bad/\r\nContent-Length: 0\r\n\r\n",
+    "not ascii in the reason": b"HTTP/1.1 500 \xff\xfe\r\nContent-Length: 0\r\n\r\n",
+    "negative length": b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
     "two framings": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
     "body too short": b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc",
     "bad chunk size": HEAD + b"zz\r\nabc\r\n",
-    "chunk without end": HEAD + b"3\r\nabcdef\r\n",
-    "bad chunk behind a word": HEAD + chunk(b"\n") + b"zz\r\n",
-    "chunk size without end": HEAD + b"0" * 20_000,
-    "gzip that is none": b"HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n"
+    "chunk longer than its size": HEAD + b"3\r\nabcdef\r\n",
+    "bad chunk size after an empty line": HEAD + chunk(b"\n") + b"zz\r\n",
+    "endless chunk size": HEAD + b"0" * 20_000,
+    "not gzip": b"HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n"
     + chunk(b"not gzip at all, and long enough to be looked at"),
-    "unknown coding": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: rot13\r\n\r\nabc",
-    "deflate cut": b"HTTP/1.1 200 OK\r\nContent-Encoding: deflate\r\nTransfer-Encoding: chunked\r\n\r\n"
+    "unknown transfer coding": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: rot13\r\n\r\nabc",
+    "truncated deflate": b"HTTP/1.1 200 OK\r\nContent-Encoding: deflate\r\nTransfer-Encoding: chunked\r\n\r\n"
     + chunk(b"\x78\x9c\x00") + b"0\r\n\r\n",
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
     "bad cookie": b"HTTP/1.1 200 OK\r\nSet-Cookie: \xff=;;=\r\nContent-Length: 2\r\n\r\n{}",
     "not json": HEAD + chunk(b"{nonsense}\n"),
     "not utf-8": HEAD + chunk(b'{"generation": "\xff\xfe"}\n'),
-    "no object": HEAD + chunk(b"[]\n"),
+    "not an object": HEAD + chunk(b"[]\n"),
     "no generation": HEAD + chunk(b"{}\n"),
-    "deep": HEAD + chunk(b'{"a":' * 5_000 + b"1" + b"}" * 5_000 + b"\n"),
+    "deeply nested": HEAD + chunk(b'{"a":' * 5_000 + b"1" + b"}" * 5_000 + b"\n"),
     "huge number": HEAD + chunk(b'{"generation": 1' + b"0" * 400 + b"}\n"),
-    "bad port": HEAD + chunk(told(43, hostPort="127.0.0.1:99999999999")),
-    "bad host": HEAD + chunk(told(43, hostPort="xn--\u2603.\ud7ff:1")),
-    "start beyond all clocks": HEAD + chunk(told(43, startedAtMs=1e306)),
-    "cell beyond all": HEAD + chunk(told(43, cell="9")),
+    "bad port": HEAD + chunk(list_line(43, hostPort="127.0.0.1:99999999999")),
+    "bad host": HEAD + chunk(list_line(43, hostPort="xn--\u2603.\ud7ff:1")),
+    "start time out of range": HEAD + chunk(list_line(43, startedAtMs=1e306)),
+    "cell out of range": HEAD + chunk(list_line(43, cell="9")),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("wrong", WRONG.values(), ids=WRONG)
-def test_a_malformed_message_of_discovery_costs_that_call_alone(
-    wrong: bytes, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("response", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES)
+def test_malformed_response_of_discovery_fails_only_its_call(
+    response: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def play() -> None:
-        async with watching() as here:
-            discovery = await here.discoveries[0].listen()
-            here.actor.start()
-            call = await discovery.call()
-            call.send(wrong)
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            discovery = await harness.discoveries[0].listen()
+            harness.actor.start()
+            call = await discovery.next_call()
+            call.send(response)
             call.end()
-            call = await discovery.call()
+            call = await discovery.next_call()
             assert call.target.endswith("after=41")
-            call.send(HEAD + chunk(told(44)))
-            assert await here.generation() == 44
+            call.send(HEAD + chunk(list_line(44)))
+            assert await harness.next_generation() == 44
 
     with caplog.at_level(logging.WARNING):
-        asyncio.run(play())
+        asyncio.run(scenario())
     assert [r.message for r in caplog.records] == ["watch_lost"]
 
 
-def test_a_version_that_goes_backwards_is_followed() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            discovery = await here.discoveries[0].listen()
-            here.actor.start()
-            call = await discovery.call()
-            call.send(HEAD + chunk(told(43) + told(7, of="another kind")))
-            assert [await here.generation(), await here.generation()] == [43, 7]
+def test_list_with_a_lower_generation_is_accepted() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            discovery = await harness.discoveries[0].listen()
+            harness.actor.start()
+            call = await discovery.next_call()
+            call.send(HEAD + chunk(list_line(43) + list_line(7, of="another kind")))
+            assert [await harness.next_generation(), await harness.next_generation()] == [43, 7]
             call.end()
-            assert (await discovery.call()).target.endswith("after=7")
+            assert (await discovery.next_call()).target.endswith("after=7")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_late_answer_to_an_abandoned_call_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_response_to_a_timed_out_call_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_schedule, "CALL_TIMEOUT_US", 100 * MS)
 
-    async def play() -> None:
-        async with watching() as here:
-            discovery = await here.discoveries[0].listen()
-            here.actor.start()
-            call = await discovery.call()
-            await call.left()
-            call.send(HEAD + chunk(told(43)))
-            again = await discovery.call()
-            assert again.target.endswith("after=41")
-            again.send(HEAD + chunk(told(42)))
-            assert await here.generation() == 42
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            discovery = await harness.discoveries[0].listen()
+            harness.actor.start()
+            call = await discovery.next_call()
+            await call.closed_by_program()
+            call.send(HEAD + chunk(list_line(43)))
+            retry = await discovery.next_call()
+            assert retry.target.endswith("after=41")
+            retry.send(HEAD + chunk(list_line(42)))
+            assert await harness.next_generation() == 42
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-# SIGHUP in the middle of it
+# A reload (SIGHUP) that changes discovery's address
 
 
-def slow() -> WatchSchedule:
-    """As in a fleet of 200 that is unlucky: each wait takes seconds."""
-    return WatchSchedule(False, Latest(), 200)
+def slow_schedule() -> WatchSchedule:
+    """Build the schedule of a fleet of 200 with maximum random values, so that each backoff takes seconds."""
+    return WatchSchedule(False, MaxRandom(), 200)
 
 
-@pytest.mark.parametrize("moment", ["first wait", "back-off", "call", "watch"])
-def test_after_a_reload_the_new_address_is_called_at_once_for_its_complete_list(moment: str) -> None:
-    async def play() -> None:
-        schedule = None if moment in ("call", "watch") else slow()
-        async with watching(schedule=schedule) as here:
-            old, new = here.discoveries
+@pytest.mark.parametrize("phase", ["first wait", "back-off", "call", "watch"])
+def test_reload_calls_the_new_address_at_once_for_its_complete_list(phase: str) -> None:
+    async def scenario() -> None:
+        schedule = None if phase in ("call", "watch") else slow_schedule()
+        async with watcher_harness(schedule=schedule) as harness:
+            old, new = harness.discoveries
             await new.listen()
-            if moment == "back-off":
+            if phase == "back-off":
                 assert schedule
-                schedule.fleet_size = 1  # the first waits are short
-            here.actor.start()
-            if moment == "back-off":
+                schedule.fleet_size = 1  # keeps the first backoff short
+            harness.actor.start()
+            if phase == "back-off":
                 assert schedule
-                await here.failed()
+                await harness.next_failure()
                 schedule.fleet_size, schedule.failed_calls = 200, 3
-                await here.failed()  # and now it waits for seconds
-            if moment in ("call", "watch"):
+                await harness.next_failure()  # the backoff that follows takes seconds
+            if phase in ("call", "watch"):
                 await old.listen()
-                call = await old.call()
-            if moment == "watch":
-                call.send(HEAD + chunk(told(42)))
-                assert await here.generation() == 42
-            here.actor.tell(ChangeAddress(new.address))
+                call = await old.next_call()
+            if phase == "watch":
+                call.send(HEAD + chunk(list_line(42)))
+                assert await harness.next_generation() == 42
+            harness.actor.tell(ChangeAddress(new.address))
             async with asyncio.timeout(1):
-                asked = await new.call()
-            assert asked.target.endswith("/v1/endpoints?watch=1")
-            if moment in ("call", "watch"):
-                await call.left()
-                call.send(HEAD + chunk(told(99)))
-            asked.send(HEAD + chunk(told(3)))
-            assert await here.generation() == 3
-            assert old.calls.empty() and here.reports.empty()
-
-    asyncio.run(play())
-
-
-def test_an_empty_line_of_a_new_address_does_not_confirm_the_list_of_the_old_one() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            words: list[object] = []
-            here.actor.report_lease_event = words.append
-            old, new = await here.discoveries[0].listen(), await here.discoveries[1].listen()
-            here.actor.start()
-            call = await old.call()
-            call.send(HEAD + chunk(told(42)))
-            assert await here.generation() == 42
-            here.actor.tell(ChangeAddress(new.address))
-            call = await new.call()
+                first_call = await new.next_call()
+            assert first_call.target.endswith("/v1/endpoints?watch=1")
+            if phase in ("call", "watch"):
+                await call.closed_by_program()
+                call.send(HEAD + chunk(list_line(99)))
+            first_call.send(HEAD + chunk(list_line(3)))
+            assert await harness.next_generation() == 3
+            assert old.calls.empty() and harness.reports.empty()
+
+    asyncio.run(scenario())
+
+
+def test_empty_line_from_a_new_address_does_not_confirm_the_list_of_the_old_address() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            lease_events: list[object] = []
+            harness.actor.report_lease_event = lease_events.append
+            old, new = await harness.discoveries[0].listen(), await harness.discoveries[1].listen()
+            harness.actor.start()
+            call = await old.next_call()
+            call.send(HEAD + chunk(list_line(42)))
+            assert await harness.next_generation() == 42
+            harness.actor.tell(ChangeAddress(new.address))
+            call = await new.next_call()
             call.send(HEAD + chunk(b"\n"))
-            while not (report := await here.reports.get()).endpoint_list:
+            while not (report := await harness.reports.get()).endpoint_list:
                 pass
             assert report.received_us is None
-            call.send(chunk(told(7)))
-            assert await here.generation() == 7
+            call.send(chunk(list_line(7)))
+            assert await harness.next_generation() == 7
             call.send(chunk(b"\n"))
-            while not any(isinstance(word, ListConfirmed) for word in words):
+            while not any(isinstance(event, ListConfirmed) for event in lease_events):
                 await asyncio.sleep(0)
-            assert [type(word) for word in words] == [DiscoveryAddressChanged, ListConfirmed]
+            assert [type(event) for event in lease_events] == [DiscoveryAddressChanged, ListConfirmed]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_new_address_that_refuses_at_first_is_still_called_for_its_complete_list() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            old, new = here.discoveries
+def test_new_address_that_refuses_at_first_is_still_called_for_its_complete_list() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            old, new = harness.discoveries
             await old.listen()
-            here.actor.start()
-            call = await old.call()
-            call.send(HEAD + chunk(told(42)))
-            assert await here.generation() == 42
-            here.actor.tell(ChangeAddress(new.address))
-            await call.left()
-            await here.failed()
+            harness.actor.start()
+            call = await old.next_call()
+            call.send(HEAD + chunk(list_line(42)))
+            assert await harness.next_generation() == 42
+            harness.actor.tell(ChangeAddress(new.address))
+            await call.closed_by_program()
+            await harness.next_failure()
             await new.listen()
-            asked = await new.call()
-            assert asked.target.endswith("/v1/endpoints?watch=1")
-            asked.end()
-            assert (await new.call()).target == asked.target
-
-    asyncio.run(play())
-
-
-def test_a_reload_that_names_the_same_address_leaves_the_watch_alone() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            discovery = await here.discoveries[0].listen()
-            here.actor.start()
-            call = await discovery.call()
-            call.send(HEAD + chunk(told(42)))
-            assert await here.generation() == 42
-            here.actor.tell(ChangeAddress(discovery.address))
-            call.send(chunk(told(43)))
-            assert await here.generation() == 43
+            first_call = await new.next_call()
+            assert first_call.target.endswith("/v1/endpoints?watch=1")
+            first_call.end()
+            assert (await new.next_call()).target == first_call.target
+
+    asyncio.run(scenario())
+
+
+def test_reload_with_an_unchanged_address_keeps_the_watch_open() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            discovery = await harness.discoveries[0].listen()
+            harness.actor.start()
+            call = await discovery.next_call()
+            call.send(HEAD + chunk(list_line(42)))
+            assert await harness.next_generation() == 42
+            harness.actor.tell(ChangeAddress(discovery.address))
+            call.send(chunk(list_line(43)))
+            assert await harness.next_generation() == 43
             assert discovery.calls.empty()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_reload_back_to_the_first_address_calls_it_for_its_complete_list() -> None:
-    async def play() -> None:
-        async with watching() as here:
-            old, new = here.discoveries
+def test_reload_back_to_the_first_address_calls_it_for_its_complete_list() -> None:
+    async def scenario() -> None:
+        async with watcher_harness() as harness:
+            old, new = harness.discoveries
             await old.listen()
             await new.listen()
-            here.actor.start()
-            await old.call()
-            here.actor.tell(ChangeAddress(new.address))
-            here.actor.tell(ChangeAddress(old.address))
-            assert (await old.call()).target.endswith("/v1/endpoints?watch=1")
+            harness.actor.start()
+            await old.next_call()
+            harness.actor.tell(ChangeAddress(new.address))
+            harness.actor.tell(ChangeAddress(old.address))
+            assert (await old.next_call()).target.endswith("/v1/endpoints?watch=1")
             assert new.calls.empty()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-# The whole scheduler
+# The complete scheduler
 
 
 @contextlib.asynccontextmanager
-async def scheduling(folder: Path, discovery: Discovery, how: str) -> AsyncIterator[embedded.Scheduler]:
-    """One that is not started yet, on a socket that listens already."""
-    given = copy.deepcopy(GIVEN)
-    given["settings"]["discovery"] = how
-    (folder / "config.json").write_text(json.dumps(given))
+async def unstarted_scheduler(
+    folder: Path, discovery: Discovery, mode: str
+) -> AsyncIterator[embedded.Scheduler]:
+    """Build a scheduler with a listening socket; the caller starts it."""
+    configuration = copy.deepcopy(GIVEN)
+    configuration["settings"]["discovery"] = mode
+    (folder / "config.json").write_text(json.dumps(configuration))
     with socket.create_server(("127.0.0.1", 0)) as sock:
         env = {"GW_CONFIG": str(folder / "config.json"), "GW_DISCOVERY": str(discovery.address)}
         # The scheduler closes its descriptor itself.
@@ -595,62 +607,62 @@
             discovery.close()
 
 
-def test_a_new_process_whose_agent_is_silent_accepts_requests_and_gets_the_list_later(
+def test_new_process_with_an_unresponsive_discovery_agent_accepts_requests_and_gets_the_list_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    assert embedded.MAX_LIST_WAIT_S < 3  # far inside the 10 s that a restart may take
+    assert embedded.MAX_LIST_WAIT_S < 3  # leaves a wide margin to the 10 s limit of a restart
     monkeypatch.setattr(embedded, "MAX_LIST_WAIT_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         discovery = await Discovery().listen()
-        async with scheduling(tmp_path, discovery, "push") as scheduler:
+        async with unstarted_scheduler(tmp_path, discovery, "push") as scheduler:
             await scheduler.start()
             assert scheduler.readiness().status == 200
-            call = await discovery.call()  # and it has waited for an answer all the while
+            call = await discovery.next_call()  # has been unanswered since the start
             assert not scheduler.dispatcher.table.destinations and discovery.calls.empty()
-            call.send(HEAD + chunk(told(43, zone="brisbane", machineType="std-8")))
+            call.send(HEAD + chunk(list_line(43, zone="brisbane", machineType="std-8")))
             while "s-1" not in scheduler.dispatcher.table.destinations:
                 await asyncio.sleep(0)
 
     with caplog.at_level(logging.WARNING):
-        asyncio.run(play())
+        asyncio.run(scenario())
     assert [r.message for r in caplog.records] == ["endpoint_list_timeout"]
 
 
-@pytest.mark.parametrize("how", ["subscribe", "push"])
-def test_a_watch_that_ends_during_a_drain_is_reopened(
-    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("mode", ["subscribe", "push"])
+def test_watch_that_ends_during_a_drain_is_reopened(
+    mode: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(embedded, "ACCEPT_AFTER_SIGTERM_S", 60)  # the drain goes on until the test ends
+    monkeypatch.setattr(embedded, "ACCEPT_AFTER_SIGTERM_S", 60)  # the drain outlasts the test
 
-    async def play() -> None:
+    async def scenario() -> None:
         discovery = await Discovery().listen()
-        async with scheduling(tmp_path, discovery, how) as scheduler:
+        async with unstarted_scheduler(tmp_path, discovery, mode) as scheduler:
             starting = asyncio.create_task(scheduler.start())
-            call = await discovery.call()
-            call.send(HEAD + chunk(told(42, zone="brisbane", machineType="std-8")))
+            call = await discovery.next_call()
+            call.send(HEAD + chunk(list_line(42, zone="brisbane", machineType="std-8")))
             await starting
             draining = asyncio.create_task(scheduler.drain())
             while not scheduler.inbound.shutting_down:
                 await asyncio.sleep(0)
             call.reset()
-            again = await discovery.call()
-            again.send(HEAD + chunk(told(43, instanceId="s-2", zone="brisbane", machineType="std-8")))
+            reopened = await discovery.next_call()
+            reopened.send(HEAD + chunk(list_line(43, instanceId="s-2", zone="brisbane", machineType="std-8")))
             while set(scheduler.dispatcher.table.destinations) != {"s-2"}:
                 await asyncio.sleep(0)
             draining.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_in_an_inherited_listen_queue_is_accepted_before_the_list_is_there(
+def test_request_in_an_inherited_listen_queue_is_accepted_before_the_list_is_received(
     tmp_path: Path,
 ) -> None:
-    """It has been taken: counted from when it is read, its answer would come after its client has gone."""
+    """If the program read the request only after the list, its deadline would exceed the client's timeout."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         discovery = await Discovery().listen()
-        async with scheduling(tmp_path, discovery, "subscribe") as scheduler:
+        async with unstarted_scheduler(tmp_path, discovery, "subscribe") as scheduler:
             assert scheduler.config.socket_fd is not None
             with socket.socket(fileno=os.dup(scheduler.config.socket_fd)) as listening:
                 _, writer = await asyncio.open_connection(*listening.getsockname())
@@ -658,17 +670,17 @@
                 b"POST /member-lookup/x HTTP/1.1\r\nHost: s\r\nX-Request-ID: j1\r\n"
                 b"X-Priority-Class: member-lookup\r\nX-Timeout: 7000m\r\nContent-Length: 0\r\n\r\n"
             )
-            begun_us = scheduler.clock.now_us()
+            sent_us = scheduler.clock.now_us()
             starting = asyncio.create_task(scheduler.start())
-            call = await discovery.call()
+            call = await discovery.next_call()
             while not scheduler.dispatcher.in_flight.by_number:
                 await asyncio.sleep(0)
             assert not starting.done() and scheduler.readiness().status == 503
-            (held,) = scheduler.dispatcher.in_flight.by_number.values()
-            assert held.deadline_us <= begun_us + 7_000_000 + 1_000_000 and not held.attempts_in_flight
-            call.send(HEAD + chunk(told(42, zone="brisbane", machineType="std-8")))
+            (request,) = scheduler.dispatcher.in_flight.by_number.values()
+            assert request.deadline_us <= sent_us + 7_000_000 + 1_000_000 and not request.attempts_in_flight
+            call.send(HEAD + chunk(list_line(42, zone="brisbane", machineType="std-8")))
             await starting
             assert scheduler.readiness().status == 200
             writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What an operator can read afterwards: by which list each attempt went out, and why things were ended."""
+"""Logs and metrics show which endpoint list each attempt used and why requests were rejected."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 DEBUG = {"log": {"level": "debug", "lines_a_second": 10_000}}
 
 
-def test_a_list_of_the_configuration_has_no_age_until_discovery_confirms_it() -> None:
+def test_configured_list_has_no_age_until_discovery_confirms_it() -> None:
     lease = ListLease(version=41)
     assert lease.log_fields(5 * S) == {"list_origin": "configuration", "list_version": 41, "list_age_ms": -1}
     lease.renew(5 * S, 43)
     assert lease.log_fields(7 * S) == {"list_origin": "discovery", "list_version": 43, "list_age_ms": 2_000}
 
 
-def test_figures_tell_the_lists_version_and_age_and_each_reason() -> None:
+def test_metrics_report_list_version_and_age_and_counts_per_reason() -> None:
     metrics = Metrics(("lookup",))
     metrics.list_lease = ListLease()
     metrics.list_lease.renew(S, 43)
@@ -37,25 +37,25 @@
         assert line in lines
 
 
-def test_each_attempt_and_refusal_of_the_program_is_logged_with_its_list() -> None:
-    async def play(here: Town) -> str:
-        clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=3)
+def test_program_logs_list_version_per_attempt_and_reason_per_rejection() -> None:
+    async def generate_load(setup: Town) -> str:
+        clients = Clients(setup.site, lambda: setup.program.listen, setup.journal, seed=3)
         await clients.play([Tenant("one", 40.0)], 1.0)
-        metrics = (await here.program.call("GET", "/ops/stats"))[1]
+        metrics = (await setup.program.call("GET", "/ops/stats"))[1]
         assert "app.list.version:1|g" in metrics and "app.sends.discovery:" in metrics
-        return here.program.log.read_text()
+        return setup.program.log.read_text()
 
     async def run() -> str:
-        async with town(workers=1, slots=1, operator=DEBUG) as here:
-            return await play(here)
+        async with town(workers=1, slots=1, operator=DEBUG) as setup:
+            return await generate_load(setup)
 
     text = asyncio.run(run())
     sent = [line for line in text.splitlines() if "event=attempt_sent" in line]
     assert sent and all("list_version=1" in line and "list_age_ms=" in line for line in sent)
-    refused = [line for line in text.splitlines() if "event=request_rejected" in line]
-    assert refused and all(" why=" in line for line in refused)
+    rejected = [line for line in text.splitlines() if "event=request_rejected" in line]
+    assert rejected and all(" why=" in line for line in rejected)
 
 
-def test_no_address_is_given_out_twice() -> None:
-    given = [free_address() for _ in range(500)]
-    assert len(set(given)) == len(given)
+def test_free_address_returns_each_address_once() -> None:
+    addresses = [free_address() for _ in range(500)]
+    assert len(set(addresses)) == len(addresses)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""A planned restart under clients that go on sending on every connection that stays open."""
+"""SIGTERM while clients keep sending requests on persistent connections."""
 
 import asyncio
 import signal
@@ -10,10 +10,10 @@
 
 
 class Client:
-    """One connection on which requests follow each other until it is closed."""
+    """Sends requests one after another on one connection until the scheduler closes it."""
 
-    def __init__(self, number: int, seen: Counter[str]) -> None:
-        self.number, self.seen = number, seen
+    def __init__(self, number: int, outcomes: Counter[str]) -> None:
+        self.number, self.outcomes = number, outcomes
         self.served = asyncio.Event()
 
     async def run(self, listen: str) -> None:
@@ -22,45 +22,46 @@
         count = 0
         while True:
             count += 1
-            name = f"c{self.number}-{count}"
+            request_id = f"c{self.number}-{count}"
             writer.write(
                 b"POST /member-lookup HTTP/1.1\r\nHost: x\r\nX-Request-ID: %b\r\n"
-                b"X-Priority-Class: member-lookup\r\nContent-Length: 0\r\n\r\n" % name.encode()
+                b"X-Priority-Class: member-lookup\r\nContent-Length: 0\r\n\r\n" % request_id.encode()
             )
             try:
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
             except (asyncio.IncompleteReadError, ConnectionError):
-                self.seen["closed unanswered"] += 1
+                self.outcomes["closed unanswered"] += 1
                 break
             length = int(head.split(b"content-length:")[1].split(b"\r\n")[0])
             await reader.readexactly(length)
-            self.seen[head.split()[1].decode()] += 1
+            self.outcomes[head.split()[1].decode()] += 1
             if b"connection: close" in head:
-                self.seen["told to close"] += 1
+                self.outcomes["connection: close"] += 1
                 break
             if head.split()[1] == b"200":
                 self.served.set()
         writer.close()
 
 
-async def _restart(here: Town) -> tuple[Counter[str], int]:
-    seen: Counter[str] = Counter()
-    clients = [Client(number, seen) for number in range(CONNECTIONS)]
-    running = [asyncio.create_task(c.run(here.program.listen)) for c in clients]
+async def _terminate_under_load(setup: Town) -> tuple[Counter[str], int]:
+    """Send SIGTERM once each client has had a 200; return the outcomes and the program's exit code."""
+    outcomes: Counter[str] = Counter()
+    clients = [Client(number, outcomes) for number in range(CONNECTIONS)]
+    running = [asyncio.create_task(c.run(setup.program.listen)) for c in clients]
     async with asyncio.timeout(60):
         await asyncio.gather(*(c.served.wait() for c in clients))
-        here.program.signal(signal.SIGTERM)
+        setup.program.signal(signal.SIGTERM)
         await asyncio.gather(*running)
-        assert here.program.process
-        return seen, await here.program.process.wait()
+        assert setup.program.process
+        return outcomes, await setup.program.process.wait()
 
 
-def test_whatever_clients_send_after_sigterm_is_answered_and_each_connection_told_to_close() -> None:
-    async def play() -> None:
-        async with town(workers=6, slots=16) as here:
-            seen, code = await _restart(here)
+def test_requests_after_sigterm_are_answered_and_each_connection_gets_connection_close() -> None:
+    async def run() -> None:
+        async with town(workers=6, slots=16) as setup:
+            outcomes, code = await _terminate_under_load(setup)
         assert code == 0
-        assert seen["closed unanswered"] == 0 and seen["told to close"] == CONNECTIONS, seen
-        assert seen["200"] >= 2 * CONNECTIONS - seen["503"], seen
+        assert outcomes["closed unanswered"] == 0 and outcomes["connection: close"] == CONNECTIONS, outcomes
+        assert outcomes["200"] >= 2 * CONNECTIONS - outcomes["503"], outcomes
 
-    asyncio.run(play())
+    asyncio.run(run())
