--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -552,11 +552,11 @@
     try:
         player.workers("w2 w1", "")
         player.limits('{"sockets": 64}', "")
-        player.at = player.ports["s"].getsockname()
-        player.run()
+        player.scheduler_address = player.ports["s"].getsockname()
+        player.configure_and_start()
         discovery_address = player.ports["d"].getsockname()
-        assert player.quiet
-        player.quiet.stop()
+        assert player.unchanged_discovery
+        player.unchanged_discovery.stop()
         player.ports["d"].close()
         player.log("watch_lost", "")
         player.crowd("100", "")
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,42 +1,55 @@
-"""Plays the recorded exchanges of tests/exchanges/ against the started program, over loopback.
-
-The player takes the part of clients (connections named c1, c2 ...), endpoints (w1.1 is the first connection
-that w1 gets) and discovery (d.1; e.1 at the address that a reload names). A file holds steps, each with the
-bytes of a message below it:
-
-    workers w1 w2           the list known at the start; an endpoint called down-* refuses connections,
-                            one called full-* lets none come up until `admit`, *-t is in townsville
-    set {...} / limits {..} changes to the settings, and the limits
-    send NAME / expect NAME a message, with Content-Length filled in; * in an expected line is anything
-    close NAME / closed NAME / admit WORKER / none WORKER (no connection has come) / log EVENT [PAIR]
-    raw NAME COUNT JSON     text that is no message, so many times
-    crowd COUNT [ops] [JSON]  so many connections (to operators) that say this once, or nothing, and stay
-    reload TEXT             the configuration file gets these changes, or text that is no JSON; SIGHUP
-    term / exit CODE        SIGTERM, and the end of the program
-    file NAME TEXT          what a file in $TMPDIR holds
-    operator JSON           the operators' file; while the program runs: it is replaced, and SIGHUP
-    spoil NAME              a folder there in its place
-    drip                    from here on each byte that is sent is a write of its own
-    inherit                 the listening socket is the player's, and passed on; then also:
-    signal NAME             a signal, such as KILL or STOP
-    replace                 a second process; `call`, `term`, `exit` mean that one then, with `old` the first
-    call STATUS METHOD PATH [BODY]  an operator's call, and lines of its answer; its connection ends
-
-and short forms of the messages that served.txt spells out:
-
-    job C CLASS ID TIMEOUT  a client's request
-    take W.N ID [STATUS]    the endpoint gets it (and answers)
-    event W ID STATE [TEXT] the endpoint's call about it, answered 204
-    answer C STATUS [BODY]  what the client gets
-    jobs C COUNT ...        so many clients C1, C2 ... that each send a job of an id of the same name
-    answers C COUNT STATUS  what each of them gets
-    until LINE              the newest process's figures come to hold this line
-
-A program sends nothing before discovery has confirmed its list. Where no step plays discovery, the player
-answers each watch with an empty line, "nothing has changed", and repeats it; a step that does may send one as
-``send d.1`` with nothing below it.
-
-``{w1}`` stands for an endpoint's address. Waiting is always for bytes, a log line or an end.
+"""Plays the scripted exchanges of tests/exchanges/ against the running program, over loopback.
+
+The player acts as the clients (connections named c1, c2 ...), the worker endpoints (w1.1 is the first
+connection to w1) and discovery (d.1; e.1 at the address that a reload configures). A file consists of steps;
+the lines below a step are its message. Steps of the set-up and of connections:
+
+    workers w1 w2           configure the endpoint list; an endpoint down-* refuses connections, one full-*
+                            has a full listen queue until `admit`, and one *-t is in the zone townsville
+    set JSON / limits JSON  change the settings, or set the limits
+    send NAME               send a message, with `Content-Length: *` filled in
+    expect NAME             receive a message; * in an expected line matches any text
+    close NAME              close the connection
+    closed NAME             wait until the program closes the connection
+    admit WORKER            empty the listen queue of a worker full-*
+    none WORKER             check that no connection is waiting at the worker
+    log EVENT [PAIR]        wait for a log line with this event and this KEY=VALUE pair
+    raw NAME COUNT JSON     send a JSON string's text, which need not be a message, COUNT times
+    crowd COUNT [ops] [JSON]  open COUNT connections, to the operators' address with `ops`; each sends the
+                            text once, or nothing, and stays open
+    drip                    from this step on, send each byte in a separate write
+
+Steps of the process:
+
+    reload TEXT             apply JSON changes to the configuration file, or replace it by malformed text, and
+                            send SIGHUP
+    term                    send SIGTERM and wait until the program drains
+    exit CODE               wait until the program exits with this code
+    file NAME TEXT          check the content of a file in $TMPDIR
+    operator JSON           write the operators' file, and send SIGHUP if the program runs
+    spoil NAME              create a folder in the place of a file
+    inherit                 let the player create the listening socket and pass it to each process
+    signal NAME             send a signal, such as KILL or STOP
+    replace                 start a second process; `call`, `term`, `exit` and `signal` then apply to it, and
+                            with `old` before their arguments to the first
+    call STATUS METHOD PATH [BODY]  send an operator's call and check its status and lines of its answer; the
+                            program closes the connection
+    until LINE              poll the newest process's metrics until they contain this line
+
+Short forms of the messages that served.txt spells out:
+
+    job C CLASS ID TIMEOUT  the client sends a request
+    take W.N ID [STATUS]    the endpoint receives the attempt, and answers it if a status is given
+    event W ID STATE [TEXT] the endpoint reports a job event, which is answered with 204
+    answer C STATUS [BODY]  the client receives this answer
+    jobs C COUNT CLASS TIMEOUT  the clients C1, C2 ... each send a job with the client's name as its id
+    answers C COUNT STATUS  each of these clients receives an answer with this status
+
+The program sends nothing to workers before discovery has confirmed its list. Unless a step uses d.1, the
+player answers each watch with an empty line, which means "nothing has changed", and repeats that line. In a
+file that uses d.1, ``send d.1`` without a message below it sends an empty line.
+
+``{w1}`` is replaced by the address of the endpoint. Every wait is for bytes, a log line, a metric or an exit.
 """
 
 import contextlib
@@ -63,14 +76,14 @@
 
 ROOT = Path(__file__).parent.parent
 FILES = sorted((ROOT / "tests" / "exchanges").glob("*.txt"))
-WORDS = (
+STEP_NAMES = (
     "workers|set|limits|send|raw|crowd|expect|close|closed|admit|none|log|reload|term|exit|job|take|event|answer|call|file"
     "|inherit|replace|signal|spoil|drip|operator|jobs|answers|until"
 )
-STEP = re.compile(rf"^({WORDS})\b ?(.*)$")
-PATIENCE_S = 10
-UNCHANGED = b"1\r\n\n\r\n"  # an empty line of a watch, as a chunk
-UNCHANGED_EVERY_S = 2.0
+STEP = re.compile(rf"^({STEP_NAMES})\b ?(.*)$")
+STEP_TIMEOUT_S = 10
+EMPTY_LINE = b"1\r\n\n\r\n"  # an empty line of a watch, as a chunk
+EMPTY_LINE_INTERVAL_S = 2.0
 SETTINGS: dict[str, Any] = {
     "areas": ["brisbane", "townsville"],
     "shapes": ["std-8", "slow-8"],
@@ -93,8 +106,8 @@
 }  # fmt: skip
 
 
-class QuietDiscovery:
-    """Answers each watch with the word that nothing has changed, again and again; on a thread of its own."""
+class UnchangedDiscovery:
+    """Sends an empty line ("nothing has changed") to each watch periodically, on its own thread."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -104,22 +117,22 @@
         self.thread.start()
 
     def _serve(self) -> None:
-        said = time.monotonic()
+        last_sent = time.monotonic()
         while not self.stopping.is_set():
             with contextlib.suppress(OSError):
                 if select.select([self.sock], [], [], 0.02)[0]:
                     watch = self.sock.accept()[0]
                     watch.makefile("rb").readline()
-                    watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + UNCHANGED)
+                    watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EMPTY_LINE)
                     self.watches.append(watch)
-            if time.monotonic() - said >= UNCHANGED_EVERY_S:
-                said = time.monotonic()
+            if time.monotonic() - last_sent >= EMPTY_LINE_INTERVAL_S:
+                last_sent = time.monotonic()
                 for watch in self.watches:
-                    with contextlib.suppress(OSError):  # the program has left it
-                        watch.sendall(UNCHANGED)
+                    with contextlib.suppress(OSError):  # the program has closed this watch
+                        watch.sendall(EMPTY_LINE)
 
     def stop(self) -> None:
-        """Discovery goes down: its watches end, and nobody answers any more."""
+        """Close all watches and answer no further calls."""
         self.stopping.set()
         self.thread.join()
         for watch in self.watches:
@@ -128,12 +141,13 @@
 
 def listener() -> socket.socket:
     sock = socket.socket()
-    # Discovery comes back on a port that has old watches.
+    # A restarted discovery binds a port on which connections of earlier watches remain.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # The program binds some of these only after they are closed here: nobody else may get them meanwhile.
+    # The program binds some of these ports after the player has closed them, and no other process may get
+    # them in between; `free_address` sees to that.
     host, _, port = free_address().rpartition(":")
     sock.bind((host, int(port)))
-    sock.settimeout(PATIENCE_S)
+    sock.settimeout(STEP_TIMEOUT_S)
     return sock
 
 
@@ -150,10 +164,10 @@
 
 
 class Connection:
-    """One side of a connection; reads whole messages."""
+    """The player's side of a connection, which reads complete HTTP messages."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(STEP_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock, self.file = sock, sock.makefile("rb")
 
@@ -175,14 +189,14 @@
         self.peers: dict[str, Connection] = {}
         self.settings: dict[str, Any] = json.loads(json.dumps(SETTINGS))
         self.programs: list[subprocess.Popen[str]] = []
-        self.passed: tuple[int, ...] = ()
-        self.dripping = False
-        self.quiet: QuietDiscovery | None = None  # where no step plays discovery
-        self.plays_discovery = False
-        self.begun = threading.Event()  # the newest process takes clients
-        self.ops: list[tuple[str, int]] = []
-        self.given: dict[str, int] = {}
-        self.logged: queue.Queue[str] = queue.Queue()
+        self.inherited_fds: tuple[int, ...] = ()
+        self.sends_single_bytes = False
+        self.unchanged_discovery: UnchangedDiscovery | None = None  # if no step acts as discovery
+        self.steps_act_as_discovery = False
+        self.accepts_clients = threading.Event()  # set once the newest process accepts clients
+        self.ops_addresses: list[tuple[str, int]] = []  # of each process, in order of their start
+        self.configured_limits: dict[str, int] = {}
+        self.log_lines: queue.Queue[str] = queue.Queue()
         self.ports["d"].listen()
         self.ports["e"].listen()
 
@@ -198,31 +212,31 @@
         merge(self.settings, json.loads(changes))
 
     def limits(self, limits: str, block: str) -> None:
-        self.given = json.loads(limits)
+        self.configured_limits = json.loads(limits)
 
     def drip(self, _: str, block: str) -> None:
-        self.dripping = True
+        self.sends_single_bytes = True
 
     def operator(self, text: str, block: str) -> None:
         (self.folder / "operator.json").write_text(text)
         if self.programs:
             self.programs[-1].send_signal(signal.SIGHUP)
 
-    def jobs(self, words: str, block: str) -> None:
-        client, count, job_class, timeout = words.split()
+    def jobs(self, arguments: str, block: str) -> None:
+        client, count, job_class, timeout = arguments.split()
         for number in range(1, int(count) + 1):
             self.job(f"{client}{number} {job_class} {client}{number} {timeout}", block)
 
-    def answers(self, words: str, block: str) -> None:
-        client, count, status = words.split()
+    def answers(self, arguments: str, block: str) -> None:
+        client, count, status = arguments.split()
         for number in range(1, int(count) + 1):
             self.answer(f"{client}{number} {status}", block)
 
     def inherit(self, _: str, block: str) -> None:
         self.ports["s"].listen(64)
-        self.passed = (self.ports["s"].fileno(),)
+        self.inherited_fds = (self.ports["s"].fileno(),)
 
-    def run(self) -> None:
+    def configure_and_start(self) -> None:
         entry = {"machineType": "std-8", "lifecycle": "active"}
         zones = {name: "townsville" if name.endswith("-t") else "brisbane" for name in self.ports}
         known = [
@@ -230,16 +244,16 @@
             for name, sock in self.ports.items()
             if name not in "desop"
         ]
-        listen = f"127.0.0.1:{self.at[1]}"
+        listen = f"127.0.0.1:{self.scheduler_address[1]}"
         config: dict[str, Any] = {
             "name": "n1", "listen": listen, "discovery": address(self.ports["d"]), "seed": "7",
             "known": {"generation": 41, "reset": True, "instances": known}, "settings": self.settings,
-            "limits": self.given,
+            "limits": self.configured_limits,
         }  # fmt: skip
         self.config = config
-        if not self.plays_discovery:
-            self.quiet = QuietDiscovery(self.ports["d"])
-        if not self.passed:
+        if not self.steps_act_as_discovery:
+            self.unchanged_discovery = UnchangedDiscovery(self.ports["d"])
+        if not self.inherited_fds:
             self.ports["s"].close()
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
@@ -250,120 +264,120 @@
         env |= {"TMPDIR": str(self.folder), "GW_OPS": address(self.ports[ops])}
         if (self.folder / "operator.json").exists():
             env["GW_OPERATOR"] = str(self.folder / "operator.json")
-        if self.passed:
-            env["GW_SOCKET_FD"] = str(self.passed[0])
-        self.ops.append(self.ports[ops].getsockname())
+        if self.inherited_fds:
+            env["GW_SOCKET_FD"] = str(self.inherited_fds[0])
+        self.ops_addresses.append(self.ports[ops].getsockname())
         self.ports[ops].close()
         program = subprocess.Popen(
             [sys.executable, "-m", "robinhill"], env=env, cwd=ROOT, text=True, stderr=subprocess.PIPE,
-            pass_fds=self.passed,
+            pass_fds=self.inherited_fds,
         )  # fmt: skip
         self.programs.append(program)
-        self.begun.clear()
-        self.ports[ops] = listener()  # for a later one
-        if sockets := self.given.get("sockets"):
+        self.accepts_clients.clear()
+        self.ports[ops] = listener()  # for a process that is started later
+        if sockets := self.configured_limits.get("sockets"):
             resource.prlimit(program.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
         threading.Thread(target=self._read_log, args=(program,), daemon=True).start()
-        if not self.plays_discovery:
+        if not self.steps_act_as_discovery:
             self.log("started", "")
 
     def replace(self, _: str, block: str) -> None:
         self.start("p")
 
-    def which(self, words: str) -> tuple[int, str]:
-        """The process that a step means, and the rest of its words."""
-        old = words.startswith("old")
-        return (0 if old else len(self.programs) - 1), words.removeprefix("old").strip()
+    def select_process(self, arguments: str) -> tuple[int, str]:
+        """Return the index of the process that a step applies to, and the remaining arguments."""
+        old = arguments.startswith("old")
+        return (0 if old else len(self.programs) - 1), arguments.removeprefix("old").strip()
 
     def _read_log(self, program: subprocess.Popen[str]) -> None:
         assert program.stderr
         for line in program.stderr:
             if "event=started" in line:
-                self.begun.set()
-            self.logged.put(line)
+                self.accepts_clients.set()
+            self.log_lines.put(line)
 
     def peer(self, name: str) -> Connection:
         if name not in self.peers:
             if "." in name:
                 self.peers[name] = Connection(self.ports[name.split(".")[0]].accept()[0])
             else:
-                self.peers[name] = Connection(socket.create_connection(self.at))
+                self.peers[name] = Connection(socket.create_connection(self.scheduler_address))
         return self.peers[name]
 
-    def fill(self, text: str) -> str:
+    def substitute_addresses(self, text: str) -> str:
         for name, sock in self.ports.items():
             text = text.replace(f"{{{name}}}", address(sock) if sock.fileno() >= 0 else "")
         return text
 
     def send(self, name: str, block: str) -> None:
-        head, _, body = self.fill(block).partition("\n\n")
+        head, _, body = self.substitute_addresses(block).partition("\n\n")
         if "Content-Length: *" in head:
             head = head.replace("Content-Length: *", f"Content-Length: {len(body)}")
         data = head.replace("\n", "\r\n") + "\r\n\r\n" + body
-        if "HTTP" not in block:  # a body by itself, or a line of a watch as a chunk
+        if "HTTP" not in block:  # a body without a head, or a line of a watch to send as a chunk
             line = head + "\n"
             data = f"{len(line):x}\r\n{line}\r\n" if name.startswith(("d.", "e.")) else head
-        sock, whole = self.peer(name).sock, data.encode().replace(b"{byte}", b"\xff")
-        size = 1 if self.dripping else len(whole)
-        for start in range(0, len(whole), size):
-            sock.sendall(whole[start : start + size])
+        sock, message = self.peer(name).sock, data.encode().replace(b"{byte}", b"\xff")
+        size = 1 if self.sends_single_bytes else len(message)
+        for start in range(0, len(message), size):
+            sock.sendall(message[start : start + size])
 
     def expect(self, name: str, block: str) -> None:
-        got, wanted = self.peer(name).message(), self.fill(block)
-        lines = list(zip(got.split("\n"), wanted.split("\n"), strict=False))
-        same = got.count("\n") == wanted.count("\n") and all(fnmatchcase(a, b) for a, b in lines)
-        assert same, f"{name}: got\n{got}\n\nwanted\n{wanted}"
-
-    def job(self, words: str, block: str) -> None:
-        client, job_class, wire_id, timeout = words.split()
-        head = f"POST /{job_class}/x HTTP/1.1\nHost: s\nX-Request-ID: {wire_id}\nX-Timeout: {timeout}\n"
+        received, expected = self.peer(name).message(), self.substitute_addresses(block)
+        lines = list(zip(received.split("\n"), expected.split("\n"), strict=False))
+        same = received.count("\n") == expected.count("\n") and all(fnmatchcase(a, b) for a, b in lines)
+        assert same, f"{name} received\n{received}\n\nexpected\n{expected}"
+
+    def job(self, arguments: str, block: str) -> None:
+        client, job_class, request_id, timeout = arguments.split()
+        head = f"POST /{job_class}/x HTTP/1.1\nHost: s\nX-Request-ID: {request_id}\nX-Timeout: {timeout}\n"
         head += "".join(f"{line}\n" for line in block.split("\n") if line)
         self.send(client, head + f"X-Priority-Class: {job_class}\nContent-Length: *\n\nwork")
 
-    def take(self, words: str, block: str) -> None:
-        name, wire_id, *status = words.split()
-        head = f"POST /*/x HTTP/1.1\nHost: {{{name.split('.')[0]}}}\nX-Request-ID: {wire_id}\n"
+    def take(self, arguments: str, block: str) -> None:
+        name, request_id, *status = arguments.split()
+        head = f"POST /*/x HTTP/1.1\nHost: {{{name.split('.')[0]}}}\nX-Request-ID: {request_id}\n"
         self.expect(name, head + "X-Priority-Class: *\nX-Timeout: *u\nContent-Length: 4\n\nwork")
         if status:
             extra = "".join(f"{x.replace(':', ': ')}\n" for x in status[1:])
             self.send(name, f"HTTP/1.1 {status[0]} X\n{extra}Content-Length: 0")
 
-    def event(self, words: str, block: str) -> None:
-        source, wire_id, state, *text = words.split()
-        body = json.dumps({"id": wire_id, "from": source, "state": state, "result": "".join(text)})
+    def event(self, arguments: str, block: str) -> None:
+        source, request_id, state, *text = arguments.split()
+        body = json.dumps({"id": request_id, "from": source, "state": state, "result": "".join(text)})
         self.send("events", f"POST /v1/job-events HTTP/1.1\nHost: x\nContent-Length: *\n\n{body}")
         self.expect("events", "HTTP/1.1 204 No Content")
 
-    def answer(self, words: str, block: str) -> None:
-        name, status, *body = words.split()
-        got = self.peer(name).message().split("\n")
-        assert got[0].split()[1] == status and (not body or got[-1] == body[0]), got
+    def answer(self, arguments: str, block: str) -> None:
+        name, status, *body = arguments.split()
+        received = self.peer(name).message().split("\n")
+        assert received[0].split()[1] == status and (not body or received[-1] == body[0]), received
         for line in filter(None, block.split("\n")):
-            assert any(fnmatchcase(x, line) for x in got), f"no {line} in {got}"
+            assert any(fnmatchcase(x, line) for x in received), f"no line matches {line!r} in {received}"
 
-    def file(self, words: str, block: str) -> None:
-        name, _, text = words.partition(" ")
+    def file(self, arguments: str, block: str) -> None:
+        name, _, text = arguments.partition(" ")
         assert (self.folder / name).read_text() == text
 
     def spoil(self, name: str, block: str) -> None:
         (self.folder / name).mkdir()
 
-    def call(self, words: str, block: str) -> None:
-        which, words = self.which(words)
-        status, method, path, *body = words.split()
-        peer = self.peers["call"] = Connection(socket.create_connection(self.ops[which]))
+    def call(self, arguments: str, block: str) -> None:
+        index, arguments = self.select_process(arguments)
+        status, method, path, *body = arguments.split()
+        peer = self.peers["call"] = Connection(socket.create_connection(self.ops_addresses[index]))
         text = "".join(body)
         self.send("call", f"{method} {path} HTTP/1.1\nHost: s\nContent-Length: *\n\n{text}")
         self.answer(f"call {status}", block)
         assert peer.file.read() == b""
 
     def until(self, line: str, block: str) -> None:
-        end, got = time.monotonic() + PATIENCE_S, ""
-        while line not in got.split("\n"):
-            assert time.monotonic() < end, f"no {line} in {got}"
-            peer = Connection(socket.create_connection(self.ops[-1]))
+        deadline, metrics = time.monotonic() + STEP_TIMEOUT_S, ""
+        while line not in metrics.split("\n"):
+            assert time.monotonic() < deadline, f"no line {line!r} in the metrics:\n{metrics}"
+            peer = Connection(socket.create_connection(self.ops_addresses[-1]))
             peer.sock.sendall(b"GET /ops/stats HTTP/1.1\r\nHost: s\r\n\r\n")
-            got = peer.message()
+            metrics = peer.message()
             peer.file.close()
             peer.sock.close()
 
@@ -385,67 +399,69 @@
         self.ports[name].setblocking(False)
         with pytest.raises(BlockingIOError):
             self.ports[name].accept()
-        self.ports[name].settimeout(PATIENCE_S)
+        self.ports[name].settimeout(STEP_TIMEOUT_S)
 
-    def log(self, words: str, block: str) -> None:
-        event, _, pair = words.partition(" ")
-        seen: list[str] = []
-        until = time.monotonic() + PATIENCE_S  # lines that come every now and then must not prolong it
-        while not seen or f"event={event}" not in seen[-1] or pair not in seen[-1]:
+    def log(self, arguments: str, block: str) -> None:
+        event, _, pair = arguments.partition(" ")
+        lines: list[str] = []
+        deadline = time.monotonic() + STEP_TIMEOUT_S  # other log lines must not extend the wait
+        while not lines or f"event={event}" not in lines[-1] or pair not in lines[-1]:
             try:
-                seen.append(self.logged.get(timeout=max(0.0, until - time.monotonic())))
+                lines.append(self.log_lines.get(timeout=max(0.0, deadline - time.monotonic())))
             except queue.Empty:
-                pytest.fail(f"no {words} in the log: {seen}")
+                pytest.fail(f"no log line with {arguments!r} within {STEP_TIMEOUT_S} s: {lines}")
 
-    def raw(self, words: str, block: str) -> None:
-        name, count, text = words.split(" ", 2)
+    def raw(self, arguments: str, block: str) -> None:
+        name, count, text = arguments.split(" ", 2)
         self.peer(name).sock.sendall(json.loads(text).encode() * int(count))
 
-    def crowd(self, words: str, block: str) -> None:
-        count, _, text = words.partition(" ")
+    def crowd(self, arguments: str, block: str) -> None:
+        count, _, text = arguments.partition(" ")
         ops = text.startswith("ops")
         for _ in range(int(count)):
             name = f"crowd{len(self.peers)}"
             if ops:
-                self.peers[name] = Connection(socket.create_connection(self.ops[-1]))
+                self.peers[name] = Connection(socket.create_connection(self.ops_addresses[-1]))
             self.raw(f"{name} 1 {text.removeprefix('ops').strip() or json.dumps('')}", "")
 
     def reload(self, text: str, block: str) -> None:
         path = self.folder / "config.json"
-        path.write_text(json.dumps(self.config | json.loads(self.fill(text))) if "{" in text else text)
+        path.write_text(
+            json.dumps(self.config | json.loads(self.substitute_addresses(text))) if "{" in text else text
+        )
         self.programs[-1].send_signal(signal.SIGHUP)
 
-    def term(self, words: str, block: str) -> None:
-        self.programs[self.which(words)[0]].send_signal(signal.SIGTERM)
+    def term(self, arguments: str, block: str) -> None:
+        self.programs[self.select_process(arguments)[0]].send_signal(signal.SIGTERM)
         self.log("draining", "")
 
-    def signal(self, words: str, block: str) -> None:
-        which, name = self.which(words)
-        self.programs[which].send_signal(signal.Signals[f"SIG{name}"])
+    def signal(self, arguments: str, block: str) -> None:
+        index, name = self.select_process(arguments)
+        self.programs[index].send_signal(signal.Signals[f"SIG{name}"])
 
-    def exit(self, words: str, block: str) -> None:
-        which, code = self.which(words)
-        assert self.programs[which].wait(PATIENCE_S) == int(code)
+    def exit(self, arguments: str, block: str) -> None:
+        index, code = self.select_process(arguments)
+        assert self.programs[index].wait(STEP_TIMEOUT_S) == int(code)
 
     def play(self, text: str) -> None:
-        self.at = self.ports["s"].getsockname()
-        self.plays_discovery = "d.1" in text
+        self.scheduler_address = self.ports["s"].getsockname()
+        self.steps_act_as_discovery = "d.1" in text
         steps: list[tuple[str, str, list[str]]] = []
         for line in text.splitlines():
             if found := STEP.match(line):
                 steps.append((found[1], found[2], []))
             elif steps and not line.startswith("#"):
                 steps[-1][2].append(line)
-        for word, argument, block in steps:
-            if not self.programs and word not in ("workers", "set", "limits", "inherit", "operator"):
-                self.run()
-            if self.programs and word != "log" and not argument.startswith(("d.", "e.")):
-                assert self.begun.wait(PATIENCE_S), "it does not take clients"
-            getattr(self, word)(argument, "\n".join(block).strip("\n"))
+        for step, argument, block in steps:
+            if not self.programs and step not in ("workers", "set", "limits", "inherit", "operator"):
+                self.configure_and_start()
+            if self.programs and step != "log" and not argument.startswith(("d.", "e.")):
+                assert self.accepts_clients.wait(STEP_TIMEOUT_S), "the newest process does not accept clients"
+            getattr(self, step)(argument, "\n".join(block).strip("\n"))
 
     def stop(self) -> None:
-        if self.quiet:
-            self.quiet.stop()
+        if self.unchanged_discovery:
+            self.unchanged_discovery.stop()
         for peer in self.peers.values():
             peer.file.close()
             peer.sock.close()
@@ -458,9 +474,9 @@
 
 @pytest.fixture
 def player(tmp_path: Path) -> Iterator[Player]:
-    made = Player(tmp_path)
-    yield made
-    made.stop()
+    player = Player(tmp_path)
+    yield player
+    player.stop()
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda f: f.stem)
