--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -29,7 +29,7 @@
 from .test_exchanges import Connection as Peer
 from .test_exchanges import Player
 
-STEP_TIMEOUT_S = 5.0
+TEST_TIMEOUT_S = 5.0
 JOB = b"POST /x HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\n\r\nwork"
 
 
@@ -62,7 +62,7 @@
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Run the event loop until socket events make ``condition`` true."""
-        async with asyncio.timeout(STEP_TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0)
 
@@ -86,7 +86,7 @@
 
 def run(scenario: Callable[[], Awaitable[None]]) -> None:
     async def run_with_timeout() -> None:
-        async with asyncio.timeout(STEP_TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await scenario()
 
     asyncio.run(run_with_timeout())
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -142,7 +142,7 @@
         self.writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 
 
-class World:
+class Environment:
     """Workers, discovery, and the folder and listening socket that the schedulers under test share."""
 
     def __init__(self, folder: Path) -> None:
@@ -332,8 +332,8 @@
 
 
 @asynccontextmanager
-async def world(folder: Path, workers: int = 1, settings: Json | None = None) -> AsyncIterator[World]:
-    env = World(folder)
+async def world(folder: Path, workers: int = 1, settings: Json | None = None) -> AsyncIterator[Environment]:
+    env = Environment(folder)
     merge(env.settings, settings or {})
     await env.prepare(workers)
     try:
@@ -352,9 +352,9 @@
 def test_successor_that_exits_during_a_hand_over_leaves_the_other_requests_with_the_predecessor(
     acknowledged: bool, tmp_path: Path
 ) -> None:
-    """The successor exits before or after it acknowledges the first request, so that one fails.
+    """The successor exits with a request in transit, after it has acknowledged none or one before it.
 
-    The predecessor completes the requests that it has not sent yet.
+    The requests that were sent to the successor fail; the predecessor completes the others.
     """
 
     async def scenario() -> None:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -28,7 +28,8 @@
     file NAME TEXT          check the content of a file in $TMPDIR
     operator JSON           write the operators' file, and send SIGHUP if the program runs
     spoil NAME              create a folder in the place of a file
-    inherit                 let the player create the listening socket and pass it to each process
+    inherit                 let the player create the listening socket and pass it to each process, as
+                            `replace` requires
     signal NAME             send a signal, such as KILL or STOP
     replace                 start a second process; `call`, `term`, `exit` and `signal` then apply to it, and
                             with `old` before their arguments to the first
@@ -353,7 +354,7 @@
         received = self.peer(name).message().split("\n")
         assert received[0].split()[1] == status and (not body or received[-1] == body[0]), received
         for line in filter(None, block.split("\n")):
-            assert any(fnmatchcase(x, line) for x in received), f"no line matches {line!r} in {received}"
+            assert any(fnmatchcase(x, line) for x in received), f"no line matches {line} in {received}"
 
     def file(self, arguments: str, block: str) -> None:
         name, _, text = arguments.partition(" ")
@@ -374,7 +375,7 @@
     def until(self, line: str, block: str) -> None:
         deadline, metrics = time.monotonic() + STEP_TIMEOUT_S, ""
         while line not in metrics.split("\n"):
-            assert time.monotonic() < deadline, f"no line {line!r} in the metrics:\n{metrics}"
+            assert time.monotonic() < deadline, f"the metrics lack {line} in {metrics}"
             peer = Connection(socket.create_connection(self.ops_addresses[-1]))
             peer.sock.sendall(b"GET /ops/stats HTTP/1.1\r\nHost: s\r\n\r\n")
             metrics = peer.message()
@@ -409,7 +410,7 @@
             try:
                 lines.append(self.log_lines.get(timeout=max(0.0, deadline - time.monotonic())))
             except queue.Empty:
-                pytest.fail(f"no log line with {arguments!r} within {STEP_TIMEOUT_S} s: {lines}")
+                pytest.fail(f"no log line has {arguments}: {lines}")
 
     def raw(self, arguments: str, block: str) -> None:
         name, count, text = arguments.split(" ", 2)
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -1,5 +1,4 @@
-"""A scheduler that starts, or resumes after a pause, with an outdated endpoint list sends nothing to workers
-that were removed or drained in the meantime.
+"""A scheduler that starts or resumes with an outdated endpoint list sends nothing to removed workers.
 
 The program runs as a separate process, on loopback. Discovery withholds its responses until the program
 has provably acted without them, so no test depends on timing. A process that was not running can't know when
@@ -25,7 +24,7 @@
 LOAD = [Tenant("one", 60.0)]
 KINDS = (JobKind("member-lookup", 10, 200, 2.5, 8_000),)
 REMOVED_WORKERS = ("w0", "w1")  # drained or removed while the program is stopped or can't read the change
-SERVE_WITHOUT_LIST_S = 3.0  # time in which a process might start to serve without discovery's response
+SERVE_WITHOUT_LIST_S = 3.0  # time for a new process to stop waiting for discovery and accept requests
 SEEDS = itertools.count(3)  # request ids derive from the seed, so each run of the clients gets a new one
 SUBSCRIBE, PUSH = {"discovery": "subscribe"}, {"discovery": "automatic"}
 
