--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -332,7 +332,11 @@
 
 
 @asynccontextmanager
-async def world(folder: Path, workers: int = 1, settings: Json | None = None) -> AsyncIterator[Environment]:
+async def world(
+    folder: Path,
+    workers: int = 1,
+    settings: Json | None = None,
+) -> AsyncIterator[Environment]:
     env = Environment(folder)
     merge(env.settings, settings or {})
     await env.prepare(workers)
