--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -15,7 +15,7 @@
 import aiohttp
 import pytest
 
-from robinhill.checker.journal import What
+from robinhill.checker.journal import EventType
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
@@ -34,7 +34,12 @@
     """Start a site and run clients until its program has sent requests to each worker."""
     async with town(Site(kinds=KINDS, changes=dict(changes)), workers=4) as setup:
         await run_clients(setup, 1.0)
-        assert {e.worker for e in setup.journal.events if e.what is What.SENT} == {"w0", "w1", "w2", "w3"}
+        assert {e.worker for e in setup.journal.events if e.what is EventType.SENT} == {
+            "w0",
+            "w1",
+            "w2",
+            "w3",
+        }
         yield setup
 
 
@@ -64,7 +69,8 @@
 
 def sent_to_removed(setup: Town, since: float) -> int:
     return sum(
-        e.what is What.SENT and e.worker in REMOVED_WORKERS and e.at > since for e in setup.journal.events
+        e.what is EventType.SENT and e.worker in REMOVED_WORKERS and e.at > since
+        for e in setup.journal.events
     )
 
 
@@ -186,7 +192,7 @@
             statuses = await run_clients(setup, 1.0)
             assert sent_to_removed(setup, expired) == 0 and set(statuses) == {503}
             setup.discovery.torn = False
-            while not any(e.what is What.SENT and e.at > expired for e in setup.journal.events):
+            while not any(e.what is EventType.SENT and e.at > expired for e in setup.journal.events):
                 await run_clients(setup, 0.2)
                 assert time.monotonic() - expired < 10
             assert set(await run_clients(setup, 1.0)) == {200}
