--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -51,25 +51,25 @@
     def __init__(self, workers: list[api.Worker] | int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1_000 * S
         self.balancer = Balancer(settings(**changes), seed)
-        self.first = self.balancer.start(self.now)
+        self.start_actions = self.balancer.start(self.now)
         self.jobs = 0
         if isinstance(workers, int):
             workers = [api.Worker(f"w{i}") for i in range(workers)]
-        self.listed(api.ListKind.CACHED, *workers)
+        self.update_list(api.ListKind.CACHED, *workers)
 
-    def do(self, event: api.Event, after_us: int = 0) -> list[api.Action]:
+    def handle(self, event: api.Event, after_us: int = 0) -> list[api.Action]:
         self.now += after_us
         return self.balancer.handle(self.now, event)
 
-    def listed(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
-        return self.do(api.WorkersListed(kind, list(workers)))
+    def update_list(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
+        return self.handle(api.WorkersListed(kind, list(workers)))
 
-    def ask(self, after_us: int = 0, left_us: int = 5 * S, **values: Any) -> list[api.Action]:
+    def submit(self, after_us: int = 0, left_us: int = 5 * S, **values: Any) -> list[api.Action]:
         self.jobs += 1
         job_class = values.pop("job_class", 0)
-        return self.do(api.Arrived(api.Request(self.jobs, job_class, left_us, **values)), after_us)
+        return self.handle(api.Arrived(api.Request(self.jobs, job_class, left_us, **values)), after_us)
 
-    def end(
+    def end_attempt(
         self,
         job: int,
         outcome: api.Outcome = api.Outcome.COMPLETED,
@@ -78,15 +78,15 @@
         after_us: int = 0,
     ) -> list[api.Action]:
         final = outcome is api.Outcome.COMPLETED
-        return self.do(api.AttemptEnded(job, attempt, outcome, took_us, final), after_us)
+        return self.handle(api.AttemptEnded(job, attempt, outcome, took_us, final), after_us)
 
 
-def only(actions: list[api.Action], kind: type) -> list[Any]:
+def of_type(actions: list[api.Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
 def sent_to(actions: list[api.Action]) -> str:
-    (send,) = only(actions, api.Send)
+    (send,) = of_type(actions, api.Send)
     address: str = send.address
     return address
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -11,7 +11,7 @@
 from robinhill import api
 from robinhill.logic import Balancer
 
-from .conftest import MS, S, only, settings
+from .conftest import MS, S, of_type, settings
 
 START = 1_000 * S
 SEND_TO_START_US = 5 * MS  # delay from the send of a job to its start at the worker
@@ -29,7 +29,7 @@
     waited_us: int  # from the send to the start of the job
 
 
-def play(
+def simulate_fleet(
     nodes: int,
     workers: list[api.Worker],
     jobs_per_s: float,
@@ -75,9 +75,9 @@
         heapq.heappush(queue, (at, next(sequence), node, event))
 
     def execute(now: int, node: int, actions: list[api.Action]) -> None:
-        for timer in only(actions, api.SetTimer):
+        for timer in of_type(actions, api.SetTimer):
             schedule(now + timer.after_us, node, api.TimerFired(timer.tag))
-        for send in only(actions, api.Send):
+        for send in of_type(actions, api.Send):
             attempts[send.job] = attempt = attempts.get(send.job, -1) + 1
             outcome, took = end_attempt(send.address, now - START, rng)
             began = now
--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -455,17 +455,17 @@
     """A node with completed jobs, a running one, and one that is retried after a failed connection."""
     node = Node(3, reports_start=True)
     for _ in range(40):
-        worker = sent_to(node.ask(after_us=10 * MS))
-        node.end(node.jobs, took_us=300 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
-    node.do(api.JobStarted(_submit_job(node), 0), 20 * MS)
-    worker = sent_to(node.ask(after_us=10 * MS))
-    node.end(node.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
-    node.ask(after_us=10 * MS)
+        worker = sent_to(node.submit(after_us=10 * MS))
+        node.end_attempt(node.jobs, took_us=300 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
+    node.handle(api.JobStarted(_submit_job(node), 0), 20 * MS)
+    worker = sent_to(node.submit(after_us=10 * MS))
+    node.end_attempt(node.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
+    node.submit(after_us=10 * MS)
     return node
 
 
 def _submit_job(node: Node) -> int:
-    node.ask(after_us=10 * MS)
+    node.submit(after_us=10 * MS)
     return node.jobs
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -9,7 +9,7 @@
 from robinhill import api
 
 from .conftest import MS, S, klass, settings
-from .fleet import START, play, slow_start_use
+from .fleet import START, simulate_fleet, slow_start_use
 
 O = api.Outcome  # noqa: E741
 
@@ -65,7 +65,7 @@
         def end_attempt(worker: str, at_us: int, rng: random.Random) -> tuple[O, int]:
             return O.COMPLETED, int(self.job_length_s(rng) * S) + 1
 
-        sent = play(
+        sent = simulate_fleet(
             self.nodes, self.workers, self.rate, at_s + node_settings.slow_start_us / S, end_attempt,
             (at_s, change), self.slots, **scenario, **self.changes,
         )  # fmt: skip
--- a/tests/test_exported_state.py
+++ b/tests/test_exported_state.py
@@ -6,7 +6,7 @@
 from robinhill import api
 from robinhill.placement import exported_state
 
-from .conftest import MS, Node, only, sent_to
+from .conftest import MS, Node, of_type, sent_to
 
 
 def successor(old: Node, **changes: Any) -> Node:
@@ -22,35 +22,35 @@
 def test_successor_keeps_the_rotation_and_the_job_times() -> None:
     old = Node(3)
     for _ in range(30):
-        worker = sent_to(old.ask(after_us=10 * MS))
-        old.end(old.jobs, took_us=400 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
+        worker = sent_to(old.submit(after_us=10 * MS))
+        old.end_attempt(old.jobs, took_us=400 * MS if worker == "w0" else 40 * MS, after_us=5 * MS)
     new = successor(old)
     new.jobs = old.jobs
     for _ in range(6):
-        assert sent_to(new.ask(after_us=10 * MS)) == sent_to(old.ask(after_us=10 * MS))
+        assert sent_to(new.submit(after_us=10 * MS)) == sent_to(old.submit(after_us=10 * MS))
         for node in (new, old):
-            node.end(node.jobs, after_us=5 * MS)
+            node.end_attempt(node.jobs, after_us=5 * MS)
 
 
 def test_successor_recomputes_age_weights_of_another_version() -> None:
     """If weights of two versions were mixed, the workers weighted by one of them would get all jobs."""
     old = Node(3)
     for _ in range(400):
-        old.ask(after_us=100 * MS)
-        old.end(old.jobs, took_us=50 * MS, after_us=5 * MS)
+        old.submit(after_us=100 * MS)
+        old.end_attempt(old.jobs, took_us=50 * MS, after_us=5 * MS)
     weights = [worker.age_weight for worker in old.balancer.workers.values()]
     for worker in old.balancer.workers.values():
         worker.age_weight *= 1e6
     new = successor(old)
-    new.ask(after_us=100 * MS)
+    new.submit(after_us=100 * MS)
     for worker, weight in zip(new.balancer.workers.values(), weights, strict=True):
         assert 0.5 < worker.age_weight / weight < 2.0
 
 
 def test_successor_keeps_a_worker_ejected() -> None:
     old = Node(3)
-    worker = sent_to(old.ask(after_us=10 * MS))
-    old.end(old.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
+    worker = sent_to(old.submit(after_us=10 * MS))
+    old.end_attempt(old.jobs, api.Outcome.CONNECT_FAILED, 1 * MS)
     assert worker in old.balancer.avoided_workers(old.now)
     assert successor(old).balancer.avoided_workers(old.now) == {worker}
 
@@ -60,24 +60,24 @@
     changes: dict[str, Any] = {"reports_start": True}
     old = Node(1, **changes)
     for _ in range(3):  # each job that starts without a wait raises the concurrency limit by one
-        old.ask(after_us=10 * MS)
-        old.do(api.JobStarted(old.jobs, 0), after_us=5 * MS)
+        old.submit(after_us=10 * MS)
+        old.handle(api.JobStarted(old.jobs, 0), after_us=5 * MS)
     new = successor(old, **changes)
     for job in range(1, 4):
         exported = json.loads(json.dumps(exported_state.export_job(old.balancer, job)))
         assert not exported_state.import_job(new.balancer, new.now, exported)
     assert not old.balancer.attempts and not old.balancer.jobs and not old.balancer.workers["w0"].in_flight
     new.jobs = 3
-    assert sent_to(new.ask()) == "w0"
-    new.do(api.JobStarted(4, 0), after_us=5 * MS)
-    retries = only(new.do(api.AttemptEnded(1, 0, api.Outcome.ERROR, 50 * MS, False)), api.Send)
+    assert sent_to(new.submit()) == "w0"
+    new.handle(api.JobStarted(4, 0), after_us=5 * MS)
+    retries = of_type(new.handle(api.AttemptEnded(1, 0, api.Outcome.ERROR, 50 * MS, False)), api.Send)
     assert [send.job for send in retries] == [1]  # the job is safe to repeat, so it gets a second attempt
 
 
 def test_queued_job_is_placed_by_the_successor() -> None:
     old = Node(1, reports_start=True)
-    old.ask()  # this job has not started, so the worker has no capacity left
-    assert not only(old.ask(), api.Send)
+    old.submit()  # this job has not started, so the worker has no capacity left
+    assert not of_type(old.submit(), api.Send)
     new = successor(Node(2, reports_start=True), reports_start=True)
     exported = exported_state.export_job(old.balancer, 2)
     assert exported and sent_to(exported_state.import_job(new.balancer, new.now, exported)) in ("w0", "w1")
@@ -87,7 +87,7 @@
 def test_exported_keys_match_older_versions() -> None:
     """A value exported under a new key would be lost silently at an upgrade."""
     node = Node(1, reports_start=True)
-    node.ask()
+    node.submit()
     state = exported_state.export_state(node.balancer)
     assert set(state) == {"own", "unit", "kinds", "zones", "quick", "served", "seats"}
     own = (
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,8 +11,8 @@
 
 from robinhill import api
 
-from .conftest import MS, Node, S, klass, only
-from .fleet import START, play
+from .conftest import MS, Node, S, klass, of_type
+from .fleet import START, simulate_fleet
 
 O = api.Outcome  # noqa: E741
 WORKERS = [api.Worker(f"w{i}") for i in range(60)]
@@ -35,7 +35,7 @@
     """Each of 40 nodes sends a job to the same worker once in 30 s and learned on its own that the worker
     fails. The jobs that revealed it were charges (unsafe jobs) as often as others: 36 of 859 charges of a day
     were lost (zone+vast)."""
-    sent = play(nodes, WORKERS, 80, 30, fail_half_if_failing, classes=(SAFE, SAFE, SAFE, UNSAFE))
+    sent = simulate_fleet(nodes, WORKERS, 80, 30, fail_half_if_failing, classes=(SAFE, SAFE, SAFE, UNSAFE))
     sends = Counter((s.worker in FAILING, s.job_class == 3) for s in sent)
     unsafe = sends[True, True] / (sends[True, True] + sends[False, True])
     safe = sends[True, False] / (sends[True, False] + sends[False, False])
@@ -49,7 +49,7 @@
     A node with few jobs per worker avoids the worker after one failure."""
     sends_after_failure = {}
     for nodes in (1, 40):
-        sent = play(nodes, WORKERS[:20], 30, 40, fail_half_if_failing, classes=(SAFE,))
+        sent = simulate_fleet(nodes, WORKERS[:20], 30, 40, fail_half_if_failing, classes=(SAFE,))
         failed: set[tuple[int, str]] = set()
         later_sends: Counter[tuple[int, str]] = Counter()
         for s in sent:
@@ -66,7 +66,7 @@
     worker; the remaining workers were known but full, and 4 in 10 charges waited there (join+vast)."""
     new = [api.Worker(f"new{i}", started_us=START + 20 * S) for i in range(36)]
     removed = [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(36)]
-    sent = play(
+    sent = simulate_fleet(
         40, WORKERS, 80, 28, fail_half_if_failing, (20.0, new + removed), classes=(SAFE, SAFE, SAFE, UNSAFE)
     )
     to_new = Counter((s.worker.startswith("new"), s.job_class == 3) for s in sent if s.at_us > 20 * S)
@@ -81,7 +81,7 @@
     workers = [api.Worker(f"w{i}", zone=int(i < 21)) for i in range(60)]
     zones = [int(node < 24) for node in range(40)]
     lenient = klass(latency_objective_us=S, deadline_us=20 * S)
-    sent = play(
+    sent = simulate_fleet(
         40, workers, 120, 40, always_complete, slots=8, zones=zones,
         classes=(lenient,), cancelling=False, cross_zone_price=0.1,
     )  # fmt: skip
@@ -101,7 +101,7 @@
 
     workers = [api.Worker(f"w{i}", zone=int(i < 30)) for i in range(60)]
     zones = [int(node < 20) for node in range(40)]
-    sent = play(
+    sent = simulate_fleet(
         40, workers, 80, 30, refuse_zone, zones=zones,
         classes=(klass(latency_objective_us=S, deadline_us=20 * S),), cross_zone_price=0.1,
     )  # fmt: skip
@@ -145,24 +145,24 @@
         node.now += rng.randrange(40 * MS)
         for timer in sorted(t for t in timers if t[0] <= node.now):
             timers.remove(timer)
-            execute(node.do(api.TimerFired(timer[1])))
+            execute(node.handle(api.TimerFired(timer[1])))
         choice = rng.random()
         if choice < 0.4:
             job_class = rng.randrange(3)
-            execute(node.ask(left_us=rng.randrange(50 * MS, 3 * S), job_class=job_class))
+            execute(node.submit(left_us=rng.randrange(50 * MS, 3 * S), job_class=job_class))
         elif choice < 0.6 and (pending := [j for j in range(1, node.jobs + 1) if j not in ended]):
             ended.add(job := rng.choice(pending))
-            execute(node.do(api.ClientDisconnected(job)))
+            execute(node.handle(api.ClientDisconnected(job)))
         elif in_flight:
             key = rng.choice(sorted(in_flight))
             if rng.random() < 0.3:
-                execute(node.do(api.JobStarted(*key)))
+                execute(node.handle(api.JobStarted(*key)))
                 continue
             del in_flight[key]
             outcome = rng.choice(list(O))
             final = outcome is O.COMPLETED or key[0] in ended
             ended |= {key[0]} if final else set()
-            execute(node.do(api.AttemptEnded(*key, outcome, rng.randrange(S), final)))
+            execute(node.handle(api.AttemptEnded(*key, outcome, rng.randrange(S), final)))
     assert attempts.total() > 50 and max(answers.values()) == 1
     assert set(node.balancer.jobs) == set(range(1, node.jobs + 1)) - ended
 
@@ -172,6 +172,6 @@
     worker may run it again."""
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, memory_us=300 * MS)
     node = Node(2, classes=(keyed,), reports_start=True)
-    node.ask()
-    node.do(api.JobStarted(1, 0), MS)
-    assert only(node.end(1, O.RESET, after_us=400 * MS), api.Fail) == [api.Fail(1)]
+    node.submit()
+    node.handle(api.JobStarted(1, 0), MS)
+    assert of_type(node.end_attempt(1, O.RESET, after_us=400 * MS), api.Fail) == [api.Fail(1)]
