--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -48,7 +48,7 @@
 
 from .conftest import MS, Node, sent_to
 from .test_admission import Fleet
-from .test_endings_handover import world
+from .test_endings_handover import environment
 
 Json = dict[str, Any]
 
@@ -656,10 +656,10 @@
 @asynccontextmanager
 async def process_with_a_running_job(folder: Path, request_id: str) -> AsyncIterator[None]:
     """Run a draining scheduler with a client's job at worker w1 and its hand-over socket in ``folder``."""
-    async with world(folder) as site:
+    async with environment(folder) as site:
         process = site.scheduler()
         await process.start()
-        await site.running(process, request_id)
+        await site.run_job(process, request_id)
         drain = asyncio.create_task(process.drain())
         try:
             yield
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -264,7 +264,7 @@
         old.sock.connect(str(self.folder / "robinhill.sock"))
         return Relay(old, new, successor, start)
 
-    async def running(self, scheduler: Scheduler, request_id: str, job_class: str = NON_IDEMPOTENT) -> Client:
+    async def run_job(self, scheduler: Scheduler, request_id: str, job_class: str = NON_IDEMPOTENT) -> Client:
         """Send a request whose job the worker accepts and starts; return its client."""
         client = await self.client()
         client.send(request_id, job_class)
@@ -332,7 +332,7 @@
 
 
 @asynccontextmanager
-async def world(
+async def environment(
     folder: Path,
     workers: int = 1,
     settings: Json | None = None,
@@ -362,12 +362,12 @@
     """
 
     async def scenario() -> None:
-        async with world(tmp_path, settings={"policy-limits": {"most-tries": 1}}) as env:
+        async with environment(tmp_path, settings={"policy-limits": {"most-tries": 1}}) as env:
             old = env.scheduler()
             await old.start()
-            first = await env.running(old, "j1")
-            second = await env.running(old, "j2")
-            third = await env.running(old, "j3")
+            first = await env.run_job(old, "j1")
+            second = await env.run_job(old, "j2")
+            third = await env.run_job(old, "j3")
             new = await env.successor()
             drain = asyncio.create_task(old.drain())
             adopt = await new.receive_question("adopt")
@@ -398,10 +398,10 @@
     last_question: str, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             budget = old.inbound._listener.budget
             new = PeerProcess(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
             new.sock.connect(str(env.folder / "robinhill.sock"))
@@ -426,7 +426,7 @@
     last_question: str, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
             relay = await env.relay()
@@ -442,7 +442,7 @@
             assert relay.scheduler.inbound._listener.budget == relay.scheduler.config.client_sockets()
             env.schedulers.remove(old)
             await old.close()  # leaves the successor alone at the address
-            client = await env.running(relay.scheduler, "j1")
+            client = await env.run_job(relay.scheduler, "j1")
             assert await env.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
 
@@ -455,10 +455,10 @@
     """The predecessor can't receive the successor's acknowledgement any more."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             relay = await env.relay()
             new = await relay.take_over()
             drain = asyncio.create_task(old.drain())
@@ -482,10 +482,10 @@
     """The successor receives the final event before the request, and asks the predecessor about it."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             relay = await env.relay()
             new = await relay.take_over()
             drain = asyncio.create_task(old.drain())
@@ -507,10 +507,10 @@
 
 def test_predecessor_forwards_a_worker_event_on_a_request_in_transit(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             caller = await env.client()
             # The answer shows that the predecessor has accepted this connection.
             caller.writer.write(b"GET /none HTTP/1.1\r\nHost: s\r\n\r\n")
@@ -540,10 +540,10 @@
     """The worker's event precedes the release in the endpoint's mailbox."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             new = await env.successor()
             old.dispatcher.tell(JobEvent("j1", "w1", JobState.DONE, result="one"))
             async with asyncio.timeout(STEP_TIMEOUT_S):
@@ -561,10 +561,10 @@
     state: str, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with world(tmp_path, workers=2) as env:
+        async with environment(tmp_path, workers=2) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             source = next(n for n, e in old.dispatcher.table.endpoints.items() if "j1" in e.attempts)
             relay = await env.relay()
             new = await relay.take_over()
@@ -592,7 +592,7 @@
     """The request uses a connection too young to be closed; everything else has been handed over."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
             client = await env.client()
@@ -631,10 +631,10 @@
 
 def test_successor_that_starts_after_sigterm_receives_the_pending_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             drain = asyncio.create_task(old.drain())
             await until(lambda: old.inbound.rejects_new_requests)
             relay = await env.relay()
@@ -654,10 +654,10 @@
     """Both processes shut down; the predecessor answers each of its pending requests once."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             relay = await env.relay()
             new = await relay.take_over()
             new.inbound.shutting_down = True
@@ -685,10 +685,10 @@
     """The release gets a negative reply, and the request is sent to another worker."""
 
     async def scenario() -> None:
-        async with world(tmp_path, workers=2) as env:
+        async with environment(tmp_path, workers=2) as env:
             old = env.scheduler()
             await old.start()
-            await env.running(old, "j1")
+            await env.run_job(old, "j1")
             endpoint = next(e for e in old.dispatcher.table.endpoints.values() if "j1" in e.attempts)
             removed = replace(endpoint.destination, lifecycle=Lifecycle.REMOVED)
             old.dispatcher.tell(EndpointListReceived(EndpointList(42, False, (removed,))))
@@ -716,7 +716,7 @@
     """Discovery doesn't answer the successor, which sends requests all the same as the lease is valid."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
             env.discovery_answers.clear()
@@ -737,7 +737,7 @@
     monkeypatch.setattr(scheduler, "MAX_LIST_WAIT_S", 0.05)
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
             env.discovery_answers.clear()
@@ -759,10 +759,10 @@
     """A step of an hour between the two starts made each deadline handed over expired or an hour away."""
 
     async def scenario() -> None:
-        async with world(tmp_path) as env:
+        async with environment(tmp_path) as env:
             old = env.scheduler()
             await old.start()
-            client = await env.running(old, "j1")
+            client = await env.run_job(old, "j1")
             stepped = time.time_ns() + 3_600_000_000_000
             monkeypatch.setattr(time, "time_ns", lambda: stepped)
             relay = await env.relay()
