--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -154,10 +154,9 @@
     network = leased_network(3, 3, on_lost=Mode.SERVE)
     primary = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != primary)
-    observer_progress = network.voter(other).observer_progress
-    incarnation = network.processes["s0000"].incarnation
-    observer_progress.joined(network.mono_us(other), "s0000", incarnation, 0, 999)
-    observer_progress.link_lost("s0000", 999)
+    progress, incarnation = network.voter(other).observer_progress, network.processes["s0000"].incarnation
+    progress.joined(network.mono_us(other), "s0000", incarnation, 0, 999)
+    progress.link_lost("s0000", 999)
     change = network.write("v00", CORDON, "c")
     network.run(SECOND // 2)
     assert change.lagging_names == ("s0000",)
@@ -168,12 +167,11 @@
     network = leased_network(3, 3, on_lost=Mode.SERVE)
     primary = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != primary)
-    observer_progress = network.voter(other).observer_progress
-    incarnation = network.processes["s0000"].incarnation
+    progress, incarnation = network.voter(other).observer_progress, network.processes["s0000"].incarnation
     network.leave("s0000")
     network.run(SECOND)
-    observer_progress.joined(network.mono_us(other), "s0000", incarnation, 0, 999)
-    observer_progress.link_lost("s0000", 999)
+    progress.joined(network.mono_us(other), "s0000", incarnation, 0, 999)
+    progress.link_lost("s0000", 999)
     change = network.write("v00", CORDON, "c")
     wait_until_in_force(network, change, network.bound_us + 2 * SECOND)
 
