--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -1,4 +1,4 @@
-"""Links as state machines, over channels that lose, double, delay and reorder frames. Time is simulated."""
+"""Sessions of two peers on a simulated link that may lose, repeat, delay and reorder frames."""
 
 import heapq
 import random
@@ -29,8 +29,8 @@
 
 
 @dataclass
-class Side:
-    """One end: its copy, its session, and what its sessions told."""
+class Peer:
+    """One end of the link: its replica, its session, and the events of its session."""
 
     name: str
     replica: Replica
@@ -38,19 +38,24 @@
     events: list[Event] = field(default_factory=list)
 
 
-class Channel:
-    """Two ends and what is between them. ``fault``: chance that a frame is lost, doubled, or late."""
+class SimulatedLink:
+    """Two peers and the frames in flight between them.
 
-    def __init__(self, seed: int, lost: float = 0.0, delay_us: int = MS, records: int = 0) -> None:
+    ``fault_rate``: the probability that a frame is lost, and the probability that it is sent twice; if it
+    isn't 0, a third of the frames is also delayed to three times ``delay_us``. ``records``: the number of
+    records that each peer stores at the start.
+    """
+
+    def __init__(self, seed: int, fault_rate: float = 0.0, delay_us: int = MS, records: int = 0) -> None:
         self.random = random.Random(seed)
-        self.lost, self.delay_us = lost, delay_us
+        self.fault_rate, self.delay_us = fault_rate, delay_us
         self.now = S
-        self.wire: list[tuple[int, int, int, bytes]] = []
-        self.order = 0
-        self.bytes = [0, 0]
-        self.cut = self.lying = False
-        self.kept: dict[tuple[int, int], dict[Any, Any]] = {}  # what an end knew as a ping came
-        self.sides: list[Side] = []
+        self.in_flight: list[tuple[int, int, int, bytes]] = []
+        self.frame_number = 0
+        self.sent_bytes = [0, 0]
+        self.cut = self.allow_missing = False
+        self.stored_at_ping: dict[tuple[int, int], dict[Any, Any]] = {}  # by receiver and ping number
+        self.peers: list[Peer] = []
         for index, name in enumerate("ab"):
             replica = Replica(name, 1 + index, [kind()])
             for n in range(records):
@@ -58,165 +63,167 @@
             freshness = Freshness(name, "ab", S)
             freshness.caught_up = True
             own = Identity("test", name, 1, ("a", "b"))
-            self.sides.append(Side(name, replica, Session(own, replica, freshness, index == 0, 100 * MS)))
+            self.peers.append(Peer(name, replica, Session(own, replica, freshness, index == 0, 100 * MS)))
 
-    def write(self, side: int, key: str, number: int) -> None:
-        self.sides[side].replica.write(UNIX + self.now, "number", key, number)
+    def write(self, peer: int, key: str, number: int) -> None:
+        self.peers[peer].replica.write(UNIX + self.now, "number", key, number)
 
-    def run(self, us: int, writes: float = 0.0) -> None:
-        """Let so much time pass; ``writes``: chance of a write at either side each millisecond."""
-        end = self.now + us
-        while self.now < end:
-            for index, side in enumerate(self.sides):
-                if self.random.random() < writes:
+    def run(self, duration_us: int, write_rate: float = 0.0) -> None:
+        """Advance the time. ``write_rate``: the probability of a write at each peer in each millisecond."""
+        end_us = self.now + duration_us
+        while self.now < end_us:
+            for index, peer in enumerate(self.peers):
+                if self.random.random() < write_rate:
                     self.write(index, f"w{self.random.randrange(50)}", self.random.randrange(10**6))
-                while (frame := side.session.draw(UNIX + self.now, self.now)) is not None:
-                    self._carry(index, frame)
+                while (frame := peer.session.draw(UNIX + self.now, self.now)) is not None:
+                    self._transmit(index, frame)
             self.now += MS
-            while self.wire and self.wire[0][0] <= self.now:
-                _, _, to, frame = heapq.heappop(self.wire)
-                self._deliver(to, frame)
-
-    def _carry(self, sender: int, frame: bytes) -> None:
-        self.bytes[sender] += len(frame)
-        for _ in range(1 + (self.random.random() < self.lost)):
-            if not self.cut and self.random.random() >= self.lost:
-                self.order += 1
-                late = self.delay_us * self.random.choice((1, 1, 3)) if self.lost else self.delay_us
-                heapq.heappush(self.wire, (self.now + late, self.order, 1 - sender, frame))
-
-    def _deliver(self, to: int, frame: bytes) -> None:
-        side = self.sides[to]
-        for read in frames.decode_message(frame):
-            if isinstance(read, Ping):
-                self.kept.setdefault((to, read.number), {r.name: r for r in side.replica.snapshot()})
-        for event in side.session.receive(UNIX + self.now, self.now, frame):
-            side.events.append(event)
-            if isinstance(event, PingAnswered) and not self.lying:  # then all that the other knew is here
-                for name, record in self.kept[1 - to, event.number].items():
-                    mine = side.replica.record(*name)
-                    assert mine and mine.stamp >= record.stamp, (name, self.now)
+            while self.in_flight and self.in_flight[0][0] <= self.now:
+                _, _, receiver, frame = heapq.heappop(self.in_flight)
+                self._deliver(receiver, frame)
+
+    def _transmit(self, sender: int, frame: bytes) -> None:
+        self.sent_bytes[sender] += len(frame)
+        for _ in range(1 + (self.random.random() < self.fault_rate)):
+            if not self.cut and self.random.random() >= self.fault_rate:
+                self.frame_number += 1
+                delay_us = self.delay_us * self.random.choice((1, 1, 3)) if self.fault_rate else self.delay_us
+                heapq.heappush(self.in_flight, (self.now + delay_us, self.frame_number, 1 - sender, frame))
+
+    def _deliver(self, receiver: int, frame: bytes) -> None:
+        peer = self.peers[receiver]
+        for message in frames.decode_message(frame):
+            if isinstance(message, Ping):
+                self.stored_at_ping.setdefault(
+                    (receiver, message.number), {r.name: r for r in peer.replica.snapshot()}
+                )
+        for event in peer.session.receive(UNIX + self.now, self.now, frame):
+            peer.events.append(event)
+            if isinstance(event, PingAnswered) and not self.allow_missing:
+                # The sender of the ping must now have all records that the other peer had when it arrived.
+                for name, record in self.stored_at_ping[1 - receiver, event.number].items():
+                    stored = peer.replica.record(*name)
+                    assert stored and stored.stamp >= record.stamp, (name, self.now)
 
     @property
     def equal(self) -> bool:
-        one, other = (s.replica.digest(UNIX + self.now) for s in self.sides)
+        one, other = (s.replica.digest(UNIX + self.now) for s in self.peers)
         return one == other
 
-    def answers(self, side: int) -> int:
-        return sum(isinstance(e, PingAnswered) for e in self.sides[side].events)
+    def answered_pings(self, peer: int) -> int:
+        return sum(isinstance(e, PingAnswered) for e in self.peers[peer].events)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_copies_converge_and_pongs_are_truthful_over_a_bad_link(seed: int) -> None:
-    link = Channel(seed, lost=0.3, delay_us=20 * MS, records=300)
-    link.run(6 * S, writes=0.05)
-    assert link.answers(0) > 5 and link.answers(1) > 5
+def test_replicas_converge_and_pongs_confirm_all_records_over_a_faulty_link(seed: int) -> None:
+    link = SimulatedLink(seed, fault_rate=0.3, delay_us=20 * MS, records=300)
+    link.run(6 * S, write_rate=0.05)
+    assert link.answered_pings(0) > 5 and link.answered_pings(1) > 5
     link.run(3 * S)
     assert link.equal
-    assert all(s.session.confirmed_cursor == s.replica.head for s in link.sides)
+    assert all(s.session.confirmed_cursor == s.replica.head for s in link.peers)
 
 
-def test_an_idle_link_pushes_a_change_at_once_and_confirms_it() -> None:
-    link = Channel(1)
+def test_a_change_on_an_idle_link_is_pushed_within_1_ms_and_confirmed_within_60_ms() -> None:
+    link = SimulatedLink(1)
     link.run(S)
     link.write(0, "x", 1)
     link.run(MS)
     assert link.equal
-    head = link.sides[0].replica.head
-    assert link.sides[0].session.confirmed_cursor < head
+    head = link.peers[0].replica.head
+    assert link.peers[0].session.confirmed_cursor < head
     link.run(60 * MS)
-    assert link.sides[0].session.confirmed_cursor == head
+    assert link.peers[0].session.confirmed_cursor == head
 
 
 def test_records_the_peer_has_are_not_pushed() -> None:
-    link = Channel(2, records=2000)
+    link = SimulatedLink(2, records=2000)
     link.run(2 * S)
     assert link.equal
-    assert [s.session.sender.pushed for s in link.sides] == [2000, 2000]
-    assert (
-        sum(s.session.sender.skipped for s in link.sides) == 3999
-    )  # of number 0 each had its own; one is enough
-    before = sum(link.bytes)
+    assert [s.session.sender.pushed for s in link.peers] == [2000, 2000]
+    # The key "0" is written at both peers, and one of the two records need not be skipped.
+    assert sum(s.session.sender.skipped for s in link.peers) == 3999
+    before = sum(link.sent_bytes)
     link.run(ROUND_INTERVAL_US)
-    assert sum(link.bytes) - before < 20_000
+    assert sum(link.sent_bytes) - before < 20_000
 
 
 def test_anti_entropy_pushes_only_missing_records() -> None:
-    near = Channel(3, records=3000)
-    near.run(2 * S)
-    near.write(0, "late", 1)
-    replica = near.sides[1].replica
-    near.sides[1].session = Session(
+    link = SimulatedLink(3, records=3000)
+    link.run(2 * S)
+    link.write(0, "late", 1)
+    replica = link.peers[1].replica
+    link.peers[1].session = Session(
         Identity("test", "b", 1, ("a", "b")), replica, Freshness("b", "ab", S), False, S
     )
-    near.sides[0].session = Session(
-        Identity("test", "a", 1, ("a", "b")), near.sides[0].replica, Freshness("a", "ab", S), True, S
+    link.peers[0].session = Session(
+        Identity("test", "a", 1, ("a", "b")), link.peers[0].replica, Freshness("a", "ab", S), True, S
     )
-    near.bytes = [0, 0]
-    near.run(S)
-    assert near.equal and near.sides[0].session.sender.pushed == 1
-    assert sum(near.bytes) < 10_000
+    link.sent_bytes = [0, 0]
+    link.run(S)
+    assert link.equal and link.peers[0].session.sender.pushed == 1
+    assert sum(link.sent_bytes) < 10_000
 
 
-def test_a_silent_reader_costs_no_memory_and_receives_the_newest_values() -> None:
-    link = Channel(4)
+def test_an_unresponsive_peer_costs_bounded_memory_and_receives_only_the_newest_values() -> None:
+    link = SimulatedLink(4)
     link.run(S)
     link.cut = True
     for number in range(20 * WINDOW_PUSHES):
         link.write(0, f"k{number % 10}", number)
         link.run(MS)
-    session = link.sides[0].session
+    session = link.peers[0].session
     assert len(session.sender.window._unconfirmed) <= WINDOW_PUSHES and len(session.sender._peer_has) == 0
     link.cut = False
-    before = link.bytes[0]
+    before = link.sent_bytes[0]
     link.run(2 * S)
-    assert link.equal and link.bytes[0] - before < 100_000
+    assert link.equal and link.sent_bytes[0] - before < 100_000
 
 
-def test_a_missed_change_is_found_by_digests() -> None:
-    """A record that came by no push: as if a bug of a peer's had left it out."""
-    link = Channel(5)
+def test_a_change_missing_from_all_pushes_is_repaired_by_anti_entropy() -> None:
+    """The sender's cursor is moved past the change, as a bug of the sender might."""
+    link = SimulatedLink(5)
     link.run(S)
     link.write(1, "lost", 7)
-    link.lying = True
-    link.sides[1].session.sender.cursor = link.sides[1].replica.head
+    link.allow_missing = True
+    link.peers[1].session.sender.cursor = link.peers[1].replica.head
     link.run(S)
     assert not link.equal
     link.run(ROUND_INTERVAL_US)
     assert link.equal
 
 
-def refusal(data: bytes, **greeting: Any) -> str:
-    side = Channel(6).sides[0]
-    if greeting:
-        side.session.receive(UNIX, S, hello(**greeting))
-    with pytest.raises(PeerRejected) as refused:
-        side.session.receive(UNIX, S, data)
-    return str(refused.value)
+def rejection_text(data: bytes, **hello_fields: Any) -> str:
+    peer = SimulatedLink(6).peers[0]
+    if hello_fields:
+        peer.session.receive(UNIX, S, hello(**hello_fields))
+    with pytest.raises(PeerRejected) as raised:
+        peer.session.receive(UNIX, S, data)
+    return str(raised.value)
 
 
 def hello(**changes: Any) -> bytes:
-    told = Hello(frames.PROTOCOL, "test", "b", 1, (), UNIX, ("a", "b"))
-    return frames.encode_message([msgspec.structs.replace(told, **changes)])
+    default = Hello(frames.PROTOCOL, "test", "b", 1, (), UNIX, ("a", "b"))
+    return frames.encode_message([msgspec.structs.replace(default, **changes)])
 
 
 def test_incompatible_peers_are_rejected_with_advice() -> None:
-    assert "installation other" in refusal(hello(installation="other"))
-    assert "protocol 99" in refusal(hello(protocol=99))
-    assert "our own name" in refusal(hello(name="a"))
-    assert "not among the peers in our configuration" in refusal(hello(name="zz"))
-    assert "second hello" in refusal(hello(incarnation=2), incarnation=1)
-    assert "can't be decoded" in refusal(b"\xc1")
-    assert "can't be decoded" in refusal(msgspec.msgpack.encode([["push", "x", 3]]))
+    assert "installation other" in rejection_text(hello(installation="other"))
+    assert "protocol 99" in rejection_text(hello(protocol=99))
+    assert "our own name" in rejection_text(hello(name="a"))
+    assert "not among the peers in our configuration" in rejection_text(hello(name="zz"))
+    assert "second hello" in rejection_text(hello(incarnation=2), incarnation=1)
+    assert "can't be decoded" in rejection_text(b"\xc1")
+    assert "can't be decoded" in rejection_text(msgspec.msgpack.encode([["push", "x", 3]]))
     short = frames.RangeDigests(1, 0, True, b"short")
-    assert "256 ranges" in refusal(frames.encode_message([short]), incarnation=1)
-    assert PeerRejected.advice in refusal(hello(protocol=99))
+    assert "256 ranges" in rejection_text(frames.encode_message([short]), incarnation=1)
+    assert PeerRejected.advice in rejection_text(hello(protocol=99))
 
 
-def test_frames_out_of_sequence_change_nothing() -> None:
-    link = Channel(7)
+def test_frames_with_invalid_numbers_change_nothing_until_too_many_pushes_are_missing() -> None:
+    link = SimulatedLink(7)
     link.run(S)
-    session, head = link.sides[0].session, link.sides[0].replica.head
+    session, head = link.peers[0].session, link.peers[0].replica.head
     for frame in (
         frames.Pong(10**9, 0, 0, (0, 0), ((-5, 1), (70, 1))), frames.PushResendRequest((-1, 5, 10**12)),
         frames.VersionsResendRequest(-1, (3, -3)), frames.VersionsResendRequest(1, (10**9,)),
@@ -224,7 +231,7 @@
         RecordVersions(1, (RangePart(3, 0, -1, ()),)), Ping(10**12, 0, 10**9), frames.MemberMessage(b""),
     ):  # fmt: skip
         session.receive(UNIX, link.now, frames.encode_message([frame]))
-    assert link.sides[0].replica.head == head
+    assert link.peers[0].replica.head == head
     link.run(S)
     link.write(1, "x", 1)
     link.run(10 * MS)
