--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -72,8 +72,8 @@
     ``rate``: the deviation of its monotonic clock in parts per million. ``tick_us``: when its next tick is
     scheduled. ``steps``: the number of calls of its state machine. ``as_of_us`` and ``keys``: the maximum
     lease time and number of records that the checks have seen. ``checked_count``: the first changes of
-    `Network.changes`, which the checks have included so far. ``missing``: those of them that the replica did
-    not yet store at the last check.
+    `Network.changes`, which the checks have included so far. ``missing``: those of them that the replica had
+    not stored at the last check.
     """
 
     name: str
@@ -425,8 +425,12 @@
             connection.delayed.append((receiver, data))
             return
         process = self.processes.get(receiver)
-        start = connection.incarnations[connection.ends.index(receiver)]
-        if process is None or process.incarnation != start or connection.number not in process.connections:
+        incarnation = connection.incarnations[connection.ends.index(receiver)]
+        if (
+            process is None
+            or process.incarnation != incarnation
+            or connection.number not in process.connections
+        ):
             return
         mono_us = process.mono_us(self.at_us)
         if data is None:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -303,8 +303,8 @@
             await s2.kill()
             status, response = await cordon(s1, "c2", target="worker/w1")
             assert status == 200 and response["in_force"]
-            # The killed scheduler could send until its lease expired: the bound after the last heartbeat reply
-            # that it received.
+            # The killed scheduler could send until its lease expired, which is the bound after the last
+            # heartbeat reply that it received.
             assert response["ms"] > bound_s * 1000 / 2
 
     asyncio.run(scenario())
@@ -453,7 +453,7 @@
         duplicate.number = 1
         with pytest.raises(RuntimeError, match=r"mesh\.voters\.v1\.address: can't listen on"):
             await duplicate.start()
-        assert duplicate.process and again.process.returncode == 2
+        assert duplicate.process and duplicate.process.returncode == 2
         assert await voter.stop() == 0
 
     asyncio.run(scenario())
