--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -231,8 +231,8 @@
 def test_scripted_faults_break_a_rule_only_with_an_injected_bug(
     scenario: Callable[[], Network], inject_bug: Bug, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    without_bug = scenario()
-    assert without_bug.broken == [] and all(change.in_force_us is not None for change in without_bug.changes)
+    network = scenario()
+    assert network.broken == [] and all(change.in_force_us is not None for change in network.changes)
     inject_bug(monkeypatch)
     assert scenario().broken != []
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -480,7 +480,7 @@
     asyncio.run(scenario())
 
 
-def test_no_control_module_is_loaded_without_a_configuration() -> None:
+def test_no_control_module_is_loaded_without_voters() -> None:
     code = (
         "import sys, robinhill.commands.run\n"
         "print([m for m in sys.modules if m.startswith("
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -239,10 +239,10 @@
         correct.merge(NOW, ahead)
     assert caught.value.stored == ahead and correct.merge(NOW, ahead) is None
     assert correct.write(NOW + 1, "long", "v", ((1,), ())).stamp.wall_us == NOW + 1
-    answer = correct.write(NOW + 2, "long", "w", ((), (1,)))
-    assert answer.stamp > ahead.stamp and answer.stamp.wall_us == ahead.stamp.wall_us
+    later = correct.write(NOW + 2, "long", "w", ((), (1,)))
+    assert later.stamp > ahead.stamp and later.stamp.wall_us == ahead.stamp.wall_us
     run_anti_entropy([fast, correct, other], NOW)
-    assert fast.record("long", "w") == other.record("long", "w") == answer
+    assert fast.record("long", "w") == other.record("long", "w") == later
 
 
 def test_a_record_stamped_too_far_ahead_is_rejected_until_it_is_within_the_limit() -> None:
