--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -16,7 +16,7 @@
 import aiohttp
 import pytest
 
-from robinhill.checker.journal import Journal, What
+from robinhill.checker.journal import EventType, Journal
 from robinhill.commands import main
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
@@ -90,7 +90,7 @@
                 async with session.post(url, data=b"work", headers=headers) as response:
                     await response.read()
         ids = {f"j{n}" for n in range(first, self.job_count)}
-        return {e.worker for e in self.journal.events if e.what is What.SENT and e.request in ids}
+        return {e.worker for e in self.journal.events if e.what is EventType.SENT and e.request in ids}
 
 
 @asynccontextmanager
