--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -152,7 +152,7 @@
         self.connections: dict[int, Connection] = {}
         self.changes: list[Change] = []
         self._by_number: dict[tuple[str, int, int], Change] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.action_counts: Counter[str] = Counter()
         self.cuts: set[frozenset[str]] = set()  # pairs of regions or processes that can't reach each other
         self._events: list[tuple[int, int, Callable[[], None]]] = []
@@ -464,7 +464,7 @@
         self._call_after(CHECK_INTERVAL_US, self._check_periodically)
 
     def check_rules(self) -> None:
-        """Append to `broken` each violation of the rules by an observer.
+        """Append to `violations` each violation of the rules by an observer.
 
         Its replica and its lease time must never move back. While its lease is valid, it must have stored
         every change that is in force or, under `hold`, was accepted longer than the bound ago.
@@ -480,7 +480,7 @@
             process.missing = [one for one in process.missing if not self.stores(process, one)]
             for change in process.missing:
                 if why := self._violated_rule(change):
-                    self.broken.append(
+                    self.violations.append(
                         f"{self.at_us}: {process.name} holds a lease but lacks {change.record.key}, {why}"
                     )
 
@@ -499,7 +499,7 @@
         as_of_us = machine.lease.as_of_us
         keys = sum(number for number, _ in process.replica.sizes().values())
         if keys < process.keys or (as_of_us is not None and as_of_us < process.as_of_us):
-            self.broken.append(f"{self.at_us}: {process.name} moved its replica or lease back in time")
+            self.violations.append(f"{self.at_us}: {process.name} moved its replica or lease back in time")
         process.keys = keys
         if as_of_us is not None:
             process.as_of_us = as_of_us
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -68,7 +68,7 @@
     network = random_faults(seed, on_lost)
     network.run_until(network.leased, 4 * SECOND)
     network.run(3 * SECOND)
-    assert network.broken == []
+    assert network.violations == []
     assert len({one.replica.digest(network.now_us) for one in network.processes.values()}) == 1
     for change in network.changes:
         owner = network.processes[change.owner]
@@ -232,9 +232,9 @@
     scenario: Callable[[], Network], inject_bug: Bug, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     network = scenario()
-    assert network.broken == [] and all(change.in_force_us is not None for change in network.changes)
+    assert network.violations == [] and all(change.in_force_us is not None for change in network.changes)
     inject_bug(monkeypatch)
-    assert scenario().broken != []
+    assert scenario().violations != []
 
 
 def test_an_observer_that_discards_its_replica_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -244,4 +244,4 @@
     network.run(SECOND)
     network.crash("v01")
     network.run(SECOND)
-    assert any("moved its replica or lease back in time" in why for why in network.broken)
+    assert any("moved its replica or lease back in time" in why for why in network.violations)
--- a/tests/test_control_growth.py
+++ b/tests/test_control_growth.py
@@ -39,7 +39,7 @@
     for second in range(MEASURED_S):
         network.write(f"v{second % voters:02}", CORDON if second % 2 else NOTE, f"k{second}")
         network.run(SECOND_US)
-    assert all(change.in_force_us is not None for change in network.changes) and network.broken == []
+    assert all(change.in_force_us is not None for change in network.changes) and network.violations == []
     bytes_and_steps = {
         process.name: (
             process.bytes_in + process.bytes_out - before[process.name][0],
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -34,7 +34,7 @@
         change = network.write(name, CORDON, f"by {name}")
         assert wait_until_in_force(network, change, SECOND) < SECOND
         assert change.accepted_us is not None and network.stored_everywhere(change)
-    assert network.broken == []
+    assert network.violations == []
 
 
 def test_observers_choose_a_voter_in_their_region_and_zone() -> None:
@@ -48,7 +48,7 @@
     network = leased_network(5, 10, regions=2, loss=0.05, bound_ms=4_000)
     changes = [network.write(f"v{i % 5:02}", CORDON, f"c{i}") for i in range(20)]
     network.run_until(lambda: all(change.in_force_us for change in changes), 4 * SECOND)
-    assert network.broken == []
+    assert network.violations == []
 
 
 # Failover
@@ -64,7 +64,7 @@
     network.run(5 * SECOND)
     assert network.action_counts["LeaseChanged"] == lease_changes and network.leased()
     assert all(network.observer(name).voter != "v01" for name in observers)
-    assert change.in_force_us is not None and network.broken == []
+    assert change.in_force_us is not None and network.violations == []
 
 
 def test_a_change_stored_only_by_an_observer_is_spread_by_its_next_voter() -> None:
@@ -81,7 +81,7 @@
     network.crash(name)
     network.heal()
     network.run(2 * SECOND)
-    assert network.stored_everywhere(change) and network.broken == []
+    assert network.stored_everywhere(change) and network.violations == []
 
 
 def test_observers_fail_over_from_a_cut_off_voter_without_losing_their_leases() -> None:
@@ -119,7 +119,7 @@
     assert (change.lagging_count, change.lagging_names) == (1, ("s0002",))
     wait_until_in_force(network, change, network.bound_us + SECOND)
     assert not network.observer("s0002").has_lease(network.mono_us("s0002"))
-    assert network.broken == []
+    assert network.violations == []
 
 
 def test_under_serve_a_cut_off_observer_lags_until_the_partition_heals() -> None:
@@ -184,7 +184,7 @@
     network.run(300_000)
     assert "voter v02" in change.lagging_names
     wait_until_in_force(network, change, network.bound_us + SECOND)
-    assert network.broken == []
+    assert network.violations == []
 
 
 # Regions that are cut off
@@ -207,7 +207,7 @@
         assert network.observer(process.name).has_lease(network.mono_us(process.name))
     network.heal()
     took_us = network.run_until(lambda: network.leased() and network.stored_everywhere(change), 4 * SECOND)
-    assert took_us < 4 * SECOND and network.broken == []
+    assert took_us < 4 * SECOND and network.violations == []
 
 
 def test_a_healed_region_reconnects_and_compares_at_most_twice_per_observer() -> None:
@@ -222,7 +222,7 @@
     network.run(2 * SECOND)
     compared = sum(network.voter(one.name).metrics.comparisons for one in network.voters()) - comparisons
     assert network.action_counts["Connect"] - connects <= 2 * 60
-    assert compared <= 2 * 60 and network.broken == []
+    assert compared <= 2 * 60 and network.violations == []
 
 
 # Changes of the voter list
@@ -259,7 +259,7 @@
     network.run_until(lambda: voter_list_settled(network, without_v00), 9 * SECOND)
     last = network.write("v03", CORDON, "last")
     wait_until_in_force(network, last)
-    assert network.stored_everywhere(last) and network.stored_everywhere(change) and network.broken == []
+    assert network.stored_everywhere(last) and network.stored_everywhere(change) and network.violations == []
 
 
 def test_a_voter_list_change_of_two_voters_or_before_the_last_one_settled_is_rejected() -> None:
@@ -284,7 +284,7 @@
     network.restart("v01")
     network.run(2 * SECOND)
     assert network.voter("v01").counts
-    assert all(network.stored_everywhere(change) for change in changes) and network.broken == []
+    assert all(network.stored_everywhere(change) for change in changes) and network.violations == []
 
 
 def test_a_change_reaches_all_observers_while_observers_restart_and_are_added() -> None:
@@ -295,7 +295,7 @@
     change = network.write("v00", CORDON, "c")
     wait_until_in_force(network, change, network.bound_us + SECOND)
     network.run_until(network.leased, 3 * SECOND)
-    assert network.stored_everywhere(change) and len(network.observers()) == 20 and network.broken == []
+    assert network.stored_everywhere(change) and len(network.observers()) == 20 and network.violations == []
 
 
 # Load
@@ -311,7 +311,7 @@
     wait_until_in_force(network, urgent)
     assert urgent.in_force_us is not None and urgent.in_force_us - urgent.requested_us < SECOND
     network.run_until(lambda: all(change.in_force_us for change in network.changes), 4 * SECOND)
-    assert network.broken == []
+    assert network.violations == []
 
 
 def test_200_changes_are_sent_in_fewer_than_20_messages_per_observer() -> None:
@@ -335,7 +335,7 @@
     assert network.changes[-1].lagging_names == ("s0001",)
     network.run(network.bound_us + SECOND)
     assert not network.observer("s0001").has_lease(network.mono_us("s0001"))
-    assert all(change.in_force_us is not None for change in network.changes) and network.broken == []
+    assert all(change.in_force_us is not None for change in network.changes) and network.violations == []
 
 
 def test_a_voter_that_rejects_a_record_lags_until_the_leases_expire() -> None:
@@ -346,14 +346,14 @@
     assert last.accepted_us is not None and last.in_force_us is None
     assert "voter v01, which refused a record" in last.lagging_names
     network.run(network.bound_us + SECOND)
-    assert last.in_force_us is not None and network.broken == []
+    assert last.in_force_us is not None and network.violations == []
 
 
 def test_a_change_that_a_majority_rejects_is_not_accepted() -> None:
     network = leased_network(3, 3, note_capacity={"v01": 2, "v02": 2})
     changes = [network.write("v00", NOTE, f"n{i}") for i in range(6)]
     network.run(5 * SECOND)
-    assert changes[-1].accepted_us is None and network.broken == []
+    assert changes[-1].accepted_us is None and network.violations == []
 
 
 def test_an_offer_rejected_by_the_voter_is_reported_with_its_name() -> None:
