--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -43,8 +43,9 @@
 
 @dataclass(slots=True, eq=False)
 class Accounts:
-    """At most ``capacity`` accounts beside the pinned ones; a newly served tenant replaces the lightest.
+    """The pinned accounts, which are never replaced, and at most ``capacity`` other accounts.
 
+    At capacity, the account of a newly served tenant replaces the one with the lowest count of served work.
     A tenant with more than 1/capacity of the served work always has an account, however many distinct tenant
     names callers send.
     """
@@ -104,10 +105,10 @@
         account.jobs += 1
 
     def admit(self, account: Account) -> Account | None:
-        """Add a new account; at capacity it replaces the lightest one, which is returned.
+        """Add a new account; at capacity it replaces the one with the lowest count, which is returned.
 
         Returns the new account itself, without adding it, if requests or promises still refer to the queue of
-        the lightest. Returns None if nothing had to be replaced.
+        the account to replace. Returns None if no account had to be replaced.
         """
         if len(self.by_tenant) - self.pinned >= self.capacity:
             lightest = self._lightest()
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -94,7 +94,7 @@
         self.accounts.capacity = options.accounts
         self.round_robin.newcomers = options.newcomers
         if len(self.shared_queues) != options.queues:
-            # Requests in the previous shared queues stay there until they are admitted or removed.
+            # Requests that are already in one of the replaced queues stay in it until admitted or removed.
             self.shared_queues = [Queue(f"shared {i}", is_shared=True) for i in range(options.queues)]
         self.limits.configure(options)
         self.apply_named_tenants()
@@ -482,8 +482,8 @@
     def _evict_newest(self, ticket: Ticket) -> bool:
         """Make room for ``ticket`` by rejecting the newest request of the longest queue.
 
-        Returns False, with nothing rejected, if that queue is not longer, for its weight, than the queue of
-        ``ticket`` would be with it.
+        Returns False, with nothing rejected, if that queue is not longer than the queue of ``ticket`` would
+        be with ``ticket`` added. Each queue's work is divided by its weight for the comparison.
         """
         longest = self._longest_queue()
         weight = self.round_robin.weight
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -38,10 +38,11 @@
 
 @dataclass(slots=True)
 class Throughput:
-    """The number of this scheduler's jobs that run concurrently, smoothed while requests are queued.
+    """The smoothed number of this scheduler's jobs that run concurrently while requests are queued.
 
     As work is measured in running time, this number is the work done per unit of time. It follows changes of
-    the fleet as soon as jobs start, whereas a completion rate would lag by the length of a job.
+    the fleet as soon as jobs start, whereas a completion rate would lag by the length of a job. While no
+    request is queued, it may rise but not fall.
     """
 
     running: int = 0
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -12,9 +12,11 @@
 from robinhill.admission.queues import ClassQueue
 
 MAX_OPEN_PROMISES = 8_192
-EXPIRE_AFTER_US = 2_000_000  # a promise expires at this time after it was due, unless the caller has returned
+EXPIRE_AFTER_US = 2_000_000  # a promise expires this long after it was due, unless the caller has returned
 MIN_WAITED_SHARE = 0.75  # a caller that returns after this share of the promised wait counts as in time
-ACCURACY_FACTOR = 2.0  # a promised wait within this factor of the needed wait counts as accurate
+# A promised wait within this factor of the needed wait counts as accurate. The needed wait is the time until
+# the queue was short enough for the caller's request, see `RetryPromises.measure`.
+ACCURACY_FACTOR = 2.0
 RETURN_SHARE_STEP = 1 / 32
 MAX_MEASUREMENTS = 256  # maximum number of concurrent measurements for each class of a queue
 
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -57,7 +57,10 @@
 
     @property
     def work_ahead_us(self) -> float:
-        """Work ahead of a request that arrives now: queued requests, and clients expected to return."""
+        """Work ahead of a request that arrives now: that of queued requests, and that of expected retries.
+
+        Clients with an open retry promise are expected to retry with the probability ``return_share``.
+        """
         return self.work_us + self.promised_us * self.return_share
 
 
@@ -245,7 +248,8 @@
     def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
         """The next request of a queue, chosen for ``job_class``.
 
-        Requests of clients that retried at their promised time come first, of whatever open class.
+        Requests of clients that retried at their promised time come first, whatever their class, if requests
+        of that class may be admitted now.
         """
         returning = next(iter(queue.returning.values()), None)
         if returning and is_open(returning.job_class):
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -23,7 +23,8 @@
 MIN_WORKER_WAIT_US = 20_000
 MIN_WORKER_WAIT_SHARE = 1 / 8
 BASE_DELAY_STEP = 0.02
-# After this time without a wait at a worker, slots grow faster: the step doubles after each half of it.
+# After this time without a wait at a worker, slots grow faster: the step doubles in each further half of this
+# time.
 FAST_GROWTH_AFTER_US = 500_000
 
 
@@ -71,7 +72,8 @@
         else:
             self.base_delay_us += BASE_DELAY_STEP * min(delay_us - self.base_delay_us, self.base_delay_us)
         if delay_us - self.base_delay_us > max(MIN_WORKER_WAIT_US, MIN_WORKER_WAIT_SHARE * cost_us):
-            # Slots far in excess of the jobs in the window have not been tried out, so they are capped first.
+            # Slots that were not occupied say nothing about the size of the fleet. They are therefore capped
+            # at a multiple of the jobs in the window before the reduction.
             self.slots = max(MIN_SIZE, min(self.slots, MAX_SLOTS_FACTOR * self.in_window) - SLOTS_PER_WAIT)
             self.last_wait_us = now
         elif others_queued and self.in_window + 1 >= int(self.slots):
--- a/robinhill/cordon/__init__.py
+++ b/robinhill/cordon/__init__.py
@@ -1,1 +1,1 @@
-"""Cordons mark workers that schedulers send no new attempts to. No input or output in this package."""
+"""Cordons mark workers that schedulers send no new attempts to. This package performs no I/O."""
--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -12,8 +12,8 @@
 
 The same evidence gives the same proposals at every scheduler. For each worker the schedulers have a different
 order: the first proposes the cordon at once, and each later one only if no earlier one has done so by its
-turn. The budget is applied by the readers of proposals, see ``budget``. No input or output. Times are Unix
-microseconds.
+turn. Each scheduler applies the budget to the proposals in its copy, see ``budget``. This module performs no
+I/O. Times are Unix microseconds.
 """
 
 import math
@@ -170,8 +170,8 @@
 ) -> tuple[tuple[str, Reason], ...]:
     """Return the automatic cordons that this scheduler should set now, as targets and reasons.
 
-    ``items`` are all cordons, by target; ``alive`` are the schedulers that may propose. There is no proposal
-    for a worker that has an automatic cordon, or that an operator lifted one from within LIFT_COOLDOWN_US.
+    ``items`` are all cordons, by target; ``alive`` are the schedulers that may propose. A worker is not
+    proposed while it has an automatic cordon, nor within LIFT_COOLDOWN_US after an operator lifted one.
     """
     options, others = options or DetectionOptions(), frozenset(alive) - {own_name}
     histories = {worker: _read_history(now_us, items.get(f"worker/{worker}")) for worker in workers}
@@ -189,7 +189,11 @@
 
 @dataclass(slots=True, frozen=True)
 class _History:
-    """Summary of a worker's automatic cordons; ``times`` counts the recent ones in a row that have ended."""
+    """Summary of a worker's automatic cordons.
+
+    ``times`` is the number of consecutive automatic cordons, the last of which ended within the past
+    REPEAT_WINDOW_US; 0 if there is none.
+    """
 
     is_active: bool
     evidence_after_us: int
@@ -313,7 +317,7 @@
 
 
 def _is_unhealthy(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
-    """Return whether half a quorum, and most of its observers, find a worker above the threshold."""
+    """Return whether half a quorum, and most of a worker's observers, find the worker above the threshold."""
     over, observers = len(evidence.over_threshold), len(evidence.observers)
     return 2 * over >= options.quorum and 2 * over > observers
 
--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -23,7 +23,9 @@
 
 MAX_TARGETS = 8_192  # 1,000 workers with eight generations of instance IDs each
 RECORD_LIFETIME_US = 30 * DAY_US  # the record of a cordon that lasts longer is renewed before it expires
-ENDED_RETENTION_US = DAY_US  # covers clock skew and the window in which repeated automatic cordons count
+# How long reasons that have ended are retained. This covers clock skew, and REPEAT_WINDOW_US, within which an
+# automatic cordon that has ended makes the next one of the worker longer.
+ENDED_RETENTION_US = DAY_US
 
 MAX_DURATION_US = 366 * DAY_US
 MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations dated further into the future are ignored
@@ -50,4 +52,5 @@
 MIN_GROUP_SIZE = 4  # the median of a smaller group is not used as a baseline
 PROPOSAL_TURN_US = SECOND_US // 2  # delay between the turns of two schedulers to propose the same cordon
 MAX_PROPOSAL_TURNS = 8  # all schedulers further back in the order share the turn after these
-REPEAT_WINDOW_US = 2 * MAX_AUTOMATIC_DURATION_US  # a cordon this soon after the last one ended lasts longer
+# An automatic cordon that begins this soon after the worker's last one ended has a longer duration.
+REPEAT_WINDOW_US = 2 * MAX_AUTOMATIC_DURATION_US
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -1,8 +1,10 @@
 """The propagation of a change of cordons: its stage, and the schedulers that have not confirmed the change.
 
-Setting a cordon passes the stages received, stored (at this process), accepted and in force. Under ``hold``
-the change is accepted once a majority of the configured schedulers holds it (the mesh counts them), under
-``serve`` as soon as it is stored here. It is in force once one of the following is true of each scheduler:
+Each scheduler runs in one of two modes (`Mode`): without a lease it sends no new attempts (``hold``), or it
+continues to send (``serve``). Setting a cordon passes the stages received, stored (at this process), accepted
+and in force. Under ``hold`` the change is accepted once a majority of the configured schedulers holds it (the
+mesh counts them), under ``serve`` as soon as it is stored here. It is in force once one of the following is
+true of each scheduler:
 
 - it has confirmed, *after its last send to the target's workers*, that it holds the change;
 - its process has ended;
@@ -17,8 +19,8 @@
 the partition. A confirmation does not count for a later process of the same scheduler, which may have lost
 its state.
 
-No input or output. Times are microseconds of this process's monotonic clock (``mono_us``) and are never
-compared with times of another process.
+This module performs no I/O. Times are microseconds of this process's monotonic clock (``mono_us``) and are
+never compared with times of another process.
 """
 
 from collections.abc import Iterable, Sequence
@@ -127,7 +129,7 @@
         self.advance(mono_us)
 
     def record_confirmation(self, mono_us: int, name: str, incarnation: int) -> None:
-        """Record that a scheduler's dispatcher applied the change and sends nothing more without it."""
+        """Record that a scheduler's dispatcher applied the change, so that all its later sends respect it."""
         if name in self._schedulers:
             known = self._confirmed_incarnations.get(name, incarnation)
             self._confirmed_incarnations[name] = max(incarnation, known)
@@ -197,9 +199,10 @@
         return confirmed is not None and confirmed >= scheduler.incarnation
 
     def _is_bound_by_lease(self, scheduler: Scheduler) -> bool:
-        """Return whether the expiry of the scheduler's lease ends its sends without the change.
+        """Return whether the scheduler can't act without the change any more once its lease has expired.
 
-        It does not for a lift, nor for a scheduler that is not known to run under ``hold``.
+        This is False for a lift, as the scheduler continues to cordon the worker after its lease has expired,
+        and for a scheduler that is not known to run under ``hold``.
         """
         return not self.is_lift and scheduler.mode is Mode.HOLD and scheduler.bound_us > 0
 
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -3,10 +3,10 @@
 A scheduler's acknowledgement (`mesh.acknowledgements`) contains digests of the cordons that its dispatcher
 has applied. Merging never removes information from a copy. A scheduler that has applied a value which this
 copy held at the change or later has therefore applied the change. A digest of a value that this copy never
-held confirms nothing. That is safe: the digests become equal once the copies are.
+held confirms nothing. That only delays a confirmation: the digests become equal once the copies are.
 
-No input or output: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of this
-process's monotonic clock.
+This module performs no I/O: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of
+this process's monotonic clock.
 """
 
 from collections import deque
@@ -175,7 +175,10 @@
     # Schedulers
 
     def record_acknowledgement(self, mono_us: int, name: str, acknowledgement: Acknowledgement) -> None:
-        """Record an acknowledgement of a peer or of this scheduler itself."""
+        """Record an acknowledgement that a peer or this scheduler itself has written.
+
+        The acknowledgement confirms the pending changes that it shows as applied.
+        """
         if name == self.own_name:
             self._confirm_changes(mono_us, name, acknowledgement)
         elif (peer := self.peers.get(name)) is not None:
@@ -215,7 +218,7 @@
         return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
 
     def lagging_peers(self, target: str) -> tuple[str, ...]:
-        """Return the names of the peers that are not known to have applied a target's cordons as held here.
+        """Return the names of the peers not known to have applied a target's cordons as this copy holds them.
 
         The names ascend. A peer that has left is not among them: it sends nothing more.
         """
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -8,7 +8,7 @@
 same time remains.
 
 Targets are 'worker/ID', 'zone/NAME', 'kind/NAME' and 'cell/NUMBER'. Times are Unix microseconds. Values are
-immutable: `set_cordon`, `lift_cordon` and `merge` return new ones. No input or output.
+immutable: `set_cordon`, `lift_cordon` and `merge` return new ones. This module performs no I/O.
 """
 
 import re
@@ -38,7 +38,7 @@
 
     @property
     def writer(self) -> tuple[str, int]:
-        """The process that wrote: its scheduler's name and its incarnation."""
+        """The process that made this write: the name of its scheduler, and its incarnation."""
         return self.origin, self.incarnation
 
     def __str__(self) -> str:
@@ -84,7 +84,7 @@
 
     @property
     def writer(self) -> tuple[str, int]:
-        """The process that wrote: its scheduler's name and its incarnation."""
+        """The process that made the writes: the name of its scheduler, and its incarnation."""
         return self.origin, self.incarnation
 
 
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -1,5 +1,6 @@
-"""The HTTP server for clients' jobs, the front's readiness checks and workers' callbacks, on one address.
+"""The HTTP server for clients' jobs, readiness checks and workers' callbacks, on one address.
 
+The readiness checks are sent by the *front*, the load balancer that distributes clients over the schedulers.
 The server decodes requests, passes them on, and writes the final answer to each; it makes no decisions about
 jobs. While a successor process takes over, it hands connections with pending requests to that process.
 """
@@ -78,7 +79,7 @@
         self.superseded = False  # another process accepts connections instead of this one
         self.pending: dict[Connection, _PendingRequest] = {}
         self.shutting_down = False  # each response closes its connection
-        self.rejects_new_requests = False  # new requests are rejected
+        self.rejects_new_requests = False
         self.pending_count = 0
         self.none_pending = asyncio.Event()
         self.none_pending.set()
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -87,7 +87,9 @@
                 return reject(request, 413, too_large)  # before the body is read
             if request.headers.get("Expect", "").lower() == "100-continue":
                 await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                request.writer.output_size = 0  # aiohttp must not consider the response itself as started
+                # Otherwise aiohttp would count these bytes as a part of the response, and refuse to send an
+                # error response later.
+                request.writer.output_size = 0
             return await self.handler(request)
         except protocol.MalformedError as e:
             return reject(request, 400, str(e))
@@ -139,7 +141,7 @@
             connection.close_gracefully(CloseReason.SHUTDOWN)
 
     async def drain(self) -> None:
-        """Close idle connections, wait for pending work up to ``DRAIN_TIMEOUT_S``, then `close`."""
+        """Close idle connections, wait for pending work up to ``DRAIN_TIMEOUT_S``, then call `close`."""
         started = last_pending = self._loop.time()
         while True:
             if self._socket and self.accepting:
@@ -218,9 +220,8 @@
         evicted = [c for (rank, _), c in ranked[:ACCEPT_BATCH_CONNECTIONS] if rank < EvictionRank.TOO_YOUNG]
         only_served = bool(ranked) and ranked[0][0][0] is EvictionRank.IDLE_SERVED
         if not evicted and not self._connecting and only_served:
-            evicted = [
-                c for _, c in ranked[:1]
-            ]  # only while none is being accepted, as such a connection may stay silent and is evicted first
+            # Not while a connection is being accepted: that one may stay silent, and is then evicted first.
+            evicted = [c for _, c in ranked[:1]]
         for connection in evicted:
             connection.drop()
         return bool(evicted)
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -44,7 +44,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def record_start(self, name: str, incarnation: int) -> None:
-        """Include the start of a peer in the next acknowledgements, as long as it is a recent one."""
+        """Include a peer's start in the next acknowledgements, while it is among the most recent starts."""
         self._peer_starts.pop(name, None)
         self._peer_starts[name] = incarnation
         if len(self._peer_starts) > acknowledgements.MAX_RECENT_CHANGES:
@@ -93,7 +93,7 @@
             self._timer = None
 
     def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
-        """Return the digests of the last changed targets; empty if changes are not applied yet."""
+        """Return the digests of the last changed targets; empty until all changes are applied."""
         applied = self.tracker.applied
         if applied_digest != applied.combined:
             return ()
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -168,7 +168,10 @@
     # Events from peers, handled at once
 
     def receive_records(self, received: RecordsReceived) -> None:
-        """Apply records that were received from a peer and are already in the replica."""
+        """Update the tracker, the index and the dispatcher for records received from a peer.
+
+        The replica already contains the records.
+        """
         log_rejected(received.rejected)
         if sum([self._apply(record) for record in received.records]):
             self._update()
@@ -229,7 +232,7 @@
         self._write_acknowledgement(left=True)
 
     def status(self) -> StatusReply:
-        """Return the status of this copy, for operators and for the comparison of copies."""
+        """Return the status of this scheduler's copy, for operators and for the comparison of copies."""
         return self._report.status(mono_us(), serving=self.serving)
 
     def metrics(self) -> list[str]:
@@ -245,7 +248,7 @@
     # Changes of the shared state
 
     def _apply(self, record: Record) -> bool:
-        """Apply one record of the replica. Returns whether the record is about cordons."""
+        """Pass one record of the replica on to the tracker. Returns whether the record is about cordons."""
         if record.kind == value.NAME:
             self.tracker.record_value(record.key, record.value)
             return True
--- a/robinhill/net/cordons/catch_up.py
+++ b/robinhill/net/cordons/catch_up.py
@@ -14,8 +14,8 @@
 class CatchUp:
     """The catch-up phase of a scheduler.
 
-    ``serving``: this scheduler accepts clients. ``duration_us``: the time from the start until then; None
-    before.
+    ``serving``: this scheduler accepts clients. ``duration_us``: the time from the start of the phase until
+    the scheduler accepted clients; None before that.
     """
 
     def __init__(self, fleet: Fleet, tracker: PropagationTracker, started_us: int) -> None:
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -152,7 +152,8 @@
     def _write(self, change: PendingChange, values: dict[str, CordonSet]) -> None:
         for target, new in values.items():
             number, _, actions = self.writer.write(self.clock.now_us(), mono_us(), value.NAME, target, new)
-            self.changes.track(change, number)  # must come first, as an action may report progress at once
+            # Tracked before the actions are performed, as one of them may report the change's progress.
+            self.changes.track(change, number)
             self.perform(actions)
         for number in self.changes.abandon_excess():
             self.abandon(number)
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -15,7 +15,7 @@
 
 
 class PeerListTransition:
-    """Ends the transition in ``freshness`` once all schedulers have agreed on the list for the bound."""
+    """Ends the transition in ``freshness`` once all schedulers have used the list for the bound's length."""
 
     def __init__(self, fleet: Fleet, freshness: Freshness, tracker: PropagationTracker) -> None:
         self.fleet = fleet
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -1,8 +1,8 @@
 """Changes of cordons that were requested at a member of the control group, and the progress of each.
 
 A change is *accepted* once it can no longer be lost, and *in force* once no scheduler can act without it. It
-is written as one record for each of its targets. A progress report refers to a record by its number.
-No sockets.
+is written as one record for each of its targets. A progress report refers to a record by its number. This
+module performs no I/O.
 """
 
 from collections.abc import Collection, Iterable
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -30,7 +30,10 @@
         self.clock = clock
 
     def status(self, mono_us: int, *, serving: bool) -> StatusReply:
-        """Return the status of this scheduler's copy, with the copy's digest only while it serves."""
+        """Return the status of this scheduler's copy of the shared state.
+
+        The copy's digest is included only if the scheduler accepts clients (``serving``).
+        """
         age_us = self.freshness.age_us(mono_us)
         return StatusReply(
             name=self.fleet.own_name,
--- a/robinhill/net/discovery/__init__.py
+++ b/robinhill/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch on the endpoint list of discovery, and catching up with its messages after a stall."""
+"""The watch on discovery's endpoint list, and the handling of its backlog after a stall of this process."""
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -16,7 +16,8 @@
 # Iterations of the event loop that received data needs from the kernel to the dispatcher's mailbox, also on
 # a connection that has not been accepted yet.
 READ_ITERATIONS = 10
-WRITE_ITERATIONS = 4  # that a message needs from the dispatcher's mailbox to the endpoint actors
+# Iterations of the event loop that a message needs from the dispatcher's mailbox to the endpoint actors.
+WRITE_ITERATIONS = 4
 MAX_ITERATIONS = 10_000  # a peer that sends without end must not delay this process forever
 
 
--- a/robinhill/net/dispatcher/admission_messages.py
+++ b/robinhill/net/dispatcher/admission_messages.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionTimerDue:
-    """The time has come at which admission control asked to be called."""
+    """The timer for the next ``tick`` of admission control has expired."""
 
 
 AdmissionMessage = (
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -464,7 +464,7 @@
     def _refresh_workers(self) -> None:
         """Pass the workers to the decision module as a cached list.
 
-        It would take a list of changes for one from discovery, and would stop polling.
+        The decision module would regard a list of changes as one from discovery, and would stop polling.
         """
         self._decide(api.WorkersListed(api.ListKind.CACHED, self.table.workers()))
 
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -129,7 +129,10 @@
         return endpoint
 
     def retire(self, instance_id: str) -> None:
-        """Close the endpoint of a removed worker and drop both entries, unless the worker is listed again."""
+        """Close a removed worker's endpoint, and remove worker and endpoint from the table.
+
+        This has no effect if the worker is listed again.
+        """
         destination = self.destinations.get(instance_id)
         if destination and destination.lifecycle is Lifecycle.REMOVED:
             del self.destinations[instance_id]
@@ -138,7 +141,7 @@
             self.supervisor.spawn(endpoint.close(), f"close {endpoint.name}")
 
     def close_idle_connections(self) -> None:
-        """Close idle connections to all workers, so that they are available to the successor process."""
+        """Close idle connections to all workers, so that the successor process can use their descriptors."""
         for endpoint in self.endpoints.values():
             endpoint.tell(CloseIdleConnections())
 
--- a/robinhill/net/dispatcher/in_flight.py
+++ b/robinhill/net/dispatcher/in_flight.py
@@ -104,6 +104,6 @@
             self.remove(in_flight)
 
     def import_state(self, recent_ids: list[str], next_number: int) -> None:
-        """Adopt a predecessor's recent ids, and number new requests from above its numbers."""
+        """Adopt a predecessor's recent ids, and give new requests numbers above those of the predecessor."""
         self.recent_ids = dict.fromkeys(recent_ids) | self.recent_ids
         self.next_number = next_number + SUCCESSOR_NUMBER_GAP
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -52,7 +52,7 @@
     module: ExportedState
     seen: list[str]  # recent request ids
     held_out: list[str]  # disabled workers
-    # By worker, start and end (us) of its time out of use; end 0: it still is.
+    # By worker, start and end (us) of its time out of use; the end is 0 while it is still out of use.
     outages: dict[str, list[int]]
     next: int  # the number of the next request
 
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutOfUse:
-    """The time during which a worker was out of use at this scheduler (us; ``until_us`` 0: it still is)."""
+    """When a worker was out of use at this scheduler; ``until_us`` is 0 while it is still out of use."""
 
     since_us: int
     until_us: int = 0
--- a/robinhill/net/workers/attempt.py
+++ b/robinhill/net/workers/attempt.py
@@ -48,7 +48,7 @@
 
     @property
     def active(self) -> bool:
-        """Whether the attempt has neither ended nor a cancel in progress."""
+        """Whether the attempt has not ended and no cancel of it was requested."""
         return not self.ended and not self.cancel_requested
 
 
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -17,8 +17,8 @@
     [("200 OK", True), ("503 Service Unavailable", True), ("", False)],
 )
 def test_health_check_reports_any_answer_as_alive(status: str, alive: bool) -> None:
-    """A draining worker answers 503 and finishes its jobs. When that counted as dead, its jobs were moved and
-    restarted, 169 times within 30 s of a release of the fleet (scenario join+vast)."""
+    """A draining worker answers 503 and finishes its jobs. When such a worker counted as dead, its jobs were
+    moved and restarted, 169 times within 30 s of deploying a release to the fleet (scenario join+vast)."""
 
     async def check_health() -> tuple[bytes, EndpointReport]:
         request_line: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
