--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -40,9 +40,8 @@
         self.names: dict[int, str] = {}
         self.served: list[str] = []
         self.rejected: dict[int, Reject] = {}
-        self.run_ms_by_tenant: dict[
-            str, int
-        ] = {}  # running time in ms of the jobs of tenants that differ from run_ms
+        # By tenant, the running time of its jobs where it differs from ``run_ms``.
+        self.run_ms_by_tenant: dict[str, int] = {}
 
     def send(
         self, tenant: str | None = "a", job_class: int = LOOKUP, address: str = "10.0.0.1", key: str = ""
--- a/tests/test_cordon_automatic.py
+++ b/tests/test_cordon_automatic.py
@@ -67,7 +67,7 @@
     assert proposed_workers([*two, *(observation(2, w) for w in sorted(FLEET)[:8])]) == []
     assert proposed_workers([*two, *(observation(2, w) for w in sorted(FLEET)[:7])]) == ["w01"]
     assert proposed_workers([*two, *(observation(2, w, worker_count=8) for w in sorted(FLEET)[:3])]) == [], (
-        "the share is of the workers that it observed"
+        "the share is computed from the number of workers that the observer observed"
     )
 
 
@@ -77,7 +77,7 @@
     observations = [
         observation(3 * n + i, w, cause, amount) for n, w in enumerate(sorted(slow)) for i in range(3)
     ]
-    assert proposed_workers(observations) == [], "although each observer reports only one worker"
+    assert proposed_workers(observations) == [], "not even if each observer reports only one worker"
 
 
 def test_outlier_in_a_slow_zone_must_exceed_the_baseline_of_the_zone() -> None:
