--- a/robinhill/adapter.py
+++ b/robinhill/adapter.py
@@ -23,7 +23,8 @@
     "recalled": api.Outcome.CANCELLED,
     "superseded": api.Outcome.NOT_SENT,
 }
-ALIVE_RESULTS = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)  # health checks
+# Results of a health check that prove that the worker is alive.
+ALIVE_RESULTS = tuple(name for name, outcome in OUTCOMES.items() if outcome in api.ANSWERED)
 
 
 class WireError(Exception):
--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -1,4 +1,4 @@
-"""The interface of the decision module: settings, events and actions.
+"""The interface of the decision module, ``robinhill.logic``: settings, events and actions.
 
 Times are whole microseconds of the caller's monotonic clock. The caller passes each event to
 ``Balancer.handle(now_us, event)`` and carries out the returned actions immediately, in their order.
@@ -62,8 +62,8 @@
 class ListKind(IntEnum):
     """The kind of a ``WorkersListed`` event.
 
-    CHANGES: changes to the list before. FULL: the complete list. CACHED: a complete list known from earlier.
-    FAILED: the list could not be fetched.
+    CHANGES: changes to the previous list. FULL: the complete list. CACHED: a complete list known from
+    earlier. FAILED: the list could not be fetched.
     """
 
     CHANGES = 0
@@ -129,7 +129,7 @@
         return self.repeat is Repeat.KEYED and self.scope is Scope.ALL
 
     def group_of(self, worker: "Worker") -> int:
-        """The zone or cell of a worker, within which repeats are dropped; -1 if every worker drops them."""
+        """The worker's zone or cell, whose workers drop each other's repeats; -1 if the scope is ALL."""
         return {Scope.ZONE: worker.zone, Scope.CELL: worker.cell}.get(self.scope, -1)
 
     def allows_worker(self, worker: "Worker") -> bool:
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; ``final`` if the request has its answer, by this outcome or an earlier one."""
+    """An attempt has ended; ``final``: the request has its answer, from this outcome or an earlier one."""
 
     job: int
     attempt: int
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -31,8 +31,8 @@
 T = TypeVar("T")
 RENAMED_KEYS = {"door": "admission"}  # deprecated keys of the operators' file and their current names
 DEFAULT_SOCKETS = 1024
-# Descriptors for the log, the event loop, the listener, two watches of discovery, the file of a reload; some
-# are spare.
+# Descriptors reserved for the log, the event loop, the listener, two watches of discovery and the
+# configuration file that a reload reads. They need fewer than 16; the others are a margin.
 RESERVED_SOCKETS = 16
 OPS_SOCKETS = 32
 MIN_CLIENT_SOCKETS = 8
@@ -93,7 +93,7 @@
     clock_offset_us: int = 0  # a simulated error of the host's clock, for tests
 
     def client_sockets(self, processes: int = 1) -> int:
-        """The most connections for clients and callbacks: half of the descriptors that are not reserved.
+        """The limit of connections from clients and for callbacks: half of the descriptors not reserved.
 
         The other half is for connections to workers: each attempt uses one connection and belongs to one
         client's request. During a hand-over each of the two ``processes`` gets half of all descriptors.
--- a/robinhill/logs.py
+++ b/robinhill/logs.py
@@ -63,8 +63,8 @@
 class Throttle(logging.Filter):
     """Limits the lines of each event to ``lines_a_second``: a flood of bad requests must not use up the CPU.
 
-    The next line of the event that passes has the count of dropped lines in its field ``kept_back``. Lines of
-    level error and above always pass.
+    The first line of an event that is written after dropped ones has their number in its field ``kept_back``.
+    Lines of level error and above are never dropped.
     """
 
     def __init__(self, lines_a_second: int) -> None:
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -304,7 +304,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One message of the endpoint list: with ``reset`` the complete list, else changes to the version before.
+    """One message of the endpoint list: the complete list if ``reset``, else changes to the previous version.
 
     ``generation`` is the version of the list after this message.
     """
@@ -318,14 +318,14 @@
     """Splits the stream of a watch into watch events: endpoint lists, which may span lines, and empty lines.
 
     Chunks of the stream may end anywhere: an event is complete with the line that closes its outermost
-    bracket. ``limit`` is the largest event in bytes; a larger one raises MalformedError.
+    bracket. ``limit`` is the maximum size of an event in bytes; a larger event raises MalformedError.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._line = bytearray()  # bytes since the last line break
         self._value = bytearray()  # complete lines of an incomplete event
-        self._depth = 0  # brackets open in those lines
+        self._depth = 0  # number of brackets in those lines that are not closed yet
 
     def feed(self, data: bytes) -> Iterator[EndpointList | None]:
         """Add a chunk of the stream; yield the lists that it completes, in order.
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -1,4 +1,4 @@
-"""Translates start-up options, which use the platform's names, into the settings of the decision module."""
+"""Translates start-up options, which use the platform's names, into ``api.Settings``."""
 
 from typing import Any
 
@@ -20,9 +20,10 @@
 
 
 def read_places(numbers: Json, setting: str, required: int = -1) -> frozenset[int] | None:
-    """The machine types or zones that a class is restricted to; None, no restriction, if the list is empty.
+    """The numbers of the machine types or zones to which a job class is restricted; None: no restriction.
 
-    ``required`` is a further restriction, to this number alone (-1: none). Raises ValueError.
+    An empty list in the options means no restriction. If ``required`` is not -1, the class is in addition
+    restricted to this one machine type or zone. Raises ValueError.
     """
     if numbers is not None and not (isinstance(numbers, list) and all(type(x) is int for x in numbers)):
         raise ValueError(f"{setting}: must be a list of integers")
@@ -35,7 +36,8 @@
 def read_settings(options: dict[str, Json]) -> api.Settings:
     """Translate the options of the start message; unknown keys are ignored.
 
-    Raises ValueError for a value out of range; its message uses the name that operators know.
+    Raises ValueError for a value out of range; its message has the field's name in ``ERROR_NAMES``, or the
+    field's own name if it is not listed there.
     """
     try:
         return _read_settings(options)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,7 +16,7 @@
 
 
 class KnownRedError(Exception):
-    """The list is invalid; the message says how to correct it."""
+    """KNOWN-RED.txt has a line that is malformed or names no test; the message says how to correct it."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -31,7 +31,7 @@
 
 
 def start(folder: Path, given: dict[str, Any], env: dict[str, str], inherited: tuple[int, ...] = ()) -> str:
-    """Start the program with an invalid configuration; return the one line that it ends with."""
+    """Start the program with an invalid configuration; return the only line of its standard error."""
     path = folder / "config.json"
     path.write_text(json.dumps(given))
     completed = subprocess.run(
@@ -95,7 +95,7 @@
 
 
 def settings_of(path: Path) -> dict[str, Any]:
-    """The settings of a scheduler in a deployment; of each range the lowest value."""
+    """The settings of a scheduler in a deployment; each range is replaced by its lowest value."""
 
     def first(value: Any) -> Any:
         return value[0] if isinstance(value, list) else value
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 EARLIER_EVENTS = frozenset(json.loads((Path(__file__).parent / "log_events_before.json").read_text()))
 LEVELS = ("debug", "info", "warning", "error", "critical", "exception", "log")
-# Events of failed attempts: the logging call passes a variable, so that its source has no literal.
+# Events of failed attempts, which ``events`` does not find: their logging call passes the name as a variable.
 NON_LITERAL_EVENTS = ("attempt_connection_failed", "malformed_response")
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -13,7 +13,7 @@
 
 
 class RuleViolationError(AssertionError):
-    """An action, or a missing one, violates a rule of the decision module."""
+    """An action violates a rule of the decision module, or a required action is missing."""
 
 
 class Checker:
@@ -47,7 +47,7 @@
         ]  # fmt: skip
 
     def record_connection_use(self, now: int, address: str) -> None:
-        """Record the last send or outcome at a worker: its connections may be idle from then on."""
+        """Record the last send to a worker or outcome from it: its connections may be idle from then on."""
         self.last_used[address] = now
 
     def check_idle_connections(self, now: int) -> None:
@@ -275,6 +275,6 @@
         checker.check_idle_connections(S + 1)
     checker.check_action(S, api.CloseIdle("a"))
     checker.check_idle_connections(2 * S)
-    checker.record_connection_use(2 * S, "a")  # an outcome leaves an idle connection again
+    checker.record_connection_use(2 * S, "a")  # as after an outcome, when the connection becomes idle again
     with pytest.raises(RuleViolationError, match="idle connections"):
         checker.check_idle_connections(4 * S)
