--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -41,7 +41,7 @@
     """
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
-        """Start the machine; called once, before all other methods."""
+        """Start the state machine; called once, before all other methods."""
         ...
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
@@ -160,8 +160,8 @@
     """Drives one state machine.
 
     ``address_of``: returns the address at which a voter listens; ``perform_action``: performs an action that
-    does not concern connections; ``after_actions``: called each time the actions of one call of the machine
-    are performed; ``accepted``: the machine's method for accepted connections, if it accepts any.
+    does not concern connections; ``after_actions``: called each time after the actions that one call of the
+    machine returned; ``accepted``: the machine's method for accepted connections, if it accepts any.
     """
 
     def __init__(
@@ -202,7 +202,7 @@
         await self._connections.listen(address, key)
 
     async def close(self) -> None:
-        """Close all links. Queued messages are written as far as the other sides read them without delay."""
+        """Close all links. Queued messages are written first if the other side reads them without delay."""
         self._stopping = True
         self._connections.stop()
         self.stop()
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -106,7 +106,7 @@
         return cordons
 
     def _attach(self) -> None:
-        """Make the dispatcher check cordons before each send, and fail readiness until clients are served."""
+        """Make the dispatcher check cordons before each send, and readiness fail until clients are served."""
         self.inbound.catching_up = True
         self.dispatcher.use_cordons(
             self.may_send,
@@ -160,7 +160,7 @@
         return await call_cordons(self.driver, self.cordons, method, cordon_id, body, wait)
 
     def status(self) -> Answer:
-        """Return the state of this scheduler's replica as JSON, with a digest to compare replicas by."""
+        """Return the state of this scheduler's replica as JSON, with a digest for comparing replicas."""
         status = self.observer.status(CORDON, mono_us())
         synchronized = self.observer.synchronized
         return make_status_answer(
@@ -201,7 +201,7 @@
         return metric_lines(lines)
 
     def reconfigure(self, mesh: MeshOptions) -> None:
-        """Use a new list of voters. A change of a key in `RESTART_KEYS` changes nothing until a restart."""
+        """Use a new list of voters, unless a key in `RESTART_KEYS` has changed, which needs a restart."""
         if needs_restart(self.mesh, mesh, RESTART_KEYS):
             return
         try:
--- a/robinhill/net/control_group/voter_operators.py
+++ b/robinhill/net/control_group/voter_operators.py
@@ -1,4 +1,4 @@
-"""The operators' server of a voter: the scheduler's calls that apply to voters, and a call of its own."""
+"""The operators' server of a voter: the calls that schedulers serve too, and one that only voters serve."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VoterCalls:
-    """The functions behind the operators' calls of a voter.
+    """The functions that carry out operators' calls to a voter.
 
     ``remove_scheduler`` is called with the scheduler's name; ``cordons`` with the method, the cordon's ID,
     the body, and the ``wait`` parameter of the query.
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -131,7 +131,7 @@
     def reload(self) -> None:
         """Apply a changed operators' file, which may add or remove one voter.
 
-        An invalid file, or a larger change of the voters, changes nothing.
+        An invalid file, or one that changes more than one voter, changes nothing.
         """
         try:
             new = configuration.load_voter(self.env)
@@ -172,7 +172,7 @@
         )
 
     def status(self) -> Answer:
-        """Return the state of this voter's replica as JSON, with a digest to compare replicas by."""
+        """Return the state of this voter's replica as JSON, with a digest for comparing replicas."""
         age_us = self.voter.age_us(mono_us())
         return make_status_answer(
             {
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -1,7 +1,8 @@
 """The hand-over between two processes of one scheduler while one replaces the other.
 
-This module defines which questions the two processes ask each other, and in which order. The sockets are in
-``handover_socket`` and ``process_link``; the scheduler supplies the content (`HandoverDelegate`).
+This module defines which questions (requests with one answer each) the two processes send each other, and in
+which order. The sockets are in ``handover_socket`` and ``process_link``; the scheduler supplies the content
+(`HandoverDelegate`).
 """
 
 import asyncio
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -2,8 +2,9 @@
 
 This module creates and accepts connections; messages are exchanged by ``process_link``.
 
-The socket's file is in the scheduler's state folder and belongs to the process that serves. A successor
-replaces it by a rename, so the file is never missing, and never refers only to a process that has exited.
+The socket's file is in the scheduler's state folder and belongs to the process that serves. In a hand-over,
+the successor replaces the file by a rename before the predecessor exits. So the file is never missing, and
+does not refer to a process that has exited.
 """
 
 import asyncio
--- a/robinhill/net/handover/messages.py
+++ b/robinhill/net/handover/messages.py
@@ -9,7 +9,10 @@
 
 
 class QuestionName:
-    """Names of questions, the same in all versions. A question of any other name is an operator's call."""
+    """Names of the questions that one process sends the other; the names are the same in all versions.
+
+    A question with any other name relays an operator's call.
+    """
 
     ENDPOINT_LIST = "hello"
     STATE = "memory"
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -1,7 +1,7 @@
 """A link between two processes of one scheduler: questions and answers on a Unix socket, one JSON line each.
 
-A question may carry a file descriptor. This module defines the framing of the messages and does not interpret
-their bodies.
+A question is a request that the other process answers once; it may carry a file descriptor. This module
+defines the framing of the messages and does not interpret their bodies.
 """
 
 import array
@@ -72,7 +72,7 @@
 
 
 def decode(line: bytes | bytearray) -> Question | Answer:
-    """Decode a line. Raises one of ``MALFORMED_MESSAGE_ERRORS``."""
+    """Decode a line of JSON. Raises one of ``MALFORMED_MESSAGE_ERRORS``."""
     message = orjson.loads(line)
     if "ask" in message:
         return Question(message["ask"], message["what"], message["fd"], message["body"])
@@ -87,10 +87,10 @@
 
 
 class ProcessLink:
-    """One end of a link.
+    """This process's end of a link to the other process of the scheduler.
 
-    ``answer`` is called with this link, and the name, body and descriptor of each question that the other
-    process asks. It returns the answer's body and owns the descriptor.
+    ``answer`` handles each question of the other process: it is called with this link and the question's
+    name, body and descriptor (None if there is none). It returns the answer's body and owns the descriptor.
     """
 
     def __init__(
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -30,7 +30,8 @@
         self.classes = classes
         self.responses: Counter[tuple[str, str]] = Counter()  # final answers, by class and outcome
         self.attempts_sent = 0  # attempts whose request was written completely to a worker
-        self.sends: Counter[ListOrigin] = Counter()  # attempts started on a connection, by the list's origin
+        # Attempts started on a connection, by the origin of the endpoint list in use.
+        self.sends: Counter[ListOrigin] = Counter()
         self.rejections: Counter[str] = Counter()  # rejected requests, by reason
         self.retries: Counter[str] = Counter()  # retried attempts, by the outcome of the previous attempt
         self.closes: Counter[str] = Counter()  # connections that this process closed, by side and reason
@@ -39,14 +40,15 @@
         self.pool_size = 0
         self.pool_ejected = 0
         self.recorder: Recorder | None = None  # None: traffic is not recorded
-        self.admission_queued: Callable[[], int] | None = None  # requests queued there; None: no admission
+        # Returns the number of requests queued at admission control; None: no admission control.
+        self.admission_queued: Callable[[], int] | None = None
 
     def count_answer(self, job_class: int, answer: Answer) -> None:
         """Count a request's final answer."""
         self.responses[self.classes[job_class], _outcome(answer)] += 1
 
     def text(self, now_us: int = 0) -> str:
-        """Render one ``name:value|type`` a line, type c for counters and g for gauges.
+        """Render each metric as a line ``name:value|type``, with type c for counters and g for gauges.
 
         The age of the endpoint list is computed at ``now_us``.
         """
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -34,11 +34,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorCalls:
-    """The functions behind the operators' calls.
+    """The functions that carry out operators' calls.
 
     ``disable_worker`` is called with a worker's ID and True to disable it or False to enable it again;
     ``drain`` with True to start draining or False to stop. ``cordons``, ``mesh`` and ``confirm_complete`` are
-    None where schedulers share no state. ``confirm_complete`` records the operator's confirmation that this
+    None if schedulers share no state. ``confirm_complete`` records the operator's confirmation that this
     process knows all cordons in force.
     """
 
--- a/robinhill/net/peers/dialling.py
+++ b/robinhill/net/peers/dialling.py
@@ -12,7 +12,7 @@
 log = logging.getLogger(__name__)
 
 FIRST_BACKOFF_S = 0.05  # doubled with each attempt; the wait is random between 10% and 100% of it
-MAX_BACKOFF_S = 1.0  # allows two attempts in the 2 s after a partition by which replicas must be equal
+MAX_BACKOFF_S = 1.0  # two attempts fit into the 2 s within which replicas must be equal after a partition
 MAX_COUNTED_ATTEMPTS = 16
 # Of two peers, the one with the smaller name dials at once. The other one waits this long for that link.
 ACCEPT_FIRST_S = 0.1
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -52,9 +52,10 @@
 class PeerConnections(Actor[PeerMessage]):
     """Maintains one link to each partner, and accepts links from other schedulers up to ``max_links``.
 
-    ``links``: links by peer, after the peer's hello; ``opening``: links before the hello. ``alive`` returns
-    the names of schedulers considered alive, for links that replace those to dead partners.
-    ``on_member_message`` receives messages that are not part of replication.
+    Partners are the peers with which the overlay (``robinhill.mesh.overlay``) links this scheduler; they are
+    a subset of all peers. ``links``: links by peer, after the peer's hello; ``opening``: links before the
+    hello. ``alive`` returns the names of schedulers considered alive: links to other schedulers replace links
+    to partners that are not. ``on_member_message`` receives messages that are not part of replication.
     """
 
     def __init__(
@@ -184,7 +185,7 @@
         return overlay.partners(own.name, own.names)[: self.configured.max_links]
 
     def _wanted(self) -> list[str]:
-        """Names of partners, and of other schedulers on the ring while too few partners are alive."""
+        """Names of partners, and of other schedulers on the overlay's ring if too few partners are alive."""
         own = self.configured.identity
         alive = {*self.alive(), *self.links}
         return [*self.partners, *overlay.repair_partners(own.name, own.names, alive)]
--- a/robinhill/net/peers/peer_link.py
+++ b/robinhill/net/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""The transport of one link to a peer: a websocket that fetches its next message when it can write one."""
+"""The transport of one link to a peer: a websocket; each message is created only when it can be written."""
 
 import asyncio
 import contextlib
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -228,7 +228,7 @@
         ).encode()
 
     def reconfigure(self, options: MeshOptions) -> None:
-        """Use a new list of peers. A change of an option that needs a restart changes nothing."""
+        """Use a new list of peers, unless an option has changed that needs a restart."""
         changed = [key for key in RESTART_OPTIONS if getattr(options, key) != getattr(self.options, key)]
         if changed or _listen_address(options, self.name) != self.peers.listen:
             log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{k}" for k in changed)})
--- a/robinhill/net/peers/snapshot_restore.py
+++ b/robinhill/net/peers/snapshot_restore.py
@@ -27,8 +27,8 @@
 ) -> RestoreResult:
     """Merge the records of a snapshot into ``replica``.
 
-    Records of a kind whose lifetime the snapshot's age exceeds are dropped again: other processes may have
-    removed them since, and this replica would bring them back.
+    The records of all kinds whose lifetime may have passed since the snapshot are removed after the merge:
+    other processes may have removed them by now, and this replica would replicate them again.
     """
     _, rejected = merge_records(replica, now_us, records)
     log_rejected(rejected)
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -92,7 +92,7 @@
         self.failing, self.saved_head = False, head
 
     def write(self, header: SnapshotHeader, records: Iterable[Record]) -> None:
-        """Write the file in the calling thread. Raises OSError."""
+        """Write the snapshot's file in the calling thread. Raises OSError."""
         assert self.folder
         temporary = self.folder / f"{FILE_NAME}.{os.getpid()}"
         try:
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -36,7 +36,8 @@
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import DONE, Answer, JobEvent
 
-if TYPE_CHECKING:  # components that are not configured are never imported, as a restart is an outage
+# Components that are not configured are never imported: imports lengthen a restart, which is an outage.
+if TYPE_CHECKING:
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
     from robinhill.net.peers.replication import Replication
--- a/tests/test_process_link.py
+++ b/tests/test_process_link.py
@@ -61,7 +61,7 @@
 
 
 def test_unread_questions_of_an_exited_process_are_handled_after_a_write_to_it_fails() -> None:
-    """Their descriptors are open in no other process, so they would be lost with the questions."""
+    """The questions' descriptors are open in no other process, so dropped questions would lose them."""
 
     async def scenario() -> None:
         local_socket, remote_socket = socket.socketpair()
