--- a/robinhill/gang/evidence.py
+++ b/robinhill/gang/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence that a worker is slow: members of several gangs lag there. It is the report of one observer."""
+"""Evidence that a worker is slow, as members of several gangs lag at it; each scheduler reports its own."""
 
 from collections import OrderedDict, deque
 from itertools import islice
@@ -14,9 +14,9 @@
 # don't count against the worker.
 MIN_LAGGING_SHARE = 0.5
 MAX_OBSERVATIONS_PER_WORKER = 32
-MAX_WORKERS = 4_096  # beyond it, the least recently observed worker is forgotten
+MAX_WORKERS = 4_096  # beyond this number, the least recently observed worker is removed
 MAX_AVOIDED_WORKERS = 64  # to avoid more would exclude most of a small fleet
-RENEWAL_INTERVAL_US = 60_000_000  # evidence on the same worker is not reported more often
+RENEWAL_INTERVAL_US = 60_000_000  # evidence on the same worker is reported at most once in this time
 
 
 class SlownessLedger:
@@ -29,8 +29,10 @@
         self._reported_us: dict[str, int] = {}
 
     def record(self, now_us: int, worker: str, gang: str, index: int, slowdown: float) -> None:
-        """Record one member's run at a worker, once: it was ``slowdown`` times slower than its peers, or 0 if
-        it did not lag."""
+        """Record one member's run at a worker; called once for each run.
+
+        ``slowdown``: how many times slower than its peers the member was; 0 if it did not lag.
+        """
         entries = self._observations.setdefault(worker, deque(maxlen=MAX_OBSERVATIONS_PER_WORKER))
         self._observations.move_to_end(worker)
         entries.append((now_us, gang, index, slowdown))
@@ -39,7 +41,7 @@
             self._reported_us.pop(forgotten, None)
 
     def retract(self, worker: str, gang: str, index: int) -> None:
-        """Remove a member's observation at a worker: it lagged at another worker too, so the job is long."""
+        """Remove a member's observation at a worker: the member lagged elsewhere too, so its job is long."""
         if entries := self._observations.get(worker):
             kept = [x for x in entries if (x[1], x[2]) != (gang, index)]
             entries.clear()
@@ -53,8 +55,11 @@
         return lagged if len(lagged) >= MIN_LAGGING_SHARE * len(entries) else []
 
     def slow_workers(self, now_us: int) -> tuple[str, ...]:
-        """Workers at which members lagged, if only in one gang: too little to report as evidence, enough to
-        prefer other workers. The most recently observed come first, MAX_AVOIDED_WORKERS at most."""
+        """Workers at which members lagged, even if only those of one gang: that is too little to report as
+        evidence, but enough to prefer other workers.
+
+        The most recently observed workers come first; at most MAX_AVOIDED_WORKERS are returned.
+        """
         found = (worker for worker in reversed(self._observations) if self._recent_lags(now_us, worker))
         return tuple(islice(found, MAX_AVOIDED_WORKERS))
 
--- a/robinhill/gang/figures.py
+++ b/robinhill/gang/figures.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class GangMetrics:
-    """``counts``: by the counter names in `values`. ``tails_us``: one for each gang that has ended.
+    """``counts``: counters by the names listed in `values`. ``tails_us``: tails of the gangs that ended last.
 
     A gang's tail is the time from the end of its median member to the end of its last one.
     """
@@ -25,7 +25,7 @@
     def values(self, gangs: int, members: int) -> list[tuple[str, int, str]]:
         """Name, value and type (c for counters, g for gauges) of each metric.
 
-        ``gang.tail_ms`` is the 99th percentile of the tails retained.
+        ``gang.tail_ms`` is the 99th percentile of ``tails_us``, in milliseconds.
         """
         tails = sorted(self.tails_us)
         p99_us = quantiles(tails, n=100, method="inclusive")[98] if len(tails) > 1 else sum(tails)
--- a/robinhill/gang/gangs.py
+++ b/robinhill/gang/gangs.py
@@ -1,4 +1,4 @@
-"""Straggler detection at one scheduler: receives the events of members, evaluates them periodically, reports.
+"""Straggler detection at one scheduler: receives events of gang members and periodically evaluates members.
 
 The caller passes the time in microseconds of its monotonic clock and carries out the moves that an evaluation
 returns. Jobs and attempts are numbered as in ``robinhill.api``; calls about jobs without a gang are ignored.
@@ -40,7 +40,7 @@
 # median slowdown against their own gangs is not above this factor.
 WORKER_NORMAL_MIN_MEMBERS = 2
 WORKER_NORMAL_SLOWDOWN = 1.25
-ENDED_PACE_MAX_AGE_US = 2_000_000  # runs that ended earlier are ignored in that median
+ENDED_PACE_MAX_AGE_US = 2_000_000  # runs that ended longer ago are ignored in a worker's median slowdown
 # If the time since the last evaluation exceeds both this number of intervals and this duration, the scheduler
 # itself was paused. Progress reports are then unread in its sockets, and members only seem to be silent.
 PAUSE_INTERVALS = 5
@@ -261,7 +261,7 @@
                 elsewhere.append(index)
         slow = sum(x is not None and x.exceeds_threshold for x in view.compared.values())
         view.local_slow = slow
-        if slow:  # remote members are compared only to tell whether the whole gang is slow
+        if slow:  # remote members are compared only to find out whether the whole gang is slow
             slow += sum(
                 x is not None and x.exceeds_threshold for x in (self._compare(view, i) for i in elsewhere)
             )
@@ -318,8 +318,8 @@
         if reason is not Reason.UNCONFIRMED or runner is None:
             local.streak = 0
             return reason
-        # An evaluation counts only if it is based on more than the one before: a new progress report or, for
-        # a silent or waiting member, more elapsed time.
+        # An evaluation counts only if it has more information than the last one counted: a new progress
+        # report or, for a silent or waiting member, more elapsed time.
         last = runner.curve.last_us if runner.has_started and not runner.silent else view.now_us
         if last != local.counted_us:
             local.counted_us = last
@@ -334,7 +334,8 @@
         all_slow: bool,
         worker_paces: "_PacesByWorker",
     ) -> Reason:
-        """The reason by this evaluation alone: UNCONFIRMED if the member is slow."""
+        """The reason of a verdict by this evaluation alone: UNCONFIRMED if it finds the member slow, which
+        becomes LAGS only in `_confirmed_reason`."""
         index = local.membership.index
         compared = view.compared.get(index)
         if view.paused:
@@ -392,7 +393,7 @@
             local.is_judged = True
             self.counters.counts["lags"] += 1
             if local.moved_from and not other_members_lag:
-                # It lags at a second worker, so the job is the cause and not the worker before.
+                # The member lags at a second worker too, so its job is the cause and not the previous worker.
                 self._ledger.retract(local.moved_from, gang.name, index)
             elif has_started:
                 self._ledger.record(now_us, local.worker, gang.name, index, verdict.slowdown or 0.0)
@@ -554,7 +555,7 @@
         self.runners = runners
         self.paces = paces  # run time per unit of usual work, over the whole run of each member
         self.usual_pace = usual_pace  # the median of `paces`
-        self.recent_slowdown = recent_slowdown  # the same pace by the recently ended runs of all gangs
+        self.recent_slowdown = recent_slowdown  # the median pace of the recently ended runs of all gangs
         self.running: set[int] = set()  # local members that wait, or have run for long enough to compare
         self.compared: dict[int, Comparison | None] = {}  # None: too few comparable peers
         self.gang_slow = False
@@ -582,7 +583,8 @@
         return max(0, (at_report_us or 0) - since_report_us)
 
     def fresh_us(self, index: int) -> int:
-        """The estimated time of a fresh run at another worker, by the median wait and pace of the peers."""
+        """The estimated time of a run from the start at another worker: the peers' median wait, plus the
+        usual run time at the gang's median pace."""
         waits = [x.waited_us for i, x in self.runners.items() if i != index and x.has_started]
         wait = median(waits) if waits else 0
         return int(self.runners[index].usual_us * self.usual_pace + wait)
--- a/robinhill/gang/messages.py
+++ b/robinhill/gang/messages.py
@@ -55,8 +55,8 @@
 
     ``slowdown``: how many times slower than its peers the member is, by their median. ``threshold``: the
     slowdown that equal members rarely exceed by chance. ``peers``: the number of peers it was compared with.
-    ``streak``: the number of consecutive evaluations that found it slow. ``remaining_us`` and ``fresh_us``:
-    the estimated time until its end where it runs, and for a run from the start elsewhere.
+    ``streak``: the number of consecutive evaluations that found it slow. ``remaining_us``: the estimated time
+    until its run ends. ``fresh_us``: the estimated time of a run from the start at another worker.
     """
 
     gang: str
@@ -82,7 +82,7 @@
 class Move:
     """An instruction to withdraw ``attempt`` of ``job`` from ``worker`` and place the job at another one.
 
-    With ``copy`` the attempt continues and a second one starts beside it; the first to complete answers.
+    With ``copy`` the attempt continues and a second one starts beside it; the first result is the answer.
     ``avoid``: workers that seem slow to this scheduler; they are used only if no other worker is free.
     """
 
@@ -124,7 +124,7 @@
     """Return NOTHING if a second run of the job does no harm, otherwise the reason not to move it.
 
     A keyed job that has not started may be moved: should the withdrawal arrive too late, the key makes the
-    platform drop the repeated run within the key's scope, and the decision module places the job only there.
+    platform drop the repeated run within the key's scope, and the scheduler places the job only there.
     Once the job has started, part of its effects may have happened.
     """
     if repeat is Repeat.UNSAFE:
--- a/robinhill/gang/moves.py
+++ b/robinhill/gang/moves.py
@@ -1,4 +1,4 @@
-"""The decision for a straggler: whether a move is safe, would end it sooner, and is within the budgets."""
+"""The decision for a straggler: whether a move is safe, would end its job sooner, and is within budgets."""
 
 from dataclasses import dataclass
 
@@ -14,8 +14,9 @@
 MAX_MOVES_PER_MEMBER = 1
 # A new placement costs a round trip to another worker and this scheduler's own processing time.
 MOVE_OVERHEAD_US = 20_000
-# Where copies are allowed: if the member needs less than this many fresh runs to finish, a copy is started
-# beside it, as its progress is worth more than the copy costs. Otherwise it is withdrawn and placed anew.
+# If copies are allowed and the member's remaining time is less than this multiple of the time of a run from
+# the start elsewhere, a copy is started beside it, as its progress is worth more than the copy costs.
+# Otherwise the member is withdrawn and placed again.
 COPY_BELOW_FRESH_RUNS = 2.0
 
 
--- a/robinhill/gang/options.py
+++ b/robinhill/gang/options.py
@@ -14,14 +14,15 @@
     """All options of gangs; a suffix of a key names its unit.
 
     ``header``: the request header that states a job's gang. ``look_ms``: the interval at which members are
-    compared with their peers. ``peers``: the least number of peers for a comparison. ``looks``: the number of
-    consecutive evaluations that must find a member slow before it counts as a straggler. ``ratio``: the least
-    slowdown against its peers for that. ``margin``: the share by which the remaining time of a straggler must
-    exceed the time of a fresh run before it is moved. ``moves_of_gang``: the share of a gang's members that
-    may be moved. ``moves_of_all``: the share of all recently placed members that may be moved. ``copies``:
-    whether a second attempt may run beside the first (only where the platform allows it). ``tells_start``:
-    whether workers report when a job starts; if not, a keyed job counts as started once it is sent.
-    ``gangs`` and ``members``: the largest numbers of gangs and members in memory.
+    compared with their peers. ``peers``: the minimum number of peers for a comparison. ``looks``: the number
+    of consecutive evaluations that must find a member slow before it counts as a straggler. ``ratio``: the
+    minimum slowdown against its peers at which an evaluation finds a member slow. ``margin``: the share by
+    which the remaining time of a straggler must exceed the time of a run from the start elsewhere before it
+    is moved. ``moves_of_gang``: the share of a gang's members that may be moved. ``moves_of_all``: the share
+    of all recently placed members that may be moved. ``copies``: whether a second attempt may run beside the
+    first (only where the platform allows it). ``tells_start``: whether workers report when a job starts; if
+    not, a keyed job counts as started once it is sent. ``gangs`` and ``members``: the maximum numbers of
+    gangs and members in memory.
     """
 
     header: Annotated[str, Meta(pattern=HEADER_FORM)] = HEADER
--- a/robinhill/gang/progress.py
+++ b/robinhill/gang/progress.py
@@ -1,7 +1,7 @@
 """The speed of members: progress curves by times of receipt, and the usual run times at each machine type.
 
-Pace is normalised: the expected work of a job is its cost hint times the run time that workers of its type
-were found to need for one unit of hint. A pace of 1 is the usual one for such a job at such a worker.
+Pace is normalised: the expected work of a job is its cost hint times the usual run time per unit of hint at
+the worker's machine type. A pace of 1 is the usual one for such a job at such a worker.
 """
 
 import math
@@ -9,7 +9,7 @@
 from collections import OrderedDict, deque
 from statistics import median
 
-# Points of one curve; beyond it, the curve is thinned. The comparison interpolates, so 16 are enough.
+# Maximum number of points of a curve; a longer one is thinned. The comparison interpolates, so 16 are enough.
 MAX_POINTS = 16
 # Finished runs retained for each machine type: enough for a stable median, few enough to follow a change
 # within minutes.
@@ -21,7 +21,7 @@
 # the usual speed only after half of this number of runs.
 MAX_ENDS = 4_096
 ENDS_PER_SCALE_UPDATE = 64  # the median over all types is computed again after this number of ends
-MAX_KINDS = 64  # machine types with statistics; beyond it, the least recently seen type is forgotten
+MAX_KINDS = 64  # machine types with statistics; beyond this number, the least recently seen type is removed
 # With fewer finished runs a machine type's speed is unknown: its members are compared with each other only.
 MIN_ENDS = 8
 MIN_RATE = 1e-3  # lower limit of rates, as their logarithm is taken
@@ -147,7 +147,7 @@
         self._run_ratios: deque[float] = deque(maxlen=MAX_ENDS)
         self._end_count = 0
         self._scale = 1.0
-        # The time of each end, and the run time over the usual one.
+        # For each recently ended run: the time of its end, and its run time divided by the usual one.
         self._recent_slowdowns: deque[tuple[int, float]] = deque(maxlen=MAX_ENDS_PER_KIND)
 
     def record_end(
--- a/robinhill/gang/share.py
+++ b/robinhill/gang/share.py
@@ -16,7 +16,7 @@
 from robinhill.mesh.records import Kind, Record
 
 NAME = "gang.progress"
-# Each update of a member renews the gang's record; without any for a quarter of an hour, it expires.
+# Each update of a member renews the gang's record. The record expires after a quarter of an hour without one.
 LIFETIME_US = 900_000_000
 MAX_GANGS = 4_096  # records in the mesh; about 5 MB at 16 members each
 FULL_SHARE = 1_000_000  # the share of a job that is done completely
@@ -95,4 +95,4 @@
 
 KIND = Kind(
     NAME, encode, decode, merge, lifetime_us=LIFETIME_US, bound=MAX_GANGS, evict=_evict, persistent=False
-)  # not persistent, as a restart ends the attempts whose progress it is
+)  # not persistent: a restart ends the attempts whose progress the records describe
--- a/robinhill/gang/straggle.py
+++ b/robinhill/gang/straggle.py
@@ -47,8 +47,9 @@
     """A member in a comparison: its progress curve and its usual run time. Durations are in microseconds.
 
     ``known_until_us``: the latest time at which it is known to have waited or run. ``waited_us``: the time
-    from its placement to its start, or until now. ``kind``: the machine type of its worker, and then it is
-    compared with members at that type only; None if ``usual_us`` accounts for the type's speed.
+    from its placement to its start, or until now if it has not started. ``kind``: the machine type of its
+    worker if the type's speed is not known, so that only members at the same type are comparable; None if
+    ``usual_us`` accounts for the type's speed.
     """
 
     curve: Curve
@@ -63,12 +64,13 @@
 
     @property
     def run_us(self) -> int:
-        """The time for which it is known to have run; 0 before its start."""
+        """The time for which the member is known to have run; 0 before its start."""
         return max(0, self.known_until_us - self.curve.first_us) if self.has_started else 0
 
     @property
     def silent(self) -> bool:
-        """Whether it runs and has reported no progress, or none for SILENT_AFTER_SHARE of its usual run."""
+        """Whether the member runs and has reported no progress, or none for SILENT_AFTER_SHARE of its usual
+        run time."""
         curve = self.curve
         if curve.ended or curve.empty:
             return False
@@ -86,7 +88,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Comparison:
-    """The summary of the peers' votes: how many times slower the member is, and the threshold for that."""
+    """The summary of the peers' votes. The member is slow if ``slowdown``, the factor by which it is slower
+    than its peers, exceeds ``threshold``."""
 
     slowdown: float
     threshold: float
@@ -163,7 +166,8 @@
 
 
 def _vote(member: Runner, peer: Runner, _: float) -> float | None:
-    """ln(how many times slower than the peer) over the time that both curves cover; None if that is short."""
+    """The logarithm of how many times slower than the peer the member is, over the time that both curves
+    cover; None if this time is too short."""
     member_curve, peer_curve = member.curve, peer.curve
     if not peer_curve.updates or member_curve.empty:
         return None
@@ -177,10 +181,10 @@
 
 
 def _vote_on_silent(member: Runner, peer: Runner, _: float) -> float | None:
-    """The vote on a silent member, on the best case for it that it ends now; None without evidence.
+    """The vote on a silent member, assuming its best case, that it ends now; None without evidence.
 
-    A silent peer votes that the member is not slower, or that it is faster if the peer has run longer still.
-    So only peers that ended or report progress make a silent member look slow, and only in majority.
+    A silent peer votes that the member is not slower, or that it is faster if the peer has run for longer. So
+    a silent member is found slow only by peers that ended or report progress, if they are the majority.
     """
     if not (elapsed := member.run_us) or not peer.has_started:
         return None
@@ -197,8 +201,8 @@
     """The vote on a member that has not started, by its wait plus a usual run against the peer's wait plus
     the same run.
 
-    A peer that waits too votes that the member is not slower, or that it is faster if the peer has waited
-    longer still.
+    A peer that waits too votes that the member is not slower, or that it is faster if the peer has waited for
+    longer.
     """
     run = member.usual_us * pace
     member_us, peer_us = member.waited_us + run, peer.waited_us + run
--- a/robinhill/gang/table.py
+++ b/robinhill/gang/table.py
@@ -1,4 +1,7 @@
-"""The table of gangs: members whose jobs this scheduler holds and members at others, both bounded."""
+"""The table of gangs, with limits for the numbers of gangs and members.
+
+A member is local if this scheduler has its job, and remote if another scheduler has it.
+"""
 
 import math
 from collections import OrderedDict
@@ -16,8 +19,8 @@
 
 # A gang is retained for this time after its last update, as operators ask why it was late some minutes later.
 RETENTION_US = LIFETIME_US
-# The elapsed time of a remote member is extrapolated for this long after its last update. Without any for
-# longer, its scheduler may have failed, and its elapsed time is no longer increased.
+# The elapsed time of a remote member is extrapolated for this long after its last update. Without an update
+# for longer, its scheduler may have failed, and its elapsed time is no longer increased.
 MAX_EXTRAPOLATION_US = 30_000_000
 # The usual run time of a job without a hint and without peers that report progress. It only determines how
 # early the job can be compared.
@@ -134,7 +137,7 @@
     last_update_us: int
     local: dict[int, LocalMember] = field(default_factory=dict)
     remote: dict[int, RemoteMember] = field(default_factory=dict)
-    sequence: dict[int, int] = field(default_factory=dict)  # the highest known of each member
+    sequence: dict[int, int] = field(default_factory=dict)  # highest known sequence number of each member
     changed: set[int] = field(default_factory=set)  # members with updates to publish
     sent_us: int = 0
     tail_recorded: bool = False
@@ -225,7 +228,8 @@
 
 
 def _without_hints(runners: dict[int, Runner]) -> dict[int, Runner]:
-    """Set the usual run time of all members of a gang without hints to the median of those that report."""
+    """Set the usual run time of all members of a gang without hints to the median run time that the progress
+    of its reporting members indicates."""
     known_paces = [p * x.usual_us for x in runners.values() if not x.silent and (p := x.pace()) is not None]
     if not known_paces:
         return runners
--- a/tests/test_gang.py
+++ b/tests/test_gang.py
@@ -147,7 +147,10 @@
 
 
 def test_members_started_in_a_slowdown_are_no_stragglers_against_earlier_ones() -> None:
-    """Eight members run at normal speed before four times slower ones start; only common run time counts."""
+    """Eight members run at normal speed for 2.5 s. Then four more start, and all run four times slower.
+
+    Only the time that both ran may be compared.
+    """
     sim = Simulation()
     sim.start([1.0] * 8, size=12)
     sim.run(2.5)
@@ -168,7 +171,8 @@
 
 
 def test_silent_member_is_not_taken_for_one_without_progress() -> None:
-    """One silent member among equals is no straggler; among silent ones, the slow one is, once most ended."""
+    """A silent member that is as fast as its peers is no straggler. If all members are silent, the slow one
+    is found after most others have ended."""
     sim = Simulation()
     sim.start([1.0] * 8)
     sim.silent = {3}
