--- a/robinhill/checker/journal.py
+++ b/robinhill/checker/journal.py
@@ -18,7 +18,7 @@
     EXECUTION_STARTED = auto()  # a worker has started to run an attempt
     RETURNED = auto()  # a worker has handed an attempt back without running it
     ENDED = auto()  # a worker has run an attempt to its end, or lost it
-    CANCELLED = auto()  # a worker was told to stop an attempt, or its connection closed before the 202
+    CANCELLED = auto()  # a worker received a call to stop an attempt, or the connection closed before its 202
     DRAINING = auto()  # discovery has listed a worker as draining or removed
     STARTED = auto()  # a worker has started, cold
     OVERLOADED = auto()  # a cold worker was sent more than its slow start allows
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -1,8 +1,8 @@
 """A checker of the rules for several schedulers, which reads the journal only. Times are in seconds.
 
-All times are by the rig's clock: the time at which it read the answer to an operator's call, and the time at
-which a worker had received a request. The rig reads the answer after the cordon was accepted, so the bound is
-counted from slightly too late, never from too early.
+All times are by the clock of the test rig, which emulates workers and operators: the time at which it read
+the answer to an operator's call, and the time at which a worker had received a request. The rig reads the
+answer after the cordon was accepted, so the checked bound starts slightly too late, never too early.
 """
 
 from collections import Counter, defaultdict
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class CordonState:
-    """The state of one cordon, by the answers to operators' calls about its id."""
+    """The state of one cordon, as derived from the operators' calls about its id and their answers."""
 
     worker: str
     accepted_by: str  # the scheduler that accepted the cordon, or was asked to
@@ -218,9 +218,9 @@
 
 
 def recovery_violations(events: list[Event]) -> list[str]:
-    """Check that after all faults each scheduler sends again, and that a cordon set at it comes into force.
+    """Check that after all faults each scheduler sends attempts again, and cordons set at it come into force.
 
-    Without this rule, a scheduler that never sends would satisfy all other rules.
+    Without this rule, a scheduler that never sends an attempt would satisfy all other rules.
     """
     last_fault_end = max(
         (e.at for e in events if e.what in (EventType.FAULT_ENDED, EventType.UP)), default=0.0
--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -43,7 +43,8 @@
 
 @dataclass(slots=True)
 class FileContent:
-    """The records of a file; ``unread_bytes``: bytes after the last readable frame; ``why``: the reason."""
+    """The records of a file. ``unread_bytes``: bytes after the last readable frame; ``why``: what ended the
+    reading there."""
 
     records: list[Record]
     unread_bytes: int = 0
--- a/tests/test_checker_mesh.py
+++ b/tests/test_checker_mesh.py
@@ -49,7 +49,7 @@
             HOLD,
             [SET[:1], LIFT[:1], [(2.1, W.CORDONED, "c", "w", "", "a")], send(9.0)],
             "",
-        ),  # the calls crossed
+        ),  # the calls to set and to lift the cordon overlapped
         (HOLD, [SET, LIFT, SET[:1], send(1.7)], "past the bound"),
         (HOLD, [SET, [(1.2, W.IN_FORCE, "c", "w", "", "a")], send(1.3)], "after it was in force"),
         (SERVE, [SET, send(1.7)], "past the bound"),
@@ -77,7 +77,8 @@
         ([SET, listed("a", "c"), listed("b", "c")], []),
         ([SET, listed("a", "c"), listed("b", "")], ["b does not list the accepted cordon c"]),
         ([SET, LIFT, listed("a", ""), listed("b", "c")], ["c was lifted but is listed by b"]),
-        ([SET[:1], LIFT, [(2.2, W.CORDONED, "c", "w", "", "a")], listed("b", "")], []),  # the calls crossed
+        # The calls to set and to lift the cordon overlapped.
+        ([SET[:1], LIFT, [(2.2, W.CORDONED, "c", "w", "", "a")], listed("b", "")], []),
         ([SET, LIFT[:1], listed("a", ""), listed("b", "c")], []),  # the lift was not answered: both are valid
         ([SET[:1], LIFT, listed("b", "c")], []),  # the cordon was not answered: it may take effect later
         ([listed("a", "d")], ["a lists d, which was never requested"]),
@@ -104,7 +105,7 @@
 def test_time_from_the_last_fault_to_equal_replicas_is_measured(
     parts: list[list[Row]], took_s: float | None
 ) -> None:
-    """More than 2 s, or never, is a violation; no other is reported."""
+    """Replicas that become equal after more than 2 s, or never, are a violation; no other one is reported."""
     made = journal(*parts)
     assert equal_after(made.events) == took_s
     found = find_violations(made, HOLD, [])
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -53,7 +53,7 @@
 
 
 def test_damaged_frame_ends_the_reading_with_a_reason(tmp_path: Path) -> None:
-    """Any single damaged byte of the second frame hides it and the third one."""
+    """Any single damaged byte of the second frame makes this frame and the third one unreadable."""
     path = tmp_path / "a.rec"
     data = write(path, [arrived(1)], [arrived(2)], [arrived(3)])
     first = len(header()) + len(frame([arrived(1)]))
