--- a/robinhill/model/compare.py
+++ b/robinhill/model/compare.py
@@ -1,6 +1,7 @@
-"""Comparison of two sides by paired runs over many seeds, on all cores, until their difference is known.
+"""Comparison of two sides, which are settings or revisions of the scheduler, by paired runs on all cores.
 
-Both runs of a pair use the same seed and thus get the same arrivals, workers and faults.
+Both runs of a pair use the same seed and thus get the same arrivals, workers and faults. Pairs with further
+seeds are run until the confidence interval of the difference decides the comparison or is narrow enough.
 """
 
 import multiprocessing
@@ -38,12 +39,15 @@
 
     name: str
     settings: dict[str, Any] = {}  # values for fields of api.Settings, by the field's name
-    clients: dict[str, Any] = {}
+    clients: dict[str, Any] = {}  # values for keys of the description's clients
     admission: AdmissionOptions | None = None
     root: str | None = None  # checked-out tree of another revision, whose decision module is used
 
     def side(self) -> Side:
-        """Return the side for one run. It has this tree's module, which `play` replaces if a root is set."""
+        """Return the side for one run, with the decision module of this source tree.
+
+        If ``root`` is set, `play` replaces the module by that of the other tree.
+        """
         return Side(self.name, dict(self.settings), self.admission, dict(self.clients))
 
 
@@ -63,7 +67,7 @@
 
 
 def play(description: Description, version: Version, seed: int, trace: Trace | None = None) -> Outcome:
-    """Run one side on the situation once. Without a trace, one is drawn from the seed.
+    """Simulate the description once with one side. Without a trace, one is drawn from the seed.
 
     Raises DescriptionError for a faulty description, trace or setting; every other error is returned as a
     FailedRun.
@@ -83,7 +87,7 @@
         raise
     except ModuleFailedError as e:
         return FailedRun(version.name, seed, str(e))
-    except Exception:  # the module's faults are results, and must not end the other side's runs
+    except Exception:  # an error of the decision module is a result and must not end the other side's runs
         return FailedRun(version.name, seed, traceback.format_exc(limit=-3).strip().splitlines()[-1])
     finally:
         for module_ in opened:
@@ -182,7 +186,7 @@
     max_pairs: int = LOOKS[-1],
     progress: Callable[[int, str], None] = lambda pairs, difference: None,
 ) -> Comparison:
-    """Run pairs until `may_stop` ends the comparison by the difference in served worth.
+    """Run pairs until `may_stop` ends the comparison on the basis of their differences in `Result.share`.
 
     ``until`` is the half-width of the interval at which the difference counts as known; ``max_pairs`` is the
     maximum number of pairs. The same seed gives the same result, bit for bit, for any number of processes, as
--- a/robinhill/model/describe.py
+++ b/robinhill/model/describe.py
@@ -23,8 +23,10 @@
     """A class of jobs.
 
     ``share`` is its share of all arrivals, relative to those of the other classes. ``work_ms`` is the mean
-    running time on a core of speed 1, ``lengths`` the distribution of running times, and ``sigma`` the spread
-    of a lognormal one. A job is served in time within ``aim_ms`` plus ``stretch`` times its own running time.
+    running time on a core of speed 1, ``lengths`` the distribution of running times, and ``sigma`` the
+    spread of a lognormal distribution. A job is served in time if its latency is at most ``aim_ms`` plus
+    ``stretch`` times its running time on a core of speed 1. ``worth`` is the value of one core second of a
+    job; a ``fragile`` job must not be executed twice.
     """
 
     name: str
@@ -43,8 +45,8 @@
 
 class Traffic(Struct, frozen=True, forbid_unknown_fields=True):
     """The arrivals of jobs. Their rate is a sine wave of relative amplitude ``wave`` and period ``wave_s``
-    around ``rate_per_s``. Tenants, schedulers and programs have shares of it that fall as 1/rank^skew. A job
-    needs one of ``programs`` programs; with 0, jobs need none.
+    around ``rate_per_s``. The shares of tenants, schedulers and programs in the arrivals fall as 1/rank^skew.
+    A job needs one of ``programs`` programs; with 0, jobs need none.
     """
 
     rate_per_s: Positive
@@ -81,7 +83,7 @@
     speed: tuple[float, float] = (1.0, 1.0)
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 16
     connections: Annotated[int, Meta(ge=1)] = 512
-    programs: Annotated[int, Meta(ge=1)] = 4  # size of its LRU cache of programs
+    programs: Annotated[int, Meta(ge=1)] = 4  # size of the worker's LRU cache of programs
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
@@ -95,7 +97,7 @@
     connect_cost_ms: Ms = 0.5  # core time that a worker spends on a new connection
     connect_timeout_ms: Positive = 200.0
     cold_s: Positive = 8.8  # duration of a worker's slow start
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32  # share of its capacity when slow start begins
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32  # share of its capacity at the start of slow start
     fall_multiple: Positive = 3.0  # a worker in slow start fails if it is sent this multiple of its capacity
     tip_after_s: Positive = 1.0  # time over which the sent work is summed for `fall_multiple`
     list_delay_s: tuple[float, float] = (0.5, 2.0)  # lowest and highest delay of a change of the worker list
@@ -115,7 +117,9 @@
 
     ``part`` is the share of workers that it affects, or of schedulers for ``crash``; ``surge``, ``partition``
     and ``discovery`` ignore it. ``size`` is the factor of the arrival rate (``surge``) or of the running time
-    (``slow``), or the share of jobs that fail (``errors``).
+    (``slow``), or the share of jobs that fail (``errors``). A ``silent`` worker has lost its jobs and
+    exchanges no messages until it restarts; ``release`` restarts the workers one after another, which kills
+    their jobs.
     """
 
     kind: Literal["silent", "surge", "slow", "release", "drain", "crash", "partition", "errors", "discovery"]
@@ -134,7 +138,7 @@
     fleet: Fleet
     clients: Clients = Clients()
     troubles: tuple[Fault, ...] = ()
-    warm_s: Ms = 0.0  # requests that arrive before are excluded from the served worth
+    warm_s: Ms = 0.0  # requests that arrive before this time are excluded from the served worth
 
     def __post_init__(self) -> None:
         names = [k.name for k in self.traffic.kinds]
--- a/robinhill/model/node.py
+++ b/robinhill/model/node.py
@@ -1,6 +1,7 @@
 """A scheduler in simulated time: the real decision module and admission control in a simulated network.
 
-The network is simulated by delays and by the outcomes of attempts that the protocol's table defines.
+The network is simulated by delays. Attempts end with the outcomes that the protocol's table of outcomes
+defines.
 """
 
 from collections import Counter
@@ -16,13 +17,13 @@
 from robinhill.model.engine import Engine
 from robinhill.model.workers import Job, Worker
 
-# Schedulers stop reusing an idle connection after this share of the time at which the worker closes it.
+# A scheduler reuses an idle connection only for this share of the time after which the worker closes it.
 IDLE_RETIREMENT_SHARE = 0.6
 CLIENT_ADDRESS = "10.0.0.1"
 
 
 class DecisionModule(Protocol):
-    """The interface of this tree's decision module and of another revision's module in its own process."""
+    """The interface of a decision module, of this source tree or of another revision in its own process."""
 
     def start(self, now: int) -> list[api.Action]: ...
     def handle(self, now: int, event: api.Event) -> list[api.Action]: ...
@@ -30,8 +31,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A client's request on its arrival at a scheduler. ``work_us`` is its running time on a core of speed 1;
-    ``is_retry`` tells that the client has sent the same job before.
+    """A client's request on its arrival at a scheduler. ``work_us`` is the job's running time on a core of
+    speed 1; ``is_retry`` tells that the client has sent the same job before.
     """
 
     number: int
@@ -51,9 +52,9 @@
     arrival: Arrival
     expires_at_us: int
     answer: AnswerCallback
-    addresses: list[str] = field(default_factory=list)  # of the worker, by attempt
-    sent_us: list[int] = field(default_factory=list)  # by attempt
-    in_flight: set[int] = field(default_factory=set)  # numbers of attempts
+    addresses: list[str] = field(default_factory=list)  # the worker's address for each attempt
+    sent_us: list[int] = field(default_factory=list)  # time at which each attempt was sent
+    in_flight: set[int] = field(default_factory=set)  # numbers of the attempts in flight
     unanswered: bool = True
 
 
@@ -78,8 +79,8 @@
     module: DecisionModule
     admission: Admission | None
     workers: dict[str, Worker]
-    kinds: tuple[Any, ...]  # the JobKinds of the description
-    one_way_us: Callable[[int, int], float]  # by the zones of sender and receiver
+    kinds: tuple[Any, ...]  # the classes (`JobKind`) of the simulated `Description`
+    one_way_us: Callable[[int, int], float]  # network delay by the zones of sender and receiver
     connect_timeout_us: int
     fails: Callable[[Worker], bool]  # draws whether the next job at this worker ends in an error
     retire_after_us: float  # a connection that was idle for longer is not reused
@@ -90,7 +91,7 @@
     pending: dict[int, _PendingRequest] = field(default_factory=dict)
     idle: dict[str, list[int]] = field(default_factory=dict)  # times of last use of each idle connection
     tenants: dict[int, Caller] = field(default_factory=dict)
-    known_starts_us: dict[str, int] = field(default_factory=dict)  # workers' last starts that it has received
+    known_starts_us: dict[str, int] = field(default_factory=dict)  # last start of each worker, from the lists
     _admission_due_us: int | None = None
 
     def start(self) -> None:
@@ -104,14 +105,14 @@
             self._handle_event(event)
 
     def crash(self) -> None:
-        """Stop the scheduler. Its clients receive no answers, and the workers execute what it has sent."""
+        """Stop the scheduler. Its clients receive no answers; workers still execute the jobs it has sent."""
         self.alive = False
         self.pending.clear()
 
     # Requests
 
     def receive_request(self, arrival: Arrival, answer: AnswerCallback) -> None:
-        """Pass a client's request to admission control, or without it directly to the decision module."""
+        """Pass a client's request to admission control, or to the decision module if admission is off."""
         now = self.engine.now
         pending = _PendingRequest(arrival, now + arrival.deadline_us, answer)
         self.pending[arrival.number] = pending
--- a/robinhill/model/recorded.py
+++ b/robinhill/model/recorded.py
@@ -14,8 +14,8 @@
 def load(path: Path, kinds: tuple[JobKind, ...]) -> Trace:
     """Read a recording as a trace. Clients' retries are left out, as the model's clients make their own.
 
-    A job that was never served gets its class's median length, or without any served job of its class the
-    mean of the description. The trace's ``repairs`` list what was repaired. Raises DescriptionError, with the
+    A job that was never served gets its class's median length, or the mean of the description if no job of
+    the class was served. The trace's ``repairs`` list what was repaired. Raises DescriptionError, with the
     place in the recording, for a fault that can't be repaired.
     """
     records, notes = read_all(path)
--- a/robinhill/model/report.py
+++ b/robinhill/model/report.py
@@ -13,7 +13,7 @@
 from robinhill.model.statistics import Interval
 from robinhill.model.world import Result
 
-MAX_LATENCY_MS = 600_000  # longer latencies are recorded as this one
+MAX_LATENCY_MS = 600_000  # longer latencies are recorded as this value
 PERCENTILES = (50.0, 90.0, 99.0)
 STYLE = """
 body { font: 15px/1.5 system-ui, sans-serif; max-width: 60em; margin: 2em auto; color: #222 }
@@ -24,7 +24,7 @@
 
 
 def histogram(results: list[Result], kind: str) -> HdrHistogram:
-    """Build the histogram of latencies of a class's served jobs, in milliseconds with three digits."""
+    """Build the histogram of latencies of a class's served jobs, in ms with three significant digits."""
     recorded = HdrHistogram(1, MAX_LATENCY_MS, 3)
     for result in results:
         for latency_ms in result.latencies.get(kind, []):
@@ -68,7 +68,7 @@
 
 
 def as_json(comparison: Comparison) -> bytes:
-    """Encode the whole comparison with the figures of each run. Latencies are percentiles by class."""
+    """Encode the whole comparison with the figures of each run. Latencies are given as percentiles."""
     c = comparison
     document: dict[str, Any] = {
         "description": c.description, "a": c.a, "b": c.b, "verdict": c.verdict, "why": c.why,
--- a/robinhill/model/sites.py
+++ b/robinhill/model/sites.py
@@ -53,7 +53,7 @@
 
 
 def site(name: str) -> Description:
-    """Return the shipped situation of a name in ``names()``. Raises KeyError for any other name."""
+    """Return the shipped description with this name. Raises KeyError for a name that is not in `names`."""
     from msgspec.structs import replace
 
     base, _, fault = name.partition("-")
--- a/robinhill/model/statistics.py
+++ b/robinhill/model/statistics.py
@@ -11,8 +11,8 @@
 import numpy as np
 from scipy import stats
 
-OVERALL_LEVEL = 0.05  # of a comparison: the probability of reporting a difference that does not exist
-FIRST_LOOK = 16  # pairs; with fewer of them a bootstrap interval is too narrow
+OVERALL_LEVEL = 0.05  # probability that a comparison reports a difference that does not exist
+FIRST_LOOK = 16  # pairs; from fewer pairs, a bootstrap interval is too narrow
 LOOKS = (16, 24, 36, 54, 80, 120)  # numbers of pairs after which a comparison may stop
 RESAMPLES = 4_000
 # Pocock's constant level for six looks at an overall 0.05 (Jennison and Turnbull 2000, table 2.1: z = 2.453).
@@ -33,7 +33,7 @@
 
     @property
     def excludes_zero(self) -> bool:
-        """Whether the mean differs from 0 at the interval's level."""
+        """Whether the mean differs from 0 at the interval's confidence level."""
         return self.low > 0 or self.high < 0
 
     def __str__(self) -> str:
--- a/robinhill/model/trace.py
+++ b/robinhill/model/trace.py
@@ -9,7 +9,7 @@
 from robinhill.model.describe import Description, DescriptionError, Fault, JobKind, Traffic
 
 S = 1_000_000
-TRAFFIC = 1  # spawn key of this random stream; the other keys are in world.py
+TRAFFIC = 1  # spawn key of the random stream of arrivals; the other keys are in world.py
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,7 +20,7 @@
     at_us: int
     kind: str
     tenant: int
-    work_us: float  # on a core of speed 1
+    work_us: float  # running time on a core of speed 1
     deadline_us: int = 0  # 0: the deadline of its class
     program: int = -1  # number of the program that the job needs; -1: none
 
@@ -88,7 +88,7 @@
 
 
 def repair_trace(requests: list[TracedRequest], longest_gap_s: float = 60.0) -> Trace:
-    """Sort recorded requests by time, let them start at 0, and number them anew.
+    """Sort recorded requests by time, shift their times to start at 0, and number them anew.
 
     The returned trace lists these repairs. Raises DescriptionError for an empty trace and for a gap longer
     than ``longest_gap_s``, as it could mean either that no request arrived or that recording was interrupted.
--- a/robinhill/model/wire.py
+++ b/robinhill/model/wire.py
@@ -22,7 +22,7 @@
 
 
 class ModuleFailedError(RuntimeError):
-    """The process of the other module has exited, hangs, or has sent an invalid reply."""
+    """The process of the other revision's module has exited, hangs, or has sent an invalid reply."""
 
 
 def write_settings(s: api.Settings) -> dict[str, Json]:
@@ -69,9 +69,10 @@
 
 
 class WireModule:
-    """A decision module in another process, with the interface of the module in this one.
+    """A decision module in another process, with the interface of the module in this process.
 
-    Each event is sent as a batch of its own, whose reply is awaited. Raises ModuleFailedError.
+    Each event is sent as a batch of its own, whose reply is awaited. `start` and `handle` raise
+    ModuleFailedError.
     """
 
     def __init__(self, root: Path, settings: api.Settings, seed: int) -> None:
--- a/robinhill/model/workers.py
+++ b/robinhill/model/workers.py
@@ -27,16 +27,16 @@
 
     request: str
     kind: str
-    work_us: float  # on a core of speed 1
+    work_us: float  # running time on a core of speed 1
     slots: int
     memory: float
     report: ReportCallback
-    start_known: bool = True  # when sending it, the scheduler knew of the worker's last start
-    remaining_us: float = 0.0  # of its work
-    fails: bool = False  # it ends in an error
-    cancelled: bool = False  # its end is not reported
-    scheduler: str = ""  # name of the scheduler that sent it
-    program: int = -1  # number of the program that it needs; -1: none
+    start_known: bool = True  # the scheduler knew of the worker's last start when it sent the job
+    remaining_us: float = 0.0  # part of ``work_us`` that is not done yet
+    fails: bool = False  # the job ends in an error
+    cancelled: bool = False  # the end of the job is not reported
+    scheduler: str = ""  # name of the scheduler that sent the job
+    program: int = -1  # number of the program that the job needs; -1: none
 
 
 @dataclass(slots=True, eq=False)
@@ -58,7 +58,7 @@
     silent: bool = False
     slowdown: float = 1.0
     error_share: float = 0.0
-    unreachable_zones: set[int] = field(default_factory=set)  # whose schedulers can't reach it
+    unreachable_zones: set[int] = field(default_factory=set)  # their schedulers can't reach the worker
     running: list[Job] = field(default_factory=list)
     waiting: deque[Job] = field(default_factory=deque)
     programs: OrderedDict[int, None] = field(default_factory=OrderedDict)  # cached; least recently used first
@@ -67,7 +67,7 @@
     busy_us: float = 0.0  # core time spent on jobs
     wasted_us: float = 0.0  # work on cancelled jobs, and on jobs lost in a failure
     _advanced_at_us: int = 0  # time up to which `remaining_us` of the running jobs is computed
-    _plan_number: int = 0  # of the last planned step; planned steps with a lower number are void
+    _plan_number: int = 0  # number of the last planned step; planned steps with a lower number are void
     _connect_work_us: float = 0.0  # core time that connection setup still needs
     _recent_sends: deque[tuple[int, float, bool]] = field(default_factory=deque)  # time, work, start_known
 
@@ -134,7 +134,7 @@
         self._plan_number += 1
 
     def restart_cold(self) -> None:
-        """Start again with a slow start."""
+        """Start the failed or drained worker again: it accepts jobs, and its slow start begins."""
         self.silent, self.overloaded, self.started_us, self._advanced_at_us = (
             False,
             False,
--- a/robinhill/model/world.py
+++ b/robinhill/model/world.py
@@ -27,12 +27,12 @@
 from robinhill.model.workers import Worker
 
 S = 1_000_000
-START_US = 1_000_000_000 * S  # start of a run as Unix time, as the module's times on a site are Unix times
+START_US = 1_000_000_000 * S  # start of a run in Unix time, which a real scheduler passes to its module too
 WINDOW_S = 10.0  # length of the windows of arrival for which served worth is evaluated
 REFUSAL_STATUSES = (429, 503)
 REPEAT_POLICIES = {"retryable": api.Repeat.SAFE, "fragile": api.Repeat.UNSAFE}
 FLEET, TRAFFIC, FAULTS, CLIENTS, NODES, ERRORS, LISTS = range(7)  # first spawn keys of the random streams
-END_MARGIN_S = 40.0  # added to the longest time of all tries of a job, so that each ends in the run
+END_MARGIN_S = 40.0  # added to the longest time that all tries of a job take, so that they end within the run
 
 
 def stream(seed: int, *keys: int) -> np.random.Generator:
@@ -44,7 +44,7 @@
 class Side:
     """One side of a comparison: its decision module, the module's settings, admission control and clients.
 
-    Without a factory in ``module``, this tree's module is used.
+    ``module`` creates the decision module of a scheduler; None: the module of this source tree.
     """
 
     name: str = "this"
@@ -85,7 +85,7 @@
 
     @property
     def share(self) -> float:
-        """The share of the requested worth that was served in time."""
+        """The worth of the jobs served in time, as a share of the worth of all jobs requested."""
         return self.served / self.wanted if self.wanted else 1.0
 
 
@@ -301,7 +301,7 @@
         self.engine.after(deadline_us + 100_000, disconnect)
 
     def _choose_scheduler(self, candidates: list[Node], rng: np.random.Generator) -> Node:
-        """Choose a scheduler as the load balancer in front of them does, at random by their shares."""
+        """Choose a scheduler at random in proportion to the shares, as a load balancer before them does."""
         if not self.d.traffic.scheduler_skew:
             return candidates[int(rng.integers(len(candidates)))]
         shares = np.array([self.node_shares[node.name] for node in candidates])
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -69,7 +69,7 @@
         engine.at(int(at * S), worker.take, job)
     engine.run(int((at + 1_000) * S))
     assert len(times) == count
-    # Successive response times are correlated, so that the error is estimated by batch means.
+    # Successive response times are correlated, so the error is estimated by batch means.
     batches = np.array(times).reshape(30, -1).mean(axis=1)
     return float(np.mean(times)), float(batches.std(ddof=1) / math.sqrt(30))
 
@@ -121,7 +121,7 @@
     assert not result.broken and result.served < result.wanted * 1.0001
     if kind not in ("crash", "errors", "partition"):
         return
-    # In one small run the random choices of workers matter as much as the fault, so that 12 runs are summed.
+    # In one small run the random choices of workers matter as much as the fault, so 12 runs are summed.
     with_fault = [World(description, draw(description, seed), Side(), seed).play() for seed in range(1, 13)]
     without = [World(SMALL, draw(SMALL, seed), Side(), seed).play() for seed in range(1, 13)]
     share, tries = sum(r.share for r in with_fault), sum(r.tries for r in with_fault)
@@ -203,7 +203,7 @@
 
 
 def test_module_in_another_process_gives_the_same_result_as_in_this_one() -> None:
-    """This tree plays the other revision. A loss or change in the protocol would change the result."""
+    """The other revision is this source tree itself, so any loss in the protocol would change the result."""
     local, remote = play(SMALL, Version("here"), 4), play(SMALL, Version("there", root=str(ROOT)), 4)
     assert not isinstance(local, FailedRun) and not isinstance(remote, FailedRun), remote
     assert asdict(local) == asdict(remote)
--- a/tests/test_thin_fleet.py
+++ b/tests/test_thin_fleet.py
@@ -25,7 +25,7 @@
     """A decision module that sends each job to a worker chosen without regard to load.
 
     ``pick`` returns the worker's index for the number of sends so far and the number of workers. A job is
-    sent again only if the worker returned it, six times in all.
+    sent at most six times, and again only if the worker returned it.
     """
 
     def __init__(self, pick: Callable[[int, int], int], rng: random.Random) -> None:
