--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -5,7 +5,7 @@
 fair      50 small tenants and a large one at 2.4 times the fleet's capacity, with admission on and off
 returns   accuracy of Retry-After: share of retries that are admitted, and the wait that was really needed
 memory    memory of admission control, without the program, for 100,000 tenant names and IPv6 addresses
-cost      CPU time of the program for a request, with admission control on and off by turns in one run
+cost      CPU time of the program for a request, with admission control alternately on and off in one run
 speed     decisions a second of admission control, without the program, at 10, 1,000 and 100,000 tenants
 """
 
@@ -38,7 +38,7 @@
 SMALL_TENANTS = 50
 LOAD_FACTOR = 2.4
 WARM_UP_S = 6.0  # left out of the results, since admission control has learned nothing at the start of a run
-FAIRNESS_S = 60.0  # long enough that one lost renewal is a small part of a tenant's worth
+FAIRNESS_S = 60.0  # long enough that one unserved renewal-charge job is a small part of a tenant's worth
 RETRY_AFTER_S = 40.0
 NON_RETRYABLE_KINDS = ["renewal-charge"]
 
@@ -87,7 +87,10 @@
 
 
 async def measure_fairness() -> None:
-    """Share of each tenant's requested worth that is served in time, with admission control on and off."""
+    """Share of each tenant's requested worth that is served in time, with admission control on and off.
+
+    The worth of a job is the ``worth`` of its class times the job's core seconds.
+    """
     rows = []
     for name, operator in (("on", ADMISSION_ON), ("off", ADMISSION_OFF)):
         installation, clients, _ = await run_load(operator, small_and_large_tenants, FAIRNESS_S)
@@ -227,7 +230,7 @@
 
 
 async def measure_cpu_cost() -> None:
-    """CPU time of one process per request at half load, with admission control on and off by turns."""
+    """CPU time of one process per request at half load, with admission control alternately on and off."""
     cpu_ms: dict[str, list[float]] = defaultdict(list)
     async with town(operator=ADMISSION_ON, workers=8) as installation:
         process = psutil.Process(installation.program.pid)
@@ -250,7 +253,7 @@
 
 
 async def measure_decision_rate() -> None:
-    """Decisions a second: arrivals, each with the ends and starts of jobs that follow."""
+    """Decisions a second; a decision handles an arrival and the job ends and starts that follow it."""
     rates = {}
     for tenants in (10, 1_000, 100_000):
         standalone = StandaloneAdmission(20)
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -7,7 +7,7 @@
 false     false positives: 100 comparisons of equal sides under different seeds
 faithful  served worth in the model against real processes on loopback, in five scaled-down situations
 history   comparison of two revisions of the module whose figures in the simulator's journal differ clearly
-record    CPU time of recording for a request, with recording on and off by turns in one run
+record    CPU time for a request, with recording alternately on and off in one run
 """
 
 import asyncio
@@ -75,7 +75,7 @@
 
 
 async def measure_false_positives() -> None:
-    """False positives among 100 comparisons of runs of one side that are paired at random."""
+    """False positives among 100 comparisons of one side with itself, whose runs are paired at random."""
     description = replace(sites.site("clubs-all"), seconds=30.0)
     comparison = compare(
         description, Version("a"), Version("b"), until=1e-9, max_pairs=LOOKS[-1], processes=None
@@ -113,7 +113,7 @@
 
 
 async def compare_revisions() -> None:
-    """Comparison of the module of an older revision, run as a process of its own, with the present one."""
+    """Comparison of an older revision's decision module, run as a separate process, with the present one."""
     for name in ("clubs-silent", "clubs-all"):
         with version(OLD_REVISION) as old, version("this") as new:
             comparison = compare(replace(sites.site(name), seconds=40.0), old, new, until=0.02, max_pairs=24)
@@ -121,7 +121,7 @@
 
 
 async def measure_recording() -> None:
-    """CPU time per request of a program with and without recording, by turns at the same load."""
+    """CPU time per request of a program, alternately with and without recording at the same load."""
     cpu_ms: dict[str, list[float]] = {"on": [], "off": []}
     for _ in range(3):
         for name in cpu_ms:
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,7 +1,7 @@
-"""Measures how one cost of the program grows with its size.
+"""Measures how one cost of the program grows with the size of the installation.
 
-Run it while the machine is otherwise idle. The parts with hollow schedulers (sharing, spread) also compare
-these with real processes.
+Run it while the machine is otherwise idle. The parts with hollow schedulers (sharing, spread), which run the
+real replication code in one process on a simulated clock, also compare these with real processes.
 """
 
 from collections.abc import Callable, Sequence
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -1,6 +1,6 @@
 """Measures the cost of a call: CPU time, executed lines and allocated memory.
 
-Lines and bytes are the same on each machine.
+Lines and bytes do not depend on the machine or its load.
 """
 
 import gc
--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -1,4 +1,4 @@
-"""Cost of the decisions for a request by listed workers, and of the end of an attempt by queued jobs."""
+"""Cost of a request's decisions by the number of workers, and of an attempt's end by that of queued jobs."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 WORKERS = (10, 30, 100, 300, 1_000, 3_000, 10_000)
 QUEUED_JOBS = (10, 100, 1_000, 10_000)
 REQUESTS_PER_RUN = 16  # a multiple of 8, since prices by zone are computed at every eighth arrival
-WARM_UP_REQUESTS = 200  # until the smoothed arrival rate changes slowly, as it does on a busy node
+WARM_UP_REQUESTS = 200  # afterwards the smoothed arrival rate changes slowly, as it does on a busy node
 ARRIVAL_INTERVAL_US = 1_000
 FEW_WORKERS = 4
 LONG_DEADLINE_US = 600 * SECOND_US  # no queued job expires during a measurement
@@ -42,7 +42,7 @@
 
 
 def arrival_lines(worker_count: int) -> float:
-    """Executed lines of the decisions for one request."""
+    """Python lines executed by the decisions for one request."""
     node = warmed_up_node(worker_count)
     return executed_lines(lambda: run_requests(node)) / REQUESTS_PER_RUN
 
@@ -74,7 +74,7 @@
 
 
 def queued_end_lines(queued_jobs: int) -> int:
-    """Executed lines of the start and end of one attempt, with the sending of queued jobs."""
+    """Python lines executed for the start and end of one attempt, with the sending of queued jobs."""
     node = node_with_queue(queued_jobs)
     return executed_lines(lambda: end_attempt(node))
 
--- a/benchmarks/scale/gang.py
+++ b/benchmarks/scale/gang.py
@@ -15,13 +15,13 @@
 PLANNED_MEMBERS = 256  # the largest gang of the capacity plan
 SECOND_US = 1_000_000
 HINT_US = 60 * SECOND_US
-PROGRESS_REPORTS = 10  # of each member
+PROGRESS_REPORTS = 10  # number of reports of each member
 SLOW_MEMBER_INTERVAL = 10  # every tenth member progresses at a third of the usual rate
 GANG_ID = "season"
 
 
 def make_gang(members: int) -> Gangs:
-    """One running gang with all of its members at this scheduler; every tenth member is slow.
+    """The gang state of a scheduler that runs all members of one gang; every tenth member is slow.
 
     The members are created without parsing a gang header, since a header with a size above `MAX_SIZE` is
     rejected.
@@ -52,7 +52,7 @@
 
 
 def evaluation_lines(members: int) -> int:
-    """Executed lines of one straggler evaluation."""
+    """Python lines executed by one straggler evaluation."""
     gangs = make_gang(members)
     return executed_lines(lambda: gangs.evaluate(evaluation_time_us()))
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -100,8 +100,8 @@
 class Conditions:
     """Network conditions in one direction between two schedulers.
 
-    ``loss``: the share of messages that is dropped, each as a whole, as a relay drops them. ``delay_s``: the
-    one-way delay. ``blocked``: no message is delivered.
+    ``loss``: the share of messages that is dropped; a message is lost as a whole, as in `emulator.relay`.
+    ``delay_s``: the one-way delay. ``blocked``: no message is delivered.
     """
 
     loss: float = 0.0
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -42,13 +42,13 @@
 
 
 def full_list_lines(worker_count: int) -> int:
-    """Executed lines to apply the first full list."""
+    """Python lines executed to apply the first full list."""
     node, listed = Node(0), workers(worker_count)
     return executed_lines(lambda: node.apply_list(api.ListKind.FULL, listed))
 
 
 def change_lines(worker_count: int) -> int:
-    """Executed lines to apply a change of `CHANGED_WORKERS` of the listed workers."""
+    """Python lines executed to apply a change of `CHANGED_WORKERS` of the listed workers."""
     node, listed = Node(worker_count), restarted_workers(worker_count, 0)
     return executed_lines(lambda: node.apply_list(api.ListKind.CHANGES, listed))
 
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -1,4 +1,4 @@
-"""Memory by listed workers and by jobs in flight: of the decision module, the endpoints, and a process."""
+"""Memory of the decision module, the endpoints and a process, by numbers of workers and jobs in flight."""
 
 import asyncio
 import contextlib
--- a/benchmarks/scale/quotas.py
+++ b/benchmarks/scale/quotas.py
@@ -15,7 +15,7 @@
 SECOND_US = 1_000_000
 START_US = 1_000 * SECOND_US
 QUOTA_PER_S = 100.0
-OFFERED_PER_S = 2_000  # one tenant's requests to all schedulers; more than all of `SCHEDULERS` admit
+OFFERED_PER_S = 2_000  # one tenant's requests to all schedulers; more than the largest number of them admits
 DURATION_S = 2
 REQUESTS_PER_RUN = 200
 REQUEST_INTERVAL_US = 2_000
@@ -27,7 +27,7 @@
 
 
 class AdmittingScheduler:
-    """Admission control of one scheduler; each tenant has a quota, an admitted request ends immediately."""
+    """Admission control of one scheduler. Each tenant has a quota; an admitted request ends immediately."""
 
     def __init__(self, tenants: int, seed: int = 7) -> None:
         limits = Limits(requests_per_s=QUOTA_PER_S, requests_burst=QUOTA_PER_S)
@@ -74,7 +74,7 @@
 
 
 def request_lines(tenants: int) -> float:
-    """Executed lines of one request in admission control, from its arrival to its end."""
+    """Python lines executed for one request in admission control, from its arrival to its end."""
     return executed_lines(warmed_up_scheduler(tenants).run_requests) / REQUESTS_PER_RUN
 
 
--- a/benchmarks/scale/recorder.py
+++ b/benchmarks/scale/recorder.py
@@ -7,7 +7,7 @@
 from robinhill.record.frames import frame
 from robinhill.record.records import Answered, Arrived, Attempted, Record
 
-REQUESTS = (100, 300, 1_000)  # in a frame
+REQUESTS = (100, 300, 1_000)  # numbers of requests in one frame
 START_US = 1_700_000_000_000_000
 ARRIVAL_INTERVAL_US = 5_000
 ID_STEP = 2_654_435_761  # spreads the ids over their range, as the recorder's hashes are spread
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -1,6 +1,6 @@
-"""Cost of replication to each scheduler while nothing changes, by the number of schedulers.
+"""Cost of replication for each scheduler while no record changes, by the number of schedulers.
 
-Measured are CPU time, bytes and messages sent, and memory.
+The measured costs are CPU time, bytes and messages sent, and memory.
 """
 
 import asyncio
@@ -74,12 +74,12 @@
 
 
 def hollow_idle(schedulers: int, seconds: float = MEASURE_S) -> IdleUsage:
-    """Idle usage of hollow schedulers; bytes and messages are the same on each machine."""
+    """Average idle usage of hollow schedulers. Bytes and messages do not depend on the machine."""
     return hollow.run(_hollow_idle(hollow.Shape(schedulers), seconds))
 
 
 def _make_session(name: str, names: tuple[str, ...], opens: bool) -> Session:
-    """A session of a caught-up scheduler that knows the age of its knowledge about every scheduler."""
+    """A session of a caught-up scheduler whose knowledge of every scheduler is `KNOWLEDGE_AGE_US` old."""
     replica = Replica(name, 1, [acknowledgement_kind()])
     freshness = Freshness(name, names, hollow.BOUND_MS * 1000)
     freshness.caught_up = True
@@ -89,7 +89,7 @@
 
 
 def answer_bytes(schedulers: int) -> int:
-    """Bytes of the largest message between two schedulers whose copies are equal: the answer to a ping.
+    """Bytes of the largest message between two schedulers whose replicas are equal: the answer to a ping.
 
     The answer lists the age of the sender's knowledge about every configured scheduler. The messages of the
     first round are left out, because the hello is among them.
--- a/benchmarks/scale/spread.py
+++ b/benchmarks/scale/spread.py
@@ -1,4 +1,4 @@
-"""Propagation time and cost of a change of a cordon, by the number of schedulers: over regions, with loss."""
+"""Propagation time and cost of a cordon change, by the number of schedulers in regions with lossy links."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Propagation:
-    """Propagation times of several changes, and the average cost of a change to each scheduler.
+    """Propagation times of several changes, and the average cost of a change for each scheduler.
 
     ``seconds``: from each call until the cordon is in force everywhere. ``failed``: changes that were not in
     force within the timeout. Costs exclude those of an idle scheduler; ``messages`` and ``cpu_s`` are 0 for
@@ -53,9 +53,9 @@
 
 COSTS: tuple[tuple[str, str, Callable[[Propagation], float]], ...] = (
     ("median propagation time", "s", lambda propagation: propagation.quantile(0.5)),
-    ("cost of a change to each scheduler", "bytes", lambda propagation: propagation.bytes),
-    ("cost of a change to each scheduler", "messages", lambda propagation: propagation.messages),
-    ("cost of a change to each scheduler", "CPU s", lambda propagation: propagation.cpu_s),
+    ("cost of a change for each scheduler", "bytes", lambda propagation: propagation.bytes),
+    ("cost of a change for each scheduler", "messages", lambda propagation: propagation.messages),
+    ("cost of a change for each scheduler", "CPU s", lambda propagation: propagation.cpu_s),
 )
 
 
@@ -88,7 +88,7 @@
 def hollow_propagation(schedulers: int, changes: int = CHANGES, *, loss: float = LOSS) -> Propagation:
     """Propagation among hollow schedulers in `REGIONS` regions.
 
-    All figures but CPU time are the same on each machine.
+    Except for CPU time, the figures do not depend on the machine or its load.
     """
     shape = hollow.Shape(schedulers, REGIONS, REGION_DELAY_S, loss)
     return hollow.run(_hollow_propagation(shape, changes))
@@ -135,7 +135,7 @@
     """
     real, simulated = asyncio.run(_real_propagation(schedulers)), local_hollow_propagation(schedulers)
     print(f"{schedulers} schedulers, no delay between them, no loss, one change a second:")
-    print_ratio("bytes of a change to each scheduler", simulated.bytes, real.bytes)
+    print_ratio("bytes of a change for each scheduler", simulated.bytes, real.bytes)
     print_ratio("median propagation time in seconds", simulated.quantile(0.5), real.quantile(0.5))
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,8 +1,8 @@
 """Growth of costs, measured in counts that are the same on each machine: lines, bytes, allocations, messages.
 
 Each exponent has a lower and an upper bound. Where a cost grows faster than the capacity plan allows, the
-test asserts the present exponent and is marked BREACH, here and in docs/CAPACITY.md. A change that removes
-the breach fails the lower bound; this file and that page then have to be updated.
+test asserts the present exponent, and its docstring and docs/CAPACITY.md mark it as a BREACH of the plan. A
+change that removes the breach fails the lower bound; this file and that page then have to be updated.
 """
 
 import asyncio
@@ -92,7 +92,10 @@
 
 
 def test_endpoint_memory_grows_linearly_with_workers() -> None:
-    """BREACH of the order of magnitude of the decision module: an unused endpoint takes several kilobytes."""
+    """BREACH: an unused endpoint takes several kilobytes.
+
+    That is more than the order of magnitude of a worker's memory in the decision module.
+    """
     measured = measure_growth(memory.endpoint_bytes, (30, 100, 300))
     assert_exponent(measured.last_exponent, LINEAR)
     assert 2_000 < measured.slope < 20_000  # bytes for each endpoint
@@ -170,7 +173,7 @@
 
 
 def test_replica_rejects_cordon_targets_above_8192() -> None:
-    """BREACH: targets are retained for 30 days, and a replica holds fewer than the 10,000 planned workers."""
+    """BREACH: a replica holds 8,192 targets and retains them for 30 days; 10,000 workers are planned."""
     replica = Replica("s000", 1, [cordon_kind()])
     now_us = 1_700_000_000_000_000
 
@@ -189,7 +192,7 @@
 
 
 def test_straggler_evaluation_lines_grow_quadratically_with_members() -> None:
-    """BREACH: each slow member is compared with every other member."""
+    """BREACH: an evaluation compares each slow member with every other member of the gang."""
     assert_exponent(measure_growth(gang.evaluation_lines, MEMBERS).exponent, (1.6, 2.6))
 
 
