--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -41,14 +41,14 @@
 REGIONS = 3
 CORDON_TIMEOUT_S = 10
 MAX_CONCURRENT_STARTS = 4
-"""Processes that are started concurrently."""
+"""Maximum number of processes that are started concurrently."""
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceUsage:
     """CPU time and traffic of a process since its start, and its resident memory.
 
-    ``sent_bytes``, ``received_bytes``: traffic between voters and schedulers, of the control group alone.
+    ``sent_bytes``, ``received_bytes``: only the traffic between voters and schedulers.
     """
 
     cpu_s: float
--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -1,14 +1,14 @@
-"""Model checker of the control group: checks the guarantees of `hold` in every order of events within limits.
+"""Model checker of the control group with ``on_lost: hold``, in every order of events within limits.
 
     .venv/bin/python -m benchmarks.control_explorer [--plan NAME] [--large] [--variants]
 
 The voters are those of `benchmarks.mesh_explorer`: the real `Freshness` and `Acceptance`, with pings, answers
 and restarts without memory. This module adds observers with the real `ObserverLease`: heartbeats and replies
-on ordered links, which may be delayed while time passes; the failover to another voter, where each side sends
-what the other lacks; the crash of an observer; and a change of the list of voters. Two rules are checked in
-each state: no observer with a valid lease lacks a change that was accepted longer than the bound ago; and no
-observer loses a change or moves the time of its lease back. A variant contains one deliberate fault; that the
-search finds it shows that the search covers the states that matter.
+on ordered links, which may be delayed while time passes; the failover to another voter, in which observer and
+voter send each other their state; the crash of an observer; and a change of the list of voters. Two rules are
+checked in each state: no observer with a valid lease lacks a change that was accepted longer than the bound
+ago; and no observer loses a change or moves the time of its lease back. A variant contains one deliberate
+fault; the search must find it, which shows that the search covers the relevant states.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 Value = TypeVar("Value")
 
 NO_VOTER = -1
-"""Index of the voter of an observer that has none."""
+"""`Observer.voter` of an observer that is connected to no voter."""
 
 
 class ControlBudget(NamedTuple):
@@ -90,7 +90,7 @@
     voters: Rules = field(default_factory=Rules)
     lease: type[ObserverLease] = ObserverLease
     accepts_unsynchronized: bool = False  # replies of a new voter count before its state was received
-    replaces_state: bool = False  # the state of a new voter replaces that of the observer
+    replaces_state: bool = False  # the state of a new voter replaces the observer's, instead of being merged
     reply_overtakes_changes: bool = False  # a reply arrives before the changes that precede it
     joint_majorities: bool = True  # during a change of the list, majorities of both lists are needed
     settles_immediately: bool = False  # a voter drops the old list without a delay
@@ -218,7 +218,9 @@
     def _can_be_pruned(self, state: State) -> bool:
         assert isinstance(state, ControlState)
         if self.control_rules.replaces_state or self.control_rules.lease is not ObserverLease:
-            return False  # these faults may also cause a regression in states whose bound can't be violated
+            # With these faults, an observer may still lose a change or move its lease back (`regressed`) in
+            # states from which the bound can no longer be violated.
+            return False
         accepted_us = state.now_us if state.accepted_us is None else state.accepted_us
         if state.now_us + state.remaining.ticks * TICK_US - accepted_us <= BOUND_US:
             return True
@@ -376,7 +378,7 @@
     def _may_settle(self, state: ControlState) -> bool:
         """Whether all voters of the new list adopted it longer than the bound ago.
 
-        A real voter learns of this through messages, so that it settles no earlier than the model.
+        A real voter learns of this through messages, so it settles no earlier than a voter of the model.
         """
         if self.control_rules.settles_immediately:
             return True
@@ -551,7 +553,7 @@
 }
 """Searches that take seconds.
 
-"late": messages are delayed; "aged": what a voter knows of the majority is old; "moves": an observer fails
+"late": messages are delayed; "aged": a voter's knowledge of the majority is old; "moves": an observer fails
 over; "memory": a voter loses its memory; "change", "added": two voters are replaced, or one is added.
 """
 
@@ -625,7 +627,7 @@
 
 
 def search(budget: ControlBudget, rules: ControlRules | None = None) -> SearchResult:
-    """Search one plan."""
+    """Search all states within the budget, with the real rules by default, up to the first violation."""
     return ClockedExplorer(budget, rules or ControlRules()).search()
 
 
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -1,11 +1,12 @@
 """Measures gain and cost of straggler detection: `python -m benchmarks.gangs [--seeds N]`. Under a minute.
 
-A discrete-event simulation of its own (seeded, no sockets) around the real decisions: gangs of 8 to 16
-members arrive at several schedulers, member by member. There are two kinds of workers, and one worker in ten
-is slow by a factor of 2 to 5. Schedulers share progress after a delay, or not at all. Each seed is simulated
-with and without straggler detection, with the same jobs. A straggler call is correct if its worker is one of
-the slow ones; recall is the fraction of all runs begun at slow workers that were called. Seeds from 1 on were
-used for tuning; published figures use seeds from 101 on.
+A seeded discrete-event simulation without sockets calls the real straggler detection of `robinhill.gang`:
+gangs of 8 to 16 members arrive at several schedulers, member by member. There are two kinds of workers, and
+one worker in ten is slow by a factor of 2 to 5. Schedulers share progress after a delay, or not at all. Each
+seed is simulated with and without straggler detection, with the same jobs. A straggler call is a verdict that
+a job lags at its worker; it is correct if the worker is one of the slow ones. Recall is the fraction of all
+job runs at slow workers that were called. Seeds from 1 on were used for tuning; published figures use seeds
+from 101 on.
 """
 
 import argparse
@@ -98,7 +99,7 @@
     durations_us: list[int] = field(default_factory=list)  # of gangs
     false_by_basis: Counter[str] = field(default_factory=Counter)  # false calls, by the basis of the verdict
     calls: set[tuple[int, str]] = field(default_factory=set)  # job, worker
-    runs_at_slow: set[tuple[int, str]] = field(default_factory=set)  # job, slow worker that began it
+    runs_at_slow: set[tuple[int, str]] = field(default_factory=set)  # job, slow worker that started it
     slow_workers: set[str] = field(default_factory=set)
     wasted_us: float = 0.0  # slot time of withdrawn attempts
     total_slot_time_us: float = 0.0  # of all attempts
@@ -116,7 +117,7 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.rng = random.Random(seed)
-        # A generator of its own, so that the jobs are the same with and without straggler detection.
+        # A separate random generator, so that the jobs are the same with and without straggler detection.
         self.placement_rng = random.Random(seed + 1)
         self.now_us = SECOND_US
         self.events: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
@@ -297,8 +298,8 @@
         self.result.wasted_us += job.slot_time_us
         self.result.total_slot_time_us += job.slot_time_us
         worker.running.discard(job.number)
-        # The scheduler still counts an attempt that was withdrawn against its worker for a while. If it did
-        # not, slow workers would seem to have the fewest jobs in flight.
+        # For 10 s, the scheduler still counts the withdrawn attempt as in flight at its worker. Otherwise,
+        # slow workers would seem to have the fewest jobs in flight.
         self.schedule(10 * SECOND_US, self.release, job.scheduler, worker)
         self.schedulers[job.scheduler].ended(self.now_us, job.number, job.attempt, False, final=False)
         self.place(job, {worker.name, *move.avoid})
@@ -337,7 +338,8 @@
         f"  by seed {_mean_and_range(before, '{:.1f} s')} -> {_mean_and_range(after, '{:.1f} s')}, "
         f"reduced by {_mean_and_range(reduction)}"
     )
-    # The basis of false calls: the job had not begun, reported no progress, or was behind by its progress.
+    # A false call is a straggler call at a worker that is not slow. Its basis is that the job had not begun,
+    # had reported no progress, or had reported too little.
     false_by_basis = dict(sum((r.false_by_basis for r in with_detection), Counter()))
     print(f"  straggler calls {sum(calls)}, of these false {false_calls} {false_by_basis or ''}", end="")
     print(f"; precision {_mean_and_range(precision)}, recall {_mean_and_range(recall)}")
--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -7,8 +7,8 @@
 delivered, lost, duplicated, or delayed while time passes (which models a partition and its end); schedulers
 crash and restart without memory. The budget limits the number of events of each kind, so the search
 terminates; within the budget, every order is explored. In each state, every scheduler that holds a lease is
-assumed to send jobs. A variant contains one deliberate fault; that the search finds it shows that the search
-covers the states that matter.
+assumed to send jobs. A variant contains one deliberate fault; the search must find it, which shows that the
+search covers the relevant states.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 from robinhill.mesh.records import Stamp
 
 TICK_US = 1_000
-BOUND_US = 1_500  # one tick, with room for the allowances for clock rates that add up while ages are relayed
+BOUND_US = 1_500  # one tick and a margin for the clock-rate allowances, one for each relay of an age
 CORDON = Stamp(1, 0, "a", 1)
 
 Link = tuple[str, str]
@@ -247,7 +247,7 @@
         return SearchResult(len(seen), accepted, None)
 
     def is_violation(self, state: State) -> bool:
-        """Whether a scheduler may send without knowing the cordon, accepted longer than the bound ago."""
+        """Whether a scheduler may send jobs without knowing a cordon accepted longer than the bound ago."""
         if state.accepted_us is None or state.now_us - state.accepted_us <= BOUND_US:
             return False
         return any(not node.has_change and node.freshness.holds_lease(state.now_us) for node in state.nodes)
@@ -396,7 +396,8 @@
     def _crash(self, state: State, index: int, remaining: RemainingBudget) -> State:
         """Crash a scheduler and restart it without memory in one step.
 
-        A longer outage is the same to the others: they learn of the restart only by its first message.
+        A longer outage makes no difference to the other schedulers: they learn of the restart only from the
+        first message of the restarted scheduler.
         """
         name, incarnations = self.names[index], [0] * len(self.names)
         incarnations[index] = state.nodes[index].incarnations[index] + 1
--- a/benchmarks/mesh_members.py
+++ b/benchmarks/mesh_members.py
@@ -64,7 +64,7 @@
             self.start(name, 1)
 
     def start(self, name: str, incarnation: int) -> None:
-        """Start or restart a member, which knows only the operators' list."""
+        """Start or restart a member, which knows only the operators' list of members."""
         rng = random.Random(f"{self.seed} {name} {incarnation}")
         peers = dict.fromkeys(self.names, "")
         is_new = name not in self.members
@@ -120,7 +120,7 @@
         return sum(member.state(peer) is state for name, member in self.members.items() if name != peer)
 
     def converged(self) -> bool:
-        """Whether every running member has all other running members as alive."""
+        """Whether every running member considers all other running members alive."""
         return all(
             self.count_views(name, MemberState.ALIVE) == len(self.members) - 1 for name in self.members
         )
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -1,4 +1,4 @@
-"""Model checking of observers' leases: both rules hold in every order of events within small budgets."""
+"""Model checking of observers' leases: the explorer's two rules hold in every order of events in a budget."""
 
 import pytest
 
--- a/tests/test_mesh_freshness.py
+++ b/tests/test_mesh_freshness.py
@@ -75,9 +75,8 @@
     scheduler.pinged(100, "b", 1)
     scheduler.pinged(200, "b", 2)
     scheduler.answered(300, "b", 2, {"b": 0})
-    scheduler.answered(
-        400, "b", 1, {"b": 0, "c": 0}
-    )  # impossible on an ordered link, after the answer to ping 2
+    # An ordered link never delivers the answer to ping 1 after the answer to ping 2.
+    scheduler.answered(400, "b", 1, {"b": 0, "c": 0})
     scheduler.answered(500, "b", 2, {"b": 0, "c": 0})
     assert scheduler.known_as_of("b") == 200 and scheduler.known_as_of("c") is None
     for number in range(3, 4 + MAX_PENDING_PINGS):
--- a/tests/test_mesh_members.py
+++ b/tests/test_mesh_members.py
@@ -158,7 +158,7 @@
 
 
 def test_pause_is_the_first_action_and_postpones_deadlines() -> None:
-    """A paused process must not declare peers dead for the messages that it could not read."""
+    """A process must not declare peers dead because it could not read their messages during a pause."""
     detector = create_detector()
     run_ticks(detector, 100_000, 7_000_000, senders="cde")
     assert detector.state("b") is SUSPECT
