--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -23,8 +23,9 @@
 from robinhill.placement.worker_choice import WorkerChoice
 from robinhill.placement.worker_list import WorkerList
 
-# A job without a hint may queue beyond its latency objective by this factor times its class's usual job time
-# times (stretch - 1).
+# A job without a work hint may wait in the queue beyond its latency objective, by this factor times its
+# class's usual job time times (stretch - 1). The stretch of a class is the multiple of a job's work hint by
+# which the job's latency objective is extended.
 UNHINTED_WAIT_FACTOR = 1.5
 TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has sent no response for longer
 ATTEMPT_OVERRUN_SHARE = 0.25  # an attempt may exceed its objective by this share of stretch * hinted work
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -51,8 +51,9 @@
         estimates.update_times(worker)
         worker.age_weight = -log1p(US_PER_S / (worker.job_time_us * estimates.rate))
         if not self.state.few_in_flight:
-            # Slow workers use up more of the latency objective, so they get less than their share. With few
-            # jobs in flight this would make the load oscillate between the kinds of machine.
+            # A slow worker uses up more of the latency objective, so the division gives it less than its
+            # share of the load. With few jobs in flight, the division would make the load oscillate between
+            # the kinds of machine.
             worker.age_weight /= worker.job_time_us
 
     def update_factors(self) -> None:
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -92,18 +92,21 @@
         self.kinds: dict[int, DecayingMean] = {}  # job time by kind of machine
         self.weighted_time = DecayingMean()  # job time on a worker of weight 1
         self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
-        self.served = DecayingMean()  # time of own completed jobs
+        self.served = DecayingMean()  # time from send to completion of own jobs at usable workers
         self.usable_workers = 1
         self.mean_priority_weight = 0.0  # mean of the requests' priority weights for their expected work
         self.requested_us = 2 * unknown_job_us  # expected work of all requests
-        self.unbound_us = unknown_job_us  # the part of it in classes that may go to any worker
+        self.unbound_us = unknown_job_us  # part of ``requested_us`` in classes that may go to any worker
 
     def start(self, now: int) -> None:
         """Begin the smoothing window at ``now``, with no jobs observed."""
         self.rate_updated_us = self.started_us = now
 
     def window_share(self, now: int) -> float:
-        """The share of the smoothing window observed since the start; small right after it."""
+        """The weight of the observations since `start`, relative to a full smoothing window.
+
+        Right after the start it is small; after several windows it is close to 1.
+        """
         return -expm1((self.started_us - now) / self.window_us) or 1.0
 
     def add_arrival(self, now: int) -> None:
@@ -164,7 +167,7 @@
         self.jobs.add(request.job_class, elapsed_us, clipped)
 
     def slow_start_share(self, now: int, worker: WorkerRecord) -> float:
-        """The share of its full speed that a worker in slow start has at least."""
+        """Return the lower bound of the speed of a worker in slow start, as a share of its full speed."""
         remaining = min(1.0, (worker.slow_start_until_us - now) / self.window_us)
         return 1 - (1 - self.settings.slow_start_floor) * remaining
 
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -19,7 +19,7 @@
     list_change_bound_us,
 )
 
-RENEWAL_MARGIN_US = 1_000_000  # from the timeout of a silent watch to the response to the next call
+RENEWAL_MARGIN_US = 1_000_000  # time allowed from the timeout of a silent watch to the next call's response
 ADDRESS_CHANGE_BOUND_US = 4_000_000  # the list at a new address takes effect this long after the change
 UNKNOWN_AGE_MS = -1
 
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -10,8 +10,8 @@
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.records import Attempt, WorkerRecord
 
-MIN_MAX_EJECTION_US = 4_000_000  # the longest ejection is this, or half the slow-start window if longer
-SILENT_EJECTIONS = 3  # minimum count of earlier ejections for a worker that fails its health checks
+MIN_MAX_EJECTION_US = 4_000_000  # an ejection lasts at most this, or half the slow-start window if longer
+SILENT_EJECTIONS = 3  # a worker that fails its health checks counts as ejected this often before, or more
 MAX_FAILURE_SHARE = 0.4
 HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
 
@@ -31,7 +31,8 @@
         worker.add_failure(outcome is api.Outcome.ERROR)
         unreachable = outcome is api.Outcome.CONNECT_FAILED
         if unreachable and state.few_arrivals:
-            # Raises the cost of the whole zone. Otherwise each worker of a lost zone would be tried in turn.
+            # This raises the cost of the whole zone. Otherwise each worker of a lost zone would be tried in
+            # turn.
             worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.slow_start_us)
         broken = unreachable or outcome is api.Outcome.RESET
         is_outlier = broken or worker.failure_share > MAX_FAILURE_SHARE or worker.consecutive_ejections
@@ -39,7 +40,10 @@
             self.eject(now, worker, outcome.value)
 
     def eject(self, now: int, worker: WorkerRecord, reason: str) -> None:
-        """Eject the worker for a time that doubles with each ejection, unless half of all are ejected."""
+        """Eject the worker for a time that doubles with each ejection.
+
+        Nothing happens if half of all workers are ejected already.
+        """
         workers, settings = self.state.workers, self.state.settings
         ejected = sum(now < other.ejected_until_us < inf for other in workers.values())
         if 2 * ejected >= len(workers):
@@ -77,7 +81,7 @@
         """Handle the result of a health check.
 
         After ``HEALTH_CHECKS`` failures the worker is ejected, and its jobs that are safe to repeat are
-        cancelled so that they can move: a machine that has crashed never reports their end.
+        cancelled so that other workers can run them: a machine that has crashed never reports their end.
         """
         state = self.state
         worker = state.workers.get(event.address)
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -1,7 +1,7 @@
 """Overload control: concurrency limits of workers, and load shedding.
 
-Both follow the waits at workers of this scheduler's own jobs. A worker's limit grows by one while jobs start
-without a wait and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
+Both follow the times that this scheduler's own jobs wait at workers. A worker's limit grows by one while jobs
+start without a wait and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
 """
 
 from robinhill.placement.decision_state import DecisionState
@@ -56,7 +56,7 @@
 
     @staticmethod
     def pause_after_attempt(now: int, worker: WorkerRecord) -> None:
-        """Keep jobs from a worker whose limit is below one for a pause that brings its load to the limit."""
+        """Send no jobs to a worker whose limit is below one, until its mean load has fallen to the limit."""
         pause = (1 / worker.concurrency_limit - 1) * worker.job_time_us
         worker.backoff_until_us = now + int(pause)
 
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -33,7 +33,7 @@
     entry: api.Worker
     tie_breaker: float  # random, so that schedulers differ in their order of equal workers
     zone: ZoneWait
-    job_time_us: float  # expected time from send to completion, with the worker's kind as prior
+    job_time_us: float  # expected time from send to completion; prior: the mean of the kind of machine
     last_send: int = 0  # number of the last own send to this worker; far in the past if there was none
     own_time: DecayingMean = field(default_factory=DecayingMean)  # time of own jobs here, without a prior
     age_weight: float = -1.0  # ln q over the job time: cost of each own send since the last one here
@@ -44,18 +44,18 @@
     concurrency_limit: float = 1.0  # own jobs that run without a wait; below 1: one at a time, with pauses
     min_start_delay_us: float = 0.0  # shortest time from send to reported start: the network delay
     own_unit_time: float = 0.0  # low quantile of time per unit of work, from own jobs here
-    unit_time: float = 0.0  # like ``own_unit_time``, with the kind of machine as prior
+    unit_time: float = 0.0  # like ``own_unit_time``, with the quantile of the kind of machine as prior
     failure_share: float = 0.0  # smoothed share of own jobs that failed fast
     error_share: float = 0.0  # smoothed share of own jobs that the worker answered with an error
     consecutive_ejections: int = 0
-    class_backoff_until_us: dict[int, int] = field(default_factory=dict)  # end of backoff by rejected class
+    class_backoff_until_us: dict[int, int] = field(default_factory=dict)  # by class that the worker rejected
     serves_bound_classes: bool = False  # True if a class restricted to certain workers may run here
     last_response_us: int = 0  # last start, progress or answer reported by the worker itself
     last_completion_us: int = 0
     suspected_until_us: int = 0  # answers seem to be lost: a high cost makes the worker a last resort
     health_check_since_us: int = 0  # start of the current health checks; 0: none
     failed_health_checks: int = 0  # consecutive failures among the current health checks
-    backoff_until_us: int = 0  # end of the pause after own jobs waited here
+    backoff_until_us: int = 0  # end of the pause in sends that enforces a concurrency limit below 1
     readmitted_us: int = 0  # when the worker last became ready after being ejected or unlisted
     slow_start_credit: float = 0.0  # progress towards the next own job during slow start; 1 allows it
     slow_start_credit_us: int = 0  # when the credit was last updated
@@ -104,7 +104,7 @@
     latest_start_us: int = 0  # a job that starts later misses its latency objective
 
     def record_possible_run(self, attempt: "Attempt") -> None:
-        """Record that the attempt may have run, with the workers that drop a repeat and until when."""
+        """Record that the attempt may have run, which workers drop a repeat of it, and until when."""
         until = attempt.sent_us + self.klass.memory_us
         self.group_until_us = min(self.group_until_us, until) if self.may_have_run else until
         self.may_have_run, self.group = True, attempt.group
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -13,7 +13,7 @@
 
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
-CHEAP_WASTE_PRICE = 0.1  # price of wasted work, in mean job times, below which late jobs are cancelled
+CHEAP_WASTE_PRICE = 0.1  # price of wasted work, in mean job times, below which attempts may be cancelled
 OVERDUE_FACTOR = 2.0  # multiple of the class's usual job time after which an attempt is overdue
 
 
@@ -29,7 +29,11 @@
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRY_BUDGET_PER_COMPLETION)
 
     def schedule_start_check(self, attempt: Attempt) -> None:
-        """Set a timer to check whether the attempt has started, if it could then be cancelled."""
+        """Set a timer to check whether the attempt has started.
+
+        No timer is set if an attempt that has not started cannot be cancelled, or if cancelling it would
+        waste too much work.
+        """
         state, klass, worker = self.state, attempt.job.klass, attempt.worker
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
@@ -39,13 +43,16 @@
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
 
     def schedule_overdue_check(self, attempt: Attempt) -> None:
-        """Set a timer to check, when a started attempt is overdue, if its worker completed any job since."""
+        """Set a timer for the time when a started attempt becomes overdue.
+
+        The check is whether its worker has completed any job since the attempt started.
+        """
         if usual_us := self.state.job_times.class_baseline_us[attempt.job.request.job_class]:
             wait_us = int(OVERDUE_FACTOR * usual_us)
             self.state.set_attempt_timer(wait_us, timers.AttemptCheck.OVERDUE, attempt)
 
     def _worth_cancelling(self, job: JobRecord) -> bool:
-        """Whether wasted work is cheap enough to cancel attempts, some of which keep running unused."""
+        """Whether wasted work is cheap enough to cancel attempts, some of which run on without any use."""
         state, safe = self.state, job.klass.repeat is api.Repeat.SAFE
         mean_us = state.job_times.mean_us
         wasted_us = state.job_times.class_mean_us[job.request.job_class] if safe else mean_us
@@ -54,8 +61,9 @@
     def check_progress(self, now: int, attempt: Attempt) -> None:
         """Cancel the attempt if it is due, or set a timer for when it will be.
 
-        An attempt that has not started is cancelled to move its job, or because the job is late; one that has
-        started, because it has made no progress for so long that its answer must be lost.
+        An attempt that has not started is cancelled to move its job to another worker, or because the job is
+        late. An attempt that has started is cancelled if it has made no progress for so long that its answer
+        must be lost.
         """
         due_us = self._cancel_due_us(now, attempt)
         if now >= due_us:
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -21,9 +21,10 @@
     def begin(self, now: int, worker: WorkerRecord, turn: int) -> None:
         """Add a worker that is new or has restarted to the rotation.
 
-        ``turn``: number of sends in which each worker gets one. The worker begins at a random phase of a turn
-        if it is in slow start, or if the settings price handshakes or the zone that it is in. Any other
-        worker is chosen next.
+        ``turn``: number of sends in one turn of the rotation, in which each worker gets one job. The worker
+        enters at a random point of a turn if it is in slow start, if the settings set a price for handshakes,
+        or if it is in another zone and the settings set a price for crossing zones. Otherwise it is chosen
+        next.
         """
         state, settings = self.state, self.settings
         started_us = min(worker.entry.started_us, now)  # a start time in the future is a clock error
@@ -43,7 +44,8 @@
 
     def allows(self, now: int, worker: WorkerRecord, pace: float) -> bool:
         """Add the credit earned since the last call; return whether it is enough for a job."""
-        # The gap is capped: after a long idle time all schedulers would have full credit and send at once.
+        # Without the cap on the gap, all schedulers would have full credit after a long idle time and send at
+        # the same moment.
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
         credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -26,8 +26,9 @@
 MIN_SPREAD_US = 250_000  # window of random delays once the first half of the change bound has passed
 AGENT_BACKOFF_US = 100_000  # calls to an agent must succeed within the 0.5 s grace period of drains
 MAX_AGENT_BACKOFF_US = 200_000
-# When an unanswered call ends, discovery counts as unreachable until this long ago. The value lets the lease
-# on the list last until the next call has ended too.
+# When a call ends unanswered, the last time at which discovery counts as unreachable is this long before the
+# end of the call, but not before its start. The lease on the list, extended from that time, then lasts until
+# the next call has ended too.
 UNANSWERED_CALL_OUTAGE_US = LIST_CHANGE_BOUND_US - CALL_TIMEOUT_US - MIN_SPREAD_US
 
 
@@ -48,13 +49,14 @@
     def start(self, now_us: int) -> int:
         """Start the schedule; return the delay before the first call (us).
 
-        The deadline counts from now, as the list with which a process starts may be old.
+        The deadline for the next list is counted from now, and not from the time of the list with which the
+        process starts, as that list may be old.
         """
         self.due_us = now_us + self.change_bound_us
         return 0 if self.lists_pushed else self._random_wait_us(now_us)
 
     def record_address_change(self, now_us: int) -> None:
-        """Reset deadline and failures for a new address of discovery; the caller calls it at once."""
+        """Reset deadline and failures for a new address of discovery, which the caller must call at once."""
         self.due_us, self.failed_calls = now_us + self.change_bound_us, 0
 
     def record_call(self, now_us: int) -> None:
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -123,7 +123,9 @@
     def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
         """Return the worker's rank for the job: a lower rank is preferred whatever the cost.
 
-        A worker ranks higher if it may miss the objective, may be busy, or is not proven for an unsafe job.
+        The rank rises if the worker may miss the job's objective, and if it may be busy. While few jobs
+        arrive, it also rises for a job that must not run twice if the worker has a high share of errors, or
+        is out of slow start and has not completed any own job.
         """
         hint_us = criteria.padded_hint_us
         rank = (
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -43,7 +43,8 @@
     def schedule_retry(self) -> None:
         """Set a timer for the next poll with exponential backoff, after half the poll interval at most.
 
-        So the poll is early enough for a change to be received before it counts as notified.
+        The other half of the interval leaves time for the poll itself, so that this scheduler receives a
+        change before discovery counts the scheduler as notified of it.
         """
         state = self.state
         spread_us = state.derived.list_spread_us << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS)
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -22,7 +22,7 @@
 
 
 def test_queue_accepts_a_job_twice_after_export_and_import() -> None:
-    """Job records cannot be compared, so two records with equal sort keys must not raise an error."""
+    """Job records define no order, so inserting two with equal sort keys must not compare the records."""
     queue = JobQueue()
     for _ in range(2):
         queue.add(job(1, -1.0))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -57,7 +57,7 @@
     lease.inherit(41, 198 * S, 204 * S)
     assert lease.age_us(200 * S) == 2 * S
     assert lease.is_valid(204 * S - 1) and not lease.is_valid(204 * S)
-    lease.inherit(41, None, 0)  # from a predecessor without a list of discovery, or of an older version
+    lease.inherit(41, None, 0)  # the predecessor has no list from discovery, or runs an older version
     assert not lease.is_valid(200 * S)
 
 
@@ -198,7 +198,7 @@
     until = record.slow_start_until_us
     node.now += S
     node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
-    assert record.slow_start_until_us == until  # listed again, the worker has not restarted
+    assert record.slow_start_until_us == until  # listed again with the same start time: no restart
 
 
 # Stalls of the process
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -25,7 +25,8 @@
         if i >= 100:
             picks[address] += 1
         node.end(node.jobs, took_us=30 * MS if address == "w0" else 90 * MS, after_us=5 * MS)
-    # w0 is three times as fast as the others, and the age weight depends on the speed twice.
+    # w0 is three times as fast as the others, and the job time enters the age weight twice: in ln(q), and as
+    # a divisor of it.
     assert 3.0 < picks["w0"] / picks["w1"] < 10
     assert picks["w1"] > 30 and picks["w2"] > 30
 
