--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -74,7 +74,7 @@
         self._outbox.send_to_observer(link, progress)
 
     def handle_barrier(self, mono_us: int, origin: str, barrier: wire.Barrier) -> None:
-        """Track which of this voter's observers lag behind its log's head, as another voter requests."""
+        """Track, for another voter's barrier, which observers lag behind the head of this voter's log."""
         position = self._sessions.changelog.head(barrier.urgent)
         self.observer_progress.track(
             mono_us,
@@ -89,7 +89,7 @@
         self.observer_progress.untrack(BarrierId(origin, end.number))
 
     def voter_unlinked(self, name: str) -> None:
-        """Discard the statuses of a voter whose link has ended, and its own barriers here.
+        """Discard the statuses of a voter whose link has ended, and the barriers that it sent.
 
         Both sides send their barriers again on the next link.
         """
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -83,7 +83,7 @@
     def ensure_capacity(self) -> None:
         """At a limit, drop the oldest accepted batch. The caller calls this before each write.
 
-        Raises ChangesFull where none is accepted.
+        Raises ChangesFull if no batch is accepted.
         """
         if self._tracked_changes < MAX_TRACKED_CHANGES and len(self.batches) < MAX_BATCHES:
             return
@@ -148,7 +148,10 @@
         return due
 
     def record_own_status(self, mono_us: int, number: int, tracked: TrackedPosition, counts: bool) -> None:
-        """Record how many observers of this voter lag. ``counts``: this voter counts for majorities."""
+        """Record which observers of this voter lag behind a batch.
+
+        ``counts``: this voter counts for majorities, so its own copy of the changes confirms the batch.
+        """
         batch = self.batches.get(number)
         if batch is None:
             return  # the batch was dropped during the same call
@@ -160,7 +163,7 @@
     def record_status(self, mono_us: int, voter: str, status: BarrierStatus) -> None:
         """Record that another voter has stored a batch, and how many of its observers lag.
 
-        The caller must have called `voter_restarted` for the incarnations in the status before.
+        The caller must first call `voter_restarted` for the incarnations in the status.
         """
         batch = self.batches.get(status.number)
         if batch is None or voter not in self.quorum.names:
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -115,7 +115,7 @@
         """Write a record and offer it to the primary voter, once synchronized with it.
 
         Returns the change's number in `Progressed`, and the record. Raises ChangesFull or StateFull, or
-        KeyError for an unregistered kind; nothing is changed then.
+        KeyError for an unregistered kind; in these cases nothing is changed.
         """
         self._offers.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
@@ -140,7 +140,7 @@
         return ObserverStatus(may_act, not valid, self.lease.age_us(mono_us))
 
     def goodbye(self) -> list[Action]:
-        """Say goodbye to the voters after the last job. The caller must not send jobs from now on."""
+        """Send a `Goodbye` to the voters after the last job. The caller must not send jobs from now on."""
         self._links.stop("goodbye")
         return self._outbox.take()
 
@@ -316,7 +316,7 @@
         self._closed(now_us, mono_us, link)
 
     def _closed(self, now_us: int, mono_us: int, link: Link) -> None:
-        """Remove a link; the spare link replaces the primary one if that has ended."""
+        """Remove a link. If it was the primary link, the spare link becomes the primary one."""
         if not self._links.closed(mono_us, link):
             return
         self._sync.stop_sync()
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -124,7 +124,7 @@
         return spare
 
     def stop(self, why: str) -> None:
-        """Say goodbye to all voters, close all links, and open none from now on."""
+        """Send a `Goodbye` to all voters, close all links, and open none from now on."""
         self.stopped = True
         for link in list(self.by_link):
             self._outbox.send(link, wire.Goodbye())
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -242,7 +242,10 @@
     def track(
         self, mono_us: int, barrier: BarrierId, position: int, *, urgent: bool, hold: bool
     ) -> TrackedPosition:
-        """Wait until all observers have applied the changes up to this position."""
+        """Start to track which observers have not applied all changes up to ``position`` yet.
+
+        Returns the tracked position with these observers, each of which the barrier waits for.
+        """
         tracked = TrackedPosition(position, urgent, hold)
         for name, observer in self.observers.items():
             expired = hold and mono_us >= observer.leased_us + self.lease_us
@@ -265,10 +268,10 @@
             self.untrack(barrier)
 
     def expire_waits(self, mono_us: int) -> None:
-        """End the waits that expired leases allow.
+        """End the waits that are not needed any more because leases have expired.
 
-        They are the wait for observers of this voter's earlier incarnation, and under `hold` the wait for any
-        observer whose lease has expired.
+        These are the wait for observers of this voter's earlier incarnation, and under `hold` the wait for
+        any observer whose lease has expired.
         """
         for barrier, tracked in self.tracked.items():
             if UNKNOWN_OBSERVERS in tracked.waiting and mono_us >= self._unknown_until_us:
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -93,7 +93,7 @@
             case wire.Digests() if feed is not None:
                 self._handle_digests(now_us, mono_us, link, session, feed, message)
             case wire.Applied() | wire.Digests():
-                return  # ignored: the observer has joined on another link meanwhile, or this link is spare
+                return  # ignored: the observer has since joined on another link, or this link is spare
             case _:
                 raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't send")
 
@@ -102,7 +102,9 @@
         if join.protocol != wire.PROTOCOL:
             raise JoinRefused(f"{join.name} uses protocol {join.protocol}, this voter uses {wire.PROTOCOL}")
         if join.installation != options.installation:
-            raise JoinRefused(f"{join.name} is of installation {join.installation!r}, unlike this voter")
+            raise JoinRefused(
+                f"{join.name} is of installation {join.installation!r}, this voter is of another one"
+            )
         if (join.bound_us, join.on_lost) != (options.bound_us, options.modes):
             raise JoinRefused(
                 f"mesh.bound_ms or a mesh.on_lost mode of {join.name} differs from this voter's"
--- a/robinhill/control/pending_offers.py
+++ b/robinhill/control/pending_offers.py
@@ -28,7 +28,7 @@
     def ensure_capacity(self) -> None:
         """At the limit, evict the oldest accepted offer.
 
-        Raises ChangesFull where none is accepted.
+        Raises ChangesFull if no offer is accepted.
         """
         if len(self._records) < MAX_PENDING_OFFERS:
             return
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -60,7 +60,7 @@
         self.replica = replica
         self.synchronized = False
         self.feed_position = FeedPosition()
-        self.rejected = False  # whether the replica lacks a record of the voter that was rejected here
+        self.rejected = False  # whether a record from the voter was rejected and is missing here
         self.confirm_due_us = mono_us
         self._outbox = outbox
         self._rng = rng
@@ -83,7 +83,7 @@
         self.feed_position = FeedPosition()
 
     def begin_sync(self) -> None:
-        """Reset the state of the previous link, as the observer joins a voter by a new one."""
+        """Reset the state of the previous link, as the observer joins a voter on a new link."""
         self.synchronized = False
         self._messages_received = 0
         self._confirmed = wire.Applied(0, self.feed_position.position, self.feed_position.urgent_position)
@@ -120,7 +120,7 @@
         self._outbox.send(link, wire.Digests(now_us, digests))
 
     def receive_ranges(self, now_us: int, ranges: wire.RangeRecords) -> None:
-        """Merge the voter's records of ranges that differ, and determine the records that it lacks.
+        """Merge the voter's records of ranges that differ, and determine the records that the voter lacks.
 
         Only ranges that were received completely show which records the voter lacks.
         """
@@ -219,7 +219,8 @@
     def confirm(self, mono_us: int, link: Link) -> None:
         """Confirm the received messages and, once synchronized, the applied changes to the voter.
 
-        Does nothing if the voter knows them, or within `CONFIRM_INTERVAL_US` of the last confirmation.
+        Does nothing if nothing has changed since the last confirmation, or if that was sent less than
+        `CONFIRM_INTERVAL_US` ago.
         """
         if not self.needs_confirmation() or mono_us < self.confirm_due_us:
             return
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -161,12 +161,15 @@
         return self._finish(now_us, mono_us)
 
     def confirm_complete(self, now_us: int, mono_us: int) -> list[Action]:
-        """Count for majorities: an operator confirms that this voter knows all changes that are in force."""
+        """Make this voter count for majorities.
+
+        An operator has confirmed that the voter knows all changes that are in force.
+        """
         self._mark_caught_up()
         return self._finish(now_us, mono_us)
 
     def remove_observer(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
-        """End all waits for a scheduler that no longer runs, as an operator reports."""
+        """End all waits for a scheduler which, as an operator has reported, no longer runs."""
         self._sessions.remove(observer)
         return self._finish(now_us, mono_us)
 
@@ -215,7 +218,7 @@
 
     @property
     def linked_voters(self) -> tuple[str, ...]:
-        """Names of the voters that have greeted on a link, in ascending order."""
+        """Names of the voters whose hello was received on a link, in ascending order."""
         return tuple(sorted(self._voter_links.link_of))
 
     @property
@@ -258,7 +261,7 @@
         if isinstance(message, wire.MeshData):
             for event in voter.session.receive(now_us, mono_us, message.data):
                 self._handle_session_event(mono_us, link, event)
-        elif voter.name is not None:  # before the greeting the sender of the message is unknown
+        elif voter.name is not None:  # until its hello is received, the sender is unknown
             self._handle_voter_message(mono_us, voter, voter.name, message)
 
     def _handle_voter_message(
@@ -365,7 +368,7 @@
         return origin != self.name and not linked_here
 
     def _finish(self, now_us: int, mono_us: int, *, pump: bool = True) -> list[Action]:
-        """Advance changes, send pending messages, and return the actions of the call.
+        """Advance the tracked changes, send pending messages, and return the actions of the call.
 
         ``pump``: send pending messages to the other voters too.
         """
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -26,7 +26,8 @@
     """A link to another voter.
 
     ``dialed``: the voter that we connected to; None if the other voter connected. ``name`` is None until the
-    other voter has greeted. ``status``: the last status received; ``sent_status``: the last status sent.
+    other voter's hello was received. ``status``: the last status received; ``sent_status``: the last status
+    sent.
     """
 
     session: Session
@@ -47,7 +48,7 @@
 
 
 class GreetedVoter(NamedTuple):
-    """A link on which a voter has greeted. ``written_position``: as in `VoterLink`."""
+    """A link on which a voter's hello was received. ``written_position``: as in `VoterLink`."""
 
     link: Link
     name: str
@@ -100,7 +101,10 @@
 
 
 class ReportableAges:
-    """The ages that sessions report from `Freshness`: only our own while any voter is incomplete here."""
+    """The ages of our knowledge that sessions report to other voters, from `Freshness`.
+
+    Our own age alone is reported while we lack some of another voter's state (`IncompleteVoters`).
+    """
 
     def __init__(self, freshness: Freshness, incomplete: IncompleteVoters) -> None:
         self.pinged = freshness.pinged
@@ -187,7 +191,7 @@
         self._backoff.failed(mono_us, name)
 
     def greeted(self, link: Link, name: str) -> None:
-        """Record which voter greeted on a link. The caller must have closed that voter's earlier link."""
+        """Record that a voter's hello was received. The caller must have closed that voter's earlier link."""
         voter = self.by_link[link]
         voter.name = name
         self.link_of[name] = link
@@ -220,8 +224,8 @@
     def pump(self, now_us: int, mono_us: int) -> Iterator[GreetedVoter]:
         """Send the pending frames of all sessions, then our status where it has changed.
 
-        Yields each link on which a voter has greeted, once its frames are sent; messages that the caller then
-        sends follow them.
+        Yields each link on which a voter's hello was received, once its frames are sent; messages that the
+        caller then sends follow them.
         """
         status = self._status()
         for link, voter in self.by_link.items():
@@ -235,7 +239,7 @@
             yield GreetedVoter(link, voter.name, voter.written_position)
 
     def send_to_all(self, message: wire.VoterMessage) -> None:
-        """Send a message to each voter that has greeted."""
+        """Send a message to each voter whose hello was received."""
         for link in self.link_of.values():
             self._outbox.send_to_voter(link, message)
 
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -41,8 +41,10 @@
         return None
 
     def due_us(self, linked: Collection[str]) -> int | None:
-        """Time at which `next` may return a voter, as an attempt times out or a backoff ends; None: all are
-        linked."""
+        """Time at which `next` may return a voter, because an attempt times out or a backoff ends.
+
+        None if all voters are linked.
+        """
         if self.backoff.connecting:
             return self.backoff.expires_us()
         return min((self.backoff.due_us(name) for name in self.order if name not in linked), default=None)
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -73,7 +73,7 @@
         return self._due_us if self._in_progress or self.opens else None
 
     def tick(self, now_us: int, mono_us: int) -> None:
-        """Open a round if one is due, or request the versions that the current round still awaits again."""
+        """Open a round if one is due, or request again the versions that the current round still awaits."""
         if mono_us < self._due_us:
             return
         if self._awaited:
@@ -96,12 +96,12 @@
         """
         if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
             raise PeerRejected(
-                "range digests are malformed: expected 8 bytes for each of 256 ranges, and one side that"
-                " opens rounds and one that answers"
+                "range digests are malformed: they don't have 8 bytes for each of 256 ranges, or both sides"
+                " open rounds, or both answer"
             )
         if frame.answers:
             if frame.round != self._round or self._digests_received:
-                return  # late or duplicated
+                return  # the answer is late or duplicated
         elif frame.round <= self._round:
             return
         else:
--- a/robinhill/mesh/change_log.py
+++ b/robinhill/mesh/change_log.py
@@ -1,4 +1,4 @@
-"""The changes of a copy in order. Each has a number, which readers use as a cursor."""
+"""The changes of a copy, in the order in which they occurred. Readers use a change's number as a cursor."""
 
 from bisect import bisect_right
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
         self._numbers: list[int] = []
 
     def append(self, stored: StoredRecord, live_records: int) -> None:
-        """Give a changed record the next number. ``live_records``: the number of records in the copy.
+        """Give a changed record the next number. ``live_records``: how many records are stored at present.
 
         Stale entries are removed once they outnumber the live ones by more than ``STALE_ENTRIES``.
         """
@@ -45,7 +45,7 @@
         return found, self.head if at == len(self._entries) else cursor
 
     def records(self) -> Iterator[StoredRecord]:
-        """Iterate over all stored records, oldest change first, skipping those dropped in the meantime."""
+        """Iterate over all stored records, oldest change first, except those dropped during the iteration."""
         return (stored for stored in self._live() if stored.change_number >= 0)
 
     def _live(self) -> list[StoredRecord]:
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -40,7 +40,7 @@
     PingRequest,
 )
 
-MAX_PEERS = 1_024  # a configured list that is longer is taken for a mistake
+MAX_PEERS = 1_024  # a longer configured list is treated as a configuration error
 
 
 class FailureDetector:
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -86,7 +86,7 @@
 
 
 class RangeDigests(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """Digests of all ranges, 8 bytes each. ``answers``: whether the sender answers, or else opens the round.
+    """Digests of all ranges, 8 bytes each. ``answers``: the sender answers; False: it opens the round.
 
     ``at_us``: the Unix time as of which the digests are computed, repeated in the answer; records that have
     expired by then do not count in them.
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -58,8 +58,8 @@
 class Freshness:
     """The moments as of which the other schedulers are known, and the lease that follows from them.
 
-    The caller sets ``caught_up`` once `may_catch_up` is true. It sets it earlier if the process has read
-    everything that it ever confirmed from disk, or if an operator confirms that no cordon is in force.
+    The caller sets ``caught_up`` once `may_catch_up` is true, or earlier if the process has read from disk
+    everything that it ever confirmed, or if an operator confirms that no cordon is in force.
     """
 
     def __init__(self, me: str, peers: Iterable[str], bound_us: int) -> None:
@@ -68,7 +68,7 @@
         self.quorum = Quorum(me, peers)
         self._caught_up = False
         self._names = self.quorum.names
-        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: number and time written
+        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: ping number, time written
         self._counting_moments: dict[str, int] = {}  # of schedulers that counted towards majorities
         self._starting_moments: dict[str, int] = {}  # of schedulers that did not count yet
         self._introduced_us: dict[str, int] = {}  # the time from which a peer knows our incarnation
@@ -124,7 +124,10 @@
         self._majority_moment = self._find_majority_moment()
 
     def introduced(self, mono_us: int, peer: str) -> None:
-        """Record that a peer without a link to us knows our incarnation, as it confirmed through others."""
+        """Record that a peer without a link to us knows our incarnation.
+
+        The peer's acknowledgement, which other peers relay, names our incarnation.
+        """
         if peer in self._names:
             self._introduced_us.setdefault(peer, mono_us)
 
--- a/robinhill/mesh/member_table.py
+++ b/robinhill/mesh/member_table.py
@@ -15,7 +15,7 @@
 from robinhill.mesh.swim_messages import MemberState, MemberUpdate
 
 MAX_REPORTERS = 8  # stored for each suspect
-MIN_MEMBERS_FOR_SUSPICION = 10  # used in place of a smaller number: a shorter suspicion has no benefit
+MIN_MEMBERS_FOR_SUSPICION = 10  # fewer members count as this many: a shorter suspicion has no benefit
 MIN_GOSSIP_SENDS = 3
 
 
@@ -219,7 +219,7 @@
         same_incarnation = update.incarnation == member.incarnation
         alive_here = same_incarnation and member.received_within(mono_us, self.options.recent_us)
         if state is MemberState.DEAD and alive_here:
-            state = MemberState.SUSPECT  # something was received from it just now, so it may refute
+            state = MemberState.SUSPECT  # something was recently received from it, so it may refute
         known, reported = (member.incarnation, member.refutations), update.version
         if reported == known and state is MemberState.SUSPECT is member.state:
             self.add_reporter(name, update.reporter)
--- a/robinhill/mesh/ping_rounds.py
+++ b/robinhill/mesh/ping_rounds.py
@@ -14,14 +14,14 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._names: list[str] = []  # what remains of the round, in reverse order
+        self._names: list[str] = []  # members still to be pinged in this round, the next one last
 
     def reload(self, members: dict[str, Member], first: list[str]) -> None:
-        """Drop names that are no longer members. Those in ``first`` are next, the last of them first."""
+        """Drop names that are no longer members. `next` then returns those in ``first``, from its end."""
         self._names = [name for name in self._names if name in members] + first
 
     def next(self, members: dict[str, Member], eligible: Callable[[Member], bool]) -> str | None:
-        """Return the next eligible member, skipping others; None if no member is eligible."""
+        """Return the next eligible member, skipping ineligible ones; None if no member is eligible."""
         for _ in range(2):
             while self._names:
                 name = self._names.pop()
--- a/robinhill/mesh/ping_schedule.py
+++ b/robinhill/mesh/ping_schedule.py
@@ -3,8 +3,8 @@
 Times are monotonic microseconds of this process. ``session`` builds the frames.
 """
 
-PING_GAP_US = 50_000  # least time between pings, and from a push to the ping for its confirmation
-FIRST_TIMEOUT_US = 250_000  # of an answer while the round trip is unknown
+PING_GAP_US = 50_000  # minimum time between pings, and from a push to the ping that requests its confirmation
+FIRST_TIMEOUT_US = 250_000  # timeout of an answer while the round-trip time is unknown
 MIN_TIMEOUT_US = 50_000
 MAX_PINGS_IN_FLIGHT = 8
 
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -53,7 +53,7 @@
         self.pushed = 0  # number of records that were pushed
         self.skipped = 0  # number of records that were not pushed, as the peer was known to have them
         self._pending = pending  # records that anti-entropy found the peer to lack
-        self._peer_has: dict[RecordName, Record] = {}  # of the changes after the cursor
+        self._peer_has: dict[RecordName, Record] = {}  # records after the cursor that the peer has sent
 
     @property
     def confirmed_cursor(self) -> int:
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -38,7 +38,7 @@
         return self._lists
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Require a majority of this list too.
+        """Add a new list of schedulers: a quorum then also needs a majority of this list.
 
         Raises ListsUnsettled if more than ``MAX_UNSETTLED_LISTS`` would be in force.
         """
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -164,7 +164,7 @@
     def _receive(self, now_us: int, mono_us: int, frame: Frame) -> list[Event]:
         if isinstance(frame, Hello):
             return self._receive_hello(now_us, mono_us, frame)
-        self._hello_confirmed = True  # a peer writes anything else only after our hello
+        self._hello_confirmed = True  # a peer writes other frames only after it has received our hello
         if self.peer is None:
             return []  # the peer's hello was lost or overtaken by this frame, which will be sent again
         match frame:
@@ -222,7 +222,7 @@
         if hello.name not in self.own.names:
             raise PeerRejected(f"{hello.name} is not among the peers in our configuration")
         if len(hello.names) > MAX_MEMBERS:
-            raise PeerRejected(f"{hello.name} lists {len(hello.names)} members, which is too many")
+            raise PeerRejected(f"{hello.name} lists {len(hello.names)} members, the limit is {MAX_MEMBERS}")
 
     def _receive_push(self, now_us: int, mono_us: int, push: Push) -> list[Event]:
         self._received.received(push.number, push.replaces)
@@ -279,7 +279,7 @@
         self._member_messages.append(payload)
 
     def next_us(self) -> int:
-        """Return when `draw` has something to write if no message is received and nothing changes before."""
+        """Return when `draw` next has something to write, unless a message or a change arrives before."""
         if self.peer is None:
             return self._hello_due_us
         due = [self._ping_due_us()]
--- a/robinhill/mesh/session_events.py
+++ b/robinhill/mesh/session_events.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PingAnswered:
-    """Ping ``number`` was answered, and everything that the peer knew when it arrived is stored here.
+    """Ping ``number`` was answered, and all that the peer knew when the ping arrived is stored here.
 
     ``took_us``: the round trip of the ping. ``confirmed_cursor``: the peer has our changes up to this number.
     """
