--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -17,8 +17,8 @@
 """Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Maximum difference of the clocks at which the voter computes its digests as of the observer's time. Beyond
-it they are as of the voter's own time, so ranges differ in which records expired between the two times."""
+"""Up to this difference between the clocks, the voter computes its digests as of the observer's time. Beyond
+it, the voter uses its own time, so ranges with records that expired between the two times differ too."""
 
 DIGEST_BYTES = 8
 
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -103,7 +103,7 @@
     ) -> ObserverState | None:
         """Record the join of an observer. Returns None for a join that a later one has superseded.
 
-        A later incarnation replaces the earlier one, for which no change waits any more.
+        A later incarnation replaces the earlier one, and no change waits for the earlier one any more.
         """
         known = self.observers.get(name)
         if known is not None and (known.incarnation, known.join) > (incarnation, join):
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -18,7 +18,7 @@
 from robinhill.cordon.propagation import Mode
 
 MAX_COMPARISONS = 64
-"""Limit of the observers that are synchronized at the same time; others are queued."""
+"""Limit of the observers that compare their replicas with this voter at the same time; others are queued."""
 
 
 @dataclass(slots=True)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -134,7 +134,8 @@
     ) -> tuple[int, Record, list[Action]]:
         """Write a record and track the change. Returns the change's number in `Progressed`, and the record.
 
-        Raises ChangesFull or StateFull, or KeyError for an unregistered kind; nothing is changed then.
+        Raises ChangesFull or StateFull, or KeyError for an unregistered kind; in these cases nothing is
+        changed.
         """
         self.commit_tracker.ensure_capacity()
         record = self.replica.write(now_us, kind, key, value)
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -209,7 +209,7 @@
             if mono_us >= until_us:
                 self.table.change(name, MemberState.DEAD)
             elif not member.verified and until_us - mono_us <= self.table.suspicion_us // 4:
-                # Its refutation may have been lost: ping it, which also informs it of the suspicion again.
+                # The suspect's refutation may have been lost. The ping informs it of the suspicion again.
                 member.verified = True
                 self._ping(mono_us, name)
 
--- a/robinhill/mesh/failure_detector_options.py
+++ b/robinhill/mesh/failure_detector_options.py
@@ -30,8 +30,8 @@
     base 10 of the number of members."""
 
     min_suspicion_factor: float = 0.5
-    """Fraction of that time that remains once ``max_reporters`` further members have reported the suspect
-    independently."""
+    """Fraction of the time for a refutation that remains once ``max_reporters`` further members have reported
+    the suspect independently."""
 
     max_reporters: int = 3
     """Number of further independent reporters from which ``min_suspicion_factor`` applies."""
@@ -40,7 +40,7 @@
     """Each update is sent this many times, multiplied by the logarithm to base 2 of the number of members."""
 
     max_updates: int = 24
-    """Most updates in one message: less than 1 KB, so that a message fits into one packet."""
+    """Maximum number of updates in one message: less than 1 KB, so that a message fits into one packet."""
 
     dead_ping_interval: int = 5
     """Number of periods between two pings of dead members, so that the end of a partition is noticed."""
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -44,8 +44,8 @@
 """Unanswered pings retained for each partner. An answer to an older ping is ignored, which is safe."""
 
 MAX_AGES = 256
-"""Most entries in an answer; the most recent are chosen. 256 is more than a majority of 500 schedulers and
-takes at most 6 KB."""
+"""Maximum number of entries in an answer; the most recent are chosen. 256 is more than a majority of 500
+schedulers and takes at most 6 KB."""
 
 RATE_ALLOWANCE = 1_000
 """An age that another process measured is extended by one part in 1,000, as its clock may run slower than
@@ -132,7 +132,9 @@
             self._introduced_us.setdefault(peer, mono_us)
 
     def started(self, peer: str, incarnation: int) -> None:
-        """Record an incarnation of a peer, from the hello of its link before any ping, or through others.
+        """Record an incarnation of a peer, which its hello or another peer has reported.
+
+        The hello of a link must be recorded before any ping on that link.
 
         If the peer has restarted, the moments of its previous process are dropped, so that they do not help
         this scheduler to catch up. They do not extend the lease any more either, although that would be safe:
@@ -247,7 +249,7 @@
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        """Whether a majority of schedulers, without this one, counts and is known since it knew us."""
+        """Whether enough peers for a majority count, each known as of a time when it knew our incarnation."""
         return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
         )
