--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -94,7 +94,7 @@
 
         ``age_us``: age of the majority's state that the voter knows; None: it knows none.
         """
-        if self._pending_reply is None:  # a heartbeat received while a reply is pending gets none
+        if self._pending_reply is None:  # otherwise this heartbeat gets no reply, but a later one does
             position, urgent = self.changelog.replica.head, self.changelog.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -249,7 +249,10 @@
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        """Whether enough peers for a majority count, each known as of a time when it knew our incarnation."""
+        """Whether a majority of the schedulers, without this one, counts towards majorities.
+
+        Each of them must be known as of a moment when it knew our incarnation.
+        """
         return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
         )
--- a/robinhill/placement/decision_state.py
+++ b/robinhill/placement/decision_state.py
@@ -12,7 +12,8 @@
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
 
 UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any has completed and without a hint
-LIST_POLL_US = 50_000  # time that discovery spends on a poll; first polls are spread by it per scheduler
+# Time that discovery spends on a poll. The first polls are spread over this time times the fleet size.
+LIST_POLL_US = 50_000
 MAX_FLEET_JOBS_WAITING = 3.0  # jobs of all schedulers together that may wait at one worker
 
 
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -11,7 +11,7 @@
 from robinhill.placement.records import Attempt, WorkerRecord
 
 MIN_MAX_EJECTION_US = 4_000_000  # an ejection lasts at most this, or half the slow-start window if longer
-SILENT_EJECTIONS = 3  # a worker that fails its health checks counts as ejected this often before, or more
+SILENT_EJECTIONS = 3  # at least this many earlier ejections are assumed after failed health checks
 MAX_FAILURE_SHARE = 0.4
 HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
 
