--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -15,7 +15,7 @@
     WatchSchedule,
 )
 
-from .conftest import MS, Node, S, only, sent_to, settings
+from .conftest import MS, Node, S, of_type, sent_to, settings
 
 RENEWED_US = 100 * S
 
@@ -163,41 +163,41 @@
 
 def test_jobs_without_a_lease_are_queued_then_rejected_at_their_queue_deadline() -> None:
     node = Node()
-    node.do(api.ListLeaseChanged(False))
-    assert not only(node.ask(), api.Send)
-    assert not only(node.listed(api.ListKind.CHANGES, api.Worker("w9")), api.Send)
-    (rejection,) = only(node.do(api.TimerFired("held"), 5 * S), api.Reject)
+    node.handle(api.ListLeaseChanged(False))
+    assert not of_type(node.submit(), api.Send)
+    assert not of_type(node.update_list(api.ListKind.CHANGES, api.Worker("w9")), api.Send)
+    (rejection,) = of_type(node.handle(api.TimerFired("held"), 5 * S), api.Reject)
     assert rejection.job == 1 and rejection.why is api.RejectionReason.NO_WORKER
 
 
 def test_queued_jobs_are_sent_by_the_current_list_when_the_lease_is_renewed() -> None:
     node = Node(workers=2)
-    node.do(api.ListLeaseChanged(False))
-    node.ask()
+    node.handle(api.ListLeaseChanged(False))
+    node.submit()
     removed = api.Worker("w0", state=api.WorkerState.REMOVED)
-    assert not only(node.listed(api.ListKind.CHANGES, removed), api.Send)
-    assert sent_to(node.do(api.ListLeaseChanged(True))) == "w1"
+    assert not of_type(node.update_list(api.ListKind.CHANGES, removed), api.Send)
+    assert sent_to(node.handle(api.ListLeaseChanged(True))) == "w1"
 
 
 def test_attempt_not_written_without_a_lease_does_not_count_against_its_worker() -> None:
     node = Node(workers=2)
-    worker = sent_to(node.ask())
-    node.do(api.ListLeaseChanged(False))
-    assert not only(node.end(1, api.Outcome.CONNECT_FAILED, MS), api.Send)
+    worker = sent_to(node.submit())
+    node.handle(api.ListLeaseChanged(False))
+    assert not of_type(node.end_attempt(1, api.Outcome.CONNECT_FAILED, MS), api.Send)
     assert not node.balancer.avoided_workers(node.now)
-    (send,) = only(node.do(api.ListLeaseChanged(True)), api.Send)
+    (send,) = of_type(node.handle(api.ListLeaseChanged(True)), api.Send)
     assert send.job == 1 and worker in ("w0", "w1")
 
 
 def test_start_time_in_the_future_causes_one_slow_start_of_normal_length() -> None:
     node = Node(workers=2)
     hour = 3600 * S
-    node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
+    node.update_list(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now + hour))
     record = node.balancer.workers["w2"]
     assert record.slow_start_until_us == node.now + node.balancer.settings.slow_start_us
     until = record.slow_start_until_us
     node.now += S
-    node.listed(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
+    node.update_list(api.ListKind.CHANGES, api.Worker("w2", started_us=node.now - S + hour, weight=2.0))
     assert record.slow_start_until_us == until  # listed again with the same start time: no restart
 
 
