--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -44,8 +44,8 @@
 """Unanswered pings retained for each partner. An answer to an older ping is ignored, which is safe."""
 
 MAX_AGES = 256
-"""Most entries in an answer; the most recent are chosen. 256 is more than a majority of 500 schedulers and
-takes at most 6 KB."""
+"""Maximum number of entries in an answer; the most recent are chosen. 256 is more than a majority of 500
+schedulers and takes at most 6 KB."""
 
 RATE_ALLOWANCE = 1_000
 """An age that another process measured is extended by one part in 1,000, as its clock may run slower than
@@ -58,8 +58,8 @@
 class Freshness:
     """The moments as of which the other schedulers are known, and the lease that follows from them.
 
-    The caller sets ``caught_up`` once `may_catch_up` is true. It sets it earlier if the process has read
-    everything that it ever confirmed from disk, or if an operator confirms that no cordon is in force.
+    The caller sets ``caught_up`` once `may_catch_up` is true, or earlier if the process has read from disk
+    everything that it ever confirmed, or if an operator confirms that no cordon is in force.
     """
 
     def __init__(self, me: str, peers: Iterable[str], bound_us: int) -> None:
@@ -68,7 +68,7 @@
         self.quorum = Quorum(me, peers)
         self._caught_up = False
         self._names = self.quorum.names
-        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: number and time written
+        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: ping number, time written
         self._counting_moments: dict[str, int] = {}  # of schedulers that counted towards majorities
         self._starting_moments: dict[str, int] = {}  # of schedulers that did not count yet
         self._introduced_us: dict[str, int] = {}  # the time from which a peer knows our incarnation
@@ -124,12 +124,17 @@
         self._majority_moment = self._find_majority_moment()
 
     def introduced(self, mono_us: int, peer: str) -> None:
-        """Record that a peer without a link to us knows our incarnation, as it confirmed through others."""
+        """Record that a peer without a link to us knows our incarnation.
+
+        The peer's acknowledgement, which other peers relay, names our incarnation.
+        """
         if peer in self._names:
             self._introduced_us.setdefault(peer, mono_us)
 
     def started(self, peer: str, incarnation: int) -> None:
-        """Record an incarnation of a peer, from the hello of its link before any ping, or through others.
+        """Record an incarnation of a peer, which its hello or another peer has reported.
+
+        The hello of a link must be recorded before any ping on that link.
 
         If the peer has restarted, the moments of its previous process are dropped, so that they do not help
         this scheduler to catch up. They do not extend the lease any more either, although that would be safe:
@@ -244,7 +249,10 @@
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        """Whether a majority of schedulers, without this one, counts and is known since it knew us."""
+        """Whether a majority of the schedulers, without this one, counts towards majorities.
+
+        Each of them must be known as of a moment when it knew our incarnation.
+        """
         return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
         )
