--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -144,7 +144,7 @@
     """Print a situation, or fit a description to a recording (a folder or file)."""
     from robinhill.commands import modelling as commands
 
-    context.exit(commands.guarded(commands.describe, source, kinds))
+    context.exit(commands.run_and_report_errors(commands.describe, source, kinds))
 
 
 @model.command("run")
@@ -156,7 +156,7 @@
     """Play one run on a SITUATION: a shipped one (clubs, clubs-silent, ...) or a description's file."""
     from robinhill.commands import modelling as commands
 
-    context.exit(commands.guarded(commands.run, situation, side, seed))
+    context.exit(commands.run_and_report_errors(commands.run, situation, side, seed))
 
 
 def _percent(_: click.Context, __: click.Parameter, text: str) -> float:
@@ -187,7 +187,7 @@
     from robinhill.commands import modelling as commands
 
     comparison = commands.ComparisonOptions(**options)
-    context.exit(commands.guarded(commands.compare_sides, comparison))
+    context.exit(commands.run_and_report_errors(commands.compare_sides, comparison))
 
 
 @cli.group()
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -12,7 +12,7 @@
 from robinhill.commands.exit_codes import FAULTY, OK
 from robinhill.config_types import ConfigError
 
-SECRET = bytes(16)  # any will do, as hashes are not shown
+PLACEHOLDER_SECRET = bytes(16)  # any will do, as hashes are not shown
 
 
 def check(files: tuple[str, ...]) -> int:
@@ -59,7 +59,7 @@
     logs.configure()
     try:
         options = config.read_operator(path).admission
-        caller = Directory(options, SECRET).find(tenant, address)
+        caller = Directory(options, PLACEHOLDER_SECRET).find(tenant, address)
     except (ConfigError, BadNameError) as e:
         print(f"robinhill: {e}", file=sys.stderr)
         return FAULTY
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -22,7 +22,10 @@
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
-SMALL, LOAD = 8, 1.3  # small tenants beside a large one; all together ask for so much of the fleet
+SMALL_COUNT, LOAD_FACTOR = (
+    8,
+    1.3,
+)  # small tenants beside a large one; all together ask for so much of the fleet
 LARGE_SHARE = 0.6
 ADMISSION: Json = {"admission": {"enabled": True}}
 
@@ -44,14 +47,16 @@
 async def _play(seconds: float, workers: int, operator: Json) -> int:
     site = Site()
     async with town(site, workers=workers, operator=operator) as here:
-        rate = LOAD * here.slots / (site.mean_work_ms / 1000)
+        rate = LOAD_FACTOR * here.slots / (site.mean_work_ms / 1000)
         tenants = [Tenant("large-club", rate * LARGE_SHARE, retries=2)]
-        tenants += [Tenant(f"club-{i}", rate * (1 - LARGE_SHARE) / SMALL, retries=2) for i in range(SMALL)]
+        tenants += [
+            Tenant(f"club-{i}", rate * (1 - LARGE_SHARE) / SMALL_COUNT, retries=2) for i in range(SMALL_COUNT)
+        ]
         clients = Clients(site, lambda: here.program.listen, here.journal, seed=1)
         playing = asyncio.get_running_loop().create_task(clients.play(tenants, seconds))
         stop = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGINT, stop.set)
-        click.echo(f"{workers} workers, {len(tenants)} tenants, {LOAD:g} times what the fleet can do.")
+        click.echo(f"{workers} workers, {len(tenants)} tenants, {LOAD_FACTOR:g} times what the fleet can do.")
         waiting = asyncio.get_running_loop().create_task(stop.wait())
         while not playing.done() and not stop.is_set():
             await asyncio.wait([playing, waiting], timeout=REFRESH_S, return_when=asyncio.FIRST_COMPLETED)
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -23,7 +23,7 @@
 from robinhill.model.trace import Trace, fit
 from robinhill.record.frames import RecordingError
 
-DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
+EXIT_DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
 ROOT = Path(__file__).parent.parent.parent
 
 
@@ -128,7 +128,7 @@
         result = play(description, side, seed)
     if isinstance(result, Failed):
         click.echo(f"{result.side} failed on seed {result.seed}: {result.why}")
-        return DISAGREES
+        return EXIT_DISAGREES
     elapsed_s = time.perf_counter() - started_s
     click.echo(f"{description.name}, seed {seed}: {result.share:.3f} of the worth served in time")
     for kind, (wanted, served) in result.by_kind.items():
@@ -183,7 +183,7 @@
         Path(options.json_path).write_bytes(report.as_json(comparison))
     if options.html_path:
         Path(options.html_path).write_text(report.as_html(comparison))
-    return DISAGREES if comparison.failed else 0
+    return EXIT_DISAGREES if comparison.failed else 0
 
 
 def _print_progress(pairs: int, difference: str) -> None:
@@ -196,7 +196,7 @@
         click.echo(f"repaired: {note}", err=True)
 
 
-def guarded(call: object, *arguments: object) -> int:
+def run_and_report_errors(call: object, *arguments: object) -> int:
     """The exit code of a command; a faulty description, trace or file is one line and 2."""
     assert callable(call)
     logs.configure()
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -13,10 +13,10 @@
 
 from robinhill.checker.journal import Journal, What
 from robinhill.emulator.site import JobKind, Site
-from robinhill.emulator.worker import WORK
+from robinhill.emulator.worker import WORK_ATTRIBUTE
 
 REFUSALS = (429, 503)
-IMPATIENT_S = 0.01  # how soon a client that takes no advice is back
+IMMEDIATE_RETRY_S = 0.01  # how soon a client that takes no advice is back
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,13 +29,13 @@
     name: str
     rate: float  # requests a second
     retries: int = 0
-    heed: bool = True
-    heavy: float = 1.0
+    honour_retry_after: bool = True
+    work_factor: float = 1.0
     kinds: tuple[str, ...] = ()  # of the site's; none: all, by their shares
 
 
 @dataclass(slots=True, frozen=True)
-class Planned:
+class PlannedArrival:
     """An arrival drawn ahead: seconds after the start, who, what class, and how long it runs at speed 1."""
 
     at_s: float
@@ -88,86 +88,94 @@
         self.header = header
         self.asked: list[Asked] = []
         self.latest_s = 0.0  # the most that an arrival came behind its time: this machine's own delay
-        self._numbers = count()
-        self._tag = f"{seed:x}"
-        self._open: set[asyncio.Task[None]] = set()
-        self._begun = 0.0
+        self._sequence = count()
+        self._key_prefix = f"{seed:x}"
+        self._pending_tasks: set[asyncio.Task[None]] = set()
+        self._started_s = 0.0
         self._session: aiohttp.ClientSession | None = None
 
     async def play(self, tenants: list[Tenant], seconds: float) -> None:
         """Let all tenants ask for so long, and wait until everything is answered."""
-        drawn = sorted(self._draw(tenants, seconds), key=lambda x: x[0])
-        plays = [
-            (at, partial(self._pursue, Asked(tenant.name, kind, work_s, at), tenant, seconds))
-            for at, tenant, kind, work_s in drawn
+        arrivals = sorted(self._draw(tenants, seconds), key=lambda x: x[0])
+        starts = [
+            (at, partial(self._request_as_tenant, Asked(tenant.name, kind, work_s, at), tenant, seconds))
+            for at, tenant, kind, work_s in arrivals
         ]
-        await self._play(plays)
+        await self._run_plan(starts)
 
-    async def replay(self, planned: list[Planned], retries: int, back_off_s: float, factor: float) -> None:
+    async def replay(
+        self, planned: list[PlannedArrival], retries: int, back_off_s: float, factor: float
+    ) -> None:
         """Let what was drawn elsewhere arrive; refused and failed requests come again as the model's
         clients'.
         """
         tenants = {p.tenant: Tenant(p.tenant, 0.0, retries) for p in planned}
-        plays = []
+        starts = []
         for p in planned:
             asked = Asked(p.tenant, self.site.kind(p.kind), p.work_s, p.at_s)
-            plays.append((p.at_s, partial(self._insist, asked, tenants[p.tenant], back_off_s, factor)))
-        await self._play(plays)
+            starts.append(
+                (p.at_s, partial(self._request_with_back_off, asked, tenants[p.tenant], back_off_s, factor))
+            )
+        await self._run_plan(starts)
 
-    async def _play(self, plays: Sequence[tuple[float, Callable[[], Coroutine[Any, Any, None]]]]) -> None:
+    async def _run_plan(
+        self, starts: Sequence[tuple[float, Callable[[], Coroutine[Any, Any, None]]]]
+    ) -> None:
         """Begin each at its time, and wait until all have ended."""
-        self._begun = time.monotonic()
+        self._started_s = time.monotonic()
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as self._session:
             try:
-                for offset, work in plays:
-                    if (wait := self._begun + offset - time.monotonic()) > 0:
+                for offset, work in starts:
+                    if (wait := self._started_s + offset - time.monotonic()) > 0:
                         await asyncio.sleep(wait)
                     else:
                         self.latest_s = max(self.latest_s, -wait)
                     self._spawn(work())
-                while self._open:
-                    await asyncio.wait(self._open)
+                while self._pending_tasks:
+                    await asyncio.wait(self._pending_tasks)
             finally:
-                for task in self._open:  # it was called off
+                for task in self._pending_tasks:  # it was called off
                     task.cancel()
 
     def _draw(self, tenants: list[Tenant], seconds: float) -> list[tuple[float, Tenant, JobKind, float]]:
-        drawn = []
+        arrivals = []
         for tenant in tenants:
             kinds = [k for k in self.site.kinds if not tenant.kinds or k.name in tenant.kinds]
             shares, at = [k.share for k in kinds], 0.0
             while tenant.rate and (at := at + self.random.expovariate(tenant.rate)) < seconds:
                 kind = self.random.choices(kinds, shares)[0]
                 # Job lengths spread by a factor of about two round their mean.
-                work_s = kind.work_ms / 1000 * tenant.heavy * self.random.lognormvariate(-0.08, 0.4)
-                drawn.append((at, tenant, kind, work_s))
-        return drawn
+                work_s = kind.work_ms / 1000 * tenant.work_factor * self.random.lognormvariate(-0.08, 0.4)
+                arrivals.append((at, tenant, kind, work_s))
+        return arrivals
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        self._pending_tasks.add(task)
+        task.add_done_callback(self._pending_tasks.discard)
 
-    async def _pursue(self, asked: Asked, tenant: Tenant, seconds: float) -> None:
+    async def _request_as_tenant(self, asked: Asked, tenant: Tenant, seconds: float) -> None:
         """Ask, and ask again while refused, as this tenant does."""
         self.asked.append(asked)
-        key = f"{self._tag}{next(self._numbers):x}"
+        key = f"{self._key_prefix}{next(self._sequence):x}"
         for number in range(tenant.retries + 1):
             attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
             asked.tries.append(attempt)
             if attempt.status not in REFUSALS or number == tenant.retries:
                 return
-            wait = (attempt.retry_after_s or 0.0) if tenant.heed else 0.0
-            if time.monotonic() + wait > self._begun + seconds:
+            wait = (attempt.retry_after_s or 0.0) if tenant.honour_retry_after else 0.0
+            if time.monotonic() + wait > self._started_s + seconds:
                 return
-            await asyncio.sleep(max(wait, IMPATIENT_S))
+            await asyncio.sleep(max(wait, IMMEDIATE_RETRY_S))
 
-    async def _insist(self, asked: Asked, tenant: Tenant, back_off_s: float, factor: float) -> None:
+    async def _request_with_back_off(
+        self, asked: Asked, tenant: Tenant, back_off_s: float, factor: float
+    ) -> None:
         """Ask again after a back-off that grows: a safe job after any failure, an unsafe one after a
         refusal.
         """
         self.asked.append(asked)
-        key = f"{self._tag}{next(self._numbers):x}"
+        key = f"{self._key_prefix}{next(self._sequence):x}"
         for number in range(tenant.retries + 1):
             attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
             asked.tries.append(attempt)
@@ -181,7 +189,7 @@
         request_id = f"{key}-{number}"
         headers = {
             "X-Request-ID": request_id, "X-Priority-Class": kind.name, "X-Route-Key": key,
-            "X-Timeout": f"{kind.deadline_ms}m", "X-Attrs": f"{WORK}{work_s * 1000:.3f}",
+            "X-Timeout": f"{kind.deadline_ms}m", "X-Attrs": f"{WORK_ATTRIBUTE}{work_s * 1000:.3f}",
             self.header: tenant.name,
         }  # fmt: skip
         if number:
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -23,21 +23,29 @@
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import Harm, Relay, Way
+from robinhill.emulator.relay import Direction, Harm, Relay
 from robinhill.emulator.rig import (
-    FORM_S,
     KINDS,
-    LOOK_S,
+    LINKS_UP_TIMEOUT_S,
+    POLL_INTERVAL_S,
     PROGRAM,
     UNSAFE,
     WORKERS,
-    Lateness,
+    AwaitableJournal,
+    LatenessMonitor,
     Outcome,
     Rig,
-    Watched,
-    start_parts,
+    start_components,
+)
+from robinhill.emulator.schedule import (
+    KILL_FAULTS,
+    LINK_FAULTS,
+    Fault,
+    FaultKind,
+    Schedule,
+    draw,
+    process_names,
 )
-from robinhill.emulator.schedule import KILLS, LINKS, Fault, Schedule, Trouble, draw, names_of
 from robinhill.emulator.site import Site, free_address
 from robinhill.emulator.voter import VOTER, voter_program
 from robinhill.emulator.worker import Worker
@@ -47,7 +55,7 @@
 EQUAL_S = 4.0
 """From the last heal to equal copies at all voters and schedulers."""
 
-SPARE_S = 4.0
+CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """From equal copies to a send lease at each scheduler, before a schedule begins."""
 
@@ -63,29 +71,29 @@
         """Processes with clients."""
         return self.names[len(self.voters) :]
 
-    def harm(self, harm: Harm, start: str, end: str) -> None:
+    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
         """From now on this befalls what one process tells another, whoever connected."""
         if relay := self.relays.get((start, end)):
-            relay.suffer(harm, Way.THERE)
+            relay.suffer(impairment, Direction.THERE)
         if relay := self.relays.get((end, start)):
-            relay.suffer(harm, Way.BACK)
+            relay.suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
         """The relay of each link that a fault strikes."""
-        if fault.trouble is Trouble.PARTITION:
-            ends = [(a, b) for a in fault.who for b in self.names if b not in fault.who]
+        if fault.trouble is FaultKind.PARTITION:
+            ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
-            ends = [(fault.who[0], fault.who[1])]
+            ends = [(fault.targets[0], fault.targets[1])]
         pairs = [pair for a, b in ends for pair in ((a, b), (b, a))]
         return [self.relays[pair] for pair in pairs if pair in self.relays]
 
     def address(self) -> str:
         """Of the next scheduler in turn, down or not."""
-        return self.programs[self.schedulers[next(self._turns) % len(self.schedulers)]].listen
+        return self.programs[self.schedulers[next(self._round_robin) % len(self.schedulers)]].listen
 
     async def may_send(self, name: str) -> bool:
         """Whether a scheduler reports that it may send jobs: under `hold`, that it has a lease."""
-        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return status == 200 and reply.get("may_act") is True
 
     async def wait_until_sending_allowed(self, timeout_s: float) -> None:
@@ -101,11 +109,11 @@
                     held = await asyncio.gather(*map(self.may_send, self.schedulers))
                     missing = [name for name, has in zip(self.schedulers, held, strict=True) if not has]
                     if missing:
-                        await asyncio.sleep(LOOK_S)
+                        await asyncio.sleep(POLL_INTERVAL_S)
         if missing:
             raise RuntimeError(f"{', '.join(missing)} may not send: no lease within {timeout_s:g} s")
 
-    def _keep(self, name: str) -> None:
+    def _reserve_addresses(self, name: str) -> None:
         program = self.programs[name]
         assert program.operator
         addresses = [program.listen, program.ops]
@@ -113,11 +121,11 @@
             addresses.append(program.operator["mesh"]["voters"][name]["address"])
         for address in addresses:
             host, _, port = address.rpartition(":")
-            kept = socket.socket()
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._kept.setdefault(name, []).append(kept)
+            reservation = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._address_reservations.setdefault(name, []).append(reservation)
             with contextlib.suppress(OSError):
-                kept.bind((host, int(port)))
+                reservation.bind((host, int(port)))
 
 
 @dataclass(slots=True, frozen=True)
@@ -199,9 +207,9 @@
     ``entry``, ``voter_entry``: what is run in place of the programs.
     """
     site = Site(KINDS, schedulers=schedulers)
-    names = names_of(voters + schedulers)
+    names = process_names(voters + schedulers)
     voting = names[:voters]
-    journal, lateness = Watched(), Lateness()
+    journal, lateness = AwaitableJournal(), LatenessMonitor()
     workers = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(WORKERS)}
     discovery = Discovery(workers.values(), journal)
     addresses = {name: free_address() for name in voting}
@@ -210,7 +218,7 @@
     layout = _Layout(folder, site, voting, names[voters:], addresses, relays, bound_ms, voter_entry, entry)
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        await start_parts(stack, [*workers.values(), discovery, *relays.values()])
+        await start_components(stack, [*workers.values(), discovery, *relays.values()])
         programs = await layout.programs(discovery, workers)
         clients = Clients(site, lambda: rig.address(), journal, seed)
         rig = ControlRig(
@@ -219,7 +227,7 @@
         stack.push_async_callback(rig.stop)
         for name in names:
             await rig.start(name)
-        if await rig.equal(FORM_S) is None:
+        if await rig.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
             raise RuntimeError(f"the links did not come up; see {folder}")
         await rig.wait_until_sending_allowed(LEASE_TIMEOUT_S)
         lateness.start()
@@ -248,7 +256,7 @@
         entry=entry,
     )
     async with rig as here:
-        equal = await here.play_whole(schedule, EQUAL_S + SPARE_S)
+        equal = await here.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = here.lateness.worst_s
     terms = Terms(bound_ms / 1000, True, EQUAL_S, late_s=late)
     found = rules.broken(here.journal, set(UNSAFE), ended=True, late_s=late)
@@ -280,20 +288,22 @@
     whole = draw(seed, voters + schedulers, workers)
     voting = whole.names[:voters]
     rng = random.Random(f"control {seed}")
-    kept: list[Fault] = []
+    accepted: list[Fault] = []
     killed: set[str] = set()
     for fault in whole.faults:
-        its = _on_a_link(fault, voting, rng)
-        dead = {*killed, *its.who} & set(voting) if its.trouble in KILLS else killed
-        if len(dead) > (voters - 1) // 2 or any(its.clashes(one, whole.names) for one in kept):
+        moved = _move_to_existing_link(fault, voting, rng)
+        killed_if_added = {*killed, *moved.targets} & set(voting) if moved.trouble in KILL_FAULTS else killed
+        if len(killed_if_added) > (voters - 1) // 2 or any(
+            moved.overlaps(one, whole.names) for one in accepted
+        ):
             continue
-        killed = dead
-        kept.append(its)
-    return Schedule(seed, whole.names, tuple(kept), whole.calls)
+        killed = killed_if_added
+        accepted.append(moved)
+    return Schedule(seed, whole.names, tuple(accepted), whole.calls)
 
 
-def _on_a_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
+def _move_to_existing_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
     """The same fault, at a link that there is: schedulers have none to each other."""
-    if fault.trouble not in LINKS or any(name in voters for name in fault.who):
+    if fault.trouble not in LINK_FAULTS or any(name in voters for name in fault.targets):
         return fault
-    return replace(fault, who=(rng.choice(voters), fault.who[1]))
+    return replace(fault, targets=(rng.choice(voters), fault.targets[1]))
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -16,7 +16,7 @@
 from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
-EMPTY_EVERY_S = 2.0
+EMPTY_LINE_INTERVAL_S = 2.0
 
 
 class Listed(Protocol):
@@ -65,7 +65,7 @@
     async def start(self) -> None:
         self.answering.set()
         for worker in self.workers:
-            self._put(worker, "active")
+            self._store_entry(worker, "active")
         self.address = await self._listen({})
 
     async def view(self, host_ports: dict[str, str]) -> View:
@@ -96,13 +96,13 @@
     def tell(self, worker: Worker, lifecycle: str = "active") -> None:
         """A worker's entry has changed: it has started, leaves, or has left."""
         self.generation += 1
-        self._put(worker, lifecycle)
+        self._store_entry(worker, lifecycle)
         for watch, host_ports in self._watches.items():
-            watch.put_nowait(self._list([worker.name], host_ports))
+            watch.put_nowait(self._update_line([worker.name], host_ports))
         if lifecycle != "active" and self._watches:
             self.journal.record(What.DRAINING, worker=worker.name)
 
-    def _put(self, worker: Worker, lifecycle: str) -> None:
+    def _store_entry(self, worker: Worker, lifecycle: str) -> None:
         self._versions[worker.name] = self.generation
         self.entries[worker.name] = {
             "instanceId": worker.name, "hostPort": worker.host_port, "zone": "north", "machineType": "std",
@@ -112,13 +112,21 @@
     def known(self, host_ports: Mapping[str, str] = MappingProxyType({})) -> Json:
         """The whole list, as a scheduler's configuration holds it."""
         listed = [n for n, e in self.entries.items() if e["lifecycle"] != "left"]
-        return {"generation": self.generation, "reset": True, "instances": self._seen(listed, host_ports)}
+        return {
+            "generation": self.generation,
+            "reset": True,
+            "instances": self._entries_for(listed, host_ports),
+        }
 
-    def _seen(self, names: Iterable[str], host_ports: Mapping[str, str]) -> list[Json]:
+    def _entries_for(self, names: Iterable[str], host_ports: Mapping[str, str]) -> list[Json]:
         return [e | {"hostPort": host_ports.get(n, e["hostPort"])} for n in names for e in (self.entries[n],)]
 
-    def _list(self, names: Iterable[str], host_ports: Mapping[str, str]) -> bytes:
-        update = {"generation": self.generation, "reset": False, "instances": self._seen(names, host_ports)}
+    def _update_line(self, names: Iterable[str], host_ports: Mapping[str, str]) -> bytes:
+        update = {
+            "generation": self.generation,
+            "reset": False,
+            "instances": self._entries_for(names, host_ports),
+        }
         return orjson.dumps(update) + b"\n"
 
     async def _handle(self, request: web.BaseRequest, host_ports: dict[str, str]) -> web.StreamResponse:
@@ -139,10 +147,10 @@
             first = orjson.dumps(self.known(host_ports)) + b"\n"
         else:
             changed = [n for n, version in self._versions.items() if version > int(after)]
-            first = self._list(changed, host_ports) if changed else b"\n"
+            first = self._update_line(changed, host_ports) if changed else b"\n"
         if self.torn:
             await response.write(orjson.dumps(self.known(host_ports))[:-10])
-            await asyncio.sleep(EMPTY_EVERY_S)
+            await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             return response
         watch: asyncio.Queue[bytes | None] = asyncio.Queue()
         self._watches[watch] = host_ports
@@ -152,7 +160,7 @@
                 await response.write(line)
                 line = b"\n"
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(EMPTY_EVERY_S):
+                    async with asyncio.timeout(EMPTY_LINE_INTERVAL_S):
                         line = await watch.get()
         except ConnectionError:
             pass  # the scheduler has left
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from robinhill.checker.rules import broken
-from robinhill.emulator.client import Asked, Clients, Planned, served_worth
+from robinhill.emulator.client import Asked, Clients, PlannedArrival, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
 from robinhill.emulator.worker import Worker
@@ -19,12 +19,12 @@
 from robinhill.model.trace import Trace, draw
 from robinhill.model.world import FLEET, TROUBLES, stream
 
-S = 1_000_000
-SCALE = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
+US_PER_S = 1_000_000
+SPEEDUP = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
 
 
 @dataclass(slots=True)
-class Real:
+class LoopbackResult:
     """What a day on loopback shows."""
 
     share: float
@@ -37,19 +37,23 @@
     """A shipped situation, an eighth as long, on few workers in one zone with one scheduler."""
     base = sites.site("clubs" if trouble == "calm" else f"clubs-{trouble}")
     kinds = tuple(
-        replace(k, work_ms=k.work_ms / SCALE, aim_ms=k.aim_ms / SCALE, deadline_ms=k.deadline_ms / SCALE)
+        replace(
+            k, work_ms=k.work_ms / SPEEDUP, aim_ms=k.aim_ms / SPEEDUP, deadline_ms=k.deadline_ms / SPEEDUP
+        )
         for k in base.traffic.kinds
     )
-    troubles = tuple(replace(t, at_s=t.at_s / SCALE * 2, for_s=t.for_s / SCALE * 2) for t in base.troubles)
+    troubles = tuple(
+        replace(t, at_s=t.at_s / SPEEDUP * 2, for_s=t.for_s / SPEEDUP * 2) for t in base.troubles
+    )
     fleet = Fleet(
         (Machine("std", 6, cores=4, slots=4, speed=(0.7, 1.0)),),
         schedulers=1,
-        cold_s=base.fleet.cold_s / SCALE,
-        tip_after_s=base.fleet.tip_after_s / SCALE,
+        cold_s=base.fleet.cold_s / SPEEDUP,
+        tip_after_s=base.fleet.tip_after_s / SPEEDUP,
         list_delay_s=(0.05, 0.1),
     )
     traffic = replace(base.traffic, kinds=kinds, rate_per_s=45.0, tenants=4)
-    clients = replace(base.clients, back_off_ms=base.clients.back_off_ms / SCALE, heed=0.0)
+    clients = replace(base.clients, back_off_ms=base.clients.back_off_ms / SPEEDUP, heed=0.0)
     return Description(f"small-{trouble}", 16.0, traffic, fleet, clients, troubles, warm_s=2.0)
 
 
@@ -70,7 +74,7 @@
     )
 
 
-async def play(description: Description, seed: int) -> Real:
+async def play(description: Description, seed: int) -> LoopbackResult:
     """One day on sockets, in real time. Troubles of workers alone are played: silent, slow and surges."""
     trace: Trace = draw(description, seed)
     machine = description.fleet.machines[0]
@@ -79,9 +83,12 @@
         rng = stream(seed, FLEET)
         for worker in here.workers:
             worker.core.speed = float(rng.uniform(*machine.speed))
-        _plan(description, seed, here)
+        _schedule_worker_faults(description, seed, here)
         clients = Clients(site, lambda: here.program.listen, here.journal, seed)
-        planned = [Planned(a.at_us / S, f"tenant-{a.tenant}", a.kind, a.work_us / S) for a in trace.asked]
+        planned = [
+            PlannedArrival(a.at_us / US_PER_S, f"tenant-{a.tenant}", a.kind, a.work_us / US_PER_S)
+            for a in trace.asked
+        ]
         c = description.clients
         await clients.replay(planned, c.retries, c.back_off_ms / 1000, c.back_off_factor)
         counted = [a for a in clients.asked if a.at >= description.warm_s and a.tries]
@@ -89,7 +96,7 @@
         kinds: dict[str, list[Asked]] = {}
         for a in counted:
             kinds.setdefault(a.kind.name, []).append(a)
-        return Real(
+        return LoopbackResult(
             served_worth(counted),
             {k: served_worth(v) for k, v in kinds.items()},
             broken(here.journal, unsafe),
@@ -97,22 +104,22 @@
         )
 
 
-def _plan(description: Description, seed: int, here: Town) -> None:
+def _schedule_worker_faults(description: Description, seed: int, here: Town) -> None:
     """The same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
         rng = stream(seed, TROUBLES, number)
         count = max(1, round(trouble.part * len(here.workers)))
-        struck = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
-        for worker in struck:
+        affected = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
+        for worker in affected:
             if trouble.kind == "silent":
-                loop.call_later(trouble.at_s, worker.vanish)
-                loop.call_later(trouble.at_s + trouble.for_s, _return, here, worker)
+                loop.call_later(trouble.at_s, worker.stop_responding)
+                loop.call_later(trouble.at_s + trouble.for_s, _restart_worker, here, worker)
             elif trouble.kind == "slow":
-                loop.call_later(trouble.at_s, worker.pace, trouble.size)
-                loop.call_later(trouble.at_s + trouble.for_s, worker.pace, 1.0)
+                loop.call_later(trouble.at_s, worker.set_slowdown, trouble.size)
+                loop.call_later(trouble.at_s + trouble.for_s, worker.set_slowdown, 1.0)
 
 
-def _return(here: Town, worker: Worker) -> None:
-    worker.come_back()
+def _restart_worker(here: Town, worker: Worker) -> None:
+    worker.restart()
     here.discovery.tell(worker)
--- a/robinhill/emulator/program.py
+++ b/robinhill/emulator/program.py
@@ -22,8 +22,8 @@
 
 Json = dict[str, Any]
 ROOT = Path(__file__).parent.parent.parent
-START_S = 15.0
-END_S = 20.0
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 20.0
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +77,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, *self.entry, cwd=ROOT, env=env, stderr=log, pass_fds=self.pass_fds
             )
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not self._ready():
                 if self.process.returncode is not None:
                     raise RuntimeError(f"it ended at its start: {self.log.read_text()[-2000:]}")
@@ -123,7 +123,7 @@
         assert self.process
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await self.process.wait()
         except TimeoutError:
             self.process.kill()
@@ -152,20 +152,20 @@
 ) -> AsyncIterator[Town]:
     """A whole site on loopback; all of it has ended behind the block."""
     site, journal = site or Site(), Journal()
-    made = [Worker(f"w{i}", site, journal, slots, speed=1.0 - 0.3 * (i % 2)) for i in range(workers)]
-    discovery = Discovery(made, journal)
+    fleet = [Worker(f"w{i}", site, journal, slots, speed=1.0 - 0.3 * (i % 2)) for i in range(workers)]
+    discovery = Discovery(fleet, journal)
     with tempfile.TemporaryDirectory(prefix="robinhill-") as folder:
         program = Program(Path(folder), site, discovery, operator)
-        for worker in made:
+        for worker in fleet:
             worker.scheduler = program.listen
             await worker.start()
         await discovery.start()
         try:
             await program.start()
-            yield Town(site, journal, made, discovery, program)
+            yield Town(site, journal, fleet, discovery, program)
         finally:
             if program.process and program.process.returncode is None:
                 await program.stop()
             await discovery.stop()
-            for worker in made:
+            for worker in fleet:
                 await worker.stop()
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -22,9 +22,11 @@
 
 from robinhill.emulator.site import LOOPBACK
 
-LONGEST_HEAD = 64 << 10  # of the handshake
-LONGEST_MESSAGE = 64 << 20  # more is no peer of ours, and would be held here in memory
-HELD_BYTES = 8 << 20  # on their way, beyond which nothing more is read: the sender feels it as TCP's own
+MAX_HEAD_BYTES = 64 << 10  # of the handshake
+MAX_MESSAGE_BYTES = 64 << 20  # more is no peer of ours, and would be held here in memory
+MAX_BUFFERED_BYTES = (
+    8 << 20
+)  # on their way, beyond which nothing more is read: the sender feels it as TCP's own
 READ_BYTES = 256 << 10
 FIN, OPCODE, CONTROL, MASKED = 0x80, 0x0F, 0x08, 0x80  # RFC 6455, 5.2
 
@@ -36,7 +38,7 @@
     BYTES = auto()  # as they were read
 
 
-class Way(Enum):
+class Direction(Enum):
     """A direction of a link, as seen from the one that dialled."""
 
     THERE = auto()
@@ -48,13 +50,13 @@
     """What befalls one way of a link. Shares are chances for each message; times in seconds."""
 
     loss: float = 0.0
-    double: float = 0.0
+    duplicate: float = 0.0
     delay_s: float = 0.0
     jitter_s: float = 0.0  # up to so much more, in order
     reorder: float = 0.0
     reorder_s: float = 0.05  # how far behind a message that others may overtake comes, at most
     stalled: bool = False  # nothing passes; what was underway comes late, in order, once it is over
-    torn_after: int | None = None  # so many bytes still pass, then both ends are reset amid what was sent
+    truncate_after: int | None = None  # so many bytes still pass, then both ends are reset amid what was sent
 
 
 NO_HARM = Harm()
@@ -69,8 +71,8 @@
     def __init__(self, unit: Unit = Unit.MESSAGE) -> None:
         self._buffer = bytearray()
         self._raw = unit is Unit.BYTES
-        self._greeted = False
-        self._parts = bytearray()  # fragments of the message that has begun
+        self._handshake_read = False
+        self._fragments = bytearray()  # fragments of the message that has begun
 
     def feed(self, data: bytes) -> list[bytes]:
         """The messages that are whole now, in order."""
@@ -78,38 +80,38 @@
             return [data]
         self._buffer += data
         whole: list[bytes] = []
-        if not self._greeted:
+        if not self._handshake_read:
             end = self._buffer.find(b"\r\n\r\n")
             if end < 0:
-                if len(self._buffer) > LONGEST_HEAD:
+                if len(self._buffer) > MAX_HEAD_BYTES:
                     raise ValueError("the handshake has no end")
                 return whole
-            whole.append(self._take(end + 4))
-            self._greeted = True
+            whole.append(self._consume(end + 4))
+            self._handshake_read = True
             lower = whole[0].lower()
             if b"upgrade: websocket" not in lower:
                 self._raw = True
-                return whole + ([self._take(len(self._buffer))] if self._buffer else [])
-        while (length := self._frame()) is not None and length <= len(self._buffer):
+                return whole + ([self._consume(len(self._buffer))] if self._buffer else [])
+        while (length := self._frame_length()) is not None and length <= len(self._buffer):
             first = self._buffer[0]
-            frame = self._take(length)
+            frame = self._consume(length)
             if first & OPCODE & CONTROL:
                 whole.append(frame)  # may stand between the fragments of another
                 continue
-            self._parts += frame
-            if len(self._parts) > LONGEST_MESSAGE:
+            self._fragments += frame
+            if len(self._fragments) > MAX_MESSAGE_BYTES:
                 raise ValueError("a message is too long")
             if first & FIN:
-                whole.append(bytes(self._parts))
-                self._parts.clear()
+                whole.append(bytes(self._fragments))
+                self._fragments.clear()
         return whole
 
-    def _take(self, length: int) -> bytes:
+    def _consume(self, length: int) -> bytes:
         chunk = bytes(self._buffer[:length])
         del self._buffer[:length]
         return chunk
 
-    def _frame(self) -> int | None:
+    def _frame_length(self) -> int | None:
         """Length of the frame that the buffer begins with, head included; None while that is not known."""
         b = self._buffer
         if len(b) < 2:
@@ -120,13 +122,13 @@
             if len(b) < head:
                 return None
             size = int.from_bytes(b[2:head], "big")
-        if size > LONGEST_MESSAGE:
+        if size > MAX_MESSAGE_BYTES:
             raise ValueError("a frame is too long")
         return head + (4 if b[1] & MASKED else 0) + size
 
 
 @dataclass(slots=True)
-class Passed:
+class DirectionCounters:
     """What went one way since the relay started, in messages."""
 
     whole: int = 0
@@ -137,23 +139,23 @@
     octets: int = 0
 
 
-class Lane:
+class DirectedStream:
     """One way of one connection: reads, does the harm, and writes what is left when it is due."""
 
     def __init__(
-        self, relay: "Relay", way: Way, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, relay: "Relay", direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.relay, self.way, self.reader, self.writer = relay, way, reader, writer
+        self.relay, self.direction, self.reader, self.writer = relay, direction, reader, writer
         self._messages = Messages(relay.unit)
-        self._due: list[tuple[float, int, bytes]] = []
-        self._numbers = count()
-        self._floor = 0.0  # nothing that keeps its order leaves before this
-        self._held = 0
+        self._scheduled: list[tuple[float, int, bytes]] = []
+        self._sequence = count()
+        self._last_in_order_due = 0.0  # nothing that keeps its order leaves before this
+        self._buffered_bytes = 0
         self._ended = self._broken = False  # the far end hears of either only once nothing is stalled
         self._changed = asyncio.Event()
-        self._room = asyncio.Event()
-        self._room.set()
-        self._greeting = relay.unit is Unit.MESSAGE
+        self._has_capacity = asyncio.Event()
+        self._has_capacity.set()
+        self._handshake_pending = relay.unit is Unit.MESSAGE
 
     async def run(self) -> None:
         """Until both the sender has ended and all of it is delivered, or the connection breaks."""
@@ -161,13 +163,13 @@
             tasks.create_task(self._read())
             tasks.create_task(self._write())
 
-    def poke(self) -> None:
+    def notify_changed(self) -> None:
         """The harm has changed."""
         self._changed.set()
 
     async def _read(self) -> None:
         while True:
-            await self._room.wait()
+            await self._has_capacity.wait()
             try:
                 data = await self.reader.read(READ_BYTES)
             except OSError:
@@ -177,40 +179,40 @@
                 self._changed.set()
                 return
             for message in self._messages.feed(data):
-                self._suffer(message)
+                self._schedule_delivery(message)
             self._changed.set()
 
-    def _suffer(self, message: bytes) -> None:
+    def _schedule_delivery(self, message: bytes) -> None:
         """Drawn in the same order for each message, whatever the harm: seeds stay comparable."""
-        harm, passed = self.relay.harm[self.way], self.relay.passed[self.way]
-        rng = self.relay.chances[self.way]
+        impairment, passed = self.relay.impairment[self.direction], self.relay.passed[self.direction]
+        rng = self.relay.rngs[self.direction]
         lost, doubled, overtaken, jitter, behind = (rng.random() for _ in range(5))
-        if self._greeting:  # delayed, never lost in part: a half-open link is a harm of its own
-            self._greeting, lost, doubled, overtaken = False, 1.0, 1.0, 1.0
-        if lost < harm.loss:
+        if self._handshake_pending:  # delayed, never lost in part: a half-open link is a harm of its own
+            self._handshake_pending, lost, doubled, overtaken = False, 1.0, 1.0, 1.0
+        if lost < impairment.loss:
             passed.lost += 1
             return
         now = asyncio.get_running_loop().time()
-        due = now + harm.delay_s + harm.jitter_s * jitter
-        if overtaken < harm.reorder:
+        due = now + impairment.delay_s + impairment.jitter_s * jitter
+        if overtaken < impairment.reorder:
             passed.overtaken += 1
-            due += harm.reorder_s * behind
+            due += impairment.reorder_s * behind
         else:
-            due = self._floor = max(self._floor, due)
-        for _ in range(2 if doubled < harm.double else 1):
-            heapq.heappush(self._due, (due, next(self._numbers), message))
-            self._held += len(message)
-        passed.doubled += doubled < harm.double
-        if self._held > HELD_BYTES:
-            self._room.clear()
+            due = self._last_in_order_due = max(self._last_in_order_due, due)
+        for _ in range(2 if doubled < impairment.duplicate else 1):
+            heapq.heappush(self._scheduled, (due, next(self._sequence), message))
+            self._buffered_bytes += len(message)
+        passed.doubled += doubled < impairment.duplicate
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._has_capacity.clear()
 
     async def _write(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             self._changed.clear()
-            harm = self.relay.harm[self.way]
-            if not self._due:
-                if self._ended and not harm.stalled:
+            impairment = self.relay.impairment[self.direction]
+            if not self._scheduled:
+                if self._ended and not impairment.stalled:
                     if self._broken:
                         raise ConnectionResetError
                     with contextlib.suppress(OSError, RuntimeError):
@@ -218,28 +220,30 @@
                     return
                 await self._changed.wait()
                 continue
-            wait = self._due[0][0] - loop.time()
-            if harm.stalled or wait > 0:
+            wait = self._scheduled[0][0] - loop.time()
+            if impairment.stalled or wait > 0:
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(None if harm.stalled else wait):
+                    async with asyncio.timeout(None if impairment.stalled else wait):
                         await self._changed.wait()
                 continue
-            message = heapq.heappop(self._due)[2]
-            self._held -= len(message)
-            if self._held <= HELD_BYTES:
-                self._room.set()
-            await self._deliver(message, harm)
-
-    async def _deliver(self, message: bytes, harm: Harm) -> None:
-        passed = self.relay.passed[self.way]
-        if harm.torn_after is not None and len(message) > harm.torn_after:
-            self.writer.write(message[: harm.torn_after])
+            message = heapq.heappop(self._scheduled)[2]
+            self._buffered_bytes -= len(message)
+            if self._buffered_bytes <= MAX_BUFFERED_BYTES:
+                self._has_capacity.set()
+            await self._deliver(message, impairment)
+
+    async def _deliver(self, message: bytes, impairment: Harm) -> None:
+        passed = self.relay.passed[self.direction]
+        if impairment.truncate_after is not None and len(message) > impairment.truncate_after:
+            self.writer.write(message[: impairment.truncate_after])
             passed.torn += 1
             self.writer.close()  # in peace, so that what was cut arrives
-            self.relay.harm[self.way] = replace(harm, torn_after=None)
+            self.relay.impairment[self.direction] = replace(impairment, truncate_after=None)
             raise ConnectionResetError("torn as it was told to be")
-        if harm.torn_after is not None:
-            self.relay.harm[self.way] = replace(harm, torn_after=harm.torn_after - len(message))
+        if impairment.truncate_after is not None:
+            self.relay.impairment[self.direction] = replace(
+                impairment, truncate_after=impairment.truncate_after - len(message)
+            )
         self.writer.write(message)
         await self.writer.drain()
         passed.whole += 1
@@ -254,90 +258,92 @@
     seed: str
     unit: Unit = Unit.MESSAGE
     address: str = ""
-    harm: dict[Way, Harm] = field(default_factory=lambda: dict.fromkeys(Way, NO_HARM))
-    chances: dict[Way, random.Random] = field(init=False)
-    passed: dict[Way, Passed] = field(default_factory=lambda: {way: Passed() for way in Way})
-    dialled: int = 0  # connections that were accepted
+    impairment: dict[Direction, Harm] = field(default_factory=lambda: dict.fromkeys(Direction, NO_HARM))
+    rngs: dict[Direction, random.Random] = field(init=False)
+    passed: dict[Direction, DirectionCounters] = field(
+        default_factory=lambda: {direction: DirectionCounters() for direction in Direction}
+    )
+    accepted_connections: int = 0  # connections that were accepted
     half_open: bool = False
     refusing: bool = False
     _server: asyncio.Server | None = None
-    _lanes: set[Lane] = field(default_factory=set)
-    _open: set[asyncio.Task[None]] = field(default_factory=set)
-    _flaps: asyncio.TimerHandle | None = None
+    _streams: set[DirectedStream] = field(default_factory=set)
+    _connection_tasks: set[asyncio.Task[None]] = field(default_factory=set)
+    _flap_timer: asyncio.TimerHandle | None = None
 
     def __post_init__(self) -> None:
-        self.chances = {way: random.Random(f"{self.seed} {way.name}") for way in Way}
+        self.rngs = {direction: random.Random(f"{self.seed} {direction.name}") for direction in Direction}
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._accepted, LOOPBACK, 0)
+        self._server = await asyncio.start_server(self._handle_connection, LOOPBACK, 0)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     async def stop(self) -> None:
-        if self._flaps:
-            self._flaps.cancel()
+        if self._flap_timer:
+            self._flap_timer.cancel()
         if self._server:
             self._server.close()
         self.sever()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._connection_tasks, return_exceptions=True)
 
     # What goes wrong
 
-    def suffer(self, harm: Harm, *ways: Way) -> None:
+    def suffer(self, impairment: Harm, *directions: Direction) -> None:
         """From now on this befalls these ways; both where none is named."""
-        for way in ways or tuple(Way):
-            self.harm[way] = harm
-        for lane in self._lanes:
-            lane.poke()
+        for direction in directions or tuple(Direction):
+            self.impairment[direction] = impairment
+        for stream in self._streams:
+            stream.notify_changed()
 
     def sever(self) -> None:
         """Reset whatever is open now; who dials again gets through."""
-        for task in list(self._open):
+        for task in list(self._connection_tasks):
             task.cancel()
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Reset whatever is open now and whoever dials, as a host does where nothing listens."""
         self.refusing = True
         self.sever()
 
-    def fall_silent(self) -> None:
+    def make_half_open(self) -> None:
         """Half-open: it accepts, and what is open stays so, but no word passes either way."""
         self.half_open = True
         self.suffer(Harm(stalled=True))
 
     def flap(self, up_s: float, down_s: float) -> None:
         """Down at once, then up and down in turns until it is healed; each time half to all of the given."""
-        self.refuse()
-        self._again(down_s, up_s, down_s)
+        self.refuse_connections()
+        self._schedule_flap(down_s, up_s, down_s)
 
-    def _again(self, wait_s: float, up_s: float, down_s: float) -> None:
-        def turn() -> None:
+    def _schedule_flap(self, wait_s: float, up_s: float, down_s: float) -> None:
+        def toggle() -> None:
             if self.refusing:
                 self.refusing = False
-                self._again(up_s, up_s, down_s)
+                self._schedule_flap(up_s, up_s, down_s)
             else:
-                self.refuse()
-                self._again(down_s, up_s, down_s)
+                self.refuse_connections()
+                self._schedule_flap(down_s, up_s, down_s)
 
-        wait_s *= self.chances[Way.THERE].uniform(0.5, 1.0)
-        self._flaps = asyncio.get_running_loop().call_later(wait_s, turn)
+        wait_s *= self.rngs[Direction.THERE].uniform(0.5, 1.0)
+        self._flap_timer = asyncio.get_running_loop().call_later(wait_s, toggle)
 
     def heal(self) -> None:
         """Nothing goes wrong from now on. What was accepted half-open is reset: it had no answer."""
-        if self._flaps:
-            self._flaps.cancel()
-            self._flaps = None
-        silent, self.half_open, self.refusing = self.half_open, False, False
+        if self._flap_timer:
+            self._flap_timer.cancel()
+            self._flap_timer = None
+        was_half_open, self.half_open, self.refusing = self.half_open, False, False
         self.suffer(NO_HARM)
-        if silent:
+        if was_half_open:
             self.sever()
 
     # Connections
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.dialled += 1
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.accepted_connections += 1
         task = asyncio.current_task()
         assert task
-        self._open.add(task)
+        self._connection_tasks.add(task)
         writers = [writer]
         try:
             if self.refusing:
@@ -348,8 +354,11 @@
             host, _, port = target.rpartition(":")
             far_reader, far_writer = await asyncio.open_connection(host, int(port))
             writers.append(far_writer)
-            there, back = Lane(self, Way.THERE, reader, far_writer), Lane(self, Way.BACK, far_reader, writer)
-            if await self._pass(there, back):
+            there, back = (
+                DirectedStream(self, Direction.THERE, reader, far_writer),
+                DirectedStream(self, Direction.BACK, far_reader, writer),
+            )
+            if await self._relay_streams(there, back):
                 for each in writers:
                     each.close()
         except (OSError, ValueError, asyncio.CancelledError):
@@ -357,20 +366,20 @@
         finally:
             for each in writers:
                 _reset(each)
-            self._open.discard(task)
+            self._connection_tasks.discard(task)
 
-    async def _pass(self, *lanes: Lane) -> bool:
+    async def _relay_streams(self, *streams: DirectedStream) -> bool:
         """Whether both ways came to their end in peace."""
-        self._lanes.update(lanes)
+        self._streams.update(streams)
         try:
             async with asyncio.TaskGroup() as tasks:
-                for lane in lanes:
-                    tasks.create_task(lane.run())
+                for stream in streams:
+                    tasks.create_task(stream.run())
             return True
         except* (OSError, ValueError):
             pass
         finally:
-            self._lanes.difference_update(lanes)
+            self._streams.difference_update(streams)
         return False
 
 
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -31,16 +31,16 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import NO_HARM, Harm, Relay, Way
+from robinhill.emulator.relay import NO_HARM, Direction, Harm, Relay
 from robinhill.emulator.schedule import (
-    KILLS,
-    PROCESSES,
+    KILL_FAULTS,
+    PROCESS_FAULTS,
     Call,
     Fault,
+    FaultKind,
     Schedule,
-    Trouble,
     draw,
-    names_of,
+    process_names,
     shrink,
 )
 from robinhill.emulator.site import JobKind, Site, free_address
@@ -50,13 +50,13 @@
 WORKERS = 6
 LOAD = 100.0  # requests a second over all schedulers: a worker has some of each scheduler within a bound
 BOUND_MS = 1000
-CALL_S = 5.0  # that an operator's call is waited for
-LOOK_S = 0.02  # between two looks at the digests
-FORM_S = 20.0  # for the links to come up at the start
+OPERATOR_CALL_TIMEOUT_S = 5.0  # that an operator's call is waited for
+POLL_INTERVAL_S = 0.02  # between two looks at the digests
+LINKS_UP_TIMEOUT_S = 20.0  # for the links to come up at the start
 EQUAL_S = 2.0
-PROOF_S = 3.0  # from a call to a cordon in force, once all is well
-PROOF_LOAD_S = 0.8
-SPARE_S = 4.0  # that copies are looked at past the time in which they have to be equal
+RECOVERY_TIMEOUT_S = 3.0  # from a call to a cordon in force, once all is well
+RECOVERY_LOAD_S = 0.8
+CONVERGENCE_GRACE_S = 4.0  # that copies are looked at past the time in which they have to be equal
 # Short jobs: a send must be able to come at any moment, and the end of a run be near.
 KINDS = (
     JobKind("member-lookup", 20, 60, 2.5, 1_000, share=0.5),
@@ -67,7 +67,7 @@
 UNSAFE = tuple(k.name for k in KINDS if k.repeat == "fragile")
 
 
-class Watched(Journal):
+class AwaitableJournal(Journal):
     """A journal that can be waited on."""
 
     def __init__(self) -> None:
@@ -86,16 +86,16 @@
 
 
 @dataclass(slots=True)
-class Lateness:
+class LatenessMonitor:
     """How late this process itself ran at worst: what it notes can be late by as much."""
 
     worst_s: float = 0.0
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._look())
+        self._task = asyncio.get_running_loop().create_task(self._measure())
 
-    async def _look(self) -> None:
+    async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + 0.005
@@ -112,38 +112,40 @@
     """Schedulers, their links, and what they serve. Made by ``rig``."""
 
     names: tuple[str, ...]
-    journal: Watched
+    journal: AwaitableJournal
     workers: dict[str, Worker]
     discovery: Discovery
     programs: dict[str, Program]
     relays: dict[tuple[str, str], Relay]  # by who dials, and whom
     clients: Clients
     session: aiohttp.ClientSession
-    lateness: Lateness
-    _kept: dict[str, list[socket.socket]] = field(default_factory=dict)
-    _turns: "count[int]" = field(default_factory=count)
+    lateness: LatenessMonitor
+    _address_reservations: dict[str, list[socket.socket]] = field(default_factory=dict)
+    _round_robin: "count[int]" = field(default_factory=count)
 
     # Links
 
-    def harm(self, harm: Harm, start: str, end: str) -> None:
+    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
         """From now on this befalls what one scheduler tells another, whoever dialled."""
-        self.relays[start, end].suffer(harm, Way.THERE)
-        self.relays[end, start].suffer(harm, Way.BACK)
+        self.relays[start, end].suffer(impairment, Direction.THERE)
+        self.relays[end, start].suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
         """Both relays of each link that a fault strikes."""
-        if fault.trouble is Trouble.PARTITION:
-            ends = [(a, b) for a in fault.who for b in self.names if b not in fault.who]
+        if fault.trouble is FaultKind.PARTITION:
+            ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
-            ends = [(fault.who[0], fault.who[1])]
+            ends = [(fault.targets[0], fault.targets[1])]
         return [self.relays[pair] for a, b in ends for pair in ((a, b), (b, a))]
 
     # Operators
 
-    async def ask(self, name: str, method: str, path: str, body: Json | None = None) -> tuple[int, Json]:
+    async def call_operator(
+        self, name: str, method: str, path: str, body: Json | None = None
+    ) -> tuple[int, Json]:
         """A call at a scheduler's operators' side; status 0 where no answer came."""
         url = f"http://{self.programs[name].ops}{path}"
-        timeout = aiohttp.ClientTimeout(total=CALL_S)
+        timeout = aiohttp.ClientTimeout(total=OPERATOR_CALL_TIMEOUT_S)
         data = orjson.dumps(body) if body is not None else None
         try:
             async with self.session.request(method, url, data=data, timeout=timeout) as answer:
@@ -159,7 +161,7 @@
         """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
         self.journal.record(What.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
-        status, reply = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
+        status, reply = await self.call_operator(name, "PUT", cordon_path(id_, wait_s), body)
         if reply.get("accepted"):
             self.journal.record(What.CORDONED, id_, worker, status, scheduler=name)
         if reply.get("in_force"):
@@ -168,98 +170,98 @@
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
         self.journal.record(What.LIFT_REQUESTED, id_, worker, scheduler=name)
-        status, reply = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
+        status, reply = await self.call_operator(name, "DELETE", cordon_path(id_, wait_s))
         if reply.get("accepted"):
             self.journal.record(What.LIFTED, id_, worker, status, scheduler=name)
         return reply
 
     async def digest(self, name: str) -> str | None:
         """What a scheduler tells of its copy; None where it does not, or has not caught up."""
-        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
-    async def digests(self) -> None:
+    async def record_digests(self) -> None:
         """One look at all of them, into the journal."""
 
-        async def look(name: str) -> None:
+        async def poll(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
                 self.journal.record(What.DIGEST, kind=digest, scheduler=name)
 
-        await asyncio.gather(*map(look, self.names))
+        await asyncio.gather(*map(poll, self.names))
 
-    async def equal(self, within_s: float) -> float | None:
+    async def wait_for_equal_copies(self, within_s: float) -> float | None:
         """Look until all copies are equal; seconds from the last heal, None: not so in this time."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while equal_after(self.journal.events) is None:
-                    await asyncio.sleep(LOOK_S)
-                    await self.digests()
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                    await self.record_digests()
         return equal_after(self.journal.events)
 
-    async def play_whole(self, schedule: Schedule, equal_within_s: float) -> float | None:
+    async def play_and_verify(self, schedule: Schedule, equal_within_s: float) -> float | None:
         """Play a schedule and what proves it; seconds until copies were equal, None if they never were."""
         self.journal.events[:] = [e for e in self.journal.events if e.what is not What.DIGEST]
         await self.play(schedule)
-        equal = await self.equal(equal_within_s)
-        await self.lists()
-        await self.prove()
+        equal = await self.wait_for_equal_copies(equal_within_s)
+        await self.record_cordon_lists()
+        await self.check_recovery()
         return equal
 
     def outcome(self, broken: list[str], equal_s: float | None, late_s: float) -> "Outcome":
         """What the journal and the relays show."""
         counts = Counter(e.what for e in self.journal.events)
-        links = {"dialled": sum(r.dialled for r in self.relays.values())}
+        links = {"dialled": sum(r.accepted_connections for r in self.relays.values())}
         passed = [p for relay in self.relays.values() for p in relay.passed.values()]
         for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
             links[what] = sum(getattr(p, what) for p in passed)
         return Outcome(broken, equal_s, counts, late_s, self.journal, links)
 
-    async def lists(self) -> None:
+    async def record_cordon_lists(self) -> None:
         """What each lists as in force, into the journal."""
         for name in self.names:
-            status, reply = await self.ask(name, "GET", "/ops/cordons")
+            status, reply = await self.call_operator(name, "GET", "/ops/cordons")
             if status == 200:
                 ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
                 self.journal.record(What.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
-    async def prove(self) -> None:
+    async def check_recovery(self) -> None:
         """Once all faults are over: each scheduler serves, and a cordon at each comes into force."""
 
-        async def try_(name: str, worker: str) -> None:
+        async def check_scheduler(name: str, worker: str) -> None:
             body = {"target": f"worker/{worker}", "reason": "a trial"}
-            path = cordon_path(f"proof-{name}", PROOF_S)
-            _, reply = await self.ask(name, "PUT", path, body)
+            path = cordon_path(f"proof-{name}", RECOVERY_TIMEOUT_S)
+            _, reply = await self.call_operator(name, "PUT", path, body)
             self.journal.record(
                 What.RECOVERY_CHECKED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
             )
 
-        await self.load(PROOF_LOAD_S)
-        await asyncio.gather(*(try_(name, next(iter(self.workers))) for name in self.names))
+        await self.load(RECOVERY_LOAD_S)
+        await asyncio.gather(*(check_scheduler(name, next(iter(self.workers))) for name in self.names))
 
     # Processes
 
     async def start(self, name: str) -> None:
-        for kept in self._kept.pop(name, []):
-            kept.close()
+        for reservation in self._address_reservations.pop(name, []):
+            reservation.close()
         await self.programs[name].start()
         self.journal.record(What.UP, scheduler=name)
 
     async def kill(self, name: str) -> None:
         self.journal.record(What.DOWN, scheduler=name)
         await self.programs[name].kill()
-        self._keep(name)
+        self._reserve_addresses(name)
 
-    def _keep(self, name: str) -> None:
+    def _reserve_addresses(self, name: str) -> None:
         """Its addresses while it is down, or another on this machine takes them for free. Nobody listens."""
         program = self.programs[name]
         assert program.operator
         for address in (program.listen, program.ops, program.operator["mesh"]["listen"]):
             host, _, port = address.rpartition(":")
-            kept = socket.socket()
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._kept.setdefault(name, []).append(kept)
+            reservation = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._address_reservations.setdefault(name, []).append(reservation)
             with contextlib.suppress(OSError):
-                kept.bind((host, int(port)))
+                reservation.bind((host, int(port)))
 
     def state(self, name: str) -> Path:
         """The folder that outlives a scheduler."""
@@ -273,95 +275,101 @@
         for program in running:
             program.signal(signal.SIGCONT)
         await asyncio.gather(*(p.stop() for p in running))
-        for kept in self._kept.values():
-            for each in kept:
+        for reservations in self._address_reservations.values():
+            for each in reservations:
                 each.close()
 
     # Clients
 
     def address(self) -> str:
         """Of the next scheduler in turn, down or not."""
-        return self.programs[self.names[next(self._turns) % len(self.names)]].listen
+        return self.programs[self.names[next(self._round_robin) % len(self.names)]].listen
 
     async def load(self, seconds: float, rate: float = LOAD) -> None:
         """Clients ask for so long, and all is answered."""
-        await self.clients.play([Tenant(f"t{i}", rate / 4, retries=1, heed=False) for i in range(4)], seconds)
+        await self.clients.play(
+            [Tenant(f"t{i}", rate / 4, retries=1, honour_retry_after=False) for i in range(4)], seconds
+        )
 
     # Faults
 
-    async def begin(self, fault: Fault) -> None:
-        for name in fault.touched(self.names):
+    async def start_fault(self, fault: Fault) -> None:
+        for name in fault.affected_processes(self.names):
             self.journal.record(What.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
-        harm = link_harm(fault)
+        impairment = link_impairment(fault)
         match fault.trouble:
-            case Trouble.ONE_WAY | Trouble.DEAF:
-                self.harm(harm, *fault.who)
-            case Trouble.SEVER:
+            case FaultKind.ONE_WAY | FaultKind.DEAF:
+                self.impair_direction(impairment, *fault.targets)
+            case FaultKind.SEVER:
                 for relay in self.links(fault):
                     relay.sever()
-            case Trouble.HALF_OPEN:
+            case FaultKind.HALF_OPEN:
                 for relay in self.links(fault):
-                    relay.fall_silent()
-            case Trouble.FLAP:
+                    relay.make_half_open()
+            case FaultKind.FLAP:
                 for relay in self.links(fault):
                     relay.flap(fault.size, fault.size)
-            case Trouble.KILL | Trouble.WIPE | Trouble.CLOCK:
-                await self.kill(fault.who[0])
-            case Trouble.PAUSE:
-                self.programs[fault.who[0]].signal(signal.SIGSTOP)
-            case Trouble.FULL_DISK:
-                state = self.state(fault.who[0])
+            case FaultKind.KILL | FaultKind.WIPE | FaultKind.CLOCK:
+                await self.kill(fault.targets[0])
+            case FaultKind.PAUSE:
+                self.programs[fault.targets[0]].signal(signal.SIGSTOP)
+            case FaultKind.FULL_DISK:
+                state = self.state(fault.targets[0])
                 state.rename(state.with_suffix(".aside"))
                 state.touch()  # a file: root may write into any folder, into a file's none
             case _:
                 for relay in self.links(fault):
-                    relay.suffer(harm)
+                    relay.suffer(impairment)
 
-    async def end(self, fault: Fault) -> None:
-        name = fault.who[0]
+    async def end_fault(self, fault: Fault) -> None:
+        name = fault.targets[0]
         match fault.trouble:
-            case Trouble.TEAR | Trouble.SEVER:
+            case FaultKind.TEAR | FaultKind.SEVER:
                 pass  # over with the connection that it struck
-            case Trouble.WIPE:
+            case FaultKind.WIPE:
                 shutil.rmtree(self.state(name))
                 self.state(name).mkdir()
-            case Trouble.CLOCK:
+            case FaultKind.CLOCK:
                 self.programs[name].env["ROBINHILL_CLOCK_OFFSET_US"] = str(int(fault.size * 1e6))
-            case Trouble.PAUSE:
+            case FaultKind.PAUSE:
                 self.programs[name].signal(signal.SIGCONT)
-            case Trouble.FULL_DISK:
+            case FaultKind.FULL_DISK:
                 self.state(name).unlink()
                 self.state(name).with_suffix(".aside").rename(self.state(name))
-            case Trouble.KILL:
+            case FaultKind.KILL:
                 pass
             case _:
                 for relay in self.links(fault):
                     relay.heal()
-        if fault.trouble in KILLS:
+        if fault.trouble in KILL_FAULTS:
             await self.start(name)
-        for touched in fault.touched(self.names):
-            self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=touched)
+        for affected in fault.affected_processes(self.names):
+            self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
         """Faults and calls at their times under load, until all is over and answered."""
         loop = asyncio.get_running_loop()
         start = loop.time()
 
-        async def at(when_s: float) -> None:
+        async def sleep_until(when_s: float) -> None:
             await asyncio.sleep(max(0.0, start + when_s - loop.time()))
 
-        busy = {name: asyncio.Lock() for name in self.names}
+        process_locks = {name: asyncio.Lock() for name in self.names}
 
         async def fault(planned: Fault) -> None:
-            await at(planned.at_s)
+            await sleep_until(planned.at_s)
             # A start takes longer than it was drawn on a slow machine: what strikes next waits for it.
-            async with busy[planned.who[0]] if planned.trouble in PROCESSES else contextlib.nullcontext():
-                await self.begin(planned)
-                await at(planned.end_s)
-                await self.end(planned)
+            async with (
+                process_locks[planned.targets[0]]
+                if planned.trouble in PROCESS_FAULTS
+                else contextlib.nullcontext()
+            ):
+                await self.start_fault(planned)
+                await sleep_until(planned.end_s)
+                await self.end_fault(planned)
 
         async def call(planned: Call) -> None:
-            await at(planned.at_s)
+            await sleep_until(planned.at_s)
             if planned.lift:
                 await self.lift(planned.scheduler, planned.worker, planned.id)
             else:
@@ -379,22 +387,22 @@
     return f"/ops/cordons/{id_}" + (f"?wait={wait_s:g}s" if wait_s is not None else "")
 
 
-def link_harm(fault: Fault) -> Harm:
+def link_impairment(fault: Fault) -> Harm:
     """What a fault of a link does to what passes."""
     match fault.trouble:
-        case Trouble.LOSS:
+        case FaultKind.LOSS:
             return Harm(loss=fault.size)
-        case Trouble.DELAY:
+        case FaultKind.DELAY:
             return Harm(delay_s=fault.size, jitter_s=fault.size / 2)
-        case Trouble.REORDER:
+        case FaultKind.REORDER:
             return Harm(reorder=fault.size)
-        case Trouble.DOUBLE:
-            return Harm(double=fault.size)
-        case Trouble.TEAR:
-            return Harm(torn_after=int(fault.size))
-        case Trouble.DEAF:
+        case FaultKind.DOUBLE:
+            return Harm(duplicate=fault.size)
+        case FaultKind.TEAR:
+            return Harm(truncate_after=int(fault.size))
+        case FaultKind.DEAF:
             return Harm(loss=1.0)
-        case Trouble.STALL | Trouble.ONE_WAY | Trouble.PARTITION:
+        case FaultKind.STALL | FaultKind.ONE_WAY | FaultKind.PARTITION:
             return Harm(stalled=True)
         case _:
             return NO_HARM
@@ -410,20 +418,20 @@
     ``mesh``: further keys of the operators' file's section; ``entry``: what is run in place of the program.
     """
     site = Site(KINDS, schedulers=processes)
-    names, journal, lateness = names_of(processes), Watched(), Lateness()
-    made = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(workers)}
-    discovery = Discovery(made.values(), journal)
+    names, journal, lateness = process_names(processes), AwaitableJournal(), LatenessMonitor()
+    workers_by_name = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(workers)}
+    discovery = Discovery(workers_by_name.values(), journal)
     listens = {name: free_address() for name in names}
     relays = {(a, b): Relay(listens[b], f"{seed} {a} {b}") for a, b in permutations(names, 2)}
     programs: dict[str, Program] = {}
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        await start_parts(stack, [*made.values(), discovery, *relays.values()])
+        await start_components(stack, [*workers_by_name.values(), discovery, *relays.values()])
         for place, name in enumerate(names):
             own = folder / name
             (own / "state").mkdir(parents=True)
             listen = free_address()
-            addresses = {w.name: await w.open_address(name, listen) for w in made.values()}
+            addresses = {w.name: await w.open_address(name, listen) for w in workers_by_name.values()}
             peers = {b: relays[name, b].address for b in names if b != name}
             section = {"installation": "rig", "listen": listens[name], "peers": peers, "bound_ms": BOUND_MS}
             operator = {"mesh": section | (mesh or {})}
@@ -432,17 +440,19 @@
                 state=own / "state",
             )  # fmt: skip
         clients = Clients(site, lambda: running.address(), journal, seed)
-        running = Rig(names, journal, made, discovery, programs, relays, clients, session, lateness)
+        running = Rig(
+            names, journal, workers_by_name, discovery, programs, relays, clients, session, lateness
+        )
         stack.push_async_callback(running.stop)
         await asyncio.gather(*map(running.start, names))
-        if await running.equal(FORM_S) is None:
+        if await running.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
             raise RuntimeError(f"the links did not come up; see {folder}")
         lateness.start()
         stack.callback(lateness.stop)
         yield running
 
 
-class Part(Protocol):
+class Component(Protocol):
     """An emulated part of the world round the schedulers."""
 
     async def start(self) -> Any: ...
@@ -450,7 +460,7 @@
     async def stop(self) -> Any: ...
 
 
-async def start_parts(stack: contextlib.AsyncExitStack, parts: Iterable[Part]) -> None:
+async def start_components(stack: contextlib.AsyncExitStack, parts: Iterable[Component]) -> None:
     """Start them one after another; the stack stops them."""
     for part in parts:
         await part.start()
@@ -485,7 +495,7 @@
     """One schedule on fresh processes, whose logs stay in the folder."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
-        equal = await running.play_whole(schedule, EQUAL_S + SPARE_S)
+        equal = await running.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = running.lateness.worst_s
     terms = Terms(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
     return running.outcome(broken(running.journal, terms, UNSAFE), equal, late)
@@ -496,8 +506,8 @@
     whole = draw(seed, processes, [f"w{i}" for i in range(WORKERS)])
     if only is None:
         return whole
-    kept = {int(n) for n in only.split(",") if n.strip().isdigit()}
-    return whole.only([f for f in whole.faults if f.number in kept])
+    wanted = {int(n) for n in only.split(",") if n.strip().isdigit()}
+    return whole.with_faults([f for f in whole.faults if f.number in wanted])
 
 
 async def _main(options: argparse.Namespace) -> int:
@@ -520,9 +530,9 @@
 
         async def fails(faults: list[Fault]) -> bool:
             print(f"with faults {[f.number for f in faults]}:", end=" ", flush=True)
-            return bool(await run(schedule.only(faults)))
+            return bool(await run(schedule.with_faults(faults)))
 
-        schedule = schedule.only(await shrink(schedule.faults, fails))
+        schedule = schedule.with_faults(await shrink(schedule.faults, fails))
         print(f"cut down to:\n{schedule}")
     if found:
         print(f"play it again: {schedule.replay()} --on-lost {options.on_lost} --bound-ms {options.bound_ms}")
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -13,18 +13,18 @@
 from itertools import combinations
 from typing import TypeVar
 
-SPAN_S = 5.0  # in which faults begin
-SHORTEST_S, LONGEST_S = 0.2, 2.0
-MOST_FAULTS = 10
-FEWEST_FAULTS = 3
-CALLS = (5, 10)
-AMID = 0.6  # of the calls come while a fault lasts, at whom it strikes
-REFUSED_DRAWS = 200  # in a row, after which a schedule is as full as it will be
-CLOCKS_S = (-3600.0, -90.0, -5.0, 0.4, 5.0, 90.0, 3600.0)
+FAULT_START_SPAN_S = 5.0  # in which faults begin
+MIN_FAULT_S, MAX_FAULT_S = 0.2, 2.0
+MAX_FAULTS = 10
+MIN_FAULTS = 3
+CALL_COUNT_RANGE = (5, 10)
+CALL_DURING_FAULT_PROBABILITY = 0.6  # of the calls come while a fault lasts, at whom it strikes
+MAX_CONSECUTIVE_REJECTED_DRAWS = 200  # in a row, after which a schedule is as full as it will be
+CLOCK_OFFSETS_S = (-3600.0, -90.0, -5.0, 0.4, 5.0, 90.0, 3600.0)
 Item = TypeVar("Item")
 
 
-class Trouble(Enum):
+class FaultKind(Enum):
     """What a fault is; the first ones befall the link between two schedulers, the last ones a process."""
 
     LOSS = "loses"  # a share of the messages, both ways
@@ -46,13 +46,13 @@
     FULL_DISK = "fills the disk of"
 
 
-LINKS = tuple(Trouble)[: tuple(Trouble).index(Trouble.PARTITION)]
-PROCESSES = tuple(Trouble)[tuple(Trouble).index(Trouble.KILL) :]
-KILLS = (Trouble.KILL, Trouble.WIPE, Trouble.CLOCK)
+LINK_FAULTS = tuple(FaultKind)[: tuple(FaultKind).index(FaultKind.PARTITION)]
+PROCESS_FAULTS = tuple(FaultKind)[tuple(FaultKind).index(FaultKind.KILL) :]
+KILL_FAULTS = (FaultKind.KILL, FaultKind.WIPE, FaultKind.CLOCK)
 # What cuts schedulers off or takes them by surprise is drawn more often than what merely slows a link.
-OFTEN = (Trouble.PARTITION, Trouble.PARTITION, Trouble.PAUSE, Trouble.KILL)
-INSTANT = (Trouble.TEAR, Trouble.SEVER)
-SHARES = {Trouble.LOSS: (0.1, 0.6), Trouble.REORDER: (0.1, 0.5), Trouble.DOUBLE: (0.1, 0.5)}
+FREQUENT_FAULTS = (FaultKind.PARTITION, FaultKind.PARTITION, FaultKind.PAUSE, FaultKind.KILL)
+INSTANT_FAULTS = (FaultKind.TEAR, FaultKind.SEVER)
+MESSAGE_SHARES = {FaultKind.LOSS: (0.1, 0.6), FaultKind.REORDER: (0.1, 0.5), FaultKind.DOUBLE: (0.1, 0.5)}
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,33 +62,33 @@
     number: int  # within its schedule, also in one that was cut down
     at_s: float
     for_s: float
-    trouble: Trouble
-    who: tuple[str, ...]
+    trouble: FaultKind
+    targets: tuple[str, ...]
     size: float = 0.0
 
     def __str__(self) -> str:
-        between = "-" if self.trouble in LINKS else " "
+        between = "-" if self.trouble in LINK_FAULTS else " "
         size = f" ({self.size:g})" if self.size else ""
-        what = f"{self.trouble.value} {between.join(self.who)}{size}"
+        what = f"{self.trouble.value} {between.join(self.targets)}{size}"
         return f"{self.number:>3} {self.at_s:7.3f} s  {what}, for {self.for_s:.3f} s"
 
     @property
     def end_s(self) -> float:
         return self.at_s + self.for_s
 
-    def touched(self, names: Sequence[str]) -> list[str]:
+    def affected_processes(self, names: Sequence[str]) -> list[str]:
         """Schedulers of which it harms the process or a link."""
-        return list(names) if self.trouble is Trouble.PARTITION else list(self.who)
+        return list(names) if self.trouble is FaultKind.PARTITION else list(self.targets)
 
-    def _claims(self, names: Sequence[str]) -> set[frozenset[str]]:
+    def _struck_resources(self, names: Sequence[str]) -> set[frozenset[str]]:
         """Links and processes that nothing else may strike meanwhile."""
-        if self.trouble is Trouble.PARTITION:
-            return {frozenset((a, b)) for a in self.who for b in names if b not in self.who}
-        return {frozenset(self.who)}
+        if self.trouble is FaultKind.PARTITION:
+            return {frozenset((a, b)) for a in self.targets for b in names if b not in self.targets}
+        return {frozenset(self.targets)}
 
-    def clashes(self, other: "Fault", names: Sequence[str]) -> bool:
-        apart = self.end_s <= other.at_s or other.end_s <= self.at_s
-        return not apart and bool(self._claims(names) & other._claims(names))
+    def overlaps(self, other: "Fault", names: Sequence[str]) -> bool:
+        disjoint = self.end_s <= other.at_s or other.end_s <= self.at_s
+        return not disjoint and bool(self._struck_resources(names) & other._struck_resources(names))
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,7 +119,7 @@
         rows = [(f.at_s, str(f)) for f in self.faults] + [(c.at_s, str(c)) for c in self.calls]
         return "\n".join(row for _, row in sorted(rows))
 
-    def only(self, faults: Sequence[Fault]) -> "Schedule":
+    def with_faults(self, faults: Sequence[Fault]) -> "Schedule":
         """The same calls with some of the faults."""
         return Schedule(self.seed, self.names, tuple(sorted(faults, key=lambda f: f.at_s)), self.calls)
 
@@ -137,54 +137,60 @@
         )
 
 
-def names_of(processes: int) -> tuple[str, ...]:
+def process_names(processes: int) -> tuple[str, ...]:
     """The schedulers' names, in order."""
     width = len(str(processes))
     return tuple(f"n{i:0{width}}" for i in range(1, processes + 1))
 
 
 def draw(
-    seed: int, processes: int, workers: Sequence[str], troubles: Sequence[Trouble] = (*Trouble, *OFTEN)
+    seed: int,
+    processes: int,
+    workers: Sequence[str],
+    troubles: Sequence[FaultKind] = (*FaultKind, *FREQUENT_FAULTS),
 ) -> Schedule:
     """The schedule of a seed."""
-    names = names_of(processes)
+    names = process_names(processes)
     rng = random.Random(f"faults {seed}")
     faults: list[Fault] = []
-    wanted, refused, killed = rng.randint(FEWEST_FAULTS, MOST_FAULTS), 0, set[str]()
-    while len(faults) < wanted and refused < REFUSED_DRAWS:
-        fault = _fault(rng, len(faults), rng.choice(troubles), names)
-        dead = killed.union(fault.who) if fault.trouble in KILLS else killed
-        if any(fault.clashes(f, names) for f in faults) or len(dead) > (processes - 1) // 2:
-            refused += 1
+    wanted, rejected, killed = rng.randint(MIN_FAULTS, MAX_FAULTS), 0, set[str]()
+    while len(faults) < wanted and rejected < MAX_CONSECUTIVE_REJECTED_DRAWS:
+        fault = _draw_fault(rng, len(faults), rng.choice(troubles), names)
+        killed_if_added = killed.union(fault.targets) if fault.trouble in KILL_FAULTS else killed
+        if any(fault.overlaps(f, names) for f in faults) or len(killed_if_added) > (processes - 1) // 2:
+            rejected += 1
             continue
-        killed = dead
+        killed = killed_if_added
         faults.append(fault)
     faults.sort(key=lambda f: f.at_s)
-    numbered = tuple(Fault(i, f.at_s, f.for_s, f.trouble, f.who, f.size) for i, f in enumerate(faults))
-    return Schedule(seed, names, numbered, _calls(rng, names, workers, numbered))
+    numbered = tuple(Fault(i, f.at_s, f.for_s, f.trouble, f.targets, f.size) for i, f in enumerate(faults))
+    return Schedule(seed, names, numbered, _draw_calls(rng, names, workers, numbered))
 
 
-def _fault(rng: random.Random, number: int, trouble: Trouble, names: Sequence[str]) -> Fault:
-    at, lasts = round(rng.uniform(0.1, SPAN_S), 3), round(rng.uniform(SHORTEST_S, LONGEST_S), 3)
+def _draw_fault(rng: random.Random, number: int, trouble: FaultKind, names: Sequence[str]) -> Fault:
+    at, lasts = (
+        round(rng.uniform(0.1, FAULT_START_SPAN_S), 3),
+        round(rng.uniform(MIN_FAULT_S, MAX_FAULT_S), 3),
+    )
     size = 0.0
-    if trouble is Trouble.PARTITION:
-        who = tuple(sorted(rng.sample(names, rng.randint(1, len(names) // 2))))
+    if trouble is FaultKind.PARTITION:
+        targets = tuple(sorted(rng.sample(names, rng.randint(1, len(names) // 2))))
     else:
-        who = tuple(rng.sample(names, 2 if trouble in LINKS else 1))
-    if trouble in SHARES:
-        size = round(rng.uniform(*SHARES[trouble]), 2)
-    elif trouble is Trouble.DELAY:
+        targets = tuple(rng.sample(names, 2 if trouble in LINK_FAULTS else 1))
+    if trouble in MESSAGE_SHARES:
+        size = round(rng.uniform(*MESSAGE_SHARES[trouble]), 2)
+    elif trouble is FaultKind.DELAY:
         size = round(rng.uniform(0.02, 0.4), 3)
-    elif trouble is Trouble.FLAP:
+    elif trouble is FaultKind.FLAP:
         size = round(rng.uniform(0.05, 0.4), 3)
-    elif trouble is Trouble.TEAR:
+    elif trouble is FaultKind.TEAR:
         size = float(rng.randint(1, 200))
-    elif trouble is Trouble.CLOCK:
-        size = rng.choice(CLOCKS_S)
-    return Fault(number, at, 0.0 if trouble in INSTANT else lasts, trouble, who, size)
+    elif trouble is FaultKind.CLOCK:
+        size = rng.choice(CLOCK_OFFSETS_S)
+    return Fault(number, at, 0.0 if trouble in INSTANT_FAULTS else lasts, trouble, targets, size)
 
 
-def _calls(
+def _draw_calls(
     rng: random.Random, names: Sequence[str], workers: Sequence[str], faults: Sequence[Fault]
 ) -> tuple[Call, ...]:
     """Each id is set once, so that what a lift's answer means is never in doubt; a third is never lifted.
@@ -192,20 +198,20 @@
     At most half of the workers are ever cordoned: the others have to serve.
     """
 
-    def when() -> tuple[float, str]:
-        if faults and rng.random() < AMID:
+    def draw_time_and_scheduler() -> tuple[float, str]:
+        if faults and rng.random() < CALL_DURING_FAULT_PROBABILITY:
             fault = rng.choice(faults)
-            return round(rng.uniform(fault.at_s, fault.end_s), 3), rng.choice(fault.who)
-        return round(rng.uniform(0.0, SPAN_S), 3), rng.choice(names)
+            return round(rng.uniform(fault.at_s, fault.end_s), 3), rng.choice(fault.targets)
+        return round(rng.uniform(0.0, FAULT_START_SPAN_S), 3), rng.choice(names)
 
     calls: list[Call] = []
-    may = sorted(rng.sample(list(workers), max(1, len(workers) // 2)))
-    for number in range(rng.randint(*CALLS)):
-        worker = rng.choice(may)
-        at, scheduler = when()
+    cordonable = sorted(rng.sample(list(workers), max(1, len(workers) // 2)))
+    for number in range(rng.randint(*CALL_COUNT_RANGE)):
+        worker = rng.choice(cordonable)
+        at, scheduler = draw_time_and_scheduler()
         calls.append(Call(at, False, scheduler, worker, f"c{number}"))
         if rng.random() < 2 / 3:
-            later, other = when()
+            later, other = draw_time_and_scheduler()
             later = max(later, round(at + rng.uniform(0.02, 1.0), 3))
             calls.append(Call(later, True, other, worker, f"c{number}"))
     return tuple(sorted(calls, key=lambda c: (c.at_s, c.id)))
@@ -217,35 +223,35 @@
     Delta debugging: A. Zeller and R. Hildebrandt, "Simplifying and isolating failure-inducing input", 2002.
     It takes for granted that it fails with all of them; nothing is played twice.
     """
-    played: dict[tuple[int, ...], bool] = {}
+    results: dict[tuple[int, ...], bool] = {}
 
     async def failed(numbers: list[int]) -> bool:
         key = tuple(numbers)
-        if key not in played:
-            played[key] = await fails([items[n] for n in numbers])
-        return played[key]
+        if key not in results:
+            results[key] = await fails([items[n] for n in numbers])
+        return results[key]
 
-    left, parts = list(range(len(items))), 2
+    remaining, chunk_count = list(range(len(items))), 2
     if not items or await failed([]):
         return []
-    while len(left) > 1:
-        size = -(-len(left) // parts)
-        chunks = [left[i : i + size] for i in range(0, len(left), size)]
+    while len(remaining) > 1:
+        size = -(-len(remaining) // chunk_count)
+        chunks = [remaining[i : i + size] for i in range(0, len(remaining), size)]
         for chunk in chunks if len(chunks) > 2 else []:
             if await failed(chunk):
-                left, parts = chunk, 2
+                remaining, chunk_count = chunk, 2
                 break
         else:
             for chunk in chunks:
-                rest = [n for n in left if n not in chunk]
-                if await failed(rest):
-                    left, parts = rest, max(parts - 1, 2)
+                complement = [n for n in remaining if n not in chunk]
+                if await failed(complement):
+                    remaining, chunk_count = complement, max(chunk_count - 1, 2)
                     break
             else:
                 if size == 1:
                     break
-                parts = min(len(left), parts * 2)
-    return [items[n] for n in left]
+                chunk_count = min(len(remaining), chunk_count * 2)
+    return [items[n] for n in remaining]
 
 
 def pairs(names: Sequence[str]) -> list[tuple[str, str]]:
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -19,10 +19,10 @@
 from robinhill.model.workers import Job
 from robinhill.model.workers import Worker as Core
 
-CALLS = 10  # times that a call-back is tried
-CALL_AGAIN_S = 0.1
-CALL_TIMEOUT_S = 2.0
-WORK = "work="  # in X-Attrs: how long the job runs on a worker of speed 1, in milliseconds
+MAX_CALL_BACK_TRIES = 10  # times that a call-back is tried
+CALL_BACK_RETRY_S = 0.1
+CALL_BACK_TIMEOUT_S = 2.0
+WORK_ATTRIBUTE = "work="  # in X-Attrs: how long the job runs on a worker of speed 1, in milliseconds
 
 
 class RealTime:
@@ -41,7 +41,7 @@
         asyncio.get_running_loop().call_later(max(0.0, delay_us) / 1e6, call, *arguments)
 
 
-def fleet_of(site: Site, machine: Machine) -> Fleet:
+def model_fleet(site: Site, machine: Machine) -> Fleet:
     """What the model's worker must know of its site."""
     return Fleet(
         (machine,),
@@ -75,11 +75,11 @@
     _session: aiohttp.ClientSession | None = None
     _runners: list[web.ServerRunner] = field(default_factory=list)
     _calls: set[asyncio.Task[None]] = field(default_factory=set)
-    _awake: asyncio.Event = field(default_factory=asyncio.Event)
+    _responding: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         machine = Machine("std", 1, cores=self.slots, slots=self.slots, memory=1e9, queue=self.queue_limit)
-        fleet = fleet_of(self.site, machine)
+        fleet = model_fleet(self.site, machine)
         self.core = Core(self.name, 0, 0, machine, self.speed, fleet, RealTime(), self.journal)
 
     @property
@@ -91,7 +91,7 @@
         return self.core.waiting
 
     async def start(self) -> None:
-        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
+        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_BACK_TIMEOUT_S))
         self.host_port = await self.open_address()
 
     async def open_address(self, name: str = "", listen: str | None = None) -> str:
@@ -108,7 +108,7 @@
 
     async def stop(self) -> None:
         self.core.vanish()
-        self._awake.set()
+        self._responding.set()
         for task in list(self._calls):
             task.cancel()
         for runner in self._runners:
@@ -118,26 +118,26 @@
 
     # What goes wrong
 
-    def vanish(self) -> None:
+    def stop_responding(self) -> None:
         """Say nothing from now on; what it ran is lost without a word."""
-        self._awake.clear()
+        self._responding.clear()
         self.core.vanish()
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
         """Start again, cold."""
         self.core.come_back()
         self.started_unix_ms = int(time.time() * 1000)
-        self._awake.set()
+        self._responding.set()
 
-    def pace(self, slow: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         """Take so many times as long from now on."""
-        self.core.pace(slow)
+        self.core.pace(factor)
 
     # The protocol
 
     async def _handle(self, request: web.BaseRequest, name: str, listen: str | None) -> web.StreamResponse:
         if self.core.silent:
-            await self._awake.wait()
+            await self._responding.wait()
             if request.transport:
                 request.transport.abort()  # what was open when it fell silent is reset once it is back
             return web.Response(status=500)
@@ -151,16 +151,18 @@
         await request.read()
         if (request_id := request.headers.get("X-Request-ID")) is None:
             return web.Response(status=404)
-        return self._take(request, request_id, name, listen)
+        return self._accept_job(request, request_id, name, listen)
 
-    def _take(self, request: web.BaseRequest, request_id: str, name: str, listen: str | None) -> web.Response:
+    def _accept_job(
+        self, request: web.BaseRequest, request_id: str, name: str, listen: str | None
+    ) -> web.Response:
         kind = request.headers.get("X-Priority-Class", "")
         work_ms = self.site.kind(kind).work_ms
         for pair in request.headers.get("X-Attrs", "").split(","):
-            if pair.startswith(WORK):
-                work_ms = float(pair.removeprefix(WORK))
-        tell = partial(self._tell, listen)
-        job = Job(request_id, kind, work_ms * 1000, 1, 0.0, tell, scheduler=name)
+            if pair.startswith(WORK_ATTRIBUTE):
+                work_ms = float(pair.removeprefix(WORK_ATTRIBUTE))
+        report_state = partial(self._tell, listen)
+        job = Job(request_id, kind, work_ms * 1000, 1, 0.0, report_state, scheduler=name)
         if self.core.take(job):
             return web.Response(status=202)
         return web.Response(status=503, headers={"X-Not-Processed": "1"})
@@ -177,10 +179,10 @@
     async def _call(self, listen: str | None, body: bytes) -> None:
         """Repeat a call until it is answered, ten times at most."""
         assert self._session
-        for _ in range(CALLS):
+        for _ in range(MAX_CALL_BACK_TRIES):
             to = f"http://{listen or self.scheduler}/v1/job-events"
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 async with self._session.post(to, data=body) as answer:
                     if answer.status in (200, 204):
                         return
-            await asyncio.sleep(CALL_AGAIN_S)
+            await asyncio.sleep(CALL_BACK_RETRY_S)
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -11,13 +11,13 @@
 from robinhill.checker.journal import Event, What
 from robinhill.emulator.control_rig import idle_schedulers, play
 from robinhill.emulator.rig import PROGRAM, Outcome
-from robinhill.emulator.schedule import Call, Fault, Schedule, Trouble, names_of
+from robinhill.emulator.schedule import Call, Fault, FaultKind, Schedule, process_names
 from robinhill.emulator.voter import VOTER
 
-T = Trouble
+T = FaultKind
 VOTERS, PROCESSES = 3, 5
 BOUND_MS, LONG_BOUND_MS = 1_000, 3_000
-Row = tuple[float, float, Trouble, tuple[str, ...], float]
+Row = tuple[float, float, FaultKind, tuple[str, ...], float]
 
 Play = tuple[list[Row], list[Call]]
 ONE_IS_CUT_OFF: Play = (
@@ -94,9 +94,9 @@
 ) -> Outcome:
     rows, calls = SCHEDULES[name]
     faults = tuple(
-        Fault(i, at, for_s, what, who, size) for i, (at, for_s, what, who, size) in enumerate(rows)
+        Fault(i, at, for_s, what, targets, size) for i, (at, for_s, what, targets, size) in enumerate(rows)
     )
-    schedule = Schedule(3, names_of(PROCESSES), faults, tuple(calls))
+    schedule = Schedule(3, process_names(PROCESSES), faults, tuple(calls))
     bound_ms = LONG_BOUND_MS if SCHEDULES[name] is FAR_AWAY else BOUND_MS
     played = play(schedule, folder, VOTERS, bound_ms=bound_ms, voter_entry=voter, entry=scheduler)
     outcome = asyncio.run(played)
@@ -114,9 +114,9 @@
 
 @pytest.mark.parametrize("bug", BROKEN)
 def test_a_planted_fault_is_found(bug: str, tmp_path: Path) -> None:
-    who, code, name, words = BROKEN[bug]
+    process, code, name, words = BROKEN[bug]
     entry = ("-c", f"{code}\nfrom robinhill.commands import main; raise SystemExit(main())")
-    if who in names_of(PROCESSES)[:VOTERS]:
+    if process in process_names(PROCESSES)[:VOTERS]:
         outcome = run(name, tmp_path, voter=(*entry, "control"))
     else:
         outcome = run(name, tmp_path, scheduler=entry)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -74,12 +74,12 @@
             while here.journal.started_jobs.total() < 40:
                 await asyncio.sleep(0.05)
             for worker in here.workers:
-                worker.vanish()
+                worker.stop_responding()
             while sum(e.what is ASKED for e in here.journal.events) < 200:
                 await asyncio.sleep(0.05)
             before = here.journal.started_jobs.total()
             for worker in here.workers:
-                worker.come_back()
+                worker.restart()
                 here.discovery.tell(worker)
             await playing
             assert await here.program.stop() == 0
@@ -94,7 +94,7 @@
         async with town(workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=6)
             playing = asyncio.get_running_loop().create_task(
-                clients.play([Tenant("a", 30.0, heed=False, retries=1), Tenant("b", 5.0)], 4.0)
+                clients.play([Tenant("a", 30.0, honour_retry_after=False, retries=1), Tenant("b", 5.0)], 4.0)
             )
             while here.journal.started_jobs.total() < 20:
                 await asyncio.sleep(0.05)
--- a/tests/test_emulator_relay.py
+++ b/tests/test_emulator_relay.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from robinhill.emulator.relay import Harm, Messages, Relay, Unit, Way
+from robinhill.emulator.relay import Direction, Harm, Messages, Relay, Unit
 
 Socket = aiohttp.ClientWebSocketResponse
 
@@ -72,10 +72,10 @@
     async def play(seed: str) -> list[int]:
         async with link(seed) as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(loss=0.3, double=0.2), Way.THERE)
+            relay.suffer(Harm(loss=0.3, duplicate=0.2), Direction.THERE)
             for i in range(60):
                 await ws.send_bytes(bytes([i]) * size)
-            while relay.passed[Way.THERE].whole + relay.passed[Way.THERE].lost < 60:
+            while relay.passed[Direction.THERE].whole + relay.passed[Direction.THERE].lost < 60:
                 await asyncio.sleep(0)
             relay.heal()
             back = await echoed(ws, 0, size)
@@ -94,9 +94,9 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(jitter_s=0.02), Way.THERE)
+            relay.suffer(Harm(jitter_s=0.02), Direction.THERE)
             assert await echoed(ws, 30) == list(range(30))
-            relay.suffer(Harm(reorder=1.0, reorder_s=0.05), Way.THERE)
+            relay.suffer(Harm(reorder=1.0, reorder_s=0.05), Direction.THERE)
             for i in range(30):
                 await ws.send_bytes(bytes([i]))
             mixed = [(await ws.receive_bytes())[0] for _ in range(30)]
@@ -114,10 +114,10 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(stalled=True), Way.BACK)
+            relay.suffer(Harm(stalled=True), Direction.BACK)
             for i in range(5):
                 await ws.send_bytes(bytes([i]))
-            while relay.passed[Way.THERE].whole < 6:  # the handshake is one
+            while relay.passed[Direction.THERE].whole < 6:  # the handshake is one
                 await asyncio.sleep(0)
             with pytest.raises(TimeoutError):
                 await ws.receive_bytes(timeout=0.05)
@@ -132,10 +132,10 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(torn_after=100), Way.BACK)
+            relay.suffer(Harm(truncate_after=100), Direction.BACK)
             await ws.send_bytes(b"x" * 1000)
             assert (await ws.receive(timeout=10)).type is not aiohttp.WSMsgType.BINARY
-            assert relay.passed[Way.BACK].torn == 1
+            assert relay.passed[Direction.BACK].torn == 1
             assert await echoed(await dial(), 3) == [0, 1, 2], "the next one is whole again"
 
     asyncio.run(play())
@@ -145,14 +145,14 @@
     async def play() -> None:
         async with link() as (relay, dial):
             old = await dial()
-            relay.fall_silent()
+            relay.make_half_open()
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.05):
                     await dial()
             assert not old.closed
             relay.heal()
             assert await echoed(await dial(), 2) == [0, 1]
-            relay.refuse()
+            relay.refuse_connections()
             with pytest.raises(aiohttp.ClientError):
                 await dial()
             relay.heal()
--- a/tests/test_mesh_rig.py
+++ b/tests/test_mesh_rig.py
@@ -6,9 +6,9 @@
 import pytest
 
 from robinhill.emulator.rig import PROGRAM, Outcome, play
-from robinhill.emulator.schedule import Call, Fault, Schedule, Trouble, names_of
+from robinhill.emulator.schedule import Call, Fault, FaultKind, Schedule, process_names
 
-T = Trouble
+T = FaultKind
 BOUND_MS = 600
 # A cordon before the faults; amid them one at a scheduler that is struck and one at another, and a lift.
 CALLS = (
@@ -18,7 +18,7 @@
     Call(1.6, True, "n2", "w0", "early"),
 )
 HOLD, SERVE = "hold", "serve"
-NAMED: dict[str, tuple[str, list[tuple[float, float, Trouble, tuple[str, ...], float]]]] = {
+NAMED: dict[str, tuple[str, list[tuple[float, float, FaultKind, tuple[str, ...], float]]]] = {
     "one is cut off for longer than the bound": (HOLD, [(0.3, 2.8, T.PARTITION, ("n3",), 0)]),
     "one is cut off, and all go on": (SERVE, [(0.3, 1.9, T.PARTITION, ("n3",), 0)]),
     "all are cut off": (HOLD, [(0.3, 1.2, T.PARTITION, ("n3",), 0), (0.3, 1.2, T.STALL, ("n1", "n2"), 0)]),
@@ -67,9 +67,9 @@
 def run(name: str, folder: Path, entry: tuple[str, ...] = PROGRAM) -> Outcome:
     on_lost, rows = NAMED[name]
     faults = tuple(
-        Fault(i, at, for_s, what, who, size) for i, (at, for_s, what, who, size) in enumerate(rows)
+        Fault(i, at, for_s, what, targets, size) for i, (at, for_s, what, targets, size) in enumerate(rows)
     )
-    schedule = Schedule(3, names_of(3), faults, CALLS)
+    schedule = Schedule(3, process_names(3), faults, CALLS)
     return asyncio.run(play(schedule, folder, on_lost=on_lost, bound_ms=BOUND_MS, entry=entry))
 
 
