--- a/robinhill/emulator/__init__.py
+++ b/robinhill/emulator/__init__.py
@@ -1,6 +1,5 @@
-"""Emulators on loopback for what a scheduler meets: workers, discovery and clients, and a checker of the
-rules.
+"""Emulated workers, discovery and clients on the loopback interface, and rigs that inject faults.
 
-They speak the platform's protocol on real sockets and are used by the demo, by tests and by measurements; the
-scheduler itself imports nothing from here.
+The emulators speak the platform's protocol over real sockets. The demo, tests and benchmarks use them; the
+scheduler itself imports nothing from this package.
 """
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -1,4 +1,7 @@
-"""Clients: tenants that ask at a rate of their own, whatever is answered, and may come back when told."""
+"""Clients of emulated tenants, which send requests at a rate of their own and may retry rejected ones.
+
+The load is open-loop: the rate of new requests does not depend on the answers.
+"""
 
 import asyncio
 import random
@@ -16,27 +19,29 @@
 from robinhill.emulator.worker import WORK_ATTRIBUTE
 
 REFUSALS = (429, 503)
-IMMEDIATE_RETRY_S = 0.01  # how soon a client that takes no advice is back
+IMMEDIATE_RETRY_S = 0.01  # the least delay of a retry, also of a client that ignores Retry-After
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Who asks, and how much. ``retries``: how often a refused request is tried again, under a fresh id.
+    """A tenant and its load.
 
-    ``heed``: it comes back when it is told; else at once. ``heavy``: its jobs take so many times as long.
+    ``retries`` is how often a rejected request is retried, each time under a fresh id. With
+    ``honour_retry_after`` a retry waits for the time in Retry-After, otherwise it is sent at once.
+    ``work_factor`` multiplies the length of the tenant's jobs.
     """
 
     name: str
-    rate: float  # requests a second
+    rate: float  # new requests per second
     retries: int = 0
     honour_retry_after: bool = True
     work_factor: float = 1.0
-    kinds: tuple[str, ...] = ()  # of the site's; none: all, by their shares
+    kinds: tuple[str, ...] = ()  # classes that the tenant requests, by their shares; empty: all of the site's
 
 
 @dataclass(slots=True, frozen=True)
 class PlannedArrival:
-    """An arrival drawn ahead: seconds after the start, who, what class, and how long it runs at speed 1."""
+    """A planned request: its time in seconds after the start, tenant, class, and run time at speed 1."""
 
     at_s: float
     tenant: str
@@ -46,27 +51,27 @@
 
 @dataclass(slots=True)
 class Try:
-    """One request and its answer."""
+    """One HTTP request for a job, and its answer."""
 
-    at: float
-    status: int = 0  # 0: none came
+    at: float  # sent at, monotonic seconds
+    status: int = 0  # 0: no answer was received
     took_s: float = 0.0
     retry_after_s: float | None = None
 
 
 @dataclass(slots=True)
 class Asked:
-    """What a client wants: one job, in one or more tries."""
+    """One job that a client requested, with the initial request and its retries in ``tries``."""
 
     tenant: str
     kind: JobKind
     work_s: float
-    at: float = 0.0  # seconds after the start
+    at: float = 0.0  # planned time of the first request, seconds after the start
     tries: list[Try] = field(default_factory=list)
 
     @property
     def in_time(self) -> bool:
-        """Served, the last try within its aim: that and a multiple of the job's own length."""
+        """Whether the last try succeeded within the latency objective, ``aim_ms + stretch * work``."""
         last = self.tries[-1]
         return last.status == 200 and last.took_s <= self.kind.aim_ms / 1000 + self.kind.stretch * self.work_s
 
@@ -76,7 +81,7 @@
 
 
 class Clients:
-    """Plays tenants against a scheduler's address. Arrivals are drawn from a seed and wait for nothing."""
+    """Sends the requests of tenants to a scheduler. Arrival times are drawn from a seed, before the start."""
 
     def __init__(
         self, site: Site, address: Callable[[], str], journal: Journal, seed: int, header: str = "X-Tenant-Id"
@@ -87,7 +92,7 @@
         self.random = random.Random(seed)
         self.header = header
         self.asked: list[Asked] = []
-        self.latest_s = 0.0  # the most that an arrival came behind its time: this machine's own delay
+        self.latest_s = 0.0  # the longest delay of a request past its planned time, caused by this machine
         self._sequence = count()
         self._key_prefix = f"{seed:x}"
         self._pending_tasks: set[asyncio.Task[None]] = set()
@@ -95,7 +100,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def play(self, tenants: list[Tenant], seconds: float) -> None:
-        """Let all tenants ask for so long, and wait until everything is answered."""
+        """Send the tenants' requests for this long, and wait until each has been answered or has failed."""
         arrivals = sorted(self._draw(tenants, seconds), key=lambda x: x[0])
         starts = [
             (at, partial(self._request_as_tenant, Asked(tenant.name, kind, work_s, at), tenant, seconds))
@@ -106,8 +111,10 @@
     async def replay(
         self, planned: list[PlannedArrival], retries: int, back_off_s: float, factor: float
     ) -> None:
-        """Let what was drawn elsewhere arrive; refused and failed requests come again as the model's
-        clients'.
+        """Send requests that were planned elsewhere, and retry rejected and failed ones as the model's
+        clients do.
+
+        The delay before retry ``n`` (from 0) is ``back_off_s * factor ** n`` times a random 0.5 to 1.5.
         """
         tenants = {p.tenant: Tenant(p.tenant, 0.0, retries) for p in planned}
         starts = []
@@ -121,7 +128,7 @@
     async def _run_plan(
         self, starts: Sequence[tuple[float, Callable[[], Coroutine[Any, Any, None]]]]
     ) -> None:
-        """Begin each at its time, and wait until all have ended."""
+        """Start each coroutine at its offset in seconds, and wait until all have finished."""
         self._started_s = time.monotonic()
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as self._session:
             try:
@@ -134,7 +141,7 @@
                 while self._pending_tasks:
                     await asyncio.wait(self._pending_tasks)
             finally:
-                for task in self._pending_tasks:  # it was called off
+                for task in self._pending_tasks:  # tasks remain only if this run was cancelled
                     task.cancel()
 
     def _draw(self, tenants: list[Tenant], seconds: float) -> list[tuple[float, Tenant, JobKind, float]]:
@@ -144,7 +151,7 @@
             shares, at = [k.share for k in kinds], 0.0
             while tenant.rate and (at := at + self.random.expovariate(tenant.rate)) < seconds:
                 kind = self.random.choices(kinds, shares)[0]
-                # Job lengths spread by a factor of about two round their mean.
+                # Job lengths are log-normal and vary by a factor of about two around their mean.
                 work_s = kind.work_ms / 1000 * tenant.work_factor * self.random.lognormvariate(-0.08, 0.4)
                 arrivals.append((at, tenant, kind, work_s))
         return arrivals
@@ -155,7 +162,10 @@
         task.add_done_callback(self._pending_tasks.discard)
 
     async def _request_as_tenant(self, asked: Asked, tenant: Tenant, seconds: float) -> None:
-        """Ask, and ask again while refused, as this tenant does."""
+        """Request the job, and retry while it is rejected, as this tenant's settings allow.
+
+        A retry that would start after the end of the load, ``seconds`` after its start, is not sent.
+        """
         self.asked.append(asked)
         key = f"{self._key_prefix}{next(self._sequence):x}"
         for number in range(tenant.retries + 1):
@@ -171,8 +181,9 @@
     async def _request_with_back_off(
         self, asked: Asked, tenant: Tenant, back_off_s: float, factor: float
     ) -> None:
-        """Ask again after a back-off that grows: a safe job after any failure, an unsafe one after a
-        refusal.
+        """Request the job, and retry it with exponential backoff and jitter.
+
+        A job that is safe to repeat is retried after any failure, an unsafe one only after a rejection.
         """
         self.asked.append(asked)
         key = f"{self._key_prefix}{next(self._sequence):x}"
@@ -214,6 +225,6 @@
 
 
 def served_worth(asked: list[Asked]) -> float:
-    """Worth answered in time over the worth asked for; 1 where nothing was asked."""
+    """The share of the requested worth that was answered in time; 1.0 if nothing was requested."""
     wanted = sum(a.worth for a in asked)
     return sum(a.worth for a in asked if a.in_time) / wanted if wanted else 1.0
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -1,7 +1,8 @@
-"""Voters and schedulers of a control group on loopback, each link through a relay, with faults on all.
+"""Runs the voters and schedulers of a control group on loopback and injects faults into links and processes.
 
-Voters are linked to each other, schedulers to voters. Rules are those of several schedulers under ``hold``,
-which promises them whatever fails; copies of voters count as those of schedulers do.
+Voters are linked to each other and schedulers to voters, each link through a relay. The rules checked are
+those of several schedulers under ``hold``, whose guarantees apply under any fault; the voters' copies of the
+records must converge just as the schedulers' copies do.
 """
 
 import asyncio
@@ -53,33 +54,34 @@
 Json = dict[str, Any]
 BOUND_MS = 1_000
 EQUAL_S = 4.0
-"""From the last heal to equal copies at all voters and schedulers."""
+"""The longest time from the end of the last fault to equal copies at all voters and schedulers."""
 
+# Copies are still compared for this time after EQUAL_S, so that a run can report how late they became equal.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
-"""From equal copies to a send lease at each scheduler, before a schedule begins."""
+"""The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
 
 
 @dataclass(slots=True, eq=False)
 class ControlRig(Rig):
-    """``names`` are all processes, the voters first."""
+    """A rig of voters and schedulers; ``names`` are those of all processes, the voters first."""
 
     voters: tuple[str, ...] = ()
 
     @property
     def schedulers(self) -> tuple[str, ...]:
-        """Processes with clients."""
+        """The names of the processes that serve clients."""
         return self.names[len(self.voters) :]
 
     def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
-        """From now on this befalls what one process tells another, whoever connected."""
+        """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
         if relay := self.relays.get((start, end)):
             relay.suffer(impairment, Direction.THERE)
         if relay := self.relays.get((end, start)):
             relay.suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
-        """The relay of each link that a fault strikes."""
+        """The relays of the links that a fault affects; a link between two voters has two relays."""
         if fault.trouble is FaultKind.PARTITION:
             ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
@@ -88,7 +90,7 @@
         return [self.relays[pair] for pair in pairs if pair in self.relays]
 
     def address(self) -> str:
-        """Of the next scheduler in turn, down or not."""
+        """The client address of the next scheduler in round-robin order, also if that is not running."""
         return self.programs[self.schedulers[next(self._round_robin) % len(self.schedulers)]].listen
 
     async def may_send(self, name: str) -> bool:
@@ -130,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Layout:
-    """Names, addresses and files of one rig. ``relays``: by who connects, and to which voter."""
+    """Names, addresses and files of one rig. ``relays`` are keyed by the connecting process and the voter."""
 
     folder: Path
     site: Site
@@ -144,11 +146,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All processes, the voters first."""
+        """The names of all processes, the voters first."""
         return self.voters + self.schedulers
 
     def operator_file(self, name: str) -> Json:
-        """The operators' file of a process: it reaches other voters through its relays."""
+        """The operators' file of a process, with the address of a relay for each other voter."""
         places: Json = {}
         for voter in self.voters:
             address = self.relays[name, voter].address if voter != name else self.addresses[voter]
@@ -157,7 +159,7 @@
         return {"mesh": section | {"on_lost": "hold"}}
 
     async def programs(self, discovery: Discovery, workers: dict[str, Worker]) -> dict[str, Program]:
-        """All processes, not started yet."""
+        """The programs of all processes by name, with their folders; none is started."""
         programs: dict[str, Program] = {}
         for name in self.names:
             (self.folder / name / "state").mkdir(parents=True)
@@ -202,9 +204,11 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[ControlRig]:
-    """Start all processes, synchronize them and wait for send leases; they have ended after the block.
+    """Start all processes, synchronize them and wait for send leases; stop all of them after the block.
 
-    ``entry``, ``voter_entry``: what is run in place of the programs.
+    ``entry`` and ``voter_entry`` are the interpreter's arguments for a scheduler and a voter; tests pass
+    programs with a planted defect. Raises RuntimeError if copies do not become equal or leases are not
+    granted in time.
     """
     site = Site(KINDS, schedulers=schedulers)
     names = process_names(voters + schedulers)
@@ -228,7 +232,9 @@
         for name in names:
             await rig.start(name)
         if await rig.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
-            raise RuntimeError(f"the links did not come up; see {folder}")
+            raise RuntimeError(
+                f"timed out waiting for links and equal copies after the start; logs: {folder}"
+            )
         await rig.wait_until_sending_allowed(LEASE_TIMEOUT_S)
         lateness.start()
         stack.callback(lateness.stop)
@@ -244,7 +250,7 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:
-    """One schedule on fresh processes, whose logs stay in the folder."""
+    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
     schedulers = len(schedule.names) - voters
     rig = control_rig(
         voters,
@@ -267,14 +273,17 @@
 
 
 def idle_schedulers(events: list[Event], schedulers: tuple[str, ...]) -> tuple[str, ...]:
-    """Schedulers that sent nothing until the last fault ended: rules about sends checked nothing there."""
+    """Schedulers that sent no job before the last fault ended, so that no rule about sends was exercised."""
     faults_ended = max((e.at for e in events if e.what is What.FAULT_ENDED), default=inf)
     sent = {e.scheduler for e in events if e.what is What.SENT and e.at <= faults_ended}
     return tuple(name for name in schedulers if name not in sent)
 
 
 def broken(events: list[Event], terms: Terms, voters: tuple[str, ...]) -> list[str]:
-    """What broke a rule of several processes, in words. Only schedulers send, so only they must again."""
+    """Descriptions of broken rules about several processes.
+
+    Voters send no jobs, so that sending again after the faults is required of schedulers alone.
+    """
     found = once(events, set(UNSAFE))
     found += late_sends(events, terms)
     found += lists(events, terms)
@@ -283,7 +292,7 @@
 
 
 def schedule_of(seed: int, voters: int, schedulers: int) -> Schedule:
-    """The seed's schedule: links that there are, and a minority of the voters killed at most."""
+    """The schedule of a seed, restricted to links that exist and to killing at most a minority of voters."""
     workers = [f"w{i}" for i in range(WORKERS)]
     whole = draw(seed, voters + schedulers, workers)
     voting = whole.names[:voters]
@@ -303,7 +312,7 @@
 
 
 def _move_to_existing_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
-    """The same fault, at a link that there is: schedulers have none to each other."""
+    """The fault, moved to a link with a random voter if it is between two schedulers, which have no link."""
     if fault.trouble not in LINK_FAULTS or any(name in voters for name in fault.targets):
         return fault
     return replace(fault, targets=(rng.choice(voters), fault.targets[1]))
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of workers, whole or as a watch on its changes."""
+"""An emulated discovery service: serves the endpoint list whole, or as a watch that streams its changes."""
 
 import asyncio
 import contextlib
@@ -16,11 +16,11 @@
 from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
-EMPTY_LINE_INTERVAL_S = 2.0
+EMPTY_LINE_INTERVAL_S = 2.0  # a watch without changes sends an empty line this often, as a heartbeat
 
 
 class Listed(Protocol):
-    """A list of workers at an address."""
+    """An endpoint list that is served at an address."""
 
     @property
     def address(self) -> str: ...
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class View:
-    """The list as one of several schedulers gets it: workers are at addresses of its own."""
+    """The endpoint list for one of several schedulers, which reaches each worker at a separate address."""
 
     discovery: "Discovery"
     host_ports: dict[str, str]
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, eq=False)
 class Discovery:
-    """Speaks PROTOCOL's discovery for a set of emulated workers. Changes are told at once.
+    """Serves the discovery API of PROTOCOL for a set of emulated workers, and sends changes without delay.
 
-    ``answering`` is cleared from outside to hold every answer back; what is held is answered with the list of
-    the moment in which it is let go. ``busy_s``: calls wait so long and get 503, as if too many callers came.
-    ``torn``: an answer stops within its list.
+    A test clears ``answering`` to delay all answers; once it is set again, a delayed call gets the list of
+    that moment. With ``busy_s`` each call gets 503 after that time, as from an overloaded service. With
+    ``torn`` the answer to a watch is cut off in the middle of the list.
     """
 
     workers: Iterable[Worker]
@@ -55,10 +55,10 @@
     busy_s: float | None = None
     torn: bool = False
     answering: asyncio.Event = field(default_factory=asyncio.Event)
-    calls: list[float] = field(default_factory=list)  # when each came, on the monotonic clock
+    calls: list[float] = field(default_factory=list)  # arrival times of the calls, in monotonic seconds
     entries: dict[str, Json] = field(default_factory=dict)
-    _versions: dict[str, int] = field(default_factory=dict)  # when an entry changed last
-    # Each with the addresses that workers have in its view
+    _versions: dict[str, int] = field(default_factory=dict)  # generation of each entry's last change
+    # The queue of lines for each open watch, with the workers' addresses in that watch's view by worker name
     _watches: dict[asyncio.Queue[bytes | None], dict[str, str]] = field(default_factory=dict)
     _runners: list[web.ServerRunner] = field(default_factory=list)
 
@@ -69,7 +69,7 @@
         self.address = await self._listen({})
 
     async def view(self, host_ports: dict[str, str]) -> View:
-        """Another address, where workers are listed at these (by name)."""
+        """Serve the list at a further address, with these addresses of workers (by name)."""
         return View(self, host_ports, await self._listen(host_ports))
 
     async def _listen(self, host_ports: dict[str, str]) -> str:
@@ -83,7 +83,7 @@
         return "{}:{}".format(*runner.addresses[0])
 
     def cut_watches(self) -> None:
-        """End every open watch without a further word."""
+        """End every open watch without sending another line."""
         for watch in self._watches:
             watch.put_nowait(None)
 
@@ -94,7 +94,7 @@
             await runner.cleanup()
 
     def tell(self, worker: Worker, lifecycle: str = "active") -> None:
-        """A worker's entry has changed: it has started, leaves, or has left."""
+        """Change a worker's entry to this lifecycle state and send the change to all open watches."""
         self.generation += 1
         self._store_entry(worker, lifecycle)
         for watch, host_ports in self._watches.items():
@@ -110,7 +110,7 @@
         }  # fmt: skip
 
     def known(self, host_ports: Mapping[str, str] = MappingProxyType({})) -> Json:
-        """The whole list, as a scheduler's configuration holds it."""
+        """The whole endpoint list, in the form of ``known`` in a scheduler's configuration."""
         listed = [n for n, e in self.entries.items() if e["lifecycle"] != "left"]
         return {
             "generation": self.generation,
@@ -163,7 +163,7 @@
                     async with asyncio.timeout(EMPTY_LINE_INTERVAL_S):
                         line = await watch.get()
         except ConnectionError:
-            pass  # the scheduler has left
+            pass  # the scheduler closed the connection
         finally:
             del self._watches[watch]
         return response
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -1,7 +1,8 @@
-"""The same small day on loopback: the real program on sockets, with the model's own workers run in real time.
+"""Plays a small situation of the model against the real program on loopback, with the model's workers in real
+time.
 
-The trace, the workers and their speeds, and what goes wrong with them come from the model's description and
-seed. So what differs from the model is the sockets, the program's actors and this machine's own time.
+The trace, the workers, their speeds and their faults come from the model's description and seed. The results
+therefore differ from the model's only through the sockets, the program's actors and this machine's timing.
 """
 
 import asyncio
@@ -20,21 +21,22 @@
 from robinhill.model.world import FLEET, TROUBLES, stream
 
 US_PER_S = 1_000_000
-SPEEDUP = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
+# Jobs, latency objectives and delays are shortened by this factor, times of faults by half of it.
+SPEEDUP = 8.0
 
 
 @dataclass(slots=True)
 class LoopbackResult:
-    """What a day on loopback shows."""
+    """The result of one run on loopback."""
 
-    share: float
-    by_kind: dict[str, float]
+    share: float  # of the requested worth, answered in time
+    by_kind: dict[str, float]  # the same share for each class
     broken: list[str] = field(default_factory=list)
-    latest_s: float = 0.0  # this machine's own lateness in asking
+    latest_s: float = 0.0  # the longest delay of a request past its planned time, caused by this machine
 
 
 def small_day(trouble: str) -> Description:
-    """A shipped situation, an eighth as long, on few workers in one zone with one scheduler."""
+    """A shipped situation with jobs an eighth as long, for 16 s on six workers in one zone, one scheduler."""
     base = sites.site("clubs" if trouble == "calm" else f"clubs-{trouble}")
     kinds = tuple(
         replace(
@@ -75,7 +77,11 @@
 
 
 async def play(description: Description, seed: int) -> LoopbackResult:
-    """One day on sockets, in real time. Troubles of workers alone are played: silent, slow and surges."""
+    """Play one run over sockets in real time.
+
+    Of the description's faults only those that the emulator supports are played: silent and slow workers, and
+    surges, which are part of the trace.
+    """
     trace: Trace = draw(description, seed)
     machine = description.fleet.machines[0]
     site = _site(description)
@@ -105,7 +111,7 @@
 
 
 def _schedule_worker_faults(description: Description, seed: int, here: Town) -> None:
-    """The same workers at the same times as in the model."""
+    """Schedule the faults of workers, which affect the same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
         rng = stream(seed, TROUBLES, number)
--- a/robinhill/emulator/program.py
+++ b/robinhill/emulator/program.py
@@ -1,4 +1,4 @@
-"""The program itself as a process of its own, set up for a small site; and a whole site to play on."""
+"""Runs the real scheduler as a child process, and a whole emulated site around it."""
 
 import asyncio
 import contextlib
@@ -28,23 +28,23 @@
 
 @dataclass(slots=True, eq=False)
 class Program:
-    """A scheduler started as the platform starts it; its log goes to a file of its folder."""
+    """A scheduler process, started as the platform starts it; its log is written to a file in ``folder``."""
 
     folder: Path
     site: Site
     discovery: Listed
     operator: Json | None = None
     name: str = "n1"
-    place: int = 0  # among the site's schedulers
+    place: int = 0  # its index among the site's schedulers
     listen: str = field(default_factory=free_address)
     ops: str = field(default_factory=free_address)
     process: asyncio.subprocess.Process | None = None
     env: dict[str, str] = field(default_factory=dict)
     pass_fds: tuple[int, ...] = ()
-    number: int = 0
-    entry: tuple[str, ...] = ("-m", "robinhill")  # what the interpreter is told to run
-    state: Path | None = None  # what it gets as $TMPDIR, if not the folder of its configuration
-    known: Json | None = None  # the list that it is started with; None: discovery's as of the start
+    number: int = 0  # of the process, counted from 0 over restarts; part of the log file's name
+    entry: tuple[str, ...] = ("-m", "robinhill")  # the interpreter's arguments
+    state: Path | None = None  # the process's $TMPDIR; None: ``folder``
+    known: Json | None = None  # the endpoint list in its configuration; None: discovery's list at the start
 
     @property
     def pid(self) -> int:
@@ -56,7 +56,7 @@
         return self.folder / f"log-{self.number}.txt"
 
     def write(self) -> None:
-        """Its configuration files, as they are to be now."""
+        """Write the configuration files with the current attributes."""
         config = {
             "name": self.name, "listen": self.listen, "discovery": self.discovery.address, "seed": "7",
             "known": self.known or self.discovery.known(), "settings": self.site.settings(self.place),
@@ -67,7 +67,7 @@
             (self.folder / "operator.json").write_text(json.dumps(self.operator))
 
     async def start(self) -> None:
-        self.number += self.process is not None  # a later process's log is another file
+        self.number += self.process is not None  # each process logs to a separate file
         self.write()
         env = os.environ | {"GW_CONFIG": str(self.folder / "config.json"), "GW_OPS": self.ops}
         env |= {"TMPDIR": str(self.state or self.folder)} | self.env
@@ -80,15 +80,21 @@
         async with asyncio.timeout(START_TIMEOUT_S):
             while not self._ready():
                 if self.process.returncode is not None:
-                    raise RuntimeError(f"it ended at its start: {self.log.read_text()[-2000:]}")
+                    raise RuntimeError(
+                        f"process exited while starting; its log: {self.log.read_text()[-2000:]}"
+                    )
                 await asyncio.sleep(0.02)
 
     def _ready(self) -> bool:
-        """By its log: a call to an address that nothing listens on yet may meet its own end and take it."""
+        """Whether the log reports the start.
+
+        A probe of the address would be unsafe: a connection to a local port on which nothing listens yet may
+        be given that port as its own end (a TCP self-connect) and so occupy it.
+        """
         return "event=started" in self.log.read_text()
 
     async def call(self, method: str, path: str, body: str = "") -> tuple[int, str]:
-        """An operator's call."""
+        """Call the operators' API; returns the status and the body of the answer."""
         async with (
             aiohttp.ClientSession() as session,
             session.request(method, f"http://{self.ops}{path}", data=body) as answer,
@@ -96,7 +102,7 @@
             return answer.status, await answer.text()
 
     async def admission(self) -> Json:
-        """Admission's figures."""
+        """The metrics of admission control."""
         status, text = await self.call("GET", "/ops/admission")
         assert status == 200, text
         metrics: Json = json.loads(text)
@@ -113,13 +119,13 @@
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait for the process to exit."""
         assert self.process
         self.process.kill()
         await self.process.wait()
 
     async def stop(self) -> int:
-        """SIGTERM, and its exit code; a kill if it does not end."""
+        """Send SIGTERM and return the exit code; send SIGKILL if the process has not exited in time."""
         assert self.process
         self.signal(signal.SIGTERM)
         try:
@@ -132,7 +138,7 @@
 
 @dataclass(slots=True, eq=False)
 class Town:
-    """A site at work: workers, discovery and one scheduler."""
+    """A running site: emulated workers and discovery, and one real scheduler."""
 
     site: Site
     journal: Journal
@@ -142,7 +148,7 @@
 
     @property
     def slots(self) -> float:
-        """Work that the workers do in a unit of time, all warm."""
+        """The capacity of all workers once warm, in seconds of work (at speed 1) per second."""
         return sum(w.slots * w.speed for w in self.workers)
 
 
@@ -150,7 +156,7 @@
 async def town(
     site: Site | None = None, *, workers: int = 6, slots: int = 4, operator: Json | None = None
 ) -> AsyncIterator[Town]:
-    """A whole site on loopback; all of it has ended behind the block."""
+    """Run a whole site on loopback, and stop all of it after the block."""
     site, journal = site or Site(), Journal()
     fleet = [Worker(f"w{i}", site, journal, slots, speed=1.0 - 0.3 * (i % 2)) for i in range(workers)]
     discovery = Discovery(fleet, journal)
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -1,12 +1,14 @@
-"""A relay on loopback for one directed link between two schedulers: who dials it gets through to the other.
+"""A relay on loopback that forwards connections from one scheduler to another and injects link faults.
 
-What it does to the link can be changed while it runs. The unit of harm is a whole websocket message, or in
-``Unit.BYTES`` whatever was read at once. Times are seconds. All chances are drawn from the seed that it is
-given, for each way by itself, so that what passes one way does not shift the other's luck.
+The impairment of the link can be changed at any time. It applies to whole websocket messages, or with
+``Unit.BYTES`` to the bytes of each read. Times are in seconds. Each direction draws from a random generator
+of its own, derived from the relay's seed, so that the traffic in one direction does not change the draws of
+the other.
 
-TCP neither loses nor reorders; a link that stalls delivers all of it late. So ``stalled`` is what a bad
-network does to an established connection, and ``loss`` and ``reorder`` are harder than any: who keeps its
-promises under these needs no faith in what lies between.
+TCP neither loses nor reorders data: a network that stalls delivers all of it late. ``stalled`` is therefore
+what a bad network does to an established connection, while ``loss`` and ``reorder`` are worse than any
+network over TCP: a protocol that meets its guarantees under these does not depend on the delivery guarantees
+of TCP.
 """
 
 import asyncio
@@ -22,60 +24,63 @@
 
 from robinhill.emulator.site import LOOPBACK
 
-MAX_HEAD_BYTES = 64 << 10  # of the handshake
-MAX_MESSAGE_BYTES = 64 << 20  # more is no peer of ours, and would be held here in memory
-MAX_BUFFERED_BYTES = (
-    8 << 20
-)  # on their way, beyond which nothing more is read: the sender feels it as TCP's own
+MAX_HEAD_BYTES = 64 << 10  # the largest head of an HTTP upgrade handshake
+MAX_MESSAGE_BYTES = 64 << 20  # peers send no larger message, and the relay holds each message in memory
+# Bytes in flight per direction. Beyond this the relay stops reading, and TCP's flow control slows the sender.
+MAX_BUFFERED_BYTES = 8 << 20
 READ_BYTES = 256 << 10
 FIN, OPCODE, CONTROL, MASKED = 0x80, 0x0F, 0x08, 0x80  # RFC 6455, 5.2
 
 
 class Unit(Enum):
-    """What is dropped, delayed or overtaken as a whole."""
+    """The unit that is dropped, delayed or reordered as a whole."""
 
-    MESSAGE = auto()  # of a websocket
-    BYTES = auto()  # as they were read
+    MESSAGE = auto()  # a websocket message
+    BYTES = auto()  # the bytes returned by one read
 
 
 class Direction(Enum):
-    """A direction of a link, as seen from the one that dialled."""
+    """A direction of a link. The names of the members are part of the random seeds."""
 
-    THERE = auto()
+    THERE = auto()  # from the end that opened the connection to the other
     BACK = auto()
 
 
 @dataclass(slots=True, frozen=True)
 class Harm:
-    """What befalls one way of a link. Shares are chances for each message; times in seconds."""
+    """The impairment of one direction of a link."""
 
-    loss: float = 0.0
-    duplicate: float = 0.0
+    loss: float = 0.0  # probability that a message is dropped
+    duplicate: float = 0.0  # probability that a message is delivered twice
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # up to so much more, in order
-    reorder: float = 0.0
-    reorder_s: float = 0.05  # how far behind a message that others may overtake comes, at most
-    stalled: bool = False  # nothing passes; what was underway comes late, in order, once it is over
-    truncate_after: int | None = None  # so many bytes still pass, then both ends are reset amid what was sent
+    jitter_s: float = 0.0  # the largest random delay added to ``delay_s``; messages stay in order
+    reorder: float = 0.0  # probability that later messages may overtake a message
+    reorder_s: float = 0.05  # the largest extra delay of a message that may be overtaken
+    stalled: bool = False  # delivers nothing; pending messages are delivered in order once the stall ends
+    truncate_after: int | None = None  # bytes that are still delivered before both ends are reset mid-message
 
 
 NO_HARM = Harm()
 
 
 class Messages:
-    """Splits a websocket's bytes into whole messages; the handshake's head, which comes first, is one too.
+    """Splits the bytes of a websocket connection into messages; the head of the handshake is the first.
 
-    What is no upgrade (a refusal, another protocol) passes as it is read. Raises ValueError past the limits.
+    The bytes of a connection without an upgrade (a rejection, another protocol) are passed on as they are
+    read.
     """
 
     def __init__(self, unit: Unit = Unit.MESSAGE) -> None:
         self._buffer = bytearray()
         self._raw = unit is Unit.BYTES
         self._handshake_read = False
-        self._fragments = bytearray()  # fragments of the message that has begun
+        self._fragments = bytearray()  # frames of a message whose last frame has not been read
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are whole now, in order."""
+        """Add bytes, and return the messages that they complete, in order.
+
+        Raises ValueError if a head or a message exceeds its limit.
+        """
         if self._raw:
             return [data]
         self._buffer += data
@@ -84,7 +89,7 @@
             end = self._buffer.find(b"\r\n\r\n")
             if end < 0:
                 if len(self._buffer) > MAX_HEAD_BYTES:
-                    raise ValueError("the handshake has no end")
+                    raise ValueError("the head of the handshake is too long")
                 return whole
             whole.append(self._consume(end + 4))
             self._handshake_read = True
@@ -96,11 +101,11 @@
             first = self._buffer[0]
             frame = self._consume(length)
             if first & OPCODE & CONTROL:
-                whole.append(frame)  # may stand between the fragments of another
+                whole.append(frame)  # control frames may be sent between the fragments of a message
                 continue
             self._fragments += frame
             if len(self._fragments) > MAX_MESSAGE_BYTES:
-                raise ValueError("a message is too long")
+                raise ValueError("the websocket message is too long")
             if first & FIN:
                 whole.append(bytes(self._fragments))
                 self._fragments.clear()
@@ -112,7 +117,7 @@
         return chunk
 
     def _frame_length(self) -> int | None:
-        """Length of the frame that the buffer begins with, head included; None while that is not known."""
+        """Length of the first frame in the buffer, with its header; None if the header is incomplete."""
         b = self._buffer
         if len(b) < 2:
             return None
@@ -123,24 +128,24 @@
                 return None
             size = int.from_bytes(b[2:head], "big")
         if size > MAX_MESSAGE_BYTES:
-            raise ValueError("a frame is too long")
+            raise ValueError("the websocket frame is too long")
         return head + (4 if b[1] & MASKED else 0) + size
 
 
 @dataclass(slots=True)
 class DirectionCounters:
-    """What went one way since the relay started, in messages."""
+    """Counters of one direction since the relay started, in messages but for ``octets``."""
 
-    whole: int = 0
+    whole: int = 0  # delivered in full
     lost: int = 0
     doubled: int = 0
-    overtaken: int = 0
-    torn: int = 0
-    octets: int = 0
+    overtaken: int = 0  # delayed so that later ones may overtake them
+    torn: int = 0  # truncated
+    octets: int = 0  # bytes of the messages delivered in full
 
 
 class DirectedStream:
-    """One way of one connection: reads, does the harm, and writes what is left when it is due."""
+    """One direction of one connection: reads messages, impairs them and writes each when it is due."""
 
     def __init__(
         self, relay: "Relay", direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -149,22 +154,23 @@
         self._messages = Messages(relay.unit)
         self._scheduled: list[tuple[float, int, bytes]] = []
         self._sequence = count()
-        self._last_in_order_due = 0.0  # nothing that keeps its order leaves before this
+        self._last_in_order_due = 0.0  # messages that keep their order are due no earlier
         self._buffered_bytes = 0
-        self._ended = self._broken = False  # the far end hears of either only once nothing is stalled
+        # The end or reset of the stream is passed on to the receiver only while the direction is not stalled.
+        self._ended = self._broken = False
         self._changed = asyncio.Event()
         self._has_capacity = asyncio.Event()
         self._has_capacity.set()
         self._handshake_pending = relay.unit is Unit.MESSAGE
 
     async def run(self) -> None:
-        """Until both the sender has ended and all of it is delivered, or the connection breaks."""
+        """Relay until the sender has closed and all messages are delivered, or the connection breaks."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._read())
             tasks.create_task(self._write())
 
     def notify_changed(self) -> None:
-        """The harm has changed."""
+        """Wake the writer after a change of the impairment."""
         self._changed.set()
 
     async def _read(self) -> None:
@@ -183,11 +189,16 @@
             self._changed.set()
 
     def _schedule_delivery(self, message: bytes) -> None:
-        """Drawn in the same order for each message, whatever the harm: seeds stay comparable."""
+        """Drop the message, or schedule its delivery once or twice, as the impairment and the draws decide.
+
+        Each message takes the same five draws under any impairment, so that runs of one seed stay comparable.
+        """
         impairment, passed = self.relay.impairment[self.direction], self.relay.passed[self.direction]
         rng = self.relay.rngs[self.direction]
         lost, doubled, overtaken, jitter, behind = (rng.random() for _ in range(5))
-        if self._handshake_pending:  # delayed, never lost in part: a half-open link is a harm of its own
+        if (
+            self._handshake_pending
+        ):  # only delayed, since a lost handshake is the separate fault of a half-open link
             self._handshake_pending, lost, doubled, overtaken = False, 1.0, 1.0, 1.0
         if lost < impairment.loss:
             passed.lost += 1
@@ -237,9 +248,9 @@
         if impairment.truncate_after is not None and len(message) > impairment.truncate_after:
             self.writer.write(message[: impairment.truncate_after])
             passed.torn += 1
-            self.writer.close()  # in peace, so that what was cut arrives
+            self.writer.close()  # not aborted, so that the truncated message is delivered
             self.relay.impairment[self.direction] = replace(impairment, truncate_after=None)
-            raise ConnectionResetError("torn as it was told to be")
+            raise ConnectionResetError("the relay truncated a message, as its impairment requires")
         if impairment.truncate_after is not None:
             self.relay.impairment[self.direction] = replace(
                 impairment, truncate_after=impairment.truncate_after - len(message)
@@ -252,7 +263,7 @@
 
 @dataclass(slots=True, eq=False)
 class Relay:
-    """Listens on ``address`` and passes on to ``target`` (host:port, or what says it at each dialling)."""
+    """Listens on ``address`` and forwards to ``target``: host:port, or a function called per connection."""
 
     target: str | Callable[[], str]
     seed: str
@@ -263,9 +274,9 @@
     passed: dict[Direction, DirectionCounters] = field(
         default_factory=lambda: {direction: DirectionCounters() for direction in Direction}
     )
-    accepted_connections: int = 0  # connections that were accepted
-    half_open: bool = False
-    refusing: bool = False
+    accepted_connections: int = 0  # since the start
+    half_open: bool = False  # new connections are accepted but not forwarded
+    refusing: bool = False  # new connections are reset
     _server: asyncio.Server | None = None
     _streams: set[DirectedStream] = field(default_factory=set)
     _connection_tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -286,32 +297,35 @@
         self.sever()
         await asyncio.gather(*self._connection_tasks, return_exceptions=True)
 
-    # What goes wrong
+    # Faults
 
     def suffer(self, impairment: Harm, *directions: Direction) -> None:
-        """From now on this befalls these ways; both where none is named."""
+        """Apply the impairment to these directions from now on; to both if none is given."""
         for direction in directions or tuple(Direction):
             self.impairment[direction] = impairment
         for stream in self._streams:
             stream.notify_changed()
 
     def sever(self) -> None:
-        """Reset whatever is open now; who dials again gets through."""
+        """Reset the open connections; new ones are forwarded."""
         for task in list(self._connection_tasks):
             task.cancel()
 
     def refuse_connections(self) -> None:
-        """Reset whatever is open now and whoever dials, as a host does where nothing listens."""
+        """Reset the open connections and each new one, like a host on whose port nothing listens."""
         self.refusing = True
         self.sever()
 
     def make_half_open(self) -> None:
-        """Half-open: it accepts, and what is open stays so, but no word passes either way."""
+        """Keep the open connections and accept new ones, but deliver nothing in either direction."""
         self.half_open = True
         self.suffer(Harm(stalled=True))
 
     def flap(self, up_s: float, down_s: float) -> None:
-        """Down at once, then up and down in turns until it is healed; each time half to all of the given."""
+        """Take the link down, then up and down in turns until ``heal``.
+
+        Each period is drawn between half of the given time and all of it.
+        """
         self.refuse_connections()
         self._schedule_flap(down_s, up_s, down_s)
 
@@ -328,7 +342,7 @@
         self._flap_timer = asyncio.get_running_loop().call_later(wait_s, toggle)
 
     def heal(self) -> None:
-        """Nothing goes wrong from now on. What was accepted half-open is reset: it had no answer."""
+        """End all faults. A half-open link's connections are reset, as their handshakes were not answered."""
         if self._flap_timer:
             self._flap_timer.cancel()
             self._flap_timer = None
@@ -362,14 +376,14 @@
                 for each in writers:
                     each.close()
         except (OSError, ValueError, asyncio.CancelledError):
-            pass  # nobody listens there, no messages of ours, or reset: both ends are told below
+            pass  # target refused, malformed message, or a fault reset it; both ends are reset below
         finally:
             for each in writers:
                 _reset(each)
             self._connection_tasks.discard(task)
 
     async def _relay_streams(self, *streams: DirectedStream) -> bool:
-        """Whether both ways came to their end in peace."""
+        """Relay both directions; returns whether both ended without an error."""
         self._streams.update(streams)
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -384,7 +398,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End it with a reset, as a host does that knows nothing of the connection; one that closes is let be."""
+    """Reset the connection, as a host does that does not know it; one that is closing is left to close."""
     if writer.is_closing():
         return
     if sock := writer.get_extra_info("socket"):
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -1,10 +1,11 @@
-"""Several real processes of the program on loopback, each link between them through a relay, faults on all.
+"""Runs several real schedulers on loopback and injects faults into their links and processes.
 
     python -m robinhill.emulator.rig --seed 7 --processes 5
 
-draws the schedule of that seed, prints it, plays it and says which rules were broken; with `--shrink` it cuts
-a failing one down. Workers, discovery and clients are the emulators; each scheduler has an address of its own
-at each worker, so that call-backs find their way.
+draws the schedule of faults for that seed, prints it, plays it and reports broken rules; with `--shrink` it
+reduces a failing schedule to the faults that it needs. Each link passes through a relay. Workers, discovery
+and clients are emulated. Each scheduler has an address of its own at each worker, so that the worker can send
+the call-backs to the scheduler that sent the job.
 """
 
 import argparse
@@ -48,16 +49,17 @@
 
 Json = dict[str, Any]
 WORKERS = 6
-LOAD = 100.0  # requests a second over all schedulers: a worker has some of each scheduler within a bound
+LOAD = 100.0  # requests per second in total, enough that each scheduler sends to each worker within a bound
 BOUND_MS = 1000
-OPERATOR_CALL_TIMEOUT_S = 5.0  # that an operator's call is waited for
-POLL_INTERVAL_S = 0.02  # between two looks at the digests
-LINKS_UP_TIMEOUT_S = 20.0  # for the links to come up at the start
-EQUAL_S = 2.0
-RECOVERY_TIMEOUT_S = 3.0  # from a call to a cordon in force, once all is well
+OPERATOR_CALL_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.02  # between two polls of the digests
+LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
+EQUAL_S = 2.0  # the longest time from the end of the last fault to equal copies
+RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
 RECOVERY_LOAD_S = 0.8
-CONVERGENCE_GRACE_S = 4.0  # that copies are looked at past the time in which they have to be equal
-# Short jobs: a send must be able to come at any moment, and the end of a run be near.
+# Copies are still compared for this time after EQUAL_S, so that a run can report how late they became equal.
+CONVERGENCE_GRACE_S = 4.0
+# Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
 KINDS = (
     JobKind("member-lookup", 20, 60, 2.5, 1_000, share=0.5),
     JobKind("season-report", 60, 200, 2.0, 2_000, share=0.3),
@@ -68,7 +70,7 @@
 
 
 class AwaitableJournal(Journal):
-    """A journal that can be waited on."""
+    """A journal whose events a coroutine can wait for."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -79,7 +81,7 @@
         self._more.set()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Until it holds; looked at after each event."""
+        """Wait until ``holds`` returns true; it is evaluated again after each event."""
         while not holds():
             self._more.clear()
             await self._more.wait()
@@ -87,7 +89,7 @@
 
 @dataclass(slots=True)
 class LatenessMonitor:
-    """How late this process itself ran at worst: what it notes can be late by as much."""
+    """Measures how late the event loop runs; the times of events in the journal can be late by as much."""
 
     worst_s: float = 0.0
     _task: asyncio.Task[None] | None = None
@@ -109,14 +111,17 @@
 
 @dataclass(slots=True, eq=False)
 class Rig:
-    """Schedulers, their links, and what they serve. Made by ``rig``."""
+    """Schedulers with the relays between them, and the emulated workers, discovery and clients around them.
+
+    ``rig`` creates it and starts its parts.
+    """
 
     names: tuple[str, ...]
     journal: AwaitableJournal
     workers: dict[str, Worker]
     discovery: Discovery
     programs: dict[str, Program]
-    relays: dict[tuple[str, str], Relay]  # by who dials, and whom
+    relays: dict[tuple[str, str], Relay]  # by the connecting scheduler and the one it connects to
     clients: Clients
     session: aiohttp.ClientSession
     lateness: LatenessMonitor
@@ -126,12 +131,12 @@
     # Links
 
     def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
-        """From now on this befalls what one scheduler tells another, whoever dialled."""
+        """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
         self.relays[start, end].suffer(impairment, Direction.THERE)
         self.relays[end, start].suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
-        """Both relays of each link that a fault strikes."""
+        """Both relays of each link that a fault affects."""
         if fault.trouble is FaultKind.PARTITION:
             ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
@@ -143,7 +148,7 @@
     async def call_operator(
         self, name: str, method: str, path: str, body: Json | None = None
     ) -> tuple[int, Json]:
-        """A call at a scheduler's operators' side; status 0 where no answer came."""
+        """Call a scheduler's operators' API; returns the status and the reply, status 0 without an answer."""
         url = f"http://{self.programs[name].ops}{path}"
         timeout = aiohttp.ClientTimeout(total=OPERATOR_CALL_TIMEOUT_S)
         data = orjson.dumps(body) if body is not None else None
@@ -158,7 +163,11 @@
             return 0, {}
 
     async def cordon(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
-        """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
+        """Set a cordon and record the result in the journal; returns the scheduler's reply.
+
+        The scheduler replies once the cordon is accepted, or with ``wait_s`` once it is in force or the time
+        is over.
+        """
         self.journal.record(What.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
         status, reply = await self.call_operator(name, "PUT", cordon_path(id_, wait_s), body)
@@ -176,12 +185,12 @@
         return reply
 
     async def digest(self, name: str) -> str | None:
-        """What a scheduler tells of its copy; None where it does not, or has not caught up."""
+        """The digest of a scheduler's copy of the records; None without an answer or before catch-up."""
         status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
     async def record_digests(self) -> None:
-        """One look at all of them, into the journal."""
+        """Poll the digests of all schedulers once and record them in the journal."""
 
         async def poll(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
@@ -190,7 +199,7 @@
         await asyncio.gather(*map(poll, self.names))
 
     async def wait_for_equal_copies(self, within_s: float) -> float | None:
-        """Look until all copies are equal; seconds from the last heal, None: not so in this time."""
+        """Poll until all copies are equal; returns the seconds since the last fault's end, None if timed out."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while equal_after(self.journal.events) is None:
@@ -199,7 +208,10 @@
         return equal_after(self.journal.events)
 
     async def play_and_verify(self, schedule: Schedule, equal_within_s: float) -> float | None:
-        """Play a schedule and what proves it; seconds until copies were equal, None if they never were."""
+        """Play a schedule, wait for equal copies, and check that all schedulers have recovered.
+
+        Returns the seconds from the end of the last fault to equal copies, None if they never became equal.
+        """
         self.journal.events[:] = [e for e in self.journal.events if e.what is not What.DIGEST]
         await self.play(schedule)
         equal = await self.wait_for_equal_copies(equal_within_s)
@@ -208,7 +220,7 @@
         return equal
 
     def outcome(self, broken: list[str], equal_s: float | None, late_s: float) -> "Outcome":
-        """What the journal and the relays show."""
+        """The outcome of a run, with the events of the journal and the counters of the relays."""
         counts = Counter(e.what for e in self.journal.events)
         links = {"dialled": sum(r.accepted_connections for r in self.relays.values())}
         passed = [p for relay in self.relays.values() for p in relay.passed.values()]
@@ -217,7 +229,7 @@
         return Outcome(broken, equal_s, counts, late_s, self.journal, links)
 
     async def record_cordon_lists(self) -> None:
-        """What each lists as in force, into the journal."""
+        """Record in the journal which cordons each scheduler lists."""
         for name in self.names:
             status, reply = await self.call_operator(name, "GET", "/ops/cordons")
             if status == 200:
@@ -225,7 +237,10 @@
                 self.journal.record(What.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
     async def check_recovery(self) -> None:
-        """Once all faults are over: each scheduler serves, and a cordon at each comes into force."""
+        """After the last fault, send load to all schedulers, and set a cordon at each until it is in force.
+
+        The journal's rules then judge whether each scheduler has recovered.
+        """
 
         async def check_scheduler(name: str, worker: str) -> None:
             body = {"target": f"worker/{worker}", "reason": "a trial"}
@@ -252,7 +267,7 @@
         self._reserve_addresses(name)
 
     def _reserve_addresses(self, name: str) -> None:
-        """Its addresses while it is down, or another on this machine takes them for free. Nobody listens."""
+        """Bind a stopped scheduler's addresses without listening, so that no other process takes them."""
         program = self.programs[name]
         assert program.operator
         for address in (program.listen, program.ops, program.operator["mesh"]["listen"]):
@@ -264,13 +279,13 @@
                 reservation.bind((host, int(port)))
 
     def state(self, name: str) -> Path:
-        """The folder that outlives a scheduler."""
+        """The folder with the state that a scheduler restores after a restart."""
         state = self.programs[name].state
         assert state
         return state
 
     async def stop(self) -> None:
-        """End all of them, also those that sleep."""
+        """Stop all processes; paused ones are resumed first."""
         running = [p for p in self.programs.values() if p.process and p.process.returncode is None]
         for program in running:
             program.signal(signal.SIGCONT)
@@ -282,11 +297,11 @@
     # Clients
 
     def address(self) -> str:
-        """Of the next scheduler in turn, down or not."""
+        """The client address of the next scheduler in round-robin order, also if that is not running."""
         return self.programs[self.names[next(self._round_robin) % len(self.names)]].listen
 
     async def load(self, seconds: float, rate: float = LOAD) -> None:
-        """Clients ask for so long, and all is answered."""
+        """Send requests for this long at ``rate`` per second, and wait for all answers."""
         await self.clients.play(
             [Tenant(f"t{i}", rate / 4, retries=1, honour_retry_after=False) for i in range(4)], seconds
         )
@@ -316,7 +331,7 @@
             case FaultKind.FULL_DISK:
                 state = self.state(fault.targets[0])
                 state.rename(state.with_suffix(".aside"))
-                state.touch()  # a file: root may write into any folder, into a file's none
+                state.touch()  # replaced by a file, as write permissions of a folder would not stop root
             case _:
                 for relay in self.links(fault):
                     relay.suffer(impairment)
@@ -325,7 +340,7 @@
         name = fault.targets[0]
         match fault.trouble:
             case FaultKind.TEAR | FaultKind.SEVER:
-                pass  # over with the connection that it struck
+                pass  # the fault ended with the connection that it broke
             case FaultKind.WIPE:
                 shutil.rmtree(self.state(name))
                 self.state(name).mkdir()
@@ -347,7 +362,7 @@
             self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
-        """Faults and calls at their times under load, until all is over and answered."""
+        """Apply faults and operators' calls at their times under load, until all are done and answered."""
         loop = asyncio.get_running_loop()
         start = loop.time()
 
@@ -358,7 +373,7 @@
 
         async def fault(planned: Fault) -> None:
             await sleep_until(planned.at_s)
-            # A start takes longer than it was drawn on a slow machine: what strikes next waits for it.
+            # On a slow machine a restart may outlast the fault; the lock delays this process's next fault.
             async with (
                 process_locks[planned.targets[0]]
                 if planned.trouble in PROCESS_FAULTS
@@ -388,7 +403,7 @@
 
 
 def link_impairment(fault: Fault) -> Harm:
-    """What a fault of a link does to what passes."""
+    """The impairment that a link fault applies to messages."""
     match fault.trouble:
         case FaultKind.LOSS:
             return Harm(loss=fault.size)
@@ -413,9 +428,11 @@
     processes: int, folder: Path, *, seed: int = 0, mesh: Json | None = None, workers: int = WORKERS,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[Rig]:  # fmt: skip
-    """All of it at work, links up and copies equal; all of it has ended behind the block.
+    """Start a rig, wait until its links are up and all copies equal, and stop it after the block.
 
-    ``mesh``: further keys of the operators' file's section; ``entry``: what is run in place of the program.
+    ``mesh`` holds further keys for this section of the operators' file. ``entry`` is the interpreter's
+    arguments; tests pass a program with a planted defect. Raises RuntimeError if copies do not become equal
+    in time.
     """
     site = Site(KINDS, schedulers=processes)
     names, journal, lateness = process_names(processes), AwaitableJournal(), LatenessMonitor()
@@ -446,14 +463,16 @@
         stack.push_async_callback(running.stop)
         await asyncio.gather(*map(running.start, names))
         if await running.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
-            raise RuntimeError(f"the links did not come up; see {folder}")
+            raise RuntimeError(
+                f"timed out waiting for links and equal copies after the start; logs: {folder}"
+            )
         lateness.start()
         stack.callback(lateness.stop)
         yield running
 
 
 class Component(Protocol):
-    """An emulated part of the world round the schedulers."""
+    """An emulated component that a rig starts and stops."""
 
     async def start(self) -> Any: ...
 
@@ -461,7 +480,7 @@
 
 
 async def start_components(stack: contextlib.AsyncExitStack, parts: Iterable[Component]) -> None:
-    """Start them one after another; the stack stops them."""
+    """Start the components one after another, and register their ``stop`` on the stack."""
     for part in parts:
         await part.start()
         stack.push_async_callback(part.stop)
@@ -469,15 +488,17 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a schedule showed."""
+    """The result of playing a schedule."""
 
-    broken: list[str]
-    equal_s: float | None
+    broken: list[str]  # descriptions of broken rules
+    equal_s: float | None  # from the end of the last fault to equal copies; None: they never became equal
     counts: Counter[What]
-    late_s: float  # this machine's own lateness
+    late_s: float  # the longest delay of the rig's own event loop
     journal: Journal
-    links: dict[str, int]  # what befell messages between schedulers
-    idle_schedulers: tuple[str, ...] = ()  # sent nothing until the last fault ended; by the control rig alone
+    links: dict[str, int]  # sums of the relays' counters
+    idle_schedulers: tuple[
+        str, ...
+    ] = ()  # sent no job before the last fault ended; set by the control rig only
 
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
@@ -492,7 +513,7 @@
     schedule: Schedule, folder: Path, *, on_lost: str, bound_ms: int = BOUND_MS,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:  # fmt: skip
-    """One schedule on fresh processes, whose logs stay in the folder."""
+    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
         equal = await running.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
@@ -502,7 +523,7 @@
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
-    """The seed's schedule, or those of its faults that are numbered."""
+    """The schedule of a seed; with ``only``, a comma-separated list of numbers, just those of its faults."""
     whole = draw(seed, processes, [f"w{i}" for i in range(WORKERS)])
     if only is None:
         return whole
@@ -533,9 +554,9 @@
             return bool(await run(schedule.with_faults(faults)))
 
         schedule = schedule.with_faults(await shrink(schedule.faults, fails))
-        print(f"cut down to:\n{schedule}")
+        print(f"reduced to:\n{schedule}")
     if found:
-        print(f"play it again: {schedule.replay()} --on-lost {options.on_lost} --bound-ms {options.bound_ms}")
+        print(f"replay with: {schedule.replay()} --on-lost {options.on_lost} --bound-ms {options.bound_ms}")
     return int(bool(found))
 
 
@@ -543,10 +564,12 @@
     parser = argparse.ArgumentParser(prog="python -m robinhill.emulator.rig", description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--processes", type=int, default=5)
-    parser.add_argument("--only", help="numbers of the faults to play, with commas, or none")
+    parser.add_argument("--only", help="comma-separated numbers of the faults to play, or none")
     parser.add_argument("--on-lost", choices=("hold", "serve"), default="hold")
     parser.add_argument("--bound-ms", type=int, default=BOUND_MS)
-    parser.add_argument("--shrink", action="store_true", help="cut a failing schedule down")
+    parser.add_argument(
+        "--shrink", action="store_true", help="reduce a failing schedule to the faults it needs"
+    )
     return asyncio.run(_main(parser.parse_args(arguments)))
 
 
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -1,9 +1,11 @@
-"""What goes wrong in a run of several schedulers, and when: drawn from a seed, printed, played again, and cut
-down to what a failure needs. Times in seconds after the start.
+"""Random schedules of faults and operators' calls for a run of several schedulers.
 
-A schedule never asks for what no design could bear: a minority of the processes at most is ever killed, as
-what a majority held must survive in one of them at least. And no link or process is struck by two faults at
-once, so that the end of the one is not taken for the end of the other.
+A schedule is drawn from a seed, can be printed and replayed, and can be reduced to the faults that a failure
+needs. Times are in seconds after the start.
+
+A schedule contains no fault that no design could tolerate: at most a minority of the processes is ever
+killed, since a record that a majority has stored must survive in at least one process. No link or process has
+two faults at the same time, since the end of the first would also end the second.
 """
 
 import random
@@ -13,43 +15,47 @@
 from itertools import combinations
 from typing import TypeVar
 
-FAULT_START_SPAN_S = 5.0  # in which faults begin
+FAULT_START_SPAN_S = 5.0  # faults start within this time
 MIN_FAULT_S, MAX_FAULT_S = 0.2, 2.0
 MAX_FAULTS = 10
 MIN_FAULTS = 3
 CALL_COUNT_RANGE = (5, 10)
-CALL_DURING_FAULT_PROBABILITY = 0.6  # of the calls come while a fault lasts, at whom it strikes
-MAX_CONSECUTIVE_REJECTED_DRAWS = 200  # in a row, after which a schedule is as full as it will be
+# The probability that a call is made during a fault, at a scheduler that the fault affects.
+CALL_DURING_FAULT_PROBABILITY = 0.6
+MAX_REJECTED_DRAWS = 200  # in total, after which the schedule is complete with the faults drawn so far
 CLOCK_OFFSETS_S = (-3600.0, -90.0, -5.0, 0.4, 5.0, 90.0, 3600.0)
 Item = TypeVar("Item")
 
 
 class FaultKind(Enum):
-    """What a fault is; the first ones befall the link between two schedulers, the last ones a process."""
+    """Kinds of faults: those before PARTITION affect one link, those after it one process.
+
+    The values are the verbs in a printed schedule. ``Fault.size`` has a meaning of its own for each kind.
+    """
 
-    LOSS = "loses"  # a share of the messages, both ways
-    DELAY = "delays"  # each message by so many seconds, and up to half as much more
-    REORDER = "reorders"  # a share of the messages
-    DOUBLE = "doubles"  # a share of the messages
-    STALL = "stalls"  # nothing passes; all of it comes late
+    LOSS = "loses"  # drops a share of the messages in both directions; size: the share
+    DELAY = "delays"  # size: seconds of delay for each message, plus random jitter of up to half of that
+    REORDER = "reorders"  # size: the share of the messages that later ones may overtake
+    DOUBLE = "doubles"  # size: the share of the messages that is delivered twice
+    STALL = "stalls"  # delivers nothing until the end of the fault, and then all pending messages
     ONE_WAY = "stalls one way of"
     DEAF = "loses all one way of"
-    TEAR = "tears"  # both connections, after so many bytes
-    SEVER = "resets"  # whatever is open
-    HALF_OPEN = "half-opens"
-    FLAP = "flaps"  # up and down for so many seconds each
-    PARTITION = "parts"  # the named ones from all others
-    KILL = "kills"  # kill -9; started again from its folder
-    WIPE = "kills and empties"
-    PAUSE = "pauses"  # SIGSTOP, SIGCONT
-    CLOCK = "kills and sets the clock of"  # by so many seconds, from its next start on
-    FULL_DISK = "fills the disk of"
+    TEAR = "tears"  # truncates both connections; size: bytes that are still delivered
+    SEVER = "resets"  # resets the open connections
+    HALF_OPEN = "half-opens"  # accepts connections and delivers nothing
+    FLAP = "flaps"  # takes the link down and up in turns; size: the longest period in seconds
+    PARTITION = "parts"  # cuts the targets off from all other processes
+    KILL = "kills"  # sends SIGKILL; the process is restarted with its state
+    WIPE = "kills and empties"  # sends SIGKILL; the process is restarted without its state
+    PAUSE = "pauses"  # sends SIGSTOP, at the end SIGCONT
+    CLOCK = "kills and sets the clock of"  # sends SIGKILL; size: clock offset in seconds from the restart on
+    FULL_DISK = "fills the disk of"  # makes writes of the state fail
 
 
 LINK_FAULTS = tuple(FaultKind)[: tuple(FaultKind).index(FaultKind.PARTITION)]
 PROCESS_FAULTS = tuple(FaultKind)[tuple(FaultKind).index(FaultKind.KILL) :]
 KILL_FAULTS = (FaultKind.KILL, FaultKind.WIPE, FaultKind.CLOCK)
-# What cuts schedulers off or takes them by surprise is drawn more often than what merely slows a link.
+# Added to the kinds to draw from, so that cutting off, pausing and killing a scheduler are drawn more often.
 FREQUENT_FAULTS = (FaultKind.PARTITION, FaultKind.PARTITION, FaultKind.PAUSE, FaultKind.KILL)
 INSTANT_FAULTS = (FaultKind.TEAR, FaultKind.SEVER)
 MESSAGE_SHARES = {FaultKind.LOSS: (0.1, 0.6), FaultKind.REORDER: (0.1, 0.5), FaultKind.DOUBLE: (0.1, 0.5)}
@@ -57,9 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One thing that goes wrong. ``who``: two ends of a link, a group that is cut off, or a process."""
+    """One fault. ``targets`` are the two ends of a link, the processes that are cut off, or one process."""
 
-    number: int  # within its schedule, also in one that was cut down
+    number: int  # its index in the schedule as drawn, which it keeps in a reduced schedule
     at_s: float
     for_s: float
     trouble: FaultKind
@@ -77,23 +83,24 @@
         return self.at_s + self.for_s
 
     def affected_processes(self, names: Sequence[str]) -> list[str]:
-        """Schedulers of which it harms the process or a link."""
+        """The processes that the fault affects themselves or on one of their links."""
         return list(names) if self.trouble is FaultKind.PARTITION else list(self.targets)
 
     def _struck_resources(self, names: Sequence[str]) -> set[frozenset[str]]:
-        """Links and processes that nothing else may strike meanwhile."""
+        """The links (pairs of names) and processes that no other fault may affect at the same time."""
         if self.trouble is FaultKind.PARTITION:
             return {frozenset((a, b)) for a in self.targets for b in names if b not in self.targets}
         return {frozenset(self.targets)}
 
     def overlaps(self, other: "Fault", names: Sequence[str]) -> bool:
+        """Whether both faults affect the same link or process at the same time."""
         disjoint = self.end_s <= other.at_s or other.end_s <= self.at_s
         return not disjoint and bool(self._struck_resources(names) & other._struck_resources(names))
 
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """An operator's call at one scheduler: a cordon of a worker, or its lift."""
+    """An operator's call at one scheduler, which sets a cordon of a worker or lifts it."""
 
     at_s: float
     lift: bool
@@ -108,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """A whole run's faults and calls, in order of time."""
+    """The faults and calls of one run, each in order of time."""
 
     seed: int
     names: tuple[str, ...]
@@ -120,16 +127,16 @@
         return "\n".join(row for _, row in sorted(rows))
 
     def with_faults(self, faults: Sequence[Fault]) -> "Schedule":
-        """The same calls with some of the faults."""
+        """A schedule with the same calls and only these faults."""
         return Schedule(self.seed, self.names, tuple(sorted(faults, key=lambda f: f.at_s)), self.calls)
 
     @property
     def end_s(self) -> float:
-        """When the last of it is over."""
+        """The end of the last fault or the time of the last call, whichever is later."""
         return max([f.end_s for f in self.faults] + [c.at_s for c in self.calls], default=0.0)
 
     def replay(self) -> str:
-        """The command that plays it again."""
+        """The command line that replays this schedule."""
         numbers = ",".join(str(f.number) for f in sorted(self.faults, key=lambda f: f.number))
         return (
             f"python -m robinhill.emulator.rig --seed {self.seed} --processes {len(self.names)}"
@@ -138,7 +145,7 @@
 
 
 def process_names(processes: int) -> tuple[str, ...]:
-    """The schedulers' names, in order."""
+    """The names of this many processes: n1, n2 and so on, padded with zeros to equal length."""
     width = len(str(processes))
     return tuple(f"n{i:0{width}}" for i in range(1, processes + 1))
 
@@ -149,12 +156,12 @@
     workers: Sequence[str],
     troubles: Sequence[FaultKind] = (*FaultKind, *FREQUENT_FAULTS),
 ) -> Schedule:
-    """The schedule of a seed."""
+    """Draw the schedule of a seed; the same arguments always give the same schedule."""
     names = process_names(processes)
     rng = random.Random(f"faults {seed}")
     faults: list[Fault] = []
     wanted, rejected, killed = rng.randint(MIN_FAULTS, MAX_FAULTS), 0, set[str]()
-    while len(faults) < wanted and rejected < MAX_CONSECUTIVE_REJECTED_DRAWS:
+    while len(faults) < wanted and rejected < MAX_REJECTED_DRAWS:
         fault = _draw_fault(rng, len(faults), rng.choice(troubles), names)
         killed_if_added = killed.union(fault.targets) if fault.trouble in KILL_FAULTS else killed
         if any(fault.overlaps(f, names) for f in faults) or len(killed_if_added) > (processes - 1) // 2:
@@ -193,9 +200,10 @@
 def _draw_calls(
     rng: random.Random, names: Sequence[str], workers: Sequence[str], faults: Sequence[Fault]
 ) -> tuple[Call, ...]:
-    """Each id is set once, so that what a lift's answer means is never in doubt; a third is never lifted.
+    """Draw the operators' calls.
 
-    At most half of the workers are ever cordoned: the others have to serve.
+    Each cordon id is set only once, so that the answer to a lift is unambiguous; a third of the cordons is
+    never lifted. At most half of the workers are ever cordoned, so that the others can serve.
     """
 
     def draw_time_and_scheduler() -> tuple[float, str]:
@@ -218,10 +226,10 @@
 
 
 async def shrink(items: Sequence[Item], fails: Callable[[list[Item]], Awaitable[bool]]) -> list[Item]:
-    """The fewest of the items with which it still fails, such that it passes without any single one of them.
+    """Reduce the items to a subset with which the run still fails, but passes without any single one of them.
 
     Delta debugging: A. Zeller and R. Hildebrandt, "Simplifying and isolating failure-inducing input", 2002.
-    It takes for granted that it fails with all of them; nothing is played twice.
+    The caller has checked that the run fails with all items. No subset is run twice.
     """
     results: dict[tuple[int, ...], bool] = {}
 
@@ -255,5 +263,5 @@
 
 
 def pairs(names: Sequence[str]) -> list[tuple[str, str]]:
-    """Each link once."""
+    """Each pair of names once, regardless of order."""
     return list(combinations(names, 2))
--- a/robinhill/emulator/site.py
+++ b/robinhill/emulator/site.py
@@ -1,4 +1,4 @@
-"""A small site: the settings that the platform would give, and where its parts listen."""
+"""A small site for emulation: the settings that the platform would provide, and free loopback addresses."""
 
 import contextlib
 import random
@@ -9,12 +9,15 @@
 
 Json = dict[str, Any]
 LOOPBACK = "127.0.0.1"
-PORTS = range(20_000, 32_000)  # below those that the system gives to outgoing connections
+PORTS = range(20_000, 32_000)  # below the system's ephemeral ports, which outgoing connections use
 
 
 @dataclass(slots=True, frozen=True)
 class JobKind:
-    """A class of jobs; times in milliseconds, ``work_ms`` on a worker of speed 1."""
+    """A class of jobs. Times are in milliseconds; ``work_ms`` is the mean run time on a worker of speed 1.
+
+    A job is in time within ``aim_ms`` plus ``stretch`` times its own run time.
+    """
 
     name: str
     work_ms: float
@@ -26,7 +29,7 @@
     share: float = 1.0  # of the requests
 
 
-# Shaped as the operators' classes, with jobs an eighth as long, so that a minute holds enough of them.
+# The operators' classes with jobs an eighth as long, so that a run of a minute has enough of them.
 KINDS = (
     JobKind("member-lookup", 80, 40, 2.5, 1_000, share=0.47),
     JobKind("season-report", 450, 400, 2.0, 3_500, share=0.31),
@@ -36,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Site:
-    """What all parts of a small installation agree on."""
+    """The parameters that all components of a small installation share."""
 
     kinds: Sequence[JobKind] = KINDS
     schedulers: int = 1
@@ -46,10 +49,10 @@
     tip_after_s: float = 1.0
     connect_timeout_ms: int = 200
     max_retry_after_s: float = 60.0
-    changes: Json = field(default_factory=dict)  # of the settings, by key
+    changes: Json = field(default_factory=dict)  # settings that replace the defaults, by top-level key
 
     def settings(self, number: int = 0) -> Json:
-        """The settings of a scheduler, in the platform's words and units."""
+        """The settings of the scheduler with this index, with the platform's keys and units."""
         classes = [
             {
                 "name": k.name, "aim-us": k.aim_ms * 1000, "hard-limit-us": k.deadline_ms * 1000,
@@ -79,19 +82,19 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Of one request."""
+        """The mean run time of a request over all classes, weighted by their shares."""
         return sum(k.work_ms * k.share for k in self.kinds) / sum(k.share for k in self.kinds)
 
 
-_reserved: dict[int, socket.socket] = {}  # ports given out by this process, each with its reservation
+_reserved: dict[int, socket.socket] = {}  # sockets that reserve the ports returned by this process, by port
 
 
 def free_address() -> str:
-    """A loopback address that nothing listens on, and that no outgoing connection gets as its own end.
+    """A loopback address on which nothing listens and whose port is not used by outgoing connections.
 
-    The same is never given twice, by any process of this host that asks here: whoever gets a port listens on
-    it only later, so each process holds an abstract Unix socket of the port's name until it ends. Raises
-    OSError where no port is free.
+    No two calls on this host return the same address, even from different processes. As the caller starts to
+    listen on the port only later, the process reserves it until it exits, by an abstract Unix socket named
+    after the port. Raises OSError if no port is free.
     """
     for port in random.sample(PORTS, 64):
         if port in _reserved or (reservation := _reserve(port)) is None:
@@ -101,11 +104,11 @@
             _reserved[port] = reservation
             return f"{LOOPBACK}:{port}"
         reservation.close()
-    raise OSError("no free port was found")
+    raise OSError("none of the 64 ports tried is free")
 
 
 def _reserve(port: int) -> socket.socket | None:
-    """A socket that stands for this port among all processes of the host; None if another one holds it."""
+    """A Unix socket that reserves this port among all processes of the host; None if one exists."""
     reservation = socket.socket(socket.AF_UNIX)
     try:
         reservation.bind(f"\0robinhill-port-{port}")
--- a/robinhill/emulator/voter.py
+++ b/robinhill/emulator/voter.py
@@ -1,4 +1,4 @@
-"""A voter of the control group as a process of its own."""
+"""Runs a voter of the control group as a child process."""
 
 from pathlib import Path
 from typing import Any
@@ -21,7 +21,10 @@
     state: Path | None = None,
     entry: tuple[str, ...] = VOTER,
 ) -> Program:
-    """`robinhill control` by this name; it reads nothing of the configuration of the platform."""
+    """A program that runs `robinhill control` under this name.
+
+    A voter does not read the platform's configuration; ``Program`` writes the file all the same.
+    """
     return Program(
         folder,
         site,
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -1,4 +1,4 @@
-"""A worker that takes jobs over HTTP. It runs them by the model's own worker, on this machine's clock."""
+"""An emulated worker that accepts jobs over HTTP and runs them in the model's worker, in real time."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,15 @@
 from robinhill.model.workers import Job
 from robinhill.model.workers import Worker as Core
 
-MAX_CALL_BACK_TRIES = 10  # times that a call-back is tried
+MAX_CALL_BACK_TRIES = 10
 CALL_BACK_RETRY_S = 0.1
 CALL_BACK_TIMEOUT_S = 2.0
-WORK_ATTRIBUTE = "work="  # in X-Attrs: how long the job runs on a worker of speed 1, in milliseconds
+WORK_ATTRIBUTE = "work="  # prefix in X-Attrs of the job's run time in milliseconds on a worker of speed 1
 
 
 class RealTime:
-    """The model's agenda on this machine's clock: `now` advances by itself, calls are the event loop's
-    timers.
+    """The interface of the model's agenda in real time: `now` is the monotonic clock in microseconds, and
+    scheduled calls are timers of the event loop.
     """
 
     @property
@@ -42,7 +42,7 @@
 
 
 def model_fleet(site: Site, machine: Machine) -> Fleet:
-    """What the model's worker must know of its site."""
+    """The model's description of a fleet of this machine, with the site's parameters."""
     return Fleet(
         (machine,),
         connect_cost_ms=0.0,
@@ -55,11 +55,12 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One worker on a loopback address. What goes wrong with it is set from outside.
+    """One worker on a loopback address. Its methods also inject faults.
 
-    A call does not say which scheduler sent it. Where there are several, each is told an address of its own
-    for the worker (``open_address``), as the protocol lets ``hostPort`` differ between schedulers; what came
-    in there is called back there.
+    The request for a job does not name the scheduler that sent it. With several schedulers, each therefore
+    gets a separate address of the worker (``open_address``), as the protocol allows ``hostPort`` to differ
+    between schedulers; the worker sends call-backs for a job to the scheduler of the address that received
+    it.
     """
 
     name: str
@@ -70,7 +71,7 @@
     queue_limit: int = 32
     host_port: str = ""
     started_unix_ms: int = 0
-    scheduler: str = ""  # where to call back what came by `host_port`
+    scheduler: str = ""  # address for the call-backs of jobs received at `host_port`
     core: Core = field(init=False)
     _session: aiohttp.ClientSession | None = None
     _runners: list[web.ServerRunner] = field(default_factory=list)
@@ -95,7 +96,7 @@
         self.host_port = await self.open_address()
 
     async def open_address(self, name: str = "", listen: str | None = None) -> str:
-        """A further address, for the scheduler of this name that listens for call-backs there."""
+        """Listen on a further address, for the scheduler of this name that gets call-backs at ``listen``."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             return await self._handle(request, name, listen)
@@ -116,21 +117,21 @@
         if self._session:
             await self._session.close()
 
-    # What goes wrong
+    # Faults
 
     def stop_responding(self) -> None:
-        """Say nothing from now on; what it ran is lost without a word."""
+        """Answer no calls and send no reports from now on; running and waiting jobs are lost."""
         self._responding.clear()
         self.core.vanish()
 
     def restart(self) -> None:
-        """Start again, cold."""
+        """Restart without jobs, and with the slow start of a cold worker."""
         self.core.come_back()
         self.started_unix_ms = int(time.time() * 1000)
         self._responding.set()
 
     def set_slowdown(self, factor: float) -> None:
-        """Take so many times as long from now on."""
+        """Make jobs take ``factor`` times as long from now on."""
         self.core.pace(factor)
 
     # The protocol
@@ -139,7 +140,7 @@
         if self.core.silent:
             await self._responding.wait()
             if request.transport:
-                request.transport.abort()  # what was open when it fell silent is reset once it is back
+                request.transport.abort()  # connections from before the restart are reset
             return web.Response(status=500)
         if request.method == "DELETE":
             self.core.cancel(request.path.rpartition("/")[2])
@@ -168,7 +169,7 @@
         return web.Response(status=503, headers={"X-Not-Processed": "1"})
 
     def _tell(self, listen: str | None, what: str, job: Job) -> None:
-        """A word of the model's worker becomes a call to the scheduler."""
+        """Report a job's new state to the scheduler; the model's worker calls this."""
         report = {"id": job.request, "from": self.name, "state": what}
         if what == "done":
             report["result"] = f"{job.request} by {self.name}"
@@ -177,7 +178,7 @@
         task.add_done_callback(self._calls.discard)
 
     async def _call(self, listen: str | None, body: bytes) -> None:
-        """Repeat a call until it is answered, ten times at most."""
+        """Send a call-back until the scheduler acknowledges it, at most ten times."""
         assert self._session
         for _ in range(MAX_CALL_BACK_TRIES):
             to = f"http://{listen or self.scheduler}/v1/job-events"
--- a/tests/test_emulator_site.py
+++ b/tests/test_emulator_site.py
@@ -37,4 +37,4 @@
         assert given
     other = asked_by_another_process()
     assert other not in given
-    assert other == "no free port was found"
+    assert other == "none of the 64 ports tried is free"
