--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -1,6 +1,6 @@
-"""The command line. Each flag stands for a variable of the environment, and goes before it.
+"""The command line. Each flag of `run` and `control` has an environment variable, which it overrides.
 
-What a sub-command needs is imported when it is called: `run` must start quickly and stay small.
+A sub-command imports its modules when it is invoked, so that `run` starts quickly and uses little memory.
 """
 
 import gc
@@ -15,7 +15,7 @@
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
-# Flags of `run`, each with its environment variable; robinhill/config.py reads and checks them all.
+# Flags of `run` with their environment variables and help texts. robinhill/config.py checks the values.
 FLAGS = {
     "--config": ("GW_CONFIG", "JSON file of the platform"),
     "--operator": ("GW_OPERATOR", "JSON file of the operators"),
@@ -23,10 +23,10 @@
     "--listen": ("GW_LISTEN", "host:port for clients and call-backs"),
     "--discovery": ("GW_DISCOVERY", "host:port of discovery"),
     "--ops": ("GW_OPS", "host:port for operators"),
-    "--record": ("GW_RECORD", "folder for a recording of what passes"),
+    "--record": ("GW_RECORD", "folder for a recording of requests and attempts"),
     "--socket-fd": ("GW_SOCKET_FD", "descriptor of an inherited listening socket"),
 }
-# Flags of `control`.
+# Flags of `control` with their environment variables and help texts.
 VOTER_FLAGS = {
     "--operator": ("GW_OPERATOR", "JSON file of the operators, which names all voters"),
     "--name": ("GW_NAME", "name of this voter there"),
@@ -36,7 +36,7 @@
 
 
 def _options(flags: dict[str, tuple[str, str]]) -> Callable[[Command], Command]:
-    """Options that stand for variables of the environment."""
+    """A decorator that adds options whose defaults are environment variables."""
 
     def decorate(command: Command) -> Command:
         for flag, (variable, text) in reversed(flags.items()):
@@ -63,10 +63,10 @@
 
 
 def _serve(flags: dict[str, str]) -> int:
-    # The scheduler speaks plain TCP alone. asyncio and aiohttp work without ssl; with it, aiohttp loads every
-    # certificate authority of the host at import, a fifth of the time to start.
+    # The scheduler uses plain TCP only. asyncio and aiohttp work without ssl; with it, aiohttp loads every
+    # certificate authority of the host at import, which takes a fifth of the time to start.
     sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
-    gc.disable()  # modules stay: collecting garbage in them finds none
+    gc.disable()  # imported modules are never freed, so that garbage collection during the import is wasted
     from robinhill.commands.run import serve
 
     gc.enable()
@@ -105,7 +105,7 @@
 @click.option("--tenant", default=None, help="the tenant header's value, if the caller sends one")
 @click.pass_context
 def explain(context: click.Context, file: str, address: str, tenant: str | None) -> None:
-    """Tell which tenant, weight and limits a caller would get by an operators' FILE."""
+    """Print the tenant, weight and limits that an operators' FILE gives to a caller."""
     from robinhill.commands.check import explain_caller
 
     context.exit(explain_caller(file, address, tenant))
@@ -113,7 +113,7 @@
 
 @cli.group(hidden=True, deprecated="Write `robinhill admission explain`.")
 def door() -> None:
-    """Fair queues at admission, under the command's old name."""
+    """Fair queues at admission, under the command's deprecated name."""
 
 
 door.add_command(explain)
@@ -125,7 +125,7 @@
 @click.option("--operator", default=None, type=click.Path(exists=True, dir_okay=False))
 @click.pass_context
 def demo(context: click.Context, seconds: float, workers: int, operator: str | None) -> None:
-    """Run a scheduler, workers, discovery and clients on loopback, and show who gets what."""
+    """Run a scheduler, workers, discovery and clients on loopback, and show what each tenant gets."""
     from robinhill.commands.demo import show
 
     context.exit(show(seconds, workers, operator))
@@ -133,12 +133,12 @@
 
 @cli.group()
 def model() -> None:
-    """A model of the fleet, on which settings and versions are compared."""
+    """Simulate a fleet, to compare settings and versions."""
 
 
 @model.command()
 @click.argument("source")
-@click.option("--kinds", default="clubs", show_default=True, help="situation whose classes a recording has")
+@click.option("--kinds", default="clubs", show_default=True, help="situation with the recording's classes")
 @click.pass_context
 def describe(context: click.Context, source: str, kinds: str) -> None:
     """Print a situation, or fit a description to a recording (a folder or file)."""
@@ -163,9 +163,9 @@
     try:
         value = float(text.removesuffix("%")) / (100 if text.endswith("%") else 1)
     except ValueError:
-        raise click.BadParameter("must be a share, as 0.02 or 2%") from None
+        raise click.BadParameter("expected a share, such as 0.02 or 2%") from None
     if not 0 < value < 1:
-        raise click.BadParameter("must lie between 0 and 1")
+        raise click.BadParameter("expected a share between 0 and 1, both excluded")
     return value
 
 
@@ -173,14 +173,20 @@
 @click.argument("a")
 @click.argument("b")
 @click.option("--on", default="clubs-all", show_default=True, help="situation: a shipped one or a file")
-@click.option("--trace", type=click.Path(exists=True), help="recorded traffic in place of drawn")
+@click.option("--trace", type=click.Path(exists=True), help="recording to use instead of generated traffic")
 @click.option(
-    "--until", default="2%", show_default=True, callback=_percent, help="how well to know the difference"
+    "--until",
+    default="2%",
+    show_default=True,
+    callback=_percent,
+    help="precision of the difference at which to stop",
 )
 @click.option("--seed", default=1, show_default=True)
-@click.option("--processes", type=click.IntRange(1, 256), help="default: one a core")
-@click.option("--json", "json_path", type=click.Path(dir_okay=False), help="write the result there")
-@click.option("--html", "html_path", type=click.Path(dir_okay=False), help="write a report with plots there")
+@click.option("--processes", type=click.IntRange(1, 256), help="default: one per core")
+@click.option("--json", "json_path", type=click.Path(dir_okay=False), help="write the result to this file")
+@click.option(
+    "--html", "html_path", type=click.Path(dir_okay=False), help="write a report with plots to this file"
+)
 @click.pass_context
 def compare(context: click.Context, /, **options: Any) -> None:
     """Compare side B with side A: `this`, settings files, operators' files, git revisions, joined by `+`."""
@@ -192,12 +198,16 @@
 
 @cli.group()
 def cordon() -> None:
-    """Workers that get nothing new at any scheduler."""
+    """Cordon workers, so that no scheduler sends them new jobs."""
 
 
 _ops = click.option("--ops", envvar="GW_OPS", required=True, help="host:port for operators [GW_OPS]")
 _wait = click.option(
-    "--wait", "wait_s", default=None, type=click.FloatRange(0, 600), help="seconds until it must be in force"
+    "--wait",
+    "wait_s",
+    default=None,
+    type=click.FloatRange(0, 600),
+    help="seconds to wait until it is in force",
 )
 
 
@@ -205,8 +215,10 @@
 @click.argument("cordon_id", metavar="ID")
 @click.argument("target")
 @click.option("--reason", required=True)
-@click.option("--by", default=None, help="who asks; default: the user's name")
-@click.option("--for", "for_s", default=None, type=click.FloatRange(min=0, min_open=True), help="seconds")
+@click.option("--by", default=None, help="the operator; default: the user's name")
+@click.option(
+    "--for", "for_s", default=None, type=click.FloatRange(min=0, min_open=True), help="lifetime in seconds"
+)
 @_wait
 @_ops
 @click.pass_context
@@ -224,7 +236,7 @@
 @_ops
 @click.pass_context
 def lift_cordon(context: click.Context, cordon_id: str, wait_s: float | None, ops: str) -> None:
-    """Lift a cordon: other reasons for the same workers stay in force."""
+    """Lift a cordon; other cordons of the same workers stay in force."""
     from robinhill.commands import cordons
 
     context.exit(cordons.run_command(cordons.lift_cordon, ops, cordon_id, wait_s))
@@ -235,7 +247,7 @@
 @_ops
 @click.pass_context
 def list_cordons(context: click.Context, as_json: bool, ops: str) -> None:
-    """List what is cordoned, why, and which schedulers have not confirmed."""
+    """List the cordons, their reasons, and the schedulers that have not confirmed them."""
     from robinhill.commands import cordons
 
     context.exit(cordons.run_command(cordons.list_cordons, ops, as_json))
@@ -247,14 +259,18 @@
 @_ops
 @click.pass_context
 def wait_cordon(context: click.Context, cordon_id: str, wait_s: float, ops: str) -> None:
-    """Wait until every scheduler goes by a cordon."""
+    """Wait until every scheduler applies a cordon."""
     from robinhill.commands import cordons
 
     context.exit(cordons.run_command(cordons.wait_until_in_force, ops, cordon_id, wait_s))
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """The exit code: 0 after a drain, 1 after an actor's death, 2 for a faulty configuration or command."""
+    """Run the command line and return the exit code.
+
+    0: success, or the scheduler drained; 1: an actor died, or the command failed; 2: the configuration or the
+    command line is faulty; 130: interrupted. Sub-commands may return further codes.
+    """
     try:
         result = cli.main(arguments, prog_name="robinhill", standalone_mode=False)
     except click.ClickException as e:
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -1,4 +1,4 @@
-"""`robinhill check-config` and `admission explain`: what a file means, before a scheduler reads it."""
+"""`robinhill check-config` and `admission explain`: check a file and show its effect before deployment."""
 
 import sys
 from pathlib import Path
@@ -12,11 +12,11 @@
 from robinhill.commands.exit_codes import FAULTY, OK
 from robinhill.config_types import ConfigError
 
-PLACEHOLDER_SECRET = bytes(16)  # any will do, as hashes are not shown
+PLACEHOLDER_SECRET = bytes(16)  # any value serves, since the output contains no hashes
 
 
 def check(files: tuple[str, ...]) -> int:
-    """Print what each file means; the exit code is 2 where one is faulty, with its key on standard error."""
+    """Print a summary of each file, or its error on standard error; the exit code is 2 if one is faulty."""
     logs.configure()
     faulty = False
     for path in files:
@@ -29,7 +29,10 @@
 
 
 def _summary(path: str) -> str:
-    """A file with ``settings`` is the platform's, any other is an operators' file."""
+    """The summary of a file: one with ``settings`` is the platform's, any other is an operators' file.
+
+    Raises ConfigError if the file is faulty.
+    """
     try:
         document = orjson.loads(Path(path).read_bytes())
     except (OSError, orjson.JSONDecodeError) as e:
@@ -55,7 +58,7 @@
 
 
 def explain_caller(path: str, address: str, tenant: str | None) -> int:
-    """Print the tenant, weight and limits of a caller; the exit code is 2 for a faulty file or name."""
+    """Print the tenant, weight and limits of a caller; the exit code is 2 if the file or name is invalid."""
     logs.configure()
     try:
         options = config.read_operator(path).admission
--- a/robinhill/commands/control.py
+++ b/robinhill/commands/control.py
@@ -1,4 +1,4 @@
-"""`robinhill control`: one voter of the control group, as its environment and the operators' file name it."""
+"""`robinhill control`: run one voter of the control group, configured by environment and operators' file."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def vote(env: Mapping[str, str]) -> int:
-    """Exit code 0 after SIGTERM, 1 after an actor's death, 2 for a faulty configuration."""
+    """Run the voter until SIGTERM; the exit code is 1 if an actor died, 2 if the configuration is faulty."""
 
     async def run(settings: config.VoterConfig) -> None:
         await VoterProcess(settings, env).run()
--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -1,6 +1,6 @@
-"""`robinhill cordon set | lift | list | wait`: calls at one scheduler, for workers at all schedulers.
+"""`robinhill cordon set | lift | list | wait`: call one scheduler about cordons, which apply at all schedulers.
 
-Each command returns its exit code. The scheduler checks a call; this module sends it and prints the reply.
+Each command returns its exit code. The scheduler validates a call; this module sends it and prints the reply.
 """
 
 import getpass
@@ -16,22 +16,26 @@
 
 Json = dict[str, Any]
 CORDONS_PATH = "/ops/cordons"
-RESPONSE_MARGIN_S = 10.0  # beyond the time that a call itself waits
+RESPONSE_MARGIN_S = 10.0  # added to the time that the scheduler waits, for the timeout of a call
 POLL_INTERVAL_S = 0.1
-EXIT_FAILED = 1  # the call was rejected, or the change was not in force in time
+EXIT_FAILED = 1  # the call failed or was rejected, or the cordon was not in force in time
 
 
 class CallFailed(Exception):
-    """A call was rejected or not answered; its text is for the operator."""
+    """A call was rejected or not answered. The message is printed to the operator."""
 
 
 def call_scheduler(
     ops: str, method: str, path: str, body: Json | None = None, wait_s: float | None = None
 ) -> Json:
-    """Make one call at ``ops`` (host:port), and return the JSON of its reply. Raises CallFailed."""
+    """Call the operators' API at ``ops`` (host:port) and return the JSON reply.
+
+    With ``wait_s`` the scheduler replies once the change is in force, at the latest after that time. Raises
+    CallFailed.
+    """
     host, _, port = ops.rpartition(":")
     if not (host and port.isdigit()):
-        raise CallFailed(f"--ops must be host:port of a scheduler's operators' side, is {ops!r}")
+        raise CallFailed(f"--ops is {ops!r}, expected host:port of a scheduler's operators' address")
     query = f"?wait={wait_s:g}" if wait_s is not None else ""
     timeout_s = (wait_s or 0) + RESPONSE_MARGIN_S
     connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=timeout_s)
@@ -72,12 +76,12 @@
 
 
 def lift_cordon(ops: str, cordon_id: str, wait_s: float | None) -> int:
-    """Lift a cordon, and wait up to ``wait_s`` until that is in force."""
+    """Lift a cordon, and wait up to ``wait_s`` until the lift is in force."""
     return _print_change(call_scheduler(ops, "DELETE", _path_of(cordon_id), None, wait_s))
 
 
 def list_cordons(ops: str, as_json: bool) -> int:
-    """Print all cordons, and schedulers that are not well."""
+    """Print all cordons, and the schedulers that are not alive or have another list of peers."""
     listing = call_scheduler(ops, "GET", CORDONS_PATH)
     if as_json:
         click.echo(json.dumps(listing, indent=2))
@@ -91,7 +95,7 @@
 
 
 def wait_until_in_force(ops: str, cordon_id: str, wait_s: float) -> int:
-    """Wait until all schedulers go by a cordon that is set already. Raises CallFailed after ``wait_s``."""
+    """Wait until all schedulers apply an existing cordon. Raises CallFailed after ``wait_s``."""
     deadline_s = time.monotonic() + wait_s
     while True:
         (cordon,) = call_scheduler(ops, "GET", _path_of(cordon_id))["cordons"][:1]
@@ -111,9 +115,9 @@
     try:
         reply = json.loads(text)
     except ValueError:
-        reply = {"error": text.strip() or f"answered {status}"}
+        reply = {"error": text.strip() or f"the scheduler answered {status} without a text"}
     if status == 404 and not reply.get("type"):
-        raise CallFailed(f"the scheduler at {ops} shares nothing: its operators' file names no peers")
+        raise CallFailed(f"the scheduler at {ops} shares no cordons: its operators' file configures no peers")
     if status >= 400:
         raise CallFailed("; ".join(str(reply[key]) for key in ("error", "advice") if reply.get(key)))
     assert isinstance(reply, dict)
@@ -123,7 +127,7 @@
 def _print_change(reply: Json) -> int:
     click.echo(f"{reply['id']} ({', '.join(reply['targets'])}): {reply['state']} after {reply['ms']:.1f} ms")
     for warning in reply.get("warnings", ()):
-        click.echo(f"    mind: {warning}")
+        click.echo(f"    warning: {warning}")
     for unconfirmed in reply["unconfirmed"]:
         click.echo(f"    not confirmed by {unconfirmed['scheduler']}: {unconfirmed['why']}")
     return 0
@@ -132,7 +136,7 @@
 def _print_cordon(cordon: Json) -> None:
     until = f", until {cordon['until']}" if cordon["until"] else ""
     click.echo(f"{cordon['id']}  {cordon['target']} ({cordon['workers']} workers)  {cordon['state']}")
-    by = cordon["by"] or "nobody named"
+    by = cordon["by"] or "unknown"
     click.echo(f"    {cordon['reason']} (by {by} since {cordon['since']}{until})")
     if cordon["behind"]:
         click.echo(f"    not confirmed by {', '.join(cordon['behind'])}")
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -1,6 +1,4 @@
-"""`robinhill demo`: a scheduler, workers, discovery and clients on loopback, and a live table of who gets
-what.
-"""
+"""`robinhill demo`: run a scheduler, workers, discovery and clients on loopback, with a live table."""
 
 import asyncio
 import signal
@@ -22,16 +20,17 @@
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
-SMALL_COUNT, LOAD_FACTOR = (
-    8,
-    1.3,
-)  # small tenants beside a large one; all together ask for so much of the fleet
-LARGE_SHARE = 0.6
+# The number of small tenants beside a large one, and the load of all tenants relative to the capacity.
+SMALL_COUNT, LOAD_FACTOR = 8, 1.3
+LARGE_SHARE = 0.6  # of the load, requested by the large tenant
 ADMISSION: Json = {"admission": {"enabled": True}}
 
 
 def show(seconds: float, workers: int, operator: str | None) -> int:
-    """Play for so long, or until Ctrl-C; 1 if a rule was broken, 2 for a faulty operators' file."""
+    """Run the demo for this long, or until Ctrl-C.
+
+    Returns the exit code: 1 if a rule was broken or the scheduler failed, 2 if the operators' file is faulty.
+    """
     given = ADMISSION
     if operator:
         logs.configure()
@@ -56,7 +55,9 @@
         playing = asyncio.get_running_loop().create_task(clients.play(tenants, seconds))
         stop = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGINT, stop.set)
-        click.echo(f"{workers} workers, {len(tenants)} tenants, {LOAD_FACTOR:g} times what the fleet can do.")
+        click.echo(
+            f"{workers} workers, {len(tenants)} tenants, load {LOAD_FACTOR:g} times the fleet's capacity."
+        )
         waiting = asyncio.get_running_loop().create_task(stop.wait())
         while not playing.done() and not stop.is_set():
             await asyncio.wait([playing, waiting], timeout=REFRESH_S, return_when=asyncio.FIRST_COMPLETED)
@@ -79,7 +80,7 @@
 
 
 async def _table(here: Town, asked: list[Asked]) -> str:
-    """What each tenant and each worker has got so far."""
+    """A table with the requests of each tenant, the jobs of each worker and the state of admission."""
     lines = ["tenant        asked  served  refused   worth in time"]
     by_tenant: dict[str, list[Asked]] = defaultdict(list)
     for each in asked:
--- a/robinhill/commands/exit_codes.py
+++ b/robinhill/commands/exit_codes.py
@@ -1,4 +1,4 @@
 """Exit codes of the command line, as docs/oncall.md lists them."""
 
 OK = 0
-FAULTY = 2  # a faulty configuration, file or command line
+FAULTY = 2  # the configuration, a file or the command line is faulty
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -1,4 +1,7 @@
-"""`robinhill model`: describe traffic, play a situation, compare two sides on one."""
+"""`robinhill model`: describe traffic, simulate a situation, and compare two sides on a situation.
+
+A side is a version of the scheduler with its settings.
+"""
 
 import subprocess
 import sys
@@ -23,27 +26,27 @@
 from robinhill.model.trace import Trace, fit
 from robinhill.record.frames import RecordingError
 
-EXIT_DISAGREES = 3  # exit code where a side failed, or loopback disagrees with the model
+EXIT_DISAGREES = 3  # a side failed, or results on loopback disagree with the model's
 ROOT = Path(__file__).parent.parent.parent
 
 
 def situation(name: str) -> Description:
-    """A shipped situation by its name, or a description from a file."""
+    """The shipped situation of this name, or the description in this file. Raises DescriptionError."""
     if Path(name).exists():
         return read(Path(name))
     try:
         return sites.site(name)
     except KeyError:
         names = ", ".join(sites.names())
-        raise DescriptionError(f"{name}: neither a file nor one of {names}") from None
+        raise DescriptionError(f"{name}: is no file and no shipped situation ({names})") from None
 
 
 @contextmanager
 def version(name: str) -> Iterator[Version]:
     """A side of a comparison: `this`, a file, a git revision, or several of them joined by `+`.
 
-    A file is an operators' file or an object of "settings", "clients" and "admission". A revision is checked
-    out beside this tree for as long as it is needed. Raises DescriptionError.
+    A file is an operators' file or an object with "settings", "clients" and "admission". A revision is checked
+    out to a temporary git worktree until the end of the context. Raises DescriptionError.
     """
     merged: dict[str, object] = {"name": name}
     with ExitStack() as stack:
@@ -74,7 +77,10 @@
 
 
 def _is_operators_file(document: object) -> bool:
-    """A side's own file has no log; one with nothing but admission reads the same either way."""
+    """Whether the document is an operators' file and no side's own file, which has no "log".
+
+    A document with admission alone has the same meaning in both.
+    """
     if not isinstance(document, dict):
         return False
     admission = {"admission", *config.RENAMED_KEYS}
@@ -94,7 +100,7 @@
         )
         if added.returncode:
             raise DescriptionError(
-                f"{revision}: no file and no revision: {added.stderr.strip().splitlines()[-1]}"
+                f"{revision}: is no file and no git revision: {added.stderr.strip().splitlines()[-1]}"
             )
         try:
             yield tree
@@ -105,7 +111,7 @@
 
 
 def describe(source: str, kinds_of: str) -> int:
-    """Print a situation, or for a recording the description that is fitted to it."""
+    """Print the description of a situation, or fit one to a recording and print that."""
     if Path(source).exists() and not source.endswith(".json"):
         base = situation(kinds_of)
         trace = load(Path(source), base.traffic.kinds)
@@ -121,7 +127,7 @@
 
 
 def run(name: str, side_name: str, seed: int) -> int:
-    """Play one run of a side on a situation and print its result; the exit code is 3 if the side failed."""
+    """Simulate a side on a situation once and print the result; the exit code is 3 if the side failed."""
     description = situation(name)
     with version(side_name) as side:
         started_s = time.perf_counter()
@@ -138,13 +144,13 @@
     refused = ", ".join(f"{k} {v}" for k, v in result.refused.items()) or "none"
     click.echo(f"  refusals: {refused}")
     speed, rate = description.seconds / elapsed_s, result.steps / elapsed_s
-    click.echo(f"  {speed:.0f} simulated seconds a second, {rate:,.0f} events")
+    click.echo(f"  {speed:.0f} simulated seconds per second, {rate:,.0f} events per second")
     return 0
 
 
 @dataclass(slots=True, frozen=True)
 class ComparisonOptions:
-    """What `model compare` is called with. ``until``: the share that the difference is to be known within."""
+    """Options of `model compare`. ``until`` is the precision, as a share, at which the comparison stops."""
 
     a: str
     b: str
@@ -158,7 +164,7 @@
 
 
 def compare_sides(options: ComparisonOptions) -> int:
-    """Compare, print the table and write the files; the exit code is 3 where a side failed."""
+    """Compare two sides, print the table and write the files; the exit code is 3 if a side failed."""
     description = situation(options.on)
     trace: Trace | None = None
     if options.trace:
@@ -197,7 +203,7 @@
 
 
 def run_and_report_errors(call: object, *arguments: object) -> int:
-    """The exit code of a command; a faulty description, trace or file is one line and 2."""
+    """Run a command and return its exit code; a faulty description, trace or file is printed and gives 2."""
     assert callable(call)
     logs.configure()
     try:
--- a/robinhill/commands/process.py
+++ b/robinhill/commands/process.py
@@ -1,4 +1,4 @@
-"""What long-running sub-commands share: set-up of log lines, configuration and exit codes."""
+"""Shared by the long-running sub-commands: set-up of logging and configuration, and exit codes."""
 
 import asyncio
 import gc
@@ -17,7 +17,10 @@
 def serve_until_end(
     load: Callable[[], Settings], work: Callable[[Settings], Coroutine[Any, Any, None]]
 ) -> int:
-    """Exit code 0 once the work is over, 1 after an actor's death, 2 for a faulty configuration."""
+    """Load the configuration and run ``work`` to its end.
+
+    Returns the exit code: 0 after the work, 1 if an actor died, 2 if the configuration is faulty.
+    """
     logs.configure()
     try:
         settings = load()
--- a/robinhill/commands/run.py
+++ b/robinhill/commands/run.py
@@ -1,4 +1,4 @@
-"""`robinhill run`: one scheduler, as its environment configures it."""
+"""`robinhill run`: run one scheduler, configured by the environment."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def serve(env: Mapping[str, str]) -> int:
-    """Exit code 0 after a drain, 1 after an actor's death, 2 for a faulty configuration."""
+    """Run the scheduler until drained; the exit code is 1 if an actor died, 2 if the configuration is faulty."""
 
     async def run(settings: config.Config) -> None:
         await Scheduler(settings, env).run()
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -199,7 +199,7 @@
         await asyncio.gather(*map(poll, self.names))
 
     async def wait_for_equal_copies(self, within_s: float) -> float | None:
-        """Poll until all copies are equal; returns the seconds since the last fault's end, None if timed out."""
+        """Poll until all copies are equal; returns the seconds since the last fault, None on a timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while equal_after(self.journal.events) is None:
