--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line and the operators' file: what is wrong is told by its key; nothing half right is run."""
+"""The command line and the operators' file: errors name the faulty key, and no partly valid file is used."""
 
 import json
 import os
@@ -40,7 +40,7 @@
         ('{"log": ', "GW_OPERATOR"),
     ],
 )
-def test_a_faulty_operators_file_is_named_by_its_key(document: str, key: str, tmp_path: Path) -> None:
+def test_error_of_a_faulty_operators_file_names_the_key(document: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text(document)
     with pytest.raises(ConfigError) as caught:
@@ -50,9 +50,7 @@
     assert done.return_value == 2
 
 
-def test_a_renamed_key_is_read_under_its_old_name_with_a_warning(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_deprecated_key_is_read_with_a_warning(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     old, current = tmp_path / "old.json", tmp_path / "current.json"
     current.write_text('{"admission": {"enabled": true, "queued": 7}, "log": {"format": "json"}}')
     old.write_text('{"door": {"enabled": true, "queued": 7}, "log": {"format": "json"}}')
@@ -61,11 +59,11 @@
     assert config.read_operator(str(old)) == config.read_operator(str(current))
     (record,) = caplog.records
     assert record.levelname == "WARNING" and record.msg == "deprecated_key"
-    told = vars(record)
-    assert (told["file"], told["key"], told["write"]) == (str(old), "door", "admission")
+    fields = vars(record)
+    assert (fields["file"], fields["key"], fields["write"]) == (str(old), "door", "admission")
 
 
-def test_check_config_tells_on_stderr_what_to_write_for_a_renamed_key(tmp_path: Path) -> None:
+def test_check_config_logs_the_replacement_of_a_deprecated_key_on_stderr(tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text('{"door": {"queued": 7}}')
     done = _command("check-config", str(path))
@@ -83,9 +81,7 @@
         ('{"door": 3}', "door"),
     ],
 )
-def test_a_fault_is_named_by_the_old_key_where_that_was_written(
-    document: str, key: str, tmp_path: Path
-) -> None:
+def test_error_names_the_deprecated_key_if_the_file_uses_it(document: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text(document)
     with pytest.raises(ConfigError) as caught:
@@ -93,7 +89,7 @@
     assert caught.value.key == f"{path}: {key}"
 
 
-def test_a_key_under_both_names_ends_the_program_with_one_line(tmp_path: Path) -> None:
+def test_key_under_both_names_ends_the_program_with_one_error_line(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(GIVEN))
     path = tmp_path / "operator.json"
     path.write_text('{"door": {}, "admission": {}}')
@@ -105,7 +101,7 @@
 
 
 @pytest.mark.parametrize("settings", ["", '"settings": {"max_attempts": 1}, ', '"log": {"level": "info"}, '])
-def test_a_side_of_a_comparison_may_name_admission_by_its_old_key(
+def test_side_of_a_comparison_accepts_the_deprecated_key_of_admission(
     settings: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     old, current = tmp_path / "old.json", tmp_path / "current.json"
@@ -119,18 +115,18 @@
     assert [record.msg for record in caplog.records] == ["deprecated_key"]
 
 
-def _command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "robinhill", *words]
+def _command(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "robinhill", *arguments]
     return subprocess.run(command, env=environment, cwd=ROOT, capture_output=True, text=True, check=False)
 
 
-def test_the_shipped_file_holds_every_key_with_its_default() -> None:
+def test_shipped_operators_file_has_every_key_with_its_default() -> None:
     path = ROOT / "deploy" / "operator.json"
     assert config.read_operator(str(path)) == config.OperatorFile()
     assert set(json.loads(path.read_text())["admission"]) == set(AdmissionOptions.__struct_fields__)
 
 
-def test_a_faulty_file_ends_the_program_before_it_listens(tmp_path: Path) -> None:
+def test_faulty_operators_file_ends_the_program_with_one_error_line(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(GIVEN))
     (tmp_path / "operator.json").write_text('{"admission": {"enabled": "yes"}}')
     done = subprocess.run(
@@ -141,7 +137,7 @@
     assert done.returncode == 2 and "admission.enabled" in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_every_flag_has_its_variable_and_goes_before_it(tmp_path: Path) -> None:
+def test_every_flag_overrides_its_environment_variable(tmp_path: Path) -> None:
     assert all(variable.startswith("GW_") for variable, _ in FLAGS.values())
     (tmp_path / "config.json").write_text(json.dumps(GIVEN))
     done = subprocess.run(
@@ -152,32 +148,32 @@
     assert done.returncode == 2 and done.stderr.startswith("robinhill: GW_LISTEN: ")
 
 
-def test_check_config_tells_what_a_platforms_file_would_run(tmp_path: Path) -> None:
+def test_check_config_prints_the_classes_of_a_platform_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GIVEN))
     done = CliRunner().invoke(cli, ["check-config", str(path)], standalone_mode=False)
     assert done.return_value == 0 and "renewal-charge (aim 750 ms, unsafe)" in done.output
 
 
-def test_explain_tells_tenant_weight_and_limits(tmp_path: Path) -> None:
+def test_explain_prints_tenant_weight_and_limits(tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text(json.dumps({"admission": {
         "networks": [{"network": "10.1.0.0/16", "tenant": "north", "limits": {"open": 9}}],
         "tenants": {"north": {"weight": 3, "limits": {"open": 4}}}, "limits": {"queued": 7},
     }}))  # fmt: skip
-    words = ["admission", "explain", str(path), "--address", "10.1.2.3"]
-    told = CliRunner().invoke(cli, words, standalone_mode=False).output.splitlines()
-    assert told[1:3] == ["tenant    north (by address 10.1.2.3)", "weight    3"]
-    assert "open 4" in told[3] and "queued 7" in told[3] and "open 9" in told[5]
-    named = CliRunner().invoke(cli, [*words, "--tenant", "x" * 65], standalone_mode=False)
-    assert named.return_value == 2
+    arguments = ["admission", "explain", str(path), "--address", "10.1.2.3"]
+    lines = CliRunner().invoke(cli, arguments, standalone_mode=False).output.splitlines()
+    assert lines[1:3] == ["tenant    north (by address 10.1.2.3)", "weight    3"]
+    assert "open 4" in lines[3] and "queued 7" in lines[3] and "open 9" in lines[5]
+    too_long = CliRunner().invoke(cli, [*arguments, "--tenant", "x" * 65], standalone_mode=False)
+    assert too_long.return_value == 2
 
 
-def test_the_old_sub_command_tells_the_same_and_what_to_write(tmp_path: Path) -> None:
+def test_deprecated_sub_command_prints_the_same_with_a_warning(tmp_path: Path) -> None:
     path = tmp_path / "operator.json"
     path.write_text('{"admission": {"tenants": {"north": {"weight": 3}}}}')
-    words = ["explain", str(path), "--tenant", "north"]
-    current, old = _command("admission", *words), _command("door", *words)
+    arguments = ["explain", str(path), "--tenant", "north"]
+    current, old = _command("admission", *arguments), _command("door", *arguments)
     assert current.returncode == old.returncode == 0
     assert current.stdout == old.stdout and "weight    3" in old.stdout
     assert current.stderr == ""
@@ -186,8 +182,8 @@
 
 
 @pytest.mark.skipif(not hasattr(os, "killpg"), reason="needs process groups")
-def test_the_demo_shows_a_table_and_ends_cleanly_on_ctrl_c() -> None:
-    """Guards against a demo that leaves its scheduler behind."""
+def test_demo_prints_a_table_and_stops_its_scheduler_on_ctrl_c() -> None:
+    """Guards against a demo whose scheduler process continues to run after the demo has ended."""
     demo = subprocess.Popen(
         [sys.executable, "-u", "-m", "robinhill", "demo", "--seconds", "60", "--workers", "2"], cwd=ROOT,
         stdout=subprocess.PIPE, text=True, start_new_session=True,
@@ -201,9 +197,12 @@
         os.killpg(demo.pid, 0)
 
 
-def test_a_start_loads_only_what_the_platform_needs(tmp_path: Path) -> None:
-    """A restart is an outage for who comes meanwhile: certificates of the machine and admission's code took a
-    fifth of it, and no connection here uses either."""
+def test_start_does_not_import_ssl_admission_or_numpy(tmp_path: Path) -> None:
+    """A restart is an outage for the requests that arrive meanwhile.
+
+    Importing ssl, which loads the certificates of the machine, and the code of admission took a fifth of that
+    time, and no connection here uses either.
+    """
     (tmp_path / "config.json").write_text("{}")
     code = (
         "import sys, robinhill.__main__ as m; code = m.main(['run']);"
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -1,6 +1,6 @@
-"""Real voters and schedulers break no rule under faults; planted faults are found.
+"""Real voters and schedulers break no rule under faults; planted defects are detected.
 
-Of five processes n1 to n3 are voters, n4 and n5 schedulers.
+Of the five processes n1 to n3 are voters, n4 and n5 schedulers.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 T = FaultKind
 VOTERS, PROCESSES = 3, 5
 BOUND_MS, LONG_BOUND_MS = 1_000, 3_000
-Row = tuple[float, float, FaultKind, tuple[str, ...], float]
+FaultRow = tuple[float, float, FaultKind, tuple[str, ...], float]
 
-Play = tuple[list[Row], list[Call]]
-ONE_IS_CUT_OFF: Play = (
+FaultsAndCalls = tuple[list[FaultRow], list[Call]]
+PARTITION_SCHEDULE: FaultsAndCalls = (
     [(0.3, 7.0, T.PARTITION, ("n3", "n4"), 0.0)],
     [Call(0.1, False, "n4", "w0", "early"), Call(0.8, False, "n5", "w1", "amid")],
 )
-# Both ways together take less than half of the bound, past which a link counts as silent.
-FAR_AWAY: Play = (
+# The round trip takes less than half of the bound, after which a link counts as unresponsive.
+LONG_DELAY_SCHEDULE: FaultsAndCalls = (
     [(0.0, 7.0, T.DELAY, (voter, "n4"), 0.45) for voter in ("n1", "n2", "n3")],
     [
         *(Call(1.0 + 0.6 * n, False, ("n5", "n1")[n % 2], f"w{n % 3}", f"c{n}") for n in range(9)),
         Call(6.8, True, "n4", "w0", "c0"),
     ],
 )
-# A cordon that n1 and n2 accept while n3 hears of nothing. Then n1 loses it, n2 and the scheduler that knows
-# it are cut off, and the other scheduler starts anew: n1 and n3 are a majority that knows nothing of it.
-MEMORY_IS_LOST: Play = (
+# n1 and n2 accept a cordon that n3 does not receive. Then n1 loses its state, n2 and the scheduler that has
+# the cordon (n5) are partitioned from the others, and the other scheduler (n4) restarts: n1 and n3 are a
+# majority without the cordon.
+LOST_STATE_SCHEDULE: FaultsAndCalls = (
     [
         (0.2, 2.0, T.LOSS, ("n1", "n3"), 1.0),
         (0.2, 13.8, T.LOSS, ("n2", "n3"), 1.0),
@@ -48,42 +49,43 @@
     ],
     [Call(0.7, False, "n2", "w0", "kept")],
 )
-SCHEDULES: dict[str, Play] = {
-    "a voter and a scheduler are cut off": ONE_IS_CUT_OFF,
-    "a scheduler is far away": FAR_AWAY,
-    "a voter loses its memory": MEMORY_IS_LOST,
+SCHEDULES: dict[str, FaultsAndCalls] = {
+    "a voter and a scheduler are partitioned": PARTITION_SCHEDULE,
+    "a scheduler has a long round-trip time": LONG_DELAY_SCHEDULE,
+    "a voter loses its state": LOST_STATE_SCHEDULE,
 }
 
-# What is broken, in all voters (n1) or all schedulers (n4), the schedule that shows it, and what tells of it.
-BROKEN = {
+# Planted defects: the role with the defect (n1: all voters, n4: all schedulers), code that is run before the
+# program, the schedule, and part of the broken rule's description.
+DEFECTS = {
     "sends without a lease": (
         "n4",
         "import robinhill.control.lease as l\n"
         "l.ObserverLease.is_valid = lambda self, now: self.as_of_us is not None",
-        "a voter and a scheduler are cut off",
+        "a voter and a scheduler are partitioned",
         "past the bound",
     ),
     "ignores cordons": (
         "n4",
         "import robinhill.net.control_group.observing_scheduler as o\n"
         "o.covers = lambda targets, destination: False",
-        "a voter and a scheduler are cut off",
+        "a voter and a scheduler are partitioned",
         "past the bound",
     ),
-    "reports in force at once": (
+    "reports in force without confirmations": (
         "n1",
         "import robinhill.control.commit_tracker as t\n"
         "t.CommitTracker._lagging = lambda self, batch: t.NONE_LAGGING",
-        "a scheduler is far away",
+        "a scheduler has a long round-trip time",
         "after it was in force",
     ),
-    "counts though its memory is lost": (
+    "counts for majorities after losing its state": (
         "n1",
         "import robinhill.control.voter as v; start = v.Voter.start\n"
         "def counts(self, now, mono):\n"
         "    return [*start(self, now, mono), *self.confirm_complete(now, mono)]\n"
         "v.Voter.start = counts",
-        "a voter loses its memory",
+        "a voter loses its state",
         "past the bound",
     ),
 }
@@ -97,11 +99,11 @@
         Fault(i, at, for_s, what, targets, size) for i, (at, for_s, what, targets, size) in enumerate(rows)
     )
     schedule = Schedule(3, process_names(PROCESSES), faults, tuple(calls))
-    bound_ms = LONG_BOUND_MS if SCHEDULES[name] is FAR_AWAY else BOUND_MS
+    bound_ms = LONG_BOUND_MS if SCHEDULES[name] is LONG_DELAY_SCHEDULE else BOUND_MS
     played = play(schedule, folder, VOTERS, bound_ms=bound_ms, voter_entry=voter, entry=scheduler)
     outcome = asyncio.run(played)
     assert not outcome.idle_schedulers, (
-        f"this run checked nothing at {', '.join(outcome.idle_schedulers)}, which sent nothing under faults"
+        f"{', '.join(outcome.idle_schedulers)} sent no job during the faults: no rule was checked there"
     )
     return outcome
 
@@ -112,18 +114,18 @@
     assert not outcome.broken, str(outcome)
 
 
-@pytest.mark.parametrize("bug", BROKEN)
-def test_a_planted_fault_is_found(bug: str, tmp_path: Path) -> None:
-    process, code, name, words = BROKEN[bug]
+@pytest.mark.parametrize("defect", DEFECTS)
+def test_planted_defect_is_detected(defect: str, tmp_path: Path) -> None:
+    process, code, name, message = DEFECTS[defect]
     entry = ("-c", f"{code}\nfrom robinhill.commands import main; raise SystemExit(main())")
     if process in process_names(PROCESSES)[:VOTERS]:
         outcome = run(name, tmp_path, voter=(*entry, "control"))
     else:
         outcome = run(name, tmp_path, scheduler=entry)
-    assert any(words in what for what in outcome.broken), (str(outcome), outcome.broken)
+    assert any(message in what for what in outcome.broken), (str(outcome), outcome.broken)
 
 
-def test_a_scheduler_that_sends_nothing_until_the_faults_end_is_idle() -> None:
+def test_scheduler_without_sends_before_the_end_of_faults_is_idle() -> None:
     events = [
         Event(1.0, What.FAULT_STARTED, scheduler="n4"),
         Event(2.0, What.SENT, scheduler="n5"),
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The checker sees each broken rule, and the program keeps them all against emulators that fail."""
+"""The checker detects each broken rule, and the scheduler breaks none while emulated workers fail."""
 
 import asyncio
 
@@ -10,13 +10,13 @@
 from robinhill.emulator.program import town
 from robinhill.emulator.site import Site
 
-ASKED, ANSWERED, GONE, SENT = What.REQUESTED, What.ANSWERED, What.CLIENT_DISCONNECTED, What.SENT
-RETURNED, ENDED, CALLED_OFF = What.RETURNED, What.ENDED, What.CANCELLED
+REQUESTED, ANSWERED, DISCONNECTED, SENT = What.REQUESTED, What.ANSWERED, What.CLIENT_DISCONNECTED, What.SENT
+RETURNED, ENDED, CANCELLED = What.RETURNED, What.ENDED, What.CANCELLED
 UNSAFE = ["renewal-charge"]
 
 
 def journal(*events: tuple[What, str, int]) -> Journal:
-    """Events of one renewal, each with a worker and a status, a tenth of a second apart."""
+    """A journal of one renewal's events, each with a worker and a status, 0.1 s apart."""
     made = Journal()
     for number, (what, worker, status) in enumerate(events):
         made.events.append(Event(number / 10, what, "j", worker, status, "renewal-charge"))
@@ -24,29 +24,29 @@
 
 
 @pytest.mark.parametrize(
-    "events, says",
+    "events, message",
     [
-        ([(ASKED, "", 0), (SENT, "a", 0), (ENDED, "a", 0), (ANSWERED, "", 200)], ""),
-        ([(ASKED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (ENDED, "a", 0), (ANSWERED, "", 200)], ""),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
           (ANSWERED, "", 200)], ""),
-        ([(ASKED, "", 0), (GONE, "", 0)], ""),
-        ([(ASKED, "", 0)], "never answered"),
-        ([(ASKED, "", 0), (ANSWERED, "", 503), (ANSWERED, "", 503)], "answered 2 times"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "nobody's result"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (SENT, "b", 0), (ENDED, "a", 0), (ANSWERED, "", 200)],
+        ([(REQUESTED, "", 0), (DISCONNECTED, "", 0)], ""),
+        ([(REQUESTED, "", 0)], "never answered"),
+        ([(REQUESTED, "", 0), (ANSWERED, "", 503), (ANSWERED, "", 503)], "answered 2 times"),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "nobody's result"),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (SENT, "b", 0), (ENDED, "a", 0), (ANSWERED, "", 200)],
          "while at a"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (CALLED_OFF, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (CANCELLED, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
           (ANSWERED, "", 200)], "sent again though it may have run"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (ENDED, "a", 0), (ANSWERED, "", 503)], "refused though"),
-        ([(ASKED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (ANSWERED, "", 503)], ""),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (ENDED, "a", 0), (ANSWERED, "", 503)], "refused though"),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (ANSWERED, "", 503)], ""),
     ],
 )  # fmt: skip
-def test_the_checker_sees_what_breaks_a_rule(events: list[tuple[What, str, int]], says: str) -> None:
+def test_checker_reports_broken_rules(events: list[tuple[What, str, int]], message: str) -> None:
     found = broken(journal(*events), UNSAFE)
-    assert (says in found[0]) if says else not found
+    assert (message in found[0]) if message else not found
 
 
-def test_the_checker_sees_late_sends_and_pushed_workers() -> None:
+def test_checker_reports_sends_to_draining_workers_and_overloaded_workers() -> None:
     made = Journal(
         [Event(1.0, What.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
     )
@@ -59,10 +59,11 @@
     assert "pushed over" in broken(made, UNSAFE)[-1]
 
 
-def test_no_herd_leaves_admission_after_every_worker_was_silent() -> None:
-    """All workers fall silent under load with hundreds waiting, and come back cold at once.
+def test_admission_limits_the_burst_after_all_workers_were_unreachable() -> None:
+    """All workers stop responding under load and restart cold at once, while hundreds of requests are queued.
 
-    None is pushed over, every request gets one answer, and the fleet serves again.
+    Guards against a thundering herd: no worker is overloaded, every request gets one answer, and the fleet
+    serves again.
     """
 
     async def play() -> tuple[list[str], int]:
@@ -75,7 +76,7 @@
                 await asyncio.sleep(0.05)
             for worker in here.workers:
                 worker.stop_responding()
-            while sum(e.what is ASKED for e in here.journal.events) < 200:
+            while sum(e.what is REQUESTED for e in here.journal.events) < 200:
                 await asyncio.sleep(0.05)
             before = here.journal.started_jobs.total()
             for worker in here.workers:
@@ -85,11 +86,11 @@
             assert await here.program.stop() == 0
             return broken(here.journal, UNSAFE), here.journal.started_jobs.total() - before
 
-    faults, served_after = asyncio.run(play())
-    assert not faults and served_after > 0
+    broken_rules, served_after = asyncio.run(play())
+    assert not broken_rules and served_after > 0
 
 
-def test_a_drained_worker_gets_nothing_new_with_admission_control_on() -> None:
+def test_draining_worker_gets_no_new_jobs_with_admission_enabled() -> None:
     async def play() -> list[str]:
         async with town(workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=6)
--- a/tests/test_emulator_relay.py
+++ b/tests/test_emulator_relay.py
@@ -1,4 +1,4 @@
-"""The relay does to a link what it is told, to whole messages, and nothing else."""
+"""The relay applies the requested impairment to whole messages and changes nothing else."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -17,7 +17,7 @@
 async def link(
     seed: str = "s", unit: Unit = Unit.MESSAGE
 ) -> AsyncIterator[tuple[Relay, Callable[[], Awaitable[Socket]]]]:
-    """An echo behind a relay, and what dials it."""
+    """A relay in front of an echo server, and a function that connects through it."""
 
     async def echo(request: web.BaseRequest) -> web.StreamResponse:
         ws = web.WebSocketResponse(autoping=False)
@@ -38,22 +38,26 @@
 
 
 async def echoed(ws: Socket, number: int, size: int = 10) -> list[int]:
-    """Send numbered messages and a last one; the numbers that came back before that one did."""
+    """Send numbered messages and an end marker; returns the numbers received back before the marker."""
     for i in range(number):
         await ws.send_bytes(bytes([i]) * size)
     await ws.send_bytes(b"\xff")
     back: list[int] = []
     while (data := await ws.receive_bytes(timeout=10)) != b"\xff":
-        assert data in (data[:1] * size,), "a message came in part"
+        assert data in (data[:1] * size,), "a message was received in part"
         back.append(data[0])
     return back
 
 
-def test_messages_are_split_at_their_bounds_however_they_are_read() -> None:
+def test_messages_are_split_at_their_boundaries_for_any_read_sizes() -> None:
     head = b"GET / HTTP/1.1\r\nUpgrade: websocket\r\n\r\n"
     masked = b"\x82\x83mask" + b"abc"
     long = b"\x82\x7e\x01\x00" + b"x" * 256
-    first, ping, rest = b"\x02\x01a", b"\x89\x00", b"\x80\x01b"  # a message in two, a ping between
+    first, ping, rest = (
+        b"\x02\x01a",
+        b"\x89\x00",
+        b"\x80\x01b",
+    )  # a message in two fragments with a ping between them
     stream = head + masked + long + first + ping + rest
     whole = [head, masked, long, ping, first + rest]
     assert Messages().feed(stream) == whole
@@ -68,7 +72,7 @@
 
 
 @pytest.mark.parametrize("size", [10, 70_000])
-def test_what_is_lost_or_doubled_is_whole_and_drawn_from_the_seed(size: int) -> None:
+def test_loss_and_duplication_affect_whole_messages_and_depend_on_the_seed(size: int) -> None:
     async def play(seed: str) -> list[int]:
         async with link(seed) as (relay, dial):
             ws = await dial()
@@ -87,10 +91,12 @@
 
     one, again, other = asyncio.run(thrice())
     assert one == again != other and one == sorted(one)
-    assert 25 < len(set(one)) < 60 < len(one) + 60 - len(set(one)), "some lost, some doubled"
+    assert 25 < len(set(one)) < 60 < len(one) + 60 - len(set(one)), (
+        "expected some lost and some duplicated messages"
+    )
 
 
-def test_messages_overtake_each_other_or_are_late_in_order() -> None:
+def test_reorder_lets_messages_overtake_and_delay_keeps_their_order() -> None:
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
@@ -110,14 +116,14 @@
     asyncio.run(play())
 
 
-def test_a_stalled_way_delivers_all_of_it_late_and_the_other_way_goes_on() -> None:
+def test_stall_of_one_direction_delays_its_messages_and_not_the_other_direction() -> None:
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
             relay.suffer(Harm(stalled=True), Direction.BACK)
             for i in range(5):
                 await ws.send_bytes(bytes([i]))
-            while relay.passed[Direction.THERE].whole < 6:  # the handshake is one
+            while relay.passed[Direction.THERE].whole < 6:  # counts the handshake as a message
                 await asyncio.sleep(0)
             with pytest.raises(TimeoutError):
                 await ws.receive_bytes(timeout=0.05)
@@ -128,7 +134,7 @@
     asyncio.run(play())
 
 
-def test_a_torn_message_comes_in_part_and_ends_the_link() -> None:
+def test_truncation_delivers_part_of_a_message_and_closes_the_connection() -> None:
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
@@ -136,12 +142,12 @@
             await ws.send_bytes(b"x" * 1000)
             assert (await ws.receive(timeout=10)).type is not aiohttp.WSMsgType.BINARY
             assert relay.passed[Direction.BACK].torn == 1
-            assert await echoed(await dial(), 3) == [0, 1, 2], "the next one is whole again"
+            assert await echoed(await dial(), 3) == [0, 1, 2], "the next connection is truncated too"
 
     asyncio.run(play())
 
 
-def test_half_open_refused_and_flapping_links_and_their_healing() -> None:
+def test_half_open_refusing_and_flapping_links_work_again_after_heal() -> None:
     async def play() -> None:
         async with link() as (relay, dial):
             old = await dial()
@@ -161,7 +167,7 @@
             while ups < 2:
                 try:
                     ws = await dial()
-                    await ws.receive(timeout=10)  # until it goes down again
+                    await ws.receive(timeout=10)  # returns when the link goes down
                     ups += 1
                 except (aiohttp.ClientError, OSError):
                     pass
@@ -171,7 +177,7 @@
     asyncio.run(play())
 
 
-def test_bytes_without_messages_pass_too() -> None:
+def test_unit_of_bytes_forwards_data_and_sever_resets_the_connection() -> None:
     async def play() -> None:
         async with link(unit=Unit.BYTES) as (relay, dial):
             ws = await dial()
--- a/tests/test_emulator_schedule.py
+++ b/tests/test_emulator_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules are drawn alike for a seed, can all be borne, and are cut down to what matters."""
+"""Fault schedules depend on the seed alone, stay within what a design can tolerate, and can be reduced."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("processes", [3, 5, 12])
-def test_a_seed_gives_one_schedule_that_can_be_borne(processes: int) -> None:
+def test_seed_determines_a_schedule_that_can_be_tolerated(processes: int) -> None:
     drawn = [draw(seed, processes, WORKERS) for seed in SEEDS]
     assert drawn == [draw(seed, processes, WORKERS) for seed in SEEDS]
     assert len({str(s) for s in drawn}) == len(drawn)
@@ -27,30 +27,30 @@
         assert all(c.at_s <= schedule.end_s for c in schedule.calls)
 
 
-def test_faults_clash_on_one_link_or_process_at_a_time() -> None:
+def test_faults_overlap_on_the_same_link_or_process_at_the_same_time() -> None:
     names = process_names(4)
 
     def fault(trouble: FaultKind, *targets: str, at_s: float = 1.0) -> Fault:
         return Fault(0, at_s, 1.0, trouble, targets)
 
-    parted = fault(FaultKind.PARTITION, "n1", "n2")
-    assert parted.overlaps(fault(FaultKind.LOSS, "n3", "n1", at_s=1.9), names)
-    assert not parted.overlaps(fault(FaultKind.LOSS, "n3", "n1", at_s=2.0), names)
-    assert not parted.overlaps(fault(FaultKind.LOSS, "n1", "n2"), names)
-    assert not parted.overlaps(fault(FaultKind.KILL, "n1"), names)
+    partition = fault(FaultKind.PARTITION, "n1", "n2")
+    assert partition.overlaps(fault(FaultKind.LOSS, "n3", "n1", at_s=1.9), names)
+    assert not partition.overlaps(fault(FaultKind.LOSS, "n3", "n1", at_s=2.0), names)
+    assert not partition.overlaps(fault(FaultKind.LOSS, "n1", "n2"), names)
+    assert not partition.overlaps(fault(FaultKind.KILL, "n1"), names)
     assert fault(FaultKind.PAUSE, "n1").overlaps(fault(FaultKind.KILL, "n1"), names)
 
 
-def test_a_cut_down_schedule_keeps_its_calls_and_tells_how_to_play_it() -> None:
+def test_reduced_schedule_keeps_its_calls_and_prints_its_replay_command() -> None:
     schedule = next(s for s in (draw(seed, 5, WORKERS) for seed in SEEDS) if len(s.faults) >= 4)
-    less = schedule.with_faults([schedule.faults[3], schedule.faults[1]])
-    assert less.calls == schedule.calls and [f.number for f in less.faults] == [1, 3]
-    assert less.replay().endswith(f"--seed {schedule.seed} --processes 5 --only 1,3")
+    reduced = schedule.with_faults([schedule.faults[3], schedule.faults[1]])
+    assert reduced.calls == schedule.calls and [f.number for f in reduced.faults] == [1, 3]
+    assert reduced.replay().endswith(f"--seed {schedule.seed} --processes 5 --only 1,3")
     assert all(str(part) in str(schedule) for part in [*schedule.faults, *schedule.calls])
 
 
 @pytest.mark.parametrize("needed", [set[int](), {0}, {7}, {2, 3}, {0, 7}, {1, 4, 6}, set(range(8))])
-def test_a_failure_is_cut_down_to_what_it_needs(needed: set[int]) -> None:
+def test_shrink_keeps_only_the_items_that_the_failure_needs(needed: set[int]) -> None:
     played: list[tuple[int, ...]] = []
 
     async def fails(items: list[int]) -> bool:
@@ -58,10 +58,10 @@
         return needed <= set(items)
 
     assert asyncio.run(shrink(range(8), fails)) == sorted(needed)
-    assert len(played) == len(set(played)), "nothing is played twice"
+    assert len(played) == len(set(played)), "a subset was run twice"
 
 
-def test_each_of_two_causes_is_enough() -> None:
+def test_shrink_keeps_one_of_two_independent_causes() -> None:
     async def fails(items: list[int]) -> bool:
         return {1, 5} <= set(items) or {2} <= set(items)
 
--- a/tests/test_emulator_site.py
+++ b/tests/test_emulator_site.py
@@ -1,4 +1,4 @@
-"""Addresses that the emulators give out belong to one process of the host alone."""
+"""Loopback addresses of the emulators are unique among all processes of the host."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 from robinhill.emulator import site
 
 ROOT = Path(__file__).parent.parent
-ASK = """
+FREE_ADDRESS_PROGRAM = """
 import sys
 from robinhill.emulator import site
 site.PORTS = range(20_000, 20_064)
@@ -20,21 +20,21 @@
 """
 
 
-def asked_by_another_process() -> str:
-    """What another process gets from the same 64 ports."""
-    command = [sys.executable, "-c", ASK]
+def free_address_in_another_process() -> str:
+    """The address, or the error text, that another process gets from the same 64 ports."""
+    command = [sys.executable, "-c", FREE_ADDRESS_PROGRAM]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
 
 
-def test_two_processes_never_get_one_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever gets a port listens on it only later, so the other process must know of it all the same."""
+def test_free_address_is_unique_across_processes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process listens on its port only later; until then a second process must not get the port either."""
     monkeypatch.setattr(site, "PORTS", range(20_000, 20_064))
-    given: set[str] = set()
+    returned: set[str] = set()
     try:
         while True:
-            given.add(site.free_address())
+            returned.add(site.free_address())
     except OSError:
-        assert given
-    other = asked_by_another_process()
-    assert other not in given
+        assert returned
+    other = free_address_in_another_process()
+    assert other not in returned
     assert other == "none of the 64 ports tried is free"
