--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -1,4 +1,4 @@
-"""`robinhill cordon set | lift | list | wait`: call one scheduler about cordons, which apply at all schedulers.
+"""`robinhill cordon set | lift | list | wait`: call one scheduler about cordons, which all apply.
 
 Each command returns its exit code. The scheduler validates a call; this module sends it and prints the reply.
 """
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -71,26 +71,28 @@
         await asyncio.wait([playing, waiting])
         click.echo(await _table(here, clients.asked))
         unsafe = [k.name for k in site.kinds if k.repeat == "fragile"]
-        faults = broken(here.journal, unsafe, ended=not stopped)
+        violations = broken(here.journal, unsafe, ended=not stopped)
         code = await here.program.stop()
-    click.echo(f"The scheduler ended with {code}; rules broken: {len(faults)}.")
-    for fault in faults[:10]:
-        click.echo(f"  {fault}")
-    return 1 if faults or code else 0
+    click.echo(f"The scheduler exited with {code}; rules broken: {len(violations)}.")
+    for violation in violations[:10]:
+        click.echo(f"  {violation}")
+    return 1 if violations or code else 0
 
 
 async def _table(here: Town, asked: list[Asked]) -> str:
     """A table with the requests of each tenant, the jobs of each worker and the state of admission."""
-    lines = ["tenant        asked  served  refused   worth in time"]
+    lines = ["tenant         jobs  served rejected   worth in time"]
     by_tenant: dict[str, list[Asked]] = defaultdict(list)
     for each in asked:
         if each.tries:
             by_tenant[each.tenant].append(each)
     for name in sorted(by_tenant):
-        its = by_tenant[name]
-        served = sum(a.tries[-1].status == 200 for a in its)
-        refused = sum(t.status in (429, 503) for a in its for t in a.tries)
-        lines.append(f"{name:12} {len(its):6} {served:7} {refused:8}   {served_worth(its):8.0%}")
+        tenant_jobs = by_tenant[name]
+        served = sum(a.tries[-1].status == 200 for a in tenant_jobs)
+        rejected = sum(t.status in (429, 503) for a in tenant_jobs for t in a.tries)
+        lines.append(
+            f"{name:12} {len(tenant_jobs):6} {served:7} {rejected:8}   {served_worth(tenant_jobs):8.0%}"
+        )
     lines.append("worker         jobs  running  waiting")
     for worker in here.workers:
         jobs = here.journal.started_jobs[worker.name]
@@ -98,6 +100,8 @@
     status, text = await here.program.call("GET", "/ops/admission")
     if status == 200:
         admission = orjson.loads(text)
-        why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "nobody"
-        lines.append(f"admission: {admission['queued']} queued, {admission['let_in']} let in; refused {why}")
+        why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "none"
+        lines.append(
+            f"admission: {admission['queued']} queued, {admission['let_in']} admitted; rejected {why}"
+        )
     return "\n".join(lines)
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -45,8 +45,8 @@
 def version(name: str) -> Iterator[Version]:
     """A side of a comparison: `this`, a file, a git revision, or several of them joined by `+`.
 
-    A file is an operators' file or an object with "settings", "clients" and "admission". A revision is checked
-    out to a temporary git worktree until the end of the context. Raises DescriptionError.
+    A file is an operators' file or an object with "settings", "clients" and "admission". A revision is
+    checked out to a temporary git worktree until the end of the context. Raises DescriptionError.
     """
     merged: dict[str, object] = {"name": name}
     with ExitStack() as stack:
@@ -141,8 +141,8 @@
         click.echo(f"  {kind:18} {served / wanted if wanted else 1.0:.3f}")
     click.echo(f"  worst 10 s         {result.worst_window:.3f}")
     click.echo(f"  requests {result.firsts}, tries {result.tries}, crossings {result.crossings}")
-    refused = ", ".join(f"{k} {v}" for k, v in result.refused.items()) or "none"
-    click.echo(f"  refusals: {refused}")
+    rejections = ", ".join(f"{k} {v}" for k, v in result.refused.items()) or "none"
+    click.echo(f"  rejections: {rejections}")
     speed, rate = description.seconds / elapsed_s, result.steps / elapsed_s
     click.echo(f"  {speed:.0f} simulated seconds per second, {rate:,.0f} events per second")
     return 0
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -19,7 +19,7 @@
 from robinhill.emulator.worker import WORK_ATTRIBUTE
 
 REFUSALS = (429, 503)
-IMMEDIATE_RETRY_S = 0.01  # the least delay of a retry, also of a client that ignores Retry-After
+MIN_RETRY_DELAY_S = 0.01  # also of a client that ignores Retry-After
 
 
 @dataclass(slots=True, frozen=True)
@@ -176,7 +176,7 @@
             wait = (attempt.retry_after_s or 0.0) if tenant.honour_retry_after else 0.0
             if time.monotonic() + wait > self._started_s + seconds:
                 return
-            await asyncio.sleep(max(wait, IMMEDIATE_RETRY_S))
+            await asyncio.sleep(max(wait, MIN_RETRY_DELAY_S))
 
     async def _request_with_back_off(
         self, asked: Asked, tenant: Tenant, back_off_s: float, factor: float
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -196,9 +196,8 @@
         impairment, passed = self.relay.impairment[self.direction], self.relay.passed[self.direction]
         rng = self.relay.rngs[self.direction]
         lost, doubled, overtaken, jitter, behind = (rng.random() for _ in range(5))
-        if (
-            self._handshake_pending
-        ):  # only delayed, since a lost handshake is the separate fault of a half-open link
+        # The handshake is only delayed, since a lost handshake is a separate fault, the half-open link.
+        if self._handshake_pending:
             self._handshake_pending, lost, doubled, overtaken = False, 1.0, 1.0, 1.0
         if lost < impairment.loss:
             passed.lost += 1
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -496,9 +496,8 @@
     late_s: float  # the longest delay of the rig's own event loop
     journal: Journal
     links: dict[str, int]  # sums of the relays' counters
-    idle_schedulers: tuple[
-        str, ...
-    ] = ()  # sent no job before the last fault ended; set by the control rig only
+    # Schedulers that sent no job before the last fault ended; set by the control rig only
+    idle_schedulers: tuple[str, ...] = ()
 
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -38,8 +38,8 @@
     REORDER = "reorders"  # size: the share of the messages that later ones may overtake
     DOUBLE = "doubles"  # size: the share of the messages that is delivered twice
     STALL = "stalls"  # delivers nothing until the end of the fault, and then all pending messages
-    ONE_WAY = "stalls one way of"
-    DEAF = "loses all one way of"
+    ONE_WAY = "stalls one way of"  # as STALL, for messages from the first target to the second
+    DEAF = "loses all one way of"  # drops all messages from the first target to the second
     TEAR = "tears"  # truncates both connections; size: bytes that are still delivered
     SEVER = "resets"  # resets the open connections
     HALF_OPEN = "half-opens"  # accepts connections and delivers nothing
