--- a/robinhill/commands/control.py
+++ b/robinhill/commands/control.py
@@ -8,7 +8,7 @@
 
 
 def vote(env: Mapping[str, str]) -> int:
-    """Run the voter until SIGTERM; the exit code is 1 if an actor died, 2 if the configuration is faulty."""
+    """Run the voter until SIGTERM. Exit code: 0, or 1 if an actor died, 2 if the configuration is faulty."""
 
     async def run(settings: config.VoterConfig) -> None:
         await VoterProcess(settings, env).run()
