--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -92,7 +92,7 @@
         self.random = random.Random(seed)
         self.header = header
         self.asked: list[Asked] = []
-        self.latest_s = 0.0  # the longest delay of a request past its planned time, caused by this machine
+        self.latest_s = 0.0  # the longest delay of a request past its planned time: this machine was slow
         self._sequence = count()
         self._key_prefix = f"{seed:x}"
         self._pending_tasks: set[asyncio.Task[None]] = set()
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -56,7 +56,7 @@
 EQUAL_S = 4.0
 """The longest time from the end of the last fault to equal copies at all voters and schedulers."""
 
-# Copies are still compared for this time after EQUAL_S, so that a run can report how late they became equal.
+# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -32,7 +32,7 @@
     share: float  # of the requested worth, answered in time
     by_kind: dict[str, float]  # the same share for each class
     broken: list[str] = field(default_factory=list)
-    latest_s: float = 0.0  # the longest delay of a request past its planned time, caused by this machine
+    latest_s: float = 0.0  # the longest delay of a request past its planned time on this machine
 
 
 def small_day(trouble: str) -> Description:
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -57,7 +57,7 @@
 EQUAL_S = 2.0  # the longest time from the end of the last fault to equal copies
 RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
 RECOVERY_LOAD_S = 0.8
-# Copies are still compared for this time after EQUAL_S, so that a run can report how late they became equal.
+# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 # Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
 KINDS = (
