--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -11,7 +11,7 @@
 import orjson
 
 from robinhill import config, logs
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
@@ -71,7 +71,7 @@
         await asyncio.wait([playing, waiting])
         click.echo(await _table(here, clients.asked))
         unsafe = [k.name for k in site.kinds if k.repeat == "fragile"]
-        violations = broken(here.journal, unsafe, ended=not stopped)
+        violations = find_violations(here.journal, unsafe, ended=not stopped)
         code = await here.program.stop()
     click.echo(f"The scheduler exited with {code}; rules broken: {len(violations)}.")
     for violation in violations[:10]:
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -20,7 +20,7 @@
 from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
 from robinhill.model import report, sites
-from robinhill.model.compare import Comparison, Failed, Version, compare, play
+from robinhill.model.compare import Comparison, FailedRun, Version, compare, play
 from robinhill.model.describe import Description, DescriptionError, read, write
 from robinhill.model.recorded import load
 from robinhill.model.trace import Trace, fit
@@ -132,7 +132,7 @@
     with version(side_name) as side:
         started_s = time.perf_counter()
         result = play(description, side, seed)
-    if isinstance(result, Failed):
+    if isinstance(result, FailedRun):
         click.echo(f"{result.side} failed on seed {result.seed}: {result.why}")
         return EXIT_DISAGREES
     elapsed_s = time.perf_counter() - started_s
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -14,7 +14,7 @@
 
 import aiohttp
 
-from robinhill.checker.journal import Journal, What
+from robinhill.checker.journal import EventType, Journal
 from robinhill.emulator.site import JobKind, Site
 from robinhill.emulator.worker import WORK_ATTRIBUTE
 
@@ -207,7 +207,7 @@
             headers["X-Retried"] = "1"
         attempt = Try(time.monotonic())
         timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1000 + 1)
-        self.journal.record(What.REQUESTED, request_id, kind=kind.name)
+        self.journal.record(EventType.REQUESTED, request_id, kind=kind.name)
         try:
             async with self._session.post(
                 f"http://{self.address()}/{kind.name}/x", data=b"work", headers=headers, timeout=timeout
@@ -217,9 +217,9 @@
                 retry_after = response.headers.get("Retry-After")
                 attempt.retry_after_s = float(retry_after) if retry_after else None
         except (aiohttp.ClientError, OSError, TimeoutError):
-            self.journal.record(What.CLIENT_DISCONNECTED, request_id)
+            self.journal.record(EventType.CLIENT_DISCONNECTED, request_id)
         else:
-            self.journal.record(What.ANSWERED, request_id, status=attempt.status)
+            self.journal.record(EventType.ANSWERED, request_id, status=attempt.status)
         attempt.took_s = time.monotonic() - attempt.at
         return attempt
 
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -19,8 +19,15 @@
 import aiohttp
 
 from robinhill.checker import rules
-from robinhill.checker.journal import Event, What
-from robinhill.checker.mesh import Terms, copies, late_sends, lists, once, recovered
+from robinhill.checker.journal import Event, EventType
+from robinhill.checker.mesh import (
+    Limits,
+    late_sends,
+    list_violations,
+    recovery_violations,
+    repeated_unsafe_jobs,
+    replica_violations,
+)
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
@@ -264,8 +271,8 @@
     async with rig as here:
         equal = await here.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = here.lateness.worst_s
-    terms = Terms(bound_ms / 1000, True, EQUAL_S, late_s=late)
-    found = rules.broken(here.journal, set(UNSAFE), ended=True, late_s=late)
+    terms = Limits(bound_ms / 1000, True, EQUAL_S, late_s=late)
+    found = rules.find_violations(here.journal, set(UNSAFE), ended=True, late_s=late)
     found += broken(sorted(here.journal.events, key=lambda e: e.at), terms, here.voters)
     outcome = here.outcome(found, equal, late)
     outcome.idle_schedulers = idle_schedulers(here.journal.events, here.schedulers)
@@ -274,21 +281,21 @@
 
 def idle_schedulers(events: list[Event], schedulers: tuple[str, ...]) -> tuple[str, ...]:
     """Schedulers that sent no job before the last fault ended, so that no rule about sends was exercised."""
-    faults_ended = max((e.at for e in events if e.what is What.FAULT_ENDED), default=inf)
-    sent = {e.scheduler for e in events if e.what is What.SENT and e.at <= faults_ended}
+    faults_ended = max((e.at for e in events if e.what is EventType.FAULT_ENDED), default=inf)
+    sent = {e.scheduler for e in events if e.what is EventType.SENT and e.at <= faults_ended}
     return tuple(name for name in schedulers if name not in sent)
 
 
-def broken(events: list[Event], terms: Terms, voters: tuple[str, ...]) -> list[str]:
+def broken(events: list[Event], terms: Limits, voters: tuple[str, ...]) -> list[str]:
     """Descriptions of broken rules about several processes.
 
     Voters send no jobs, so that sending again after the faults is required of schedulers alone.
     """
-    found = once(events, set(UNSAFE))
+    found = repeated_unsafe_jobs(events, set(UNSAFE))
     found += late_sends(events, terms)
-    found += lists(events, terms)
-    found += copies(events, terms)
-    return found + recovered([event for event in events if event.scheduler not in voters])
+    found += list_violations(events, terms)
+    found += replica_violations(events, terms)
+    return found + recovery_violations([event for event in events if event.scheduler not in voters])
 
 
 def schedule_of(seed: int, voters: int, schedulers: int) -> Schedule:
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -11,7 +11,7 @@
 import orjson
 from aiohttp import web
 
-from robinhill.checker.journal import Journal, What
+from robinhill.checker.journal import EventType, Journal
 from robinhill.emulator.site import LOOPBACK
 from robinhill.emulator.worker import Worker
 
@@ -100,7 +100,7 @@
         for watch, host_ports in self._watches.items():
             watch.put_nowait(self._update_line([worker.name], host_ports))
         if lifecycle != "active" and self._watches:
-            self.journal.record(What.DRAINING, worker=worker.name)
+            self.journal.record(EventType.DRAINING, worker=worker.name)
 
     def _store_entry(self, worker: Worker, lifecycle: str) -> None:
         self._versions[worker.name] = self.generation
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from robinhill.checker.rules import broken
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Asked, Clients, PlannedArrival, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
@@ -18,7 +18,7 @@
 from robinhill.model import sites
 from robinhill.model.describe import Description, Fleet, Machine
 from robinhill.model.trace import Trace, draw
-from robinhill.model.world import FLEET, TROUBLES, stream
+from robinhill.model.world import FAULTS, FLEET, stream
 
 US_PER_S = 1_000_000
 # Jobs, latency objectives and delays are shortened by this factor, times of faults by half of it.
@@ -93,7 +93,7 @@
         clients = Clients(site, lambda: here.program.listen, here.journal, seed)
         planned = [
             PlannedArrival(a.at_us / US_PER_S, f"tenant-{a.tenant}", a.kind, a.work_us / US_PER_S)
-            for a in trace.asked
+            for a in trace.requests
         ]
         c = description.clients
         await clients.replay(planned, c.retries, c.back_off_ms / 1000, c.back_off_factor)
@@ -105,7 +105,7 @@
         return LoopbackResult(
             served_worth(counted),
             {k: served_worth(v) for k, v in kinds.items()},
-            broken(here.journal, unsafe),
+            find_violations(here.journal, unsafe),
             clients.latest_s,
         )
 
@@ -114,7 +114,7 @@
     """Schedule the faults of workers, which affect the same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
-        rng = stream(seed, TROUBLES, number)
+        rng = stream(seed, FAULTS, number)
         count = max(1, round(trouble.part * len(here.workers)))
         affected = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
         for worker in affected:
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -27,8 +27,8 @@
 import aiohttp
 import orjson
 
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.mesh import Terms, broken, equal_after
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.mesh import Limits, equal_after, find_violations
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
@@ -168,20 +168,20 @@
         The scheduler replies once the cordon is accepted, or with ``wait_s`` once it is in force or the time
         is over.
         """
-        self.journal.record(What.CORDON_REQUESTED, id_, worker, scheduler=name)
+        self.journal.record(EventType.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
         status, reply = await self.call_operator(name, "PUT", cordon_path(id_, wait_s), body)
         if reply.get("accepted"):
-            self.journal.record(What.CORDONED, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.CORDONED, id_, worker, status, scheduler=name)
         if reply.get("in_force"):
-            self.journal.record(What.IN_FORCE, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.IN_FORCE, id_, worker, status, scheduler=name)
         return reply
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
-        self.journal.record(What.LIFT_REQUESTED, id_, worker, scheduler=name)
+        self.journal.record(EventType.LIFT_REQUESTED, id_, worker, scheduler=name)
         status, reply = await self.call_operator(name, "DELETE", cordon_path(id_, wait_s))
         if reply.get("accepted"):
-            self.journal.record(What.LIFTED, id_, worker, status, scheduler=name)
+            self.journal.record(EventType.LIFTED, id_, worker, status, scheduler=name)
         return reply
 
     async def digest(self, name: str) -> str | None:
@@ -194,7 +194,7 @@
 
         async def poll(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
-                self.journal.record(What.DIGEST, kind=digest, scheduler=name)
+                self.journal.record(EventType.DIGEST, kind=digest, scheduler=name)
 
         await asyncio.gather(*map(poll, self.names))
 
@@ -212,7 +212,7 @@
 
         Returns the seconds from the end of the last fault to equal copies, None if they never became equal.
         """
-        self.journal.events[:] = [e for e in self.journal.events if e.what is not What.DIGEST]
+        self.journal.events[:] = [e for e in self.journal.events if e.what is not EventType.DIGEST]
         await self.play(schedule)
         equal = await self.wait_for_equal_copies(equal_within_s)
         await self.record_cordon_lists()
@@ -234,7 +234,7 @@
             status, reply = await self.call_operator(name, "GET", "/ops/cordons")
             if status == 200:
                 ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
-                self.journal.record(What.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
+                self.journal.record(EventType.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
     async def check_recovery(self) -> None:
         """After the last fault, send load to all schedulers, and set a cordon at each until it is in force.
@@ -247,7 +247,10 @@
             path = cordon_path(f"proof-{name}", RECOVERY_TIMEOUT_S)
             _, reply = await self.call_operator(name, "PUT", path, body)
             self.journal.record(
-                What.RECOVERY_CHECKED, worker=worker, status=int(bool(reply.get("in_force"))), scheduler=name
+                EventType.RECOVERY_CHECKED,
+                worker=worker,
+                status=int(bool(reply.get("in_force"))),
+                scheduler=name,
             )
 
         await self.load(RECOVERY_LOAD_S)
@@ -259,10 +262,10 @@
         for reservation in self._address_reservations.pop(name, []):
             reservation.close()
         await self.programs[name].start()
-        self.journal.record(What.UP, scheduler=name)
+        self.journal.record(EventType.UP, scheduler=name)
 
     async def kill(self, name: str) -> None:
-        self.journal.record(What.DOWN, scheduler=name)
+        self.journal.record(EventType.DOWN, scheduler=name)
         await self.programs[name].kill()
         self._reserve_addresses(name)
 
@@ -310,7 +313,7 @@
 
     async def start_fault(self, fault: Fault) -> None:
         for name in fault.affected_processes(self.names):
-            self.journal.record(What.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
+            self.journal.record(EventType.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
         impairment = link_impairment(fault)
         match fault.trouble:
             case FaultKind.ONE_WAY | FaultKind.DEAF:
@@ -359,7 +362,7 @@
         if fault.trouble in KILL_FAULTS:
             await self.start(name)
         for affected in fault.affected_processes(self.names):
-            self.journal.record(What.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
+            self.journal.record(EventType.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
         """Apply faults and operators' calls at their times under load, until all are done and answered."""
@@ -492,7 +495,7 @@
 
     broken: list[str]  # descriptions of broken rules
     equal_s: float | None  # from the end of the last fault to equal copies; None: they never became equal
-    counts: Counter[What]
+    counts: Counter[EventType]
     late_s: float  # the longest delay of the rig's own event loop
     journal: Journal
     links: dict[str, int]  # sums of the relays' counters
@@ -502,8 +505,8 @@
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
         return (
-            f"{n[What.SENT]} sends, {n[What.CORDONED]} of {n[What.CORDON_REQUESTED]} cordons accepted, "
-            f"{n[What.LIFTED]} of {n[What.LIFT_REQUESTED]} lifts; copies equal {equal}; "
+            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of {n[EventType.CORDON_REQUESTED]} cordons accepted, "
+            f"{n[EventType.LIFTED]} of {n[EventType.LIFT_REQUESTED]} lifts; copies equal {equal}; "
             f"this machine was late by {self.late_s:.3f} s at most"
         )
 
@@ -517,8 +520,8 @@
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
         equal = await running.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = running.lateness.worst_s
-    terms = Terms(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
-    return running.outcome(broken(running.journal, terms, UNSAFE), equal, late)
+    terms = Limits(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
+    return running.outcome(find_violations(running.journal, terms, UNSAFE), equal, late)
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -108,7 +108,7 @@
         return "{}:{}".format(*runner.addresses[0])
 
     async def stop(self) -> None:
-        self.core.vanish()
+        self.core.fail_silently()
         self._responding.set()
         for task in list(self._calls):
             task.cancel()
@@ -122,17 +122,17 @@
     def stop_responding(self) -> None:
         """Answer no calls and send no reports from now on; running and waiting jobs are lost."""
         self._responding.clear()
-        self.core.vanish()
+        self.core.fail_silently()
 
     def restart(self) -> None:
         """Restart without jobs, and with the slow start of a cold worker."""
-        self.core.come_back()
+        self.core.restart_cold()
         self.started_unix_ms = int(time.time() * 1000)
         self._responding.set()
 
     def set_slowdown(self, factor: float) -> None:
         """Make jobs take ``factor`` times as long from now on."""
-        self.core.pace(factor)
+        self.core.set_slowdown(factor)
 
     # The protocol
 
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from robinhill.checker.journal import Event, What
+from robinhill.checker.journal import Event, EventType
 from robinhill.emulator.control_rig import idle_schedulers, play
 from robinhill.emulator.rig import PROGRAM, Outcome
 from robinhill.emulator.schedule import Call, Fault, FaultKind, Schedule, process_names
@@ -127,10 +127,10 @@
 
 def test_scheduler_without_sends_before_the_end_of_faults_is_idle() -> None:
     events = [
-        Event(1.0, What.FAULT_STARTED, scheduler="n4"),
-        Event(2.0, What.SENT, scheduler="n5"),
-        Event(3.0, What.FAULT_ENDED, scheduler="n4"),
-        Event(4.0, What.SENT, scheduler="n4"),
+        Event(1.0, EventType.FAULT_STARTED, scheduler="n4"),
+        Event(2.0, EventType.SENT, scheduler="n5"),
+        Event(3.0, EventType.FAULT_ENDED, scheduler="n4"),
+        Event(4.0, EventType.SENT, scheduler="n4"),
     ]
     assert idle_schedulers(events, ("n4", "n5")) == ("n4",)
     assert idle_schedulers(events[:2], ("n4", "n5")) == ("n4",)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -4,18 +4,23 @@
 
 import pytest
 
-from robinhill.checker.journal import Event, Journal, What
-from robinhill.checker.rules import broken
+from robinhill.checker.journal import Event, EventType, Journal
+from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.program import town
 from robinhill.emulator.site import Site
 
-REQUESTED, ANSWERED, DISCONNECTED, SENT = What.REQUESTED, What.ANSWERED, What.CLIENT_DISCONNECTED, What.SENT
-RETURNED, ENDED, CANCELLED = What.RETURNED, What.ENDED, What.CANCELLED
+REQUESTED, ANSWERED, DISCONNECTED, SENT = (
+    EventType.REQUESTED,
+    EventType.ANSWERED,
+    EventType.CLIENT_DISCONNECTED,
+    EventType.SENT,
+)
+RETURNED, ENDED, CANCELLED = EventType.RETURNED, EventType.ENDED, EventType.CANCELLED
 UNSAFE = ["renewal-charge"]
 
 
-def journal(*events: tuple[What, str, int]) -> Journal:
+def journal(*events: tuple[EventType, str, int]) -> Journal:
     """A journal of one renewal's events, each with a worker and a status, 0.1 s apart."""
     made = Journal()
     for number, (what, worker, status) in enumerate(events):
@@ -32,7 +37,7 @@
         ([(REQUESTED, "", 0), (DISCONNECTED, "", 0)], ""),
         ([(REQUESTED, "", 0)], "never answered"),
         ([(REQUESTED, "", 0), (ANSWERED, "", 503), (ANSWERED, "", 503)], "answered 2 times"),
-        ([(REQUESTED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "nobody's result"),
+        ([(REQUESTED, "", 0), (SENT, "a", 0), (ANSWERED, "", 200)], "without the result of a worker"),
         ([(REQUESTED, "", 0), (SENT, "a", 0), (SENT, "b", 0), (ENDED, "a", 0), (ANSWERED, "", 200)],
          "while at a"),
         ([(REQUESTED, "", 0), (SENT, "a", 0), (CANCELLED, "a", 0), (SENT, "b", 0), (ENDED, "b", 0),
@@ -41,22 +46,22 @@
         ([(REQUESTED, "", 0), (SENT, "a", 0), (RETURNED, "a", 0), (ANSWERED, "", 503)], ""),
     ],
 )  # fmt: skip
-def test_checker_reports_broken_rules(events: list[tuple[What, str, int]], message: str) -> None:
-    found = broken(journal(*events), UNSAFE)
+def test_checker_reports_broken_rules(events: list[tuple[EventType, str, int]], message: str) -> None:
+    found = find_violations(journal(*events), UNSAFE)
     assert (message in found[0]) if message else not found
 
 
 def test_checker_reports_sends_to_draining_workers_and_overloaded_workers() -> None:
     made = Journal(
-        [Event(1.0, What.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
+        [Event(1.0, EventType.DRAINING, worker="a"), Event(1.4, SENT, "j", "a"), Event(1.7, SENT, "k", "a")]
     )
-    (late,) = broken(made, UNSAFE)
+    (late,) = find_violations(made, UNSAFE)
     assert "a got k 0.70 s after" in late
-    made.events.append(Event(2.0, What.STARTED, worker="a"))
+    made.events.append(Event(2.0, EventType.STARTED, worker="a"))
     made.events.append(Event(3.0, SENT, "l", "a"))
-    assert len(broken(made, UNSAFE)) == 1
-    made.events.append(Event(4.0, What.OVERLOADED, worker="a"))
-    assert "pushed over" in broken(made, UNSAFE)[-1]
+    assert len(find_violations(made, UNSAFE)) == 1
+    made.events.append(Event(4.0, EventType.OVERLOADED, worker="a"))
+    assert "more than its slow start allows" in find_violations(made, UNSAFE)[-1]
 
 
 def test_admission_limits_the_burst_after_all_workers_were_unreachable() -> None:
@@ -84,7 +89,7 @@
                 here.discovery.tell(worker)
             await playing
             assert await here.program.stop() == 0
-            return broken(here.journal, UNSAFE), here.journal.started_jobs.total() - before
+            return find_violations(here.journal, UNSAFE), here.journal.started_jobs.total() - before
 
     broken_rules, served_after = asyncio.run(play())
     assert not broken_rules and served_after > 0
@@ -101,8 +106,8 @@
                 await asyncio.sleep(0.05)
             here.discovery.tell(here.workers[0], "leaving")
             await playing
-            assert any(e.what is What.DRAINING for e in here.journal.events)
+            assert any(e.what is EventType.DRAINING for e in here.journal.events)
             assert await here.program.stop() == 0
-            return broken(here.journal, UNSAFE)
+            return find_violations(here.journal, UNSAFE)
 
     assert not asyncio.run(play())
