--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -1,6 +1,4 @@
-"""`robinhill demo`: a scheduler, workers, discovery and clients on loopback, and a live table of who gets
-what.
-"""
+"""`robinhill demo`: run a scheduler, workers, discovery and clients on loopback, with a live table."""
 
 import asyncio
 import signal
@@ -22,13 +20,17 @@
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
-SMALL, LOAD = 8, 1.3  # small tenants beside a large one; all together ask for so much of the fleet
-LARGE_SHARE = 0.6
+# The number of small tenants beside a large one, and the load of all tenants relative to the capacity.
+SMALL_COUNT, LOAD_FACTOR = 8, 1.3
+LARGE_SHARE = 0.6  # of the load, requested by the large tenant
 ADMISSION: Json = {"admission": {"enabled": True}}
 
 
 def show(seconds: float, workers: int, operator: str | None) -> int:
-    """Play for so long, or until Ctrl-C; 1 if a rule was broken, 2 for a faulty operators' file."""
+    """Run the demo for this long, or until Ctrl-C.
+
+    Returns the exit code: 1 if a rule was broken or the scheduler failed, 2 if the operators' file is faulty.
+    """
     given = ADMISSION
     if operator:
         logs.configure()
@@ -44,14 +46,18 @@
 async def _play(seconds: float, workers: int, operator: Json) -> int:
     site = Site()
     async with town(site, workers=workers, operator=operator) as here:
-        rate = LOAD * here.slots / (site.mean_work_ms / 1000)
+        rate = LOAD_FACTOR * here.slots / (site.mean_work_ms / 1000)
         tenants = [Tenant("large-club", rate * LARGE_SHARE, retries=2)]
-        tenants += [Tenant(f"club-{i}", rate * (1 - LARGE_SHARE) / SMALL, retries=2) for i in range(SMALL)]
+        tenants += [
+            Tenant(f"club-{i}", rate * (1 - LARGE_SHARE) / SMALL_COUNT, retries=2) for i in range(SMALL_COUNT)
+        ]
         clients = Clients(site, lambda: here.program.listen, here.journal, seed=1)
         playing = asyncio.get_running_loop().create_task(clients.play(tenants, seconds))
         stop = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGINT, stop.set)
-        click.echo(f"{workers} workers, {len(tenants)} tenants, {LOAD:g} times what the fleet can do.")
+        click.echo(
+            f"{workers} workers, {len(tenants)} tenants, load {LOAD_FACTOR:g} times the fleet's capacity."
+        )
         waiting = asyncio.get_running_loop().create_task(stop.wait())
         while not playing.done() and not stop.is_set():
             await asyncio.wait([playing, waiting], timeout=REFRESH_S, return_when=asyncio.FIRST_COMPLETED)
@@ -65,26 +71,28 @@
         await asyncio.wait([playing, waiting])
         click.echo(await _table(here, clients.asked))
         unsafe = [k.name for k in site.kinds if k.repeat == "fragile"]
-        faults = find_violations(here.journal, unsafe, ended=not stopped)
+        violations = find_violations(here.journal, unsafe, ended=not stopped)
         code = await here.program.stop()
-    click.echo(f"The scheduler ended with {code}; rules broken: {len(faults)}.")
-    for fault in faults[:10]:
-        click.echo(f"  {fault}")
-    return 1 if faults or code else 0
+    click.echo(f"The scheduler exited with {code}; rules broken: {len(violations)}.")
+    for violation in violations[:10]:
+        click.echo(f"  {violation}")
+    return 1 if violations or code else 0
 
 
 async def _table(here: Town, asked: list[Asked]) -> str:
-    """What each tenant and each worker has got so far."""
-    lines = ["tenant        asked  served  refused   worth in time"]
+    """A table with the requests of each tenant, the jobs of each worker and the state of admission."""
+    lines = ["tenant         jobs  served rejected   worth in time"]
     by_tenant: dict[str, list[Asked]] = defaultdict(list)
     for each in asked:
         if each.tries:
             by_tenant[each.tenant].append(each)
     for name in sorted(by_tenant):
-        its = by_tenant[name]
-        served = sum(a.tries[-1].status == 200 for a in its)
-        refused = sum(t.status in (429, 503) for a in its for t in a.tries)
-        lines.append(f"{name:12} {len(its):6} {served:7} {refused:8}   {served_worth(its):8.0%}")
+        tenant_jobs = by_tenant[name]
+        served = sum(a.tries[-1].status == 200 for a in tenant_jobs)
+        rejected = sum(t.status in (429, 503) for a in tenant_jobs for t in a.tries)
+        lines.append(
+            f"{name:12} {len(tenant_jobs):6} {served:7} {rejected:8}   {served_worth(tenant_jobs):8.0%}"
+        )
     lines.append("worker         jobs  running  waiting")
     for worker in here.workers:
         jobs = here.journal.started_jobs[worker.name]
@@ -92,6 +100,8 @@
     status, text = await here.program.call("GET", "/ops/admission")
     if status == 200:
         admission = orjson.loads(text)
-        why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "nobody"
-        lines.append(f"admission: {admission['queued']} queued, {admission['let_in']} let in; refused {why}")
+        why = ", ".join(f"{reason} {n}" for reason, n in admission["refused"].items()) or "none"
+        lines.append(
+            f"admission: {admission['queued']} queued, {admission['let_in']} admitted; rejected {why}"
+        )
     return "\n".join(lines)
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -1,7 +1,8 @@
-"""Voters and schedulers of a control group on loopback, each link through a relay, with faults on all.
+"""Runs the voters and schedulers of a control group on loopback and injects faults into links and processes.
 
-Voters are linked to each other, schedulers to voters. Rules are those of several schedulers under ``hold``,
-which promises them whatever fails; copies of voters count as those of schedulers do.
+Voters are linked to each other and schedulers to voters, each link through a relay. The rules checked are
+those of several schedulers under ``hold``, whose guarantees apply under any fault; the voters' copies of the
+records must converge just as the schedulers' copies do.
 """
 
 import asyncio
@@ -30,21 +31,29 @@
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import Harm, Relay, Way
+from robinhill.emulator.relay import Direction, Harm, Relay
 from robinhill.emulator.rig import (
-    FORM_S,
     KINDS,
-    LOOK_S,
+    LINKS_UP_TIMEOUT_S,
+    POLL_INTERVAL_S,
     PROGRAM,
     UNSAFE,
     WORKERS,
-    Lateness,
+    AwaitableJournal,
+    LatenessMonitor,
     Outcome,
     Rig,
-    Watched,
-    start_parts,
+    start_components,
+)
+from robinhill.emulator.schedule import (
+    KILL_FAULTS,
+    LINK_FAULTS,
+    Fault,
+    FaultKind,
+    Schedule,
+    draw,
+    process_names,
 )
-from robinhill.emulator.schedule import KILLS, LINKS, Fault, Schedule, Trouble, draw, names_of
 from robinhill.emulator.site import Site, free_address
 from robinhill.emulator.voter import VOTER, voter_program
 from robinhill.emulator.worker import Worker
@@ -52,47 +61,48 @@
 Json = dict[str, Any]
 BOUND_MS = 1_000
 EQUAL_S = 4.0
-"""From the last heal to equal copies at all voters and schedulers."""
+"""The longest time from the end of the last fault to equal copies at all voters and schedulers."""
 
-SPARE_S = 4.0
+# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
+CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
-"""From equal copies to a send lease at each scheduler, before a schedule begins."""
+"""The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
 
 
 @dataclass(slots=True, eq=False)
 class ControlRig(Rig):
-    """``names`` are all processes, the voters first."""
+    """A rig of voters and schedulers; ``names`` are those of all processes, the voters first."""
 
     voters: tuple[str, ...] = ()
 
     @property
     def schedulers(self) -> tuple[str, ...]:
-        """Processes with clients."""
+        """The names of the processes that serve clients."""
         return self.names[len(self.voters) :]
 
-    def harm(self, harm: Harm, start: str, end: str) -> None:
-        """From now on this befalls what one process tells another, whoever connected."""
+    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
+        """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
         if relay := self.relays.get((start, end)):
-            relay.suffer(harm, Way.THERE)
+            relay.suffer(impairment, Direction.THERE)
         if relay := self.relays.get((end, start)):
-            relay.suffer(harm, Way.BACK)
+            relay.suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
-        """The relay of each link that a fault strikes."""
-        if fault.trouble is Trouble.PARTITION:
-            ends = [(a, b) for a in fault.who for b in self.names if b not in fault.who]
+        """The relays of the links that a fault affects; a link between two voters has two relays."""
+        if fault.trouble is FaultKind.PARTITION:
+            ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
-            ends = [(fault.who[0], fault.who[1])]
+            ends = [(fault.targets[0], fault.targets[1])]
         pairs = [pair for a, b in ends for pair in ((a, b), (b, a))]
         return [self.relays[pair] for pair in pairs if pair in self.relays]
 
     def address(self) -> str:
-        """Of the next scheduler in turn, down or not."""
-        return self.programs[self.schedulers[next(self._turns) % len(self.schedulers)]].listen
+        """The client address of the next scheduler in round-robin order, also if that is not running."""
+        return self.programs[self.schedulers[next(self._round_robin) % len(self.schedulers)]].listen
 
     async def may_send(self, name: str) -> bool:
         """Whether a scheduler reports that it may send jobs: under `hold`, that it has a lease."""
-        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return status == 200 and reply.get("may_act") is True
 
     async def wait_until_sending_allowed(self, timeout_s: float) -> None:
@@ -108,11 +118,11 @@
                     held = await asyncio.gather(*map(self.may_send, self.schedulers))
                     missing = [name for name, has in zip(self.schedulers, held, strict=True) if not has]
                     if missing:
-                        await asyncio.sleep(LOOK_S)
+                        await asyncio.sleep(POLL_INTERVAL_S)
         if missing:
             raise RuntimeError(f"{', '.join(missing)} may not send: no lease within {timeout_s:g} s")
 
-    def _keep(self, name: str) -> None:
+    def _reserve_addresses(self, name: str) -> None:
         program = self.programs[name]
         assert program.operator
         addresses = [program.listen, program.ops]
@@ -120,16 +130,16 @@
             addresses.append(program.operator["mesh"]["voters"][name]["address"])
         for address in addresses:
             host, _, port = address.rpartition(":")
-            kept = socket.socket()
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._kept.setdefault(name, []).append(kept)
+            reservation = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._address_reservations.setdefault(name, []).append(reservation)
             with contextlib.suppress(OSError):
-                kept.bind((host, int(port)))
+                reservation.bind((host, int(port)))
 
 
 @dataclass(slots=True, frozen=True)
 class _Layout:
-    """Names, addresses and files of one rig. ``relays``: by who connects, and to which voter."""
+    """Names, addresses and files of one rig. ``relays`` are keyed by the connecting process and the voter."""
 
     folder: Path
     site: Site
@@ -143,11 +153,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All processes, the voters first."""
+        """The names of all processes, the voters first."""
         return self.voters + self.schedulers
 
     def operator_file(self, name: str) -> Json:
-        """The operators' file of a process: it reaches other voters through its relays."""
+        """The operators' file of a process, with the address of a relay for each other voter."""
         places: Json = {}
         for voter in self.voters:
             address = self.relays[name, voter].address if voter != name else self.addresses[voter]
@@ -156,7 +166,7 @@
         return {"mesh": section | {"on_lost": "hold"}}
 
     async def programs(self, discovery: Discovery, workers: dict[str, Worker]) -> dict[str, Program]:
-        """All processes, not started yet."""
+        """The programs of all processes by name, with their folders; none is started."""
         programs: dict[str, Program] = {}
         for name in self.names:
             (self.folder / name / "state").mkdir(parents=True)
@@ -201,14 +211,16 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[ControlRig]:
-    """Start all processes, synchronize them and wait for send leases; they have ended after the block.
+    """Start all processes, synchronize them and wait for send leases; stop all of them after the block.
 
-    ``entry``, ``voter_entry``: what is run in place of the programs.
+    ``entry`` and ``voter_entry`` are the interpreter's arguments for a scheduler and a voter; tests pass
+    programs with a planted defect. Raises RuntimeError if copies do not become equal or leases are not
+    granted in time.
     """
     site = Site(KINDS, schedulers=schedulers)
-    names = names_of(voters + schedulers)
+    names = process_names(voters + schedulers)
     voting = names[:voters]
-    journal, lateness = Watched(), Lateness()
+    journal, lateness = AwaitableJournal(), LatenessMonitor()
     workers = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(WORKERS)}
     discovery = Discovery(workers.values(), journal)
     addresses = {name: free_address() for name in voting}
@@ -217,7 +229,7 @@
     layout = _Layout(folder, site, voting, names[voters:], addresses, relays, bound_ms, voter_entry, entry)
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        await start_parts(stack, [*workers.values(), discovery, *relays.values()])
+        await start_components(stack, [*workers.values(), discovery, *relays.values()])
         programs = await layout.programs(discovery, workers)
         clients = Clients(site, lambda: rig.address(), journal, seed)
         rig = ControlRig(
@@ -226,8 +238,10 @@
         stack.push_async_callback(rig.stop)
         for name in names:
             await rig.start(name)
-        if await rig.equal(FORM_S) is None:
-            raise RuntimeError(f"the links did not come up; see {folder}")
+        if await rig.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
+            raise RuntimeError(
+                f"timed out waiting for links and equal copies after the start; logs: {folder}"
+            )
         await rig.wait_until_sending_allowed(LEASE_TIMEOUT_S)
         lateness.start()
         stack.callback(lateness.stop)
@@ -243,7 +257,7 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:
-    """One schedule on fresh processes, whose logs stay in the folder."""
+    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
     schedulers = len(schedule.names) - voters
     rig = control_rig(
         voters,
@@ -255,7 +269,7 @@
         entry=entry,
     )
     async with rig as here:
-        equal = await here.play_whole(schedule, EQUAL_S + SPARE_S)
+        equal = await here.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = here.lateness.worst_s
     terms = Limits(bound_ms / 1000, True, EQUAL_S, late_s=late)
     found = rules.find_violations(here.journal, set(UNSAFE), ended=True, late_s=late)
@@ -266,14 +280,17 @@
 
 
 def idle_schedulers(events: list[Event], schedulers: tuple[str, ...]) -> tuple[str, ...]:
-    """Schedulers that sent nothing until the last fault ended: rules about sends checked nothing there."""
+    """Schedulers that sent no job before the last fault ended, so that no rule about sends was exercised."""
     faults_ended = max((e.at for e in events if e.what is EventType.FAULT_ENDED), default=inf)
     sent = {e.scheduler for e in events if e.what is EventType.SENT and e.at <= faults_ended}
     return tuple(name for name in schedulers if name not in sent)
 
 
 def broken(events: list[Event], terms: Limits, voters: tuple[str, ...]) -> list[str]:
-    """What broke a rule of several processes, in words. Only schedulers send, so only they must again."""
+    """Descriptions of broken rules about several processes.
+
+    Voters send no jobs, so that sending again after the faults is required of schedulers alone.
+    """
     found = repeated_unsafe_jobs(events, set(UNSAFE))
     found += late_sends(events, terms)
     found += list_violations(events, terms)
@@ -282,25 +299,27 @@
 
 
 def schedule_of(seed: int, voters: int, schedulers: int) -> Schedule:
-    """The seed's schedule: links that there are, and a minority of the voters killed at most."""
+    """The schedule of a seed, restricted to links that exist and to killing at most a minority of voters."""
     workers = [f"w{i}" for i in range(WORKERS)]
     whole = draw(seed, voters + schedulers, workers)
     voting = whole.names[:voters]
     rng = random.Random(f"control {seed}")
-    kept: list[Fault] = []
+    accepted: list[Fault] = []
     killed: set[str] = set()
     for fault in whole.faults:
-        its = _on_a_link(fault, voting, rng)
-        dead = {*killed, *its.who} & set(voting) if its.trouble in KILLS else killed
-        if len(dead) > (voters - 1) // 2 or any(its.clashes(one, whole.names) for one in kept):
+        moved = _move_to_existing_link(fault, voting, rng)
+        killed_if_added = {*killed, *moved.targets} & set(voting) if moved.trouble in KILL_FAULTS else killed
+        if len(killed_if_added) > (voters - 1) // 2 or any(
+            moved.overlaps(one, whole.names) for one in accepted
+        ):
             continue
-        killed = dead
-        kept.append(its)
-    return Schedule(seed, whole.names, tuple(kept), whole.calls)
+        killed = killed_if_added
+        accepted.append(moved)
+    return Schedule(seed, whole.names, tuple(accepted), whole.calls)
 
 
-def _on_a_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
-    """The same fault, at a link that there is: schedulers have none to each other."""
-    if fault.trouble not in LINKS or any(name in voters for name in fault.who):
+def _move_to_existing_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
+    """The fault, moved to a link with a random voter if it is between two schedulers, which have no link."""
+    if fault.trouble not in LINK_FAULTS or any(name in voters for name in fault.targets):
         return fault
-    return replace(fault, who=(rng.choice(voters), fault.who[1]))
+    return replace(fault, targets=(rng.choice(voters), fault.targets[1]))
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of workers, whole or as a watch on its changes."""
+"""An emulated discovery service: serves the endpoint list whole, or as a watch that streams its changes."""
 
 import asyncio
 import contextlib
@@ -16,11 +16,11 @@
 from robinhill.emulator.worker import Worker
 
 Json = dict[str, Any]
-EMPTY_EVERY_S = 2.0
+EMPTY_LINE_INTERVAL_S = 2.0  # a watch without changes sends an empty line this often, as a heartbeat
 
 
 class Listed(Protocol):
-    """A list of workers at an address."""
+    """An endpoint list that is served at an address."""
 
     @property
     def address(self) -> str: ...
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class View:
-    """The list as one of several schedulers gets it: workers are at addresses of its own."""
+    """The endpoint list for one of several schedulers, which reaches each worker at a separate address."""
 
     discovery: "Discovery"
     host_ports: dict[str, str]
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, eq=False)
 class Discovery:
-    """Speaks PROTOCOL's discovery for a set of emulated workers. Changes are told at once.
+    """Serves the discovery API of PROTOCOL for a set of emulated workers, and sends changes without delay.
 
-    ``answering`` is cleared from outside to hold every answer back; what is held is answered with the list of
-    the moment in which it is let go. ``busy_s``: calls wait so long and get 503, as if too many callers came.
-    ``torn``: an answer stops within its list.
+    A test clears ``answering`` to delay all answers; once it is set again, a delayed call gets the list of
+    that moment. With ``busy_s`` each call gets 503 after that time, as from an overloaded service. With
+    ``torn`` the answer to a watch is cut off in the middle of the list.
     """
 
     workers: Iterable[Worker]
@@ -55,21 +55,21 @@
     busy_s: float | None = None
     torn: bool = False
     answering: asyncio.Event = field(default_factory=asyncio.Event)
-    calls: list[float] = field(default_factory=list)  # when each came, on the monotonic clock
+    calls: list[float] = field(default_factory=list)  # arrival times of the calls, in monotonic seconds
     entries: dict[str, Json] = field(default_factory=dict)
-    _versions: dict[str, int] = field(default_factory=dict)  # when an entry changed last
-    # Each with the addresses that workers have in its view
+    _versions: dict[str, int] = field(default_factory=dict)  # generation of each entry's last change
+    # The queue of lines for each open watch, with the workers' addresses in that watch's view by worker name
     _watches: dict[asyncio.Queue[bytes | None], dict[str, str]] = field(default_factory=dict)
     _runners: list[web.ServerRunner] = field(default_factory=list)
 
     async def start(self) -> None:
         self.answering.set()
         for worker in self.workers:
-            self._put(worker, "active")
+            self._store_entry(worker, "active")
         self.address = await self._listen({})
 
     async def view(self, host_ports: dict[str, str]) -> View:
-        """Another address, where workers are listed at these (by name)."""
+        """Serve the list at a further address, with these addresses of workers (by name)."""
         return View(self, host_ports, await self._listen(host_ports))
 
     async def _listen(self, host_ports: dict[str, str]) -> str:
@@ -83,7 +83,7 @@
         return "{}:{}".format(*runner.addresses[0])
 
     def cut_watches(self) -> None:
-        """End every open watch without a further word."""
+        """End every open watch without sending another line."""
         for watch in self._watches:
             watch.put_nowait(None)
 
@@ -94,15 +94,15 @@
             await runner.cleanup()
 
     def tell(self, worker: Worker, lifecycle: str = "active") -> None:
-        """A worker's entry has changed: it has started, leaves, or has left."""
+        """Change a worker's entry to this lifecycle state and send the change to all open watches."""
         self.generation += 1
-        self._put(worker, lifecycle)
+        self._store_entry(worker, lifecycle)
         for watch, host_ports in self._watches.items():
-            watch.put_nowait(self._list([worker.name], host_ports))
+            watch.put_nowait(self._update_line([worker.name], host_ports))
         if lifecycle != "active" and self._watches:
             self.journal.record(EventType.DRAINING, worker=worker.name)
 
-    def _put(self, worker: Worker, lifecycle: str) -> None:
+    def _store_entry(self, worker: Worker, lifecycle: str) -> None:
         self._versions[worker.name] = self.generation
         self.entries[worker.name] = {
             "instanceId": worker.name, "hostPort": worker.host_port, "zone": "north", "machineType": "std",
@@ -110,15 +110,23 @@
         }  # fmt: skip
 
     def known(self, host_ports: Mapping[str, str] = MappingProxyType({})) -> Json:
-        """The whole list, as a scheduler's configuration holds it."""
+        """The whole endpoint list, in the form of ``known`` in a scheduler's configuration."""
         listed = [n for n, e in self.entries.items() if e["lifecycle"] != "left"]
-        return {"generation": self.generation, "reset": True, "instances": self._seen(listed, host_ports)}
+        return {
+            "generation": self.generation,
+            "reset": True,
+            "instances": self._entries_for(listed, host_ports),
+        }
 
-    def _seen(self, names: Iterable[str], host_ports: Mapping[str, str]) -> list[Json]:
+    def _entries_for(self, names: Iterable[str], host_ports: Mapping[str, str]) -> list[Json]:
         return [e | {"hostPort": host_ports.get(n, e["hostPort"])} for n in names for e in (self.entries[n],)]
 
-    def _list(self, names: Iterable[str], host_ports: Mapping[str, str]) -> bytes:
-        update = {"generation": self.generation, "reset": False, "instances": self._seen(names, host_ports)}
+    def _update_line(self, names: Iterable[str], host_ports: Mapping[str, str]) -> bytes:
+        update = {
+            "generation": self.generation,
+            "reset": False,
+            "instances": self._entries_for(names, host_ports),
+        }
         return orjson.dumps(update) + b"\n"
 
     async def _handle(self, request: web.BaseRequest, host_ports: dict[str, str]) -> web.StreamResponse:
@@ -139,10 +147,10 @@
             first = orjson.dumps(self.known(host_ports)) + b"\n"
         else:
             changed = [n for n, version in self._versions.items() if version > int(after)]
-            first = self._list(changed, host_ports) if changed else b"\n"
+            first = self._update_line(changed, host_ports) if changed else b"\n"
         if self.torn:
             await response.write(orjson.dumps(self.known(host_ports))[:-10])
-            await asyncio.sleep(EMPTY_EVERY_S)
+            await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             return response
         watch: asyncio.Queue[bytes | None] = asyncio.Queue()
         self._watches[watch] = host_ports
@@ -152,10 +160,10 @@
                 await response.write(line)
                 line = b"\n"
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(EMPTY_EVERY_S):
+                    async with asyncio.timeout(EMPTY_LINE_INTERVAL_S):
                         line = await watch.get()
         except ConnectionError:
-            pass  # the scheduler has left
+            pass  # the scheduler closed the connection
         finally:
             del self._watches[watch]
         return response
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -1,7 +1,8 @@
-"""The same small day on loopback: the real program on sockets, with the model's own workers run in real time.
+"""Plays a small situation of the model against the real program on loopback, with the model's workers in real
+time.
 
-The trace, the workers and their speeds, and what goes wrong with them come from the model's description and
-seed. So what differs from the model is the sockets, the program's actors and this machine's own time.
+The trace, the workers, their speeds and their faults come from the model's description and seed. The results
+therefore differ from the model's only through the sockets, the program's actors and this machine's timing.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 from msgspec.structs import replace
 
 from robinhill.checker.rules import find_violations
-from robinhill.emulator.client import Asked, Clients, Planned, served_worth
+from robinhill.emulator.client import Asked, Clients, PlannedArrival, served_worth
 from robinhill.emulator.program import Town, town
 from robinhill.emulator.site import JobKind, Site
 from robinhill.emulator.worker import Worker
@@ -19,37 +20,42 @@
 from robinhill.model.trace import Trace, draw
 from robinhill.model.world import FAULTS, FLEET, stream
 
-S = 1_000_000
-SCALE = 8.0  # days are played so many times as fast: jobs, aims and troubles shrink alike
+US_PER_S = 1_000_000
+# Jobs, latency objectives and delays are shortened by this factor, times of faults by half of it.
+SPEEDUP = 8.0
 
 
 @dataclass(slots=True)
-class Real:
-    """What a day on loopback shows."""
+class LoopbackResult:
+    """The result of one run on loopback."""
 
-    share: float
-    by_kind: dict[str, float]
+    share: float  # of the requested worth, answered in time
+    by_kind: dict[str, float]  # the same share for each class
     broken: list[str] = field(default_factory=list)
-    latest_s: float = 0.0  # this machine's own lateness in asking
+    latest_s: float = 0.0  # the longest delay of a request past its planned time on this machine
 
 
 def small_day(trouble: str) -> Description:
-    """A shipped situation, an eighth as long, on few workers in one zone with one scheduler."""
+    """A shipped situation with jobs an eighth as long, for 16 s on six workers in one zone, one scheduler."""
     base = sites.site("clubs" if trouble == "calm" else f"clubs-{trouble}")
     kinds = tuple(
-        replace(k, work_ms=k.work_ms / SCALE, aim_ms=k.aim_ms / SCALE, deadline_ms=k.deadline_ms / SCALE)
+        replace(
+            k, work_ms=k.work_ms / SPEEDUP, aim_ms=k.aim_ms / SPEEDUP, deadline_ms=k.deadline_ms / SPEEDUP
+        )
         for k in base.traffic.kinds
     )
-    troubles = tuple(replace(t, at_s=t.at_s / SCALE * 2, for_s=t.for_s / SCALE * 2) for t in base.troubles)
+    troubles = tuple(
+        replace(t, at_s=t.at_s / SPEEDUP * 2, for_s=t.for_s / SPEEDUP * 2) for t in base.troubles
+    )
     fleet = Fleet(
         (Machine("std", 6, cores=4, slots=4, speed=(0.7, 1.0)),),
         schedulers=1,
-        cold_s=base.fleet.cold_s / SCALE,
-        tip_after_s=base.fleet.tip_after_s / SCALE,
+        cold_s=base.fleet.cold_s / SPEEDUP,
+        tip_after_s=base.fleet.tip_after_s / SPEEDUP,
         list_delay_s=(0.05, 0.1),
     )
     traffic = replace(base.traffic, kinds=kinds, rate_per_s=45.0, tenants=4)
-    clients = replace(base.clients, back_off_ms=base.clients.back_off_ms / SCALE, heed=0.0)
+    clients = replace(base.clients, back_off_ms=base.clients.back_off_ms / SPEEDUP, heed=0.0)
     return Description(f"small-{trouble}", 16.0, traffic, fleet, clients, troubles, warm_s=2.0)
 
 
@@ -70,8 +76,12 @@
     )
 
 
-async def play(description: Description, seed: int) -> Real:
-    """One day on sockets, in real time. Troubles of workers alone are played: silent, slow and surges."""
+async def play(description: Description, seed: int) -> LoopbackResult:
+    """Play one run over sockets in real time.
+
+    Of the description's faults only those that the emulator supports are played: silent and slow workers, and
+    surges, which are part of the trace.
+    """
     trace: Trace = draw(description, seed)
     machine = description.fleet.machines[0]
     site = _site(description)
@@ -79,9 +89,12 @@
         rng = stream(seed, FLEET)
         for worker in here.workers:
             worker.core.speed = float(rng.uniform(*machine.speed))
-        _plan(description, seed, here)
+        _schedule_worker_faults(description, seed, here)
         clients = Clients(site, lambda: here.program.listen, here.journal, seed)
-        planned = [Planned(a.at_us / S, f"tenant-{a.tenant}", a.kind, a.work_us / S) for a in trace.requests]
+        planned = [
+            PlannedArrival(a.at_us / US_PER_S, f"tenant-{a.tenant}", a.kind, a.work_us / US_PER_S)
+            for a in trace.requests
+        ]
         c = description.clients
         await clients.replay(planned, c.retries, c.back_off_ms / 1000, c.back_off_factor)
         counted = [a for a in clients.asked if a.at >= description.warm_s and a.tries]
@@ -89,7 +102,7 @@
         kinds: dict[str, list[Asked]] = {}
         for a in counted:
             kinds.setdefault(a.kind.name, []).append(a)
-        return Real(
+        return LoopbackResult(
             served_worth(counted),
             {k: served_worth(v) for k, v in kinds.items()},
             find_violations(here.journal, unsafe),
@@ -97,22 +110,22 @@
         )
 
 
-def _plan(description: Description, seed: int, here: Town) -> None:
-    """The same workers at the same times as in the model."""
+def _schedule_worker_faults(description: Description, seed: int, here: Town) -> None:
+    """Schedule the faults of workers, which affect the same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
         rng = stream(seed, FAULTS, number)
         count = max(1, round(trouble.part * len(here.workers)))
-        struck = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
-        for worker in struck:
+        affected = [here.workers[i] for i in sorted(rng.permutation(len(here.workers))[:count])]
+        for worker in affected:
             if trouble.kind == "silent":
-                loop.call_later(trouble.at_s, worker.fail_silently)
-                loop.call_later(trouble.at_s + trouble.for_s, _return, here, worker)
+                loop.call_later(trouble.at_s, worker.stop_responding)
+                loop.call_later(trouble.at_s + trouble.for_s, _restart_worker, here, worker)
             elif trouble.kind == "slow":
                 loop.call_later(trouble.at_s, worker.set_slowdown, trouble.size)
                 loop.call_later(trouble.at_s + trouble.for_s, worker.set_slowdown, 1.0)
 
 
-def _return(here: Town, worker: Worker) -> None:
-    worker.restart_cold()
+def _restart_worker(here: Town, worker: Worker) -> None:
+    worker.restart()
     here.discovery.tell(worker)
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -1,10 +1,11 @@
-"""Several real processes of the program on loopback, each link between them through a relay, faults on all.
+"""Runs several real schedulers on loopback and injects faults into their links and processes.
 
     python -m robinhill.emulator.rig --seed 7 --processes 5
 
-draws the schedule of that seed, prints it, plays it and says which rules were broken; with `--shrink` it cuts
-a failing one down. Workers, discovery and clients are the emulators; each scheduler has an address of its own
-at each worker, so that call-backs find their way.
+draws the schedule of faults for that seed, prints it, plays it and reports broken rules; with `--shrink` it
+reduces a failing schedule to the faults that it needs. Each link passes through a relay. Workers, discovery
+and clients are emulated. Each scheduler has an address of its own at each worker, so that the worker can send
+the call-backs to the scheduler that sent the job.
 """
 
 import argparse
@@ -31,16 +32,16 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import NO_HARM, Harm, Relay, Way
+from robinhill.emulator.relay import NO_HARM, Direction, Harm, Relay
 from robinhill.emulator.schedule import (
-    KILLS,
-    PROCESSES,
+    KILL_FAULTS,
+    PROCESS_FAULTS,
     Call,
     Fault,
+    FaultKind,
     Schedule,
-    Trouble,
     draw,
-    names_of,
+    process_names,
     shrink,
 )
 from robinhill.emulator.site import JobKind, Site, free_address
@@ -48,16 +49,17 @@
 
 Json = dict[str, Any]
 WORKERS = 6
-LOAD = 100.0  # requests a second over all schedulers: a worker has some of each scheduler within a bound
+LOAD = 100.0  # requests per second in total, enough that each scheduler sends to each worker within a bound
 BOUND_MS = 1000
-CALL_S = 5.0  # that an operator's call is waited for
-LOOK_S = 0.02  # between two looks at the digests
-FORM_S = 20.0  # for the links to come up at the start
-EQUAL_S = 2.0
-PROOF_S = 3.0  # from a call to a cordon in force, once all is well
-PROOF_LOAD_S = 0.8
-SPARE_S = 4.0  # that copies are looked at past the time in which they have to be equal
-# Short jobs: a send must be able to come at any moment, and the end of a run be near.
+OPERATOR_CALL_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.02  # between two polls of the digests
+LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
+EQUAL_S = 2.0  # the longest time from the end of the last fault to equal copies
+RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
+RECOVERY_LOAD_S = 0.8
+# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
+CONVERGENCE_GRACE_S = 4.0
+# Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
 KINDS = (
     JobKind("member-lookup", 20, 60, 2.5, 1_000, share=0.5),
     JobKind("season-report", 60, 200, 2.0, 2_000, share=0.3),
@@ -67,8 +69,8 @@
 UNSAFE = tuple(k.name for k in KINDS if k.repeat == "fragile")
 
 
-class Watched(Journal):
-    """A journal that can be waited on."""
+class AwaitableJournal(Journal):
+    """A journal whose events a coroutine can wait for."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -79,23 +81,23 @@
         self._more.set()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Until it holds; looked at after each event."""
+        """Wait until ``holds`` returns true; it is evaluated again after each event."""
         while not holds():
             self._more.clear()
             await self._more.wait()
 
 
 @dataclass(slots=True)
-class Lateness:
-    """How late this process itself ran at worst: what it notes can be late by as much."""
+class LatenessMonitor:
+    """Measures how late the event loop runs; the times of events in the journal can be late by as much."""
 
     worst_s: float = 0.0
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._look())
+        self._task = asyncio.get_running_loop().create_task(self._measure())
 
-    async def _look(self) -> None:
+    async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + 0.005
@@ -109,41 +111,46 @@
 
 @dataclass(slots=True, eq=False)
 class Rig:
-    """Schedulers, their links, and what they serve. Made by ``rig``."""
+    """Schedulers with the relays between them, and the emulated workers, discovery and clients around them.
+
+    ``rig`` creates it and starts its parts.
+    """
 
     names: tuple[str, ...]
-    journal: Watched
+    journal: AwaitableJournal
     workers: dict[str, Worker]
     discovery: Discovery
     programs: dict[str, Program]
-    relays: dict[tuple[str, str], Relay]  # by who dials, and whom
+    relays: dict[tuple[str, str], Relay]  # by the connecting scheduler and the one it connects to
     clients: Clients
     session: aiohttp.ClientSession
-    lateness: Lateness
-    _kept: dict[str, list[socket.socket]] = field(default_factory=dict)
-    _turns: "count[int]" = field(default_factory=count)
+    lateness: LatenessMonitor
+    _address_reservations: dict[str, list[socket.socket]] = field(default_factory=dict)
+    _round_robin: "count[int]" = field(default_factory=count)
 
     # Links
 
-    def harm(self, harm: Harm, start: str, end: str) -> None:
-        """From now on this befalls what one scheduler tells another, whoever dialled."""
-        self.relays[start, end].suffer(harm, Way.THERE)
-        self.relays[end, start].suffer(harm, Way.BACK)
+    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
+        """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
+        self.relays[start, end].suffer(impairment, Direction.THERE)
+        self.relays[end, start].suffer(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
-        """Both relays of each link that a fault strikes."""
-        if fault.trouble is Trouble.PARTITION:
-            ends = [(a, b) for a in fault.who for b in self.names if b not in fault.who]
+        """Both relays of each link that a fault affects."""
+        if fault.trouble is FaultKind.PARTITION:
+            ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
-            ends = [(fault.who[0], fault.who[1])]
+            ends = [(fault.targets[0], fault.targets[1])]
         return [self.relays[pair] for a, b in ends for pair in ((a, b), (b, a))]
 
     # Operators
 
-    async def ask(self, name: str, method: str, path: str, body: Json | None = None) -> tuple[int, Json]:
-        """A call at a scheduler's operators' side; status 0 where no answer came."""
+    async def call_operator(
+        self, name: str, method: str, path: str, body: Json | None = None
+    ) -> tuple[int, Json]:
+        """Call a scheduler's operators' API; returns the status and the reply, status 0 without an answer."""
         url = f"http://{self.programs[name].ops}{path}"
-        timeout = aiohttp.ClientTimeout(total=CALL_S)
+        timeout = aiohttp.ClientTimeout(total=OPERATOR_CALL_TIMEOUT_S)
         data = orjson.dumps(body) if body is not None else None
         try:
             async with self.session.request(method, url, data=data, timeout=timeout) as answer:
@@ -156,10 +163,14 @@
             return 0, {}
 
     async def cordon(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
-        """Set a cordon and wait until it is accepted, or so long until it is in force; what was answered."""
+        """Set a cordon and record the result in the journal; returns the scheduler's reply.
+
+        The scheduler replies once the cordon is accepted, or with ``wait_s`` once it is in force or the time
+        is over.
+        """
         self.journal.record(EventType.CORDON_REQUESTED, id_, worker, scheduler=name)
         body = {"target": f"worker/{worker}", "reason": "a trial"}
-        status, reply = await self.ask(name, "PUT", cordon_path(id_, wait_s), body)
+        status, reply = await self.call_operator(name, "PUT", cordon_path(id_, wait_s), body)
         if reply.get("accepted"):
             self.journal.record(EventType.CORDONED, id_, worker, status, scheduler=name)
         if reply.get("in_force"):
@@ -168,67 +179,73 @@
 
     async def lift(self, name: str, worker: str, id_: str, wait_s: float | None = None) -> Json:
         self.journal.record(EventType.LIFT_REQUESTED, id_, worker, scheduler=name)
-        status, reply = await self.ask(name, "DELETE", cordon_path(id_, wait_s))
+        status, reply = await self.call_operator(name, "DELETE", cordon_path(id_, wait_s))
         if reply.get("accepted"):
             self.journal.record(EventType.LIFTED, id_, worker, status, scheduler=name)
         return reply
 
     async def digest(self, name: str) -> str | None:
-        """What a scheduler tells of its copy; None where it does not, or has not caught up."""
-        status, reply = await self.ask(name, "GET", "/ops/mesh")
+        """The digest of a scheduler's copy of the records; None without an answer or before catch-up."""
+        status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
-    async def digests(self) -> None:
-        """One look at all of them, into the journal."""
+    async def record_digests(self) -> None:
+        """Poll the digests of all schedulers once and record them in the journal."""
 
-        async def look(name: str) -> None:
+        async def poll(name: str) -> None:
             if (digest := await self.digest(name)) is not None:
                 self.journal.record(EventType.DIGEST, kind=digest, scheduler=name)
 
-        await asyncio.gather(*map(look, self.names))
+        await asyncio.gather(*map(poll, self.names))
 
-    async def equal(self, within_s: float) -> float | None:
-        """Look until all copies are equal; seconds from the last heal, None: not so in this time."""
+    async def wait_for_equal_copies(self, within_s: float) -> float | None:
+        """Poll until all copies are equal; returns the seconds since the last fault, None on a timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while equal_after(self.journal.events) is None:
-                    await asyncio.sleep(LOOK_S)
-                    await self.digests()
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                    await self.record_digests()
         return equal_after(self.journal.events)
 
-    async def play_whole(self, schedule: Schedule, equal_within_s: float) -> float | None:
-        """Play a schedule and what proves it; seconds until copies were equal, None if they never were."""
+    async def play_and_verify(self, schedule: Schedule, equal_within_s: float) -> float | None:
+        """Play a schedule, wait for equal copies, and check that all schedulers have recovered.
+
+        Returns the seconds from the end of the last fault to equal copies, None if they never became equal.
+        """
         self.journal.events[:] = [e for e in self.journal.events if e.what is not EventType.DIGEST]
         await self.play(schedule)
-        equal = await self.equal(equal_within_s)
-        await self.lists()
-        await self.prove()
+        equal = await self.wait_for_equal_copies(equal_within_s)
+        await self.record_cordon_lists()
+        await self.check_recovery()
         return equal
 
     def outcome(self, broken: list[str], equal_s: float | None, late_s: float) -> "Outcome":
-        """What the journal and the relays show."""
+        """The outcome of a run, with the events of the journal and the counters of the relays."""
         counts = Counter(e.what for e in self.journal.events)
-        links = {"dialled": sum(r.dialled for r in self.relays.values())}
+        links = {"dialled": sum(r.accepted_connections for r in self.relays.values())}
         passed = [p for relay in self.relays.values() for p in relay.passed.values()]
         for what in ("whole", "lost", "doubled", "overtaken", "torn", "octets"):
             links[what] = sum(getattr(p, what) for p in passed)
         return Outcome(broken, equal_s, counts, late_s, self.journal, links)
 
-    async def lists(self) -> None:
-        """What each lists as in force, into the journal."""
+    async def record_cordon_lists(self) -> None:
+        """Record in the journal which cordons each scheduler lists."""
         for name in self.names:
-            status, reply = await self.ask(name, "GET", "/ops/cordons")
+            status, reply = await self.call_operator(name, "GET", "/ops/cordons")
             if status == 200:
                 ids = sorted(str(c["id"]) for c in reply.get("cordons", []))
                 self.journal.record(EventType.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
-    async def prove(self) -> None:
-        """Once all faults are over: each scheduler serves, and a cordon at each comes into force."""
+    async def check_recovery(self) -> None:
+        """After the last fault, send load to all schedulers, and set a cordon at each until it is in force.
 
-        async def try_(name: str, worker: str) -> None:
+        The journal's rules then judge whether each scheduler has recovered.
+        """
+
+        async def check_scheduler(name: str, worker: str) -> None:
             body = {"target": f"worker/{worker}", "reason": "a trial"}
-            path = cordon_path(f"proof-{name}", PROOF_S)
-            _, reply = await self.ask(name, "PUT", path, body)
+            path = cordon_path(f"proof-{name}", RECOVERY_TIMEOUT_S)
+            _, reply = await self.call_operator(name, "PUT", path, body)
             self.journal.record(
                 EventType.RECOVERY_CHECKED,
                 worker=worker,
@@ -236,135 +253,141 @@
                 scheduler=name,
             )
 
-        await self.load(PROOF_LOAD_S)
-        await asyncio.gather(*(try_(name, next(iter(self.workers))) for name in self.names))
+        await self.load(RECOVERY_LOAD_S)
+        await asyncio.gather(*(check_scheduler(name, next(iter(self.workers))) for name in self.names))
 
     # Processes
 
     async def start(self, name: str) -> None:
-        for kept in self._kept.pop(name, []):
-            kept.close()
+        for reservation in self._address_reservations.pop(name, []):
+            reservation.close()
         await self.programs[name].start()
         self.journal.record(EventType.UP, scheduler=name)
 
     async def kill(self, name: str) -> None:
         self.journal.record(EventType.DOWN, scheduler=name)
         await self.programs[name].kill()
-        self._keep(name)
+        self._reserve_addresses(name)
 
-    def _keep(self, name: str) -> None:
-        """Its addresses while it is down, or another on this machine takes them for free. Nobody listens."""
+    def _reserve_addresses(self, name: str) -> None:
+        """Bind a stopped scheduler's addresses without listening, so that no other process takes them."""
         program = self.programs[name]
         assert program.operator
         for address in (program.listen, program.ops, program.operator["mesh"]["listen"]):
             host, _, port = address.rpartition(":")
-            kept = socket.socket()
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._kept.setdefault(name, []).append(kept)
+            reservation = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._address_reservations.setdefault(name, []).append(reservation)
             with contextlib.suppress(OSError):
-                kept.bind((host, int(port)))
+                reservation.bind((host, int(port)))
 
     def state(self, name: str) -> Path:
-        """The folder that outlives a scheduler."""
+        """The folder with the state that a scheduler restores after a restart."""
         state = self.programs[name].state
         assert state
         return state
 
     async def stop(self) -> None:
-        """End all of them, also those that sleep."""
+        """Stop all processes; paused ones are resumed first."""
         running = [p for p in self.programs.values() if p.process and p.process.returncode is None]
         for program in running:
             program.signal(signal.SIGCONT)
         await asyncio.gather(*(p.stop() for p in running))
-        for kept in self._kept.values():
-            for each in kept:
+        for reservations in self._address_reservations.values():
+            for each in reservations:
                 each.close()
 
     # Clients
 
     def address(self) -> str:
-        """Of the next scheduler in turn, down or not."""
-        return self.programs[self.names[next(self._turns) % len(self.names)]].listen
+        """The client address of the next scheduler in round-robin order, also if that is not running."""
+        return self.programs[self.names[next(self._round_robin) % len(self.names)]].listen
 
     async def load(self, seconds: float, rate: float = LOAD) -> None:
-        """Clients ask for so long, and all is answered."""
-        await self.clients.play([Tenant(f"t{i}", rate / 4, retries=1, heed=False) for i in range(4)], seconds)
+        """Send requests for this long at ``rate`` per second, and wait for all answers."""
+        await self.clients.play(
+            [Tenant(f"t{i}", rate / 4, retries=1, honour_retry_after=False) for i in range(4)], seconds
+        )
 
     # Faults
 
-    async def begin(self, fault: Fault) -> None:
-        for name in fault.touched(self.names):
+    async def start_fault(self, fault: Fault) -> None:
+        for name in fault.affected_processes(self.names):
             self.journal.record(EventType.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
-        harm = link_harm(fault)
+        impairment = link_impairment(fault)
         match fault.trouble:
-            case Trouble.ONE_WAY | Trouble.DEAF:
-                self.harm(harm, *fault.who)
-            case Trouble.SEVER:
+            case FaultKind.ONE_WAY | FaultKind.DEAF:
+                self.impair_direction(impairment, *fault.targets)
+            case FaultKind.SEVER:
                 for relay in self.links(fault):
                     relay.sever()
-            case Trouble.HALF_OPEN:
+            case FaultKind.HALF_OPEN:
                 for relay in self.links(fault):
-                    relay.fall_silent()
-            case Trouble.FLAP:
+                    relay.make_half_open()
+            case FaultKind.FLAP:
                 for relay in self.links(fault):
                     relay.flap(fault.size, fault.size)
-            case Trouble.KILL | Trouble.WIPE | Trouble.CLOCK:
-                await self.kill(fault.who[0])
-            case Trouble.PAUSE:
-                self.programs[fault.who[0]].signal(signal.SIGSTOP)
-            case Trouble.FULL_DISK:
-                state = self.state(fault.who[0])
+            case FaultKind.KILL | FaultKind.WIPE | FaultKind.CLOCK:
+                await self.kill(fault.targets[0])
+            case FaultKind.PAUSE:
+                self.programs[fault.targets[0]].signal(signal.SIGSTOP)
+            case FaultKind.FULL_DISK:
+                state = self.state(fault.targets[0])
                 state.rename(state.with_suffix(".aside"))
-                state.touch()  # a file: root may write into any folder, into a file's none
+                state.touch()  # replaced by a file, as write permissions of a folder would not stop root
             case _:
                 for relay in self.links(fault):
-                    relay.suffer(harm)
+                    relay.suffer(impairment)
 
-    async def end(self, fault: Fault) -> None:
-        name = fault.who[0]
+    async def end_fault(self, fault: Fault) -> None:
+        name = fault.targets[0]
         match fault.trouble:
-            case Trouble.TEAR | Trouble.SEVER:
-                pass  # over with the connection that it struck
-            case Trouble.WIPE:
+            case FaultKind.TEAR | FaultKind.SEVER:
+                pass  # the fault ended with the connection that it broke
+            case FaultKind.WIPE:
                 shutil.rmtree(self.state(name))
                 self.state(name).mkdir()
-            case Trouble.CLOCK:
+            case FaultKind.CLOCK:
                 self.programs[name].env["ROBINHILL_CLOCK_OFFSET_US"] = str(int(fault.size * 1e6))
-            case Trouble.PAUSE:
+            case FaultKind.PAUSE:
                 self.programs[name].signal(signal.SIGCONT)
-            case Trouble.FULL_DISK:
+            case FaultKind.FULL_DISK:
                 self.state(name).unlink()
                 self.state(name).with_suffix(".aside").rename(self.state(name))
-            case Trouble.KILL:
+            case FaultKind.KILL:
                 pass
             case _:
                 for relay in self.links(fault):
                     relay.heal()
-        if fault.trouble in KILLS:
+        if fault.trouble in KILL_FAULTS:
             await self.start(name)
-        for touched in fault.touched(self.names):
-            self.journal.record(EventType.FAULT_ENDED, kind=fault.trouble.name, scheduler=touched)
+        for affected in fault.affected_processes(self.names):
+            self.journal.record(EventType.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
-        """Faults and calls at their times under load, until all is over and answered."""
+        """Apply faults and operators' calls at their times under load, until all are done and answered."""
         loop = asyncio.get_running_loop()
         start = loop.time()
 
-        async def at(when_s: float) -> None:
+        async def sleep_until(when_s: float) -> None:
             await asyncio.sleep(max(0.0, start + when_s - loop.time()))
 
-        busy = {name: asyncio.Lock() for name in self.names}
+        process_locks = {name: asyncio.Lock() for name in self.names}
 
         async def fault(planned: Fault) -> None:
-            await at(planned.at_s)
-            # A start takes longer than it was drawn on a slow machine: what strikes next waits for it.
-            async with busy[planned.who[0]] if planned.trouble in PROCESSES else contextlib.nullcontext():
-                await self.begin(planned)
-                await at(planned.end_s)
-                await self.end(planned)
+            await sleep_until(planned.at_s)
+            # On a slow machine a restart may outlast the fault; the lock delays this process's next fault.
+            async with (
+                process_locks[planned.targets[0]]
+                if planned.trouble in PROCESS_FAULTS
+                else contextlib.nullcontext()
+            ):
+                await self.start_fault(planned)
+                await sleep_until(planned.end_s)
+                await self.end_fault(planned)
 
         async def call(planned: Call) -> None:
-            await at(planned.at_s)
+            await sleep_until(planned.at_s)
             if planned.lift:
                 await self.lift(planned.scheduler, planned.worker, planned.id)
             else:
@@ -382,22 +405,22 @@
     return f"/ops/cordons/{id_}" + (f"?wait={wait_s:g}s" if wait_s is not None else "")
 
 
-def link_harm(fault: Fault) -> Harm:
-    """What a fault of a link does to what passes."""
+def link_impairment(fault: Fault) -> Harm:
+    """The impairment that a link fault applies to messages."""
     match fault.trouble:
-        case Trouble.LOSS:
+        case FaultKind.LOSS:
             return Harm(loss=fault.size)
-        case Trouble.DELAY:
+        case FaultKind.DELAY:
             return Harm(delay_s=fault.size, jitter_s=fault.size / 2)
-        case Trouble.REORDER:
+        case FaultKind.REORDER:
             return Harm(reorder=fault.size)
-        case Trouble.DOUBLE:
-            return Harm(double=fault.size)
-        case Trouble.TEAR:
-            return Harm(torn_after=int(fault.size))
-        case Trouble.DEAF:
+        case FaultKind.DOUBLE:
+            return Harm(duplicate=fault.size)
+        case FaultKind.TEAR:
+            return Harm(truncate_after=int(fault.size))
+        case FaultKind.DEAF:
             return Harm(loss=1.0)
-        case Trouble.STALL | Trouble.ONE_WAY | Trouble.PARTITION:
+        case FaultKind.STALL | FaultKind.ONE_WAY | FaultKind.PARTITION:
             return Harm(stalled=True)
         case _:
             return NO_HARM
@@ -408,25 +431,27 @@
     processes: int, folder: Path, *, seed: int = 0, mesh: Json | None = None, workers: int = WORKERS,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[Rig]:  # fmt: skip
-    """All of it at work, links up and copies equal; all of it has ended behind the block.
+    """Start a rig, wait until its links are up and all copies equal, and stop it after the block.
 
-    ``mesh``: further keys of the operators' file's section; ``entry``: what is run in place of the program.
+    ``mesh`` holds further keys for this section of the operators' file. ``entry`` is the interpreter's
+    arguments; tests pass a program with a planted defect. Raises RuntimeError if copies do not become equal
+    in time.
     """
     site = Site(KINDS, schedulers=processes)
-    names, journal, lateness = names_of(processes), Watched(), Lateness()
-    made = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(workers)}
-    discovery = Discovery(made.values(), journal)
+    names, journal, lateness = process_names(processes), AwaitableJournal(), LatenessMonitor()
+    workers_by_name = {f"w{i}": Worker(f"w{i}", site, journal, queue_limit=64) for i in range(workers)}
+    discovery = Discovery(workers_by_name.values(), journal)
     listens = {name: free_address() for name in names}
     relays = {(a, b): Relay(listens[b], f"{seed} {a} {b}") for a, b in permutations(names, 2)}
     programs: dict[str, Program] = {}
     async with contextlib.AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        await start_parts(stack, [*made.values(), discovery, *relays.values()])
+        await start_components(stack, [*workers_by_name.values(), discovery, *relays.values()])
         for place, name in enumerate(names):
             own = folder / name
             (own / "state").mkdir(parents=True)
             listen = free_address()
-            addresses = {w.name: await w.open_address(name, listen) for w in made.values()}
+            addresses = {w.name: await w.open_address(name, listen) for w in workers_by_name.values()}
             peers = {b: relays[name, b].address for b in names if b != name}
             section = {"installation": "rig", "listen": listens[name], "peers": peers, "bound_ms": BOUND_MS}
             operator = {"mesh": section | (mesh or {})}
@@ -435,26 +460,30 @@
                 state=own / "state",
             )  # fmt: skip
         clients = Clients(site, lambda: running.address(), journal, seed)
-        running = Rig(names, journal, made, discovery, programs, relays, clients, session, lateness)
+        running = Rig(
+            names, journal, workers_by_name, discovery, programs, relays, clients, session, lateness
+        )
         stack.push_async_callback(running.stop)
         await asyncio.gather(*map(running.start, names))
-        if await running.equal(FORM_S) is None:
-            raise RuntimeError(f"the links did not come up; see {folder}")
+        if await running.wait_for_equal_copies(LINKS_UP_TIMEOUT_S) is None:
+            raise RuntimeError(
+                f"timed out waiting for links and equal copies after the start; logs: {folder}"
+            )
         lateness.start()
         stack.callback(lateness.stop)
         yield running
 
 
-class Part(Protocol):
-    """An emulated part of the world round the schedulers."""
+class Component(Protocol):
+    """An emulated component that a rig starts and stops."""
 
     async def start(self) -> Any: ...
 
     async def stop(self) -> Any: ...
 
 
-async def start_parts(stack: contextlib.AsyncExitStack, parts: Iterable[Part]) -> None:
-    """Start them one after another; the stack stops them."""
+async def start_components(stack: contextlib.AsyncExitStack, parts: Iterable[Component]) -> None:
+    """Start the components one after another, and register their ``stop`` on the stack."""
     for part in parts:
         await part.start()
         stack.push_async_callback(part.stop)
@@ -462,21 +491,21 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a schedule showed."""
+    """The result of playing a schedule."""
 
-    broken: list[str]
-    equal_s: float | None
+    broken: list[str]  # descriptions of broken rules
+    equal_s: float | None  # from the end of the last fault to equal copies; None: they never became equal
     counts: Counter[EventType]
-    late_s: float  # this machine's own lateness
+    late_s: float  # the longest delay of the rig's own event loop
     journal: Journal
-    links: dict[str, int]  # what befell messages between schedulers
-    idle_schedulers: tuple[str, ...] = ()  # sent nothing until the last fault ended; by the control rig alone
+    links: dict[str, int]  # sums of the relays' counters
+    # Schedulers that sent no job before the last fault ended; set by the control rig only
+    idle_schedulers: tuple[str, ...] = ()
 
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
         return (
-            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of "
-            f"{n[EventType.CORDON_REQUESTED]} cordons accepted, "
+            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of {n[EventType.CORDON_REQUESTED]} cordons accepted, "
             f"{n[EventType.LIFTED]} of {n[EventType.LIFT_REQUESTED]} lifts; copies equal {equal}; "
             f"this machine was late by {self.late_s:.3f} s at most"
         )
@@ -486,22 +515,22 @@
     schedule: Schedule, folder: Path, *, on_lost: str, bound_ms: int = BOUND_MS,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:  # fmt: skip
-    """One schedule on fresh processes, whose logs stay in the folder."""
+    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
-        equal = await running.play_whole(schedule, EQUAL_S + SPARE_S)
+        equal = await running.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
         late = running.lateness.worst_s
     terms = Limits(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
     return running.outcome(find_violations(running.journal, terms, UNSAFE), equal, late)
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
-    """The seed's schedule, or those of its faults that are numbered."""
+    """The schedule of a seed; with ``only``, a comma-separated list of numbers, just those of its faults."""
     whole = draw(seed, processes, [f"w{i}" for i in range(WORKERS)])
     if only is None:
         return whole
-    kept = {int(n) for n in only.split(",") if n.strip().isdigit()}
-    return whole.only([f for f in whole.faults if f.number in kept])
+    wanted = {int(n) for n in only.split(",") if n.strip().isdigit()}
+    return whole.with_faults([f for f in whole.faults if f.number in wanted])
 
 
 async def _main(options: argparse.Namespace) -> int:
@@ -524,12 +553,12 @@
 
         async def fails(faults: list[Fault]) -> bool:
             print(f"with faults {[f.number for f in faults]}:", end=" ", flush=True)
-            return bool(await run(schedule.only(faults)))
+            return bool(await run(schedule.with_faults(faults)))
 
-        schedule = schedule.only(await shrink(schedule.faults, fails))
-        print(f"cut down to:\n{schedule}")
+        schedule = schedule.with_faults(await shrink(schedule.faults, fails))
+        print(f"reduced to:\n{schedule}")
     if found:
-        print(f"play it again: {schedule.replay()} --on-lost {options.on_lost} --bound-ms {options.bound_ms}")
+        print(f"replay with: {schedule.replay()} --on-lost {options.on_lost} --bound-ms {options.bound_ms}")
     return int(bool(found))
 
 
@@ -537,10 +566,12 @@
     parser = argparse.ArgumentParser(prog="python -m robinhill.emulator.rig", description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--processes", type=int, default=5)
-    parser.add_argument("--only", help="numbers of the faults to play, with commas, or none")
+    parser.add_argument("--only", help="comma-separated numbers of the faults to play, or none")
     parser.add_argument("--on-lost", choices=("hold", "serve"), default="hold")
     parser.add_argument("--bound-ms", type=int, default=BOUND_MS)
-    parser.add_argument("--shrink", action="store_true", help="cut a failing schedule down")
+    parser.add_argument(
+        "--shrink", action="store_true", help="reduce a failing schedule to the faults it needs"
+    )
     return asyncio.run(_main(parser.parse_args(arguments)))
 
 
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -1,4 +1,4 @@
-"""A worker that takes jobs over HTTP. It runs them by the model's own worker, on this machine's clock."""
+"""An emulated worker that accepts jobs over HTTP and runs them in the model's worker, in real time."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,15 @@
 from robinhill.model.workers import Job
 from robinhill.model.workers import Worker as Core
 
-CALLS = 10  # times that a call-back is tried
-CALL_AGAIN_S = 0.1
-CALL_TIMEOUT_S = 2.0
-WORK = "work="  # in X-Attrs: how long the job runs on a worker of speed 1, in milliseconds
+MAX_CALL_BACK_TRIES = 10
+CALL_BACK_RETRY_S = 0.1
+CALL_BACK_TIMEOUT_S = 2.0
+WORK_ATTRIBUTE = "work="  # prefix in X-Attrs of the job's run time in milliseconds on a worker of speed 1
 
 
 class RealTime:
-    """The model's clock in real time: `now` advances by itself, calls are the event loop's
-    timers.
+    """The interface of the model's agenda in real time: `now` is the monotonic clock in microseconds, and
+    scheduled calls are timers of the event loop.
     """
 
     @property
@@ -41,8 +41,8 @@
         asyncio.get_running_loop().call_later(max(0.0, delay_us) / 1e6, call, *arguments)
 
 
-def fleet_of(site: Site, machine: Machine) -> Fleet:
-    """What the model's worker must know of its site."""
+def model_fleet(site: Site, machine: Machine) -> Fleet:
+    """The model's description of a fleet of this machine, with the site's parameters."""
     return Fleet(
         (machine,),
         connect_cost_ms=0.0,
@@ -55,11 +55,12 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One worker on a loopback address. What goes wrong with it is set from outside.
+    """One worker on a loopback address. Its methods also inject faults.
 
-    A call does not say which scheduler sent it. Where there are several, each is told an address of its own
-    for the worker (``open_address``), as the protocol lets ``hostPort`` differ between schedulers; what came
-    in there is called back there.
+    The request for a job does not name the scheduler that sent it. With several schedulers, each therefore
+    gets a separate address of the worker (``open_address``), as the protocol allows ``hostPort`` to differ
+    between schedulers; the worker sends call-backs for a job to the scheduler of the address that received
+    it.
     """
 
     name: str
@@ -70,16 +71,16 @@
     queue_limit: int = 32
     host_port: str = ""
     started_unix_ms: int = 0
-    scheduler: str = ""  # where to call back what came by `host_port`
+    scheduler: str = ""  # address for the call-backs of jobs received at `host_port`
     core: Core = field(init=False)
     _session: aiohttp.ClientSession | None = None
     _runners: list[web.ServerRunner] = field(default_factory=list)
     _calls: set[asyncio.Task[None]] = field(default_factory=set)
-    _awake: asyncio.Event = field(default_factory=asyncio.Event)
+    _responding: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         machine = Machine("std", 1, cores=self.slots, slots=self.slots, memory=1e9, queue=self.queue_limit)
-        fleet = fleet_of(self.site, machine)
+        fleet = model_fleet(self.site, machine)
         self.core = Core(self.name, 0, 0, machine, self.speed, fleet, RealTime(), self.journal)
 
     @property
@@ -91,11 +92,11 @@
         return self.core.waiting
 
     async def start(self) -> None:
-        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
+        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_BACK_TIMEOUT_S))
         self.host_port = await self.open_address()
 
     async def open_address(self, name: str = "", listen: str | None = None) -> str:
-        """A further address, for the scheduler of this name that listens for call-backs there."""
+        """Listen on a further address, for the scheduler of this name that gets call-backs at ``listen``."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             return await self._handle(request, name, listen)
@@ -108,7 +109,7 @@
 
     async def stop(self) -> None:
         self.core.fail_silently()
-        self._awake.set()
+        self._responding.set()
         for task in list(self._calls):
             task.cancel()
         for runner in self._runners:
@@ -116,30 +117,30 @@
         if self._session:
             await self._session.close()
 
-    # What goes wrong
+    # Faults
 
-    def fail_silently(self) -> None:
-        """Say nothing from now on; what it ran is lost without a word."""
-        self._awake.clear()
+    def stop_responding(self) -> None:
+        """Answer no calls and send no reports from now on; running and waiting jobs are lost."""
+        self._responding.clear()
         self.core.fail_silently()
 
-    def restart_cold(self) -> None:
-        """Start again, cold."""
+    def restart(self) -> None:
+        """Restart without jobs, and with the slow start of a cold worker."""
         self.core.restart_cold()
         self.started_unix_ms = int(time.time() * 1000)
-        self._awake.set()
+        self._responding.set()
 
-    def set_slowdown(self, slow: float) -> None:
-        """Take so many times as long from now on."""
-        self.core.set_slowdown(slow)
+    def set_slowdown(self, factor: float) -> None:
+        """Make jobs take ``factor`` times as long from now on."""
+        self.core.set_slowdown(factor)
 
     # The protocol
 
     async def _handle(self, request: web.BaseRequest, name: str, listen: str | None) -> web.StreamResponse:
         if self.core.silent:
-            await self._awake.wait()
+            await self._responding.wait()
             if request.transport:
-                request.transport.abort()  # what was open when it fell silent is reset once it is back
+                request.transport.abort()  # connections from before the restart are reset
             return web.Response(status=500)
         if request.method == "DELETE":
             self.core.cancel(request.path.rpartition("/")[2])
@@ -151,22 +152,24 @@
         await request.read()
         if (request_id := request.headers.get("X-Request-ID")) is None:
             return web.Response(status=404)
-        return self._take(request, request_id, name, listen)
+        return self._accept_job(request, request_id, name, listen)
 
-    def _take(self, request: web.BaseRequest, request_id: str, name: str, listen: str | None) -> web.Response:
+    def _accept_job(
+        self, request: web.BaseRequest, request_id: str, name: str, listen: str | None
+    ) -> web.Response:
         kind = request.headers.get("X-Priority-Class", "")
         work_ms = self.site.kind(kind).work_ms
         for pair in request.headers.get("X-Attrs", "").split(","):
-            if pair.startswith(WORK):
-                work_ms = float(pair.removeprefix(WORK))
-        tell = partial(self._tell, listen)
-        job = Job(request_id, kind, work_ms * 1000, 1, 0.0, tell, scheduler=name)
+            if pair.startswith(WORK_ATTRIBUTE):
+                work_ms = float(pair.removeprefix(WORK_ATTRIBUTE))
+        report_state = partial(self._tell, listen)
+        job = Job(request_id, kind, work_ms * 1000, 1, 0.0, report_state, scheduler=name)
         if self.core.take(job):
             return web.Response(status=202)
         return web.Response(status=503, headers={"X-Not-Processed": "1"})
 
     def _tell(self, listen: str | None, what: str, job: Job) -> None:
-        """A word of the model's worker becomes a call to the scheduler."""
+        """Report a job's new state to the scheduler; the model's worker calls this."""
         report = {"id": job.request, "from": self.name, "state": what}
         if what == "done":
             report["result"] = f"{job.request} by {self.name}"
@@ -175,12 +178,12 @@
         task.add_done_callback(self._calls.discard)
 
     async def _call(self, listen: str | None, body: bytes) -> None:
-        """Repeat a call until it is answered, ten times at most."""
+        """Send a call-back until the scheduler acknowledges it, at most ten times."""
         assert self._session
-        for _ in range(CALLS):
+        for _ in range(MAX_CALL_BACK_TRIES):
             to = f"http://{listen or self.scheduler}/v1/job-events"
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 async with self._session.post(to, data=body) as answer:
                     if answer.status in (200, 204):
                         return
-            await asyncio.sleep(CALL_AGAIN_S)
+            await asyncio.sleep(CALL_BACK_RETRY_S)
