--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -505,7 +505,8 @@
     def __str__(self) -> str:
         n, equal = self.counts, "never" if self.equal_s is None else f"after {self.equal_s:.3f} s"
         return (
-            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of {n[EventType.CORDON_REQUESTED]} cordons accepted, "
+            f"{n[EventType.SENT]} sends, {n[EventType.CORDONED]} of "
+            f"{n[EventType.CORDON_REQUESTED]} cordons accepted, "
             f"{n[EventType.LIFTED]} of {n[EventType.LIFT_REQUESTED]} lifts; copies equal {equal}; "
             f"this machine was late by {self.late_s:.3f} s at most"
         )
