--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -28,8 +28,8 @@
 from robinhill.admission.options import AdmissionOptions
 from robinhill.admission.report import report
 from robinhill.checker.rules import find_violations
-from robinhill.emulator.client import REFUSALS, Asked, Clients, Tenant, served_worth
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.client import REJECTION_STATUSES, Clients, RequestedJob, Tenant, served_worth
+from robinhill.emulator.program import LoopbackSite, loopback_site
 from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
@@ -44,29 +44,33 @@
 
 
 async def run_load(
-    operator: Json, tenants: Callable[[Town], list[Tenant]], seconds: float
-) -> tuple[Town, Clients, Json]:
+    operator: Json, tenants: Callable[[LoopbackSite], list[Tenant]], seconds: float
+) -> tuple[LoopbackSite, Clients, Json]:
     """Run clients against one installation and check its journal with `robinhill.checker`.
 
     Jobs that were requested during the warm-up are removed from ``Clients.asked``.
     """
-    async with town(operator=operator, workers=8) as installation:
+    async with loopback_site(operator=operator, workers=8) as installation:
         clients = Clients(
             installation.site, lambda: installation.program.listen, installation.journal, seed=11
         )
         start_s = time.monotonic()
         await clients.play(tenants(installation), seconds + WARM_UP_S)
         admission = await installation.program.admission()
-        clients.asked = [job for job in clients.asked if job.tries and job.tries[0].at > start_s + WARM_UP_S]
+        clients.requested_jobs = [
+            job for job in clients.requested_jobs if job.tries and job.tries[0].at > start_s + WARM_UP_S
+        ]
         if violations := find_violations(installation.journal, NON_RETRYABLE_KINDS):
             print(f"  RULES BROKEN: {len(violations)} violations, such as {violations[0]}")
-        if clients.latest_s > 0.25:
-            print(f"  requests were sent up to {clients.latest_s:.2f} s late: this machine was too slow")
+        if clients.max_lateness_s > 0.25:
+            print(
+                f"  requests were sent up to {clients.max_lateness_s:.2f} s late: this machine was too slow"
+            )
     return installation, clients, admission
 
 
 def small_and_large_tenants(
-    installation: Town, small_share: float = 0.8, **large_options: Any
+    installation: LoopbackSite, small_share: float = 0.8, **large_options: Any
 ) -> list[Tenant]:
     """Small tenants that each request ``small_share`` of their fair share, and a large one.
 
@@ -79,8 +83,8 @@
     return [*small, Tenant("large", large_rate, **large_options)]
 
 
-def group_by_tenant(jobs: list[Asked]) -> dict[str, list[Asked]]:
-    grouped: dict[str, list[Asked]] = defaultdict(list)
+def group_by_tenant(jobs: list[RequestedJob]) -> dict[str, list[RequestedJob]]:
+    grouped: dict[str, list[RequestedJob]] = defaultdict(list)
     for job in jobs:
         grouped[job.tenant].append(job)
     return grouped
@@ -94,9 +98,9 @@
     rows = []
     for name, operator in (("on", ADMISSION_ON), ("off", ADMISSION_OFF)):
         installation, clients, _ = await run_load(operator, small_and_large_tenants, FAIRNESS_S)
-        grouped = group_by_tenant(clients.asked)
+        grouped = group_by_tenant(clients.requested_jobs)
         small = sorted(served_worth(v) for k, v in grouped.items() if k != "large")
-        work = sum(a.work_s for a in clients.asked if a.in_time) / (FAIRNESS_S * installation.slots)
+        work = sum(a.work_s for a in clients.requested_jobs if a.in_time) / (FAIRNESS_S * installation.slots)
         rows.append((name, small[0], statistics.median(small), served_worth(grouped["large"]), work))
     print(
         f"  {SMALL_TENANTS} small tenants and a large one at {LOAD_FACTOR} times the capacity,"
@@ -112,17 +116,21 @@
     _, clients, admission = await run_load(
         ADMISSION_ON, lambda installation: small_and_large_tenants(installation, retries=30), RETRY_AFTER_S
     )
-    retried = [job for job in clients.asked if job.tries[0].status in REFUSALS and len(job.tries) > 1]
-    admitted = [job for job in retried if job.tries[1].status not in REFUSALS]
+    retried = [
+        job
+        for job in clients.requested_jobs
+        if job.tries[0].status in REJECTION_STATUSES and len(job.tries) > 1
+    ]
+    admitted = [job for job in retried if job.tries[1].status not in REJECTION_STATUSES]
     ratios = []
     for job in retried:
-        if job.tries[-1].status in REFUSALS or job.tries[0].retry_after_s is None:
+        if job.tries[-1].status in REJECTION_STATUSES or job.tries[0].retry_after_s is None:
             continue
         last = job.tries[-1]
         ratios.append(job.tries[0].retry_after_s / max(0.001, last.at - job.tries[0].at))
     for kind in Site().kinds:
         of_kind = [job for job in retried if job.kind.name == kind.name]
-        admitted_count = sum(job.tries[1].status not in REFUSALS for job in of_kind)
+        admitted_count = sum(job.tries[1].status not in REJECTION_STATUSES for job in of_kind)
         delay_s = statistics.median([job.tries[0].retry_after_s or 0.0 for job in of_kind] or [0.0])
         print(
             f"  {kind.name}: {admitted_count} of {len(of_kind)} admitted at the first retry,"
@@ -232,7 +240,7 @@
 async def measure_cpu_cost() -> None:
     """CPU time of one process per request at half load, with admission control alternately on and off."""
     cpu_ms: dict[str, list[float]] = defaultdict(list)
-    async with town(operator=ADMISSION_ON, workers=8) as installation:
+    async with loopback_site(operator=ADMISSION_ON, workers=8) as installation:
         process = psutil.Process(installation.program.pid)
         rate = 0.5 * installation.slots / (installation.site.mean_work_ms / 1000)
         tenants = [Tenant(f"club-{i}", rate / SMALL_TENANTS) for i in range(SMALL_TENANTS)]
@@ -247,7 +255,7 @@
             after = process.cpu_times()
             if turn:  # the first turn is the warm-up
                 cpu_s = after.user + after.system - before.user - before.system
-                cpu_ms[name].append(cpu_s / len(clients.asked) * 1000)
+                cpu_ms[name].append(cpu_s / len(clients.requested_jobs) * 1000)
     on, off = statistics.median(cpu_ms["on"]), statistics.median(cpu_ms["off"])
     print(f"  CPU per request: admission control on {on:.3f} ms, off {off:.3f} ms, ratio {on / off:.3f}")
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -223,7 +223,7 @@
             "voters": options.voters,
             "schedulers": options.schedulers,
             "bound_ms": options.bound_ms,
-            "faults": [f.trouble.name for f in schedule.faults],
+            "faults": [f.kind.name for f in schedule.faults],
         }
         try:
             outcome = await play(schedule, folder, options.voters, bound_ms=options.bound_ms)
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -107,7 +107,7 @@
         async with asyncio.timeout(EXIT_TIMEOUT_S):
             exit_code = await old.process.wait()
         await load
-        statuses = Counter(attempt.status for job in clients.asked for attempt in job.tries)
+        statuses = Counter(attempt.status for job in clients.requested_jobs for attempt in job.tries)
         handed_over = old.log.read_text().count(HANDED_OVER_EVENT)
         await new.stop()
         await discovery.stop()
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -24,8 +24,8 @@
 import orjson
 
 from robinhill.checker.journal import EventType
-from robinhill.emulator.relay import Harm
-from robinhill.emulator.rig import BOUND_MS, EQUAL_S, Rig, play, rig, schedule_of
+from robinhill.emulator.relay import Impairment
+from robinhill.emulator.rig import BOUND_MS, CONVERGENCE_LIMIT_S, Rig, play, rig, schedule_of
 
 Json = dict[str, Any]
 DEFAULT_RESULTS_FILE = "mesh-figures.jsonl"
@@ -59,7 +59,7 @@
         folder = Path(tempfile.mkdtemp(prefix="robinhill-rig-"))
         line: Json = {
             "part": "faults", "seed": seed, "processes": options.processes, "on_lost": options.on_lost,
-            "bound_ms": options.bound_ms, "faults": [f.trouble.name for f in schedule.faults],
+            "bound_ms": options.bound_ms, "faults": [f.kind.name for f in schedule.faults],
         }  # fmt: skip
         try:
             outcome = await play(schedule, folder, on_lost=options.on_lost, bound_ms=options.bound_ms)
@@ -88,13 +88,13 @@
 
 async def run_cordons(options: argparse.Namespace, results: Path) -> int:
     """Set cordons one after another under load, at each scheduler in turn, and measure their effect."""
-    link_fault = Harm(loss=options.loss, delay_s=options.delay_ms / 1000)
+    link_fault = Impairment(loss=options.loss, delay_s=options.delay_ms / 1000)
     for processes in parse_ranges(options.processes):
         folder = Path(tempfile.mkdtemp(prefix="robinhill-rig-"))
         mesh = {"on_lost": options.on_lost, "bound_ms": options.bound_ms}
         async with rig(processes, folder, seed=options.seed, mesh=mesh, workers=CORDON_WORKERS) as cluster:
             for relay in cluster.relays.values():
-                relay.suffer(link_fault)
+                relay.set_impairment(link_fault)
             seconds = WARM_UP_S + options.trials * (OBSERVATION_S + 3 * CORDON_TIMEOUT_S)
             load = asyncio.get_running_loop().create_task(cluster.load(seconds, CORDON_LOAD_PER_S))
             await cluster.journal.until(
@@ -192,11 +192,11 @@
         if not runs:
             continue
         equal_s = sorted(x["equal_s"] for x in runs if x["equal_s"] is not None)
-        late_count = sum(e > EQUAL_S for e in equal_s)
+        late_count = sum(e > CONVERGENCE_LIMIT_S for e in equal_s)
         print(
             f"{mode}: {len(runs)} schedules, {sum(bool(x['broken']) for x in runs)} with a broken rule; "
             f"replicas equal in {len(equal_s)}, after {statistics.median(equal_s or [0]):.3f} s (median) and "
-            f"{max(equal_s, default=0):.3f} s (maximum); {late_count} later than {EQUAL_S:g} s"
+            f"{max(equal_s, default=0):.3f} s (maximum); {late_count} later than {CONVERGENCE_LIMIT_S:g} s"
         )
         for x in runs:
             if x["broken"]:
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -24,7 +24,7 @@
 from robinhill.commands.modelling import version
 from robinhill.emulator import loopback
 from robinhill.emulator.client import Clients, Tenant
-from robinhill.emulator.program import town
+from robinhill.emulator.program import loopback_site
 from robinhill.model import sites
 from robinhill.model.compare import FailedRun, Version, compare, play
 from robinhill.model.describe import Machine
@@ -101,7 +101,7 @@
     for name in ("calm", "silent", "surge", "slow", "all"):
         differences = []
         for seed in (1, 2, 3):
-            description = loopback.small_day(name)
+            description = loopback.small_situation(name)
             modelled = play(description, Version("model"), seed)
             real = await loopback.play(description, seed)
             if isinstance(modelled, FailedRun) or real.broken:
@@ -127,7 +127,7 @@
         for name in cpu_ms:
             with tempfile.TemporaryDirectory() as folder:
                 operator: dict[str, Any] = {"record": {"folder": folder}} if name == "on" else {}
-                async with town(operator=operator, workers=8) as installation:
+                async with loopback_site(operator=operator, workers=8) as installation:
                     process = psutil.Process(installation.program.pid)
                     rate = 0.5 * installation.slots / (installation.site.mean_work_ms / 1000)
                     clients = Clients(
@@ -137,7 +137,7 @@
                     await clients.play([Tenant("a", rate)], 8.0)
                     after = process.cpu_times()
                     cpu_s = after.user + after.system - before.user - before.system
-                    cpu_ms[name].append(cpu_s / len(clients.asked) * 1000)
+                    cpu_ms[name].append(cpu_s / len(clients.requested_jobs) * 1000)
     on, off = (statistics.median(cpu_ms[name]) for name in ("on", "off"))
     print(f"  CPU per request: with recording {on:.3f} ms, without {off:.3f} ms, ratio {on / off:.3f}")
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -51,14 +51,14 @@
 class MultiNameWorker(Worker):
     """An emulated worker that is listed under many names, each with an address of its own."""
 
-    def _tell(self, listen: str | None, what: str, job: Job) -> None:
+    def _report(self, listen: str | None, what: str, job: Job) -> None:
         # `job.scheduler` is the listed name whose address received the job, see `_add_entries`.
         report = {"id": job.request, "from": job.scheduler, "state": what}
         if what == "done":
             report["result"] = job.request
-        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(report)))
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+        task = asyncio.get_running_loop().create_task(self._post_report(listen, orjson.dumps(report)))
+        self._call_back_tasks.add(task)
+        task.add_done_callback(self._call_back_tasks.discard)
 
 
 async def _add_entries(
--- a/benchmarks/scale/requests.py
+++ b/benchmarks/scale/requests.py
@@ -26,9 +26,9 @@
         clients = Clients(scheduler.site, lambda: scheduler.program.listen, scheduler.journal, seed=7)
         tenants = [ClientTenant("team", RATE_PER_S, kinds=(SHORT_KIND.name,))]
         await clients.play(tenants, WARM_UP_S)
-        warm_up_jobs, cpu_before_s = len(clients.asked), cpu_s(scheduler.program.pid)
+        warm_up_jobs, cpu_before_s = len(clients.requested_jobs), cpu_s(scheduler.program.pid)
         await clients.play(tenants, MEASURE_S)
-        jobs = clients.asked[warm_up_jobs:]
+        jobs = clients.requested_jobs[warm_up_jobs:]
         served = sum(job.tries[-1].status == 200 for job in jobs)
         if served < 0.99 * len(jobs):
             print(f"  {worker_count} workers: only {served} of {len(jobs)} requests were served")
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -14,8 +14,8 @@
 from robinhill.checker.rules import find_violations
 from robinhill.commands.exit_codes import FAULTY
 from robinhill.config_types import ConfigError
-from robinhill.emulator.client import Asked, Clients, Tenant, served_worth
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.client import Clients, RequestedJob, Tenant, served_worth
+from robinhill.emulator.program import LoopbackSite, loopback_site
 from robinhill.emulator.site import Site
 
 Json = dict[str, Any]
@@ -45,7 +45,7 @@
 
 async def _play(seconds: float, workers: int, operator: Json) -> int:
     site = Site()
-    async with town(site, workers=workers, operator=operator) as here:
+    async with loopback_site(site, workers=workers, operator=operator) as here:
         rate = LOAD_FACTOR * here.slots / (site.mean_work_ms / 1000)
         tenants = [Tenant("large-club", rate * LARGE_SHARE, retries=2)]
         tenants += [
@@ -63,13 +63,13 @@
             await asyncio.wait([playing, waiting], timeout=REFRESH_S, return_when=asyncio.FIRST_COMPLETED)
             if sys.stdout.isatty():
                 click.clear()
-                click.echo(await _table(here, clients.asked))
+                click.echo(await _table(here, clients.requested_jobs))
         stopped = stop.is_set()
         waiting.cancel()
         if stopped:
             playing.cancel()
         await asyncio.wait([playing, waiting])
-        click.echo(await _table(here, clients.asked))
+        click.echo(await _table(here, clients.requested_jobs))
         unsafe = [k.name for k in site.kinds if k.repeat == "fragile"]
         violations = find_violations(here.journal, unsafe, ended=not stopped)
         code = await here.program.stop()
@@ -79,10 +79,10 @@
     return 1 if violations or code else 0
 
 
-async def _table(here: Town, asked: list[Asked]) -> str:
+async def _table(here: LoopbackSite, asked: list[RequestedJob]) -> str:
     """A table with the requests of each tenant, the jobs of each worker and the state of admission."""
     lines = ["tenant         jobs  served rejected   worth in time"]
-    by_tenant: dict[str, list[Asked]] = defaultdict(list)
+    by_tenant: dict[str, list[RequestedJob]] = defaultdict(list)
     for each in asked:
         if each.tries:
             by_tenant[each.tenant].append(each)
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -18,7 +18,7 @@
 from robinhill.emulator.site import JobKind, Site
 from robinhill.emulator.worker import WORK_ATTRIBUTE
 
-REFUSALS = (429, 503)
+REJECTION_STATUSES = (429, 503)
 MIN_RETRY_DELAY_S = 0.01  # also of a client that ignores Retry-After
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestedJob:
     """One job that a client requested, with the initial request and its retries in ``tries``."""
 
     tenant: str
@@ -91,8 +91,10 @@
         self.journal = journal
         self.random = random.Random(seed)
         self.header = header
-        self.asked: list[Asked] = []
-        self.latest_s = 0.0  # the longest delay of a request past its planned time: this machine was slow
+        self.requested_jobs: list[RequestedJob] = []
+        self.max_lateness_s = (
+            0.0  # the longest delay of a request past its planned time: this machine was slow
+        )
         self._sequence = count()
         self._key_prefix = f"{seed:x}"
         self._pending_tasks: set[asyncio.Task[None]] = set()
@@ -103,7 +105,12 @@
         """Send the tenants' requests for this long, and wait until each has been answered or has failed."""
         arrivals = sorted(self._draw(tenants, seconds), key=lambda x: x[0])
         starts = [
-            (at, partial(self._request_as_tenant, Asked(tenant.name, kind, work_s, at), tenant, seconds))
+            (
+                at,
+                partial(
+                    self._request_as_tenant, RequestedJob(tenant.name, kind, work_s, at), tenant, seconds
+                ),
+            )
             for at, tenant, kind, work_s in arrivals
         ]
         await self._run_plan(starts)
@@ -119,9 +126,14 @@
         tenants = {p.tenant: Tenant(p.tenant, 0.0, retries) for p in planned}
         starts = []
         for p in planned:
-            asked = Asked(p.tenant, self.site.kind(p.kind), p.work_s, p.at_s)
+            requested_job = RequestedJob(p.tenant, self.site.kind(p.kind), p.work_s, p.at_s)
             starts.append(
-                (p.at_s, partial(self._request_with_back_off, asked, tenants[p.tenant], back_off_s, factor))
+                (
+                    p.at_s,
+                    partial(
+                        self._request_with_back_off, requested_job, tenants[p.tenant], back_off_s, factor
+                    ),
+                )
             )
         await self._run_plan(starts)
 
@@ -136,7 +148,7 @@
                     if (wait := self._started_s + offset - time.monotonic()) > 0:
                         await asyncio.sleep(wait)
                     else:
-                        self.latest_s = max(self.latest_s, -wait)
+                        self.max_lateness_s = max(self.max_lateness_s, -wait)
                     self._spawn(work())
                 while self._pending_tasks:
                     await asyncio.wait(self._pending_tasks)
@@ -161,17 +173,17 @@
         self._pending_tasks.add(task)
         task.add_done_callback(self._pending_tasks.discard)
 
-    async def _request_as_tenant(self, asked: Asked, tenant: Tenant, seconds: float) -> None:
+    async def _request_as_tenant(self, requested_job: RequestedJob, tenant: Tenant, seconds: float) -> None:
         """Request the job, and retry while it is rejected, as this tenant's settings allow.
 
         A retry that would start after the end of the load, ``seconds`` after its start, is not sent.
         """
-        self.asked.append(asked)
+        self.requested_jobs.append(requested_job)
         key = f"{self._key_prefix}{next(self._sequence):x}"
         for number in range(tenant.retries + 1):
-            attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
-            asked.tries.append(attempt)
-            if attempt.status not in REFUSALS or number == tenant.retries:
+            attempt = await self._try(tenant, requested_job.kind, requested_job.work_s, key, number)
+            requested_job.tries.append(attempt)
+            if attempt.status not in REJECTION_STATUSES or number == tenant.retries:
                 return
             wait = (attempt.retry_after_s or 0.0) if tenant.honour_retry_after else 0.0
             if time.monotonic() + wait > self._started_s + seconds:
@@ -179,18 +191,18 @@
             await asyncio.sleep(max(wait, MIN_RETRY_DELAY_S))
 
     async def _request_with_back_off(
-        self, asked: Asked, tenant: Tenant, back_off_s: float, factor: float
+        self, requested_job: RequestedJob, tenant: Tenant, back_off_s: float, factor: float
     ) -> None:
         """Request the job, and retry it with exponential backoff and jitter.
 
         A job that is safe to repeat is retried after any failure, an unsafe one only after a rejection.
         """
-        self.asked.append(asked)
+        self.requested_jobs.append(requested_job)
         key = f"{self._key_prefix}{next(self._sequence):x}"
         for number in range(tenant.retries + 1):
-            attempt = await self._try(tenant, asked.kind, asked.work_s, key, number)
-            asked.tries.append(attempt)
-            safe = asked.kind.repeat == "retryable" or attempt.status in REFUSALS
+            attempt = await self._try(tenant, requested_job.kind, requested_job.work_s, key, number)
+            requested_job.tries.append(attempt)
+            safe = requested_job.kind.repeat == "retryable" or attempt.status in REJECTION_STATUSES
             if attempt.status == 200 or not safe or number == tenant.retries:
                 return
             await asyncio.sleep(back_off_s * factor**number * self.random.uniform(0.5, 1.5))
@@ -224,7 +236,7 @@
         return attempt
 
 
-def served_worth(asked: list[Asked]) -> float:
+def served_worth(requested_jobs: list[RequestedJob]) -> float:
     """The share of the requested worth that was answered in time; 1.0 if nothing was requested."""
-    wanted = sum(a.worth for a in asked)
-    return sum(a.worth for a in asked if a.in_time) / wanted if wanted else 1.0
+    wanted = sum(a.worth for a in requested_jobs)
+    return sum(a.worth for a in requested_jobs if a.in_time) / wanted if wanted else 1.0
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -31,7 +31,7 @@
 from robinhill.emulator.client import Clients
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import Direction, Harm, Relay
+from robinhill.emulator.relay import Direction, Impairment, Relay
 from robinhill.emulator.rig import (
     KINDS,
     LINKS_UP_TIMEOUT_S,
@@ -60,10 +60,10 @@
 
 Json = dict[str, Any]
 BOUND_MS = 1_000
-EQUAL_S = 4.0
+CONVERGENCE_LIMIT_S = 4.0
 """The longest time from the end of the last fault to equal copies at all voters and schedulers."""
 
-# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
+# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
@@ -80,16 +80,16 @@
         """The names of the processes that serve clients."""
         return self.names[len(self.voters) :]
 
-    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
+    def impair_direction(self, impairment: Impairment, start: str, end: str) -> None:
         """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
         if relay := self.relays.get((start, end)):
-            relay.suffer(impairment, Direction.THERE)
+            relay.set_impairment(impairment, Direction.THERE)
         if relay := self.relays.get((end, start)):
-            relay.suffer(impairment, Direction.BACK)
+            relay.set_impairment(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
         """The relays of the links that a fault affects; a link between two voters has two relays."""
-        if fault.trouble is FaultKind.PARTITION:
+        if fault.kind is FaultKind.PARTITION:
             ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
             ends = [(fault.targets[0], fault.targets[1])]
@@ -269,9 +269,9 @@
         entry=entry,
     )
     async with rig as here:
-        equal = await here.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
+        equal = await here.play_and_verify(schedule, CONVERGENCE_LIMIT_S + CONVERGENCE_GRACE_S)
         late = here.lateness.worst_s
-    terms = Limits(bound_ms / 1000, True, EQUAL_S, late_s=late)
+    terms = Limits(bound_ms / 1000, True, CONVERGENCE_LIMIT_S, late_s=late)
     found = rules.find_violations(here.journal, set(UNSAFE), ended=True, late_s=late)
     found += broken(sorted(here.journal.events, key=lambda e: e.at), terms, here.voters)
     outcome = here.outcome(found, equal, late)
@@ -308,7 +308,7 @@
     killed: set[str] = set()
     for fault in whole.faults:
         moved = _move_to_existing_link(fault, voting, rng)
-        killed_if_added = {*killed, *moved.targets} & set(voting) if moved.trouble in KILL_FAULTS else killed
+        killed_if_added = {*killed, *moved.targets} & set(voting) if moved.kind in KILL_FAULTS else killed
         if len(killed_if_added) > (voters - 1) // 2 or any(
             moved.overlaps(one, whole.names) for one in accepted
         ):
@@ -320,6 +320,6 @@
 
 def _move_to_existing_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
     """The fault, moved to a link with a random voter if it is between two schedulers, which have no link."""
-    if fault.trouble not in LINK_FAULTS or any(name in voters for name in fault.targets):
+    if fault.kind not in LINK_FAULTS or any(name in voters for name in fault.targets):
         return fault
     return replace(fault, targets=(rng.choice(voters), fault.targets[1]))
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -93,7 +93,7 @@
         for runner in self._runners:
             await runner.cleanup()
 
-    def tell(self, worker: Worker, lifecycle: str = "active") -> None:
+    def publish(self, worker: Worker, lifecycle: str = "active") -> None:
         """Change a worker's entry to this lifecycle state and send the change to all open watches."""
         self.generation += 1
         self._store_entry(worker, lifecycle)
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -11,8 +11,8 @@
 from msgspec.structs import replace
 
 from robinhill.checker.rules import find_violations
-from robinhill.emulator.client import Asked, Clients, PlannedArrival, served_worth
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.client import Clients, PlannedArrival, RequestedJob, served_worth
+from robinhill.emulator.program import LoopbackSite, loopback_site
 from robinhill.emulator.site import JobKind, Site
 from robinhill.emulator.worker import Worker
 from robinhill.model import sites
@@ -32,10 +32,10 @@
     share: float  # of the requested worth, answered in time
     by_kind: dict[str, float]  # the same share for each class
     broken: list[str] = field(default_factory=list)
-    latest_s: float = 0.0  # the longest delay of a request past its planned time on this machine
+    max_lateness_s: float = 0.0  # the longest delay of a request past its planned time on this machine
 
 
-def small_day(trouble: str) -> Description:
+def small_situation(trouble: str) -> Description:
     """A shipped situation with jobs an eighth as long, for 16 s on six workers in one zone, one scheduler."""
     base = sites.site("clubs" if trouble == "calm" else f"clubs-{trouble}")
     kinds = tuple(
@@ -85,7 +85,7 @@
     trace: Trace = draw(description, seed)
     machine = description.fleet.machines[0]
     site = _site(description)
-    async with town(site, workers=machine.count, slots=machine.slots) as here:
+    async with loopback_site(site, workers=machine.count, slots=machine.slots) as here:
         rng = stream(seed, FLEET)
         for worker in here.workers:
             worker.core.speed = float(rng.uniform(*machine.speed))
@@ -97,20 +97,20 @@
         ]
         c = description.clients
         await clients.replay(planned, c.retries, c.back_off_ms / 1000, c.back_off_factor)
-        counted = [a for a in clients.asked if a.at >= description.warm_s and a.tries]
+        counted = [a for a in clients.requested_jobs if a.at >= description.warm_s and a.tries]
         unsafe = [k.name for k in description.traffic.kinds if k.repeat == "fragile"]
-        kinds: dict[str, list[Asked]] = {}
+        kinds: dict[str, list[RequestedJob]] = {}
         for a in counted:
             kinds.setdefault(a.kind.name, []).append(a)
         return LoopbackResult(
             served_worth(counted),
             {k: served_worth(v) for k, v in kinds.items()},
             find_violations(here.journal, unsafe),
-            clients.latest_s,
+            clients.max_lateness_s,
         )
 
 
-def _schedule_worker_faults(description: Description, seed: int, here: Town) -> None:
+def _schedule_worker_faults(description: Description, seed: int, here: LoopbackSite) -> None:
     """Schedule the faults of workers, which affect the same workers at the same times as in the model."""
     loop = asyncio.get_running_loop()
     for number, trouble in enumerate(description.troubles):
@@ -126,6 +126,6 @@
                 loop.call_later(trouble.at_s + trouble.for_s, worker.set_slowdown, 1.0)
 
 
-def _restart_worker(here: Town, worker: Worker) -> None:
+def _restart_worker(here: LoopbackSite, worker: Worker) -> None:
     worker.restart()
-    here.discovery.tell(worker)
+    here.discovery.publish(worker)
--- a/robinhill/emulator/program.py
+++ b/robinhill/emulator/program.py
@@ -137,7 +137,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Town:
+class LoopbackSite:
     """A running site: emulated workers and discovery, and one real scheduler."""
 
     site: Site
@@ -153,9 +153,9 @@
 
 
 @asynccontextmanager
-async def town(
+async def loopback_site(
     site: Site | None = None, *, workers: int = 6, slots: int = 4, operator: Json | None = None
-) -> AsyncIterator[Town]:
+) -> AsyncIterator[LoopbackSite]:
     """Run a whole site on loopback, and stop all of it after the block."""
     site, journal = site or Site(), Journal()
     fleet = [Worker(f"w{i}", site, journal, slots, speed=1.0 - 0.3 * (i % 2)) for i in range(workers)]
@@ -168,7 +168,7 @@
         await discovery.start()
         try:
             await program.start()
-            yield Town(site, journal, fleet, discovery, program)
+            yield LoopbackSite(site, journal, fleet, discovery, program)
         finally:
             if program.process and program.process.returncode is None:
                 await program.stop()
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Harm:
+class Impairment:
     """The impairment of one direction of a link."""
 
     loss: float = 0.0  # probability that a message is dropped
@@ -60,7 +60,7 @@
     truncate_after: int | None = None  # bytes that are still delivered before both ends are reset mid-message
 
 
-NO_HARM = Harm()
+NO_IMPAIRMENT = Impairment()
 
 
 class Messages:
@@ -242,7 +242,7 @@
                 self._has_capacity.set()
             await self._deliver(message, impairment)
 
-    async def _deliver(self, message: bytes, impairment: Harm) -> None:
+    async def _deliver(self, message: bytes, impairment: Impairment) -> None:
         passed = self.relay.passed[self.direction]
         if impairment.truncate_after is not None and len(message) > impairment.truncate_after:
             self.writer.write(message[: impairment.truncate_after])
@@ -268,7 +268,9 @@
     seed: str
     unit: Unit = Unit.MESSAGE
     address: str = ""
-    impairment: dict[Direction, Harm] = field(default_factory=lambda: dict.fromkeys(Direction, NO_HARM))
+    impairment: dict[Direction, Impairment] = field(
+        default_factory=lambda: dict.fromkeys(Direction, NO_IMPAIRMENT)
+    )
     rngs: dict[Direction, random.Random] = field(init=False)
     passed: dict[Direction, DirectionCounters] = field(
         default_factory=lambda: {direction: DirectionCounters() for direction in Direction}
@@ -298,7 +300,7 @@
 
     # Faults
 
-    def suffer(self, impairment: Harm, *directions: Direction) -> None:
+    def set_impairment(self, impairment: Impairment, *directions: Direction) -> None:
         """Apply the impairment to these directions from now on; to both if none is given."""
         for direction in directions or tuple(Direction):
             self.impairment[direction] = impairment
@@ -318,7 +320,7 @@
     def make_half_open(self) -> None:
         """Keep the open connections and accept new ones, but deliver nothing in either direction."""
         self.half_open = True
-        self.suffer(Harm(stalled=True))
+        self.set_impairment(Impairment(stalled=True))
 
     def flap(self, up_s: float, down_s: float) -> None:
         """Take the link down, then up and down in turns until ``heal``.
@@ -346,7 +348,7 @@
             self._flap_timer.cancel()
             self._flap_timer = None
         was_half_open, self.half_open, self.refusing = self.half_open, False, False
-        self.suffer(NO_HARM)
+        self.set_impairment(NO_IMPAIRMENT)
         if was_half_open:
             self.sever()
 
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -32,7 +32,7 @@
 from robinhill.emulator.client import Clients, Tenant
 from robinhill.emulator.discovery import Discovery
 from robinhill.emulator.program import Program
-from robinhill.emulator.relay import NO_HARM, Direction, Harm, Relay
+from robinhill.emulator.relay import NO_IMPAIRMENT, Direction, Impairment, Relay
 from robinhill.emulator.schedule import (
     KILL_FAULTS,
     PROCESS_FAULTS,
@@ -54,10 +54,10 @@
 OPERATOR_CALL_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.02  # between two polls of the digests
 LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
-EQUAL_S = 2.0  # the longest time from the end of the last fault to equal copies
+CONVERGENCE_LIMIT_S = 2.0  # the longest time from the end of the last fault to equal copies
 RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
 RECOVERY_LOAD_S = 0.8
-# Copies are still compared for this time after EQUAL_S, so that a run reports how late they are.
+# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 # Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
 KINDS = (
@@ -130,14 +130,14 @@
 
     # Links
 
-    def impair_direction(self, impairment: Harm, start: str, end: str) -> None:
+    def impair_direction(self, impairment: Impairment, start: str, end: str) -> None:
         """Impair the messages from ``start`` to ``end``, whichever of the two opened the connection."""
-        self.relays[start, end].suffer(impairment, Direction.THERE)
-        self.relays[end, start].suffer(impairment, Direction.BACK)
+        self.relays[start, end].set_impairment(impairment, Direction.THERE)
+        self.relays[end, start].set_impairment(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
         """Both relays of each link that a fault affects."""
-        if fault.trouble is FaultKind.PARTITION:
+        if fault.kind is FaultKind.PARTITION:
             ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
             ends = [(fault.targets[0], fault.targets[1])]
@@ -313,9 +313,9 @@
 
     async def start_fault(self, fault: Fault) -> None:
         for name in fault.affected_processes(self.names):
-            self.journal.record(EventType.FAULT_STARTED, kind=fault.trouble.name, scheduler=name)
+            self.journal.record(EventType.FAULT_STARTED, kind=fault.kind.name, scheduler=name)
         impairment = link_impairment(fault)
-        match fault.trouble:
+        match fault.kind:
             case FaultKind.ONE_WAY | FaultKind.DEAF:
                 self.impair_direction(impairment, *fault.targets)
             case FaultKind.SEVER:
@@ -337,11 +337,11 @@
                 state.touch()  # replaced by a file, as write permissions of a folder would not stop root
             case _:
                 for relay in self.links(fault):
-                    relay.suffer(impairment)
+                    relay.set_impairment(impairment)
 
     async def end_fault(self, fault: Fault) -> None:
         name = fault.targets[0]
-        match fault.trouble:
+        match fault.kind:
             case FaultKind.TEAR | FaultKind.SEVER:
                 pass  # the fault ended with the connection that it broke
             case FaultKind.WIPE:
@@ -359,10 +359,10 @@
             case _:
                 for relay in self.links(fault):
                     relay.heal()
-        if fault.trouble in KILL_FAULTS:
+        if fault.kind in KILL_FAULTS:
             await self.start(name)
         for affected in fault.affected_processes(self.names):
-            self.journal.record(EventType.FAULT_ENDED, kind=fault.trouble.name, scheduler=affected)
+            self.journal.record(EventType.FAULT_ENDED, kind=fault.kind.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
         """Apply faults and operators' calls at their times under load, until all are done and answered."""
@@ -379,7 +379,7 @@
             # On a slow machine a restart may outlast the fault; the lock delays this process's next fault.
             async with (
                 process_locks[planned.targets[0]]
-                if planned.trouble in PROCESS_FAULTS
+                if planned.kind in PROCESS_FAULTS
                 else contextlib.nullcontext()
             ):
                 await self.start_fault(planned)
@@ -405,25 +405,25 @@
     return f"/ops/cordons/{id_}" + (f"?wait={wait_s:g}s" if wait_s is not None else "")
 
 
-def link_impairment(fault: Fault) -> Harm:
+def link_impairment(fault: Fault) -> Impairment:
     """The impairment that a link fault applies to messages."""
-    match fault.trouble:
+    match fault.kind:
         case FaultKind.LOSS:
-            return Harm(loss=fault.size)
+            return Impairment(loss=fault.size)
         case FaultKind.DELAY:
-            return Harm(delay_s=fault.size, jitter_s=fault.size / 2)
+            return Impairment(delay_s=fault.size, jitter_s=fault.size / 2)
         case FaultKind.REORDER:
-            return Harm(reorder=fault.size)
+            return Impairment(reorder=fault.size)
         case FaultKind.DOUBLE:
-            return Harm(duplicate=fault.size)
+            return Impairment(duplicate=fault.size)
         case FaultKind.TEAR:
-            return Harm(truncate_after=int(fault.size))
+            return Impairment(truncate_after=int(fault.size))
         case FaultKind.DEAF:
-            return Harm(loss=1.0)
+            return Impairment(loss=1.0)
         case FaultKind.STALL | FaultKind.ONE_WAY | FaultKind.PARTITION:
-            return Harm(stalled=True)
+            return Impairment(stalled=True)
         case _:
-            return NO_HARM
+            return NO_IMPAIRMENT
 
 
 @asynccontextmanager
@@ -519,9 +519,9 @@
     """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
-        equal = await running.play_and_verify(schedule, EQUAL_S + CONVERGENCE_GRACE_S)
+        equal = await running.play_and_verify(schedule, CONVERGENCE_LIMIT_S + CONVERGENCE_GRACE_S)
         late = running.lateness.worst_s
-    terms = Limits(bound_ms / 1000, on_lost == "hold", EQUAL_S, late_s=late)
+    terms = Limits(bound_ms / 1000, on_lost == "hold", CONVERGENCE_LIMIT_S, late_s=late)
     return running.outcome(find_violations(running.journal, terms, UNSAFE), equal, late)
 
 
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -68,14 +68,14 @@
     number: int  # its index in the schedule as drawn, which it keeps in a reduced schedule
     at_s: float
     for_s: float
-    trouble: FaultKind
+    kind: FaultKind
     targets: tuple[str, ...]
     size: float = 0.0
 
     def __str__(self) -> str:
-        between = "-" if self.trouble in LINK_FAULTS else " "
+        between = "-" if self.kind in LINK_FAULTS else " "
         size = f" ({self.size:g})" if self.size else ""
-        what = f"{self.trouble.value} {between.join(self.targets)}{size}"
+        what = f"{self.kind.value} {between.join(self.targets)}{size}"
         return f"{self.number:>3} {self.at_s:7.3f} s  {what}, for {self.for_s:.3f} s"
 
     @property
@@ -84,11 +84,11 @@
 
     def affected_processes(self, names: Sequence[str]) -> list[str]:
         """The processes that the fault affects themselves or on one of their links."""
-        return list(names) if self.trouble is FaultKind.PARTITION else list(self.targets)
+        return list(names) if self.kind is FaultKind.PARTITION else list(self.targets)
 
     def _struck_resources(self, names: Sequence[str]) -> set[frozenset[str]]:
         """The links (pairs of names) and processes that no other fault may affect at the same time."""
-        if self.trouble is FaultKind.PARTITION:
+        if self.kind is FaultKind.PARTITION:
             return {frozenset((a, b)) for a in self.targets for b in names if b not in self.targets}
         return {frozenset(self.targets)}
 
@@ -163,38 +163,38 @@
     wanted, rejected, killed = rng.randint(MIN_FAULTS, MAX_FAULTS), 0, set[str]()
     while len(faults) < wanted and rejected < MAX_REJECTED_DRAWS:
         fault = _draw_fault(rng, len(faults), rng.choice(troubles), names)
-        killed_if_added = killed.union(fault.targets) if fault.trouble in KILL_FAULTS else killed
+        killed_if_added = killed.union(fault.targets) if fault.kind in KILL_FAULTS else killed
         if any(fault.overlaps(f, names) for f in faults) or len(killed_if_added) > (processes - 1) // 2:
             rejected += 1
             continue
         killed = killed_if_added
         faults.append(fault)
     faults.sort(key=lambda f: f.at_s)
-    numbered = tuple(Fault(i, f.at_s, f.for_s, f.trouble, f.targets, f.size) for i, f in enumerate(faults))
+    numbered = tuple(Fault(i, f.at_s, f.for_s, f.kind, f.targets, f.size) for i, f in enumerate(faults))
     return Schedule(seed, names, numbered, _draw_calls(rng, names, workers, numbered))
 
 
-def _draw_fault(rng: random.Random, number: int, trouble: FaultKind, names: Sequence[str]) -> Fault:
+def _draw_fault(rng: random.Random, number: int, kind: FaultKind, names: Sequence[str]) -> Fault:
     at, lasts = (
         round(rng.uniform(0.1, FAULT_START_SPAN_S), 3),
         round(rng.uniform(MIN_FAULT_S, MAX_FAULT_S), 3),
     )
     size = 0.0
-    if trouble is FaultKind.PARTITION:
+    if kind is FaultKind.PARTITION:
         targets = tuple(sorted(rng.sample(names, rng.randint(1, len(names) // 2))))
     else:
-        targets = tuple(rng.sample(names, 2 if trouble in LINK_FAULTS else 1))
-    if trouble in MESSAGE_SHARES:
-        size = round(rng.uniform(*MESSAGE_SHARES[trouble]), 2)
-    elif trouble is FaultKind.DELAY:
+        targets = tuple(rng.sample(names, 2 if kind in LINK_FAULTS else 1))
+    if kind in MESSAGE_SHARES:
+        size = round(rng.uniform(*MESSAGE_SHARES[kind]), 2)
+    elif kind is FaultKind.DELAY:
         size = round(rng.uniform(0.02, 0.4), 3)
-    elif trouble is FaultKind.FLAP:
+    elif kind is FaultKind.FLAP:
         size = round(rng.uniform(0.05, 0.4), 3)
-    elif trouble is FaultKind.TEAR:
+    elif kind is FaultKind.TEAR:
         size = float(rng.randint(1, 200))
-    elif trouble is FaultKind.CLOCK:
+    elif kind is FaultKind.CLOCK:
         size = rng.choice(CLOCK_OFFSETS_S)
-    return Fault(number, at, 0.0 if trouble in INSTANT_FAULTS else lasts, trouble, targets, size)
+    return Fault(number, at, 0.0 if kind in INSTANT_FAULTS else lasts, kind, targets, size)
 
 
 def _draw_calls(
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -75,7 +75,7 @@
     core: Core = field(init=False)
     _session: aiohttp.ClientSession | None = None
     _runners: list[web.ServerRunner] = field(default_factory=list)
-    _calls: set[asyncio.Task[None]] = field(default_factory=set)
+    _call_back_tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _responding: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
@@ -110,7 +110,7 @@
     async def stop(self) -> None:
         self.core.fail_silently()
         self._responding.set()
-        for task in list(self._calls):
+        for task in list(self._call_back_tasks):
             task.cancel()
         for runner in self._runners:
             await runner.cleanup()
@@ -162,22 +162,22 @@
         for pair in request.headers.get("X-Attrs", "").split(","):
             if pair.startswith(WORK_ATTRIBUTE):
                 work_ms = float(pair.removeprefix(WORK_ATTRIBUTE))
-        report_state = partial(self._tell, listen)
+        report_state = partial(self._report, listen)
         job = Job(request_id, kind, work_ms * 1000, 1, 0.0, report_state, scheduler=name)
         if self.core.take(job):
             return web.Response(status=202)
         return web.Response(status=503, headers={"X-Not-Processed": "1"})
 
-    def _tell(self, listen: str | None, what: str, job: Job) -> None:
+    def _report(self, listen: str | None, what: str, job: Job) -> None:
         """Report a job's new state to the scheduler; the model's worker calls this."""
         report = {"id": job.request, "from": self.name, "state": what}
         if what == "done":
             report["result"] = f"{job.request} by {self.name}"
-        task = asyncio.get_running_loop().create_task(self._call(listen, orjson.dumps(report)))
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+        task = asyncio.get_running_loop().create_task(self._post_report(listen, orjson.dumps(report)))
+        self._call_back_tasks.add(task)
+        task.add_done_callback(self._call_back_tasks.discard)
 
-    async def _call(self, listen: str | None, body: bytes) -> None:
+    async def _post_report(self, listen: str | None, body: bytes) -> None:
         """Send a call-back until the scheduler acknowledges it, at most ten times."""
         assert self._session
         for _ in range(MAX_CALL_BACK_TRIES):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,7 +7,7 @@
 from robinhill.checker.journal import Event, EventType, Journal
 from robinhill.checker.rules import find_violations
 from robinhill.emulator.client import Clients, Tenant
-from robinhill.emulator.program import town
+from robinhill.emulator.program import loopback_site
 from robinhill.emulator.site import Site
 
 REQUESTED, ANSWERED, DISCONNECTED, SENT = (
@@ -73,7 +73,7 @@
 
     async def play() -> tuple[list[str], int]:
         site = Site(cold_s=3.0)
-        async with town(site, workers=3, operator={"admission": {"enabled": True}}) as here:
+        async with loopback_site(site, workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(site, lambda: here.program.listen, here.journal, seed=5)
             tenants = [Tenant(f"t{i}", 8.0, retries=1) for i in range(8)]
             playing = asyncio.get_running_loop().create_task(clients.play(tenants, 6.0))
@@ -86,7 +86,7 @@
             before = here.journal.started_jobs.total()
             for worker in here.workers:
                 worker.restart()
-                here.discovery.tell(worker)
+                here.discovery.publish(worker)
             await playing
             assert await here.program.stop() == 0
             return find_violations(here.journal, UNSAFE), here.journal.started_jobs.total() - before
@@ -97,14 +97,14 @@
 
 def test_draining_worker_gets_no_new_jobs_with_admission_enabled() -> None:
     async def play() -> list[str]:
-        async with town(workers=3, operator={"admission": {"enabled": True}}) as here:
+        async with loopback_site(workers=3, operator={"admission": {"enabled": True}}) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=6)
             playing = asyncio.get_running_loop().create_task(
                 clients.play([Tenant("a", 30.0, honour_retry_after=False, retries=1), Tenant("b", 5.0)], 4.0)
             )
             while here.journal.started_jobs.total() < 20:
                 await asyncio.sleep(0.05)
-            here.discovery.tell(here.workers[0], "leaving")
+            here.discovery.publish(here.workers[0], "leaving")
             await playing
             assert any(e.what is EventType.DRAINING for e in here.journal.events)
             assert await here.program.stop() == 0
--- a/tests/test_emulator_relay.py
+++ b/tests/test_emulator_relay.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from robinhill.emulator.relay import Direction, Harm, Messages, Relay, Unit
+from robinhill.emulator.relay import Direction, Impairment, Messages, Relay, Unit
 
 Socket = aiohttp.ClientWebSocketResponse
 
@@ -76,7 +76,7 @@
     async def play(seed: str) -> list[int]:
         async with link(seed) as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(loss=0.3, duplicate=0.2), Direction.THERE)
+            relay.set_impairment(Impairment(loss=0.3, duplicate=0.2), Direction.THERE)
             for i in range(60):
                 await ws.send_bytes(bytes([i]) * size)
             while relay.passed[Direction.THERE].whole + relay.passed[Direction.THERE].lost < 60:
@@ -100,15 +100,15 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(jitter_s=0.02), Direction.THERE)
+            relay.set_impairment(Impairment(jitter_s=0.02), Direction.THERE)
             assert await echoed(ws, 30) == list(range(30))
-            relay.suffer(Harm(reorder=1.0, reorder_s=0.05), Direction.THERE)
+            relay.set_impairment(Impairment(reorder=1.0, reorder_s=0.05), Direction.THERE)
             for i in range(30):
                 await ws.send_bytes(bytes([i]))
             mixed = [(await ws.receive_bytes())[0] for _ in range(30)]
             assert sorted(mixed) == list(range(30)) != mixed
             loop = asyncio.get_running_loop()
-            relay.suffer(Harm(delay_s=0.1))
+            relay.set_impairment(Impairment(delay_s=0.1))
             begun = loop.time()
             assert await echoed(ws, 1) == [0] and loop.time() - begun >= 0.2
             await ws.close()
@@ -120,7 +120,7 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(stalled=True), Direction.BACK)
+            relay.set_impairment(Impairment(stalled=True), Direction.BACK)
             for i in range(5):
                 await ws.send_bytes(bytes([i]))
             while relay.passed[Direction.THERE].whole < 6:  # counts the handshake as a message
@@ -138,7 +138,7 @@
     async def play() -> None:
         async with link() as (relay, dial):
             ws = await dial()
-            relay.suffer(Harm(truncate_after=100), Direction.BACK)
+            relay.set_impairment(Impairment(truncate_after=100), Direction.BACK)
             await ws.send_bytes(b"x" * 1000)
             assert (await ws.receive(timeout=10)).type is not aiohttp.WSMsgType.BINARY
             assert relay.passed[Direction.BACK].torn == 1
--- a/tests/test_emulator_schedule.py
+++ b/tests/test_emulator_schedule.py
@@ -15,10 +15,10 @@
     drawn = [draw(seed, processes, WORKERS) for seed in SEEDS]
     assert drawn == [draw(seed, processes, WORKERS) for seed in SEEDS]
     assert len({str(s) for s in drawn}) == len(drawn)
-    assert {f.trouble for s in drawn for f in s.faults} == set(FaultKind)
+    assert {f.kind for s in drawn for f in s.faults} == set(FaultKind)
     names = process_names(processes)
     for schedule in drawn:
-        killed = {f.targets[0] for f in schedule.faults if f.trouble in KILL_FAULTS}
+        killed = {f.targets[0] for f in schedule.faults if f.kind in KILL_FAULTS}
         assert len(killed) <= (processes - 1) // 2
         for i, one in enumerate(schedule.faults):
             assert one.number == i and set(one.affected_processes(names)) <= set(names)
@@ -30,8 +30,8 @@
 def test_faults_overlap_on_the_same_link_or_process_at_the_same_time() -> None:
     names = process_names(4)
 
-    def fault(trouble: FaultKind, *targets: str, at_s: float = 1.0) -> Fault:
-        return Fault(0, at_s, 1.0, trouble, targets)
+    def fault(kind: FaultKind, *targets: str, at_s: float = 1.0) -> Fault:
+        return Fault(0, at_s, 1.0, kind, targets)
 
     partition = fault(FaultKind.PARTITION, "n1", "n2")
     assert partition.overlaps(fault(FaultKind.LOSS, "n3", "n1", at_s=1.9), names)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from robinhill.emulator.client import Clients, Tenant
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.program import LoopbackSite, loopback_site
 from robinhill.emulator.site import free_address
 from robinhill.net.metrics import Metrics
 from robinhill.placement.list_lease import ListLease, ListOrigin
@@ -38,7 +38,7 @@
 
 
 def test_program_logs_list_version_per_attempt_and_reason_per_rejection() -> None:
-    async def generate_load(setup: Town) -> str:
+    async def generate_load(setup: LoopbackSite) -> str:
         clients = Clients(setup.site, lambda: setup.program.listen, setup.journal, seed=3)
         await clients.play([Tenant("one", 40.0)], 1.0)
         metrics = (await setup.program.call("GET", "/ops/stats"))[1]
@@ -46,7 +46,7 @@
         return setup.program.log.read_text()
 
     async def run() -> str:
-        async with town(workers=1, slots=1, operator=DEBUG) as setup:
+        async with loopback_site(workers=1, slots=1, operator=DEBUG) as setup:
             return await generate_load(setup)
 
     text = asyncio.run(run())
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -17,7 +17,7 @@
 
 from robinhill.checker.journal import EventType
 from robinhill.emulator.client import Clients, Tenant
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.program import LoopbackSite, loopback_site
 from robinhill.emulator.site import JobKind, Site
 from robinhill.placement.watch_schedule import LIST_CHANGE_BOUND_US
 
@@ -30,9 +30,9 @@
 
 
 @asynccontextmanager
-async def served(changes: dict[str, str]) -> AsyncIterator[Town]:
+async def served(changes: dict[str, str]) -> AsyncIterator[LoopbackSite]:
     """Start a site and run clients until its program has sent requests to each worker."""
-    async with town(Site(kinds=KINDS, changes=dict(changes)), workers=4) as setup:
+    async with loopback_site(Site(kinds=KINDS, changes=dict(changes)), workers=4) as setup:
         await run_clients(setup, 1.0)
         assert {e.worker for e in setup.journal.events if e.what is EventType.SENT} == {
             "w0",
@@ -43,20 +43,20 @@
         yield setup
 
 
-async def run_clients(setup: Town, seconds: float) -> list[int]:
+async def run_clients(setup: LoopbackSite, seconds: float) -> list[int]:
     """Send requests for ``seconds``; return the status of each response, 0 where none arrived."""
     clients = Clients(setup.site, lambda: setup.program.listen, setup.journal, seed=next(SEEDS))
     await clients.play(LOAD, seconds)
-    return [attempt.status for request in clients.asked for attempt in request.tries]
+    return [attempt.status for request in clients.requested_jobs for attempt in request.tries]
 
 
-def drain_and_remove_workers(setup: Town) -> None:
+def drain_and_remove_workers(setup: LoopbackSite) -> None:
     """Drain one of four workers and remove another; both would still run jobs that they receive."""
-    setup.discovery.tell(setup.workers[0], "leaving")
-    setup.discovery.tell(setup.workers[1], "left")
+    setup.discovery.publish(setup.workers[0], "leaving")
+    setup.discovery.publish(setup.workers[1], "left")
 
 
-async def start_unanswered(setup: Town) -> asyncio.Task[None]:
+async def start_unanswered(setup: LoopbackSite) -> asyncio.Task[None]:
     """Start a new process; return once it has called discovery, which withholds its response."""
     await setup.program.kill()
     earlier_calls = len(setup.discovery.calls)
@@ -67,7 +67,7 @@
     return starting
 
 
-def sent_to_removed(setup: Town, since: float) -> int:
+def sent_to_removed(setup: LoopbackSite, since: float) -> int:
     return sum(
         e.what is EventType.SENT and e.worker in REMOVED_WORKERS and e.at > since
         for e in setup.journal.events
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -9,7 +9,7 @@
 import pytest
 
 from robinhill.emulator.client import Clients, Tenant
-from robinhill.emulator.program import town
+from robinhill.emulator.program import loopback_site
 from robinhill.model.describe import DescriptionError
 from robinhill.model.recorded import load
 from robinhill.model.sites import KINDS
@@ -150,12 +150,12 @@
 
     async def run_clients() -> tuple[int, str]:
         operator = {"admission": {"enabled": True}, "record": {"folder": str(tmp_path)}}
-        async with town(workers=2, operator=operator) as here:
+        async with loopback_site(workers=2, operator=operator) as here:
             clients = Clients(here.site, lambda: here.program.listen, here.journal, seed=3)
             await clients.play([Tenant("a", 12.0), Tenant("b", 6.0)], 2.0)
             _, stats = await here.program.call("GET", "/ops/stats")
             assert await here.program.stop() == 0
-            return len(clients.asked), stats
+            return len(clients.requested_jobs), stats
 
     asked, stats = asyncio.run(run_clients())
     assert "app.record.dropped:0|c" in stats
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -4,7 +4,7 @@
 import signal
 from collections import Counter
 
-from robinhill.emulator.program import Town, town
+from robinhill.emulator.program import LoopbackSite, loopback_site
 
 CONNECTIONS = 50
 
@@ -43,7 +43,7 @@
         writer.close()
 
 
-async def _terminate_under_load(setup: Town) -> tuple[Counter[str], int]:
+async def _terminate_under_load(setup: LoopbackSite) -> tuple[Counter[str], int]:
     """Send SIGTERM once each client has had a 200; return the outcomes and the program's exit code."""
     outcomes: Counter[str] = Counter()
     clients = [Client(number, outcomes) for number in range(CONNECTIONS)]
@@ -58,7 +58,7 @@
 
 def test_requests_after_sigterm_are_answered_and_each_connection_gets_connection_close() -> None:
     async def run() -> None:
-        async with town(workers=6, slots=16) as setup:
+        async with loopback_site(workers=6, slots=16) as setup:
             outcomes, code = await _terminate_under_load(setup)
         assert code == 0
         assert outcomes["closed unanswered"] == 0 and outcomes["connection: close"] == CONNECTIONS, outcomes
