--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -1,19 +1,24 @@
 """Detection of workers to cordon automatically, from the observations of several schedulers.
 
+An observer is a scheduler that measures workers. For a worker and a cause (one of ``budget.CAUSES``) it
+reports an *amount*: a share of attempts, or a time as a multiple of the expected time (`Observation`).
+
 A worker is a suspect if a quorum of observers, and more than half of all observers of the worker, find it an
-outlier: its amount is above an absolute threshold, and exceeds the baseline by a margin derived from the same
-threshold. The baseline is the highest of the observer's own median over similar workers and the medians over
-fleet, zone, machine type and cell. So in a group that is slow as a whole, a suspect must be slower still.
-
-If more than COMMON_CAUSE_SHARE of such a group is above the absolute threshold, according to half a quorum of
-observers each, the cause is common to the group. Cordons don't remove a common cause, so no worker of the
-group is proposed. If an observer reports more than MAX_OVER_THRESHOLD_SHARE of its workers above a threshold,
-the fault is likely its own, and its observations are discarded.
-
-The same evidence gives the same proposals at every scheduler. For each worker the schedulers have a different
-order: the first proposes the cordon at once, and each later one only if no earlier one has done so by its
-turn. Each scheduler applies the budget to the proposals in its copy, see ``budget``. This module performs no
-I/O. Times are Unix microseconds.
+outlier: its amount reaches the absolute threshold of the cause, and exceeds a baseline by a margin derived
+from the same threshold. The baseline is the highest of the observer's own median over similar workers and the
+medians over all observers for the fleet and for the worker's zone, machine type and cell. So in a group that
+is slow as a whole, a suspect must be slower than the group by the margin.
+
+If more than COMMON_CAUSE_SHARE of the workers in the fleet or in a zone, machine type or cell are unhealthy,
+the cause is common to the group. Cordons don't remove a common cause, so no worker of the group is proposed.
+A worker is unhealthy if it has an automatic cordon, or if half a quorum and most of its observers find its
+amount at or above an absolute threshold. If an observer reports more than MAX_OVER_THRESHOLD_SHARE of its
+workers as over a threshold, the fault is likely the observer's, and all its observations are discarded.
+
+The same evidence gives the same proposals at every scheduler. The order in which schedulers may propose a
+cordon differs from worker to worker: the first scheduler proposes the cordon at once, and each later one only
+if its copy of the cordons has no automatic cordon of the worker at its turn. Each scheduler applies the
+budget to all proposals in its copy, see ``budget``. This module performs no I/O. Times are Unix microseconds.
 """
 
 import math
@@ -31,18 +36,18 @@
 from robinhill.cordon.value import AUTOMATIC_ID_PREFIX, CordonSet, Reason, is_cordon_id
 
 MULTIPLE_CAUSES = frozenset({"lagging", "slow"})
-"""Causes whose amounts are multiples of the expected time. The amounts of the other causes are shares."""
+"""Causes whose amounts are multiples of the expected time. Amounts of other causes are shares of attempts."""
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """An observer's measurement of a worker up to ``at_us``, whether the worker is healthy or not.
+    """An observer's measurement of a worker, made up to ``at_us``. Healthy workers are reported too.
 
     The meaning of ``amount`` depends on the cause: for 'silent' and 'failing' it is the share of attempts,
     for 'slow' and 'lagging' the time taken as a multiple of the expected time. ``baseline`` is the observer's
     median amount over workers of the same zone and machine type, or over all workers if it knows fewer than
-    four of these. ``worker_count`` is the number of workers that it observed. A single failure is not
-    reported as an observation.
+    four of these. ``worker_count`` is the number of workers that the observer observed. A single failure is
+    not reported as an observation.
     """
 
     observer: str
@@ -58,8 +63,9 @@
 class DetectionOptions:
     """Thresholds of detection; all schedulers must have the same values.
 
-    ``quorum``: the number of observers that must agree. ``duration_us``: the duration of a worker's first
-    automatic cordon.
+    ``quorum``: the number of observers that must agree. ``..._share`` and ``..._multiple``: the threshold of
+    each cause. ``max_observation_age_us``: older observations are ignored. ``duration_us``: the duration of a
+    worker's first automatic cordon.
     """
 
     quorum: int = limits.DEFAULT_QUORUM
@@ -85,7 +91,7 @@
             )
 
     def threshold(self, cause: str) -> float:
-        """Return the lowest amount that makes a worker an outlier among workers without faults."""
+        """Return the lowest amount that makes a worker an outlier if all others are healthy."""
         return {
             "silent": self.silent_share,
             "failing": self.failing_share,
@@ -94,7 +100,11 @@
         }[cause]
 
     def is_outlier(self, cause: str, amount: float, baseline: float) -> bool:
-        """Return whether an amount is above the threshold both by itself and relative to the baseline."""
+        """Return whether an amount reaches the threshold and exceeds the baseline by the margin.
+
+        A multiple must also reach the threshold times the baseline (at least 1), and a share must also reach
+        the baseline plus half of the threshold. With a baseline of 0 only the absolute threshold counts.
+        """
         threshold = self.threshold(cause)
         if cause in MULTIPLE_CAUSES:
             return amount >= threshold * max(baseline, 1.0)
@@ -105,7 +115,8 @@
 class Suspect:
     """A worker that a quorum of observers finds an outlier.
 
-    ``since_us`` is when the quorum was complete. ``amount`` is the observers' median for ``cause``.
+    ``cause`` is the cause with the most outlying observations, and ``amount`` the median of these.
+    ``since_us`` is the time of the observation that completed the quorum.
     """
 
     worker: str
@@ -116,7 +127,7 @@
 
 
 class ObservationKey(NamedTuple):
-    """Identifies the observation that a newer one replaces."""
+    """The identity of an observation: a newer observation with the same key replaces it."""
 
     observer: str
     worker: str
@@ -128,7 +139,7 @@
     """The usable observations of one worker."""
 
     observers: set[str]  # all observers of the worker
-    over_threshold: set[str]  # observers that measured an amount above the absolute threshold
+    over_threshold: set[str]  # observers that measured an amount at or above the absolute threshold
     outlying: dict[str, list[Observation]]  # by cause: observations that make the worker an outlier
 
 
@@ -142,11 +153,12 @@
 ) -> tuple[Suspect, ...]:
     """Return the workers that a quorum of observers finds outliers, by ascending ID.
 
-    ``evidence_after_us``: by worker, the time up to which its observations no longer count as evidence.
-    ``cordoned``: workers that already have an automatic cordon and so get no new evidence; they count towards
-    a common cause.
+    Workers of a group with a common cause are left out. ``evidence_after_us``: by worker, the time up to
+    which its observations no longer count as evidence. ``cordoned``: workers that already have an automatic
+    cordon; they count towards a common cause even without evidence, as they get no attempts to be measured.
     """
-    # Observations before ``evidence_after_us`` still count in the check of their observer and in baselines.
+    # Observations up to ``evidence_after_us`` are no evidence about their worker, but they still count in the
+    # check whether their observer is reliable, and in the baselines.
     latest = _discard_unreliable(_find_latest(now_us, observations, workers, options), options)
     evidence = _collect_evidence(latest, workers, options, evidence_after_us or {})
     unhealthy = {worker for worker, each in evidence.items() if _is_unhealthy(each, options)}
@@ -168,10 +180,11 @@
     workers: Mapping[str, Location],
     options: DetectionOptions | None = None,
 ) -> tuple[tuple[str, Reason], ...]:
-    """Return the automatic cordons that this scheduler should set now, as targets and reasons.
+    """Return the automatic cordons that this scheduler should set at ``now_us``, as targets and reasons.
 
-    ``items`` are all cordons, by target; ``alive`` are the schedulers that may propose. A worker is not
-    proposed while it has an automatic cordon, nor within LIFT_COOLDOWN_US after an operator lifted one.
+    ``items`` are all cordons, by target; ``alive`` are the names of the schedulers that may propose cordons.
+    A worker is not proposed while it has an automatic cordon. After an operator has lifted one, observations
+    count again from LIFT_COOLDOWN_US later on.
     """
     options, others = options or DetectionOptions(), frozenset(alive) - {own_name}
     histories = {worker: _read_history(now_us, items.get(f"worker/{worker}")) for worker in workers}
@@ -191,8 +204,9 @@
 class _History:
     """Summary of a worker's automatic cordons.
 
-    ``times`` is the number of consecutive automatic cordons, the last of which ended within the past
-    REPEAT_WINDOW_US; 0 if there is none.
+    ``is_active``: whether the worker has an automatic cordon that has not ended. ``evidence_after_us``:
+    observations up to this time are no evidence for a further cordon. ``times``: the number of consecutive
+    automatic cordons, the last of which ended within the past REPEAT_WINDOW_US; 0 if none ended within it.
     """
 
     is_active: bool
@@ -206,7 +220,8 @@
     reasons = [entry.reason for entry in value.entries if entry.reason.automatic]
     ended = [reason for reason in reasons if reason.has_ended(now_us)]
     recent = [reason.times for reason in ended if reason.until_us + limits.REPEAT_WINDOW_US > now_us]
-    # A lift that was dated by a clock far ahead must not prevent automatic cordons until that time.
+    # The clock of the host that wrote the lift may be far ahead. Such a time is ignored, as it would prevent
+    # automatic cordons until then.
     lifted_us = value.lifted_us if value.lifted_us <= now_us + limits.MAX_CLOCK_SKEW_US else 0
     cooldown_end_us = lifted_us + limits.LIFT_COOLDOWN_US if lifted_us else 0
     evidence_after_us = max([cooldown_end_us, *(reason.until_us for reason in ended)])
@@ -235,7 +250,7 @@
 
 
 def _proposal_turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
-    """Return this scheduler's place in the order of schedulers for a worker, at most MAX_PROPOSAL_TURNS."""
+    """Return how many schedulers precede this one in the order for a worker, at most MAX_PROPOSAL_TURNS."""
 
     def rank(name: str) -> bytes:
         return blake2s(f"{worker}\0{name}".encode(), digest_size=8).digest()
@@ -250,7 +265,7 @@
     workers: Mapping[str, Location],
     options: DetectionOptions,
 ) -> dict[ObservationKey, Observation]:
-    """Return the latest valid observation for each key."""
+    """Return the latest valid observation of a listed worker for each key."""
     latest: dict[ObservationKey, Observation] = {}
     for each in observations:
         if each.worker not in workers or not _is_valid(now_us, each, options):
@@ -275,9 +290,10 @@
 def _discard_unreliable(
     latest: dict[ObservationKey, Observation], options: DetectionOptions
 ) -> dict[ObservationKey, Observation]:
-    """Discard all observations of observers that report too large a share of their workers over a threshold.
+    """Discard all observations by observers that report too many of their workers as over a threshold.
 
-    The number of an observer's workers is the highest ``worker_count`` of its observations.
+    Too many are several workers that make up more than MAX_OVER_THRESHOLD_SHARE. The number of an observer's
+    workers is the highest ``worker_count`` of its observations.
     """
     over_threshold: dict[str, set[str]] = defaultdict(set)
     worker_counts: dict[str, int] = {}
@@ -317,14 +333,14 @@
 
 
 def _is_unhealthy(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
-    """Return whether half a quorum, and most of a worker's observers, find the worker above the threshold."""
+    """Return whether half a quorum, and most of a worker's observers, find the worker over a threshold."""
     over, observers = len(evidence.over_threshold), len(evidence.observers)
     return 2 * over >= options.quorum and 2 * over > observers
 
 
 def _make_suspect(worker: str, evidence: _WorkerEvidence, options: DetectionOptions) -> Suspect | None:
     """Return a worker as a suspect; None if no quorum of observers finds it an outlier."""
-    observers: dict[str, int] = {}  # by observer: the time of its first observation that finds an outlier
+    observers: dict[str, int] = {}  # by observer: time of its first observation of an outlying amount
     outlying = [each for observations in evidence.outlying.values() for each in observations]
     for each in sorted(outlying, key=lambda each: each.at_us):
         observers.setdefault(each.observer, each.at_us)
@@ -341,7 +357,7 @@
 
 
 def _groups(worker: str, workers: Mapping[str, Location]) -> Sequence[str]:
-    """Return the groups of workers that a worker belongs to: '' for the fleet, and its group targets."""
+    """Return the groups that a worker belongs to: '' for the fleet, and its zone, kind and cell targets."""
     return "", *targets_of(worker, workers[worker])[1:]
 
 
@@ -356,9 +372,9 @@
 def _find_baselines(
     latest: dict[ObservationKey, Observation], workers: Mapping[str, Location]
 ) -> dict[str, dict[str, float]]:
-    """Return, by cause, the median of each group of at least MIN_GROUP_SIZE workers.
+    """Return, by cause, the median amount of each group of at least MIN_GROUP_SIZE workers.
 
-    Workers without an observation count as healthy.
+    A worker without an observation counts with the amount of a healthy one: 1 for multiples, 0 for shares.
     """
     amounts: dict[str, dict[str, list[float]]] = {cause: defaultdict(list) for cause in CAUSES}
     for key, each in latest.items():
@@ -380,7 +396,10 @@
 
 
 def _find_common_causes(unhealthy: AbstractSet[str], workers: Mapping[str, Location]) -> set[str]:
-    """Return the groups in which more than COMMON_CAUSE_SHARE of the workers are unhealthy or cordoned."""
+    """Return the groups with a common cause: several workers, more than COMMON_CAUSE_SHARE, are unhealthy.
+
+    ``unhealthy`` includes the workers with an automatic cordon. Groups below MIN_GROUP_SIZE are left out.
+    """
     counts: dict[str, int] = defaultdict(int)
     for worker in unhealthy:
         for group in _groups(worker, workers):
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -1,9 +1,10 @@
 """The budget: how many workers automatic cordons may take out of service.
 
-An automatic reason is a proposal. Every copy ranks all proposals by the same total order and admits each one
-that does not exceed a share of the budget; the others wait. So no copy ever cordons more than the budget, in
-whatever order the proposals of several schedulers arrive. Copies with the same proposals and workers admit
-the same proposals, so schedulers need no coordination before they propose.
+An automatic reason is a proposal. Each scheduler has a copy of all proposals, ranks them by the same total
+order as the others, and admits each one that does not exceed a share of the budget. A proposal that is not
+admitted has no effect until the budget has room for it. So no scheduler ever cordons more workers than the
+budget allows, in whatever order the proposals of several schedulers arrive. Schedulers with the same
+proposals and workers admit the same proposals, so they need no coordination before they propose.
 """
 
 from collections import Counter
@@ -18,7 +19,7 @@
 CAUSES = ("silent", "failing", "lagging", "slow")
 """Causes of automatic cordons, most severe first. Causes that only newer versions know rank after these."""
 
-ROUNDING = 1e-9  # a float product may be slightly too small: 0.29 * 100 is 28.999999999999996
+ROUNDING = 1e-9  # added before rounding down, as a product may be too small: 0.29 * 100 is 28.999999999999996
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,8 +35,8 @@
 class Budget:
     """Maximum shares of workers with automatic cordons; must be the same at all schedulers.
 
-    They are shares of the workers that operators have not cordoned. The resulting number of workers is
-    rounded down: with a share of 0.1 and nine workers there are no automatic cordons.
+    They are shares of those listed workers that operators have not cordoned. The resulting number of workers
+    is rounded down: with a share of 0.1 and nine workers there are no automatic cordons.
     """
 
     fleet_share: float = limits.FLEET_SHARE
@@ -55,8 +56,10 @@
     ) -> set[tuple[str, str]]:
         """Return the (target, ID) pairs of the proposals that are within the budget.
 
-        ``proposals`` are pairs of target and entry; ``matching`` are the workers of each target. Among
-        proposals with the same cause the older is admitted first, so a newer one never displaces it.
+        ``proposals`` are pairs of target and entry; ``matching`` are the listed workers of each target;
+        ``workers`` are all listed workers. A worker that operators have cordoned uses no budget. Proposals
+        are ranked by the severity of their cause, and with the same cause the older one is admitted first,
+        so a newer one never displaces it.
         """
         free = [location.zone for worker, location in workers.items() if worker not in operator_cordoned]
         fleet_capacity = floor(self.fleet_share * len(free) + ROUNDING)
--- a/robinhill/cordon/codec.py
+++ b/robinhill/cordon/codec.py
@@ -1,7 +1,7 @@
 """The encoding of a target's cordons for peers and files, and the validation of values from peers and files.
 
 The encoding is canonical: each value has exactly one encoding. `decode` rejects any other encoding, and
-values that no writer within the limits could have produced.
+values that break a rule which all writers follow. A *dot* identifies one write of a process, see `value`.
 """
 
 import msgspec
@@ -25,7 +25,7 @@
 
 
 def encode(value: CordonSet) -> bytes:
-    """Return the canonical encoding. Equal values have equal bytes, as all parts of a value are ordered."""
+    """Return the canonical encoding. Equal values have equal bytes, as all parts of a value are sorted."""
     return _encoder.encode(value)
 
 
@@ -71,15 +71,15 @@
         or _find_order_violation(value)
         or next((violation for seen in value.seen if (violation := _find_seen_violation(seen))), "")
         or _find_entries_violation(value)
-        or ("" if 0 <= value.lifted_us <= limits.MAX_INTEGER else "lifted_us is out of range")
+        or ("" if 0 <= value.lifted_us <= limits.MAX_INTEGER else "lifted_us is negative or too large")
     )
 
 
 def _find_size_violation(value: CordonSet) -> str:
     if len(value.entries) > limits.MAX_ENTRIES or len(value.seen) > limits.MAX_WRITERS:
-        return "too many entries or writers"
+        return f"more than {limits.MAX_ENTRIES} entries or {limits.MAX_WRITERS} writers"
     if sum(len(s.ranges) for s in value.seen) > limits.MAX_RANGES:
-        return "too many counter ranges"
+        return f"more than {limits.MAX_RANGES} ranges of seen counters"
     return ""
 
 
@@ -96,11 +96,11 @@
 def _find_seen_violation(seen: SeenDots) -> str:
     ranges = seen.ranges
     if not is_line(seen.origin, limits.MAX_NAME_CHARS):
-        return "a writer's name is too long or not one line"
+        return f"a writer's name is longer than {limits.MAX_NAME_CHARS} characters or not one line"
     if not ranges or ranges != join_ranges(ranges) or any(low > high for low, high in ranges):
         return "counter ranges are missing, overlap or are not in ascending order"
     if not (ranges[0][0] >= 1 and ranges[-1][1] <= limits.MAX_INTEGER):
-        return "a counter is out of range"
+        return f"a seen counter is not in the range 1 to {limits.MAX_INTEGER}"
     return ""
 
 
@@ -108,7 +108,7 @@
     seen = by_writer(value.seen)
     for entry in value.entries:
         if not has_seen(seen, entry.dot):
-            return "the dot of an entry is not among the seen dots"
+            return "the dot of an entry (its writer and counter) is not among the seen dots"
         if violation := _find_reason_violation(entry.reason):
             return violation
     return ""
@@ -118,9 +118,9 @@
     if not is_cordon_id(reason.id) or not is_line(reason.text, limits.MAX_TEXT_CHARS):
         return "the ID or text of a reason is invalid"
     if not all(is_line(name, limits.MAX_NAME_CHARS) for name in (reason.by, reason.cause, *reason.observers)):
-        return "a name or cause in a reason is too long or not one line"
+        return f"a name or cause in a reason exceeds {limits.MAX_NAME_CHARS} characters or is not one line"
     if not (0 <= reason.since_us <= limits.MAX_INTEGER and 0 <= reason.until_us <= limits.MAX_INTEGER):
-        return "since_us or until_us of a reason is out of range"
+        return f"since_us or until_us of a reason is not in the range 0 to {limits.MAX_INTEGER}"
     if len(reason.observers) > limits.MAX_OBSERVERS or (reason.automatic and not reason.until_us):
-        return "a reason has too many observers, or is automatic and has no end"
+        return f"a reason has more than {limits.MAX_OBSERVERS} observers, or is automatic and has no end"
     return ""
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -53,7 +53,7 @@
 
 
 class CordonsFull(CordonError):
-    """A target already has the maximum number of reasons."""
+    """A target already has the maximum number of reasons. Nothing was changed."""
 
     code = "CordonsFull"
     advice = "lift cordons that are no longer needed, or replace one by using its ID"
@@ -67,7 +67,10 @@
 
 
 class NotAccepted(CordonError):
-    """At the deadline no majority of the schedulers was known to hold the change; it continues to spread."""
+    """When the call's wait ended, the change was not accepted: no majority was known to store it.
+
+    The majority is one of the schedulers, or of a control group's voters. The change continues to spread.
+    """
 
     code = "NotAccepted"
     advice = "check which schedulers are down or unreachable; the listing shows when it is accepted"
@@ -78,7 +81,10 @@
 
 
 class BoundNotMet(CordonError):
-    """At the deadline some schedulers had not confirmed the accepted change; it continues to spread."""
+    """When the call's wait ended, the change was accepted, but some schedulers had not confirmed it.
+
+    The change continues to spread.
+    """
 
     code = "BoundNotMet"
     advice = "the named schedulers may still act without the change: check whether they run, or stop them"
@@ -89,7 +95,7 @@
 
 
 class TooManyCalls(CordonError):
-    """Callers wait for the maximum number of changes. Nothing was changed."""
+    """Calls already wait for the maximum number of changes, so this one was rejected. Nothing was changed."""
 
     code = "TooManyCalls"
     advice = "call without wait=, or retry when other calls have ended"
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -1,7 +1,8 @@
 """Index of one scheduler's cordons: which listed workers are cordoned, and by which reasons.
 
-The index is derived from the values of all targets and from the list of workers. It decides which automatic
-cordons are within the budget, and never changes a value.
+A *listed* worker is on the list of workers that discovery provides. The index is derived from this list and
+from the values of all targets. It decides which automatic cordons are within the budget, and never changes a
+value. Times are Unix microseconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,14 +18,17 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkersCordoned:
-    """Listed workers, ascending, that get no new attempts from now on; attempts in flight continue."""
+    """Listed workers, ascending, that have become cordoned: they get no new attempts, running ones go on."""
 
     workers: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class WorkersUncordoned:
-    """Listed workers, ascending, that may get attempts again; their slow start begins at ``started_us``."""
+    """Listed workers, ascending, whose last cordon has ended: they may get attempts again.
+
+    ``started_us``: when the slow start of these workers begins.
+    """
 
     workers: tuple[str, ...]
     started_us: int
@@ -32,7 +36,11 @@
 
 @dataclass(slots=True, frozen=True)
 class IndexUpdate:
-    """The changes of an update, in order. ``next_end_us``: when the next cordon ends; 0 if none ever does."""
+    """The result of an update of the index.
+
+    ``events``: the workers whose state changed, cordoned ones first. ``next_end_us``: when the next active
+    cordon ends; 0 if none has an end.
+    """
 
     events: tuple[WorkersCordoned | WorkersUncordoned, ...]
     next_end_us: int
@@ -55,9 +63,9 @@
         self.budget = budget or Budget()
         self.workers: dict[str, Location] = {}
         self._matching: dict[str, set[str]] = {}  # listed workers, by target
-        self._active: dict[str, tuple[Entry, ...]] = {}  # by target
+        self._active: dict[str, tuple[Entry, ...]] = {}  # active entries, by target
         self._admitted: set[tuple[str, str]] = set()  # target and ID of automatic cordons within the budget
-        self._reasons: dict[str, tuple[Reason, ...]] = {}  # by cordoned worker
+        self._reasons: dict[str, tuple[Reason, ...]] = {}  # reasons in effect, by cordoned worker
         self._uncordoned_us: dict[str, int] = {}  # by listed worker: the time when its last cordon ended
 
     def update(
@@ -109,7 +117,7 @@
         return tuple((target, entry) for target in sorted(self._active) for entry in self._active[target])
 
     def is_in_effect(self, target: str, reason: Reason) -> bool:
-        """Return whether an active reason cordons its workers. An automatic one over the budget does not."""
+        """Return whether an active reason cordons its workers; automatic ones over the budget do not."""
         return not reason.automatic or (target, reason.id) in self._admitted
 
     def check_budget(self) -> None:
@@ -121,8 +129,8 @@
     def warnings(self, target: str) -> tuple[str, ...]:
         """Return warnings for an operator who cordons a target.
 
-        They name each zone and machine type in which the cordon leaves no available worker. There is also a
-        warning if no listed worker matches the target.
+        The warnings name each zone and machine type in which the cordon leaves no available worker. If no
+        listed worker matches the target, that is the only warning.
         """
         matching = self.matching(target)
         if not matching:
--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -5,52 +5,60 @@
 HOUR_US = 60 * MINUTE_US
 DAY_US = 24 * HOUR_US
 
-# Operator input. An ID is part of a URL's path; a text is shown on one line of a terminal.
+# Limits of operators' input. A cordon's ID is part of a URL's path; the text of its reason is shown on one
+# line of a terminal.
 MAX_ID_CHARS = 128
 MAX_TARGET_CHARS = 512  # the longest targets are 'worker/' followed by an instance ID
 MAX_TEXT_CHARS = 200
 MAX_NAME_CHARS = 128  # for the name of an operator, an observer or a scheduler
-MAX_BODY_BYTES = 4_096  # fits a request whose texts all have their maximum length and are escaped
-MAX_OBSERVERS = 16  # how many observers an automatic reason names
+# Holds a request whose texts all have their maximum length, as UTF-8 with four bytes for each character; not
+# if most of its characters are written as \uXXXX escapes.
+MAX_BODY_BYTES = 4_096
+MAX_OBSERVERS = 16  # the maximum number of observers that the reason of an automatic cordon names
 
-# Limits of one target. A writer adds no reason beyond MAX_REASONS. A merge of concurrent writes may exceed
-# MAX_REASONS, but a value from a peer that exceeds one of the limits below it is rejected.
-MAX_REASONS = 32
-MAX_ENTRIES = 1_024
+# Limits of the cordons of one target. A writer adds no reason beyond MAX_REASONS. A merge of concurrent
+# writes may exceed MAX_REASONS, but a value from a peer that exceeds MAX_ENTRIES, MAX_WRITERS, MAX_RANGES or
+# MAX_INTEGER is rejected.
+MAX_REASONS = 32  # number of different IDs
+MAX_ENTRIES = 1_024  # number of reasons, including several with the same ID that were written concurrently
 MAX_WRITERS = 2_048  # 200 schedulers, each started 10 times while one target was never without a cordon
-MAX_RANGES = 4_096
-MAX_INTEGER = 2**62  # as Unix microseconds, the year 146,000; fits an integer of MessagePack
+MAX_RANGES = 4_096  # number of ranges of seen counters, over all writers
+MAX_INTEGER = 2**62  # for counters and Unix microseconds (146,000 years); fits an integer of MessagePack
 
-MAX_TARGETS = 8_192  # 1,000 workers with eight generations of instance IDs each
-RECORD_LIFETIME_US = 30 * DAY_US  # the record of a cordon that lasts longer is renewed before it expires
-# How long reasons that have ended are retained. This covers clock skew, and REPEAT_WINDOW_US, within which an
-# automatic cordon that has ended makes the next one of the worker longer.
+MAX_TARGETS = 8_192  # 1,000 workers, each with eight successive instance IDs
+RECORD_LIFETIME_US = 30 * DAY_US  # a record is renewed before it expires while it has a longer cordon
+# A reason is retained for this time after its end. The time exceeds the clock skew between hosts, and
+# REPEAT_WINDOW_US, within which an automatic cordon that has ended makes the worker's next one longer.
 ENDED_RETENTION_US = DAY_US
 
-MAX_DURATION_US = 366 * DAY_US
+MAX_DURATION_US = 366 * DAY_US  # of a cordon with an end
 MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations dated further into the future are ignored
 
-# Margins added to the propagation bound. NTP slews a clock by at most 500 ppm. SEND_SLACK_US covers a send
-# that the lease allowed and that is still on its way to the worker.
+# Margins added to the propagation bound. NTP slews a clock by at most 500 ppm, so the rates of two clocks
+# differ by at most 1,000 ppm (CLOCK_DRIFT_SHARE). SEND_SLACK_US covers a send that the lease allowed and that
+# is still on its way to the worker.
 CLOCK_DRIFT_SHARE = 0.001
 SEND_SLACK_US = 20_000
-MAX_PROPAGATIONS = 1_024
-MAX_WAIT_US = 10 * MINUTE_US
+MAX_PROPAGATIONS = 1_024  # the number of changes whose propagation a process tracks
+MAX_WAIT_US = 10 * MINUTE_US  # the longest time that an operator's call may wait for its change
 
 # Automatic cordons: defaults of ``automatic.DetectionOptions`` and ``budget.Budget``.
-DEFAULT_QUORUM = 3
-FLEET_SHARE = 0.1
-ZONE_SHARE = 0.2
-MAX_OBSERVATION_AGE_US = 30 * SECOND_US
-# An observer that reports a larger share of its workers beyond a threshold is likely faulty itself.
+DEFAULT_QUORUM = 3  # observers that must agree on a worker
+FLEET_SHARE = 0.1  # maximum share of the fleet's workers with automatic cordons
+ZONE_SHARE = 0.2  # maximum share of a zone's workers with automatic cordons
+MAX_OBSERVATION_AGE_US = 30 * SECOND_US  # older observations are ignored
+# An observer that reports a larger share of its workers as over a threshold is likely faulty itself.
 MAX_OVER_THRESHOLD_SHARE = 0.25
-# If a larger share of a group is unhealthy, the cause is common to the group and cordons don't remove it.
+# If a larger share of the workers in a fleet, zone, machine type or cell is unhealthy, the cause is common to
+# the group, and cordons don't remove it.
 COMMON_CAUSE_SHARE = 0.3
-AUTOMATIC_DURATION_US = 5 * MINUTE_US
+AUTOMATIC_DURATION_US = 5 * MINUTE_US  # duration of a worker's first automatic cordon
 MAX_AUTOMATIC_DURATION_US = 80 * MINUTE_US  # the default duration, doubled four times
-LIFT_COOLDOWN_US = 15 * MINUTE_US  # no automatic cordon this soon after an operator lifted one
-MIN_GROUP_SIZE = 4  # the median of a smaller group is not used as a baseline
-PROPOSAL_TURN_US = SECOND_US // 2  # delay between the turns of two schedulers to propose the same cordon
-MAX_PROPOSAL_TURNS = 8  # all schedulers further back in the order share the turn after these
-# An automatic cordon that begins this soon after the worker's last one ended has a longer duration.
+# After an operator has lifted an automatic cordon, its target gets no automatic cordon for this time.
+LIFT_COOLDOWN_US = 15 * MINUTE_US
+MIN_GROUP_SIZE = 4  # a smaller group has no baseline and no common cause
+PROPOSAL_TURN_US = SECOND_US // 2  # delay between the turns of two successive schedulers to propose a cordon
+MAX_PROPOSAL_TURNS = 8  # number of schedulers with a turn of their own; all later ones share the next turn
+# An automatic cordon lasts twice as long as the worker's last one if it begins within this time after the end
+# of the last one, up to MAX_AUTOMATIC_DURATION_US.
 REPEAT_WINDOW_US = 2 * MAX_AUTOMATIC_DURATION_US
--- a/robinhill/cordon/peer_state.py
+++ b/robinhill/cordon/peer_state.py
@@ -1,18 +1,20 @@
-"""A scheduler's record of one of its peers: the last acknowledgement, the link and the incarnation."""
+"""A scheduler's knowledge of one of its peers: the last acknowledgement, the link and the incarnation."""
 
 from dataclasses import dataclass
 
 from robinhill.cordon.propagation import ProcessStatus
 from robinhill.mesh.acknowledgements import Acknowledgement
 
-GONE_AFTER_US = 5_000_000  # a peer that has had no link for longer is "gone", before that "suspect"
+GONE_AFTER_US = 5_000_000  # a peer whose link was lost is "suspect" for this time, and after it "gone"
 
 
 @dataclass(slots=True)
 class PeerState:
-    """The state of another scheduler as known here.
+    """The state of another scheduler (the peer) as known to this scheduler.
 
-    ``link_changed_us`` is when the link to it last came up or went down; 0 before the first link.
+    ``linked``: whether there is a link to the peer. ``link_changed_us``: when the link last came up or went
+    down, on this process's monotonic clock; 0 before the first link. ``incarnation``: the latest incarnation
+    of the peer that is known; 0 if none is.
     """
 
     acknowledgement: Acknowledgement | None = None
@@ -22,7 +24,7 @@
 
     @property
     def current_acknowledgement(self) -> Acknowledgement | None:
-        """The peer's last acknowledgement; None if an earlier process of the peer wrote it."""
+        """The last acknowledgement; None if there is none, or if an earlier process of the peer wrote it."""
         last = self.acknowledgement
         return last if last and last.incarnation >= self.incarnation else None
 
@@ -39,10 +41,11 @@
         return ProcessStatus.GONE if gone else ProcessStatus.SUSPECT
 
     def is_lagging(self, target: str, digest: bytes | None, combined_digest: bytes) -> bool:
-        """Return whether the peer is not known to have applied a target's cordons as held in this copy.
+        """Return whether the peer is not known to have applied this scheduler's value of a target's cordons.
 
-        ``digest`` is this copy's digest of the target's cordons, ``combined_digest`` its digest of all
-        cordons. A peer that has left does not lag, whatever it had applied: it sends nothing more.
+        ``digest`` is the digest of that value, None if this scheduler has no value of the target;
+        ``combined_digest`` is this scheduler's digest of all cordons. A peer that has left does not lag,
+        whatever it had applied, because it sends no more attempts.
         """
         current = self.current_acknowledgement
         if current is None:
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -1,23 +1,23 @@
 """The propagation of a change of cordons: its stage, and the schedulers that have not confirmed the change.
 
 Each scheduler runs in one of two modes (`Mode`): without a lease it sends no new attempts (``hold``), or it
-continues to send (``serve``). Setting a cordon passes the stages received, stored (at this process), accepted
-and in force. Under ``hold`` the change is accepted once a majority of the configured schedulers holds it (the
-mesh counts them), under ``serve`` as soon as it is stored here. It is in force once one of the following is
-true of each scheduler:
+continues to send (``serve``). A change, which sets or lifts a cordon, passes the stages received, stored (at
+this process), accepted and in force. Under ``hold`` the change is accepted once a majority of the configured
+schedulers stores it (the mesh counts them), under ``serve`` as soon as this process stores it. A change that
+sets a cordon is in force once one of the following is true of each scheduler:
 
-- it has confirmed, *after its last send to the target's workers*, that it holds the change;
+- it has confirmed, *after its last send to the target's workers*, that it has applied the change;
 - its process has ended;
-- it is known to run under ``hold``, and the bound has passed since a majority was known to hold the change.
-  docs/mesh.md explains why no send can follow. A scheduler that changes to ``serve`` while it is partitioned
-  breaks this rule, so all schedulers must run in the same mode.
+- it is known to run under ``hold``, and its bound (the upper limit of the propagation time) has passed since
+  a majority was known to store the change. docs/mesh.md explains why the scheduler can't send after that. The
+  rule fails if a partitioned scheduler changes to ``serve``, so all schedulers must run in the same mode.
 
-Lifting a cordon is in force once each scheduler has confirmed the lift. A partitioned scheduler keeps the
-worker cordoned for as long as the partition lasts.
+A lift is in force once each scheduler has confirmed that it has applied the lift, or its process has ended.
+A partitioned scheduler keeps the worker cordoned for as long as the partition lasts.
 
 An unreachable scheduler (suspect or gone) can't be assumed to have stopped: it may still send on its side of
-the partition. A confirmation does not count for a later process of the same scheduler, which may have lost
-its state.
+a partition. A confirmation does not count for a later process of the same scheduler, which may have lost its
+state.
 
 This module performs no I/O. Times are microseconds of this process's monotonic clock (``mono_us``) and are
 never compared with times of another process.
@@ -41,13 +41,16 @@
 
 
 class ProcessStatus(Enum):
-    """State of a scheduler's process as known here. Replies to operators contain the values."""
+    """State of a scheduler's process as known to this scheduler.
+
+    The values are part of the reasons why a scheduler is unconfirmed, which operators receive.
+    """
 
     UNKNOWN = "not heard from since this scheduler started"
     ALIVE = "alive"
     SUSPECT = "suspect"
     GONE = "gone"
-    """There has been no link to the process for some time; it may still run."""
+    """There has been no link to the process for longer than GONE_AFTER_US; the process may still run."""
     LEFT = "left"
     """The process announced its end in an acknowledgement that it wrote after its last send."""
 
@@ -63,9 +66,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Scheduler:
-    """The state of one scheduler as known here.
+    """The state of one scheduler as known to this scheduler.
 
-    ``mode`` and ``bound_us`` are from the scheduler's acknowledgement; None and 0 before the first one.
+    ``incarnation``: the latest known one; 0 if none is known. ``mode`` and ``bound_us`` are from the last
+    acknowledgement by this incarnation; None and 0 without one. ``mode`` is also None if it is unknown to
+    this version.
     """
 
     name: str
@@ -77,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Unconfirmed:
-    """A scheduler that may still act without the change, and the reason (``why``)."""
+    """A scheduler that may still act as if the change had not been made, and the reason (``why``)."""
 
     name: str
     why: str
@@ -111,19 +116,19 @@
         self.is_lift = is_lift
         self.deadline_us = deadline_us
         self.stage = PropagationStage.RECEIVED
-        self.majority_since_us: int | None = None
+        self.majority_since_us: int | None = None  # when a majority was first known to store the change
         self._schedulers = {s.name: s for s in schedulers}
         if own_name not in self._schedulers:
             raise ValueError(f"{own_name} is not among the schedulers")
         self._confirmed_incarnations: dict[str, int] = {}  # by scheduler: latest incarnation that confirmed
 
     def mark_stored(self, mono_us: int) -> None:
-        """Record that the change is written at this process, and on disk if state is kept on disk."""
+        """Record that the change counts as stored at this process, see `PropagationTracker.track`."""
         self.stage = max(self.stage, PropagationStage.STORED)
         self.advance(mono_us)
 
     def mark_accepted(self, mono_us: int) -> None:
-        """Record that a majority holds the change. It remains accepted even if the majority is lost."""
+        """Record that a majority stores the change, which remains accepted even if the majority is lost."""
         if self.majority_since_us is None:
             self.majority_since_us = mono_us
         self.advance(mono_us)
@@ -136,7 +141,7 @@
         self.advance(mono_us)
 
     def update_scheduler(self, mono_us: int, scheduler: Scheduler) -> None:
-        """Record the state of a scheduler. A new scheduler must confirm the change too, as it will send."""
+        """Record the state of a scheduler. A new scheduler must confirm the change too, as it may send."""
         known = self._schedulers.get(scheduler.name)
         if known is None or scheduler.incarnation >= known.incarnation:
             self._schedulers[scheduler.name] = scheduler
@@ -158,16 +163,17 @@
         return self.stage
 
     def unconfirmed(self, mono_us: int) -> tuple[Unconfirmed, ...]:
-        """Return the schedulers that may still act without the change, sorted by name; none once in force."""
+        """Return the schedulers that may still act without the change, by name; none once it is in force."""
         if self.stage is PropagationStage.IN_FORCE:
             return ()
         checked = (self._check_scheduler(s, mono_us) for _, s in sorted(self._schedulers.items()))
         return tuple(unconfirmed for unconfirmed in checked if unconfirmed is not None)
 
     def next_deadline_us(self) -> int | None:
-        """Return when the caller's wait or the last awaited lease ends, whichever is first; None if neither.
+        """Return when the stage or the caller's wait may change without a further event; None if never.
 
-        At that time the state may change without a further event.
+        This is the earlier of two times: the caller's deadline, and the expiry of the last lease, if only the
+        expiry of leases is missing for the change to be in force.
         """
         if self.stage is PropagationStage.IN_FORCE:
             return None
@@ -182,7 +188,7 @@
     def failure(self, mono_us: int, missing: Sequence[str] = ()) -> CordonError | None:
         """Return the error for a caller whose wait has ended; None if the change is in force.
 
-        ``missing`` are the schedulers that are not known to hold the change.
+        ``missing`` are the schedulers that are not known to store the change.
         """
         if self.advance(mono_us) is PropagationStage.IN_FORCE:
             return None
@@ -222,9 +228,10 @@
 
 
 class Propagations:
-    """A bounded table of propagations. The key is the dot of a cordon, or chosen by the caller for a lift.
+    """A bounded table of propagations, by key.
 
-    At capacity, propagations that are in force are evicted first, then propagations without a waiting caller.
+    The key is the dot of the write that set the cordon; for a lift the caller chooses a unique key. At
+    capacity, propagations that are in force are evicted first, then propagations without a waiting caller.
     """
 
     def __init__(self, capacity: int = limits.MAX_PROPAGATIONS) -> None:
@@ -232,13 +239,13 @@
         self._by_key: dict[str, Propagation] = {}
 
     def add(self, key: str, propagation: Propagation) -> None:
-        """Add a propagation. Raises TooManyCalls if the table is full and callers wait for all of it."""
+        """Add a propagation. Raises TooManyCalls if the table is full and callers wait for all entries."""
         if key not in self._by_key:
             self.reserve()
         self._by_key[key] = propagation
 
     def reserve(self) -> None:
-        """Evict a propagation if the table is full; call this before a change is written.
+        """Evict a propagation if the table is full. Call this method before a change is written.
 
         Raises TooManyCalls if callers wait for all propagations in the table.
         """
@@ -253,7 +260,7 @@
     def end_waits(self, mono_us: int) -> tuple[str, ...]:
         """End the waits of callers whose change is in force or whose deadline has passed.
 
-        Returns the keys of these propagations, oldest first. Each wait ends once.
+        Returns the keys of these propagations, oldest first. Each key is returned only once.
         """
         ended = []
         for key, propagation in self._by_key.items():
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -1,9 +1,10 @@
 """Tracks the propagation of this process's changes of cordons by the acknowledgements of all schedulers.
 
-A scheduler's acknowledgement (`mesh.acknowledgements`) contains digests of the cordons that its dispatcher
-has applied. Merging never removes information from a copy. A scheduler that has applied a value which this
-copy held at the change or later has therefore applied the change. A digest of a value that this copy never
-held confirms nothing. That only delays a confirmation: the digests become equal once the copies are.
+Each scheduler has a copy of all cordons. Its acknowledgement (`mesh.acknowledgements`) contains digests of
+the cordons that its dispatcher has applied. Merging never removes information from a copy. So if a scheduler
+has applied a value which this process's copy held directly after a change or later, it has applied the
+change. A digest of a value that this process's copy never held confirms nothing. That only delays the
+confirmation: once the two copies are equal, so are their digests.
 
 This module performs no I/O: the caller passes in acknowledgements and times. ``mono_us`` is microseconds of
 this process's monotonic clock.
@@ -27,7 +28,7 @@
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
-MAX_DIGESTS = 256  # how many of the latest digests, per change and target, still confirm the change
+MAX_DIGESTS = 256  # number of digests retained for each change and target; older ones confirm nothing
 MODES = {mode.value for mode in Mode}
 
 
@@ -35,7 +36,9 @@
 class TrackedChange:
     """A change that this process wrote, and the digests that confirm it in a scheduler's acknowledgement.
 
-    ``stamps`` and ``digests`` are by target; ``overall_digests`` are digests of all cordons together.
+    ``began_us``: when the change was written. ``stamps``: the stamps of the written records, by target.
+    ``digests``: the digests of the values that this process's copy has held since the change, by target.
+    ``overall_digests``: its digests of all cordons since the change.
     """
 
     key: str
@@ -57,8 +60,9 @@
 class PropagationTracker:
     """The tracked changes of this process, and the known state of the other schedulers.
 
-    ``applied`` holds the digests of this process's copy; ``recent_targets`` are the most recently changed
-    targets, the latest at the end.
+    ``applied``: the digests of the cordons in this process's copy. ``recent_targets``: the most recently
+    changed targets, at most MAX_RECENT_CHANGES, the latest at the end. ``bound_us``: the bound that this
+    scheduler is configured with.
     """
 
     def __init__(self, own_name: str, mode: Mode, bound_us: int, quorum: Quorum) -> None:
@@ -88,7 +92,7 @@
     # Changes
 
     def record_value(self, target: str, value: bytes) -> None:
-        """Record that this copy now holds the encoded ``value`` for a target."""
+        """Record that this process's copy has the encoded ``value`` for a target from this time on."""
         digest = self.applied.put(target, value)
         self.recent_targets.pop(target, None)
         self.recent_targets[target] = None
@@ -110,10 +114,11 @@
         deadline_us: int | None,
         stored: bool,
     ) -> TrackedChange:
-        """Track a change that this process has just written; call this before `record_value`.
+        """Track a change that this process has just written. Call `record_value` for its records afterwards.
 
-        ``stored``: whether a change that this process holds counts as stored, see `mark_all_stored`. Raises
-        TooManyCalls.
+        ``written``: the records of the change. ``stored``: whether the change counts as stored at once. If
+        not, it counts as stored after `mark_all_stored`. Raises TooManyCalls if the maximum number of changes
+        is tracked and callers wait for all of them.
         """
         description = f"the lift of {cordon_id}" if is_lift else cordon_id
         schedulers = [self.scheduler(mono_us, name) for name in sorted({*self.peers, self.own_name})]
@@ -141,12 +146,12 @@
         return [change for change in self._changes.values() if change.propagation.stage is not in_force]
 
     def mark_all_stored(self, mono_us: int) -> None:
-        """Mark all changes as stored, as this process now counts for majorities."""
+        """Mark all tracked changes as stored; called when this process begins to count for majorities."""
         for change in self._changes.values():
             change.propagation.mark_stored(mono_us)
 
     def missing_holders(self, change: TrackedChange) -> tuple[str, ...]:
-        """Return the names of the schedulers that are not known to hold a change, ascending."""
+        """Return the names of the schedulers that are not known to store a change, ascending."""
         missing = {name for stamp in change.stamps.values() for name in self.acceptance.unconfirmed(stamp)}
         return tuple(sorted(missing))
 
@@ -189,7 +194,7 @@
                 self._confirm_changes(mono_us, name, acknowledgement)
 
     def record_start(self, mono_us: int, name: str, incarnation: int) -> bool:
-        """Record the incarnation of a peer. Returns whether it shows a restart that was not known yet."""
+        """Record the incarnation of a peer. Returns whether the peer has restarted: a lower one was known."""
         peer = self.peers[name]
         if incarnation <= peer.incarnation:
             return False
@@ -205,7 +210,7 @@
             self._update_propagations(mono_us, name)
 
     def scheduler(self, mono_us: int, name: str) -> Scheduler:
-        """Return the current state of a configured scheduler, as propagations use it."""
+        """Return the state of a configured scheduler at ``mono_us``, in the form that propagations use."""
         if name == self.own_name:
             return Scheduler(name, self.incarnation, ProcessStatus.ALIVE, self.mode, self.bound_us)
         peer = self.peers[name]
@@ -213,14 +218,15 @@
         current = peer.current_acknowledgement
         if current is None:
             return Scheduler(name, peer.incarnation, status)
-        # A mode that only newer versions know is treated as a mode without a lease.
+        # A mode that only newer versions know becomes None. Then the expiry of a lease proves nothing, and
+        # the scheduler must confirm each change.
         mode = Mode(current.mode) if current.mode in MODES else None
         return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
 
     def lagging_peers(self, target: str) -> tuple[str, ...]:
-        """Return the names of the peers not known to have applied a target's cordons as this copy holds them.
+        """Return the peers that are not known to have applied this process's value of a target's cordons.
 
-        The names ascend. A peer that has left is not among them: it sends nothing more.
+        The names ascend. A peer that has left is not among them, because it sends no more attempts.
         """
         digest, combined_digest = self.applied.get(target), self.applied.combined
         return tuple(
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -1,14 +1,15 @@
 """The cordons of one target as a replicated value: its reasons, each with the dot of the write that set it.
 
 Copies merge as an observed-remove set without tombstones (Bieniusa et al., "An optimized conflict-free
-replicated set", 2012). Every write of a reason gets a unique *dot*, which is never reused. A value holds the
-entries that are active, by dot, and the dots that it has *seen*: the dots of its entries and of all removed
-entries. The merge of two copies has an entry if both hold it, or if one holds it and the other has not seen
-its dot. So a lift removes only entries that its copy has seen: a cordon that another scheduler sets at the
-same time remains.
-
-Targets are 'worker/ID', 'zone/NAME', 'kind/NAME' and 'cell/NUMBER'. Times are Unix microseconds. Values are
-immutable: `set_cordon`, `lift_cordon` and `merge` return new ones. This module performs no I/O.
+replicated set", 2012). Every write of a reason gets a unique *dot*, which is never reused. An *entry* is a
+reason with its dot. A value contains its entries, and the dots that it has *seen*: the dots of its entries
+and of all removed entries. The merge of two copies has an entry if both copies have it, or if one copy has it
+and the other has not seen its dot. So a lift removes only entries that the lifting scheduler's copy contains:
+a cordon that another scheduler sets at the same time remains.
+
+Targets are 'worker/ID', 'zone/NAME', 'kind/NAME' (a machine type) and 'cell/NUMBER'. Times are Unix
+microseconds. Values are immutable: `set_cordon`, `lift_cordon` and `merge` return new ones. This module
+performs no I/O.
 """
 
 import re
@@ -19,10 +20,11 @@
 from robinhill.cordon import limits
 from robinhill.cordon.errors import CordonElsewhere, CordonMalformed, CordonsFull, CordonUnknown
 
-NAME = "cordon"
-VERSION = 1
+NAME = "cordon"  # the kind of the replica's records of cordons
+VERSION = 1  # of the encoding
 AUTOMATIC_ID_PREFIX = "auto-"  # reserved: operators can't set a cordon whose ID begins with it
-_LINE = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]*")  # str.isprintable() differs by Python version
+# Used instead of str.isprintable(), whose result differs by Python version.
+_LINE = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]*")
 _ID = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._:@-]{{0,{limits.MAX_ID_CHARS - 1}}}")
 _TARGET = re.compile(r"(worker|zone|kind)/\S(.*\S)?|cell/(0|-?[1-9][0-9]{0,17})")
 
@@ -30,7 +32,7 @@
 
 
 class Dot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The identity of one write. ``counter`` increases with each write of a process, to whatever target."""
+    """The identity of one write. ``counter`` increases with each write of a process, whatever its target."""
 
     origin: str
     incarnation: int
@@ -46,11 +48,12 @@
 
 
 class Reason(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Why a target is cordoned. ``until_us`` is the end of the cordon; 0: it lasts until it is lifted.
+    """One cordon of a target, and why it was set. ``id`` is the ID of the cordon.
 
-    ``by`` is the operator who set the cordon, or the scheduler that proposed it. Automatic reasons also have
-    ``cause`` (the observed fault), ``observers`` (the schedulers that observed it) and ``times`` (the number
-    of consecutive automatic cordons of the worker, this one included).
+    ``since_us`` is when the cordon was set; ``until_us`` is its end, 0 if it lasts until it is lifted. ``by``
+    is the operator who set the cordon, or the scheduler that proposed it. Automatic reasons also have
+    ``cause`` (the observed fault), ``observers`` (the schedulers that observed the fault) and ``times`` (the
+    number of consecutive automatic cordons of the worker, this one included).
     """
 
     id: str
@@ -76,7 +79,7 @@
 
 
 class SeenDots(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The dots of one process that a value has seen, as disjoint ascending ranges of counters."""
+    """The dots of one writer that a value has seen, as disjoint ascending ranges of counters."""
 
     origin: str
     incarnation: int
@@ -91,8 +94,8 @@
 class CordonSet(msgspec.Struct, frozen=True, array_like=True):
     """The cordons of one target; entries and writers are in ascending order.
 
-    ``lifted_us``: when an operator last lifted an automatic reason, or 0. Observations from before that time
-    are no evidence for a new automatic cordon.
+    ``lifted_us``: when an operator last lifted an automatic reason; 0 if never. Observations of the worker
+    from before that time, or up to LIFT_COOLDOWN_US after it, are no evidence for a new automatic cordon.
     """
 
     version: int = VERSION
@@ -107,7 +110,8 @@
 def active_entries(value: CordonSet, now_us: int) -> tuple[Entry, ...]:
     """Return the active entries, one for each ID, by ascending ID.
 
-    If an ID was written twice concurrently, both entries are active; the one with the later end is returned.
+    If an ID was written twice concurrently, both entries are active; the one with the later end is returned,
+    or the one without an end.
     """
     active = [e for e in value.entries if not e.reason.has_ended(now_us)]
     if len(active) < 2:
@@ -147,11 +151,12 @@
 
 
 def set_cordon(present: CordonSet | None, reason: Reason, dot: Dot, now_us: int) -> CordonSet:
-    """Return the value with a reason added, which replaces the reasons of the same ID in this copy.
+    """Return the value with a reason added, which replaces the reasons with the same ID in ``present``.
 
-    Setting a reason again is a separate write, so that the reason survives a concurrent lift; it keeps the
-    ``since_us`` of the first write. ``dot`` must be larger than all earlier dots of this process. Raises
-    CordonMalformed or CordonsFull.
+    A reason that is set again gets a new dot, so that it survives a concurrent lift of the earlier write; it
+    keeps the earliest ``since_us`` of the active reasons with its ID. ``dot`` must be larger than all earlier
+    dots of this process. Raises CordonMalformed if the reason is invalid, and CordonsFull if the target
+    already has MAX_REASONS others.
     """
     check_reason(reason, now_us)
     value = _without_expired(present or CordonSet(), now_us)
@@ -169,9 +174,10 @@
 
 
 def lift_cordon(present: CordonSet | None, cordon_id: str, now_us: int) -> CordonSet:
-    """Return the value without the reasons of an ID that this copy has seen.
+    """Return the value without the reasons that have an ID.
 
-    Raises CordonUnknown if the ID is not active in this copy.
+    Reasons with this ID that other copies contain, and that ``present`` has not seen, survive the merge.
+    Raises CordonUnknown if the ID is not active in ``present``.
     """
     value = _without_expired(present or CordonSet(), now_us)
     active = active_entries(value, now_us)
@@ -199,7 +205,7 @@
     for dot in own_entries.keys() | other_entries.keys():
         a, b = own_entries.get(dot), other_entries.get(dot)
         if a is not None and b is not None:
-            entries.append(max(a, b))  # both are equal unless a writer is faulty
+            entries.append(max(a, b))  # a and b are equal unless their writer is faulty
         elif a is not None and not has_seen(other_seen, dot):
             entries.append(a)
         elif b is not None and not has_seen(own_seen, dot):
@@ -214,11 +220,11 @@
 
 
 def needs_renewal(value: CordonSet, expires_us: int, now_us: int, *, is_last_writer: bool) -> bool:
-    """Return whether a record must be rewritten with the same value, because a reason outlasts the record.
+    """Return whether a record must be rewritten with the same value, because a cordon would outlast it.
 
-    ``expires_us`` is when the record expires. The last writer of the record renews it when half of the
-    record's lifetime remains. Any other scheduler renews it when a quarter remains, in case the last writer
-    no longer runs.
+    ``expires_us`` is when the record expires. The last writer of the record renews it when less than half of
+    the record's lifetime remains. Any other scheduler renews it when less than a quarter remains, in case the
+    last writer no longer runs.
     """
     outlasts = any(e.reason.until_us == 0 or e.reason.until_us > expires_us for e in value.entries)
     return outlasts and expires_us < now_us + limits.RECORD_LIFETIME_US // (2 if is_last_writer else 4)
@@ -262,7 +268,7 @@
 def check_reason(reason: Reason, now_us: int) -> None:
     """Raise CordonMalformed if a reason is invalid in a new write.
 
-    `codec.decode` has looser rules for values from peers; for example, it accepts reasons that have ended.
+    The rules of `codec.decode` for values from peers are looser: for example, it accepts ended reasons.
     """
     check_id(reason.id, automatic=reason.automatic)
     if not reason.text.strip() or not is_line(reason.text, limits.MAX_TEXT_CHARS):
@@ -279,7 +285,8 @@
         raise CordonMalformed("an automatic cordon must have an end")
     if len(reason.observers) > limits.MAX_OBSERVERS or not 1 <= reason.times <= limits.MAX_INTEGER:
         raise CordonMalformed(
-            "an automatic cordon has too many observers, or its repeat count is out of range"
+            f"an automatic cordon must name at most {limits.MAX_OBSERVERS} observers, and its repeat count"
+            f" must be 1 to {limits.MAX_INTEGER}"
         )
 
 
@@ -291,7 +298,7 @@
 def _without_expired(value: CordonSet, now_us: int) -> CordonSet:
     """Return the value without reasons that ended more than ENDED_RETENTION_US ago.
 
-    Despite clock skew, no scheduler regards these reasons as active.
+    ENDED_RETENTION_US exceeds the clock skew between hosts, so no scheduler regards these reasons as active.
     """
     remaining = tuple(e for e in value.entries if not e.reason.has_ended(now_us - limits.ENDED_RETENTION_US))
     if len(remaining) == len(value.entries):
@@ -304,7 +311,7 @@
 
 
 def by_writer(seen: Sequence[SeenDots]) -> dict[tuple[str, int], tuple[CounterRange, ...]]:
-    """Return the counter ranges of the seen dots, by writer."""
+    """Return the counter ranges of the seen dots, by writer (`Dot.writer`)."""
     return {s.writer: s.ranges for s in seen}
 
 
@@ -327,8 +334,9 @@
 def _with_dot(seen: Sequence[SeenDots], dot: Dot) -> tuple[SeenDots, ...]:
     """Return the seen dots with a new dot of this process added.
 
-    A process knows all its own writes, so it wrote nothing to this target between its last dot and ``dot``.
-    The counters between them are therefore added as seen as well, so that one range per writer is enough.
+    A process knows all its own writes, so it wrote nothing to this target between its last seen dot and
+    ``dot``. The counters between the two are therefore also added as seen, so that one range per writer is
+    enough.
     """
     ranges_by_writer = by_writer(seen)
     ranges = ranges_by_writer.get(dot.writer, ())
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -6,7 +6,7 @@
 
 A PUT may have ``for_s`` (the duration in seconds) in place of ``until``, or neither. With ``?wait=SECONDS``,
 a PUT or DELETE waits until the change is in force. The JSON keys are part of the operators' interface: a
-field that is renamed keeps its key.
+Python field that is renamed keeps its JSON key. `propagation` defines the stages accepted and in force.
 """
 
 import math
@@ -49,18 +49,23 @@
 OVER_BUDGET = "over budget"
 """State of an automatic cordon that is not in effect because it exceeds the budget."""
 NOT_TRACKED = "held here"
-"""State of a cordon that another scheduler set. That scheduler tracks its propagation."""
+"""State of a cordon whose propagation this process does not track, as another scheduler set the cordon."""
 
 
 class UnconfirmedView(msgspec.Struct, frozen=True):
-    """A scheduler that may still act without a change, and the reason (``why``)."""
+    """A scheduler that may still act as if a change had not been made, and the reason (``why``)."""
 
     scheduler: str
     why: str
 
 
 class CordonView(msgspec.Struct, frozen=True):
-    """One cordon. ``workers``: how many listed workers it applies to. ``origin``: the process that set it."""
+    """One cordon.
+
+    ``until``: None if the cordon has no end. ``automatic``, ``cause``, ``observers``: as in `value.Reason`.
+    ``workers``: the number of listed workers that the cordon applies to. ``origin``: the name of the
+    scheduler that wrote the cordon. ``state``: a stage of STAGE_NAMES, OVER_BUDGET or NOT_TRACKED.
+    """
 
     id: str
     target: str
@@ -78,7 +83,7 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """All active cordons, by target and ID, and the listed workers that are cordoned."""
+    """All active cordons, in ascending order of target and ID, and the listed workers that are cordoned."""
 
     cordons: tuple[CordonView, ...]
     cordoned_workers: tuple[str, ...] = msgspec.field(name="held")
@@ -99,7 +104,7 @@
 
 
 class PutBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The JSON body of a PUT. ``for_s``: the duration of the cordon in seconds."""
+    """The JSON body of a PUT. ``for_s``: the duration of the cordon in seconds, in place of ``until``."""
 
     target: str
     reason: str
@@ -122,7 +127,7 @@
 
 
 def _read_end_us(put: PutBody, now_us: int) -> int:
-    """Return the end of the cordon as Unix microseconds; 0 if it has none."""
+    """Return the end of the cordon as Unix microseconds; 0 if it has none. An end before 1970 becomes 1."""
     if put.until is not None and put.for_s is not None:
         raise CordonMalformed("the request has both until and for_s; give at most one of them")
     if put.until is not None:
@@ -135,7 +140,10 @@
 
 
 def read_wait(text: str) -> int:
-    """Return the value of ``?wait=`` in microseconds; 0 if it is empty. Raises CordonMalformed."""
+    """Return the value of ``?wait=`` in microseconds; 0 if it is empty.
+
+    Raises CordonMalformed if it is not a number of seconds from 0 to MAX_WAIT_US.
+    """
     try:
         seconds = float(text or 0)
     except ValueError:
@@ -204,7 +212,7 @@
 
 
 def view_unconfirmed(mono_us: int, propagation: Propagation) -> tuple[UnconfirmedView, ...]:
-    """Return the schedulers that may still act without a change, and why."""
+    """Return the schedulers that may still act as if a change had not been made, and why."""
     return tuple(UnconfirmedView(each.name, each.why) for each in propagation.unconfirmed(mono_us))
 
 
@@ -214,7 +222,7 @@
 
 
 def _to_datetime(unix_us: int) -> datetime:
-    """Convert Unix microseconds to a datetime; a time beyond the range of datetimes becomes the last one."""
+    """Convert Unix microseconds to a datetime; a time after the latest possible datetime becomes that one."""
     try:
         return _EPOCH + timedelta(microseconds=unix_us)
     except OverflowError:
