--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -43,11 +43,11 @@
 class Observation:
     """An observer's measurement of a worker, made up to ``at_us``. Healthy workers are reported too.
 
-    The meaning of ``amount`` depends on the cause: for 'silent' and 'failing' it is the share of attempts,
-    for 'slow' and 'lagging' the time taken as a multiple of the expected time. ``baseline`` is the observer's
-    median amount over workers of the same zone and machine type, or over all workers if it knows fewer than
-    four of these. ``worker_count`` is the number of workers that the observer observed. A single failure is
-    not reported as an observation.
+    The meaning of ``amount`` depends on the cause: for 'silent' and 'failing' it is the share of attempts
+    with this fault, for 'slow' and 'lagging' a time as a multiple of the expected time. ``baseline`` is the
+    observer's median amount over workers of the same zone and machine type, or over all workers if it knows
+    fewer than four of these. ``worker_count`` is the number of workers that the observer observed. A single
+    failure is not reported as an observation.
     """
 
     observer: str
@@ -102,8 +102,9 @@
     def is_outlier(self, cause: str, amount: float, baseline: float) -> bool:
         """Return whether an amount reaches the threshold and exceeds the baseline by the margin.
 
-        A multiple must also reach the threshold times the baseline (at least 1), and a share must also reach
-        the baseline plus half of the threshold. With a baseline of 0 only the absolute threshold counts.
+        A multiple must reach the threshold times the baseline, where a baseline below 1 counts as 1. A share
+        must reach the threshold, and the baseline plus half of the threshold. With a baseline of 0 only the
+        absolute threshold counts.
         """
         threshold = self.threshold(cause)
         if cause in MULTIPLE_CAUSES:
@@ -136,7 +137,7 @@
 
 @dataclass(slots=True)
 class _WorkerEvidence:
-    """The usable observations of one worker."""
+    """The observations of one worker that count as evidence, and their observers."""
 
     observers: set[str]  # all observers of the worker
     over_threshold: set[str]  # observers that measured an amount at or above the absolute threshold
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -16,7 +16,7 @@
 
 
 class CordonError(RobinhillError):
-    """A call about cordons can't be carried out."""
+    """Base class: a call about cordons can't be carried out."""
 
     code = "CordonError"
 
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkersCordoned:
-    """Listed workers, ascending, that have become cordoned: they get no new attempts, running ones go on."""
+    """Listed workers, ascending, that were cordoned: they get no new attempts; running ones continue."""
 
     workers: tuple[str, ...]
 
--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -11,8 +11,8 @@
 MAX_TARGET_CHARS = 512  # the longest targets are 'worker/' followed by an instance ID
 MAX_TEXT_CHARS = 200
 MAX_NAME_CHARS = 128  # for the name of an operator, an observer or a scheduler
-# Holds a request whose texts all have their maximum length, as UTF-8 with four bytes for each character; not
-# if most of its characters are written as \uXXXX escapes.
+# A body of this size holds texts of maximum length in UTF-8, even with four bytes for each character, but not
+# if most of the characters are written as \uXXXX escapes.
 MAX_BODY_BYTES = 4_096
 MAX_OBSERVERS = 16  # the maximum number of observers that the reason of an automatic cordon names
 
@@ -31,7 +31,7 @@
 # REPEAT_WINDOW_US, within which an automatic cordon that has ended makes the worker's next one longer.
 ENDED_RETENTION_US = DAY_US
 
-MAX_DURATION_US = 366 * DAY_US  # of a cordon with an end
+MAX_DURATION_US = 366 * DAY_US  # from the time of the write to the end of a cordon, if it has an end
 MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations dated further into the future are ignored
 
 # Margins added to the propagation bound. NTP slews a clock by at most 500 ppm, so the rates of two clocks
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -7,12 +7,12 @@
 sets a cordon is in force once one of the following is true of each scheduler:
 
 - it has confirmed, *after its last send to the target's workers*, that it has applied the change;
-- its process has ended;
+- it has left: its process announced its own end after its last send;
 - it is known to run under ``hold``, and its bound (the upper limit of the propagation time) has passed since
   a majority was known to store the change. docs/mesh.md explains why the scheduler can't send after that. The
   rule fails if a partitioned scheduler changes to ``serve``, so all schedulers must run in the same mode.
 
-A lift is in force once each scheduler has confirmed that it has applied the lift, or its process has ended.
+A lift is in force once each scheduler has confirmed that it has applied the lift, or has left.
 A partitioned scheduler keeps the worker cordoned for as long as the partition lasts.
 
 An unreachable scheduler (suspect or gone) can't be assumed to have stopped: it may still send on its side of
@@ -50,7 +50,7 @@
     ALIVE = "alive"
     SUSPECT = "suspect"
     GONE = "gone"
-    """There has been no link to the process for longer than GONE_AFTER_US; the process may still run."""
+    """There has been no link to the process for longer than `peer_state.GONE_AFTER_US`; it may still run."""
     LEFT = "left"
     """The process announced its end in an acknowledgement that it wrote after its last send."""
 
--- a/robinhill/net/cordons/__init__.py
+++ b/robinhill/net/cordons/__init__.py
@@ -1,5 +1,5 @@
-"""Cordons at one process: operators' calls, the cordons in effect here, and notifications to the dispatcher.
+"""Cordons at one process: operators' calls, cordons in effect, and notifications to its dispatcher.
 
 A scheduler that shares state with peers uses `actor`; a member of the control group uses `group_member`. Both
-use `operator_calls`, `cordon_records` and `replies`; each of the other modules belongs to one of them.
+use `operator_calls`, `cordon_records` and `replies`; the other modules are each used by only one of the two.
 """
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -1,7 +1,7 @@
-"""Writes this scheduler's own acknowledgement, which tells other schedulers which cordons it has applied.
+"""Writes this scheduler's own acknowledgement: a record with the cordons that its dispatcher has applied.
 
-This module owns the acknowledgement's sequence number and the list of peer starts in it. It does not handle
-the other schedulers' acknowledgements.
+This module owns the acknowledgement's sequence number, and its list of the incarnations of peers that started
+last. It does not handle the other schedulers' acknowledgements.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def record_start(self, name: str, incarnation: int) -> None:
-        """Include a peer's start in the next acknowledgements, while it is among the most recent starts."""
+        """Include a peer's incarnation in all acknowledgements until MAX_RECENT_CHANGES peers start later."""
         self._peer_starts.pop(name, None)
         self._peer_starts[name] = incarnation
         if len(self._peer_starts) > acknowledgements.MAX_RECENT_CHANGES:
@@ -58,8 +58,8 @@
     def write(self, mono_us: int, applied_digest: bytes, *, serving: bool, left: bool = False) -> None:
         """Write the acknowledgement.
 
-        ``applied_digest``: digest of the cordons that the dispatcher has applied. ``serving``: this scheduler
-        accepts clients. ``left``: it sends nothing more.
+        ``applied_digest``: digest of the cordons that the dispatcher has applied. ``serving``: whether this
+        scheduler accepts clients. ``left``: whether this process has made its last send to a worker.
         """
         self.stop()
         self._sequence += 1
@@ -93,7 +93,10 @@
             self._timer = None
 
     def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
-        """Return the digests of the last changed targets; empty until all changes are applied."""
+        """Return the digests of the targets that changed last, by target.
+
+        The result is empty while the dispatcher has not applied all changes in this scheduler's copy.
+        """
         applied = self.tracker.applied
         if applied_digest != applied.combined:
             return ()
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -1,12 +1,12 @@
 """The actor for cordons at a scheduler that shares state with peers.
 
-It handles the effects of a change of the shared state: the cordons in effect here, the notifications to the
-dispatcher, this scheduler's acknowledgements, and the maintenance of records. Other modules implement these
-parts; the actor passes events from peers, from the dispatcher and from operators on to them.
+It handles the effects of a change of the shared state: the cordons in effect at this scheduler, the
+notifications to the dispatcher, this scheduler's acknowledgements, and the maintenance of records. Other
+modules implement these parts; the actor passes events from peers, the dispatcher and operators on to them.
 
-Records from peers are applied at once (`receive_records`) instead of through the mailbox. The last check
-before a send calls `may_send`, and an answer from a peer may renew the lease. That answer must not take
-effect before a cordon that the peer sent ahead of it.
+Records from peers are applied at once (`receive_records`) instead of through the mailbox. The reason is that
+a peer's answer to a ping may renew the lease, which `may_send` checks last before each send. The answer must
+not take effect before a cordon that the peer sent ahead of it.
 """
 
 import asyncio
@@ -42,14 +42,14 @@
 
 log = logging.getLogger(__name__)
 
-MIN_MAINTENANCE_DELAY_US = 5_000
-REACHABLE_US = 10_000_000  # a scheduler from which state was received this recently counts as reachable
-RENEWAL_INTERVAL_US = 3_600_000_000
+MIN_MAINTENANCE_DELAY_US = 5_000  # the shortest time until the next maintenance
+REACHABLE_US = 10_000_000  # a scheduler is reachable if its state as of this time ago, or later, is known
+RENEWAL_INTERVAL_US = 3_600_000_000  # interval between checks which records must be renewed
 
 
 @dataclass(slots=True, frozen=True)
 class CordonsApplied:
-    """The dispatcher and all endpoints have applied the notification with this number."""
+    """The dispatcher and all endpoints have applied the notification of cordons with this number."""
 
     number: int
 
@@ -71,8 +71,9 @@
     """The actor that handles the cordons of one scheduler.
 
     ``on_change`` is called after this scheduler wrote to the replica, so that the change is sent to peers.
-    ``on_newer_incarnation`` is called with an incarnation of this scheduler's own name that is later than its
-    own. ``on_serving`` is called once this scheduler may accept clients.
+    ``on_newer_incarnation`` is called if an acknowledgement under this scheduler's name has a later
+    incarnation than this process, with that incarnation. ``on_serving`` is called once this scheduler may
+    accept clients.
     """
 
     def __init__(
@@ -155,22 +156,22 @@
     # Before each send
 
     def may_send(self, worker: ListedEndpoint) -> bool:
-        """Return whether an attempt may be sent to a worker now; used for the last check before a write."""
+        """Return whether an attempt may be sent to a worker now; called as the last check before the send."""
         return not covers(self._notifier.targets, worker) and self.holds_lease()
 
     def holds_lease(self) -> bool:
-        """Return whether this scheduler may send at all; under ``hold`` this needs a valid lease.
+        """Return whether this scheduler may send attempts to any worker.
 
-        Under ``serve`` it always may.
+        In ``hold`` mode it may send only with a valid lease, in ``serve`` mode always.
         """
         return self.fleet.sends_without_lease or self.freshness.holds_lease(mono_us())
 
     # Events from peers, handled at once
 
     def receive_records(self, received: RecordsReceived) -> None:
-        """Update the tracker, the index and the dispatcher for records received from a peer.
+        """Pass records received from a peer on to the tracker, the index and the dispatcher.
 
-        The replica already contains the records.
+        The caller must have merged the records into the replica already.
         """
         log_rejected(received.rejected)
         if sum([self._apply(record) for record in received.records]):
@@ -187,7 +188,7 @@
         self.tracker.record_link(mono_us(), name, False)
 
     def record_answer(self, name: str) -> None:
-        """Record that a peer has answered a ping, so that its whole state before the answer is here."""
+        """Record that a peer has answered a ping: all its state from before the answer has been received."""
         self._catch_up.record_answer(name)
         if not self.freshness.caught_up and self.freshness.may_catch_up():
             self.confirm_complete("received the state of peers")
@@ -197,9 +198,9 @@
             self._notifier.notify_lease(self.holds_lease())
 
     def confirm_complete(self, why: str) -> None:
-        """Confirm that this copy holds every change that was ever accepted.
+        """Record that this scheduler's copy contains every change that was ever accepted.
 
-        From now on this scheduler counts for majorities. ``why`` goes into the log.
+        From this call on, the scheduler counts for majorities. ``why`` goes into the log.
         """
         self.freshness.caught_up = True
         log.info("counts_for_majorities", extra={"why": why, "seconds": self._catch_up.age_s(mono_us())})
@@ -222,25 +223,31 @@
         self._answer_and_reschedule()
 
     def adopt_incarnation(self, incarnation: int) -> None:
-        """Continue under a later incarnation, and acknowledge under it."""
+        """Use a later incarnation for this process, and write an acknowledgement with it."""
         self.replica.clock.incarnation = incarnation
         self.tracker.incarnation = incarnation
         self._write_acknowledgement()
 
     def leave(self) -> None:
-        """Write the last acknowledgement, which states that this process sends nothing more."""
+        """Write the last acknowledgement, which states that this process sends no more attempts."""
         self._write_acknowledgement(left=True)
 
     def status(self) -> StatusReply:
-        """Return the status of this scheduler's copy, for operators and for the comparison of copies."""
+        """Return this scheduler's status, with the digest of its copy of the shared state.
+
+        Operators receive the status, and can compare the copies of several schedulers by their digests.
+        """
         return self._report.status(mono_us(), serving=self.serving)
 
     def metrics(self) -> list[str]:
-        """Return the metrics as lines (NAME:VALUE|g), without the common prefix."""
+        """Return the metrics as lines (NAME:VALUE|g); the caller adds the common prefix of all names."""
         return self._report.metrics(mono_us(), self._catch_up.duration_us)
 
     def reachable(self) -> set[str]:
-        """Return the schedulers whose state was received recently, directly or through other schedulers."""
+        """Return the schedulers whose state was received recently, directly or through other schedulers.
+
+        Recently is within the last REACHABLE_US, or three times the bound if that is longer.
+        """
         since_us = mono_us() - max(REACHABLE_US, 3 * self.fleet.bound_us)
         as_of = {name: self.freshness.known_as_of(name) for name in self.fleet.names}
         return {name for name, us in as_of.items() if us is not None and us > since_us}
@@ -248,7 +255,7 @@
     # Changes of the shared state
 
     def _apply(self, record: Record) -> bool:
-        """Pass one record of the replica on to the tracker. Returns whether the record is about cordons."""
+        """Pass one record of the replica on to the tracker. Returns whether it is a record of cordons."""
         if record.kind == value.NAME:
             self.tracker.record_value(record.key, record.value)
             return True
@@ -292,15 +299,16 @@
             self._writer.schedule(self._write_acknowledgement)
 
     def _update(self) -> None:
-        """Update the index of cordons, and notify the dispatcher, which confirms the notification."""
-        # Expired records are collected first: digests depend on the latest Unix time passed to the replica.
+        """Update the index of cordons, and notify the dispatcher, which confirms when it has applied them."""
+        # `collect` comes first: it drops expired records, and passes the current Unix time to the replica.
+        # The replica's items include only records that had not expired at the latest time passed to it.
         self.replica.collect(self.clock.now_us())
         workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
         self._next_end_us = self.index.update(self.clock.now_us(), self._records.items(), workers).next_end_us
         self._notifier.notify_cordons(cordoned_targets(self.index), self.tracker.applied.combined)
 
     def _record_applied(self, number: int) -> None:
-        # A later change has a later notification, and is acknowledged when that one is applied.
+        # A later change has its own notification, and is acknowledged once that notification is applied.
         if self._notifier.confirm_applied(number):
             self._write_acknowledgement()
             self._answer_and_reschedule()
@@ -334,7 +342,7 @@
         self._answer_and_reschedule()
 
     def _renew_records(self, unix_us: int) -> None:
-        """Rewrite the records that a cordon outlasts, and drop the digests of expired records."""
+        """Rewrite the records that a cordon would outlast, and drop the digests of expired records."""
         targets = self.tracker.applied.keys()
         for target in targets:
             record = self.replica.record(value.NAME, target)
--- a/robinhill/net/cordons/catch_up.py
+++ b/robinhill/net/cordons/catch_up.py
@@ -1,4 +1,4 @@
-"""Decides when a scheduler that has started may accept clients: once it likely knows all cordons.
+"""Decides when a scheduler that has just started may accept clients: once it likely knows all cordons.
 
 Whether the scheduler counts for majorities is a separate decision, see `Freshness.may_catch_up`.
 """
@@ -12,10 +12,10 @@
 
 
 class CatchUp:
-    """The catch-up phase of a scheduler.
+    """The catch-up phase of a scheduler, in which it receives the state of its peers and accepts no clients.
 
-    ``serving``: this scheduler accepts clients. ``duration_us``: the time from the start of the phase until
-    the scheduler accepted clients; None before that.
+    ``serving``: whether the phase has ended, so that this scheduler accepts clients. ``duration_us``: the
+    duration of the phase; None before its end.
     """
 
     def __init__(self, fleet: Fleet, tracker: PropagationTracker, started_us: int) -> None:
@@ -27,7 +27,7 @@
         self._started_us = started_us
 
     def start(self, mono_us: int) -> None:
-        """Start the catch-up phase; its timeout counts from ``mono_us``."""
+        """Start the catch-up phase; its timeout (``catch_up_ms``) counts from ``mono_us``."""
         self._started_us = mono_us
 
     def age_s(self, mono_us: int) -> float:
@@ -39,9 +39,10 @@
         self._answered.add(name)
 
     def serve_if_ready(self, mono_us: int) -> bool:
-        """Begin to serve once a serving peer or all peers have answered, or after ``catch_up_ms``.
+        """End the phase if it is complete, or if it has lasted for ``catch_up_ms``.
 
-        Returns whether this call made the scheduler begin to serve.
+        It is complete once the whole state of all peers, or of one peer that serves, was received. Returns
+        whether this call has ended the phase.
         """
         age_s = self.age_s(mono_us)
         complete = self._is_complete()
--- a/robinhill/net/cordons/change_waits.py
+++ b/robinhill/net/cordons/change_waits.py
@@ -1,4 +1,7 @@
-"""Operators' calls at a member of the control group that wait until their change is accepted or in force."""
+"""Operators' calls at a member of the control group that wait until their change is accepted or in force.
+
+`pending_changes` defines these two states.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +29,7 @@
 
 
 class ChangeWaits:
-    """All waiting calls. ``describe`` returns the body of the answer about a change."""
+    """All waiting calls. ``describe`` returns the body of the answer to a call that requested a change."""
 
     def __init__(self, describe: Callable[[PendingChange], ChangeReply]) -> None:
         self._describe = describe
@@ -35,7 +38,10 @@
     def add(
         self, change: PendingChange, reply: asyncio.Future[Answer], timeout_us: int, *, until_in_force: bool
     ) -> None:
-        """Answer a call once its change is in force or accepted, or when the timeout has passed."""
+        """Answer a call with ``reply`` once its wait is fulfilled, or when the timeout has passed.
+
+        The wait is fulfilled once the change is in force, or accepted if ``until_in_force`` is false.
+        """
         wait = ChangeWait(change, until_in_force, reply)
         if wait.fulfilled:
             reply.set_result(make_answer(200, self._describe(change)))
@@ -45,7 +51,7 @@
         self._waits.append(wait)
 
     def answer_fulfilled(self, change: PendingChange) -> None:
-        """Answer the calls whose wait for a change is fulfilled; called when the change has progressed."""
+        """Answer the calls whose wait for a change is fulfilled; called after a change of its state."""
         for wait in [w for w in self._waits if w.change is change]:
             if wait.fulfilled:
                 self._end(wait, 200)
--- a/robinhill/net/cordons/cordon_records.py
+++ b/robinhill/net/cordons/cordon_records.py
@@ -1,7 +1,8 @@
 """Reads the cordons in a process's replica, and prepares the changes that operators' calls request.
 
-This module never writes the replica. The caller writes the values of a change, because a scheduler with peers
-and a member of the control group write in different ways.
+This module never writes to the replica. The caller writes the values of a change, because a scheduler with
+peers and a member of the control group write in different ways. A *dot* identifies the write of a reason, see
+`cordon.value`.
 """
 
 import logging
@@ -58,7 +59,7 @@
 
 
 class CordonRecords:
-    """The cordons of a replica. ``origin`` and ``incarnation`` identify this process in its dots."""
+    """The cordons in a replica. ``origin`` and ``incarnation`` identify this process as a writer in dots."""
 
     def __init__(self, replica: Replica, clock: Clock, origin: str, incarnation: Callable[[], int]) -> None:
         self.replica = replica
@@ -76,7 +77,7 @@
         return cast(CordonSet | None, self.replica.value(value.NAME, target))
 
     def next_counter(self) -> int:
-        """Return the next number of this process's counter, which is unique within the process."""
+        """Increment this process's counter and return it; no value is returned twice within the process."""
         self._counter += 1
         return self._counter
 
@@ -85,7 +86,7 @@
         return self._prepare_set(call) if call.method == "PUT" else self._prepare_lift(call)
 
     def needs_renewal(self, target: str, present: CordonSet, now_us: int) -> bool:
-        """Return whether the record of a target must be rewritten now, because a cordon outlasts it."""
+        """Return whether a target's record must be rewritten at ``now_us``, as a cordon would outlast it."""
         record = self.replica.record(value.NAME, target)
         if record is None:
             return False
--- a/robinhill/net/cordons/dispatcher_notifier.py
+++ b/robinhill/net/cordons/dispatcher_notifier.py
@@ -1,7 +1,7 @@
-"""Notifies the dispatcher of cordons and of the lease, and records which cordons it has confirmed.
+"""Notifies the dispatcher of cordons and of the lease, and records which cordons the dispatcher confirmed.
 
-This module owns the set of targets that are cordoned at this process now. Other modules decide which targets
-these are, and whether there is a lease.
+This module owns the current set of cordoned targets at this process. Other modules decide which targets these
+are, and whether this scheduler holds the lease.
 """
 
 from collections.abc import Callable
@@ -16,8 +16,9 @@
     """Sends notifications to the dispatcher by ``notify``.
 
     ``on_applied`` is called with a notification's number once the dispatcher and all endpoints have applied
-    it. ``targets`` are the targets that are cordoned now; ``applied_digest`` is the digest of the cordons
-    that the dispatcher last confirmed; ``has_lease`` is the lease state in the last notification.
+    it. ``targets`` are the targets in the last notification of cordons. ``applied_digest`` is the digest of
+    the cordons that the dispatcher last confirmed. ``has_lease``: whether this scheduler held the lease at
+    the last notification of the lease; True before the first one.
     """
 
     def __init__(
@@ -32,10 +33,10 @@
         self.targets: frozenset[str] = frozenset()
         self.has_lease = True
         self._number = 0
-        self._pending_digests: dict[int, bytes] = {}  # by number of the notification
+        self._pending_digests: dict[int, bytes] = {}  # digests not yet confirmed, by notification number
 
     def notify_cordons(self, targets: frozenset[str], digest: bytes) -> None:
-        """Replace the cordoned targets; ``digest`` is the digest of the cordons that they derive from."""
+        """Replace the cordoned targets and notify the dispatcher; ``digest``: the digest of all cordons."""
         self.targets = targets
         self._number += 1
         number = self._number
--- a/robinhill/net/cordons/fleet.py
+++ b/robinhill/net/cordons/fleet.py
@@ -19,12 +19,12 @@
 
     @property
     def bound_us(self) -> int:
-        """The maximum age of the knowledge of a majority with which this scheduler holds the lease."""
+        """The bound: this scheduler holds the lease while its knowledge of a majority is at most this old."""
         return self.options.bound_ms * 1000
 
     @property
     def sends_without_lease(self) -> bool:
-        """Whether this scheduler continues to send while it holds no lease."""
+        """Whether this scheduler continues to send attempts while it holds no lease (``serve`` mode)."""
         return self.options.on_lost == "serve"
 
     def reconfigure(self, options: MeshOptions, names: Iterable[str]) -> None:
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -1,7 +1,8 @@
 """Cordons at a member of the control group (voter or scheduler): operators' calls and the cordoned targets.
 
-This module owns the index and the changes that were requested here; the voter or observer owns the records.
-It is only used from the mailbox of the driver.
+This module owns the index and the changes that were requested at this member; the voter or observer owns the
+records. After the start of the process, the module is only called while the driver (the actor that calls the
+voter or observer) handles a message of its mailbox.
 """
 
 import logging
@@ -54,9 +55,10 @@
 class GroupCordons:
     """The cordons at one member of the control group.
 
-    ``perform`` carries out the actions that the writer returns. ``listed_workers`` returns the workers that
-    discovery lists here; None at a voter, which has no list of workers. ``abandon`` is called with the number
-    of a record that is no longer tracked.
+    ``perform`` carries out the actions that the writer returns. ``listed_workers`` returns the workers on
+    discovery's list; it is None at a voter, which has no such list. ``abandon`` is called with the number of
+    a change whose progress the writer need not report any more. ``targets`` are the cordoned targets at the
+    last update. ``next_end_us``: Unix time when the next active cordon ends; 0 if none has an end.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
     # Cordoned targets
 
     def update(self) -> frozenset[str]:
-        """Update the index from the replica, and return the targets that are cordoned now."""
+        """Update the index from the replica, and return the targets that are cordoned at this time."""
         workers = {}
         if self.listed_workers:
             workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
@@ -95,7 +97,7 @@
         return self.targets
 
     def renew_records(self) -> None:
-        """Rewrite the records that a cordon outlasts. Stops at the first write that is rejected."""
+        """Rewrite the records that a cordon would outlast. Stops at the first write that is rejected."""
         now_us = self.clock.now_us()
         for target, present in self._records.items():
             if not self._records.needs_renewal(target, present, now_us):
@@ -110,11 +112,11 @@
     # Operators' calls
 
     def call(self, call: CordonCall) -> None:
-        """Carry out a call. A call for a change is answered once its wait is fulfilled or timed out."""
+        """Carry out a call. A call that requests a change is answered after its wait, see `change`."""
         handle_call(call, self, HTTP_STATUS)
 
     def record_progress(self, report: Progressed) -> None:
-        """Record the progress of a change that was requested here, and answer calls that waited for it."""
+        """Record the progress of a change that is tracked at this member, and answer calls that await it."""
         change = self.changes.record_progress(report)
         if change is not None:
             self._waits.answer_fulfilled(change)
@@ -139,7 +141,11 @@
         return ListingReply(tuple(cordons), listing.cordoned_workers)
 
     def change(self, call: CordonCall) -> None:
-        """Write the requested change, and answer the call once the change is in force or accepted."""
+        """Write the requested change, and answer the call once its wait is fulfilled or timed out.
+
+        With ``wait`` the call waits until the change is in force. Without it the call waits until the change
+        is accepted, at most for the length of the bound.
+        """
         wait_us = call.wait_us
         requested = self._records.prepare_change(call)
         dots = () if requested.cordon is None else (str(requested.cordon.dot),)
@@ -152,7 +158,8 @@
     def _write(self, change: PendingChange, values: dict[str, CordonSet]) -> None:
         for target, new in values.items():
             number, _, actions = self.writer.write(self.clock.now_us(), mono_us(), value.NAME, target, new)
-            # Tracked before the actions are performed, as one of them may report the change's progress.
+            # The change must be tracked before its actions are performed, because one of these may report
+            # the progress of the change.
             self.changes.track(change, number)
             self.perform(actions)
         for number in self.changes.abandon_excess():
--- a/robinhill/net/cordons/mesh_calls.py
+++ b/robinhill/net/cordons/mesh_calls.py
@@ -1,6 +1,7 @@
-"""Operators' calls at a scheduler that shares state with peers: writes and tracks changes, answers calls.
+"""Carries out operators' calls at a scheduler that shares state with peers.
 
-This module owns the waiting calls. The actor handles all other effects of a change in ``on_written``.
+It writes and tracks the requested changes, and answers the calls. This module owns the waiting calls. The
+actor handles all other effects of a change, in ``on_written``.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class CallWait:
-    """A call that waits until its change has reached ``stage``, or until ``deadline_us``."""
+    """A call that waits until its change has reached ``stage``, or until ``deadline_us`` (monotonic)."""
 
     change: TrackedChange
     stage: PropagationStage
@@ -66,7 +67,7 @@
 
     @property
     def clock(self) -> Clock:
-        """The clock for the times in records."""
+        """The clock from which the times in records are read; they are Unix times."""
         return self.records.clock
 
     def handle(self, call: CordonCall) -> None:
@@ -87,12 +88,12 @@
         return ListingReply(cordons, listing.cordoned_workers, self.report.schedulers(now_us))
 
     def change(self, call: CordonCall) -> None:
-        """Write the change that a call requests, and track its propagation."""
+        """Write the change that a call requests, and track its propagation to the other schedulers."""
         requested = self.records.prepare_change(call)
         key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_counter()}"
         wait_us = call.wait_us
         now_us = self.mono_us()
-        self.tracker.propagations.reserve()  # may reject the call, which must happen before any write
+        self.tracker.propagations.reserve()  # precedes the write, as it may reject the call
         replica, unix_us = self.records.replica, self.clock.now_us()
         written = [
             replica.write(unix_us, value.NAME, target, new) for target, new in requested.values.items()
@@ -121,7 +122,7 @@
                 self._answer(wait, now_us, reached=reached)
 
     def deadlines_us(self) -> Iterable[int]:
-        """Yield the times when `answer_due` is due, by the monotonic clock."""
+        """Yield the times on the monotonic clock at which `answer_due` must be called again."""
         yield from (wait.deadline_us for wait in self._waits)
         next_us = self.tracker.propagations.next_deadline_us()
         if next_us is not None:
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -26,7 +26,9 @@
 class CordonCall:
     """An operator's call.
 
-    ``wait`` is the query parameter of that name; if it is None, a change is answered once it is accepted.
+    ``cordon_id`` is '' for a GET of all cordons. ``wait`` is the query parameter of that name: the seconds to
+    wait until the requested change is in force. If it is None, a call that changes cordons waits only until
+    the change is accepted.
     """
 
     method: str
@@ -39,13 +41,13 @@
     def wait_us(self) -> int | None:
         """The maximum time to wait until the change is in force; None without ``wait``.
 
-        Raises CordonMalformed.
+        Raises CordonMalformed if ``wait`` is invalid.
         """
         return views.read_wait(self.wait.removesuffix("s")) if self.wait is not None else None
 
 
 class CallHandler(Protocol):
-    """The part of a process that carries out calls."""
+    """The part of a process that carries out calls: `MeshCalls` or `GroupCordons`."""
 
     def show(self, cordon_id: str) -> ListingReply:
         """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown."""
@@ -55,9 +57,10 @@
 
 
 def handle_call(call: CordonCall, handler: CallHandler, statuses: Mapping[type[RobinhillError], int]) -> None:
-    """Carry out a call. A GET and a call that fails are answered at once.
+    """Carry out a call. A GET, and a call that is rejected, are answered before this function returns.
 
-    ``statuses`` maps error classes to HTTP statuses.
+    ``statuses`` maps error classes to HTTP statuses. The status of any other error is 500 if it is a
+    CordonError, and otherwise 507, for example if a limit of stored records is reached.
     """
     if call.reply.done():
         return
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -1,7 +1,7 @@
 """The transition from earlier lists of schedulers to the current one.
 
-Until all schedulers are known to have used the current list for the length of the bound, decisions also need
-majorities of the earlier lists.
+Until all schedulers are known to have used the current list for longer than the bound (the upper limit of the
+propagation time), decisions also need majorities of the earlier lists.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class PeerListTransition:
-    """Ends the transition in ``freshness`` once all schedulers have used the list for the bound's length."""
+    """Ends the transition, so that ``freshness`` no longer requires majorities of earlier lists."""
 
     def __init__(self, fleet: Fleet, freshness: Freshness, tracker: PropagationTracker) -> None:
         self.fleet = fleet
@@ -24,7 +24,10 @@
         self._agreed_since_us: int | None = None
 
     def end_if_settled(self, mono_us: int) -> None:
-        """End the transition if all schedulers have used the current list for longer than the bound."""
+        """End the transition if all schedulers are known to use the current list for longer than the bound.
+
+        Called at each maintenance of the cordon actor; the time counts from the call that first finds it so.
+        """
         if len(self.freshness.quorum.lists) == 1:
             return
         if not self._all_agree():
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -1,8 +1,8 @@
 """Changes of cordons that were requested at a member of the control group, and the progress of each.
 
-A change is *accepted* once it can no longer be lost, and *in force* once no scheduler can act without it. It
-is written as one record for each of its targets. A progress report refers to a record by its number. This
-module performs no I/O.
+A change is *accepted* once it can no longer be lost, and *in force* once no scheduler can act without it. A
+change is written as one record for each of its targets. A progress report (`Progressed`) refers to a record
+by the number that its write returned. This module performs no I/O.
 """
 
 from collections.abc import Collection, Iterable
@@ -21,9 +21,10 @@
 class PendingChange:
     """A change that one call has written.
 
-    ``began_us``: the time of the call, monotonic. ``dots``: the dots of the reasons that the change set.
-    ``waiters``: the number of callers that wait for the change. ``progress``: the last report of each record,
-    by the record's number; None before the first report.
+    ``began_us``: the time of the call, monotonic. ``dots``: the dots (identities of writes, see
+    `cordon.value`) of the reasons that the change set; empty for a lift. ``waiters``: the number of callers
+    that wait for the change. ``progress``: the last report of each record, by the record's number; None
+    before the first report.
     """
 
     cordon_id: str
@@ -46,19 +47,19 @@
 
     @property
     def state(self) -> str:
-        """The state of the change as answers to operators name it."""
+        """The state of the change, by the name that answers to operators contain."""
         if self.in_force:
             return IN_FORCE
         return ACCEPTED if self.accepted else STORED
 
     @property
     def lagging_count(self) -> int:
-        """The number of voters and schedulers that are not known to have applied the change."""
+        """The number of voters and schedulers not known to have applied the change; 0 before any report."""
         return max((last.lagging.count for last in self._reports()), default=0)
 
     @property
     def lagging_names(self) -> tuple[str, ...]:
-        """Names of some voters and schedulers that are not known to have applied the change, ascending."""
+        """Names of some voters and schedulers not known to have applied the change, ascending."""
         return tuple(sorted({name for last in self._reports() for name in last.lagging.names}))
 
     def _reports(self) -> Iterable[Progressed]:
@@ -66,7 +67,10 @@
 
 
 class PendingChanges:
-    """The changes of this process that are tracked, or that set a cordon which is still active."""
+    """The changes of this process with a tracked record, and those that set a cordon which is still active.
+
+    A record is tracked until it is in force, or is abandoned (`abandon_excess`).
+    """
 
     def __init__(self) -> None:
         self._by_number: dict[int, PendingChange] = {}
@@ -90,11 +94,11 @@
         return change
 
     def find_by_dot(self, dot: str) -> PendingChange | None:
-        """Return the change that set the reason with this dot; None if it is not known here."""
+        """Return the change that set the reason with this dot; None if it is not among these changes."""
         return self._by_dot.get(dot)
 
     def pending_count(self) -> int:
-        """Return how many changes are not in force yet."""
+        """Return how many changes have tracked records, which are not in force yet."""
         return len({id(change) for change in self._by_number.values()})
 
     def abandon_excess(self) -> list[int]:
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -1,6 +1,6 @@
 """The JSON bodies of answers to operators about cordons.
 
-Field names and their order are part of the operators' interface; a field that is UNSET is omitted. Views of
+JSON keys and their order are part of the operators' interface; a field that is UNSET is omitted. Views of
 single cordons are in `robinhill.cordon.views`.
 """
 
@@ -34,9 +34,11 @@
 class ChangeReply(msgspec.Struct, frozen=True):
     """The progress of a change.
 
-    ``ms``: time since the call. ``lagging_count``: at a member of the control group, the number of members
-    that are not known to have applied the change. ``error``, ``advice`` and ``type`` are set if the call's
-    wait ended before the change had reached the state that it waited for.
+    ``ms``: milliseconds since the call. ``lagging_count``: at a member of the control group, the number of
+    members that are not known to have applied the change. ``unconfirmed``: the schedulers (at a member of the
+    control group, some members) that may still act without the change. ``warnings``: the effects of a cordon
+    on the available workers. ``error``, ``advice`` and ``type`` (the error's code) are set if the call's wait
+    ended before the change had reached the state that the call waited for.
     """
 
     id: str
@@ -58,16 +60,18 @@
 
 
 class CordonReply(CordonView, frozen=True):
-    """One cordon, and the schedulers that are not known to have applied it."""
+    """One cordon, and the schedulers that are not known to have applied it (``lagging``)."""
 
     lagging: tuple[str, ...] = msgspec.field(name="behind", default=())
 
 
 class SchedulerReply(msgspec.Struct, frozen=True):
-    """The status of one scheduler as known here.
+    """The status of one scheduler as known to the scheduler that answers.
 
-    ``counts``: whether it counts for majorities. ``same_list``: whether it uses this scheduler's list of
-    schedulers. ``knowledge_age_ms``: the age of what is known of its state; None if nothing was ever known.
+    ``state``: one of PROCESS_STATUS_NAMES. ``on_lost``: its mode without a lease (``serve`` or ``hold``);
+    None if unknown. ``counts``: whether it counts for majorities. ``same_list``: whether its list of
+    schedulers equals that of the answering one. ``knowledge_age_ms``: the time since the moment as of which
+    its whole state is known; None if it has not counted for majorities since its last known start.
     """
 
     name: str
@@ -90,8 +94,10 @@
 class StatusReply(msgspec.Struct, frozen=True):
     """The status of a scheduler's copy of the shared state.
 
-    ``counts``: whether the scheduler counts for majorities. ``majority_age_ms``: the age of its knowledge of
-    a majority; None if it has none yet.
+    ``digest``: the digest of the copy; None while the scheduler does not accept clients. ``counts``: whether
+    the scheduler counts for majorities. ``on_lost``: its mode without a lease. ``lease``: whether it holds
+    the lease. ``majority_age_ms``: the age of its knowledge of a majority's state; None if no majority is
+    known.
     """
 
     name: str
@@ -108,7 +114,7 @@
 
 
 def make_cordon_reply(view: CordonView, lagging: tuple[str, ...], state: str | None = None) -> CordonReply:
-    """Return a reply with a cordon's view and its lagging schedulers; ``state`` replaces the view's state."""
+    """Return a reply with a cordon's view and its lagging schedulers; a ``state`` replaces the view's."""
     reply = CordonReply(**msgspec.structs.asdict(view), lagging=lagging)
     return reply if state is None else msgspec.structs.replace(reply, state=state)
 
@@ -119,11 +125,11 @@
 
 
 def make_answer(status: int, body: Reply) -> Answer:
-    """Return an HTTP answer with a body of one line of JSON."""
+    """Return an HTTP answer whose body is one line of JSON."""
     return Answer(status, msgspec.json.encode(body) + b"\n")
 
 
 def make_status_answer(fields: Mapping[str, object]) -> Answer:
-    """Return an HTTP answer with the fields of a status as JSON, without those that are None."""
+    """Return an HTTP answer with status 200 and the fields that are not None, as one line of JSON."""
     known = {key: value for key, value in fields.items() if value is not None}
     return Answer(200, msgspec.json.encode(known) + b"\n")
--- a/robinhill/net/cordons/status_report.py
+++ b/robinhill/net/cordons/status_report.py
@@ -1,4 +1,4 @@
-"""Status and metrics of a scheduler that shares state with peers, and the known status of its peers."""
+"""Status and metrics of a scheduler that shares state with peers, and its knowledge of its peers."""
 
 from robinhill.cordon.index import CordonIndex
 from robinhill.cordon.propagation_tracker import PropagationTracker
@@ -11,7 +11,7 @@
 
 
 class StatusReport:
-    """Builds status replies and metrics from the state of the other parts, without changing it."""
+    """Builds status replies and metrics from the state of the objects passed to it, without changing them."""
 
     def __init__(
         self,
@@ -51,7 +51,11 @@
         return tuple(self._scheduler(name, mono_us) for name in self.fleet.names)
 
     def metrics(self, mono_us: int, catch_up_us: int | None) -> list[str]:
-        """Return the metrics as lines (NAME:VALUE|g), without the common prefix."""
+        """Return the metrics as lines (NAME:VALUE|g); the caller adds the common prefix of all names.
+
+        ``catch_up_us``: the duration of the catch-up phase, None before its end. The metrics ``catch_up_ms``
+        and ``majority_age_ms`` are -1 if their value is unknown.
+        """
         age_us = self.freshness.age_us(mono_us)
         targets = self.tracker.applied.keys()
         lagging = {name for target in targets for name in self.tracker.lagging_peers(target)}
