--- a/robinhill/admission/__init__.py
+++ b/robinhill/admission/__init__.py
@@ -1,1 +1,4 @@
-"""Admission control without I/O: fair queueing by tenant before the decision module (docs/admission.md)."""
+"""Admission control: queues requests fairly by tenant before the decision module places them on workers.
+
+It does no I/O; see docs/admission.md.
+"""
--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -1,4 +1,8 @@
-"""Usage accounts of the heaviest tenants: a space-saving sketch (Metwally, Agrawal, El Abbadi 2005)."""
+"""Accounts of the tenants with the most served work: a space-saving sketch.
+
+After Metwally, Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data streams"
+(2005).
+"""
 
 from dataclasses import dataclass, field
 from heapq import heapify, heappush, heapreplace
@@ -9,10 +13,12 @@
 
 USAGE_DECAY_US = 600_000_000  # time constant of the exponential decay of served work
 ESTABLISHED_JOBS = 3  # a tenant gets a queue of its own after this number of served jobs
-RATIO_STEP = 0.2
+RATIO_STEP = 0.2  # weight of a new job in the tenant's mean cost ratio
 MIN_RATIO = 0.02
 MAX_RATIO = 500.0
-RESCALE_ABOVE = 1e200  # forward decay: counts grow with time and are scaled back before they overflow
+# The scale of the counts grows with time (forward decay, see `Accounts.scale`). Once it exceeds this value,
+# all counts are divided by it, so that they never overflow.
+RESCALE_ABOVE = 1e200
 
 
 @dataclass(slots=True, eq=False)
@@ -24,12 +30,14 @@
     queue: Queue
     limiter: RateLimiter | None
     pinned: bool = False  # the operators' file names the tenant
-    count: float = 0.0  # served work, in the sketch's scale
-    error: float = 0.0  # part of `count` inherited from the replaced account, possibly not this tenant's
-    jobs: int = 0
+    count: float = 0.0  # served work (us), each amount multiplied by the scale of its time, `Accounts.scale`
+    error: float = 0.0  # part of `count` copied from the replaced account, possibly another tenant's work
+    jobs: int = 0  # number of served jobs
     ratio: float = 1.0  # mean ratio of the running time of the tenant's jobs to the mean of their class
     served_us: float = 0.0  # work served since the process started, reported to operators
-    rejected: int = 0  # rejections caused by the tenant's own rate or share, reported to operators
+    # Rejections by a rate limit, and because of the estimated wait while the tenant exceeds its share;
+    # reported to operators.
+    rejected: int = 0
 
     @property
     def established(self) -> bool:
@@ -43,16 +51,16 @@
 
 @dataclass(slots=True, eq=False)
 class Accounts:
-    """The pinned accounts, which are never replaced, and at most ``capacity`` other accounts.
+    """The pinned accounts, of tenants in the operators' file, and at most ``capacity`` other accounts.
 
-    At capacity, the account of a newly served tenant replaces the one with the lowest count of served work.
+    At capacity, the account of a newly served tenant replaces the unpinned one with the lowest ``count``.
     A tenant with more than 1/capacity of the served work always has an account, however many distinct tenant
     names callers send.
     """
 
     capacity: int
     by_tenant: dict[int, Account] = field(default_factory=dict)
-    start_us: int = 0  # time at which the scale of the counts is 1
+    start_us: int = 0  # time at which the scale of the counts is 1; 0: no work has been recorded yet
     pinned: int = 0  # number of pinned accounts
     _heap: list[tuple[float, int]] = field(default_factory=list)  # (count when pushed, tenant)
 
@@ -67,7 +75,7 @@
         self.by_tenant[account.tenant] = account
 
     def unpin(self, account: Account) -> None:
-        """Make an account replaceable again; its count is retained."""
+        """Make an account replaceable again; it retains its count, and the tenant its own queue."""
         account.pinned = False
         self.pinned -= 1
         account.jobs = max(account.jobs, ESTABLISHED_JOBS)
@@ -93,7 +101,7 @@
         return exp(min(700.0, (now - self.start_us) / USAGE_DECAY_US))
 
     def record_service(self, now: int, account: Account, work_us: float) -> None:
-        """Add ``work_us`` of served work to an account."""
+        """Add one served job with ``work_us`` of work to an account."""
         scale = self.scale(now)
         if scale > RESCALE_ABOVE:
             for other in self.by_tenant.values():
@@ -105,10 +113,10 @@
         account.jobs += 1
 
     def admit(self, account: Account) -> Account | None:
-        """Add a new account; at capacity it replaces the one with the lowest count, which is returned.
+        """Add a new account; at capacity it replaces the unpinned one with the lowest count.
 
-        Returns the new account itself, without adding it, if requests or promises still refer to the queue of
-        the account to replace. Returns None if no account had to be replaced.
+        Returns the replaced account; None if no account had to be replaced. If requests or promises still
+        refer to the queue of the account to replace, the new account is not added, and is returned itself.
         """
         if len(self.by_tenant) - self.pinned >= self.capacity:
             lightest = self._lightest()
@@ -124,7 +132,7 @@
         return None
 
     def heaviest(self, count: int) -> list[Account]:
-        """The ``count`` accounts with the most served work, weighted by recency; heaviest first."""
+        """The ``count`` accounts with the most served work, in descending order; older work weighs less."""
         return sorted(self.by_tenant.values(), key=lambda a: -(a.count - a.error))[:count]
 
     def _rebuild(self) -> None:
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -30,11 +30,11 @@
 from robinhill.admission.window import Windows
 from robinhill.api import Settings
 
-# A caller that retries at its promised time is queued if its estimated wait is at most this multiple of its
-# patience.
+# A caller that retries at its promised time is queued if its estimated wait behind other such callers is at
+# most this multiple of the time until its queue deadline.
 RETURNING_PATIENCE_FACTOR = 1.25
 COST_CORRECTION_INTERVAL_US = 250_000  # interval of charging jobs that run longer than estimated
-LONGEST_QUEUE_CACHE_US = 50_000
+LONGEST_QUEUE_CACHE_US = 50_000  # the longest queue is determined again after this time at the earliest
 # A job is overdue if it was admitted longer ago than OVERDUE_US plus this multiple of its class's mean
 # running time.
 OVERDUE_RUNTIME_FACTOR = 3.0
@@ -59,7 +59,8 @@
         self.tickets: dict[int, Ticket] = {}
         self.rejected: Counter[RejectionReason] = Counter()
         self.admitted = 0
-        self.suspended = False  # queued requests are not admitted, as another process is about to adopt them
+        # True: queued requests are not admitted, as another process is about to adopt them.
+        self.suspended = False
         self.accounts = Accounts(options.accounts)
         self.round_robin = DeficitRoundRobin(self._class_order(), options.newcomers)
         self.options = AdmissionOptions()
@@ -68,7 +69,8 @@
         self._estimate = WaitEstimate(
             settings, self.costs, self.throughput, self.round_robin, random.Random(seed)
         )
-        # By class, the longest time to the deadline seen so far, taken as that of a client's first attempt.
+        # By class, the longest time from arrival to deadline that any request has had. It is taken as the
+        # time that a client's first request has, as opposed to a retry.
         self._first_attempt_time_us = [0] * len(settings.classes)
         self._queue_deadlines: list[tuple[int, int]] = []  # a heap of (deadline, ticket number)
         self._costs_corrected_us = 0
@@ -87,7 +89,10 @@
     # Settings
 
     def configure(self, now: int, options: AdmissionOptions) -> list[Action]:
-        """Replace the options. Queued requests are retained, and rate limiters keep their levels."""
+        """Replace the options. Queued requests are retained, and rate limiters keep their levels.
+
+        If the new options disable admission control, all queued requests are admitted.
+        """
         self._start_event(now)
         self.options = options
         self.directory = Directory(options, self.secret)
@@ -193,9 +198,9 @@
         return self._finish_event()
 
     def ended(self, now: int, number: int, served: bool) -> list[Action]:
-        """Remove a request that has its final answer or was taken over by another process.
+        """Remove a request that has its final answer or was handed over to another process.
 
-        ``served``: it ended with a result, from which its cost is learned.
+        ``served``: the request ended with a result, so its running time is used to learn costs.
         """
         self._start_event(now)
         if ticket := self.tickets.get(number):
@@ -273,8 +278,9 @@
         mean = self.costs.by_class[request.job_class]
         cost = mean * (account.ratio if account else 1.0)
         time_left = request.time_left_us
-        # A client's retry arrives with less time to its deadline than a first attempt of the class has. The
-        # difference has already been spent waiting, and is subtracted from the patience.
+        # A client's retry arrives with less time to its deadline than first requests of its class have. The
+        # client has already waited for the difference, which is therefore subtracted from the time for which
+        # the request may be queued.
         full_time_us = max(self._first_attempt_time_us[request.job_class], time_left)
         self._first_attempt_time_us[request.job_class] = full_time_us
         patience = self._estimate.patience_us(job_class, mean if is_learned else 0.0) - (
@@ -297,7 +303,10 @@
         )
 
     def _shared_queue_for(self, tenant: int) -> Queue:
-        """The queue with the least work ahead in the tenant's shuffle shard, which its hash determines."""
+        """The queue with the least work ahead in the tenant's shuffle shard.
+
+        The hash of the tenant determines the shard, a set of ``hand`` shared queues.
+        """
         if self.options.hand <= 1 or not self.shared_queues:
             return self.shared_queues[tenant % len(self.shared_queues)]
         remaining_hash, remaining, shard = tenant, list(range(len(self.shared_queues))), []
@@ -365,7 +374,7 @@
             self._free_window_slot(ticket)
 
     def _charge(self, ticket: Ticket, ran_us: int) -> None:
-        """Replace the cost charged for a request so far by its running time."""
+        """Replace the cost that has been charged for a request by its running time ``ran_us``."""
         excess_us, ticket.cost_us = ran_us - ticket.cost_us, float(ran_us)
         if ticket.admitted_us:
             ticket.queue.deficit_us -= excess_us
@@ -374,7 +383,7 @@
     def _learn_cost(self, ticket: Ticket, ran_us: int) -> None:
         """Update the learned cost of the class and of the tenant from a served job.
 
-        A tenant without an account gets one, unless all are in use.
+        A tenant without an account gets one, unless it would replace an account that is still in use.
         """
         account = self.accounts.get(ticket.tenant)
         mean = self.costs.by_class[ticket.job_class]
@@ -396,7 +405,7 @@
         self._actions.append(Reject(number, rejection.reason, rejection.tenant_limit, retry_us))
 
     def _cap_retry_after(self, wait_us: int) -> int:
-        """A wait limited to the maximum Retry-After of the settings; 0 if they disable Retry-After."""
+        """A wait limited to the maximum Retry-After of settings and options; 0 if Retry-After is disabled."""
         if not self.settings.retry_after:
             return 0
         return max(0, min(wait_us, self.settings.max_retry_after_us, self.options.retry_after_cap_ms * 1000))
@@ -404,8 +413,8 @@
     def _is_admitted_at_once(self, ticket: Ticket) -> bool:
         """Whether a request bypasses the queues.
 
-        This is so if nothing is queued and its window has capacity, if admission control is disabled, or if
-        its queue deadline has passed, in which case the decision module rejects it.
+        It does if nothing is queued and its window has capacity, or if admission control is disabled. It also
+        does if its queue deadline has passed; the decision module then rejects it.
         """
         has_capacity = not self.round_robin.length and self.windows.has_capacity(ticket.job_class)
         return has_capacity or not self.options.enabled or ticket.queue_deadline_us <= self.now
@@ -425,7 +434,7 @@
     ) -> Rejection | None:
         """The rejection of a request that can't be queued; None if it can be.
 
-        At the limit of queued requests this may evict a request of a longer queue.
+        At the limit of queued requests, a request of a longer queue may be evicted instead.
         """
         if not request.already_accepted and (rejection := self._deadline_rejection(ticket, promise)):
             return rejection
@@ -438,9 +447,11 @@
         return Rejection(RejectionReason.FULL, exceeds_share, wait_us)
 
     def _deadline_rejection(self, ticket: Ticket, promise: RetryPromise | None) -> Rejection | None:
-        """The rejection of a request that can't start in time, and a retry promise for its caller.
+        """The rejection of a request that is estimated to be queued beyond its queue deadline; else None.
 
-        Returns None if the request may be queued. A caller that returns before its promised time is rejected.
+        The caller of the rejected request gets a retry promise. A caller with an open promise is rejected if
+        it returns early; if it returns in time, its promise is closed and its request takes precedence in its
+        queue, unless too many other callers have returned.
         """
         class_queue = ticket.queue.class_queue(ticket.job_class)
         patience = ticket.queue_deadline_us - self.now
@@ -467,7 +478,7 @@
         return Rejection(RejectionReason.DEADLINE, exceeds_share, wait_us)
 
     def _exceeds_share(self, queue: Queue) -> bool:
-        """Whether a tenant's queue is the longest one while other tenants have open requests too."""
+        """Whether a single tenant's queue is the longest one while other tenants have open requests too."""
         if queue.is_shared or len(self.limits.usage) < 2:
             return False
         return self._longest_queue() is queue
@@ -482,8 +493,8 @@
     def _evict_newest(self, ticket: Ticket) -> bool:
         """Make room for ``ticket`` by rejecting the newest request of the longest queue.
 
-        Returns False, with nothing rejected, if that queue is not longer than the queue of ``ticket`` would
-        be with ``ticket`` added. Each queue's work is divided by its weight for the comparison.
+        Returns False, with nothing rejected, if the longest queue is not longer than the queue of ``ticket``
+        would be with ``ticket`` added. The length of a queue is its queued work divided by its weight.
         """
         longest = self._longest_queue()
         weight = self.round_robin.weight
--- a/robinhill/admission/buckets.py
+++ b/robinhill/admission/buckets.py
@@ -13,9 +13,9 @@
     """A token bucket that may be overdrawn, because the work of a job is known only after it has run."""
 
     rate: float  # tokens per second
-    burst: float
+    burst: float  # maximum number of tokens
     tokens: float = 0.0
-    at_us: int = 0
+    at_us: int = 0  # time of the last refill
 
     def __post_init__(self) -> None:
         self.tokens = self.burst
@@ -28,7 +28,7 @@
         return self.tokens
 
     def wait_us(self, now: int, need: float) -> int:
-        """Microseconds until ``need`` tokens, limited to a full burst, are available; 0 if they are."""
+        """Microseconds until ``need`` tokens, or ``burst`` if less, are available; 0 if they already are."""
         missing = min(need, self.burst) - self.refill(now)
         return max(0, int(missing / self.rate * 1e6) + 1) if missing > 1e-9 else 0
 
@@ -92,8 +92,8 @@
     """Rate limiters for tenants without an account, in bounded memory.
 
     The table has several rows. A tenant's hash selects one limiter in each row, which it shares with other
-    tenants. The tenant is over its limit only if all its limiters are, so a heavy tenant that shares one of
-    them does not affect it. Limiters are created on first use.
+    tenants. A request of the tenant exceeds the limit only if all its limiters are exhausted, so another
+    tenant that exhausts just one of them has no effect on it. Limiters are created on first use.
     """
 
     def __init__(self, limits: Limits) -> None:
--- a/robinhill/admission/callers.py
+++ b/robinhill/admission/callers.py
@@ -15,10 +15,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Caller:
-    """The sender of a request: ``tenant`` is the keyed hash of its tenant's ``name``.
+    """The sender of a request: ``name`` is the name of its tenant, ``tenant`` the keyed hash of that name.
 
     ``network`` is the index of the configured network that contains the caller's address, -1 for none.
-    ``fingerprint`` is a keyed hash of tenant, address and route key, by which retry promises are found.
+    ``fingerprint`` is a keyed hash of tenant, address and route key (the header X-Route-Key), by which the
+    caller's retry promises are found.
     """
 
     tenant: int
@@ -51,8 +52,8 @@
     def find(self, header: str | None, address: str | None, key: str = "") -> Caller:
         """The caller of a request with this tenant header, peer address and route key.
 
-        Without a tenant header the tenant is that of the configured network, or else the address prefix.
-        Raises BadNameError if the header is empty, too long or not printable.
+        Without a tenant header the tenant is the one configured for the caller's network, or else the prefix
+        of the caller's address. Raises BadNameError if the header is empty, too long or not printable.
         """
         if (located := self._located.get(address)) is None:
             if len(self._located) >= MAX_CACHED_ADDRESSES:
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -4,10 +4,10 @@
 from math import exp
 
 UNKNOWN_COST_US = 1_000_000.0  # assumed cost of a class before any of its jobs has ended
-COST_STEP = 1 / 16
-SMOOTHING_US = 1_000_000
+COST_STEP = 1 / 16  # weight of a new job in the mean of its class
+SMOOTHING_US = 1_000_000  # time constant of the average number of running jobs
 MIN_TENANT_RATIO = 0.02
-MAX_SAMPLE_FACTOR = 4  # a single job counts as at most this multiple of the mean
+MAX_SAMPLE_FACTOR = 4  # a single job counts as at most this multiple of the mean of its class
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
 
     @classmethod
     def of(cls, classes: int) -> "Costs":
-        """The initial costs for a number of classes, with none of them known."""
+        """The initial costs for a number of classes: UNKNOWN_COST_US until a job of the class has ended."""
         return cls([UNKNOWN_COST_US] * classes, [False] * classes)
 
     def learn(self, job_class: int, ran_us: float, tenant_ratio: float) -> None:
@@ -31,7 +31,8 @@
             self.by_class[job_class], self.known[job_class] = max(1.0, ran_us), True
             return
         mean = self.by_class[job_class]
-        # Normalised by tenant, so that one tenant's long jobs don't raise the estimate for other tenants.
+        # The running time is divided by the tenant's ratio, so that one tenant's long jobs don't raise the
+        # estimate for other tenants.
         sample = min(ran_us / max(tenant_ratio, MIN_TENANT_RATIO), MAX_SAMPLE_FACTOR * mean)
         self.by_class[job_class] = max(1.0, mean + (sample - mean) * COST_STEP)
 
@@ -47,7 +48,7 @@
 
     running: int = 0
     smoothed_running: float = 0.0
-    at_us: int = 0
+    at_us: int = 0  # time up to which `smoothed_running` is updated
 
     def advance(self, now: int, waiting: bool) -> None:
         """Update the average for the time since the last call. ``waiting``: requests are queued."""
--- a/robinhill/admission/exported_state.py
+++ b/robinhill/admission/exported_state.py
@@ -1,8 +1,9 @@
 """Export and import of admission control's state as JSON values, for a hand-over to a successor process.
 
-The state consists of what was learned about tenants and classes, the levels of rate limiters, and open retry
-promises; queued requests are handed over one by one and are not part of it. The successor may run another
-version, so the keys never change: a renamed attribute keeps its key.
+The state consists of the learned costs of tenants and classes, the tenants' served work and deficits, the
+sizes of admission windows, the levels of rate limiters, and open retry promises. Queued requests are not part
+of it: they are handed over one by one. The successor may run another version, so the keys never change: if an
+attribute is renamed, its key stays.
 """
 
 from typing import Any
@@ -41,12 +42,12 @@
 
 
 def import_caller(values: Json) -> Caller:
-    """The caller from values that another process has exported."""
+    """The caller whose JSON values `export_caller` has returned in another process."""
     return Caller(values["tenant"], values["name"], values["network"], values["mark"])
 
 
 def export_state(admission: Admission) -> Json:
-    """The state as JSON values, with the secret, so that both processes compute the same tenant hashes."""
+    """The state as JSON values, including the secret, so that both processes compute equal tenant hashes."""
     return {
         "secret": admission.secret.hex(),
         "costs": admission.costs.by_class,
@@ -81,7 +82,7 @@
 
 
 def import_state(admission: Admission, now: int, values: Json) -> None:
-    """Adopt another process's state; must be called before the first request. ``now``: microseconds."""
+    """Adopt another process's state; must be called before the first request arrives. ``now`` is in us."""
     admission.secret = bytes.fromhex(values["secret"])
     admission.directory = Directory(admission.options, admission.secret)
     if len(values["costs"]) == len(admission.costs.by_class):
--- a/robinhill/admission/messages.py
+++ b/robinhill/admission/messages.py
@@ -9,22 +9,23 @@
 class RejectionReason(Enum):
     """Why a request is rejected; the value appears in log lines and in the figures for operators."""
 
-    OPEN = "open"  # the tenant or network is at its limit of open requests
+    OPEN = "open"  # the tenant or network is at its limit of open requests, which have no final answer yet
     QUEUED = "queued"  # the tenant is at its limit of queued requests
     REQUEST_RATE = "requests"  # the tenant or network is at its limit of requests per second
     WORK_RATE = "work"  # the tenant or network is at its limit of work per second
-    EARLY = "early"  # the caller retried before the time of its Retry-After
-    DEADLINE = "time"  # the queue is too long for the request to start in time
+    EARLY = "early"  # the caller retried well before the time of its Retry-After
+    DEADLINE = "time"  # the request is estimated to be queued beyond its queue deadline
     FULL = "full"  # the limit of queued requests is reached, and no other queue is long enough to evict from
-    EVICTED = "pushed_out"  # the request was removed from the longest queue in favour of a shorter one
-    LATE = "late"  # the request reached its queue deadline
+    EVICTED = "pushed_out"  # the request was removed from the longest queue to make room in a shorter one
+    LATE = "late"  # the request was still queued at its queue deadline
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionRequest:
     """An arrived request. ``time_left_us`` is the time from its arrival to its deadline.
 
-    ``already_accepted``: another process has accepted it and handed it over, so that no limit rejects it.
+    ``already_accepted``: another process of this scheduler has accepted the request and handed it over. It is
+    then not rejected on arrival, but may still be evicted or reach its queue deadline.
     """
 
     number: int
@@ -44,10 +45,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """The reason of a rejection and the time until a retry may succeed.
+    """The reason of a rejection, and the time until a retry may succeed (``wait_us``).
 
-    ``tenant_limit``: the tenant itself exceeds a limit or its share (status 429); otherwise the scheduler is
-    overloaded (status 503).
+    ``tenant_limit``: the cause is the caller, which retried early, or whose tenant or network exceeds a limit
+    or its share (status 429); otherwise the scheduler is overloaded (status 503).
     """
 
     reason: RejectionReason
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Action: answer a request that has never run. ``retry_us``: its Retry-After, 0 for none."""
+    """Action: answer a request with a rejection; it has never run. ``retry_us``: its Retry-After, 0: none."""
 
     number: int
     reason: RejectionReason
--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -1,4 +1,4 @@
-"""The admission section of the operators' file as validated structs. The keys contain the units of times."""
+"""The admission section of the operators' file as validated structs. Keys of times end in the unit."""
 
 import ipaddress
 from typing import Annotated
@@ -15,7 +15,8 @@
     """The limits of one tenant or network; an omitted key means no limit.
 
     Work is measured in seconds of a worker's time. A burst is the amount that may be used at once after an
-    idle period; it defaults to the amount of one second at the rate.
+    idle period; it defaults to the amount of one second at the rate, and to at least one request. ``open``
+    limits the requests without a final answer, ``queued`` those of them that are queued.
     """
 
     requests_per_s: Positive | None = None
@@ -42,7 +43,10 @@
 
 
 class Network(Struct, frozen=True, forbid_unknown_fields=True):
-    """A network: the tenant of its callers that send no tenant header, and limits on all its callers."""
+    """A network: the tenant of its callers that send no tenant header, and the limits on all its callers.
+
+    The limits apply to the callers together.
+    """
 
     network: str
     tenant: Name | None = None
@@ -66,11 +70,12 @@
     prefix_v6: Annotated[int, Meta(ge=16, le=128)] = 48
     tenants: dict[Name, Tenant] = {}
     limits: Limits = Limits()
-    queued: Annotated[int, Meta(ge=1, le=100_000)] = 2_000
-    queues: Annotated[int, Meta(ge=1, le=4_096)] = 64
-    hand: Annotated[int, Meta(ge=1, le=16)] = 4
-    accounts: Annotated[int, Meta(ge=8, le=65_536)] = 512
-    # The share of the fleet that all tenants in shared queues get together while other tenants are queued.
+    queued: Annotated[int, Meta(ge=1, le=100_000)] = 2_000  # limit on all queued requests together
+    queues: Annotated[int, Meta(ge=1, le=4_096)] = 64  # number of queues shared by the other tenants
+    hand: Annotated[int, Meta(ge=1, le=16)] = 4  # shared queues available to each of these tenants
+    accounts: Annotated[int, Meta(ge=8, le=65_536)] = 512  # limit of accounts of tenants not in ``tenants``
+    # The share of admitted work that all tenants in shared queues get together while requests of tenants with
+    # their own queue are queued.
     newcomers: Annotated[float, Meta(gt=0, lt=1)] = 0.25
     retry_after_cap_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 60_000
 
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -1,6 +1,7 @@
 """Retry promises: a bounded registry of the retry times given to rejected callers, and of their accuracy.
 
-Whether a returning caller is queued or rejected is decided in admission.py.
+A promise is open until its caller retries ("returns") or the promise expires. Whether a returning caller is
+queued or rejected is decided in admission.py.
 """
 
 from collections import deque
@@ -13,17 +14,21 @@
 
 MAX_OPEN_PROMISES = 8_192
 EXPIRE_AFTER_US = 2_000_000  # a promise expires this long after it was due, unless the caller has returned
-MIN_WAITED_SHARE = 0.75  # a caller that returns after this share of the promised wait counts as in time
+MIN_WAITED_SHARE = 0.75  # a caller that returns before this share of the promised wait is rejected as early
 # A promised wait within this factor of the needed wait counts as accurate. The needed wait is the time until
 # the queue was short enough for the caller's request, see `RetryPromises.measure`.
 ACCURACY_FACTOR = 2.0
-RETURN_SHARE_STEP = 1 / 32
+RETURN_SHARE_STEP = 1 / 32  # weight of one closed promise in `ClassQueue.return_share`
 MAX_MEASUREMENTS = 256  # maximum number of concurrent measurements for each class of a queue
 
 
 @dataclass(slots=True)
 class RetryPromise:
-    """A caller may retry at ``due_us``; while the promise is open, its work counts as work ahead."""
+    """A caller may retry at ``due_us``.
+
+    While the promise is open, ``cost_us``, the estimated work of the caller's request, counts as work ahead
+    of requests that arrive in ``class_queue``.
+    """
 
     fingerprint: int
     tenant: int
@@ -37,7 +42,8 @@
 class _PendingMeasurement:
     """A promised wait under measurement.
 
-    The measurement ends when the removed work of the class reaches ``target_us``.
+    The measurement ends when the removed work of the class queue reaches ``target_us``, or when the class
+    queue has no work ahead any more.
     """
 
     promised_us: int
@@ -47,13 +53,14 @@
 
 @dataclass(slots=True)
 class RetryPromises:
-    """Open promises by the callers' fingerprints; a caller may have several, in the order they were made."""
+    """Open promises by the callers' fingerprints; those of one caller are in the order of their creation."""
 
     by_fingerprint: dict[int, deque[RetryPromise]] = field(default_factory=dict)
     open_count: int = 0
     accurate: int = 0  # promised waits within ACCURACY_FACTOR of the needed wait
-    too_short: int = 0  # promised waits shorter than that
-    too_long: int = 0  # promised waits longer than that
+    too_short: int = 0  # promised waits below the needed wait by more than ACCURACY_FACTOR
+    too_long: int = 0  # promised waits above the needed wait by more than ACCURACY_FACTOR
+    # A heap of (time of expiry, serial number, promise); it may contain promises that are already closed.
     _expiries: list[tuple[int, int, RetryPromise]] = field(default_factory=list)
     _serial: int = 0
     _pending: dict[ClassQueue, deque[_PendingMeasurement]] = field(default_factory=dict)
@@ -102,7 +109,7 @@
         if not returned:
             class_queue.removed_work_us += promise.cost_us * class_queue.return_share
         class_queue.return_share += (returned - class_queue.return_share) * RETURN_SHARE_STEP
-        promise.cost_us = -1.0  # marks the entry in `_expiries` as void
+        promise.cost_us = -1.0  # marks the promise as closed for `expire`
 
     def expire(self, now: int) -> None:
         """Close the promises that have expired without a retry by the caller."""
@@ -122,13 +129,17 @@
     # Accuracy
 
     def measure(self, now: int, class_queue: ClassQueue, wait_us: int, work_ahead_us: float) -> None:
-        """Start to compare a promised wait with the time until ``work_ahead_us`` of work has been removed."""
+        """Start to compare a promised wait with the time until ``work_ahead_us`` of work has been removed.
+
+        The work counts as removed when it has been admitted or dropped from the class queue. Beyond
+        MAX_MEASUREMENTS the call has no effect.
+        """
         pending = self._pending.setdefault(class_queue, deque())
         if len(pending) < MAX_MEASUREMENTS:
             pending.append(_PendingMeasurement(now, wait_us, class_queue.removed_work_us + work_ahead_us))
 
     def record_progress(self, now: int, class_queue: ClassQueue) -> None:
-        """Finish the measurements that have reached their target; called after work has been removed."""
+        """Finish the measurements that have ended; must be called after work was removed from the queue."""
         pending = self._pending.get(class_queue)
         if pending is None:
             return
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -11,11 +11,13 @@
 from dataclasses import dataclass, field
 from math import ceil, exp
 
-DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's debt
-RATE_SMOOTHING_US = 3_000_000
-RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its quota
-MAX_SAVED_QUANTA = 4.0  # limit of the deficit of a queue, in quanta
-MIN_CLASS_RATE_SHARE = 0.05  # least share of a queue's rate assumed for a class with less priority weight
+DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's negative deficit
+RATE_SMOOTHING_US = 3_000_000  # time constant of the exponential decay of admitted work and queueing time
+RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its fair rate
+MAX_SAVED_QUANTA = 4.0  # upper limit of the deficit of a queue, in quanta of the queue
+# Lower limit of the estimated share of a class in its queue's rate, as a class with less priority weight may
+# have had no request admitted recently.
+MIN_CLASS_RATE_SHARE = 0.05
 
 
 @dataclass(slots=True, eq=False)
@@ -29,13 +31,13 @@
     network: int
     fingerprint: int
     queue: "Queue"
-    cost_us: float  # the charged work: an estimate until the running time exceeds it or the job ends
+    cost_us: float  # the charged work: an estimate until the job's running time exceeds it or the job ends
     arrived_us: int
     queue_deadline_us: int  # the request is rejected if it is still queued at this time
     admitted_us: int = 0  # 0: still queued
     first_attempt_us: int = 0  # 0: no attempt sent yet
     started_us: int = 0  # 0: no start of execution reported
-    returning: bool = False  # the client retried at the time of its Retry-After
+    returning: bool = False  # a retry at the promised time, which was sent to the client as Retry-After
     in_window: bool = False  # the request occupies a slot of its window
 
 
@@ -43,7 +45,8 @@
 class ClassQueue:
     """The requests of one class in a queue.
 
-    Rates are kept by class, as classes of more priority weight are admitted first.
+    Admitted work is measured for each class, as classes with more priority weight are admitted first and
+    therefore at a higher rate.
     """
 
     queue: "Queue"
@@ -53,7 +56,8 @@
     promised_us: float = 0.0  # estimated work of clients with an open retry promise
     return_share: float = 1.0  # average share of promises whose clients return
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
-    removed_work_us: float = 0.0  # work admitted or dropped since the process started
+    # Work that is no longer ahead, since the process started: admitted, dropped, or of expired promises.
+    removed_work_us: float = 0.0
 
     @property
     def work_ahead_us(self) -> float:
@@ -72,20 +76,20 @@
     weight: float = 1.0
     is_shared: bool = False
     class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
-    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # retries at the promised time
-    returning_work_us: float = 0.0
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # with `Ticket.returning`
+    returning_work_us: float = 0.0  # estimated work of the requests in `returning`
     length: int = 0
     work_us: float = 0.0  # estimated work of the queued requests
     deficit_us: float = 0.0  # work that may still be admitted in this round; negative: a debt
-    round: int = 0  # round in which the deficit was last updated
-    settled_us: int = 0  # time since which a debt decays: when the queue last became empty
-    users: int = 0  # requests queued here, or admitted from here and not yet answered
-    promises: int = 0  # open retry promises
+    round: int = 0  # last round whose quantum an empty queue has received
+    settled_us: int = 0  # time from which a negative deficit decays: when the queue last became empty
+    users: int = 0  # requests in this queue, or admitted from it and not yet answered
+    promises: int = 0  # open retry promises for this queue
     served_us: float = 0.0  # work admitted since the process started
 
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
-    waited_us: float = 0.0  # time during which requests were queued, decayed in the same way
-    at_us: int = 0  # time of the last decay
+    waited_us: float = 0.0  # time during which the queue was not empty, decayed like `admitted_work_us`
+    at_us: int = 0  # time up to which both are decayed
 
     @property
     def in_use(self) -> bool:
@@ -93,7 +97,10 @@
         return self.users > 0 or self.promises > 0
 
     def advance(self, now: int) -> None:
-        """Decay the rates up to ``now``; count the elapsed time as queueing time if requests are queued."""
+        """Decay admitted work and queueing time up to ``now``.
+
+        The time since the last call counts as queueing time if the queue is not empty.
+        """
         elapsed_us = now - self.at_us
         self.at_us = now
         if elapsed_us <= 0:
@@ -105,11 +112,14 @@
             class_queue.admitted_work_us *= decay
 
     def rate(self, prior: float) -> float:
-        """Work admitted per unit of queueing time, close to ``prior`` while the measured time is short."""
+        """Work admitted per unit of queueing time, close to ``prior`` while the queueing time is short."""
         return (self.admitted_work_us + prior * RATE_PRIOR_US) / (self.waited_us + RATE_PRIOR_US)
 
     def class_share(self, job_class: int) -> float:
-        """The share of a class in the admitted work; 1 if no other class has work ahead."""
+        """The share of a class in the queue's recently admitted work; 1 if no other class has work ahead.
+
+        Classes without work ahead are not counted. The result is at least MIN_CLASS_RATE_SHARE.
+        """
         others = sum(
             class_queue.admitted_work_us
             for class_queue in self.class_queues.values()
@@ -142,14 +152,17 @@
     """The non-empty queues, and the order in which their requests are admitted."""
 
     class_order: Sequence[int]  # classes by descending priority weight
-    newcomers: float  # quota of all shared queues together while queues of tenants are not empty
-    quantum_us: float = 1.0
+    # Share of the admitted work that all shared queues get together while a single tenant's queue is active.
+    newcomers: float
+    quantum_us: float = 1.0  # quantum of a queue with weight 1
     round_number: int = 1  # number of the current round
     length: int = 0  # number of queued requests
-    active: OrderedDict[Queue, None] = field(default_factory=OrderedDict)
+    active: OrderedDict[Queue, None] = field(default_factory=OrderedDict)  # the non-empty queues
+    # By class, the queues that contain a request of the class: those found to have used up their quantum in
+    # `_spent`, the others in `_ready`.
     _ready: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
     _spent: dict[int, OrderedDict[Queue, None]] = field(default_factory=dict)
-    _shared_count: int = 0  # active shared queues
+    _shared_count: int = 0  # number of active shared queues
     _tenant_weight: float = 0.0  # total weight of the active queues that belong to a tenant
 
     def __post_init__(self) -> None:
@@ -158,7 +171,10 @@
             self._spent[job_class] = OrderedDict()
 
     def weight(self, queue: Queue) -> float:
-        """Quanta that a queue gets in a round. Active shared queues divide the newcomers' quota equally."""
+        """The number of quanta that a queue gets in a round.
+
+        Active shared queues divide the share ``newcomers`` equally.
+        """
         if not queue.is_shared:
             return queue.weight
         if not self._tenant_weight:
@@ -180,7 +196,7 @@
         return (self.newcomers if tenant_weight else 1.0) / max(1, shared_count)
 
     def add(self, now: int, ticket: Ticket) -> None:
-        """Append a request to its queue."""
+        """Append a request to its queue, which becomes active if it was empty."""
         queue = ticket.queue
         if not queue.length:
             self._activate(now, queue)
@@ -248,8 +264,8 @@
     def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
         """The next request of a queue, chosen for ``job_class``.
 
-        Requests of clients that retried at their promised time come first, whatever their class, if requests
-        of that class may be admitted now.
+        The oldest queued retry at its promised time comes first, whatever its class, if requests of that
+        class may be admitted in the current round.
         """
         returning = next(iter(queue.returning.values()), None)
         if returning and is_open(returning.job_class):
@@ -282,13 +298,13 @@
         return None
 
     def _start_rounds(self, waiting: list[Queue]) -> None:
-        """Advance by as many rounds as the ``waiting`` queue with the least debt needs to be served."""
+        """Advance by the fewest rounds after which a queue of ``waiting`` has a positive deficit."""
         rounds = max(1, min(ceil(-q.deficit_us / self._quantum(q) + 1e-9) for q in waiting))
         self.round_number += rounds
         for queue in self.active:
             quantum = self._quantum(queue)
-            # A queue whose classes are not admitted accumulates quanta. An empty queue is not active; it gets
-            # its quanta in `_activate`.
+            # A queue none of whose classes may be admitted at present accumulates quanta. An empty queue is
+            # not active; it gets its quanta in `_activate`.
             queue.deficit_us = min(MAX_SAVED_QUANTA * quantum, queue.deficit_us + rounds * quantum)
         for job_class in self.class_order:
             ready, spent = self._ready[job_class], self._spent[job_class]
@@ -302,8 +318,8 @@
     def _activate(self, now: int, queue: Queue) -> None:
         """Add a queue that is no longer empty to the active queues.
 
-        Its debt decays by the time since it became empty, and it gets the quanta of the rounds since then, up
-        to MAX_SAVED_QUANTA.
+        A negative deficit decays by the time since the queue became empty. The queue also gets the quanta of
+        the rounds since then, up to a deficit of MAX_SAVED_QUANTA.
         """
         self.active[queue] = None
         self._count_active(queue, 1)
--- a/robinhill/admission/usage_limits.py
+++ b/robinhill/admission/usage_limits.py
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class TenantUsage:
-    """Counts of a tenant's requests in admission control; removed together with the last request."""
+    """Counts of a tenant's requests; the entry is removed when the last open request is closed."""
 
-    open: int = 0
+    open: int = 0  # accepted requests without a final answer, queued ones included
     queued: int = 0
 
 
@@ -36,7 +36,10 @@
         self._open_by_network: Counter[str] = Counter()
 
     def configure(self, options: AdmissionOptions) -> None:
-        """Replace the options. Rate limiters keep their levels, except shared ones if their limits change."""
+        """Replace the options, and update the rate limiters of networks and the shared ones.
+
+        Rate limiters keep their levels, except shared ones if the default limits change.
+        """
         if options.limits != self.options.limits:
             self.shared_limiters = SharedRateLimiters(options.limits)
         self.options = options
@@ -61,7 +64,7 @@
         return Rejection(_RATE_REJECTIONS[rate], True, wait_us) if wait_us else None
 
     def open(self, ticket: Ticket, account: Account | None) -> None:
-        """Count an accepted request as open, and charge its estimated cost to the rate limiters."""
+        """Count an accepted request as open, and charge it with its estimated cost to the rate limiters."""
         self.usage.setdefault(ticket.tenant, TenantUsage()).open += 1
         if account is None:
             self.shared_limiters.consume(ticket.tenant, ticket.cost_us)
@@ -108,7 +111,10 @@
         return None
 
     def _network(self, ticket: Ticket) -> str:
-        """The ticket's network; empty if a reload has shortened the table since the caller was identified."""
+        """The network of a ticket's caller, by its index in the options.
+
+        Returns "" if a reload of the options has shortened the list since the caller was identified.
+        """
         listed = self.options.networks
         return listed[ticket.network].network if ticket.network < len(listed) else ""
 
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -1,6 +1,7 @@
-"""Admission windows: limits on the admitted requests that have no attempt yet and on those that run.
+"""Admission windows: limits on the admitted requests without an attempt, and on all admitted requests.
 
-Both limits are adapted to the time that requests wait after their admission.
+The first limit is adapted to the time that admitted requests wait for their first attempt in the decision
+module, the second to the time that first attempts wait at their workers.
 """
 
 from collections.abc import Sequence
@@ -8,23 +9,26 @@
 
 from robinhill.api import JobClass
 
-MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a longer wait from admission to first attempt shrinks the window
+MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a longer wait from admission to first attempt shrinks `Window.size`
 INITIAL_SIZE = 8.0
-MIN_SIZE = 1.0  # so that the decision module has a request whenever a worker becomes free
+MIN_SIZE = 1.0  # of both limits, so that the decision module has a request whenever a worker becomes free
 MAX_UNPLACED_REQUESTS = 32.0
 SHRINK_FACTOR = 2 / 3
-MIN_SHRINK_INTERVAL_US = 50_000  # requests admitted together that all wait shrink the window only once
+MIN_SHRINK_INTERVAL_US = 50_000  # requests admitted together that all wait shrink `Window.size` only once
 INITIAL_SLOTS = 64.0
 SLOTS_PER_IMMEDIATE_START = 0.1
 SLOTS_PER_WAIT = 0.5
-MAX_SLOTS_FACTOR = 1.25  # when a job had to wait, slots are capped at this multiple of the jobs in the window
-# A job counts as having waited at its worker if its start delay exceeds that of the quickest jobs by more
-# than MIN_WORKER_WAIT_US, and by more than MIN_WORKER_WAIT_SHARE of its estimated running time.
+# When a job had to wait at its worker, `slots` is capped at this multiple of the requests that occupy a slot.
+MAX_SLOTS_FACTOR = 1.25
+# The start delay of a job is the time from sending its first attempt to its start at the worker. The base
+# delay approximates the start delay of the quickest jobs. A job counts as having waited at its worker if its
+# start delay exceeds the base delay by more than MIN_WORKER_WAIT_US, and by more than MIN_WORKER_WAIT_SHARE
+# of its estimated running time.
 MIN_WORKER_WAIT_US = 20_000
 MIN_WORKER_WAIT_SHARE = 1 / 8
-BASE_DELAY_STEP = 0.02
-# After this time without a wait at a worker, slots grow faster: the step doubles in each further half of this
-# time.
+BASE_DELAY_STEP = 0.02  # weight of a start delay above the base delay in the base delay
+# Once no job has waited at its worker for this time, `slots` grows faster: the step doubles in each further
+# half of this time, up to one slot.
 FAST_GROWTH_AFTER_US = 500_000
 
 
@@ -32,18 +36,18 @@
 class Window:
     """Two adaptive limits on admitted requests: ``size`` on those without an attempt, ``slots`` on all.
 
-    ``size`` grows by one with each job that is placed immediately while others are queued, and shrinks when a
-    job has to wait in the decision module. ``slots`` follows the size of the fleet: a job that starts
-    immediately while all slots are taken adds a fraction of a slot, and a job that has to wait at its worker
-    removes half a slot.
+    ``size`` grows by one with each job whose first attempt is sent immediately while other requests are
+    queued, and shrinks when a job has to wait in the decision module. ``slots`` follows the size of the
+    fleet: a job that starts immediately, while requests are queued and at most one slot is free, adds a
+    fraction of a slot; a job that has to wait at its worker removes half a slot.
     """
 
     size: float = INITIAL_SIZE
-    unplaced: int = 0
-    last_shrunk_us: int = 0
+    unplaced: int = 0  # admitted requests without an attempt
+    last_shrunk_us: int = 0  # time at which `size` was last reduced
     slots: float = INITIAL_SLOTS
-    in_window: int = 0
-    last_wait_us: int = 0  # time at which a job that had waited at its worker last started
+    in_window: int = 0  # admitted requests that occupy a slot
+    last_wait_us: int = 0  # latest time at which a job started that had waited at its worker
     base_delay_us: float = 0.0  # delay from sending an attempt to its start, for the quickest jobs
 
     @property
@@ -65,15 +69,15 @@
             self.size = min(MAX_UNPLACED_REQUESTS, self.size + 1)
 
     def execution_started(self, now: int, delay_us: int, cost_us: float, others_queued: bool) -> None:
-        """Adapt ``slots`` to a job of length ``cost_us`` that started ``delay_us`` after its attempt."""
+        """Adapt ``slots`` to a job that has started, with its start delay and estimated running time."""
         # The base delay approximates a low quantile: it falls immediately and rises slowly.
         if delay_us < self.base_delay_us or not self.base_delay_us:
             self.base_delay_us = float(delay_us)
         else:
             self.base_delay_us += BASE_DELAY_STEP * min(delay_us - self.base_delay_us, self.base_delay_us)
         if delay_us - self.base_delay_us > max(MIN_WORKER_WAIT_US, MIN_WORKER_WAIT_SHARE * cost_us):
-            # Slots that were not occupied say nothing about the size of the fleet. They are therefore capped
-            # at a multiple of the jobs in the window before the reduction.
+            # Slots that were not occupied give no evidence that the fleet can run that many jobs. `slots` is
+            # therefore capped at a multiple of the occupied slots before it is reduced.
             self.slots = max(MIN_SIZE, min(self.slots, MAX_SLOTS_FACTOR * self.in_window) - SLOTS_PER_WAIT)
             self.last_wait_us = now
         elif others_queued and self.in_window + 1 >= int(self.slots):
@@ -85,21 +89,24 @@
 
 @dataclass(slots=True)
 class Windows:
-    """A window for each set of workers that classes are bound to; most classes share the one for all workers.
+    """The windows of all classes; classes restricted to the same machine types and zones share a window.
 
-    The decision module places requests of higher priority weight first. So a class may be admitted beside
-    unplaced requests of classes with less weight, as long as its tenants have quantum left. A new round
-    starts only if the whole window has capacity; otherwise unplaced requests with less weight would starve
-    behind those of large tenants.
+    Most classes have no such restriction, and share the window for all workers.
+
+    The decision module places requests of higher priority weight first. So requests of a class may be
+    admitted in addition to unplaced requests of classes with less weight, until their tenants have used up
+    their quantum of the current round of deficit round robin. A new round starts only if all unplaced
+    requests together are below the limit. Otherwise large tenants' requests would be admitted round after
+    round, and unplaced requests with less weight would starve behind them.
     """
 
     classes: Sequence[JobClass]
     windows: list[Window] = field(default_factory=list)
     unplaced: list[int] = field(default_factory=list)  # by class, admitted requests without an attempt
-    _by_class: list[Window] = field(default_factory=list)  # by class
+    _by_class: list[Window] = field(default_factory=list)
     _competing_classes: list[list[int]] = field(
         default_factory=list
-    )  # by class: the classes of its window with at least its priority weight, itself included
+    )  # by class: the classes in the same window that have at least its priority weight, itself included
 
     def __post_init__(self) -> None:
         by_binding: dict[object, Window] = {}
@@ -120,7 +127,7 @@
         return self._by_class[job_class]
 
     def open(self, job_class: int) -> bool:
-        """Whether a request of this class may be admitted within the current round."""
+        """Whether a request of this class may be admitted within the current round of the queues."""
         window = self._by_class[job_class]
         return (
             window.free
@@ -128,7 +135,7 @@
         )
 
     def has_capacity(self, job_class: int) -> bool:
-        """Whether a new round may start in order to admit requests of this class."""
+        """Whether a new round of the queues may start in order to admit requests of this class."""
         window = self._by_class[job_class]
         return window.free and window.unplaced < window.unplaced_limit
 
