--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -71,8 +71,9 @@
     tenants: dict[Name, Tenant] = {}
     limits: Limits = Limits()
     queued: Annotated[int, Meta(ge=1, le=100_000)] = 2_000  # limit on all queued requests together
-    queues: Annotated[int, Meta(ge=1, le=4_096)] = 64  # number of queues shared by the other tenants
-    hand: Annotated[int, Meta(ge=1, le=16)] = 4  # shared queues available to each of these tenants
+    # Tenants without a queue of their own share `queues` queues; each of them may use `hand` of these.
+    queues: Annotated[int, Meta(ge=1, le=4_096)] = 64
+    hand: Annotated[int, Meta(ge=1, le=16)] = 4
     accounts: Annotated[int, Meta(ge=8, le=65_536)] = 512  # limit of accounts of tenants not in ``tenants``
     # The share of admitted work that all tenants in shared queues get together while requests of tenants with
     # their own queue are queued.
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -1,7 +1,8 @@
 """The admission actor, which owns admission control and stands between client connections and dispatcher.
 
-It performs the actions of admission control: it passes admitted requests on to the dispatcher and tracks them
-until their final answer. Which requests are admitted is decided in robinhill/admission.
+It performs the actions of admission control: it passes admitted requests on to the dispatcher, tracks them
+until their final answer, and answers rejected ones. Which requests are admitted is decided in
+robinhill/admission.
 """
 
 import asyncio
@@ -75,10 +76,10 @@
             config.settings, config.operator.admission, config.seed, secrets.token_bytes(SECRET_BYTES)
         )
         self.traffic_recorder: TrafficRecorder | None = None  # records arrivals and rejections
-        self._tracked: dict[int, _TrackedRequest] = {}
-        self._numbers: dict[str, int] = {}
+        self._tracked: dict[int, _TrackedRequest] = {}  # by the number that admission control uses
+        self._numbers: dict[str, int] = {}  # by request id; of requests with equal ids, that of the first
         self._next_number = 1
-        self._due_us: int | None = None  # time at which the pending timer fires
+        self._due_us: int | None = None  # time at which the pending timer fires; None: no timer pending
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             RequestAccepted: self._on_request,
             FirstAttemptSent: self._on_first_attempt_sent,
@@ -100,7 +101,7 @@
         self.tell(Reconfigure(options))
 
     def suspend(self, suspended: bool) -> None:
-        """Stop or resume admitting queued requests; a hand-over to another process suspends it."""
+        """Stop or resume admitting queued requests; called at the start and end of a hand-over."""
         self.tell(Suspend(suspended))
 
     def release(self, request: JobRequest, reply: asyncio.Future[Json]) -> None:
@@ -108,7 +109,7 @@
         self.tell(ReleaseQueued(request, reply))
 
     def adopt(self, request: JobRequest, state: Json, reply: asyncio.Future[Answer], placed: bool) -> None:
-        """Adopt a request that another process has released."""
+        """Adopt a request that another process has released. ``placed``: it has an attempt in flight."""
         self.tell(AdoptReleased(request, state, reply, placed))
 
     def identify_caller(self, headers: MultiMapping[str], address: str | None) -> Caller | None:
@@ -200,7 +201,7 @@
                     self._reject(action)
 
     def _notify_when_answered(self, number: int, reply: asyncio.Future[Answer]) -> None:
-        """Send RequestAnswered to this actor when the request gets its final answer, from any source."""
+        """Send RequestAnswered to this actor when the request gets its final answer or is cancelled."""
 
         def answered(done: asyncio.Future[Answer]) -> None:
             self.tell(RequestAnswered(number, not done.cancelled() and done.result().status == 200))
@@ -209,7 +210,7 @@
 
     def _reject(self, rejection: Reject) -> None:
         tracked = self._untrack(rejection.number)
-        assert tracked, "only queued requests are rejected"
+        assert tracked, "admission control rejected a request that this actor does not track"
         request, reply = tracked.accepted.request, tracked.accepted.reply
         self.metrics.rejections["admission"] += 1
         answer = (
@@ -253,7 +254,7 @@
         self._due_us = due
         asyncio.get_running_loop().call_later(max(0, due - now) / 1e6, self.tell, AdmissionTimerDue())
 
-    # Hand-over between two processes of this scheduler
+    # Hand-over between the two processes of this scheduler during its replacement
 
     def _release(self, now: int, message: ReleaseQueued) -> None:
         number = self._number_of(message.request)
@@ -269,9 +270,10 @@
         message.reply.set_result(state)
 
     def _adopt(self, now: int, message: AdoptReleased) -> None:
-        """Queue a request that was still queued, or track one that was admitted; its caller is retained.
+        """Adopt a request with its caller.
 
-        A queued request keeps its time of arrival.
+        If the other process had admitted the request, it is tracked. Otherwise it is admitted or queued here
+        like a new request, with its original time of arrival.
         """
         caller = exported_state.import_caller(message.state["caller"])
         if waiting := message.state.get("waiting"):
--- a/robinhill/net/dispatcher/admission_messages.py
+++ b/robinhill/net/dispatcher/admission_messages.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Suspend:
-    """Stop or resume admitting queued requests; a hand-over to another process suspends it."""
+    """Stop or resume admitting queued requests; sent at the start and end of a hand-over to a successor."""
 
     suspended: bool
 
@@ -42,7 +42,8 @@
 class ReleaseQueued:
     """Release a request to the successor process.
 
-    ``reply`` is set to the request's state in admission control; empty if it is not tracked here.
+    ``reply`` is set to the request's state in admission control; empty if the admission actor does not track
+    the request.
     """
 
     request: JobRequest
--- a/robinhill/net/dispatcher/decision_timers.py
+++ b/robinhill/net/dispatcher/decision_timers.py
@@ -9,7 +9,7 @@
 
 
 class DecisionTimers:
-    """Sets timers and lists the pending ones; ``notify`` is called with each timer when it is due."""
+    """Sets timers and lists the pending ones; calls ``notify`` with each timer when it is due."""
 
     def __init__(self, clock: Clock, notify: Callable[[TimerDue], None]) -> None:
         self.clock = clock
@@ -23,7 +23,7 @@
         asyncio.get_running_loop().call_later(after_us / 1e6, self.notify, timer)
 
     def fired(self, timer: TimerDue) -> None:
-        """Remove a timer that has fired from the pending ones."""
+        """Remove a timer that has fired from the pending ones; called when ``TimerDue`` is handled."""
         self._due_us.pop(timer, None)
 
     def of_job(self, job: int) -> list[tuple[int, str]]:
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -80,14 +80,16 @@
         metrics: Metrics,
         list_lease: ListLease | None = None,
     ) -> None:
-        """``list_lease``: the lease on the endpoint list; None: a list may be used however old it is."""
+        """``list_lease``: the lease on the endpoint list; None: the list may be used whatever its age."""
         super().__init__("dispatcher", supervisor)
         self.config = config
         self.clock = clock
         self.metrics = metrics
         self.list_lease = metrics.list_lease = list_lease
-        self.list_lease_held = asyncio.Event()  # the state that the decision module was last notified of
-        self.send_lease: Callable[[], bool] | None = None  # whether the lease on the cordons is held
+        # Set while the lease on the endpoint list is held, as last notified to the decision module.
+        self.list_lease_held = asyncio.Event()
+        # Returns whether the lease on the cordons is held; None: sending needs no such lease.
+        self.send_lease: Callable[[], bool] | None = None
         self.balancer = Balancer(config.settings, config.seed)
         self.in_flight = InFlightRequests()
         self.idempotency_keys = idempotency.IdempotencyKeys()
@@ -99,13 +101,15 @@
         self.handover = RequestHandover(
             self.balancer, self.in_flight, self.table, self.timers, clock, self._perform
         )
-        # Called with workers' reports about requests that this process does not have.
+        # Called with workers' reports about requests that this process does not have, or that are in transit
+        # to the other process of this scheduler.
         self.forward_event: Callable[[JobEvent], None] = lambda _: None
         self.notify_admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = None
         self.on_list_changed: Callable[[], None] | None = None
         self.traffic_recorder: TrafficRecorder | None = None
         self._tenant_numbers = {name: number for number, name in enumerate(config.tenants)}
-        self._reading_backlog = False  # messages are deferred until discovery's backlog after a stall is read
+        # True: no message is handled until all that discovery sent during a stall of this process is read.
+        self._reading_backlog = False
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestAccepted: self._accept,
             JobEvent: self._on_job_event,
@@ -134,7 +138,7 @@
             api.Fail: lambda action: self._answer(action.job, protocol.FAILED),
             api.Cancel: self._cancel,
             api.SetTimer: lambda action: self.timers.set(action.after_us, action.tag),
-            api.Subscribe: lambda _: None,  # the discovery watch runs from the start, without a subscription
+            api.Subscribe: lambda _: None,  # the discovery watch always runs and needs no subscription
             api.CheckHealth: self._check_health,
             api.CloseIdle: self._close_idle_connections,
             api.Log: lambda action: log.info("balancer_message", extra={"text": action.text}),
@@ -146,11 +150,11 @@
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
-        """Restrict sending to what cordons allow; must be called before ``start``.
+        """Allow sending only where cordons do; must be called before ``start``.
 
-        ``may_send`` is called immediately before each write to a worker, ``on_list_changed`` after each
-        endpoint list is applied. ``send_lease`` returns whether the lease on the cordons is held; None: no
-        lease is needed for sending.
+        ``may_send`` is called immediately before each write to a worker, and returns whether cordons allow
+        it. ``on_list_changed`` is called after each endpoint list is applied. ``send_lease`` returns whether
+        the lease on the cordons is held; None: no lease is needed for sending.
         """
         self.table.may_send = may_send
         self.on_list_changed = on_list_changed
@@ -175,8 +179,8 @@
     def ready(self) -> bool:
         """Whether a message may be handled now; called by the actor loop.
 
-        After a stall, this returns False until the input from discovery has been read. Then the messages from
-        discovery are moved to the front of the mailbox.
+        After a stall of this process, the method returns False until the input from discovery has been read.
+        Then it moves the messages from discovery to the front of the mailbox, and returns True.
         """
         if self.table.catch_up and self.table.catch_up.has_unread_input():
             self._reading_backlog = True
@@ -190,7 +194,7 @@
         return True
 
     def receive(self, message: DispatcherMessage) -> None:
-        """Handle one message, after checking whether either lease was lost or acquired."""
+        """Handle one message, after checking whether the lease on cordons or endpoint list has changed."""
         if self.send_lease and self.send_lease() is not self.restrictions.send_lease_held:
             self._set_send_lease(not self.restrictions.send_lease_held)
         self._check_list_lease()
@@ -315,9 +319,9 @@
     def _write_deadline_us(self, request: InFlightRequest) -> int:
         """The time until which the next attempt may be written to the connection.
 
-        For a retry of a keyed request that may already have run, this is the end of the window in which
-        workers drop duplicates of it, as connecting can take longer than that. Otherwise it is the request's
-        deadline.
+        For a retry of a keyed request (one with an idempotency key) that may already have run, it is the end
+        of the window in which workers drop duplicates of the request; connecting to a worker may take longer.
+        Otherwise it is the request's deadline.
         """
         job_class = self.config.settings.classes[request.request.job_class]
         job = self.balancer.jobs.get(request.job)
@@ -327,7 +331,7 @@
     def _record_idempotency_key(
         self, request: JobRequest, attempt: tuple[int, int], instance_id: str
     ) -> None:
-        """Record the group of workers in which duplicates of a keyed request are dropped from now on."""
+        """Record the group of workers that drop duplicates of a keyed request once it is sent."""
         job_class = self.config.settings.classes[request.job_class]
         if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
@@ -358,7 +362,7 @@
             self._on_client_disconnected(request.request)
         request.attempts_in_flight.discard(ended.attempt)
         if request.release_reply:
-            # The attempt has ended, so its endpoint may never answer the release.
+            # The attempt has ended, so its endpoint may never answer `ReleaseAttempt`.
             self.handover.abort_release(request)
         self._record_ending(request, ended)
         if ended.result is not None:
@@ -396,7 +400,7 @@
     def _check_health(self, action: api.CheckHealth) -> None:
         instance_id = action.address
         if self.restrictions.applies_to(self.table.destinations.get(instance_id), instance_id):
-            # Nothing is sent to a disabled or cordoned worker, so it counts as alive.
+            # Nothing is sent to a disabled or cordoned worker, so it is not checked and counts as alive.
             self.tell(HealthCheckEnded(instance_id, True))
         elif endpoint := self.table.endpoints.get(instance_id):
             endpoint.tell(CheckHealth())
@@ -408,8 +412,8 @@
             endpoint.tell(CloseIdleConnections())
 
     def _on_endpoint_retired(self, message: EndpointRetired) -> None:
-        # An attempt may have been sent after the endpoint reported that it is idle. The endpoint then reports
-        # again once that attempt has ended.
+        # The dispatcher may have passed an attempt to the endpoint after the endpoint reported that it is
+        # idle. The endpoint then reports again once that attempt has ended.
         busy = any(
             request.endpoints[attempt] == message.instance_id
             for request in self.in_flight.by_number.values()
@@ -424,7 +428,7 @@
             message.reply.set_result(answer)
 
     def _set_worker_disabled(self, message: SetWorkerDisabled) -> Answer:
-        """Disable or enable a worker; repeating a call has no effect."""
+        """Disable or enable a worker; a call for a state that the worker already has changes nothing."""
         instance_id, restrictions = message.instance_id, self.restrictions
         destination = self.table.destinations.get(instance_id)
         listed = destination is not None and destination.lifecycle is not Lifecycle.REMOVED
@@ -444,14 +448,15 @@
         """Replace the cordons; a worker that is no longer cordoned counts as started now."""
         if self.restrictions.set_cordons(self.clock.now_us(), message, self.table.listed()):
             self._apply_restrictions()
-        # The endpoints' mailboxes contain this change by now, and the event loop processes them before the
-        # callback that is scheduled here.
+        # The endpoints' mailboxes already contain this change, and the event loop processes them before the
+        # callback scheduled by the following call.
         asyncio.get_running_loop().call_soon(message.on_applied)
 
     def _set_send_lease(self, held: bool) -> None:
-        """Stop sending attempts when the lease is lost, as cordons may have changed; resume when it is held.
+        """Stop sending attempts when the lease on the cordons is lost, and resume when it is held again.
 
-        Losing the lease puts no worker out of use, so none counts as newly started afterwards.
+        Without the lease, this scheduler may have missed a cordon. The loss of the lease does not put workers
+        out of use, so they don't count as newly started when it is held again.
         """
         self.restrictions.send_lease_held = held
         log.log(logging.INFO if held else logging.WARNING, "send_lease_held" if held else "send_lease_lost")
@@ -464,7 +469,8 @@
     def _refresh_workers(self) -> None:
         """Pass the workers to the decision module as a cached list.
 
-        The decision module would regard a list of changes as one from discovery, and would stop polling.
+        The decision module would regard a list of another kind as one from discovery, and would stop polling
+        discovery.
         """
         self._decide(api.WorkersListed(api.ListKind.CACHED, self.table.workers()))
 
@@ -484,7 +490,8 @@
         self._decide(api.WorkersListed(kind, workers))
         if self.list_lease and message.received_us is not None:
             self.list_lease.renew(message.received_us, received.generation)
-            # Only after the update, as queued requests must not be sent according to the previous list.
+            # The lease is checked after the new list is applied: if the lease is acquired, queued requests
+            # are sent, and they must not be sent to workers of the list that was replaced.
             self._check_list_lease()
         if self.on_list_changed:
             self.on_list_changed()
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -1,7 +1,7 @@
 """The current endpoint list, and the endpoint actor of each worker on it.
 
-An endpoint is opened when its worker is listed, and closed when the worker has been removed from the list and
-has no attempt in flight.
+An endpoint is opened when its worker appears on the list, and closed when the worker has been removed from
+the list and has no attempt in flight.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class EndpointTable:
-    """The listed workers and their endpoints, by instance id."""
+    """Workers and their endpoints, by instance id: listed workers, and removed ones not yet retired."""
 
     def __init__(
         self,
@@ -50,7 +50,8 @@
         self.destinations: dict[str, ListedEndpoint] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.catch_up: CatchUp | None = None  # detects stalls; None: stalls are not detected
-        self.may_send: Callable[[ListedEndpoint], bool] | None = None  # called immediately before each write
+        # Called immediately before each write to a worker; None: all writes are allowed.
+        self.may_send: Callable[[ListedEndpoint], bool] | None = None
         self.traffic_recorder: TrafficRecorder | None = None
         self._zones = list(config.zones)
         self._machine_types = list(config.machine_types)
@@ -64,7 +65,7 @@
         return [self.worker(destination) for destination in self.listed()]
 
     def worker(self, destination: ListedEndpoint) -> api.Worker:
-        """A worker in the representation of the decision module.
+        """A worker in the representation of the decision module, with restrictions applied.
 
         Zones and machine types are numbered in the order of the settings; unknown ones follow in the order of
         their first appearance.
@@ -90,7 +91,10 @@
             self.update(destination)
 
     def update(self, destination: ListedEndpoint) -> None:
-        """Store a worker's list entry and pass it to the worker's endpoint, which is opened if necessary."""
+        """Store a worker's list entry and pass it to the worker's endpoint, with restrictions applied.
+
+        Opens the endpoint if there is none, unless the entry removes the worker.
+        """
         instance_id = destination.instance_id
         self.destinations[instance_id] = destination
         if self.traffic_recorder:
--- a/robinhill/net/dispatcher/in_flight.py
+++ b/robinhill/net/dispatcher/in_flight.py
@@ -1,6 +1,7 @@
-"""The table of requests in flight: those that still need an answer or have an attempt at a worker.
+"""The table of requests in flight: those that still need an answer or have an attempt in flight.
 
-It assigns the numbers by which the decision module refers to requests, and holds the ids of recent requests.
+It assigns the numbers by which the decision module refers to requests (``job``), and holds the ids of recent
+requests.
 """
 
 import asyncio
@@ -12,7 +13,9 @@
 
 Json = dict[str, Any]
 
-SUCCESSOR_NUMBER_GAP = 1_000_000  # adopted requests keep their numbers; own ones start this far above them
+# Adopted requests keep the predecessor's numbers. The successor numbers new requests from this far above the
+# predecessor's next number, as the predecessor may still accept requests.
+SUCCESSOR_NUMBER_GAP = 1_000_000
 MAX_RECENT_IDS = 16_384
 
 
@@ -26,25 +29,26 @@
     reply: asyncio.Future[Answer]
     answer_pending: bool = True
     attempts_in_flight: set[int] = field(default_factory=set)
-    started_us: int = 0  # when the attempt in flight was reported to run; 0: not yet
-    endpoints: list[str] = field(default_factory=list)  # instance id for each attempt so far
+    started_us: int = 0  # when the latest attempt was first reported to run; 0: not reported
+    endpoints: list[str] = field(default_factory=list)  # by attempt, the instance id of its worker
     # Instance id, outcome and duration of each attempt that has ended, for the log.
     attempt_summaries: list[str] = field(default_factory=list)
     last_outcome: api.Outcome | None = None  # outcome of the last attempt that ended in this process
     returned_by: list[str] = field(default_factory=list)  # workers that were full and returned the request
-    release_reply: asyncio.Future[Json | None] | None = None  # set during a release to another process
+    release_reply: asyncio.Future[Json | None] | None = None  # None: no release to another process under way
 
     @property
     def wanted(self) -> bool:
         """Whether the client still waits for an answer.
 
-        When the client disconnects, its reply is cancelled before the message about it is handled.
+        When the client disconnects, ``reply`` is cancelled some time before the dispatcher handles the
+        message ``ClientDisconnected`` and updates ``answer_pending``.
         """
         return self.answer_pending and not self.reply.cancelled()
 
     @property
     def releasable(self) -> bool:
-        """Whether a release is under way, and neither an answer nor a disconnect has ended it."""
+        """Whether a release is under way and has not been ended by an answer or the client's disconnect."""
         return self.release_reply is not None and not self.release_reply.done() and self.answer_pending
 
 
@@ -54,7 +58,8 @@
     def __init__(self) -> None:
         self.by_number: dict[int, InFlightRequest] = {}
         self.numbers: dict[str, int] = {}  # by request id, the number used by the decision module
-        # Workers remember the first request received under an id, and reject others with the same id.
+        # Ids of recent requests, oldest first. A new request with one of them is refused, as workers remember
+        # the first request received under an id and reject others with the same id.
         self.recent_ids: dict[str, None] = {}
         self.next_number = 1
 
@@ -88,7 +93,7 @@
         self.numbers[request_id] = in_flight.job
 
     def find(self, request: JobRequest) -> InFlightRequest | None:
-        """The entry of this request object; None if it has none, even if another request has the same id."""
+        """The entry of this request object; None without one, even if a request with the same id has one."""
         in_flight = self.by_number.get(self.numbers.get(request.id, 0))
         return in_flight if in_flight and in_flight.request is request else None
 
@@ -104,6 +109,6 @@
             self.remove(in_flight)
 
     def import_state(self, recent_ids: list[str], next_number: int) -> None:
-        """Adopt a predecessor's recent ids, and give new requests numbers above those of the predecessor."""
+        """Adopt a predecessor's recent ids, and number new requests above those of the predecessor."""
         self.recent_ids = dict.fromkeys(recent_ids) | self.recent_ids
         self.next_number = next_number + SUCCESSOR_NUMBER_GAP
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -1,6 +1,6 @@
 """The messages of the dispatcher, and those by which it notifies the admission actor.
 
-They are handled in dispatcher.py and the modules beside it. Times are microseconds of the process's clock.
+They are handled by the modules of this package. Times are microseconds of the process's clock.
 """
 
 import asyncio
@@ -62,13 +62,17 @@
     """An endpoint list, or changes to it, from discovery; ``endpoint_list`` is None if the call failed."""
 
     endpoint_list: EndpointList | None
-    cached: bool = False
-    received_us: int | None = None  # when its last byte was read; None: it does not renew the list lease
+    cached: bool = False  # a complete list from the configuration or a predecessor instead of discovery
+    # Time at which the last byte of the list was read; None: the list does not renew the lease on it.
+    received_us: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class ListConfirmed:
-    """Discovery has answered that nothing has changed since ``version``."""
+    """Discovery has reported that the endpoint list has not changed since ``version``.
+
+    ``received_us`` is the time at which the report was received.
+    """
 
     version: int
     received_us: int
@@ -76,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryUnreachable:
-    """Discovery was unreachable at ``as_of_us``, as shown by a call that started at ``called_us``."""
+    """Discovery was unreachable at ``as_of_us``, according to a failed call that started at ``called_us``."""
 
     called_us: int
     as_of_us: int
@@ -84,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAddressChanged:
-    """The discovery watch has used a different address since ``at_us``."""
+    """The address of discovery that the discovery watch calls has changed at ``at_us``."""
 
     at_us: int
 
@@ -94,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetWorkerDisabled:
-    """An operator's call to disable a worker or to enable it again; ``reply`` is set to its answer."""
+    """An operator's call to disable a worker or to enable it again; ``reply`` is set to the call's answer."""
 
     instance_id: str
     disabled: bool
@@ -104,9 +108,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CordonsChanged:
-    """The cordons have changed. Nothing new is sent to workers for which ``covers`` returns True.
+    """The cordons have changed. No new attempt is sent to workers for which ``covers`` returns True.
 
-    ``on_applied`` is called once all endpoints comply.
+    ``on_applied`` is called once all endpoints have applied the change.
     """
 
     covers: Callable[[ListedEndpoint], bool]
@@ -115,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendLeaseChanged:
-    """The lease on the cordons may have been lost or acquired; the dispatcher must read its state again."""
+    """The lease on the cordons may have been lost or acquired; the dispatcher must check if it is held."""
 
 
 # From the other process of this scheduler
@@ -123,7 +127,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseRequest:
-    """Release a request to the successor; ``reply`` is set to its state, or to None if that failed."""
+    """Release a request to the successor process.
+
+    ``reply`` is set to the state of the request, or to None if this process retains the request.
+    """
 
     request: JobRequest
     reply: asyncio.Future[Json | None]
@@ -137,7 +144,7 @@
     state: Json
     reply: asyncio.Future[Answer]
     adopted: asyncio.Event  # set once the request is in flight in this process
-    released_here: bool = False  # this process released the request itself, and no other process adopted it
+    released_here: bool = False  # this process itself had released the request; no other process adopted it
 
 
 # From the dispatcher itself
--- a/robinhill/net/dispatcher/request_handover.py
+++ b/robinhill/net/dispatcher/request_handover.py
@@ -1,8 +1,8 @@
-"""Hand-over of requests between the two processes of one scheduler during its replacement.
+"""Hand-over of requests between the two processes of one scheduler while one replaces the other.
 
 A request is released only after its endpoint has released the attempt in flight, so that at any moment only
-one process handles it. The state is transferred as JSON between processes of different versions; its keys are
-defined in this module only.
+one process handles the request. Its state is transferred as JSON, possibly between processes of different
+versions; the keys are defined in this module only.
 """
 
 import asyncio
@@ -27,9 +27,9 @@
 class AttemptState(TypedDict):
     """The exported state of an attempt in flight."""
 
-    until_us: int
+    until_us: int  # time at which the attempt is cancelled at its worker
     final: bool  # read only by processes of an older version
-    sent_us: int
+    sent_us: int  # time at which the attempt was sent
 
 
 class RequestState(TypedDict):
@@ -37,24 +37,24 @@
 
     job: int
     deadline_us: int
-    endpoints: list[str]
-    endings: list[str]
-    returned: list[str]
-    attempt: AttemptState | None
-    destination: Json | None  # the endpoint list's entry of the worker that has the attempt
-    module: ExportedJob
+    endpoints: list[str]  # by attempt, the instance id of its worker
+    endings: list[str]  # summaries of ended attempts, for the log
+    returned: list[str]  # workers that were full and returned the request
+    attempt: AttemptState | None  # None: no attempt in flight
+    destination: Json | None  # the endpoint list's entry of the worker with the attempt in flight
+    module: ExportedJob  # the job's state in the decision module
     timers: list[list[int | str]]  # due time (us) and tag of each pending timer
 
 
 class DispatcherState(TypedDict):
     """The exported state of the dispatcher, which the successor needs before it adopts any request."""
 
-    module: ExportedState
+    module: ExportedState  # the state of the decision module without its jobs
     seen: list[str]  # recent request ids
     held_out: list[str]  # disabled workers
     # By worker, start and end (us) of its time out of use; the end is 0 while it is still out of use.
     outages: dict[str, list[int]]
-    next: int  # the number of the next request
+    next: int  # the number that the predecessor would assign to its next request
 
 
 class RequestHandover:
@@ -75,8 +75,8 @@
         self.timers = timers
         self.clock = clock
         self.perform = perform
-        # By id, requests in transit to another process. Workers' reports about such a request wait for the
-        # event, which is set once the other process has adopted the request or this one retains it.
+        # By id, requests in transit to the other process. Workers' reports about such a request wait for the
+        # event, which is set once the other process has adopted the request or it stays in this process.
         self.in_transit: dict[str, asyncio.Event] = {}
 
     def release(self, message: ReleaseRequest) -> None:
@@ -90,8 +90,9 @@
             return
         request.release_reply = message.reply
         self.in_transit[request.request.id] = asyncio.Event()
-        # Worker reports that were already forwarded to the endpoint precede this message in its mailbox. If
-        # the endpoint reports the end of the attempt, that precedes its answer in the dispatcher's mailbox.
+        # Worker reports that were already forwarded to the endpoint precede `ReleaseAttempt` in the
+        # endpoint's mailbox. If one of them ends the attempt, `AttemptEnded` precedes the endpoint's answer
+        # to `ReleaseAttempt` in the dispatcher's mailbox.
         attempts = len(request.attempts_in_flight)
         endpoint = self.table.endpoints.get(request.endpoints[-1]) if attempts else None
         if not attempts:
@@ -102,14 +103,17 @@
             self.abort_release(request)
 
     def abort_release(self, request: InFlightRequest) -> None:
-        """Abort the release of a request, if one is under way; this process retains the request."""
+        """Abort the release of a request, if it is under way; this process then retains the request."""
         if request.release_reply and not request.release_reply.done():
             request.release_reply.set_result(None)
         request.release_reply = None
         self.finish_transit(request.request.id)
 
     def finish_transit(self, request_id: str) -> None:
-        """Resume waiting worker reports: the other process has adopted the request or this one retains it."""
+        """Let waiting worker reports about a request proceed, as it is no longer in transit.
+
+        Either the other process has adopted the request, or this process retains it.
+        """
         if in_transit := self.in_transit.pop(request_id, None):
             in_transit.set()
 
@@ -120,7 +124,7 @@
         """
         request, attempt = self.in_flight.by_number.get(message.job), message.attempt
         if request is None:
-            return  # the request has ended in the meantime
+            return  # the request has ended since its release was started
         remaining = len(request.attempts_in_flight) - (attempt is not None)
         if not request.releasable or remaining > 0:
             # The client has disconnected, the request was answered, or an attempt could not be released. The
@@ -150,7 +154,7 @@
         }
 
     def adopt(self, message: AdoptRequest) -> None:
-        """Adopt a released request with its attempt in flight, its timers and its decision state."""
+        """Adopt a released request: its attempt in flight, timers, and state in the decision module."""
         state, now_us = message.state, self.clock.now_us()
         request = InFlightRequest(state["job"], message.request, state["deadline_us"], message.reply)
         request.endpoints = state["endpoints"]
@@ -172,7 +176,7 @@
         instance_id, number = request.endpoints[-1], len(request.endpoints) - 1
         request.attempts_in_flight = {number}
         endpoint = self.table.endpoints.get(instance_id)
-        if endpoint is None:  # the worker has been removed from the endpoint list in the meantime
+        if endpoint is None:  # the worker has been removed from the endpoint list since the attempt was sent
             removed = protocol.decode_listed_endpoint(destination | {"lifecycle": "left"})
             endpoint = self.table.open_removed(removed)
         until_us, sent_us = attempt["until_us"], attempt["sent_us"]
@@ -184,7 +188,7 @@
 def export_dispatcher(
     balancer: Balancer, in_flight: InFlightRequests, restrictions: WorkerRestrictions
 ) -> DispatcherState:
-    """Export the state that a successor needs, before it adopts any request, to make the same decisions."""
+    """Export the dispatcher's state, from which a successor makes the same decisions as this process."""
     return {
         "module": exported_state.export_state(balancer),
         "seen": list(in_flight.recent_ids),
@@ -198,7 +202,7 @@
 
 
 def import_dispatcher(in_flight: InFlightRequests, restrictions: WorkerRestrictions, state: Json) -> None:
-    """Import a predecessor's request ids and restrictions.
+    """Import a predecessor's request ids and restrictions on workers.
 
     Endpoints must be notified of the restrictions before `import_balancer` is called.
     """
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -1,7 +1,7 @@
 """Creates the records of a traffic recording from requests, attempts, answers and endpoints.
 
-Records contain no request bodies, and only hashes of ids and tenants. The recorder writes them in a thread of
-its own.
+Records contain no request bodies, and only hashes of request ids and tenants. The `Recorder` writes them in a
+thread of its own.
 """
 
 from typing import TYPE_CHECKING
@@ -41,10 +41,14 @@
     def record_attempt(
         self, request: JobRequest, endpoint: str, outcome: Outcome, took_us: int, started_us: int
     ) -> None:
-        """Record an attempt that has ended; ``started_us``: when it started to run, 0 if unknown."""
+        """Record an attempt that has ended.
+
+        ``took_us`` is the time for which it was in flight. ``started_us`` is the time at which it started to
+        run, 0 if unknown; its running time is then recorded as -1.
+        """
         now = self.clock.now_us()
-        # The end was reported through a mailbox with some delay, so the time since the start may exceed the
-        # time in flight, which limits the running time.
+        # The end of the attempt was reported through a mailbox with some delay, so the time since its start
+        # may exceed the time for which it was in flight. The shorter of the two is its running time.
         ran_us = min(took_us, now - started_us) if started_us else -1
         self.recorder.add(
             Attempted(now, self.recorder.hash(request.id), endpoint, outcome.value, took_us, ran_us)
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -1,7 +1,9 @@
 """Restrictions on sending to workers: disabled workers, cordons, and a lost lease on the cordons.
 
-This module owns the set of disabled workers and the times at which workers were out of use at this scheduler.
-Endpoints and decision module learn of restrictions only through list entries changed by ``effective``.
+A worker is disabled at this scheduler alone, and cordoned at all schedulers. Without the lease, this
+scheduler may have missed a cordon. This module owns the set of disabled workers and the times at which
+workers were out of use (disabled or cordoned) at this scheduler. Endpoints and decision module are notified
+of restrictions only through list entries changed by ``effective``.
 """
 
 import logging
@@ -28,10 +30,13 @@
     def __init__(self, store: DisabledWorkerStore, now_us: int) -> None:
         self.store = store
         self.disabled = store.load()
-        # The file contains no times, so a worker disabled by an earlier process is out of use from now on.
+        # The file contains no times, so a worker disabled by an earlier process counts as out of use from the
+        # start of this process.
         self.out_of_use = {instance_id: OutOfUse(now_us) for instance_id in self.disabled}
-        self.cordons: CordonsChanged | None = None  # the last ones received
-        self.send_lease_held = True  # the state that endpoints and decision module were last notified of
+        self.cordons: CordonsChanged | None = None  # the cordons last received; None: none received yet
+        # Whether the lease on the cordons is held, as last notified to endpoints and decision module; True if
+        # no lease is needed.
+        self.send_lease_held = True
 
     def applies_to(self, destination: ListedEndpoint | None, instance_id: str) -> bool:
         """Whether a worker is disabled at this scheduler or cordoned at all schedulers."""
@@ -42,9 +47,10 @@
     def effective(self, destination: ListedEndpoint) -> ListedEndpoint:
         """The worker's list entry with restrictions applied, for endpoints and decision module.
 
-        A restricted worker appears as draining. A worker that is back in use counts as started at that
-        moment: it may have restarted while it was out of use without the list showing this yet, and a cold
-        worker that gets the load of a warm one would be overloaded.
+        A restricted worker appears as draining, and so do all workers while the lease on the cordons is lost.
+        A worker that is back in use counts as started when it came back: it may have restarted while it was
+        out of use without the list showing the restart yet, and a cold worker that gets the load of a warm
+        one would be overloaded.
         """
         if destination.lifecycle is Lifecycle.ACTIVE and (
             self.applies_to(destination, destination.instance_id) or not self.send_lease_held
@@ -88,6 +94,6 @@
             self.out_of_use[instance_id] = OutOfUse(now_us)
 
     def import_state(self, disabled: list[str], out_of_use: dict[str, OutOfUse]) -> None:
-        """Adopt a predecessor's disabled workers and times out of use."""
+        """Adopt a predecessor process's disabled workers and times out of use."""
         self.disabled = set(disabled)
         self.out_of_use = out_of_use
