--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -1,5 +1,6 @@
 """Admission control: decides which requests are admitted, queued or rejected, and when callers may retry.
 
+Admitted requests are passed on to the decision module (robinhill/logic.py), which places them on workers.
 The module does no I/O: each event method takes the current time and returns a list of actions. The caller
 assigns a number to each request, performs the actions immediately and in order, and calls ``tick`` at
 ``next_us``. Times are whole microseconds. The clock is expected to be monotonic: a time earlier than the
@@ -34,7 +35,7 @@
 # most this multiple of the time until its queue deadline.
 RETURNING_PATIENCE_FACTOR = 1.25
 COST_CORRECTION_INTERVAL_US = 250_000  # interval of charging jobs that run longer than estimated
-LONGEST_QUEUE_CACHE_US = 50_000  # the longest queue is determined again after this time at the earliest
+LONGEST_QUEUE_CACHE_US = 50_000  # a queue found to be the longest counts as such for this time or until empty
 # A job is overdue if it was admitted longer ago than OVERDUE_US plus this multiple of its class's mean
 # running time.
 OVERDUE_RUNTIME_FACTOR = 3.0
--- a/robinhill/admission/messages.py
+++ b/robinhill/admission/messages.py
@@ -16,7 +16,7 @@
     EARLY = "early"  # the caller retried well before the time of its Retry-After
     DEADLINE = "time"  # the request is estimated to be queued beyond its queue deadline
     FULL = "full"  # the limit of queued requests is reached, and no other queue is long enough to evict from
-    EVICTED = "pushed_out"  # the request was removed from the longest queue to make room in a shorter one
+    EVICTED = "pushed_out"  # removed from the longest queue, in favour of a request for a shorter queue
     LATE = "late"  # the request was still queued at its queue deadline
 
 
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -57,9 +57,9 @@
 
     by_fingerprint: dict[int, deque[RetryPromise]] = field(default_factory=dict)
     open_count: int = 0
-    accurate: int = 0  # promised waits within ACCURACY_FACTOR of the needed wait
-    too_short: int = 0  # promised waits below the needed wait by more than ACCURACY_FACTOR
-    too_long: int = 0  # promised waits above the needed wait by more than ACCURACY_FACTOR
+    accurate: int = 0  # promised waits within a factor of ACCURACY_FACTOR of the needed wait
+    too_short: int = 0  # promised waits below the needed wait by more than that factor
+    too_long: int = 0  # promised waits above the needed wait by more than that factor
     # A heap of (time of expiry, serial number, promise); it may contain promises that are already closed.
     _expiries: list[tuple[int, int, RetryPromise]] = field(default_factory=list)
     _serial: int = 0
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -53,7 +53,7 @@
     job_class: int
     tickets: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)
     work_us: float = 0.0  # estimated work of the queued requests
-    promised_us: float = 0.0  # estimated work of clients with an open retry promise
+    promised_us: float = 0.0  # estimated work of rejected requests with an open retry promise
     return_share: float = 1.0  # average share of promises whose clients return
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
     # Work that is no longer ahead, since the process started: admitted, dropped, or of expired promises.
@@ -89,7 +89,7 @@
 
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
     waited_us: float = 0.0  # time during which the queue was not empty, decayed like `admitted_work_us`
-    at_us: int = 0  # time up to which both are decayed
+    at_us: int = 0  # time up to which `admitted_work_us` and `waited_us` are decayed
 
     @property
     def in_use(self) -> bool:
--- a/robinhill/admission/usage_limits.py
+++ b/robinhill/admission/usage_limits.py
@@ -50,7 +50,7 @@
         self.network_limiters = limiters
 
     def check(self, now: int, ticket: Ticket, account: Account | None) -> Rejection | None:
-        """The rejection of a request whose tenant or network has reached a limit; None within all limits."""
+        """The rejection of a request whose tenant or network has reached a limit; None if neither has."""
         if reason := self._count_at_limit(ticket):
             return Rejection(reason, True, int(ticket.cost_us))
         waits = []
--- a/robinhill/admission/wait_estimate.py
+++ b/robinhill/admission/wait_estimate.py
@@ -63,9 +63,9 @@
         return self.queue_rate(now, queue) * queue.class_share(class_queue.job_class)
 
     def retry_after_us(self, now: int, ticket: Ticket) -> int:
-        """Time until a request of the same class and queue is expected to be queued in time, with jitter.
+        """Time after which the caller of a rejected request should retry, with jitter.
 
-        By then its wait in the queue is expected to be TARGET_PATIENCE_SHARE of its patience.
+        A retry at that time is expected to be queued for TARGET_PATIENCE_SHARE of its patience.
         """
         class_queue = ticket.queue.class_queue(ticket.job_class)
         patience = self.patience_us(self._classes[ticket.job_class], self._costs.by_class[ticket.job_class])
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -1,7 +1,8 @@
 """Admission windows: limits on the admitted requests without an attempt, and on all admitted requests.
 
 The first limit is adapted to the time that admitted requests wait for their first attempt in the decision
-module, the second to the time that first attempts wait at their workers.
+module (robinhill/logic.py), which places them on workers. The second limit is adapted to the time that first
+attempts wait at their workers.
 """
 
 from collections.abc import Sequence
@@ -26,7 +27,7 @@
 # of its estimated running time.
 MIN_WORKER_WAIT_US = 20_000
 MIN_WORKER_WAIT_SHARE = 1 / 8
-BASE_DELAY_STEP = 0.02  # weight of a start delay above the base delay in the base delay
+BASE_DELAY_STEP = 0.02  # weight of a start delay in the base delay, if it exceeds the base delay
 # Once no job has waited at its worker for this time, `slots` grows faster: the step doubles in each further
 # half of this time, up to one slot.
 FAST_GROWTH_AFTER_US = 500_000
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -1,7 +1,8 @@
 """The dispatcher: the actor that passes events to the decision module and performs its actions.
 
-It owns the decision module, the requests in flight, the endpoints and the lease on the endpoint list. It does
-not choose workers itself, and does I/O only through endpoints and through the clients' reply futures.
+It owns the decision module (``Balancer``), the requests in flight, the endpoints and the lease on the
+endpoint list. It leaves the choice of workers to the decision module, and does I/O only through endpoints and
+through the clients' reply futures.
 """
 
 import asyncio
@@ -226,7 +227,7 @@
             job,
             request.job_class,
             max(1, deadline_us - self.clock.now_us()),
-            self._tenant_numbers.get(request.tenant, len(self._tenant_numbers)),  # not configured: no quota
+            self._tenant_numbers.get(request.tenant, len(self._tenant_numbers)),  # other tenants: no quota
             request.cost_us,
             request.client_repeat,
         )
@@ -445,7 +446,7 @@
         return DONE
 
     def _on_cordons(self, message: CordonsChanged) -> None:
-        """Replace the cordons; a worker that is no longer cordoned counts as started now."""
+        """Replace the cordons; a worker whose cordon has been lifted counts as started at this moment."""
         if self.restrictions.set_cordons(self.clock.now_us(), message, self.table.listed()):
             self._apply_restrictions()
         # The endpoints' mailboxes already contain this change, and the event loop processes them before the
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptRequest:
-    """Adopt a request that another process has released; ``reply`` is set to its final answer."""
+    """Adopt a request that another process has released; ``reply`` is set to the request's final answer."""
 
     request: JobRequest
     state: Json
