--- a/tests/test_emulator_site.py
+++ b/tests/test_emulator_site.py
@@ -1,5 +1,6 @@
 """Loopback addresses of the emulators are unique among all processes of the host."""
 
+import os
 import subprocess
 import sys
 from pathlib import Path
@@ -9,10 +10,13 @@
 from robinhill.emulator import site
 
 ROOT = Path(__file__).parent.parent
-FREE_ADDRESS_PROGRAM = """
+PORT_COUNT = 64  # as many ports as `free_address` tries, so that it tries all of them
+# Test sessions that run at the same time use different ports: reservations are shared by the whole host.
+FIRST_PORT = site.PORTS[PORT_COUNT * (os.getpid() % (len(site.PORTS) // PORT_COUNT))]
+FREE_ADDRESS_PROGRAM = f"""
 import sys
 from robinhill.emulator import site
-site.PORTS = range(20_000, 20_064)
+site.PORTS = range({FIRST_PORT}, {FIRST_PORT + PORT_COUNT})
 try:
     print(site.free_address())
 except OSError as error:
@@ -28,7 +32,7 @@
 
 def test_free_address_is_unique_across_processes(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process listens on its port only later; until then a second process must not get the port either."""
-    monkeypatch.setattr(site, "PORTS", range(20_000, 20_064))
+    monkeypatch.setattr(site, "PORTS", range(FIRST_PORT, FIRST_PORT + PORT_COUNT))
     returned: set[str] = set()
     try:
         while True:
