--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -203,7 +203,9 @@
         From this call on, the scheduler counts for majorities. ``why`` goes into the log.
         """
         self.freshness.caught_up = True
-        log.info("counts_for_majorities", extra={"why": why, "seconds": self._catch_up.age_s(mono_us())})
+        log.info(
+            "quorum_participation_started", extra={"why": why, "seconds": self._catch_up.age_s(mono_us())}
+        )
         self.tracker.mark_all_stored(mono_us())
         self._write_acknowledgement()
         self._notifier.notify_lease(self.holds_lease())
