--- a/robinhill/net/actor.py
+++ b/robinhill/net/actor.py
@@ -16,18 +16,19 @@
 
 
 class ActorDiedError(Exception):
-    """An actor or a task ended with an error, which has been logged."""
+    """An actor or a task ended with an error. The error itself has been logged."""
 
 
 class Supervisor:
-    """Owns all tasks. An error that ends one of them is logged and ends the program."""
+    """Owns all tasks. An error that ends a task is logged and ends the program."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
+        # Pending until an actor or a task fails, then set to an ActorDiedError.
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run a coroutine as a supervised task."""
+        """Run a coroutine as a task: `close` cancels it, and an error that ends it ends the program."""
         task = asyncio.get_running_loop().create_task(work, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -46,7 +47,10 @@
             self.failed.set_exception(ActorDiedError(name))
 
     async def run_until_failure(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a coroutine to its end. If an actor or task fails first, cancel it and raise ActorDiedError."""
+        """Run a coroutine to its end. If an actor or task fails first, cancel the coroutine instead.
+
+        Raises ActorDiedError after such a failure.
+        """
         task = asyncio.get_running_loop().create_task(work)
         await asyncio.wait([task, self.failed], return_when=asyncio.FIRST_COMPLETED)
         if self.failed.done():
@@ -63,10 +67,10 @@
 
 
 class Actor(Generic[Message]):
-    """Handles the messages of its mailbox one after another; only this handling accesses its state.
+    """Handles the messages of its mailbox one after another; only its message handlers access its state.
 
-    A callback of the event loop drains the mailbox, not a task that waits on a queue: waking a task costs
-    several times as much as handling a message, and a request passes through ten mailboxes.
+    The mailbox is drained by a callback of the event loop, not by a task that waits on a queue: waking a task
+    costs several times as much as handling a message, and a request passes through ten mailboxes.
     """
 
     def __init__(self, name: str, supervisor: Supervisor) -> None:
@@ -74,24 +78,24 @@
         self.supervisor = supervisor
         self._mailbox: deque[Message] = deque()
         self._loop = asyncio.get_running_loop()
-        self._alive = False
+        self._alive = False  # whether messages are handled; False before `start` and after `stop` or an error
         self._scheduled = False  # whether the event loop has a pending callback that drains the mailbox
         # Messages are handled in the actor's own context. In the sender's context, context variables of one
         # job's attempt would leak into tasks that the actor spawns for other jobs.
         self._context = Context()
 
     def start(self) -> None:
-        """Start to handle messages, beginning with those already in the mailbox."""
+        """Start to handle messages, beginning with the messages that are already in the mailbox."""
         self._alive = True
         if self._mailbox:
             self._schedule()
 
     def stop(self) -> None:
-        """Stop handling messages; those in the mailbox stay there."""
+        """Stop handling messages; messages that were not handled stay in the mailbox."""
         self._alive = False
 
     def tell(self, message: Message) -> None:
-        """Put a message into the mailbox without waiting."""
+        """Put a message into the mailbox; return without waiting for its handling."""
         self._mailbox.append(message)
         if self._alive and not self._scheduled:
             self._schedule()
@@ -113,9 +117,12 @@
             self.supervisor.fail(self.name, error)
 
     def ready(self) -> bool:
-        """Whether messages may be handled now; if not, the event loop's next iteration checks again."""
+        """Whether messages may be handled in this iteration of the event loop.
+
+        If not, they stay in the mailbox, and the event loop's next iteration calls this method again.
+        """
         return True
 
     def receive(self, message: Message) -> None:
-        """Handle one message."""
+        """Handle one message of the mailbox; an exception ends the program."""
         raise NotImplementedError
--- a/robinhill/net/clock.py
+++ b/robinhill/net/clock.py
@@ -6,8 +6,9 @@
 class Clock:
     """Unix time in microseconds: set from the system clock once, then advanced by the monotonic clock.
 
-    The decision module's clock must never step back, and workers' start times on the endpoint list are Unix
-    time. ``offset_us``: a simulated error of the host's clock, for tests.
+    The code that decides about requests (``robinhill.placement``) requires a clock that never steps back, and
+    workers' start times on the endpoint list are Unix time. ``offset_us``: a simulated error of the host's
+    clock, for tests.
     """
 
     def __init__(self, offset_us: int = 0) -> None:
@@ -15,14 +16,14 @@
 
     @property
     def anchor_ns(self) -> int:
-        """Nanoseconds between the monotonic clock and this clock's Unix time."""
+        """This clock's Unix time minus the monotonic clock's time, in nanoseconds."""
         return self._anchor
 
     def adopt_anchor(self, anchor_ns: int) -> None:
-        """Use the anchor of another process on this host.
+        """Use the ``anchor_ns`` of another process on this host.
 
-        The times that the other process hands over refer to its anchor, and the host's clock may have been
-        stepped since that process started.
+        The times that the other process hands over were read from a clock with its anchor. This process's own
+        anchor may differ, as the host's system clock may have been stepped since the other process started.
         """
         self._anchor = anchor_ns
 
@@ -32,5 +33,8 @@
 
 
 def mono_us() -> int:
-    """Monotonic time in microseconds; includes time in suspend on systems that have CLOCK_BOOTTIME."""
+    """Monotonic time in microseconds.
+
+    It includes the time during which the host was suspended, on systems that have CLOCK_BOOTTIME.
+    """
     return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) // 1000
--- a/robinhill/net/metrics.py
+++ b/robinhill/net/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics for operators, counted in one object and rendered from it.
+"""The metrics for operators: components update one `Metrics` object, which renders them as text.
 
 Dashboards rely on the names and types of the rendered metrics (docs/operations.md).
 """
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from robinhill.record.recorder import Recorder
 
-METRIC_PREFIX = "app"
+METRIC_PREFIX = "app"  # first part of each metric's name
 RESPONSE_OUTCOMES = ("ok", "shed", "errors")
 
 
@@ -24,33 +24,37 @@
 
 
 class Metrics:
-    """Counters since the start of the process, and gauges with their last value."""
+    """Counters, which start at 0 with the process, and gauges, which have the value that was last set."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.classes = classes
         self.responses: Counter[tuple[str, str]] = Counter()  # final answers, by class and outcome
         self.attempts_sent = 0  # attempts whose request was written completely to a worker
-        # Attempts started on a connection, by the origin of the endpoint list in use.
+        # Attempts whose request a worker's connection began to write, by the origin of the endpoint list that
+        # was in use at that time.
         self.sends: Counter[ListOrigin] = Counter()
         self.rejections: Counter[str] = Counter()  # rejected requests, by reason
         self.retries: Counter[str] = Counter()  # retried attempts, by the outcome of the previous attempt
-        self.closes: Counter[str] = Counter()  # connections that this process closed, by side and reason
-        self.list_lease: ListLease | None = None  # lease on the endpoint list in use
-        self.active = 0  # requests in flight; a disconnected client's request counts until its attempt ends
-        self.pool_size = 0
-        self.pool_ejected = 0
+        # Connections that this process closed, by peer and reason: ``client.REASON`` or ``worker.REASON``.
+        self.closes: Counter[str] = Counter()
+        self.list_lease: ListLease | None = None  # lease on the endpoint list in use; None: no lease is shown
+        # Requests that are queued at admission control or in flight at the dispatcher. The request of a
+        # client that has disconnected counts until its attempt ends.
+        self.active = 0
+        self.pool_size = 0  # workers on the endpoint list
+        self.pool_ejected = 0  # listed workers that are disabled, cordoned or avoided after failures
         self.recorder: Recorder | None = None  # None: traffic is not recorded
         # Returns the number of requests queued at admission control; None: no admission control.
         self.admission_queued: Callable[[], int] | None = None
 
     def count_answer(self, job_class: int, answer: Answer) -> None:
-        """Count a request's final answer."""
+        """Count a request's final answer by its class and outcome (``RESPONSE_OUTCOMES``)."""
         self.responses[self.classes[job_class], _outcome(answer)] += 1
 
     def text(self, now_us: int = 0) -> str:
         """Render each metric as a line ``name:value|type``, with type c for counters and g for gauges.
 
-        The age of the endpoint list is computed at ``now_us``.
+        ``now_us`` is the current time, from which the age of the endpoint list is computed.
         """
         lines = [
             f"{METRIC_PREFIX}.responses.{name}.{outcome}:{self.responses[name, outcome]}|c"
--- a/robinhill/net/request_transfer.py
+++ b/robinhill/net/request_transfer.py
@@ -1,8 +1,9 @@
 """Transfer of requests and workers' calls between the two processes of one scheduler.
 
-A request is queued at admission control or in flight at the dispatcher. This module collects its state from
-either for the successor, and returns the request to them if no successor has accepted it. At no time do two
-processes own the same request.
+A successor process replaces its predecessor while both run. A request is queued at admission control or in
+flight at the dispatcher. This module exports the request's state from these two components, sends the state
+to the successor, and returns the request to the component that had it if no successor has accepted it. At no
+time do two processes own the same request. A worker's call is its callback about a job's progress or end.
 """
 
 import asyncio
@@ -25,11 +26,12 @@
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
-ADMISSION_KEY: Final = "door"  # key of admission control's part of a request's state, in all versions
+# Key of the part of a request's state that admission control exports; it is the same in all versions.
+ADMISSION_KEY: Final = "door"
 
 
 class RequestTransfer:
-    """Moves requests between dispatcher, admission and the other process."""
+    """Moves requests from dispatcher and admission control to the other process, and from it to them."""
 
     def __init__(self, dispatcher: Dispatcher, admission: "AdmissionActor | None") -> None:
         self.dispatcher = dispatcher
@@ -39,7 +41,10 @@
     # To the other process
 
     async def release(self, request: JobRequest) -> Json | None:
-        """Release a request and return its state for a successor; None if it can't be released now."""
+        """Release a request and return its state for a successor.
+
+        Returns None if it can't be released at this time, for example because it was just answered.
+        """
         admission_state: Json = {}
         loop = asyncio.get_running_loop()
         if self.admission:
@@ -56,8 +61,10 @@
     async def send(self, state: Json, fd: int, request: JobRequest, reply: asyncio.Future[Answer]) -> bool:
         """Send a released request to the successor. Returns whether the successor has accepted it.
 
-        If the successor has not received the request, this process owns it again. If the link was lost and
-        the successor may have sent an attempt, the request is answered with a failure.
+        ``fd`` is a duplicate of the descriptor of the client's connection and is closed by this call;
+        ``reply`` is the future of the request's answer in this process. If the successor has rejected the
+        request or has not received it, this process owns it again. If the link was lost after the successor
+        may have received the request, the request is answered with a failure.
         """
         accepted, sent = False, False
         body = state | {"request": protocol.encode_handed_over_request(request)}
@@ -69,7 +76,8 @@
         except LinkLostError as e:
             sent = e.sent
         if sent:
-            # The successor may have received the request and sent an attempt, so no other attempt may follow.
+            # The successor may have received the request and sent an attempt, so this process must not send
+            # another one: the job could run twice.
             if not reply.done():
                 reply.set_result(protocol.FAILED)
         elif not accepted:
@@ -80,21 +88,23 @@
         return accepted
 
     async def _reclaim(self, state: Json, request: JobRequest, reply: asyncio.Future[Answer]) -> None:
-        """Continue a released request in this process, as no successor has accepted it."""
+        """Continue in this process a request that it has released, as no successor has accepted it."""
         if self.admission and "waiting" in state[ADMISSION_KEY]:
             self.admission.adopt(request, state[ADMISSION_KEY], reply, False)
             return
         adopted = asyncio.Event()
-        without_timers = state | {"timers": []}  # this process's own timers are still set
+        # This process's timers for the request were not cancelled by the release, so none are set again.
+        without_timers = state | {"timers": []}
         self.dispatcher.tell(AdoptRequest(request, without_timers, reply, adopted, released_here=True))
         await adopted.wait()
 
     # From the other process
 
     async def adopt(self, body: Json, fd: int, inbound: Inbound) -> bool:
-        """Continue a request and its client's connection, whose descriptor ``fd`` this call owns.
+        """Continue a request of the other process and its client's connection.
 
-        Returns False if this process is itself shutting down.
+        This call owns ``fd``, the connection's descriptor. Returns False, and the request stays with the
+        other process, if this process is shutting down.
         """
         if inbound.shutting_down:
             os.close(fd)
@@ -105,7 +115,9 @@
         if self.admission and "caller" in admission_state:
             self.admission.adopt(request, admission_state, reply, bool(body.get("attempt")))
         if waiting := admission_state.get("waiting"):
-            if not self.admission:  # dispatched without queuing again, as there is no admission control here
+            if not self.admission:
+                # The other process had queued the request at admission control, which this process does not
+                # have: the request is dispatched at once.
                 self.dispatcher.tell(RequestAccepted(request, waiting["arrived_us"], reply))
         else:
             adopted = asyncio.Event()
@@ -117,10 +129,10 @@
     # Workers' calls about requests
 
     async def deliver(self, event: JobEvent) -> None:
-        """Deliver a worker's call to the process that owns its request.
+        """Deliver a worker's call to the process that owns the call's request.
 
-        Returns once the call is in the dispatcher's mailbox here, or the other process has accepted it. A
-        call whose request is in neither process is dropped.
+        Returns once the call is in the mailbox of this process's dispatcher, or the other process has
+        accepted it. A call whose request is in neither process is dropped.
         """
         await self._wait_for_transit(event.id)
         if (
@@ -129,13 +141,14 @@
             and await self.handover.forward_worker_event(protocol.encode_job_event(event))
         ):
             return
-        if event.id in self.dispatcher.in_flight:  # may have been transferred here in the meantime
+        # The request may have been transferred to this process while the call was being forwarded.
+        if event.id in self.dispatcher.in_flight:
             self.dispatcher.tell(event)
 
     async def accept_worker_event(self, body: Json) -> bool:
         """Process a worker's call that the other process has forwarded.
 
-        Returns False if this process does not have its request.
+        Returns False if this process does not have the call's request.
         """
         event = protocol.decode_job_event_object(body)
         await self._wait_for_transit(event.id)
@@ -145,5 +158,6 @@
         return True
 
     async def _wait_for_transit(self, request_id: str) -> None:
+        """Wait until the request is in one process: a hand-over of it has succeeded or failed."""
         if in_transit := self.dispatcher.handover.in_transit.get(request_id):
             await in_transit.wait()
--- a/robinhill/net/scheduler.py
+++ b/robinhill/net/scheduler.py
@@ -1,7 +1,8 @@
 """The embeddable scheduler, with ``start``, ``drain`` and ``close``; ``run`` calls all three.
 
-It owns the components of one process and the order in which they start and stop. The components themselves
-are in their packages.
+It owns the components of one process and the order in which they start and stop; their code is in the
+packages beside this module. During a restart a scheduler consists of two processes: the *successor* takes
+over from its *predecessor* by a hand-over.
 """
 
 import asyncio
@@ -36,7 +37,8 @@
 from robinhill.placement.list_lease import ListLease
 from robinhill.protocol import DONE, Answer, JobEvent
 
-# Components that are not configured are never imported: imports lengthen a restart, which is an outage.
+# Optional components are imported only if they are configured: imports lengthen a restart, which is an outage
+# of this scheduler.
 if TYPE_CHECKING:
     from robinhill.net.control_group.observing_scheduler import ObservingScheduler
     from robinhill.net.dispatcher.admission import AdmissionActor
@@ -46,12 +48,19 @@
 log = logging.getLogger(__name__)
 
 Json = dict[str, Any]
-ACCEPT_AFTER_SIGTERM_S = 0.7  # for requests that clients sent before they noticed the shutdown
-HANDOVER_RETRY_S = 0.05  # between attempts to hand over pending requests
-MAX_LIST_WAIT_S = 2.9  # for discovery's first answer; after that this process is ready without it
-MAX_START_WAIT_S = 0.9  # for an operator's call to wait for the start of this process
-RELOADED_OR_INITIAL_OPTIONS = ("discovery", "known", "seed", "operator")  # no restart needed to change these
-DISABLE_CALL, DRAIN_CALL = "hold_out", "drain"  # names of the calls between processes, in all versions
+# How long requests are still accepted after SIGTERM: clients may have sent them before they noticed the
+# shutdown.
+ACCEPT_AFTER_SIGTERM_S = 0.7
+HANDOVER_RETRY_S = 0.05  # delay between two attempts to hand over pending requests
+# How long the start waits for the lease on the endpoint list, which discovery's first answer renews; after
+# this time the process reports that it is ready without the lease.
+MAX_LIST_WAIT_S = 2.9
+MAX_START_WAIT_S = 0.9  # how long an operator's call waits until this process has started
+# Options whose change does not require a restart: a reload applies `discovery` and `operator`, and a process
+# uses the others only when it starts.
+RELOADED_OR_INITIAL_OPTIONS = ("discovery", "known", "seed", "operator")
+# Names of the operators' calls that one process relays to the other; they are the same in all versions.
+DISABLE_CALL, DRAIN_CALL = "hold_out", "drain"
 STARTING = Answer(503, b"this scheduler is still starting\n")
 NOT_RELAYED = Answer(500, b"the other process of this scheduler has not confirmed the call\n")
 NO_ADMISSION = Answer(404, b"no operators' file is configured, so there is no admission control\n")
@@ -62,7 +71,7 @@
 
     def __init__(self, config: Config, env: Mapping[str, str] = os.environ) -> None:
         self.config = config
-        self.env = env  # read again by a reload
+        self.env = env  # a reload reads the configuration from these variables again
         self.clock = Clock(config.clock_offset_us)
         self.supervisor = Supervisor()
         self.metrics = Metrics(config.classes)
@@ -96,7 +105,7 @@
         self.shared_state = self._create_shared_state()
         self.operators = self._create_operator_server()
         self.started = asyncio.Event()  # set once this process is ready to serve
-        self.stopping = asyncio.Event()  # set when this process is asked to shut down
+        self.stopping = asyncio.Event()  # set when a signal requests the shutdown of this process
         self.handover: Handover | None = None
         if config.socket_fd is not None and config.folder:
             self.handover = self.transfer.handover = Handover(config.folder, self.supervisor, self)
@@ -157,7 +166,10 @@
         return OperatorServer(self.config.ops, self.config.ops_sockets - 1, self.supervisor, calls)
 
     async def start(self) -> None:
-        """Bind, take over from a predecessor if there is one, and serve; return once ready."""
+        """Bind the listening socket, take over from a predecessor if there is one, and start to serve.
+
+        Returns once this process reports that it is ready.
+        """
         if self.operators:
             self.operators.start()
         self.catch_up.start()
@@ -174,8 +186,8 @@
         if self.admission:
             self.admission.start()
         # Requests are accepted and queued before the endpoint list is known: the kernel accepts connections
-        # from the bind on, and while most schedulers restart, clients have no other scheduler. Until then
-        # readiness checks fail, so that load balancers wait.
+        # from the bind on, and while most schedulers restart, clients have no other scheduler. Readiness
+        # checks fail until the list is known, so that load balancers prefer other schedulers.
         self.inbound.start(sock)
         if self.inbound.awaiting_endpoint_list:
             await self._wait_for_list_lease()
@@ -187,15 +199,19 @@
         log.info("started", extra=extra | self.list_lease.log_fields(self.clock.now_us()))
 
     async def _take_over(self, handover: Handover) -> None:
-        """Import the predecessor's state and query discovery, before any connection is accepted."""
+        """Import the predecessor's state, and wait for discovery's list, before connections are accepted.
+
+        Answers of the predecessor that are missing are skipped: this process then starts without that state.
+        """
         self.inbound.set_superseded(False, self.config.client_sockets(2))
         exported = await handover.ask_predecessor(QuestionName.ENDPOINT_LIST)
-        if exported and "clock_anchor_ns" in exported:  # older versions do not export this key
+        if exported and "clock_anchor_ns" in exported:  # a predecessor of an older version omits this key
             self.clock.adopt_anchor(exported["clock_anchor_ns"])
         if exported and exported["discovery"] == str(self.config.discovery):
             known = protocol.decode_endpoint_list(exported["known"])
             self.list_watcher.version = known.generation
-            # An older version does not export these keys; its list may be of any age.
+            # A predecessor of an older version omits these keys. Its list may be of any age, so that this
+            # process inherits the list without a lease on it.
             confirmed_us, until_us = exported.get("list_confirmed_us"), exported.get("list_until_us", 0)
             self.list_lease.inherit(known.generation, confirmed_us, until_us)
             self.dispatcher.start(known)
@@ -210,7 +226,7 @@
             self.inbound.drain(state["drained"])
 
     async def _wait_for_list_lease(self) -> None:
-        """Wait for the lease on the endpoint list or for shutdown, for at most `MAX_LIST_WAIT_S`.
+        """Wait until the lease on the endpoint list is held or shutdown begins, up to `MAX_LIST_WAIT_S`.
 
         The limit keeps a restart short if discovery does not answer.
         """
@@ -225,9 +241,9 @@
             log.warning("endpoint_list_timeout", extra={"seconds": MAX_LIST_WAIT_S})
 
     def reload(self) -> None:
-        """Apply the changed values of the configuration files. An invalid file changes nothing.
+        """Read the configuration files again and apply changed options. An invalid file changes nothing.
 
-        Requests in flight are not affected.
+        Changed options that need a restart are logged and not applied. Requests in flight are not affected.
         """
         try:
             new = configuration.load(self.env, reloading=True)
@@ -235,8 +251,8 @@
             log.error("reload_failed", extra={"key": e.key, "why": e.what})
             return
         changed = [f.name for f in fields(Config) if getattr(new, f.name) != getattr(self.config, f.name)]
-        # The endpoint list and the seed are used at the start only. All other options except `discovery` and
-        # `operator` are built into running components.
+        # The configured endpoint list (`known`) and `seed` are used only when a process starts. Running
+        # components have been created with the values of all other options except `discovery` and `operator`.
         needing_restart = [name for name in changed if name not in RELOADED_OR_INITIAL_OPTIONS]
         if new.operator and self.config.operator:
             self._reconfigure(new.operator, self.config.operator)
@@ -247,7 +263,11 @@
         self.list_watcher.tell(ChangeAddress(new.discovery))
 
     def _reconfigure(self, new: OperatorFile, old: OperatorFile) -> None:
-        """Apply a changed operators' file. Requests queued at admission control stay queued."""
+        """Apply the changed options of the operators' file. Requests queued at admission control stay queued.
+
+        The state that schedulers share is created only when a process starts. If this process has none, or
+        the list of peers becomes empty or non-empty, a warning states that the change needs a restart.
+        """
         if new.log != old.log:
             logs.configure(new.log)
         if self.admission and new.admission != old.admission:
@@ -262,9 +282,9 @@
     async def drain(self) -> None:
         """Accept requests for `ACCEPT_AFTER_SIGTERM_S`, then reject new ones until all accepted are answered.
 
-        The listener stays open because workers call back at the clients' address. If a successor serves at
-        that address, it receives the pending requests instead. `close` answers requests that are received
-        only in part by then.
+        The listener stays open because workers send their callbacks to the clients' address. If a successor
+        serves at that address, the pending requests are handed over to it instead. Requests of which only a
+        part has been received when the drain ends are answered by `close`.
         """
         log.info("draining", extra={"pending": self.inbound.pending_count})
         self.inbound.shutting_down = True
@@ -274,16 +294,17 @@
         self.inbound.rejects_new_requests = True
         log.info("rejecting", extra={"pending": self.inbound.pending_count})
         while self.inbound.pending_count:
-            if await self._hand_over_pending():  # a successor has started in the meantime
+            if await self._hand_over_pending():  # a successor may have started during the drain
                 return
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HANDOVER_RETRY_S):
                     await self.inbound.none_pending.wait()
 
     async def _hand_over_pending(self) -> bool:
-        """Hand all pending requests to a successor that serves.
+        """Hand all pending requests over to the successor, if one serves; return once none is pending.
 
-        Returns whether the successor has them all; False if there is no successor or it has exited.
+        Returns False if there is no successor, or it exits while requests are handed over; this process then
+        continues to serve the requests that it still has.
         """
         if self.admission and self.inbound.superseded:
             self.admission.suspend(True)
@@ -299,27 +320,30 @@
     # Operators' calls
 
     def readiness(self) -> Answer:
-        """Whether this process is ready to serve."""
+        """Answer whether this process is ready to serve: 200 if so, 503 if not."""
         ready = self.inbound.ready and self.started.is_set()
         return Answer(200, b"ready\n") if ready else Answer(503, b"not ready\n")
 
     def stats(self) -> Answer:
-        """Return the current metrics as text, including those of the shared state."""
+        """Return the current metrics as text, including those of the state that schedulers share."""
         answer = self.dispatcher.stats()
         if self.shared_state:
             answer = replace(answer, body=answer.body + self.shared_state.metrics())
         return answer
 
     async def disable_worker(self, instance_id: str, disabled: bool) -> Answer:
-        """Disable a worker, or enable it again."""
+        """Stop sending attempts to a worker, or resume sending, in both processes of this scheduler."""
         return await self._apply_in_both_processes(DISABLE_CALL, {"id": instance_id, "out": disabled})
 
     async def set_drained(self, start: bool) -> Answer:
-        """Start or stop draining. While draining, readiness checks fail, so clients use other schedulers."""
+        """Start or stop draining. While draining, readiness checks fail, so clients use other schedulers.
+
+        Requests that arrive during the drain are still served.
+        """
         return await self._apply_in_both_processes(DRAIN_CALL, {"start": start})
 
     async def _apply_in_both_processes(self, call: str, body: Json) -> Answer:
-        """Apply an operator's call in this process and in the other process, if there is one."""
+        """Apply an operator's call in this process, and if it succeeds also in the other, if there is one."""
         try:
             async with asyncio.timeout(MAX_START_WAIT_S):
                 await self.started.wait()
@@ -331,6 +355,11 @@
         return answer if await self.handover.relay_operator_call(call, body) else NOT_RELAYED
 
     async def _apply_here(self, call: str, body: Json, listed_elsewhere: bool) -> Answer:
+        """Apply an operator's call in this process.
+
+        ``listed_elsewhere``: the other process has applied the call, so it knows the worker that a
+        `DISABLE_CALL` names. Otherwise the call fails for a worker that this process does not know.
+        """
         if call == DISABLE_CALL:
             reply: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
             self.dispatcher.tell(SetWorkerDisabled(body["id"], body["out"], reply, listed_elsewhere))
@@ -345,9 +374,9 @@
         self.supervisor.spawn(self.transfer.deliver(event), f"deliver {event.id}")
 
     def export_endpoint_list(self) -> EndpointListExport:
-        """Return the state from which a successor watches discovery itself.
+        """Return the state that a successor needs to watch discovery itself.
 
-        Also reduces this process's budget of client connections to leave a half to the successor.
+        Also halves this process's budget of client connections; the other half is for the successor.
         """
         self.inbound.set_budget(self.config.client_sockets(2))
         known = [protocol.encode_listed_endpoint(d) for d in self.dispatcher.listed()]
@@ -369,9 +398,10 @@
         }
 
     def set_superseded(self, superseded: bool) -> None:
-        """Leave new connections to a successor, or accept them again after the other process has exited.
+        """Leave new connections to a successor (True), or accept connections in this process (False).
 
-        The budget of client connections is halved while there are two processes.
+        The budget of client connections is halved while this process is superseded, as there are two
+        processes then, and full otherwise.
         """
         self.inbound.set_superseded(superseded, self.config.client_sockets(2 if superseded else 1))
         if superseded:
@@ -382,11 +412,17 @@
         return (await self._apply_here(call, body, True)).status == 200
 
     async def accept_worker_event(self, body: Json) -> bool:
-        """Process a worker's call. Returns False if this process does not have the call's request."""
+        """Process a worker's call that the other process has forwarded.
+
+        Returns False if this process does not have the call's request.
+        """
         return await self.transfer.accept_worker_event(body)
 
     async def adopt_request(self, body: Json, fd: int) -> bool:
-        """Continue a request and its client's connection, and own ``fd``. Returns False if rejected."""
+        """Continue a request of the other process and its client's connection, whose descriptor is ``fd``.
+
+        This call owns ``fd``. Returns False if this process rejects the request because it is shutting down.
+        """
         return await self.transfer.adopt(body, fd, self.inbound)
 
     async def close(self) -> None:
--- a/robinhill/net/workers/__init__.py
+++ b/robinhill/net/workers/__init__.py
@@ -1,1 +1,1 @@
-"""One actor for each worker, which runs its attempts, cancellations, health checks and connections."""
+"""One actor for each worker: it owns the attempts, cancels, health checks and connections at that worker."""
--- a/robinhill/net/workers/attempt.py
+++ b/robinhill/net/workers/attempt.py
@@ -23,32 +23,33 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerAttempt:
-    """One attempt at a worker, from its start to its end or release.
+    """One attempt at a worker, from its start to its end or its release to another process.
 
-    Times are microseconds of the process's clock. The attempt expires at ``until_us``, and the client's
-    deadline is ``deadline_us``. No byte is written from ``write_until_us`` on, or once ``client_waiting``
-    returns False, which means that the client has disconnected or was answered.
+    Times are microseconds of the process's clock. The attempt is cancelled at the worker at ``until_us``, and
+    ends at ``deadline_us``, the client's deadline, even if the cancel is unanswered. No byte is written from
+    ``write_until_us`` on, or once ``client_waiting`` returns False, which means that the client has
+    disconnected or was answered.
     """
 
-    job: int
-    number: int
+    job: int  # the dispatcher's number of the request
+    number: int  # index of the attempt within its job, from 0
     request: JobRequest
     until_us: int
     deadline_us: int
-    sent_us: int
-    write_until_us: int = 0
+    sent_us: int  # when the endpoint started the attempt
+    write_until_us: int = 0  # 0 for an attempt that another process has written
     client_waiting: Callable[[], bool] = lambda: True
     phase: Phase = Phase.CONNECTING
-    connection: "WorkerConnection | None" = None  # on which the request was written
-    fully_written: bool = False
-    exchange: asyncio.Task[Any] | None = None
-    timer: asyncio.TimerHandle | None = None
-    ended: bool = False
+    connection: "WorkerConnection | None" = None  # carries the request; None until its first byte is written
+    fully_written: bool = False  # whether the last byte of the request is written
+    exchange: asyncio.Task[Any] | None = None  # sends the request; None if another process has sent it
+    timer: asyncio.TimerHandle | None = None  # runs until ``until_us``
+    ended: bool = False  # whether the attempt's outcome was reported, or the attempt was released
     cancel_requested: bool = False
 
     @property
     def active(self) -> bool:
-        """Whether the attempt has not ended and no cancel of it was requested."""
+        """Whether the attempt has not ended and its cancel was not requested."""
         return not self.ended and not self.cancel_requested
 
 
--- a/robinhill/net/workers/client.py
+++ b/robinhill/net/workers/client.py
@@ -1,7 +1,8 @@
-"""The HTTP calls to one worker: a job's POST, its DELETE, and health checks.
+"""The HTTP calls to one worker: a POST submits a job, a DELETE cancels it, and a GET checks the health.
 
 This module maps the worker's response, or the lack of one, to the outcome of an attempt as the protocol
-defines it; the endpoint acts on the outcome.
+between schedulers and workers defines it; the endpoint, the worker's actor, acts on the outcome. A worker
+that accepts a job answers the POST with 202 and reports the job's end by a callback.
 """
 
 import asyncio
@@ -22,9 +23,10 @@
 log = logging.getLogger(__name__)
 
 HEALTH_CHECK_TIMEOUT_S = 1.0
-# How long an exchange waits for the 202 of an attempt that has ended, or for the end of a response's body.
+# How long an exchange waits for the response to an attempt that has already ended, or for the end of an error
+# response's body.
 LINGER_S = 2.0
-_REJECTION_STATUSES = (503, 504)  # with the header NOT_PROCESSED, they state that the job did not run
+_REJECTION_STATUSES = (503, 504)  # with the header NOT_PROCESSED, each states that the job did not run
 _MALFORMED_RESPONSE_ERRORS = (aiohttp.ClientPayloadError, aiohttp.ClientResponseError)
 
 
@@ -50,12 +52,13 @@
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             auto_decompress=False,
         )
-        # aiohttp retries idempotent requests whose connection breaks; no request may be sent twice here.
+        # By default aiohttp sends an idempotent request again if its connection breaks. A scheduler must not
+        # send any request to a worker twice.
         session._retry_connection = False
         return session
 
     def record_close(self, reason: str) -> None:
-        """Count and log a connection that this side closes."""
+        """Count and log that this scheduler closes a connection to the worker."""
         self.metrics.closes[f"worker.{reason}"] += 1
         log.debug("connection_closed", extra={"endpoint": self.instance_id, "why": reason})
 
@@ -63,7 +66,10 @@
         return URL(f"http://{self.host_port}{target}", encoded=True)
 
     async def submit(self, attempt: WorkerAttempt, guard: WriteGuard) -> Outcome | None:
-        """POST the job; returns the attempt's outcome, or None if the worker has accepted the job."""
+        """POST the job; return the attempt's outcome, or None if the worker has accepted the job.
+
+        ``guard`` checks right before the first byte is written whether the attempt may still be sent.
+        """
         current_attempt.set((guard, attempt))
         try:
             guard.check_sendable(attempt)
@@ -87,7 +93,8 @@
                 self.record_close("early_answer")
                 connection.close()
                 raise aiohttp.ClientPayloadError("worker responded before the request was fully written")
-            # The phase is set before the body is read, so that a cancel from now on sends a DELETE.
+            # The phase is set before the body is read, so that a cancel during the reading sends a DELETE and
+            # does not close this connection.
             if response.status == 202:
                 attempt.phase = Phase.ACCEPTED
                 await _discard_body(response)
@@ -96,10 +103,12 @@
                     await _discard_body(response)
             elif connection is not None:
                 self.record_close("unexpected_answer")
-                connection.close()  # the worker may have the job; the close makes it drop the job
+                # The worker may have received the job and drops it when the connection is closed.
+                connection.close()
         return response
 
     def _failed(self, attempt: WorkerAttempt, error: Exception) -> Outcome | None:
+        """Log a failed exchange; return the outcome, or None if the worker has accepted the job before."""
         malformed = isinstance(error, _MALFORMED_RESPONSE_ERRORS) or type(error) is TimeoutError
         event = "malformed_response" if malformed else "attempt_connection_failed"
         level = logging.WARNING if malformed else logging.DEBUG
@@ -123,9 +132,9 @@
         return {"id": attempt.request.id, "endpoint": f"endpoint {self.instance_id}", "why": why}
 
     async def cancel(self, request_id: str) -> bool:
-        """DELETE a job; True if the worker has confirmed that the job no longer runs there.
+        """DELETE a job; return whether the worker has confirmed that the job no longer runs there.
 
-        Any status below 500 confirms it.
+        Any status below 500 is a confirmation.
         """
         timeout = aiohttp.ClientTimeout(total=self.connect_timeout_s)
         url = self._url(protocol.cancellation_target(request_id))
@@ -155,7 +164,7 @@
             return False
 
     def replace_session(self) -> aiohttp.ClientSession:
-        """Use new connections from now on; returns the old session, which the caller closes."""
+        """Use new connections for all later calls; return the old session, which the caller must close."""
         self.record_close("idle")
         old, self.session = self.session, self._new_session()
         return old
--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -1,7 +1,7 @@
 """Connections to a worker: aiohttp's, with checks that a job is sent neither twice nor after its expiry.
 
-A connection that receives data outside a response is closed. Right before the first byte of an attempt is
-written, the attempt's ``WriteGuard`` checks again whether it may be sent.
+A connection is closed if it receives data while no response is expected. Right before the first byte of an
+attempt is written, the ``WriteGuard`` checks again whether the attempt may be sent.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
     """Decides right before an attempt is written whether it may be sent, and is notified of the write."""
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until this process has handled the messages that arrived while it was stalled."""
+        """Wait until this process has handled discovery's messages that arrived while it was stalled."""
 
     def check_sendable(self, attempt: WorkerAttempt) -> None:
-        """Raise NotWrittenError if the attempt may not be sent now."""
+        """Raise NotWrittenError if the attempt, of which no byte is written, may no longer be sent."""
 
     def timeout_header(self, attempt: WorkerAttempt) -> str:
-        """The value of the timeout header: how much longer this scheduler waits for the attempt."""
+        """The value of the attempt's timeout header: the time until this scheduler cancels the attempt."""
 
     def record_send(self, attempt: WorkerAttempt) -> None:
         """Called when the attempt is about to be written."""
@@ -43,6 +43,7 @@
         """Called when the attempt's last byte is written."""
 
 
+# The attempt whose request the current task sends, and its guard; None for cancels and health checks.
 current_attempt: ContextVar[tuple[WriteGuard, WorkerAttempt] | None] = ContextVar(
     "current attempt", default=None
 )
@@ -61,15 +62,18 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the connection may carry another request; aborts it if it holds unsolicited data."""
+        """Whether the connection may carry another request.
+
+        This call aborts the connection if the kernel holds unread data, which no request has asked for.
+        """
         return self.is_connected() and not self.should_close and not self._abort_if_unread()
 
     def begin_exchange(self) -> None:
-        """Accept data from now on: a request is about to be written."""
+        """Treat received data as part of a response from now on, as a request is about to be written."""
         self._expects_response = True
 
     def end_exchange(self) -> None:
-        """Treat data as unsolicited from now on: the response is complete."""
+        """Treat received data as unsolicited from now on, as the exchange has ended."""
         self._expects_response = False
 
     def data_received(self, data: bytes) -> None:
@@ -99,7 +103,7 @@
 
 
 class WorkerConnector(aiohttp.TCPConnector):
-    """A connection pool without a limit, which reuses only connections that are ``reusable``."""
+    """A connection pool without a limit; it reuses only connections that are `WorkerConnection.reusable`."""
 
     def __init__(self, max_idle_s: float, record_close: Callable[[str], None]) -> None:
         super().__init__(limit=0, limit_per_host=0, keepalive_timeout=max_idle_s)
@@ -116,9 +120,9 @@
 class GuardedRequest(aiohttp.ClientRequest):
     """A request that checks again, once it has a connection, whether its attempt may be sent.
 
-    A connect may take as long as its timeout. Meanwhile the worker may begin to drain, the client may
-    disconnect, or the attempt may expire. Until this check nothing is written, so that an attempt which fails
-    it provably never ran.
+    A connect may take as long as its timeout. During that time the worker may begin to drain, the client may
+    disconnect, or the attempt may expire. No byte is written before the check, so that an attempt which fails
+    the check provably never ran.
     """
 
     async def send(self, conn: Connection) -> ClientResponse:
@@ -132,11 +136,12 @@
             guard, attempt = current
             await guard.wait_until_caught_up()
             guard.check_sendable(attempt)
-            if not connection.reusable:  # also a new connection may have closed or received data by now
+            # Even a new connection may have been closed or have received data while the guard waited.
+            if not connection.reusable:
                 raise NotWrittenError(Outcome.CONNECT_FAILED)
             attempt.connection = connection
             attempt.phase = Phase.WRITE_STARTED
-            # The header is computed again, as the connect has used up some of the client's time.
+            # The timeout header is computed again, as the connect has reduced the attempt's remaining time.
             self.headers[protocol.TIMEOUT] = guard.timeout_header(attempt)
             guard.record_send(attempt)
         connection.begin_exchange()
@@ -147,7 +152,7 @@
         return response
 
     async def write_bytes(self, writer: Any, conn: Connection, content_length: int | None = None) -> None:
-        """Write the body, and record the request as fully written if the connection has not failed."""
+        """Write the body, and record that the request is fully written if the connection has not failed."""
         await super().write_bytes(writer, conn, content_length)
         if conn.protocol is not None and conn.protocol.exception() is None:
             self._record_fully_written()
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -1,7 +1,8 @@
-"""The endpoint actor, which owns the attempts at one worker with their timeouts, cancels and health checks.
+"""The endpoint actor: it owns the attempts at one worker, their timeouts and cancels, and its health checks.
 
-``client`` makes the HTTP calls, and ``connection`` runs this actor's checks right before each write. Which
-requests are sent to the worker is the dispatcher's decision.
+``client`` makes the HTTP calls, and ``connection`` runs this actor's checks right before an attempt's first
+byte is written. The dispatcher decides which requests are sent to the worker. Workers report the progress and
+the end of a job by callbacks.
 """
 
 import asyncio
@@ -42,7 +43,8 @@
 # Share of the worker's keep-alive time after which an idle connection is closed here. It is below 1 so that
 # no request is sent while the worker closes the same idle connection.
 MAX_IDLE_SHARE = 0.6
-MAX_REMEMBERED_ENDINGS = 4096
+MAX_REMEMBERED_ENDINGS = 4096  # callbacks that ended attempts; the oldest are forgotten first
+# Outcome of an attempt whose worker reports by callback that the job has ended without a result.
 _OUTCOMES = {JobState.FAILED: Outcome.ERROR, JobState.RETURNED: Outcome.FULL, JobState.LOST: Outcome.RESET}
 
 
@@ -87,17 +89,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPolicy:
-    """The conditions for sending an attempt, which are evaluated right before each write."""
+    """The conditions for sending an attempt, which are evaluated right before its first byte is written."""
 
     may_send: Callable[[ListedEndpoint], bool] | None = (
-        None  # whether the cordons and their lease allow sends to the worker; None: cordons are not in use
+        None  # whether cordons, and the lease on them, allow sends to a worker; None: cordons are not in use
     )
     list_lease: ListLease | None = None  # the lease on the endpoint list; None: no lease is required
     catch_up: CatchUp | None = None  # delays sends after a stall; None: stalls are not detected
 
 
 class Endpoint(Actor[EndpointMessage]):
-    """The actor for one worker of the endpoint list; it also is the ``WriteGuard`` of its attempts."""
+    """The actor for one worker of the endpoint list; it is also the ``WriteGuard`` of its attempts."""
 
     def __init__(
         self,
@@ -121,9 +123,9 @@
         self.client = WorkerClient(
             destination.instance_id, destination.host_port, connect_timeout_s, max_idle_s, metrics
         )
-        self.attempts: dict[str, WorkerAttempt] = {}
-        # (request id, state) of the callbacks that ended an attempt here. A later callback with the same pair
-        # may be a retransmission about the earlier attempt.
+        self.attempts: dict[str, WorkerAttempt] = {}  # attempts that have not ended, by request id
+        # (request id, state) of the callbacks that ended an attempt at this worker. A later callback with the
+        # same pair may be a retransmission of the earlier callback, and not concern a later attempt.
         self.ending_callbacks: dict[tuple[str, JobState], None] = {}
         self.calls: set[asyncio.Task[None]] = set()  # running cancels and health checks
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -149,13 +151,13 @@
     # Checks right before a write (WriteGuard)
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until this process has handled the messages that arrived while it was stalled."""
-        # Each iteration of the event loop reads available data, so that polling once an iteration is enough.
+        """Wait until this process has handled discovery's messages that arrived while it was stalled."""
+        # The event loop reads available data in each iteration, so one check per iteration is enough.
         while self.policy.catch_up and self.policy.catch_up.is_catching_up():  # noqa: ASYNC110
             await asyncio.sleep(0)
 
     def check_sendable(self, attempt: WorkerAttempt) -> None:
-        """Raise NotWrittenError if the attempt, of which no byte is written, may not be sent now."""
+        """Raise NotWrittenError if the attempt, of which no byte is written, may no longer be sent."""
         now, list_lease = self.clock.now_us(), self.policy.list_lease
         if not attempt.client_waiting():
             raise NotWrittenError(Outcome.NOT_SENT)
@@ -165,7 +167,8 @@
             raise NotWrittenError(Outcome.CANCELLED)
         if list_lease and not list_lease.is_valid(now):
             raise NotWrittenError(Outcome.CONNECT_FAILED)  # does not count as a failure of the worker
-        # Workers run a repeat of a keyed request again once its deduplication window has passed.
+        # A repeat of a keyed request must reach the workers within the time for which they drop duplicates of
+        # it (``write_until_us``): later they would run the job again.
         if not self._accepts_sends() or now >= attempt.write_until_us:
             raise NotWrittenError(Outcome.CONNECT_FAILED)
 
@@ -175,11 +178,11 @@
         return active and (may_send is None or may_send(self.destination))
 
     def timeout_header(self, attempt: WorkerAttempt) -> str:
-        """The value of the attempt's timeout header: how much longer this scheduler waits for the attempt."""
+        """The value of the attempt's timeout header: the time until this scheduler cancels the attempt."""
         return protocol.format_timeout(attempt.until_us - self.clock.now_us())
 
     def record_send(self, attempt: WorkerAttempt) -> None:
-        """Count and log the origin of the endpoint list on whose basis the attempt is sent."""
+        """Count and log the origin of the endpoint list that is in use when the attempt is sent."""
         list_lease = self.policy.list_lease
         if list_lease is None:
             return
@@ -224,7 +227,7 @@
             self.tell(_AttemptFinished(attempt, outcome))
 
     def _end(self, attempt: WorkerAttempt, outcome: Outcome, result: str | None = None) -> None:
-        """End the attempt and report its outcome; later calls for the same attempt have no effect."""
+        """End the attempt and report its outcome, unless the attempt has already ended."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -232,8 +235,9 @@
             attempt.timer.cancel()
         exchange = attempt.exchange
         if exchange and not exchange.done():
-            # The connection becomes reusable if the 202 still arrives. A silent worker never sends it, which
-            # is why the wait is limited.
+            # A callback or a timeout has ended the attempt before the response to its POST. If the response
+            # (202) still arrives, the connection becomes reusable. A silent worker never sends the response,
+            # which is why the wait is limited.
             linger_s = 0.0 if attempt.phase is Phase.CONNECTING else LINGER_S
             asyncio.get_running_loop().call_later(linger_s, exchange.cancel)
         if self.attempts.get(attempt.request.id) is attempt:
@@ -245,7 +249,7 @@
     def _on_job_event(self, event: JobEvent) -> None:
         attempt = self.attempts.get(event.id)
         if attempt is None or attempt.phase is Phase.CONNECTING:
-            return  # late, repeated or unknown: the callback concerns no attempt in flight here
+            return  # the callback is late, repeated or unknown: it concerns no attempt in flight here
         if event.state is JobState.STARTED:
             self.report(AttemptProgress(attempt.job, attempt.number))
         elif event.state is JobState.RUNNING:
@@ -254,8 +258,8 @@
             self._end(attempt, Outcome.COMPLETED, event.result)
         else:
             outcome = _OUTCOMES[event.state]
-            # A callback with the same id and state as an earlier attempt's may be a retransmission of that
-            # callback. It does not prove that this attempt never ran.
+            # If a callback with the same state has ended an earlier attempt of this request, this callback
+            # may be a retransmission of that one. It does not prove that this attempt never ran.
             if outcome.never_ran and (event.id, event.state) in self.ending_callbacks:
                 outcome = Outcome.RESET
             self._remember_ending(event.id, event.state)
@@ -273,15 +277,15 @@
             return
         if attempt.until_us >= attempt.deadline_us:
             # The client's deadline is reached, and no further attempt is made. The cancel is spawned before
-            # the end is reported, because a removed endpoint without calls is closed, after which no DELETE
-            # can be sent.
+            # the attempt ends: the endpoint of a removed worker is closed once it has neither attempts nor
+            # calls, and then no DELETE can be sent.
             if not attempt.cancel_requested:
                 self._spawn_call(self._cancel_at_worker(attempt), f"cancel {attempt.request.id}")
             self._end(attempt, Outcome.TIMEOUT)
         else:
             self._cancel(attempt, Outcome.TIMEOUT)
-            # A cancel at a silent worker lasts until its timeout, and the client must be answered by its
-            # deadline: the timer is set again to end the attempt then.
+            # A cancel at a silent worker lasts until the cancel's timeout, but the client must be answered by
+            # its deadline. The timer is therefore set again, to end the attempt at the deadline.
             attempt.until_us = attempt.deadline_us
             self._set_timer(attempt)
 
@@ -297,21 +301,23 @@
                 self._end(attempt, Outcome.NOT_SENT)
 
     def _cancel(self, attempt: WorkerAttempt, outcome: Outcome) -> None:
-        """Cancel the attempt at the worker, then report its outcome.
+        """Cancel the attempt at the worker, then end the attempt with ``outcome``.
 
-        The order keeps the request from being in flight twice: its next attempt starts after the report.
+        The order keeps the request from being in flight twice: its next attempt starts only after the end of
+        this one was reported.
         """
         if attempt.active:
             attempt.cancel_requested = True
             self._spawn_call(self._cancel_at_worker(attempt, outcome), f"cancel {attempt.request.id}")
 
     async def _cancel_at_worker(self, attempt: WorkerAttempt, outcome: Outcome | None = None) -> None:
-        """DELETE the job if it was written, close the connection if no 202 arrived, then report the outcome.
+        """Cancel the attempt at the worker by a DELETE of the job and a close of the connection.
 
-        Closing a connection while its 202 is in transit does not cancel the job, and the 202 is lost. The
-        connection therefore stays open until the DELETE is answered. The DELETE uses another connection and
-        may overtake the job's POST; it is repeated after the close for that case. Without ``outcome``,
-        nothing is reported.
+        The DELETE is sent if writing of the job's POST has begun, and the connection is closed if the worker
+        has not accepted the job (202). Closing a connection while its 202 is in transit does not cancel the
+        job, and the 202 is lost. The connection therefore stays open until the DELETE is answered. The DELETE
+        uses another connection and may overtake the job's POST; for that case it is repeated after the close.
+        At the end the outcome is reported; with ``outcome`` None, nothing is reported.
         """
         exchange, written = attempt.exchange, attempt.phase is Phase.WRITE_STARTED
         request_id = attempt.request.id
@@ -324,14 +330,14 @@
         if written and answered:
             answered = await self.client.cancel(request_id)
         if not answered and attempt.phase is Phase.ACCEPTED:
-            # The worker has accepted the job and may not have received the cancel. A timeout is reported, as
-            # a retry could run the job twice.
+            # The worker has accepted the job and may not have received the cancel, so that a retry could run
+            # the job twice. The outcome is therefore a timeout, not a confirmed cancel.
             outcome = outcome and Outcome.TIMEOUT
         if outcome:
             self.tell(_AttemptFinished(attempt, outcome))
 
     def _spawn_call(self, call: Coroutine[Any, Any, None], name: str) -> None:
-        """Run a cancel or a health check; the endpoint does not retire until it is done."""
+        """Run a cancel or a health check as a task; the endpoint does not retire before the task is done."""
         task = self.supervisor.spawn(call, name)
         self.calls.add(task)
         task.add_done_callback(lambda done: self.tell(_CallDone(done)))
@@ -385,7 +391,8 @@
         self._retire_if_removed()
 
     def _on_check_health(self, _: CheckHealth) -> None:
-        # A removed endpoint may be closed with its connections at any time, so that no check is started.
+        # The endpoint of a removed worker may be closed with its connections at any time, so that no check is
+        # started.
         if self.destination.lifecycle is Lifecycle.REMOVED:
             self.report(HealthCheckEnded(self.destination.instance_id, False))
         else:
@@ -396,11 +403,14 @@
         self.report(HealthCheckEnded(self.destination.instance_id, alive))
 
     def _close_idle_connections(self) -> None:
-        """Switch to new connections; the old ones are closed once all exchanges and calls on them end."""
+        """Open new connections for all later calls.
+
+        The old connections are closed once all exchanges, cancels and health checks on them have ended.
+        """
         old = self.client.replace_session()
         exchanges = (attempt.exchange for attempt in self.attempts.values())
         pending = [exchange for exchange in exchanges if exchange and not exchange.done()]
-        pending += self.calls  # a cancel whose connection is closed here would count as unanswered
+        pending += self.calls  # a cancel counts as unanswered if its connection is closed before the answer
         self.supervisor.spawn(close_after(old, pending), f"close {self.name}")
 
     def _retire_if_removed(self) -> None:
@@ -408,5 +418,5 @@
             self.report(EndpointRetired(self.destination.instance_id))
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections to the worker."""
         await self.client.close()
--- a/robinhill/net/workers/messages.py
+++ b/robinhill/net/workers/messages.py
@@ -1,6 +1,7 @@
-"""The messages between the dispatcher and the endpoint of one worker.
+"""The messages between the dispatcher and an endpoint, the actor for one worker.
 
-Times are microseconds of the process's clock; ``attempt`` is the attempt's index within its job, from 0.
+Times are microseconds of the process's clock. ``job`` is the dispatcher's number of a request, and
+``attempt`` is the attempt's index within that job, from 0.
 """
 
 from collections.abc import Callable
@@ -16,9 +17,9 @@
 class StartAttempt:
     """Start an attempt.
 
-    At ``until_us`` the attempt is cancelled at the worker; at the client's ``deadline_us`` it ends at the
-    latest. No byte is written from ``write_until_us`` on, or once ``client_waiting`` returns False, which
-    means that the client has disconnected or was answered.
+    At ``until_us`` the attempt expires and is cancelled at the worker; at ``deadline_us``, the client's
+    deadline, it ends even if the cancel is unanswered. No byte is written from ``write_until_us`` on, or once
+    ``client_waiting`` returns False, which means that the client has disconnected or was answered.
     """
 
     job: int
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonUnwritten:
-    """End an attempt whose client has disconnected, provided that no byte of it is written."""
+    """End an attempt whose client has disconnected, provided that no byte of its request is written."""
 
     job: int
     attempt: int
@@ -48,19 +49,22 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Check the worker's health; answered by ``HealthCheckEnded``."""
+    """Check the worker's health; the endpoint reports the result with ``HealthCheckEnded``."""
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Use new connections from now on; the old ones are closed once all exchanges on them have ended."""
+    """Open new connections for all later exchanges.
+
+    The existing connections are closed once all exchanges on them have ended.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseAttempt:
     """Release a request's attempt for another process, if the worker has accepted the attempt.
 
-    Answered by ``AttemptReleased``.
+    The endpoint replies with ``AttemptReleased``.
     """
 
     job: int
@@ -81,10 +85,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReturned:
-    """The worker has returned a request to another process of this scheduler.
+    """The worker has returned a request without running it, by a callback to this scheduler's other process.
 
-    A callback here that returns the same request may be a retransmission of the one there, so that it does
-    not prove that a later attempt never ran.
+    If this process receives a callback that returns the same request, that callback may be a retransmission
+    of the earlier one. It therefore does not prove that a later attempt at this worker never ran.
     """
 
     request_id: str
@@ -95,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgress:
-    """The worker runs an attempt; ``share`` is the completed fraction from 0 to 1, if it was reported."""
+    """The worker runs an attempt; ``share`` is the completed fraction from 0 to 1, None if not reported."""
 
     job: int
     attempt: int
@@ -104,7 +108,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt has ended; ``result`` is set if and only if the worker completed the job."""
+    """An attempt has ended ``took_us`` microseconds after its start.
+
+    ``result`` is set if and only if the worker completed the job.
+    """
 
     job: int
     attempt: int
@@ -115,7 +122,10 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """A health check has ended; ``alive`` is whether the worker answered it."""
+    """A health check has ended; ``alive`` is whether the worker answered it, with any status.
+
+    Without a check, ``alive`` is False for a removed worker and True for a disabled or cordoned one.
+    """
 
     instance_id: str
     alive: bool
@@ -123,16 +133,19 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRetired:
-    """An endpoint that was removed from the list has no attempt and no call in flight, and may be closed."""
+    """An endpoint may be closed: its worker was removed from the endpoint list, and it has no call in flight.
+
+    The calls of an endpoint are attempts, cancels and health checks.
+    """
 
     instance_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptReleased:
-    """The reply to ``ReleaseAttempt``: the attempt, which this endpoint no longer tracks, or None.
+    """The reply to ``ReleaseAttempt``: the released attempt, which the endpoint no longer tracks.
 
-    None means that the attempt can't be released now.
+    ``attempt`` is None if the endpoint has no such attempt, or if the attempt can't be released.
     """
 
     job: int
