--- a/robinhill/net/clients/__init__.py
+++ b/robinhill/net/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server for clients: connections, their limits, and the requests on them."""
+"""The HTTP server for clients and for workers' callbacks: connections, their limits, and their requests."""
--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -1,7 +1,9 @@
 """One client connection: its phases, their time limits, its close and its hand-over to another process.
 
-aiohttp handles HTTP. Its connection class is extended here because it waits for a request without a time
-limit, and closes connections while data is unread. ``listener`` accepts and evicts connections.
+aiohttp handles HTTP. This module extends aiohttp's connection class because that class waits for a request
+without a time limit, and closes connections while data is unread. ``listener`` accepts connections, and
+evicts some of them when it needs descriptors for new ones. A hand-over moves connections with a request from
+the process of a scheduler that shuts down to its successor.
 """
 
 import asyncio
@@ -21,10 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 2.5  # from a request's first byte, or from the accept, to its last byte
-REQUEST_GRACE_S = 0.05  # extension of the timeout for data that arrives at the same moment
+# Time from the first byte of a request to its last; for the first request it starts with the accept.
+REQUEST_TIMEOUT_S = 2.5
+# Extension of REQUEST_TIMEOUT_S for data that arrives just before it expires, and of the keep-alive time on a
+# connection that is not idle.
+REQUEST_GRACE_S = 0.05
 LINGER_S = 3.0  # how long further data is read and discarded after the last response
-# How long a connection without a request is silent before it may be evicted, as a request may be in transit.
+# How long a connection must have waited for a complete request, or received no data while it closes, before
+# it may be evicted. Until then a request may be in transit.
 MIN_SILENCE_S = 0.25
 # Placeholder for a request that another process has already read, which makes aiohttp call the handler.
 PLACEHOLDER_REQUEST = b"POST / HTTP/1.1\r\nHost: -\r\nContent-Length: 0\r\n\r\n"
@@ -33,38 +39,41 @@
 
 
 class _Phase(Enum):
-    WAITING = auto()  # for a request, or for the rest of a request
+    WAITING = auto()  # the connection waits for its first request, or for the rest of a request
     BUSY = auto()  # a complete request is being answered
     IDLE = auto()  # between requests
-    CLOSING = auto()  # the last response is written; further data is discarded
+    CLOSING = auto()  # no further response is written, and further data is discarded
 
 
 class CloseReason(Enum):
-    """Why this side closes a client's connection; the value is written to log lines and metrics."""
+    """Why this scheduler closes a client's connection; the value is written to log lines and metrics."""
 
     ANSWERED = "answered"  # a response with Connection: close was written, or the keep-alive time expired
-    EXCESS_DATA = "excess"  # the peer sent more data after a request than is buffered
+    EXCESS_DATA = "excess"  # the peer sent more data after an unanswered request than the server buffers
     REQUEST_TIMEOUT = "late"  # no complete request arrived within REQUEST_TIMEOUT_S
-    RETIRED = "retired"  # the connection was idle while this scheduler was drained or superseded
+    # The connection was idle while operators drained this scheduler, or while another process superseded this
+    # one.
+    RETIRED = "retired"
     SHUTDOWN = "leaving"  # this process shuts down
-    CAPACITY = "room"  # its descriptor was needed for a new connection
+    CAPACITY = "room"  # the connection's descriptor was needed for a new connection
     HANDED_OVER = "handed_over"  # another process has taken over the connection
 
 
 class EvictionRank(IntEnum):
     """The cost of closing a connection to make room for a new one; lower ranks are evicted first."""
 
-    LINGERING = 0  # its last response is written
-    SILENT = 1  # no request has arrived
-    IDLE = 2  # between requests, none of which was a job, a worker's callback or an operator's call
+    LINGERING = 0  # the connection's last response is written
+    SILENT = 1  # the connection has waited for a complete request for at least MIN_SILENCE_S
+    IDLE = 2  # between requests; none of them was a job, a worker's callback or an operator's call
     TOO_YOUNG = 3  # a request or its response may be in transit
-    IDLE_SERVED = 4  # between requests of a client or worker that would have to connect again
+    IDLE_SERVED = 4  # between requests; the client or worker has used it and would have to connect again
 
 
 class _LingeringTransport:
-    """A transport whose ``close`` keeps reading until the peer closes or ``LINGER_S`` has passed.
+    """A transport whose ``close`` continues to read until the peer closes or ``LINGER_S`` has passed.
 
-    A close with unread data sends a TCP reset, which can destroy the response in transit to the peer.
+    Closing a socket while data is unread sends a TCP reset, which can destroy the response in transit to the
+    peer.
     """
 
     def __init__(self, transport: asyncio.Transport, connection: "Connection") -> None:
@@ -75,11 +84,11 @@
         return getattr(self._transport, name)
 
     def close(self) -> None:
-        """Flush written data, then close once the peer has closed or the linger time has passed."""
+        """Flush written data, then close once the peer has closed or ``LINGER_S`` has passed."""
         self._connection.close_gracefully(CloseReason.ANSWERED)
 
     def pause_reading(self) -> None:
-        """Apply the server's backpressure, except where that would hide the peer's close."""
+        """Stop reading for aiohttp's backpressure, except where the peer's close would then go undetected."""
         self._connection.pause()
 
 
@@ -97,19 +106,24 @@
     def __init__(self, listener: "Listener", loop: asyncio.AbstractEventLoop, **kwargs: Any) -> None:
         super().__init__(listener, loop=loop, **kwargs)
         self.listener = listener
-        self.has_served = False  # whether it has carried a job, a worker's callback or an operator's call
+        # Whether the connection has carried a job, a worker's callback or an operator's call.
+        self.has_served = False
         self.carries_callbacks = False  # whether the peer is a worker
-        self._adopted_request: object = None  # a request that the predecessor process has read
+        # A request that the predecessor process has read and this process must answer; None if there is none.
+        self._adopted_request: object = None
         self._adoption_begun: asyncio.Future[bool] | None = (
-            None  # resolved with whether the adopted request is answered here
+            None  # resolved with whether this process has begun to answer the adopted request
         )
-        self.handed_over = False  # another process owns the connection now
-        self.dropped = False  # the descriptor closes in the event loop's next iteration
+        self.handed_over = False  # whether another process has taken over the connection
+        self.dropped = False  # whether `drop` was called; the descriptor closes in the loop's next iteration
+        # The event loop's time (s) at which the phase was entered or, while closing, data last arrived.
         self._phase, self._phase_start = _Phase.WAITING, loop.time()
-        self._has_new_bytes = False  # data was received that no handled request contains
-        self._discards_excess = False  # the peer sent more data after a request than is buffered
-        self._raw_transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        # Whether data was received that belongs to no request whose answer has begun.
+        self._has_new_bytes = False
+        # Whether the peer sent more data after an unanswered request than the server buffers.
+        self._discards_excess = False
+        self._raw_transport: asyncio.Transport | None = None  # None unless the connection is open
+        self._timer: asyncio.TimerHandle | None = None  # ends the phase that it was started in
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, and start the time limit for its first request."""
@@ -119,7 +133,7 @@
         super().connection_made(cast(asyncio.Transport, _LingeringTransport(self._raw_transport, self)))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop the timer, and report an adopted request that was not started as not answered."""
+        """Stop the timer. If the answer to an adopted request has not begun, `adopt` returns False."""
         self._raw_transport = None
         self._enter_phase(_Phase.CLOSING)
         self.listener.open.discard(self)
@@ -128,7 +142,7 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Pass data on to the HTTP parser; discard it on a closing connection or behind excess data."""
+        """Pass data on to the HTTP parser; discard it while closing and after excess data."""
         if self._phase is _Phase.CLOSING:
             self._phase_start = self._loop.time()
             return
@@ -143,8 +157,9 @@
     def begin_answer(self, serves: bool) -> None:
         """Enter the phase in which a complete request is answered.
 
-        With ``serves``, the connection is among the last to be evicted from now on. Raises
-        ConnectionResetError if the connection is already closing.
+        ``serves``: the request is a job, a worker's callback or an operator's call, so that the connection
+        becomes one of the last to be evicted. Raises ConnectionResetError if the connection is already
+        closing.
         """
         if self._phase is _Phase.CLOSING:
             raise ConnectionResetError("request can't be answered: its connection is already closing")
@@ -159,7 +174,7 @@
             self._discard_excess()
 
     def pause(self) -> None:
-        """Stop reading; while a request is being answered, discard further data instead."""
+        """Stop reading. While a request is being answered, continue to read and discard the data instead."""
         if self._raw_transport and self._phase is _Phase.BUSY:
             self._discard_excess()
         elif self._raw_transport:
@@ -182,7 +197,11 @@
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write the response, then close after excess data, or wait for the rest of a request, or go idle."""
+        """Write the response, then enter the connection's next phase.
+
+        The connection closes if the peer has sent excess data, waits for the rest of the next request if data
+        of it has arrived, and is idle otherwise.
+        """
         finished = await super().finish_response(request, resp, start_time)
         if self._discards_excess and self._raw_transport and self._phase is _Phase.BUSY:
             if finished[0].keep_alive:
@@ -201,7 +220,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a malformed request with one line of text, and log it."""
+        """Log a malformed request, and answer it with one line of text; aiohttp handles server errors."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
         return reject(request, status, (message or "request is not valid HTTP").partition("\n")[0])
@@ -218,7 +237,7 @@
         self._timer = self._loop.call_later(LINGER_S, self._raw_transport.abort)
 
     def drop(self) -> None:
-        """Close at once; only for connections to which `eviction_rank` gives a rank."""
+        """Close at once. May be called only if `eviction_rank` has returned a rank for this connection."""
         self.dropped = True
         if self._raw_transport:
             self._record_close(CloseReason.CAPACITY)
@@ -227,17 +246,19 @@
     def eviction_rank(self, now: float) -> tuple[EvictionRank, float] | None:
         """The eviction rank of this connection and the start of its phase; None if it can't be evicted.
 
-        Connections with lower pairs are evicted first; a connection with a complete request is not evicted.
-        Idle connections that have carried jobs rank last: their clients lose no request, but must connect
-        again. They even rank behind connections that are too young, which become evictable soon.
+        ``now`` is the event loop's time. The connections with the lowest pairs are evicted first; a
+        connection with a complete request is not evicted. Idle connections that have carried jobs rank last:
+        their clients would lose no request, but would have to connect again. They rank even behind the
+        connections that are too young to be evicted, as each of those soon gets a lower rank.
         """
         if self._raw_transport is None or self.dropped or self._phase is _Phase.BUSY:
             return None
         if self._phase is not _Phase.CLOSING and self._has_complete_request():
-            return None  # its request is complete, but the phase has not changed yet
+            return None  # a complete request was read, but its answer has not begun
         unsent = self._raw_transport.get_write_buffer_size() and now - self._phase_start < LINGER_S
         if unsent or self._has_unread_bytes():
-            return EvictionRank.TOO_YOUNG, self._phase_start  # a close would truncate or reset its response
+            # A close would truncate the last response, or send a reset that may destroy it in transit.
+            return EvictionRank.TOO_YOUNG, self._phase_start
         if self._phase is _Phase.CLOSING:
             return self._rank_once_silent(EvictionRank.LINGERING, now)
         if self._phase is _Phase.WAITING:
@@ -263,7 +284,7 @@
         return silent and not self._messages and not self._has_unread_bytes()
 
     def has_pending_work(self, now: float) -> bool:
-        """Whether a request was received in part or whole or may be in transit, or a response is unsent."""
+        """Whether a request has arrived, in part or whole, or may be in transit, or a response is unsent."""
         if self._raw_transport is None:
             return False
         if self._phase is _Phase.CLOSING:
@@ -271,9 +292,9 @@
         return not self.is_idle(now)
 
     def pause_for_handover(self) -> bool:
-        """Stop reading for a hand-over; False if the connection can't be handed over now.
+        """Stop reading for a hand-over. Returns False, with no effect, if no hand-over is possible.
 
-        A connection is handed over only while its request is being answered and no further data was read.
+        A connection can be handed over only while its request is being answered and no further data was read.
         """
         if (
             self._raw_transport is None
@@ -286,12 +307,12 @@
         return True
 
     def resume_after_handover(self) -> None:
-        """Resume reading after a hand-over that did not take place."""
+        """Resume reading, which `pause_for_handover` has stopped, as the hand-over did not take place."""
         if self._raw_transport:
             self._raw_transport.resume_reading()
 
     def duplicate_descriptor(self) -> int | None:
-        """Duplicate the descriptor for another process.
+        """Duplicate the connection's descriptor, to pass the duplicate to another process.
 
         Returns None if the connection has closed or no descriptor is available.
         """
@@ -304,9 +325,10 @@
             return None
 
     async def adopt(self, request: object) -> bool:
-        """Start to answer a request that another process has read.
+        """Make aiohttp call the handler for a request that another process has read.
 
-        Returns False if the connection closes before the answer is started.
+        Returns whether the handler has taken the request (`take_adopted_request`); False if the connection
+        closes before that.
         """
         if self._raw_transport is None:
             return False
@@ -325,7 +347,7 @@
         return request
 
     def release(self) -> None:
-        """Close this process's descriptor after a hand-over; the connection itself stays open."""
+        """Close this process's descriptor after a hand-over; the other process's descriptor stays open."""
         self.handed_over = True
         if self._raw_transport:
             self._record_close(CloseReason.HANDED_OVER)
@@ -350,9 +372,10 @@
         self._timer = self._loop.call_later(REQUEST_TIMEOUT_S, self._on_request_timeout)
 
     def _on_request_timeout(self, grace: bool = True) -> None:
-        """Close the connection if no complete request has arrived, with status 408 after part of one.
+        """Close the connection if no complete request has arrived; answer a partial request with status 408.
 
-        With ``grace``, unread data extends the timeout once by ``REQUEST_GRACE_S``.
+        A complete request whose answer has not begun extends the timeout by ``REQUEST_GRACE_S``; so does
+        unread data, but only if ``grace`` is True, which it is for the first expiry.
         """
         if self._raw_transport is None or self._phase is not _Phase.WAITING:
             return
@@ -375,7 +398,11 @@
         return self._has_new_bytes and self._waiter is None  # aiohttp is about to call the handler
 
     def _process_keepalive(self) -> None:
-        """Close after the keep-alive time, unless the connection is no longer idle."""
+        """Close at the end of the keep-alive time, which aiohttp measures.
+
+        While a part of the next request has arrived or may be in transit, the close is postponed by
+        ``REQUEST_GRACE_S``.
+        """
         if self._phase in (_Phase.WAITING, _Phase.IDLE) and not self.is_idle(self._loop.time()):
             self._keepalive_handle = self._loop.call_later(REQUEST_GRACE_S, self._process_keepalive)
         else:
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -2,7 +2,8 @@
 
 The readiness checks are sent by the *front*, the load balancer that distributes clients over the schedulers.
 The server decodes requests, passes them on, and writes the final answer to each; it makes no decisions about
-jobs. While a successor process takes over, it hands connections with pending requests to that process.
+jobs. When another process of this scheduler, its successor, has superseded this one, this process leaves new
+connections to the successor, and on shutdown hands over the connections with pending requests.
 """
 
 import asyncio
@@ -35,22 +36,28 @@
 JOB_EVENTS = "/v1/job-events"
 READY = "/ready"
 READINESS_SETTLE_S = 0.5  # how long the front still opens connections after a failed readiness check
-IDLE_SWEEP_INTERVAL_S = 0.25
-SHUTDOWN_RETRY_AFTER_US = 700_000  # two retries at this interval outlast the restart of another scheduler
+IDLE_SWEEP_INTERVAL_S = 0.25  # interval at which idle connections are closed during an operator's drain
+# After this time, clients whose requests are rejected during the shutdown may retry. Two retries at this
+# interval outlast the restart of another scheduler.
+SHUTDOWN_RETRY_AFTER_US = 700_000
 
 Json = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class _PendingRequest:
-    """A request for whose answer a connection waits."""
+    """A request whose answer is to be written to a connection."""
 
     request: JobRequest
-    reply: asyncio.Future[Answer]
+    reply: asyncio.Future[Answer]  # set to the request's final answer
 
 
 class Inbound:
-    """Serves the clients' address, and passes each request to admission control or to the dispatcher."""
+    """Serves the clients' address, and passes each request on through ``report``.
+
+    ``report`` sends a message to admission control, or to the dispatcher where there is no admission control.
+    ``deliver`` passes on a worker's callback, and returns once the callback was accepted or dropped.
+    """
 
     def __init__(
         self,
@@ -71,17 +78,21 @@
         self.deliver = deliver
         self.deadlines_us = tuple(c.deadline_us for c in config.settings.classes)
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
-        self.awaiting_endpoint_list = False  # discovery has not answered yet, and requests are queued
-        self.catching_up = False  # records of other schedulers, where they are shared, are not yet received
+        # Whether the start of this process still waits for the lease on the endpoint list; requests are
+        # queued while there is none.
+        self.awaiting_endpoint_list = False
+        # Whether this process still has to receive the records that schedulers share; False if none are
+        # shared.
+        self.catching_up = False
         self.drained_by_operators = False
         self._idle_sweep: asyncio.Task[None] | None = None
-        self.serving = False  # this process has begun to accept connections
-        self.superseded = False  # another process accepts connections instead of this one
+        self.serving = False  # whether this process has begun to accept connections
+        self.superseded = False  # whether another process accepts connections instead of this one
         self.pending: dict[Connection, _PendingRequest] = {}
-        self.shutting_down = False  # each response closes its connection
+        self.shutting_down = False  # if True, each response closes its connection
         self.rejects_new_requests = False
         self.pending_count = 0
-        self.none_pending = asyncio.Event()
+        self.none_pending = asyncio.Event()  # set while no request is pending
         self.none_pending.set()
         self._listener = Listener(
             self._handle, config.client_sockets(), supervisor, protocol.MAX_BODY_BYTES, self._record_close
@@ -91,7 +102,7 @@
         self.metrics.closes[f"client.{why.value}"] += 1
 
     def start(self, sock: socket.socket) -> None:
-        """Start to accept connections on a listening socket."""
+        """Start to accept connections on a listening socket, of which this object takes ownership."""
         self.serving = True
         self._listener.listen(sock)
 
@@ -109,9 +120,9 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.rel_url.raw_path
         if request.method == "GET" and path == READY:
-            # The connection closes after the check, as an idle connection would only occupy a descriptor.
-            # A superseded process reports itself as ready: its successor has the same address, and a failed
-            # check here would make the front stop sending clients to that address.
+            # The connection is closed after a readiness check, as an idle connection would only occupy a
+            # descriptor. A superseded process answers that it is ready: its successor has the same address,
+            # and a failed check would make the front stop sending clients to that address.
             ready = self.ready or (self.superseded and not self.drained_by_operators)
             return self._respond(Answer(200 if ready else 503, b"", close=True))
         if adopted := connection_of(request).take_adopted_request():
@@ -130,7 +141,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the front should send clients here."""
+        """Whether the front should send clients to this process."""
         return self.serving and not (
             self.shutting_down
             or self.drained_by_operators
@@ -156,7 +167,8 @@
             await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
 
     async def _job(self, request: web.BaseRequest) -> web.StreamResponse:
-        # After a stall of this process, the request may have arrived at any time since the last heartbeat.
+        # If this process was stalled, the request may have arrived at any time since the stall began. The
+        # earliest possible time of arrival counts.
         arrived_us = self.catch_up.earliest_arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
         job = protocol.decode_request(
@@ -200,13 +212,13 @@
     # Hand-over between two processes
 
     def set_budget(self, budget: int) -> None:
-        """Set the maximum number of open connections, and evict connections down to it where possible."""
+        """Set the maximum number of open connections, and evict connections above it where possible."""
         self._listener.set_budget(budget)
 
     def set_superseded(self, superseded: bool, budget: int) -> None:
-        """Stop accepting connections in favor of another process, or accept them again.
+        """Leave new connections to another process (True), or accept connections in this process (False).
 
-        ``budget`` is the maximum number of open connections of this process from now on.
+        ``budget`` is the new maximum number of open connections of this process.
         """
         self.superseded = superseded
         self.set_budget(budget)
@@ -227,15 +239,16 @@
         release: Callable[[JobRequest], Awaitable[Json | None]],
         send: Callable[[Json, int, JobRequest, asyncio.Future[Answer]], Awaitable[bool]],
     ) -> None:
-        """Close idle connections, and hand each pending request that can be released to another process.
+        """Close clients' idle connections, and hand over each pending request that can be released.
 
-        ``release`` returns a request's state, or None if the request can't be released now. ``send`` passes
-        that state on with the connection's descriptor, and returns whether the other process has accepted it.
+        ``release`` returns a request's state, or None if the request can't be released at this time. ``send``
+        passes that state on to the other process with a duplicate of the connection's descriptor, which
+        ``send`` must close, and returns whether the other process has accepted the request.
         """
         self._listener.close_idle()
         for connection, pending in list(self.pending.items()):
             if not self.superseded:
-                return  # the other process has exited, and this one serves again
+                return  # the other process has exited, and this process accepts connections again
             if not connection.pause_for_handover():
                 continue
             # The descriptor is duplicated before the request is released, as the duplication can fail.
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -1,5 +1,6 @@
-"""Accepts client connections within a budget of descriptors, and evicts the cheapest ones to stay within it.
+"""Accepts client connections within a budget of descriptors.
 
+When the budget is used up, connections are evicted (closed to accept others), in the order of `EvictionRank`.
 aiohttp's server is extended here because it accepts connections without a limit. ``connection`` handles each
 connection once it is accepted.
 """
@@ -28,21 +29,26 @@
 
 log = logging.getLogger(__name__)
 
-LISTEN_BACKLOG_CONNECTIONS = 1024
-KEEPALIVE_S = 75.0
-# Maximum of connections accepted or evicted in one loop iteration, so that floods don't starve other work.
+LISTEN_BACKLOG_CONNECTIONS = 1024  # size of the kernel's accept queue
+KEEPALIVE_S = 75.0  # how long a connection may be idle after a response before it is closed
+# Maximum number of connections that are accepted, and of those evicted, in one iteration of the event loop: a
+# flood of connections must not starve other work.
 ACCEPT_BATCH_CONNECTIONS = 16
-ACCEPT_PAUSE_S = 0.05  # wait before accepting again when no descriptor is free
-DRAIN_POLL_S = 0.01
+ACCEPT_PAUSE_S = 0.05  # delay before connections are accepted again when no descriptor is free
+DRAIN_POLL_S = 0.01  # interval at which a drain checks the connections
 DRAIN_TIMEOUT_S = REQUEST_TIMEOUT_S + REQUEST_GRACE_S
-# How long a drain waits for peers to close first. A process that exits resets connections with unread data.
+# How long a drain waits, once no work is pending, for peers to close their connections first. A process that
+# exits resets connections with unread data.
 PEER_CLOSE_WAIT_S = 0.25
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class Listener(web.Server):
-    """A server that limits its open connections to ``budget`` by evicting the cheapest ones."""
+    """A server that limits its open connections to ``budget`` by evicting those of the lowest `EvictionRank`.
+
+    Accepting pauses while the budget is used up and no connection can be evicted.
+    """
 
     def __init__(
         self,
@@ -52,7 +58,10 @@
         max_body: int,
         on_close: Callable[[CloseReason], None] = lambda _reason: None,
     ) -> None:
-        """``on_close`` is called with the reason whenever this side closes a connection."""
+        """``max_body``: maximum size of a request's body (bytes).
+
+        ``on_close`` is called with the reason whenever this process closes a connection.
+        """
         super().__init__(
             self._handle,
             handler_cancellation=True,
@@ -87,8 +96,8 @@
                 return reject(request, 413, too_large)  # before the body is read
             if request.headers.get("Expect", "").lower() == "100-continue":
                 await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                # Otherwise aiohttp would count these bytes as a part of the response, and refuse to send an
-                # error response later.
+                # aiohttp counts all written bytes in `output_size`, and refuses to send an error response
+                # once the count is not 0. The bytes of the interim response must not count.
                 request.writer.output_size = 0
             return await self.handler(request)
         except protocol.MalformedError as e:
@@ -99,12 +108,15 @@
             return reject(request, 400, str(e).partition("\n")[0])
 
     def listen(self, sock: socket.socket) -> None:
-        """Accept on a listening, non-blocking socket, of which the listener takes ownership."""
+        """Start to accept on a listening, non-blocking socket, of which this object takes ownership."""
         self._socket = sock
         self.accept(True)
 
     def accept(self, enabled: bool) -> None:
-        """Start to accept new connections, or stop, as another process accepts on the same socket."""
+        """Start (True) or stop accepting new connections.
+
+        While this process does not accept, another process of the scheduler accepts on the same socket.
+        """
         self.accepting = enabled
         if enabled:
             self._resume_accepting()
@@ -112,7 +124,10 @@
             self._loop.remove_reader(self._socket)
 
     def set_budget(self, budget: int) -> None:
-        """Set the maximum number of open connections, and evict connections down to it where possible."""
+        """Set the maximum number of open connections.
+
+        If more are open, connections are evicted until none can be evicted or the maximum is reached.
+        """
         self.budget = budget
         while sum(not c.dropped for c in self.open) > budget and self._evict():
             pass
@@ -120,7 +135,8 @@
     async def adopt(self, fd: int, request: object) -> bool:
         """Take over a connection with a pending request from another process.
 
-        Returns False if the connection closes before its answer is started.
+        ``fd`` is the connection's descriptor, which this call owns. Returns False if the connection closes
+        before the answer to the request is started.
         """
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
@@ -141,11 +157,16 @@
             connection.close_gracefully(CloseReason.SHUTDOWN)
 
     async def drain(self) -> None:
-        """Close idle connections, wait for pending work up to ``DRAIN_TIMEOUT_S``, then call `close`."""
+        """Close connections as they become idle, wait until no work is pending, then call `close`.
+
+        Pending work is a request that has arrived or may be in transit, or a response that is not fully sent.
+        The wait ends after ``DRAIN_TIMEOUT_S`` at the latest.
+        """
         started = last_pending = self._loop.time()
         while True:
             if self._socket and self.accepting:
-                self._accept()  # closing the socket would reset the connections in the kernel's accept queue
+                # Connections in the kernel's accept queue would be reset when the socket is closed.
+                self._accept()
             now = self._loop.time()
             for connection in list(self.open):
                 if connection.is_idle(now):
@@ -179,7 +200,8 @@
         assert self._socket
         for _ in range(ACCEPT_BATCH_CONNECTIONS):
             if len(self.open) + self._connecting >= self.budget:
-                # A dropped connection keeps its descriptor until the event loop's next iteration.
+                # A dropped connection keeps its descriptor until the event loop's next iteration, so that
+                # nothing is accepted in this iteration even if connections are dropped.
                 if not self._free_capacity():
                     self._pause_accepting()
                 return
@@ -189,7 +211,7 @@
                 return
             except OSError as e:
                 # The process is out of descriptors in spite of the budget, or out of memory. asyncio's own
-                # server would retry at once, and log a traceback for each connection of its backlog.
+                # server would retry at once, and log a traceback for each connection in the accept queue.
                 log.error("accept_failed", extra={"why": str(e), "open": len(self.open)})
                 self._free_capacity()
                 self._pause_accepting()
@@ -206,13 +228,17 @@
             self._connecting -= 1
 
     def _free_capacity(self) -> bool:
-        """Evict connections; returns whether a descriptor becomes free in the event loop's next iteration."""
+        """Evict connections if possible.
+
+        Returns whether a descriptor becomes free in the event loop's next iteration.
+        """
         return self._evict() or any(c.dropped for c in self.open)
 
     def _evict(self) -> bool:
-        """Drop up to ``ACCEPT_BATCH_CONNECTIONS`` of the cheapest connections; False if none can be dropped.
+        """Drop up to ``ACCEPT_BATCH_CONNECTIONS`` connections of the lowest ranks, below `TOO_YOUNG`.
 
-        If only idle connections that have served requests are left, a single one is dropped.
+        If all connections with a rank are idle and have served requests (`IDLE_SERVED`), a single one is
+        dropped. Returns whether a connection was dropped.
         """
         now = self._loop.time()
         ranked = [(rank, c) for c in self.open if (rank := c.eviction_rank(now)) is not None]
@@ -220,7 +246,8 @@
         evicted = [c for (rank, _), c in ranked[:ACCEPT_BATCH_CONNECTIONS] if rank < EvictionRank.TOO_YOUNG]
         only_served = bool(ranked) and ranked[0][0][0] is EvictionRank.IDLE_SERVED
         if not evicted and not self._connecting and only_served:
-            # Not while a connection is being accepted: that one may stay silent, and is then evicted first.
+            # None of these is dropped while a connection is being accepted: the new connection may send no
+            # request, and then has a lower rank.
             evicted = [c for _, c in ranked[:1]]
         for connection in evicted:
             connection.drop()
@@ -228,7 +255,10 @@
 
 
 def duplicate_listening_socket(fd: int) -> socket.socket:
-    """Duplicate a listening socket that the platform owns; it is never bound, shut down or unlinked here."""
+    """Duplicate a listening socket that the platform has passed to this process as descriptor ``fd``.
+
+    The platform owns the socket, so this process never binds, shuts down or unlinks it.
+    """
     sock = socket.socket(fileno=os.dup(fd))
     sock.setblocking(False)
     return sock
--- a/robinhill/net/discovery/__init__.py
+++ b/robinhill/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch on discovery's endpoint list, and the handling of its backlog after a stall of this process."""
+"""The watch on discovery's endpoint list, and the detection of messages left unread by a stalled process."""
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -1,7 +1,8 @@
-"""Detection of stalls of this process, and of the moment when the backlog from a stall has been read.
+"""Detection of stalls of this process, and of the moment when the backlog from a stall has been handled.
 
-Discovery may have sent messages during the stall. They must be handled before requests are decided or sent;
-the actors that query this module delay those actions accordingly.
+A process is stalled while it is stopped, swapped out or blocked in its event loop. Discovery may have sent
+messages during the stall (the backlog). They must be handled before this process decides about requests or
+sends them: the actors that do so query this module, and wait while the process catches up with the backlog.
 """
 
 import asyncio
@@ -13,25 +14,29 @@
 
 log = logging.getLogger(__name__)
 
-# Iterations of the event loop that received data needs from the kernel to the dispatcher's mailbox, also on
-# a connection that has not been accepted yet.
+# Number of event loop iterations until data in the kernel's buffers has become messages in the dispatcher's
+# mailbox, even if its connection has yet to be accepted.
 READ_ITERATIONS = 10
-# Iterations of the event loop that a message needs from the dispatcher's mailbox to the endpoint actors.
+# Number of event loop iterations until the endpoint actors have handled a message that is in the dispatcher's
+# mailbox.
 WRITE_ITERATIONS = 4
-MAX_ITERATIONS = 10_000  # a peer that sends without end must not delay this process forever
+# Limit of the event loop iterations of one catch-up: a discovery server that sends without end must not
+# delay this process forever.
+MAX_ITERATIONS = 10_000
 
 
 class CatchUp:
-    """Detects that this process was stalled, and determines when the backlog from the stall has been read."""
+    """Detects that this process was stalled, and determines when it has handled the stall's backlog."""
 
     def __init__(self, clock: Clock, has_unread_data: Callable[[], bool]) -> None:
         """``has_unread_data`` returns whether the kernel holds unread messages from discovery."""
         self.clock = clock
         self.has_unread_data = has_unread_data
         self.stall_detector = StallDetector(clock.now_us())
-        # Event loop iterations since a stall was detected; 0 without a stall, or once it is caught up with.
+        # Number of event loop iterations since a stall was detected; 0 while the process is not catching up.
         self.iterations = 0
-        self.quiet_iterations = 0  # consecutive iterations up to now without unread data
+        # Number of consecutive iterations, up to the latest, in which no data from discovery was unread.
+        self.quiet_iterations = 0
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -61,10 +66,10 @@
         return self.iterations > 0
 
     def earliest_arrival_us(self) -> int:
-        """The earliest time at which data that is read now can have arrived.
+        """The earliest time at which data that this process reads at present can have arrived (Unix us).
 
-        This is the last heartbeat before the stall while the process catches up, and the current time
-        otherwise.
+        While the process catches up after a stall, this is the last heartbeat before the stall; otherwise it
+        is the current time.
         """
         return self.stall_detector.last_heartbeat_us if self.is_catching_up() else self.clock.now_us()
 
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -1,7 +1,8 @@
 """The actor that watches discovery's endpoint list and reports each received list and failure.
 
-It owns the single open call to discovery. ``placement.watch_schedule`` determines when the next call begins,
-and the receivers of the reports interpret the lists.
+A watch is an HTTP call whose response discovery leaves open: it contains the list, then each change, and an
+empty line at times without changes. The actor owns the single open call. ``placement.watch_schedule``
+determines when the next call begins, and the receivers of the reports interpret the lists.
 """
 
 import asyncio
@@ -38,24 +39,25 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeAddress:
-    """Close the current watch and watch discovery at this address."""
+    """Close the open watch, and open one at this address of discovery; no effect if it is unchanged."""
 
     discovery: Address
 
 
 class WatchSilentError(Exception):
-    """Discovery sent no complete message before the schedule's silence deadline."""
+    """Discovery sent no complete message before the silence deadline of the `WatchSchedule`."""
 
 
 def _discard_event(event: LeaseEvent) -> None:
-    """Discard a lease event, for callers that have no lease on the list."""
+    """Discard a lease event, for users of the watcher that have no lease on the endpoint list."""
 
 
 class EndpointListWatcher(Actor[ChangeAddress]):
-    """Keeps exactly one call to discovery open, or scheduled, from the start on.
+    """Keeps exactly one call to discovery open, or scheduled, once started.
 
-    The end of a call or watch is reported as ``EndpointListReceived(None)``, unless discovery was silent or
-    the lists are pushed by an agent.
+    Lists and the end of each call are reported to ``report_list``, and events that extend or limit the lease
+    on the list to ``report_lease_event``. The end of a call is ``EndpointListReceived(None)``; it is not
+    reported if discovery was silent, or if an agent beside the scheduler pushes the lists.
     """
 
     def __init__(
@@ -70,27 +72,30 @@
     ) -> None:
         super().__init__("endpoint list", supervisor)
         self.discovery = discovery
-        self.version: int | None = version  # of the last list from this address; None: no list received yet
+        # Version of the list in use; None after a change of discovery's address, until the new address has
+        # sent a list.
+        self.version: int | None = version
         self.schedule = schedule
         self.clock = clock
         self.report_list = report_list
         self.report_lease_event = report_lease_event
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
         self._response_started = False  # discovery has answered the open call with status 200
-        self._transport: asyncio.BaseTransport | None = None  # of the open call's connection
+        # Transport of the open call's connection; None until discovery has answered the call.
+        self._transport: asyncio.BaseTransport | None = None
         self._watch_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the actor, and open the watch after the schedule's initial wait."""
+        """Start the actor, and open the watch after the initial delay that the schedule returns."""
         super().start()
         self._open_watch(self.schedule.start(self.clock.now_us()))
 
     def receive(self, message: ChangeAddress) -> None:
-        """Cancel the watch on the old address at once, and request the complete list from the new one.
+        """Cancel the watch on the old address at once, and request the complete list from the new address.
 
         A cancelled watch reports nothing, so that its end does not count as a failure of the new address.
-        The version is reset, as each discovery server numbers its own changes: a server that is sent the
-        version of another one may report "no changes" forever.
+        The version is reset, as each discovery server numbers its own changes: a server that receives the
+        version of another server's list may report "no changes" forever.
         """
         if message.discovery == self.discovery:
             return
@@ -102,7 +107,7 @@
         self._open_watch(0)
 
     def has_unread_data(self) -> bool:
-        """Whether the kernel holds unread data from discovery."""
+        """Whether the kernel holds unread data of the open watch."""
         if self._transport is None or self._transport.is_closing():
             return False
         return unread_bytes(self._transport) > 0
@@ -125,7 +130,7 @@
             wait_us = self._on_watch_end(is_silent, why)
 
     def _on_watch_end(self, is_silent: bool, why: str) -> int:
-        """Report the end of a call or watch; returns the wait before the next call in microseconds."""
+        """Report the end of a call; return the delay before the next call in microseconds."""
         wait_us = self.schedule.record_lost(self.clock.now_us(), self._response_started)
         if self.schedule.unreachable_us is not None:
             self.report_lease_event(
@@ -142,8 +147,8 @@
             query["after"] = str(self.version)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            # aiohttp would retry a call that ends without a response at once, bypassing the schedule's wait,
-            # and all schedulers would do so at the same time.
+            # By default aiohttp repeats a call at once if its connection ends without a response. That would
+            # bypass the schedule's delay, and all schedulers would repeat their calls at the same time.
             session._retry_connection = False
             url = f"http://{self.discovery}/v1/endpoints"
             call = session.get(url, params=query, allow_redirects=False)
@@ -174,10 +179,10 @@
         )
 
     def _on_unchanged(self, is_first: bool) -> None:
-        """Handle an empty line, which confirms that the list is unchanged since ``version``, if there is one.
+        """Handle an empty line, which confirms that the list is unchanged since ``version``.
 
-        The first line of a call is also reported as an empty list of changes, from which the dispatcher
-        learns that discovery has answered.
+        It confirms nothing while ``version`` is None. An empty line that is the first message of a call is
+        also reported as a list without changes, which notifies the dispatcher that discovery has answered.
         """
         if self.version is not None:
             self.report_lease_event(ListConfirmed(self.version, self.schedule.last_received_us))
@@ -187,8 +192,8 @@
     async def _await_until_silence_deadline(self, operation: Awaitable[Result]) -> Result:
         """Await an operation, and return its result.
 
-        Raises ``WatchSilentError``, and cancels the operation, once the schedule's silence deadline has
-        passed.
+        Once the schedule's silence deadline has passed, this cancels the operation and raises
+        ``WatchSilentError``.
         """
         future = asyncio.ensure_future(operation)
         try:
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -1,8 +1,12 @@
-"""The hand-over between two processes of one scheduler while one replaces the other.
+"""The hand-over between two processes of one scheduler: the successor replaces its predecessor.
 
-This module defines which questions (requests with one answer each) the two processes send each other, and in
-which order. The sockets are in ``handover_socket`` and ``process_link``; the scheduler supplies the content
-(`HandoverDelegate`).
+This module defines which questions (requests with one answer each) the two processes send each other. The
+sockets are in ``handover_socket`` and ``process_link``; the scheduler exports and imports the state that the
+messages contain (`HandoverDelegate`).
+
+Order: the successor connects, asks for the predecessor's endpoint list and state, and notifies the
+predecessor that it serves. From then on the predecessor accepts no connections. When it shuts down, it hands
+its pending requests over to the successor.
 """
 
 import asyncio
@@ -22,12 +26,18 @@
 
 Json = dict[str, Any]
 
-PREDECESSOR_TIMEOUT_S = 2.5  # for each answer; the predecessor may be replaced because it hangs
-OPERATOR_CALL_TIMEOUT_S = 0.7  # an operator's call must be answered within 1 s
+# How long the successor waits for each answer of the predecessor. The wait is limited because the predecessor
+# may be replaced for the reason that it hangs.
+PREDECESSOR_TIMEOUT_S = 2.5
+# How long this process waits for another one to apply an operator's call, which must be answered within 1 s.
+OPERATOR_CALL_TIMEOUT_S = 0.7
 
 
 class HandoverDelegate(Protocol):
-    """The scheduler's interface to the hand-over. Bodies are JSON written by a process of any version."""
+    """The functions of the scheduler that the hand-over calls.
+
+    Each ``body`` is JSON that was written by the other process, which may be of any version.
+    """
 
     def export_endpoint_list(self) -> EndpointListExport:
         """Return the endpoint list, its lease and the clock that the lease refers to, for a successor."""
@@ -36,16 +46,22 @@
         """Return the state that a successor needs to make the same decisions as this process."""
 
     def set_superseded(self, superseded: bool) -> None:
-        """Record whether a successor accepts connections in place of this process."""
+        """Leave new connections to a successor (True), or accept connections in this process (False)."""
 
     async def apply_operator_call(self, call: str, body: Json) -> bool:
         """Apply an operator's call that the other process received. Returns whether it succeeded."""
 
     async def accept_worker_event(self, body: Json) -> bool:
-        """Process a worker's event. Returns False if this process does not have the event's request."""
+        """Process a worker's callback about a request that the other process has forwarded.
+
+        Returns False if this process does not have the request.
+        """
 
     async def adopt_request(self, body: Json, fd: int) -> bool:
-        """Continue a request and its client's connection, and own ``fd``. Returns False if rejected."""
+        """Continue a request of the other process and its client's connection, whose descriptor is ``fd``.
+
+        This call owns ``fd``. Returns False if this process rejects the request.
+        """
 
 
 class Handover:
@@ -56,17 +72,18 @@
         self.delegate = delegate
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
-        self.serving = asyncio.Event()  # set once this process serves; questions are answered from then on
-        self._state_exported = False  # the successor has received this process's state
-        self._successor_serves = False
+        # Set once this process serves. Questions that it receives earlier are answered after that.
+        self.serving = asyncio.Event()
+        self._state_exported = False  # whether the successor has asked for this process's state
+        self._successor_serves = False  # whether the successor accepts connections
         self._socket = HandoverSocket(folder, self._accept_successor)
 
     @property
     def live_links(self) -> list[ProcessLink]:
-        """Links to the running processes that share this process's state.
+        """Links to the running processes that must receive the calls and events that this process receives.
 
-        A successor that has not received the state yet is left out: the state that it will receive includes
-        all changes until then.
+        A successor that has not asked for this process's state is left out: the state includes the effects of
+        all calls and events up to the time at which it is exported.
         """
         neighbours = (self.predecessor, self.successor if self._state_exported else None)
         return [link for link in neighbours if link and not link.lost.is_set()]
@@ -74,7 +91,7 @@
     # As the successor
 
     def connect_predecessor(self) -> bool:
-        """Connect to the process to replace. Returns whether there is one."""
+        """Connect to the predecessor. Returns whether there is one."""
         sock = self._socket.connect()
         if sock is None:
             return False
@@ -82,7 +99,11 @@
         return True
 
     async def ask_predecessor(self, question: str) -> Mapping[str, Any] | None:
-        """Return the predecessor's answer. If it does not answer in time, close its link and return None."""
+        """Ask the predecessor a question of `QuestionName` and return the body of its answer.
+
+        If it does not answer within `PREDECESSOR_TIMEOUT_S` or the link is lost, close the link and return
+        None.
+        """
         assert self.predecessor
         try:
             async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
@@ -93,7 +114,10 @@
             return None
 
     async def start_serving(self) -> None:
-        """Notify the predecessor that this process accepts connections, and publish the hand-over socket."""
+        """Notify the predecessor that this process accepts connections, and publish the hand-over socket.
+
+        From then on this process can itself be replaced by a successor.
+        """
         self.serving.set()
         if self.predecessor:
             if not self.predecessor.lost.is_set():
@@ -129,7 +153,7 @@
         log.info("successor_serving")
         self._successor_serves = True
         self.delegate.set_superseded(True)
-        self._socket.withdraw()  # the socket's file belongs to the successor now
+        self._socket.withdraw()  # the successor replaces the socket's file by its own
 
     # As either process
 
@@ -157,9 +181,10 @@
         return await self.delegate.accept_worker_event(body) or await self.forward_worker_event(body, origin)
 
     async def forward_worker_event(self, body: Json, origin: ProcessLink | None = None) -> bool:
-        """Forward a worker's event to the other processes, except to ``origin``.
+        """Forward a worker's callback to the processes of `live_links`, except to the one at ``origin``.
 
-        Returns whether one of them has the event's request and accepted the event.
+        They are asked one after another. Returns whether one of them has the callback's request and has
+        accepted the callback.
         """
         for link in self.live_links:
             with contextlib.suppress(LinkLostError):
@@ -168,9 +193,10 @@
         return False
 
     async def relay_operator_call(self, call: str, body: Json) -> bool:
-        """Forward an operator's call to the other processes.
+        """Forward an operator's call to the processes of `live_links`, one after another.
 
-        Returns whether each one has applied it in time; a process that has exited does not count.
+        Returns False once one of them rejects the call or does not apply it within `OPERATOR_CALL_TIMEOUT_S`;
+        a process that has exited does not count.
         """
         for link in self.live_links:
             try:
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -1,10 +1,10 @@
-"""The Unix socket at which the next process of a scheduler connects to this one.
+"""The Unix socket at which a successor, the next process of a scheduler, connects to its predecessor.
 
-This module creates and accepts connections; messages are exchanged by ``process_link``.
+This module creates and accepts connections; ``process_link`` exchanges messages on them.
 
-The socket's file is in the scheduler's state folder and belongs to the process that serves. In a hand-over,
-the successor replaces the file by a rename before the predecessor exits. So the file is never missing, and
-does not refer to a process that has exited.
+The socket's file is in the scheduler's state folder and belongs to the process that serves clients. In a
+hand-over, the successor replaces the predecessor's file by a rename before the predecessor exits. So during a
+hand-over the file is never missing, and never refers to a process that has exited.
 """
 
 import asyncio
@@ -23,7 +23,10 @@
 
 
 class HandoverSocket:
-    """Connects to the predecessor's socket, and publishes one for a successor."""
+    """Connects to the predecessor's socket, and publishes this process's own socket for a successor.
+
+    ``on_connection`` is called with the connection of each successor.
+    """
 
     def __init__(self, folder: Path, on_connection: Callable[[socket.socket], None]) -> None:
         self.folder = folder
@@ -33,11 +36,14 @@
 
     @property
     def is_published(self) -> bool:
-        """Whether a successor can connect to this process."""
+        """Whether this process listens for a successor."""
         return self._listener is not None
 
     def connect(self) -> socket.socket | None:
-        """Connect to the predecessor. Returns None if there is none, or if it does not accept in time."""
+        """Connect to the predecessor.
+
+        Returns None if there is no predecessor, or if the connection is not made within `CONNECT_TIMEOUT_S`.
+        """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.settimeout(CONNECT_TIMEOUT_S)
         try:
@@ -51,7 +57,7 @@
     def publish(self) -> None:
         """Listen on a socket file named after this process, then rename it to `SOCKET_NAME`.
 
-        A failure is logged and leaves the process without a hand-over socket.
+        After a failure, which is logged, no successor can connect to this process.
         """
         temporary_name = f"{SOCKET_NAME}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
@@ -71,7 +77,7 @@
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def withdraw(self) -> None:
-        """Stop listening. The file is not removed, as it may belong to a successor by now."""
+        """Stop listening. The socket's file is not removed, as it may be the successor's file by now."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -83,6 +89,7 @@
         os.close(self._directory)
 
     def _path(self, name: str) -> str:
+        """The file's path or, if it is too long for a Unix socket, a path through the folder's descriptor."""
         path = str(self.folder / name)
         if len(path.encode()) <= MAX_PATH_BYTES:
             return path
--- a/robinhill/net/handover/messages.py
+++ b/robinhill/net/handover/messages.py
@@ -1,7 +1,8 @@
 """Names and bodies of the messages in which a process hands its state to its successor.
 
 The two processes of a scheduler may be of different versions, and either may be the newer one. So the meaning
-of a key never changes, and a reader ignores unknown keys.
+of a key never changes, and a reader ignores unknown keys. A *question* is a request that the other process
+answers once.
 """
 
 from collections.abc import Mapping
@@ -11,36 +12,39 @@
 class QuestionName:
     """Names of the questions that one process sends the other; the names are the same in all versions.
 
-    A question with any other name relays an operator's call.
+    A question with any other name relays an operator's call of that name.
     """
 
-    ENDPOINT_LIST = "hello"
-    STATE = "memory"
-    SERVING = "serving"
-    WORKER_EVENT = "event"
-    ADOPT_REQUEST = "adopt"
+    ENDPOINT_LIST = "hello"  # asks the predecessor for an `EndpointListExport`
+    STATE = "memory"  # asks the predecessor for a `StateExport`
+    SERVING = "serving"  # notifies the predecessor that the successor accepts connections
+    WORKER_EVENT = "event"  # forwards a worker's callback; the answer is whether it was accepted
+    ADOPT_REQUEST = "adopt"  # hands over a request with its connection; the answer is whether it was accepted
 
 
 class KnownEndpoints(TypedDict):
     """The endpoint list in the format of the discovery service."""
 
-    generation: int
-    reset: bool
+    generation: int  # the list's version
+    reset: bool  # True: ``instances`` is the complete list, not a change to an earlier one
     instances: list[dict[str, Any]]
 
 
 class EndpointListExport(TypedDict):
-    """The answer to ``QuestionName.ENDPOINT_LIST``: the state from which a successor watches discovery."""
+    """The answer to ``QuestionName.ENDPOINT_LIST``: what a successor needs to watch discovery itself.
 
-    clock_anchor_ns: int
-    list_confirmed_us: int | None  # None: discovery has not confirmed the list
+    Times ending in ``_us`` are microseconds of the predecessor's clock.
+    """
+
+    clock_anchor_ns: int  # the predecessor's Unix time minus the host's monotonic time
+    list_confirmed_us: int | None  # when discovery last confirmed the list; None: it has not
     list_until_us: int  # end of the lease on the list
     discovery: str  # address of the discovery service that sent the list
     known: KnownEndpoints
 
 
 class StateExport(TypedDict):
-    """The answer to ``QuestionName.STATE``: the state for making the same decisions as this process."""
+    """The answer to ``QuestionName.STATE``: what a successor needs to decide as the predecessor does."""
 
     decider: Mapping[str, object]  # the dispatcher's state
     drained: bool  # whether operators have drained the scheduler
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -25,18 +25,20 @@
 
 Json = dict[str, Any]
 
-# Errors that a message from a process of another version may raise while it is handled.
+# Errors that the handling of a message from a process of another version may raise.
 MALFORMED_MESSAGE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, IndexError, MalformedError)
-SEND_RETRY_S = 0.005  # delay before writing to a full socket buffer again
+SEND_RETRY_S = 0.005  # delay before a message with a descriptor is written again to a full socket buffer
 MAX_READ_BYTES = 1 << 18
 MAX_FDS_PER_READ = 16
-NO_QUESTION = 0  # question number of outgoing answers; questions are numbered from 1
+NO_QUESTION = 0  # value of `_Outgoing.question` for answers; questions are numbered from 1
 
 
 class LinkLostError(Exception):
-    """The link is closed: the other process has exited, or sent a message that can't be handled.
+    """A question has no answer because the link was closed.
 
-    ``sent``: the other process may have received the complete question. Otherwise it has not.
+    The other process has exited or sent a message that this process can't handle, or this process has closed
+    the link. ``sent``: True if the other process may have received the complete question, False if it can't
+    have.
     """
 
     def __init__(self, sent: bool) -> None:
@@ -46,9 +48,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """A question; ``has_fd``: a file descriptor is passed with it."""
+    """A question.
 
-    number: int
+    ``name`` states what is asked, and ``body`` has the arguments. ``has_fd``: whether a file descriptor is
+    passed with the question.
+    """
+
+    number: int  # unique among the questions that its sender has sent on this link
     name: str
     has_fd: bool
     body: Json
@@ -81,9 +87,11 @@
 
 @dataclass(slots=True, frozen=True)
 class _Outgoing:
+    """An encoded message that has yet to be sent."""
+
     data: bytes
-    fd: int | None = None  # closed here once it has been sent
-    question: int = NO_QUESTION
+    fd: int | None = None  # descriptor to pass with the message; this process closes it after that
+    question: int = NO_QUESTION  # number of the question
 
 
 class ProcessLink:
@@ -103,22 +111,23 @@
         self.sock = sock
         self.supervisor = supervisor
         self.answer = answer
-        self.lost = asyncio.Event()
+        self.lost = asyncio.Event()  # set once the link is closed
         self._loop = asyncio.get_running_loop()
         self._question_numbers = count(1)
         self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}  # answers by question number
         self._sent: set[int] = set()  # numbers of pending questions that the other process may have received
         self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
-        self._buffer = bytearray()
-        self._fds: deque[int] = deque()  # received descriptors whose questions have not been read yet
+        self._buffer = bytearray()  # received bytes of an incomplete line
+        # Received descriptors, in the order of their questions, whose questions are not fully received yet.
+        self._fds: deque[int] = deque()
         self._loop.add_reader(sock, self._read)
         self._writer = supervisor.spawn(self._write(), "link")
 
     async def ask(self, question: str, body: Json | None = None, fd: int | None = None) -> Mapping[str, Any]:
         """Ask the other process a question and return the answer's body. Raises ``LinkLostError``.
 
-        Questions arrive in the order of the calls. ``fd`` is closed here once it has been sent or can't be
-        sent.
+        The other process receives questions in the order in which this method is called. This process closes
+        ``fd`` once it has been sent or can't be sent.
         """
         if self.lost.is_set():
             if fd is not None:
@@ -136,7 +145,10 @@
             self._sent.discard(number)
 
     def close(self) -> None:
-        """Close the link and the descriptors still held here. Pending questions raise ``LinkLostError``."""
+        """Close the link, descriptors that are not sent yet, and descriptors received without their question.
+
+        Calls of `ask` that wait for an answer raise ``LinkLostError``.
+        """
         if self.lost.is_set():
             return
         self.lost.set()
@@ -164,17 +176,17 @@
                     self._sent.add(outgoing.question)  # the question's last byte may be sent from here on
                 await self._loop.sock_sendall(self.sock, data)
             except OSError as e:
-                # The other process has exited, but messages that it wrote before may still be unread. Their
-                # descriptors are open in no other process, so the reader closes the link only at the end of
-                # the stream.
+                # The other process has exited, but messages that it wrote before that may still be unread.
+                # Their descriptors are open in no other process, so this method does not close the link:
+                # `_read` does so at the end of the stream.
                 log.debug("process_link_broken", extra={"why": str(e)})
                 self._sent.discard(outgoing.question)
                 return
 
     async def _send_with_fd(self, data: bytes, fd: int) -> int:
-        """Send the descriptor with the first part of the data, then close ``fd``.
+        """Send the descriptor with as much of the data as the socket accepts, then close ``fd``.
 
-        Returns the number of bytes sent.
+        Returns the number of bytes of ``data`` that were sent.
         """
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))]
         try:
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -1,4 +1,7 @@
-"""The store of workers that operators have disabled: a file in $TMPDIR that outlives the process."""
+"""The store of workers that operators have disabled: a file in $TMPDIR, which a restart does not remove.
+
+Workers are identified by their IDs on the endpoint list. Nothing is sent to a disabled worker.
+"""
 
 import logging
 import os
@@ -12,13 +15,16 @@
 
 
 class DisabledWorkerStore:
-    """Stores the IDs of disabled workers; without a folder it stores nothing."""
+    """Stores the IDs of disabled workers in ``folder``; if the folder is None, nothing is stored."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
 
     def load(self) -> set[str]:
-        """Return the IDs as last saved. If the file can't be read, log the error and return none."""
+        """Return the IDs as last saved; an empty set if none were, or if the file can't be read.
+
+        An unreadable file is logged as an error.
+        """
         if not self.folder:
             return set()
         try:
@@ -31,7 +37,7 @@
         return {x for x in ids if isinstance(x, str)} if isinstance(ids, list) else set()
 
     def save(self, instance_ids: set[str]) -> bool:
-        """Replace the saved IDs atomically. Returns whether this succeeded; a failure is logged."""
+        """Replace the saved IDs atomically. Returns False after a failure, which is logged."""
         if not self.folder:
             return True
         temporary = self.folder / f"{FILE_NAME}.{os.getpid()}"
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server, on its own listener, with one call per connection.
+"""The HTTP server for operators' calls, on its own listener, with one call per connection.
 
 This module defines the paths and methods of operators' calls, and the functions in `OperatorCalls` carry them
 out. A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
@@ -19,27 +19,28 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 1024  # an ID with surrounding white space
-MAX_CORDON_BODY_BYTES = 4096  # a target, a reason and the operator's name, in JSON
-CLOSE_TIMEOUT_S = 1.0
+MAX_BODY_BYTES = 1024  # enough for a worker's ID with surrounding white space
+MAX_CORDON_BODY_BYTES = 4096  # enough for a cordon's target, its reason and the operator's name, in JSON
+CLOSE_TIMEOUT_S = 1.0  # how long open connections may last after the server stops listening
 CORDONS_PATH = "/ops/cordons"
 ADMISSION_PATH = "/ops/admission"
 DEPRECATED_ADMISSION_PATH = "/ops/door"
 
 BodyHandler = Callable[[bytes], Awaitable[Answer]]
 CordonHandler = Callable[[str, str, bytes, str | None], Awaitable[Answer]]
-"""Handles a call about cordons, given its method, the cordon's ID ('' for all cordons), the body, and the
-``wait`` parameter of the query."""
+"""Handles a call about cordons. Its arguments are the call's method, the cordon's ID ('' for all cordons),
+the body, and the ``wait`` parameter of the query (None if absent)."""
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCalls:
     """The functions that carry out operators' calls.
 
-    ``disable_worker`` is called with a worker's ID and True to disable it or False to enable it again;
-    ``drain`` with True to start draining or False to stop. ``cordons``, ``mesh`` and ``confirm_complete`` are
-    None if schedulers share no state. ``confirm_complete`` records the operator's confirmation that this
-    process knows all cordons in force.
+    ``readiness``, ``stats`` (metrics), ``admission`` (the state of admission control) and ``mesh`` (the state
+    that schedulers share) return the answer to a query. ``disable_worker`` is called with a worker's ID and
+    True to disable the worker or False to enable it again; ``drain`` with True to start draining or False to
+    stop. ``cordons``, ``mesh`` and ``confirm_complete`` are None if schedulers share no state.
+    ``confirm_complete`` is called when an operator confirms that this process knows all cordons in force.
     """
 
     readiness: Callable[[], Answer]
@@ -61,7 +62,11 @@
 
 
 class OperatorServer:
-    """Serves the operators' address, with a budget of descriptors that client connections don't share."""
+    """Serves the operators' address.
+
+    ``budget`` is the maximum number of open connections. It is separate from that of client connections, so
+    that operators can connect while clients use up theirs.
+    """
 
     def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: OperatorCalls) -> None:
         self.address = address
@@ -83,7 +88,7 @@
             self.add_route("/ops/mesh/vouch", "PUT", lambda _body: _completed(confirm_complete()))
 
     def add_route(self, path: str, method: str, handle: BodyHandler) -> None:
-        """Serve ``path`` with ``handle``, which is called with the body of each request."""
+        """Serve ``path`` for one method only: ``handle`` is called with the body of each request."""
         self._routes[path] = Route(method, handle)
 
     def start(self) -> None:
