--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _AttemptExpired:
-    """An attempt has reached its ``until_us``."""
+    """An attempt has reached ``until_us``, the time at which it expires."""
 
     attempt: WorkerAttempt
 
@@ -167,8 +167,9 @@
             raise NotWrittenError(Outcome.CANCELLED)
         if list_lease and not list_lease.is_valid(now):
             raise NotWrittenError(Outcome.CONNECT_FAILED)  # does not count as a failure of the worker
-        # A repeat of a keyed request must reach the workers within the time for which they drop duplicates of
-        # it (``write_until_us``): later they would run the job again.
+        # Nothing is sent to a worker that is draining, removed or cordoned. A repeat of a keyed request must
+        # also be written within the time for which workers drop duplicates of it (``write_until_us``): later
+        # they would run the job again.
         if not self._accepts_sends() or now >= attempt.write_until_us:
             raise NotWrittenError(Outcome.CONNECT_FAILED)
 
