--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -249,7 +249,7 @@
         ``now`` is the event loop's time. The connections with the lowest pairs are evicted first; a
         connection with a complete request is not evicted. Idle connections that have carried jobs rank last:
         their clients would lose no request, but would have to connect again. They rank even behind the
-        connections that are too young to be evicted, as each of those soon gets a lower rank.
+        connections that are too young to be evicted, as those become evictable soon.
         """
         if self._raw_transport is None or self.dropped or self._phase is _Phase.BUSY:
             return None
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -26,8 +26,8 @@
 
 Json = dict[str, Any]
 
-# How long the successor waits for each answer of the predecessor. The wait is limited because the predecessor
-# may be replaced for the reason that it hangs.
+# How long the successor waits for each answer of the predecessor. The wait is limited, as the reason for the
+# replacement may be that the predecessor hangs.
 PREDECESSOR_TIMEOUT_S = 2.5
 # How long this process waits for another one to apply an operator's call, which must be answered within 1 s.
 OPERATOR_CALL_TIMEOUT_S = 0.7
@@ -52,9 +52,9 @@
         """Apply an operator's call that the other process received. Returns whether it succeeded."""
 
     async def accept_worker_event(self, body: Json) -> bool:
-        """Process a worker's callback about a request that the other process has forwarded.
+        """Process a worker's callback that the other process has forwarded.
 
-        Returns False if this process does not have the request.
+        Returns False if this process does not have the callback's request.
         """
 
     async def adopt_request(self, body: Json, fd: int) -> bool:
