--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -187,7 +187,7 @@
         """
         assert self._raw_transport
         log.warning(
-            "malformed",
+            "malformed_request",
             extra={"peer": self.peer_address(), "status": 400, "why": "too much data after a request"},
         )
         self._discards_excess = self._has_new_bytes = True
@@ -384,7 +384,8 @@
             return
         if self._has_new_bytes:
             log.warning(
-                "malformed", extra={"peer": self.peer_address(), "status": 408, "why": "incomplete request"}
+                "malformed_request",
+                extra={"peer": self.peer_address(), "status": 408, "why": "incomplete request"},
             )
             self._raw_transport.write(REQUEST_TIMEOUT_RESPONSE)
         self.close_gracefully(CloseReason.REQUEST_TIMEOUT)
@@ -427,7 +428,7 @@
 
 def reject(request: web.BaseRequest, status: int, reason: str) -> web.Response:
     """Log a malformed request, and return an error response of one line that closes the connection."""
-    log.warning("malformed", extra={"peer": request.remote, "status": status, "why": reason})
+    log.warning("malformed_request", extra={"peer": request.remote, "status": status, "why": reason})
     response = web.Response(status=status, text=reason + "\n")
     response.force_close()
     return response
--- a/robinhill/net/workers/client.py
+++ b/robinhill/net/workers/client.py
@@ -75,7 +75,7 @@
             guard.check_sendable(attempt)
             response = await self._post(attempt, guard.timeout_header(attempt))
         except NotWrittenError as e:
-            log.debug("attempt_unwritten", extra=self._log_fields(attempt, str(e)))
+            log.debug("attempt_not_written", extra=self._log_fields(attempt, str(e)))
             return e.outcome
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             return self._failed(attempt, e)
