--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -1,4 +1,6 @@
-"""The decision module: events in, actions out; the interface (types, events, actions) is in robinhill/api.py.
+"""The decision module of a scheduler, which receives events and returns actions.
+
+Its interface (settings, events and actions) is in robinhill/api.py.
 
 ``Balancer`` handles each job from its arrival to its final answer. The policies that it applies are in
 modules of robinhill/placement, one for each concern: the choice of a worker (worker_choice, age_weights),
@@ -23,12 +25,14 @@
 from robinhill.placement.worker_choice import WorkerChoice
 from robinhill.placement.worker_list import WorkerList
 
-# A job without a work hint may wait in the queue beyond its latency objective, by this factor times its
-# class's usual job time times (stretch - 1). The stretch of a class is the multiple of a job's work hint by
-# which the job's latency objective is extended.
+# A client may send a work hint, its estimate of a job's running time. The latency objective of the job is
+# then extended by the hint times the ``stretch`` of the job's class. Without a hint, a job may wait in the
+# queue beyond its latency objective by this factor times (stretch - 1) times the usual job time of its class:
+# of an extension of ``stretch`` job times, the run itself takes one.
 UNHINTED_WAIT_FACTOR = 1.5
-TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has sent no response for longer
-ATTEMPT_OVERRUN_SHARE = 0.25  # an attempt may exceed its objective by this share of stretch * hinted work
+TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has not responded for longer
+# An attempt of a job with a work hint times out after the job's objective, by this share of stretch * hint.
+ATTEMPT_OVERRUN_SHARE = 0.25
 
 
 class Balancer:
@@ -76,7 +80,7 @@
         return actions
 
     def avoided_workers(self, now: int) -> set[str]:
-        """Addresses of the workers that are ejected or suspected because of their own failures. Read-only."""
+        """Addresses of the workers that are ejected for failures or suspected of losing answers."""
         return {address for address, worker in self.workers.items() if worker.is_avoided(now)}
 
     # Events
@@ -117,10 +121,10 @@
             self.place(now, job)
 
     def _useful_wait_us(self, job: JobRecord, objective_us: int, expected_us: float) -> int:
-        """How long queueing the job is useful (us).
+        """The longest time that the job may wait in the queue (us).
 
-        A job whose class gives late answers a priority weight may queue as long as it can still meet the
-        client's deadline; any other only as long as it can meet its latency objective.
+        If the class has a priority weight for late answers, the job may wait as long as it can still meet the
+        client's deadline; otherwise only as long as it can meet its latency objective.
         """
         klass, request = job.klass, job.request
         if klass.late_priority_weight:
@@ -177,8 +181,9 @@
         if job.attempts_in_flight:
             return
         if self.retries.is_last(job, outcome):
-            # The attempt was cancelled before the queue deadline, but nothing confirms that it did not run.
-            # The client may retry elsewhere at once, so the rejection carries no delay.
+            # The scheduler cancelled the attempt before the queue deadline, but nothing confirms that the job
+            # did not run. The client may retry with another scheduler at once, so the rejection asks for no
+            # delay.
             unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
             self._give_up(job, api.RejectionReason.ATTEMPT_ENDED, unconfirmed)
         else:
@@ -231,7 +236,8 @@
         worker.connection_used_us = now
         timeout_us = 0
         if hint_us and not klass.late_priority_weight:
-            # The hint tells when a late answer becomes worthless; the timeout then frees capacity.
+            # The hint determines when a late answer is worthless. From then on the attempt would only use
+            # capacity of the worker, so it times out.
             overrun_us = ATTEMPT_OVERRUN_SHARE * klass.stretch * hint_us
             timeout_us = max(1, int(job.objective_us + overrun_us) - now)
         state.actions.append(api.Send(job.request.job, worker.entry.address, timeout_us))
@@ -247,8 +253,8 @@
             return
         retry_after_us = 0
         if self.settings.retry_after and not unconfirmed:
-            # Where a late answer is worthless, the longest delay keeps clients from retrying in vain. Other
-            # clients may retry after the mean time of a job.
+            # If late answers of the class are worthless, the maximum delay keeps clients from retrying in
+            # vain. Otherwise clients may retry after the mean time of a job.
             retry_after_us = self.settings.max_retry_after_us
             if klass.late_priority_weight:
                 retry_after_us = min(retry_after_us, int(self.job_times.mean_us))
@@ -266,8 +272,8 @@
         for job in queued:
             saturated = not available or job.request.job_class in saturated_classes
             if now < job.queue_deadline_us and saturated:
-                # The job stays queued. Choosing a worker for each job of a long queue at each event would be
-                # too slow.
+                # No worker has capacity for the job, so it stays queued and no worker is chosen: a choice for
+                # each job of a long queue at each event would be too slow.
                 self.queue.jobs.append(job)
             elif self.jobs.get(job.request.job) is job:
                 self.place(now, job)
@@ -281,6 +287,9 @@
             self._schedule_queue_check(now, min(job.queue_deadline_us for job in self.queue.jobs))
 
     def _schedule_queue_check(self, now: int, until_us: int) -> None:
-        """Set a timer for the next queue check, by ``until_us`` and within a tick to detect new capacity."""
+        """Set a timer for the next check of the queue.
+
+        The check is due at ``until_us``, or after a tick if that is sooner, to detect new capacity.
+        """
         if wait_us := self.queue.next_check_us(now, until_us, self.state.derived.tick_us):
             self.state.actions.append(api.SetTimer(wait_us, timers.QUEUE_CHECK))
--- a/robinhill/placement/__init__.py
+++ b/robinhill/placement/__init__.py
@@ -1,1 +1,4 @@
-"""The policies of the decision module: where and when each job runs. No I/O; the time is an argument."""
+"""The policies of the decision module (robinhill.logic), which decide where and when each job runs.
+
+The modules perform no I/O and read no clock: the time is an argument.
+"""
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -1,10 +1,12 @@
 """Weights of the age-priced rotation.
 
 The cost of a worker is ln(q) times its age. The age is the number of own sends since the last one to that
-worker; q is the chance that the last own job there still runs when the next job arrives. Weights change
-slowly, and recomputing them for each job would dominate the cost of a decision, so they are cached.
+worker; q is the probability that the last own job there still runs when the next own job arrives. The factor
+on the age is the worker's weight. Weights change slowly, and recomputing them for each job would take most of
+the time of a decision, so they are cached.
 
-"Own" jobs and sends are those of this scheduler. Jobs of bound classes may go to certain workers only.
+"Own" jobs and sends are those of this scheduler. Jobs of bound classes may go to certain workers only; all
+other jobs are unbound work.
 """
 
 from math import log1p
@@ -17,8 +19,8 @@
 SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_EXPONENT = 8
 ZONE_COST_EXPONENT = 8
-# With few arrivals a scheduler learns late that a zone is full. A higher exponent would then make all
-# schedulers move to the next zone together.
+# With few arrivals, each scheduler learns only after a delay that a zone is full. A higher exponent would
+# then make all schedulers move to the next zone at the same time.
 ZONE_COST_EXPONENT_FEW_ARRIVALS = 2
 
 
@@ -51,9 +53,9 @@
         estimates.update_times(worker)
         worker.age_weight = -log1p(US_PER_S / (worker.job_time_us * estimates.rate))
         if not self.state.few_in_flight:
-            # A slow worker uses up more of the latency objective, so the division gives it less than its
-            # share of the load. With few jobs in flight, the division would make the load oscillate between
-            # the kinds of machine.
+            # A slow worker uses up more of a job's latency objective. The division therefore gives it less
+            # load than its share of the total speed. With few jobs in flight, the division would make the
+            # load oscillate between the kinds of machine.
             worker.age_weight /= worker.job_time_us
 
     def update_factors(self) -> None:
@@ -62,8 +64,8 @@
         self._update_unbound()
 
     def _update_zones(self) -> None:
-        # Own jobs wait longer in a zone that is full or distant. The prices of crossing zones and of
-        # handshakes are converted to waiting time.
+        # The cost of a zone follows from the waits of own jobs, which are longer in a zone that is full or
+        # distant. The prices of crossing zones and of handshakes are converted to waiting time.
         state, zones = self.state, self.state.estimates.zones
         settings, tick_us = state.settings, state.derived.tick_us
         price = settings.cross_zone_price * (len(zones) > 1)
--- a/robinhill/placement/decision_state.py
+++ b/robinhill/placement/decision_state.py
@@ -1,6 +1,7 @@
 """The state that the parts of the decision module share: settings, records, estimates and pending actions.
 
-This module makes no decisions. Times are whole microseconds of the caller's clock.
+This module makes no decisions. Times are whole microseconds of the caller's clock. "Own" jobs and sends are
+those of this scheduler.
 """
 
 import random
@@ -11,8 +12,9 @@
 from robinhill.placement.estimates import Estimates, JobTimes
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
 
-UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any has completed and without a hint
-# Time that discovery spends on a poll. The first polls are spread over this time times the fleet size.
+UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any own job has completed
+# Time that discovery spends on a poll. The first polls of all schedulers are spread over this time times the
+# number of schedulers.
 LIST_POLL_US = 50_000
 MAX_FLEET_JOBS_WAITING = 3.0  # jobs of all schedulers together that may wait at one worker
 
@@ -30,10 +32,14 @@
         self.job_times = JobTimes(len(settings.classes))
         self.estimates = Estimates(settings, self.job_times, UNKNOWN_JOB_US)
         self.actions: list[api.Action] = []
-        self.sends = 0  # own sends so far
+        self.sends = 0  # number of own sends, including those of predecessor processes
         self.list_leased = True  # while the endpoint list has no valid lease, jobs stay in the queue
-        self.few_arrivals = False  # at the last choice, fewer own jobs per window than usable workers
-        self.few_in_flight = False  # at the last choice, fewer own jobs in flight than usable workers
+        # Whether, at the last choice of a worker, fewer own jobs arrived in a slow-start window than there
+        # were usable workers.
+        self.few_arrivals = False
+        # Whether, at the last choice of a worker, fewer own jobs were in flight than there were usable
+        # workers.
+        self.few_in_flight = False
 
     def set_attempt_timer(self, wait_us: int, check: timers.AttemptCheck, attempt: Attempt) -> None:
         """Set a timer that performs ``check`` on this attempt after ``wait_us``."""
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -11,12 +11,14 @@
     """Values computed from the settings alone; times in microseconds."""
 
     list_spread_us: int  # window over which the schedulers' first polls for the endpoint list are spread
-    tick_us: int  # longest time between checks of the queue; smaller time differences are ignored
+    # Longest time between checks of the queue. A smaller difference between two times left of requests is
+    # ignored: it does not show that a client has retried.
+    tick_us: int
     min_concurrency_limit: float  # lower bound of a worker's concurrency limit
-    progress_timeout_us: int  # an attempt without progress for this long is lost; 0: no progress reports
-    max_idle_us: float  # the worker may have closed a connection idle for longer; inf: reconnecting is free
-    can_cancel_unstarted: bool  # workers report starts, and attempts can be cancelled
-    can_check_health: bool  # workers answer health checks, and attempts can be cancelled
+    progress_timeout_us: int  # an attempt without progress for this long is lost; 0: workers report none
+    max_idle_us: float  # a worker may close a connection that is idle for longer; inf: reconnecting is free
+    can_cancel_unstarted: bool  # True if workers report starts, and attempts can be cancelled
+    can_check_health: bool  # True if workers answer health checks, and attempts can be cancelled
 
     @classmethod
     def from_settings(
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -1,7 +1,9 @@
 """Estimates of job times, arrival rates and waits, smoothed over own jobs. Statistics only: no decisions.
 
-Times are microseconds. Values are smoothed over the slow-start window, or over the number of samples set in
-``placement.statistics``. "Own" jobs are those that this scheduler itself has received or sent.
+Times are microseconds. Values are smoothed over the slow-start window (``Settings.slow_start_us``), or over
+``SMOOTHING_SAMPLES`` of ``placement.statistics``. "Own" jobs are those that this scheduler itself has
+received or sent. "Usable" workers are those that the endpoint list shows as ready, even if this scheduler has
+ejected them.
 """
 
 from collections.abc import Iterable
@@ -12,18 +14,21 @@
 from robinhill.placement.statistics import PRIOR_WEIGHT, DecayingMean, follow_low_quantile, smooth
 
 US_PER_S = 1e6
-BASELINE_RISE = 1 / 1024  # share of its distance to the class mean that a baseline rises per completed job
+BASELINE_RISE = 1 / 1024  # share of its distance to the mean that a class baseline rises per completed job
 MAX_TIME_RATIO = 4  # the time of a job is clipped to this multiple of the expected time
-BASELINE_MARGIN = 1.3  # time above this multiple of the quickest known time counts as a wait at the worker
+BASELINE_MARGIN = 1.3  # a job's time above this multiple of the shortest expected time counts as a wait
 
 
 class JobTimes:
-    """Job times from send to completion (us): the mean of all jobs, by class and scaled by clients' hints."""
+    """Mean job times from send to completion (us), of all jobs and by class, and the mean work hint.
+
+    A work hint is a client's estimate of the running time of its job.
+    """
 
     def __init__(self, classes: int) -> None:
         self.mean_us = 0.0
         self.class_mean_us = [0.0] * classes
-        self.class_baseline_us = [0.0] * classes  # follows the lowest mean of each class; rises slowly
+        self.class_baseline_us = [0.0] * classes  # by class: falls with the class mean at once, rises slowly
         self.mean_hint_us = 0.0  # 0: no hint received yet
 
     def add_hint(self, hint_us: int) -> None:
@@ -54,17 +59,18 @@
     """Estimates how much of its deadline a client has already spent on earlier requests for the same job."""
 
     def __init__(self, classes: int, min_spent_us: int) -> None:
-        """``min_spent_us``: a request that has spent no more than this counts as a first request."""
+        """``min_spent_us``: a request whose client has spent no more than this counts as a first request."""
         self.min_spent_us = min_spent_us
-        self.max_time_left_us = [0] * classes  # by class; taken as the time left of a first request
+        # Longest time left of any request received, by class; assumed to be the time left of a first request.
+        self.max_time_left_us = [0] * classes
         self.unretried_answers = 0  # own rejections and failures that no retry has followed yet
 
     def spent_us(self, request: api.Request) -> int:
         """Return the time that the client has spent before this request (us).
 
         A request with less time left than the maximum of its class counts as a retry if the client marks it
-        as one, or if an own rejection or failure has not been followed by a retry yet. A request that is no
-        retry has spent nothing: its client set a shorter deadline.
+        as one, or if an own rejection or failure has not been followed by a retry yet. For any other request
+        the client has spent nothing, and only set a shorter deadline.
         """
         full = max(self.max_time_left_us[request.job_class], request.time_left_us)
         self.max_time_left_us[request.job_class] = full
@@ -94,8 +100,8 @@
         self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
         self.served = DecayingMean()  # time from send to completion of own jobs at usable workers
         self.usable_workers = 1
-        self.mean_priority_weight = 0.0  # mean of the requests' priority weights for their expected work
-        self.requested_us = 2 * unknown_job_us  # expected work of all requests
+        self.mean_priority_weight = 0.0  # mean of the requests' priority weights per unit of work
+        self.requested_us = 2 * unknown_job_us  # sum of the expected work of all requests, plus a prior
         self.unbound_us = unknown_job_us  # part of ``requested_us`` in classes that may go to any worker
 
     def start(self, now: int) -> None:
@@ -105,7 +111,8 @@
     def window_share(self, now: int) -> float:
         """The weight of the observations since `start`, relative to a full smoothing window.
 
-        Right after the start it is small; after several windows it is close to 1.
+        It grows from near 0 right after the start to near 1 after several windows. At the moment of the start
+        itself it is 1, because callers divide by it.
         """
         return -expm1((self.started_us - now) / self.window_us) or 1.0
 
@@ -117,22 +124,22 @@
         self.rate_updated_us = now
 
     def add_work(self, expected_us: float, priority_weight: float, bound: bool) -> None:
-        """Add a request's expected time and its priority weight for that time to the estimates.
+        """Add a request's expected time and its priority weight per unit of work to the estimates.
 
-        ``bound``: the request's class may go to certain workers only.
+        ``bound``: jobs of the request's class may go to certain workers only.
         """
         self.requested_us += expected_us
         self.unbound_us += 0.0 if bound else expected_us
         self.mean_priority_weight = smooth(self.mean_priority_weight, priority_weight)
 
     def update_usable_workers(self, workers: Iterable[WorkerRecord]) -> None:
-        """Count the usable workers; the count of served jobs is rescaled to keep the number per worker."""
+        """Count the usable workers, and scale the number of served jobs so that it is the same per worker."""
         usable = max(1, sum(worker.ejected_until_us < inf for worker in workers))
         self.served.count = self.served.count * usable / self.usable_workers
         self.usable_workers = usable
 
     def fewer_arrivals_than_workers(self, now: int) -> bool:
-        """Whether fewer own jobs arrive in a window than there are usable workers."""
+        """Whether fewer own jobs arrive in a slow-start window than there are usable workers."""
         return US_PER_S * self.usable_workers * self.window_share(now) > self.rate * self.window_us
 
     def fewer_jobs_in_flight_than_workers(self, now: int) -> bool:
@@ -141,19 +148,28 @@
         return 0 < in_flight < self.usable_workers * self.window_share(now)
 
     def worker_throughput(self, now: int) -> float:
-        """Own jobs served per microsecond and usable worker; at least this scheduler's share of one job."""
+        """The number of own jobs served per microsecond and usable worker.
+
+        It is at least this scheduler's share of the throughput of a worker that runs one job at a time.
+        """
         served = self.served.count * exp((self.served.at_us - now) / self.window_us)
         throughput = served / (self.window_share(now) * self.window_us * self.usable_workers)
         one_job = 1 / (self.settings.fleet_size * self.served.with_prior(self.unknown_job_us))
         return max(throughput, one_job)
 
     def counted_gap_share(self, now: int) -> float:
-        """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``."""
+        """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``.
+
+        It is at least 0.5.
+        """
         tip = self.settings.tip_after_us
         return max(0.5, -expm1(-self.rate * tip / (US_PER_S * self.window_share(now))))
 
     def add_job_time(self, now: int, worker: WorkerRecord, elapsed_us: float) -> None:
-        """Add a job's time to the means of its worker, of its kind of machine and, by weight, of all."""
+        """Add a job's time to the means of its worker and of the worker's kind of machine.
+
+        Multiplied by the worker's weight, the time is also added to the mean of all workers.
+        """
         worker.own_time.add(now, elapsed_us, self.window_us)
         self.kinds.setdefault(worker.entry.kind, DecayingMean()).add(now, elapsed_us, self.window_us)
         self.weighted_time.add(now, elapsed_us * worker.entry.weight, self.window_us)
@@ -194,10 +210,10 @@
         return bound / (sum(speed for speed, _ in speeds) or 1.0)
 
     def update_times(self, worker: WorkerRecord) -> None:
-        """Set the worker's expected times from own jobs there.
+        """Set the worker's expected job time, and its time per unit of work if that is still unknown.
 
-        The prior of the job time is the mean of the worker's kind of machine, whose own prior comes from the
-        weight in the endpoint list.
+        The prior of the job time is the mean job time of the worker's kind of machine. That mean's own prior
+        is the mean job time on a worker of weight 1, divided by the worker's weight in the endpoint list.
         """
         entry, kind = worker.entry, self.kinds.get(worker.entry.kind)
         prior = self.weighted_time.value / max(1e-6, entry.weight) or self.unknown_job_us
--- a/robinhill/placement/exported_format.py
+++ b/robinhill/placement/exported_format.py
@@ -1,7 +1,8 @@
-"""The format of the decision module's exported state: its keys and the types of its objects.
+"""The format of the exported state of the decision module (robinhill.logic): its keys and object types.
 
-The two processes of a hand-over may be of different versions, and each ignores keys that it does not know. So
-a key never changes its meaning, and a renamed attribute keeps its key.
+A process exports the state at a hand-over, and its successor imports it. The two may be of different program
+versions, and each ignores keys that it does not know. So a key never changes its meaning, and a renamed
+attribute keeps its key.
 """
 
 from collections.abc import Mapping
@@ -10,7 +11,7 @@
 Json = dict[str, Any]
 Keys = Mapping[str, str]
 
-# Each mapping gives, for the attributes of one record, the keys under which their values are exported.
+# Each mapping gives the key under which the value of each attribute of one object is exported.
 SENDS_KEYS: Keys = {"sends": "sends"}
 WEIGHTED_RATE_KEYS: Keys = {"weighted_rate": "priced_rate"}
 RETRY_BUDGET_KEYS: Keys = {"budget": "budget"}
@@ -93,8 +94,8 @@
 class ExportedWorker(TypedDict):
     """State of one worker.
 
-    ``own``: mean time of own jobs there; ``full``: pairs of a job class and the end of its backoff (us);
-    ``out``: number of own attempts in flight there.
+    ``own``: mean time of this scheduler's jobs at the worker; ``full``: pairs of a job class that the worker
+    rejected and the end of its backoff (us); ``out``: number of this scheduler's attempts in flight there.
     """
 
     values: Json
@@ -104,12 +105,12 @@
 
 
 class ExportedState(TypedDict):
-    """State of the decision module apart from single jobs.
+    """State of the decision module, without its jobs and their attempts.
 
-    ``own``: counters and estimates of this scheduler; ``unit``: job time on a worker of weight 1; ``kinds``:
-    job time by kind of machine; ``zones``: waits by zone; ``quick``: low quantile of the time per unit of
-    work, by kind of machine; ``served``: time of completed jobs; ``seats``: state of workers by address.
-    Pairs begin with the number of the kind of machine or of the zone.
+    ``own``: counters and estimates of the whole scheduler; ``unit``: mean job time on a worker of weight 1;
+    ``kinds``: mean job time by kind of machine; ``zones``: mean wait by zone; ``quick``: low quantile of the
+    time per unit of work, by kind of machine; ``served``: mean time of completed jobs; ``seats``: state of
+    workers by address. Each pair begins with the number of a kind of machine or of a zone.
     """
 
     own: Json
@@ -122,7 +123,7 @@
 
 
 class ExportedAttempt(TypedDict):
-    """An attempt in flight; ``waiting`` while its start has not been reported."""
+    """An attempt in flight; ``waiting``: whether its worker has not reported its start yet."""
 
     address: str
     attempt: int
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -39,7 +39,7 @@
 
 
 def export_state(balancer: Balancer) -> ExportedState:
-    """Export the state of the decision module apart from single jobs; the balancer is not changed."""
+    """Export the state of the decision module without its jobs; the balancer is not changed."""
     estimates = balancer.estimates
     own: Json = {}
     for record, keys in _learned_records(balancer):
@@ -56,14 +56,16 @@
 
 
 def import_state(balancer: Balancer, state: Mapping[str, Any]) -> None:
-    """Import an ``ExportedState`` of any version.
+    """Import an ``ExportedState`` that any version of the program has exported.
 
-    The balancer must have received the endpoint list before: workers that it does not know are skipped.
+    The balancer must have received the endpoint list before: exported workers that it does not know are
+    skipped.
     """
     estimates = balancer.estimates
     for record, keys in _learned_records(balancer):
         _import(record, keys, state["own"])
-    # A rate of 0 makes this version compute its own age weights at the first choice of a worker.
+    # The exported age weights may follow from another version's formula. A rate of 0 makes this process
+    # recompute them at the first choice of a worker.
     balancer.weights.weighted_rate = 0.0
     _import(estimates.weighted_time, MEAN_KEYS, state["unit"])
     for number, values in state["kinds"]:
@@ -92,9 +94,9 @@
 def import_job(
     balancer: Balancer, now: int, exported: Mapping[str, Any], own: bool = False
 ) -> list[api.Action]:
-    """Import an ``ExportedJob`` of any version; return the actions that the caller must carry out.
+    """Import an ``ExportedJob`` of any program version; return the actions that the caller must carry out.
 
-    ``own``: this process exported the job itself, and no other process has accepted it.
+    ``own``: this process had exported the job itself, and takes it back as no other process has accepted it.
     """
     attributes = {key: name for name, key in REQUEST_KEYS.items()}
     request = api.Request(**{attributes[key]: value for key, value in exported["request"].items()})
@@ -116,7 +118,10 @@
 
 
 def _learned_records(balancer: Balancer) -> list[tuple[object, Keys]]:
-    """The objects whose attributes are exported under ``own``, each with its keys, in the order of export."""
+    """The objects whose attributes are exported under the key ``own``, each with the keys of its attributes.
+
+    They are in the order of export.
+    """
     return [
         (balancer.state, SENDS_KEYS),
         (balancer.weights, WEIGHTED_RATE_KEYS),
@@ -143,10 +148,12 @@
     _import(worker, WORKER_KEYS, exported["values"])
     _import(worker.own_time, MEAN_KEYS, exported["own"])
     worker.class_backoff_until_us = dict(exported["full"])
-    # The predecessor's attempts in flight use capacity of the worker until `import_job` imports them.
+    # The predecessor's attempts in flight use capacity of the worker, although this process does not know
+    # them until `import_job` imports them.
     worker.concurrency_limit = max(1.0, worker.concurrency_limit - exported["out"])
     if listed_as_unavailable or worker.ejected_until_us == inf:
-        # Whether the worker is listed as ready follows from this process's list, newer than the exported one.
+        # An infinite time means that the worker is not listed as ready. This process's endpoint list decides
+        # that, because it is newer than the list of the process that exported the state.
         worker.ejected_until_us = inf if listed_as_unavailable else 0
 
 
@@ -172,7 +179,9 @@
     attempt = balancer.attempts[key] = Attempt(key, worker, now, job, 0, -1)
     _import(attempt, ATTEMPT_KEYS, exported["values"])
     worker.in_flight.add(key)
-    # `_import_worker` lowered the limit for each attempt in flight at the predecessor; `export_job` does not.
+    # `_import_worker` has lowered the limit by 1 for each attempt in flight at the predecessor, which is now
+    # undone for this attempt. `export_job` does not lower the limit, so for a job that this process takes
+    # back the limit stays.
     worker.concurrency_limit += 0.0 if own else 1.0
     if exported["waiting"]:
         worker.unstarted_attempt = attempt
--- a/robinhill/placement/idempotency.py
+++ b/robinhill/placement/idempotency.py
@@ -1,22 +1,26 @@
-"""Recent idempotency keys, and the group of workers that deduplicates repeats of each. No I/O.
+"""Idempotency keys of jobs sent to workers, each with the group of workers that drops repeats. No I/O.
 
-A client's retry has the idempotency key of the first request under a new request id. If the first request may
-have run, only the workers of its group drop the repeat, and only for the time that the settings of the class
-give (``dedup``).
+A client's retry has the idempotency key of the first request and a new request id. If the first request may
+have run, a repeat is dropped only by the workers of one group: the zone or cell of the worker to which the
+first request was sent, or all workers, as the job class sets. They drop repeats only for the time that the
+class sets (``JobClass.memory_us``).
 """
 
 from dataclasses import dataclass, field
 
 from robinhill.placement.records import AttemptKey
 
-MAX_KEYS = 16_384  # about 3 MB; covers several minutes under high load
+MAX_KEYS = 16_384  # about 3 MB; enough for the keys of several minutes under high load
 
 ClassKey = tuple[int, str]  # number of the class, idempotency key
 
 
 @dataclass(slots=True, frozen=True)
 class DedupWindow:
-    """The group of workers that drops repeats of a key, and the end of that guarantee (Unix us)."""
+    """The group of workers that drops repeats of a key, and until when it does (Unix us).
+
+    ``group`` is the number of a zone or cell; -1: all workers drop repeats.
+    """
 
     group: int
     until_us: int
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -10,7 +10,7 @@
 
 
 class JobQueue:
-    """Jobs sorted by ``order``, lowest first, and by arrival among jobs of the same ``order``."""
+    """The queued jobs, sorted by ``JobRecord.order``, lowest first; jobs of equal order by their arrival."""
 
     def __init__(self) -> None:
         self.jobs: list[JobRecord] = []
@@ -30,9 +30,10 @@
         return jobs
 
     def next_check_us(self, now: int, until_us: int, tick_us: int) -> int:
-        """Return the delay for which the caller must set a timer, or 0 if a timer in time is already set.
+        """Return the delay of the timer that the caller must set for the next check of the queue (us).
 
-        The next check is due at ``until_us`` or ``tick_us`` from now, whichever is sooner.
+        The check is due at ``until_us`` or ``tick_us`` after ``now``, whichever is sooner. The result is 0 if
+        an earlier call has returned a delay that ends by then.
         """
         due = max(now + 1, min(until_us, now + tick_us))
         if now < self._next_check_us <= due:
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -1,10 +1,11 @@
 """The lease on the endpoint list: whether a scheduler may send jobs to the workers on it. No I/O.
 
-Discovery renews the lease with each message: a list, changes, or an empty line. A change takes effect a fixed
-time after discovery has it and is reachable, even for a process that has missed the change. So the age of a
-list counts from discovery's last message about it, never from the start of the process that has it, and a
-list of unknown age has no lease. Without a valid lease nothing is sent: requests are queued for as long as an
-answer is useful, then rejected.
+Each message of discovery (a list, changes, or an empty line) renews the lease. A change of the list takes
+effect a fixed time after discovery has received it and is reachable, even for a scheduler that has not
+received the change. A scheduler may therefore use a list only for a limited time after discovery has last
+confirmed it. This age of the list counts from discovery's last message, never from the start of the process
+that uses the list, and a list of unknown age has no lease. Without a valid lease no job is sent: requests are
+queued for as long as an answer is useful, then rejected.
 
 Times are microseconds of the caller's clock, which must count real time.
 """
@@ -20,7 +21,7 @@
 )
 
 RENEWAL_MARGIN_US = 1_000_000  # time allowed from the timeout of a silent watch to the next call's response
-ADDRESS_CHANGE_BOUND_US = 4_000_000  # the list at a new address takes effect this long after the change
+ADDRESS_CHANGE_BOUND_US = 4_000_000  # a change of discovery's address takes effect after this time
 UNKNOWN_AGE_MS = -1
 
 
@@ -41,14 +42,16 @@
     version: int = 0
     confirmed_us: int | None = None  # when discovery last confirmed the list; None: unknown
     until_us: int = 0
-    address_changed_us: int | None = None  # when the address changed to one that has not answered yet
+    # When discovery's address changed to one that has not answered yet, or when that new address was last
+    # unreachable; None: the current address has answered.
+    address_changed_us: int | None = None
 
     @classmethod
     def from_settings(cls, settings: api.Settings, version: int) -> "ListLease":
-        """Create a lease, not valid before its first renewal, for the configured list of this version.
+        """Create a lease on the configured list of this version; it is not valid before its first renewal.
 
-        Even if the poll interval is shorter than the time between messages of a watch, a renewed lease lasts
-        from one message to the next.
+        Each renewal lasts until the next message of a watch is due, even if the poll interval is shorter than
+        the time between messages.
         """
         duration_us = max(WATCH_SILENCE_TIMEOUT_US + RENEWAL_MARGIN_US, list_change_bound_us(settings))
         return cls(duration_us, version=version)
@@ -59,10 +62,10 @@
         self.until_us = until_us if confirmed_us is not None else 0
 
     def renew(self, received_us: int, version: int) -> None:
-        """Renew the lease on a message of discovery: a list, changes, or no change since ``version``.
+        """Renew the lease because discovery has sent a list, changes, or no change since ``version``.
 
-        A message received before the last change of address extends the lease to the bound of that change at
-        most.
+        A message received before a change of discovery's address extends the lease to at most
+        ``ADDRESS_CHANGE_BOUND_US`` after that change.
         """
         self.origin, self.version, self.confirmed_us = ListOrigin.DISCOVERY, version, received_us
         until_us = received_us + self.duration_us
@@ -76,7 +79,8 @@
     def record_address_change(self, now_us: int) -> None:
         """Limit the lease because discovery has a new address.
 
-        Of several changes without a message in between, the first counts: repeated changes extend nothing.
+        The limit counts from the first of several changes without a message of discovery in between, so
+        repeated changes do not extend the lease.
         """
         if self.address_changed_us is None:
             self.address_changed_us = now_us
@@ -92,7 +96,8 @@
             return
         self.until_us = max(self.until_us, as_of_us + self.duration_us)
         if self.address_changed_us is not None:
-            # The new address was unreachable too, so the bound of the change starts later.
+            # The new address was unreachable too, so the bound of the address change counts from the time at
+            # which it was last unreachable.
             self.address_changed_us = max(self.address_changed_us, as_of_us)
 
     def is_valid(self, now_us: int) -> bool:
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -36,7 +36,7 @@
         """Update the state of the worker and of the scheduler from an attempt that has ended."""
         state, worker = self.state, attempt.worker
         if not state.list_leased and outcome is api.Outcome.CONNECT_FAILED:
-            return  # the attempt was not written because the lease on the endpoint list had expired
+            return  # nothing was written to the worker because the lease on the endpoint list had expired
         connect_timeout_us = state.settings.connect_timeout_us
         if outcome in api.ANSWERED:
             worker.last_response_us = now
@@ -65,7 +65,7 @@
     def _failed(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
         state, worker = self.state, attempt.worker
         late = outcome is api.Outcome.TIMEOUT or attempt.cancel_requested
-        # A lost answer must not count as slowness or a full worker: load would shift to the other workers.
+        # A lost answer must not count as a sign of a slow or full worker: load would shift to other workers.
         timeout_us = state.derived.progress_timeout_us
         lost = late and attempt.last_progress_us and 0 < timeout_us <= now - attempt.last_progress_us
         full = outcome is api.Outcome.FULL
@@ -84,7 +84,10 @@
 
 
 def _is_inconclusive(attempt: Attempt, outcome: api.Outcome) -> bool:
-    """Whether the client caused the outcome, or the attempt was sent before the worker was readmitted."""
+    """Whether the outcome shows nothing about the worker.
+
+    This is so if the client caused the outcome, or the attempt was sent before the worker was readmitted.
+    """
     cancelled = outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
     by_client = cancelled and not attempt.cancel_requested
     return by_client or attempt.sent_us < attempt.worker.readmitted_us
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -11,8 +11,8 @@
 from robinhill.placement.records import Attempt, WorkerRecord
 
 MIN_MAX_EJECTION_US = 4_000_000  # an ejection lasts at most this, or half the slow-start window if longer
-SILENT_EJECTIONS = 3  # at least this many earlier ejections are assumed after failed health checks
-MAX_FAILURE_SHARE = 0.4
+SILENT_EJECTIONS = 3  # after failed health checks, an ejection lasts as if at least this many had preceded it
+MAX_FAILURE_SHARE = 0.4  # a worker with a higher share of fast failures is an outlier
 HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
 
 
@@ -31,8 +31,8 @@
         worker.add_failure(outcome is api.Outcome.ERROR)
         unreachable = outcome is api.Outcome.CONNECT_FAILED
         if unreachable and state.few_arrivals:
-            # This raises the cost of the whole zone. Otherwise each worker of a lost zone would be tried in
-            # turn.
+            # The failure counts as a wait of a whole latency objective, which raises the cost of the worker's
+            # zone. Otherwise each worker of an unreachable zone would be tried in turn.
             worker.zone.add(now, attempt.job.klass.latency_objective_us, state.settings.slow_start_us)
         broken = unreachable or outcome is api.Outcome.RESET
         is_outlier = broken or worker.failure_share > MAX_FAILURE_SHARE or worker.consecutive_ejections
@@ -40,7 +40,7 @@
             self.eject(now, worker, outcome.value)
 
     def eject(self, now: int, worker: WorkerRecord, reason: str) -> None:
-        """Eject the worker for a time that doubles with each ejection.
+        """Eject the worker for a time that doubles with each consecutive ejection, up to a maximum.
 
         Nothing happens if half of all workers are ejected already.
         """
@@ -68,7 +68,8 @@
     def check_health(self, now: int, worker: WorkerRecord) -> None:
         """Start a health check of a worker that does not respond, if it has jobs that could be moved.
 
-        Nothing happens if the worker is unlisted or being checked, or has no own attempts in flight.
+        Nothing happens if the worker is unlisted or being checked already, if it has no own attempts in
+        flight, or if the settings allow no health checks or no cancels.
         """
         state = self.state
         listed = state.workers.get(worker.entry.address) is worker
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -1,7 +1,8 @@
 """Overload control: concurrency limits of workers, and load shedding.
 
 Both follow the times that this scheduler's own jobs wait at workers. A worker's limit grows by one while jobs
-start without a wait and falls when they wait (AIMD). Load is shed while waits exceed the latency objective.
+start without a wait and falls when they wait (AIMD, additive increase and multiplicative decrease). Load is
+shed, which means that arriving requests are rejected, while waits exceed the latency objective.
 """
 
 from robinhill.placement.decision_state import DecisionState
@@ -10,7 +11,7 @@
 MAX_SHED_SHARE = 0.8
 SHED_STEP = 1 / 16
 LIMIT_DECREASE = 0.7
-SLOW_LIMIT_INCREASE = 0.15  # step of a limit below one job at a time
+SLOW_LIMIT_INCREASE = 0.15  # increase of a concurrency limit that is below 1; others increase by 1
 
 
 class OverloadControl:
@@ -21,7 +22,10 @@
         self.shed_share = 0.0  # share of the requests, weighted by priority, that is rejected on arrival
 
     def sheds(self, priority_weight: float) -> bool:
-        """Whether to reject an arriving request: random, less likely the higher its priority weight."""
+        """Whether to reject an arriving request.
+
+        The decision is random: the higher the priority weight of the request, the less likely a rejection.
+        """
         if not self.shed_share:
             return False
         state = self.state
@@ -31,7 +35,7 @@
     def adapt(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
         """Adapt the shed share, the worker's limit and the waits of its zone to an own job's wait.
 
-        ``waited_us``: time that the job waited at its worker; ``delay_us``: the same with the network delay.
+        ``waited_us``: time that the job waited at its worker; ``delay_us``: that time plus the network delay.
         """
         worker, objective_us = attempt.worker, attempt.job.klass.latency_objective_us
         step = ((waited_us > objective_us) - 0.5) * SHED_STEP
@@ -56,13 +60,20 @@
 
     @staticmethod
     def pause_after_attempt(now: int, worker: WorkerRecord) -> None:
-        """Send no jobs to a worker whose limit is below one, until its mean load has fallen to the limit."""
+        """Pause sends to a worker whose concurrency limit is below 1, after an attempt there has ended.
+
+        The pause is so long that the worker's mean number of own jobs in flight equals the limit.
+        """
         pause = (1 / worker.concurrency_limit - 1) * worker.job_time_us
         worker.backoff_until_us = now + int(pause)
 
     @staticmethod
     def lower_priority_if_late(now: int, job: JobRecord) -> bool:
-        """Lower the priority of a queued job that can no longer meet its objective; True if lowered."""
+        """Lower the priority of a queued job that can no longer meet its latency objective.
+
+        The priority is multiplied by the class's ``late_priority_weight``, or stays if that is 0. Returns
+        False for a job that can still meet its objective or was found late before.
+        """
         if now <= job.latest_start_us:
             return False
         job.latest_start_us = job.client_deadline_us
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -15,7 +15,7 @@
 
 FAILURE_DECAY = 0.75  # factor on a worker's failure and error shares at each success
 FAILURE_STEP = 0.25  # share of its distance to 1 by which a share rises at each failure
-RECOVERED_FAILURE_SHARE = 0.25  # below this share the count of consecutive ejections is reset
+RECOVERED_FAILURE_SHARE = 0.25  # below this failure share a success resets the count of consecutive ejections
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +23,7 @@
     """The mean wait of own jobs in a zone, and the cost factors of the zone's workers that follow from it."""
 
     cost_factor: float = 1.0
-    new_connection_factor: float = 1.0  # replaces ``cost_factor`` if the job needs a new connection
+    new_connection_factor: float = 1.0  # used instead of ``cost_factor`` if the job needs a new connection
 
 
 @dataclass(slots=True, eq=False)
@@ -31,35 +31,38 @@
     """What this scheduler knows of one worker, from the endpoint list and from own jobs."""
 
     entry: api.Worker
-    tie_breaker: float  # random, so that schedulers differ in their order of equal workers
+    tie_breaker: float  # random, so that schedulers differ in their order of workers with equal costs
     zone: ZoneWait
     job_time_us: float  # expected time from send to completion; prior: the mean of the kind of machine
     last_send: int = 0  # number of the last own send to this worker; far in the past if there was none
-    own_time: DecayingMean = field(default_factory=DecayingMean)  # time of own jobs here, without a prior
-    age_weight: float = -1.0  # ln q over the job time: cost of each own send since the last one here
+    # Time from send to completion of own jobs at this worker, without a prior.
+    own_time: DecayingMean = field(default_factory=DecayingMean)
+    age_weight: float = -1.0  # cost (negative) per own send since the last one to this worker
     slow_start_until_us: int = 0  # latest end of the slow start
     ejected_until_us: float = 0  # infinite while the endpoint list does not show the worker as ready
     in_flight: set[AttemptKey] = field(default_factory=set)  # own attempts at this worker
     unstarted_attempt: "Attempt | None" = None  # the attempt in flight whose start has not been reported
-    concurrency_limit: float = 1.0  # own jobs that run without a wait; below 1: one at a time, with pauses
+    # Number of own jobs that run at the worker without a wait; below 1: one at a time, with pauses.
+    concurrency_limit: float = 1.0
     min_start_delay_us: float = 0.0  # shortest time from send to reported start: the network delay
-    own_unit_time: float = 0.0  # low quantile of time per unit of work, from own jobs here
+    own_unit_time: float = 0.0  # low quantile of the time per unit of work, from own jobs at this worker
     unit_time: float = 0.0  # like ``own_unit_time``, with the quantile of the kind of machine as prior
     failure_share: float = 0.0  # smoothed share of own jobs that failed fast
     error_share: float = 0.0  # smoothed share of own jobs that the worker answered with an error
     consecutive_ejections: int = 0
-    class_backoff_until_us: dict[int, int] = field(default_factory=dict)  # by class that the worker rejected
+    # End of the backoff for each job class that the worker has rejected because it was full.
+    class_backoff_until_us: dict[int, int] = field(default_factory=dict)
     serves_bound_classes: bool = False  # True if a class restricted to certain workers may run here
     last_response_us: int = 0  # last start, progress or answer reported by the worker itself
     last_completion_us: int = 0
     suspected_until_us: int = 0  # answers seem to be lost: a high cost makes the worker a last resort
-    health_check_since_us: int = 0  # start of the current health checks; 0: none
-    failed_health_checks: int = 0  # consecutive failures among the current health checks
+    health_check_since_us: int = 0  # start of the health checks in progress; 0: none is in progress
+    failed_health_checks: int = 0  # consecutive failures of the health checks in progress
     backoff_until_us: int = 0  # end of the pause in sends that enforces a concurrency limit below 1
     readmitted_us: int = 0  # when the worker last became ready after being ejected or unlisted
     slow_start_credit: float = 0.0  # progress towards the next own job during slow start; 1 allows it
     slow_start_credit_us: int = 0  # when the credit was last updated
-    connection_used_us: int = 0  # when an own connection here was last used; 0: no connection can be open
+    connection_used_us: int = 0  # when an own connection to the worker was last used; 0: none can be open
 
     def is_avoided(self, now: int) -> bool:
         """Whether the worker is ejected for its failures or suspected of losing answers."""
@@ -81,7 +84,10 @@
         self.last_completion_us, self.suspected_until_us = now, 0
 
     def add_failure(self, own_error: bool) -> None:
-        """Raise the failure share for a job that failed fast; ``own_error``: the worker answered an error."""
+        """Raise the failure share for a job that failed fast.
+
+        ``own_error``: the worker itself answered with an error, which raises the error share too.
+        """
         self.failure_share += (1 - self.failure_share) * FAILURE_STEP
         self.error_share += (1 - self.error_share) * FAILURE_STEP * own_error
 
@@ -94,21 +100,21 @@
     klass: api.JobClass
     queue_deadline_us: int = 0  # end of the time that the job may wait in the queue
     client_deadline_us: int = 0
-    objective_us: float = 0.0  # an answer after this time is late, by the latency objective and the hint
-    attempts: int = 0  # attempts sent so far
+    objective_us: float = 0.0  # an answer after this time is late; a work hint extends the latency objective
+    attempts: int = 0  # number of attempts sent
     attempts_in_flight: int = 0
-    may_have_run: bool = False  # True if any attempt so far may have run
-    group: int = -1  # workers that drop a repeat of this idempotent job once it may have run; -1: all
+    may_have_run: bool = False  # whether any attempt that was sent may have run
+    group: int = -1  # zone or cell whose workers drop repeats of the job once it may have run; -1: all do
     group_until_us: int = 0  # end of the time in which the group drops repeats
-    order: float = 0.0  # sort key in the queue, lowest first: minus the priority weight for the expected work
+    order: float = 0.0  # sort key in the queue, lowest first: minus the priority weight per unit of work
     latest_start_us: int = 0  # a job that starts later misses its latency objective
 
     def record_possible_run(self, attempt: "Attempt") -> None:
-        """Record that the attempt may have run, which workers drop a repeat of it, and until when."""
+        """Record that the attempt may have run, which workers drop repeats of its job, and until when."""
         until = attempt.sent_us + self.klass.memory_us
         self.group_until_us = min(self.group_until_us, until) if self.may_have_run else until
         self.may_have_run, self.group = True, attempt.group
-        if self.klass.repeat is api.Repeat.KEYED:  # no worker may run the job once repeats are not dropped
+        if self.klass.repeat is api.Repeat.KEYED:  # after that time, the job must not be sent any more
             self.queue_deadline_us = min(self.queue_deadline_us, self.group_until_us)
 
 
@@ -121,6 +127,6 @@
     sent_us: int
     job: JobRecord
     in_flight_at_send: int  # other own jobs in flight at the worker when this attempt was sent
-    group: int  # workers that drop a repeat, determined when the attempt was sent; -1: all
+    group: int  # zone or cell, at the time of the send, whose workers drop repeats of the job; -1: all do
     cancel_requested: bool = False
     last_progress_us: int = 0  # when the worker last reported the start or progress
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -14,11 +14,11 @@
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
 CHEAP_WASTE_PRICE = 0.1  # price of wasted work, in mean job times, below which attempts may be cancelled
-OVERDUE_FACTOR = 2.0  # multiple of the class's usual job time after which an attempt is overdue
+OVERDUE_FACTOR = 2.0  # multiple of the class's baseline job time after which a started attempt is overdue
 
 
 class Retries:
-    """Checks the progress of attempts in flight, and holds the retry budget."""
+    """Checks the progress of attempts in flight, and holds the retry budget (a number of cancels)."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
@@ -37,7 +37,8 @@
         state, klass, worker = self.state, attempt.job.klass, attempt.worker
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
-        # Few workers are eligible for a keyed job: it moves only if it waits longer than usual in the zone.
+        # Few workers are eligible for a keyed job, so it moves only if it waits longer than the mean wait in
+        # the worker's zone.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
         wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
@@ -52,14 +53,17 @@
             self.state.set_attempt_timer(wait_us, timers.AttemptCheck.OVERDUE, attempt)
 
     def _worth_cancelling(self, job: JobRecord) -> bool:
-        """Whether wasted work is cheap enough to cancel attempts, some of which run on without any use."""
+        """Whether wasted work is cheap enough to cancel an attempt of the job.
+
+        Some cancelled attempts keep running at their workers although their answers are not used.
+        """
         state, safe = self.state, job.klass.repeat is api.Repeat.SAFE
         mean_us = state.job_times.mean_us
         wasted_us = state.job_times.class_mean_us[job.request.job_class] if safe else mean_us
         return state.settings.waste_price * (wasted_us or 1.0) < CHEAP_WASTE_PRICE * (mean_us or 1.0)
 
     def check_progress(self, now: int, attempt: Attempt) -> None:
-        """Cancel the attempt if it is due, or set a timer for when it will be.
+        """Cancel the attempt if its cancel is due, or set a timer for the time when it will be due.
 
         An attempt that has not started is cancelled to move its job to another worker, or because the job is
         late. An attempt that has started is cancelled if it has made no progress for so long that its answer
@@ -73,11 +77,12 @@
             self.state.set_attempt_timer(int(due_us - now) + 1, timers.AttemptCheck.PROGRESS, attempt)
 
     def _cancel_due_us(self, now: int, attempt: Attempt) -> float:
-        """Time at which to cancel the attempt in the current state (us); infinite: never."""
+        """Time at which to cancel the attempt (us), unless its state changes before; infinite: never."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
         if attempt.worker.unstarted_attempt is attempt:
             if state.few_in_flight and klass.repeat is api.Repeat.SAFE:
-                # Another choice would have no more information, and the cancelled attempt may keep running.
+                # Another choice of a worker would be based on the same information, and the cancelled attempt
+                # may keep running.
                 return inf
             if self._should_move(now, attempt):
                 return now
@@ -96,16 +101,19 @@
         return in_time and self.state.list_leased and self._can_move(now, attempt)
 
     def _late_cancel_us(self, now: int, job: JobRecord) -> float:
-        """Time from which a waiting job is certain to miss its objective (us).
+        """Time at which to cancel a waiting job because its answer would be late (us).
 
-        Without retry budget it is at least a tick from now.
+        If the retry budget is below 1, it is at least a tick from now.
         """
         mean_us = self.state.job_times.class_mean_us[job.request.job_class]
         due_us = job.objective_us + (job.klass.stretch - 1) * mean_us / 4
         return due_us if self.budget >= 1 else max(due_us, now + self.state.derived.tick_us)
 
     def _can_move(self, now: int, attempt: Attempt) -> bool:
-        """Whether the job may run at another worker; a keyed job needs an idle worker of its group."""
+        """Whether the job may run at another worker.
+
+        A keyed job may do so only if a worker of the attempt's group is idle.
+        """
         klass = attempt.job.klass
         if klass.repeat is not api.Repeat.KEYED:
             return klass.repeat is api.Repeat.SAFE
@@ -120,18 +128,22 @@
         """Update the job after a failed attempt: its queue deadline, and whether it may have run."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
         if attempt.last_progress_us and not job.request.work_hint_us and not klass.late_priority_weight:
-            # The job takes at least as long as the attempt has run, and its objective grows with its length.
+            # The job's time is unknown without a hint, but is at least the time that the attempt has run. The
+            # latency objective, and with it the queue deadline, is extended in proportion to the job's time.
             usual_us = state.job_times.class_baseline_us[job.request.job_class]
             ran_us = now - attempt.last_progress_us + usual_us
             until_us = int(job.objective_us + max(0.0, klass.stretch - 1) * ran_us)
             job.queue_deadline_us = min(job.client_deadline_us - 1, max(job.queue_deadline_us, until_us))
-        # Some workers answer "full" for jobs that they have begun.
+        # With this setting, a worker may answer "full" for a job that it has begun.
         full_may_have_run = outcome is api.Outcome.FULL and state.settings.full_may_have_run
         if not outcome.never_ran or full_may_have_run:
             job.record_possible_run(attempt)
 
     @staticmethod
     def is_last(job: JobRecord, outcome: api.Outcome) -> bool:
-        """Whether the job must not be retried after an attempt with this outcome."""
+        """Whether the job must not be retried after an attempt with this outcome.
+
+        This is so if the time for the job is used up, or if it may have run and must not run twice.
+        """
         out_of_time = outcome in (api.Outcome.TIMEOUT, api.Outcome.NOT_SENT)
         return out_of_time or (job.may_have_run and job.klass.repeat is api.Repeat.UNSAFE)
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -1,18 +1,20 @@
-"""Slow start: how often this scheduler may send a job to a worker that is warming up.
+"""Slow start: how often this scheduler may send a job to a worker that has started recently.
 
-All schedulers together must not exceed the budget of such a worker. So each scheduler earns credit towards
-its next job there over time, at a pace that follows the throughput of a usable worker.
+A worker in slow start fails if all schedulers together send it more than ``Settings.fall_multiple`` times the
+work that it can do at its current speed. Each scheduler therefore earns credit for its next job to such a
+worker over time, at a pace that follows the number of own jobs that a worker at full speed completes. "Own"
+jobs are those of this scheduler.
 """
 
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.records import WorkerRecord
 
-BUDGET_DIVISOR = 2  # plans for half of a worker's budget, as random peaks exceed the plan
+BUDGET_DIVISOR = 2  # the pace uses half of ``fall_multiple``, as random peaks of the load exceed the mean
 UNUSED_TURNS = 1000  # initial age, in turns of the rotation, of a worker that must be chosen next
 
 
 class SlowStart:
-    """Tracks the credits of the workers that are warming up."""
+    """Tracks the credits of the workers in slow start."""
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
@@ -37,15 +39,15 @@
         worker.last_send = state.sends - 1 - age
 
     def pace(self, now: int) -> float:
-        """Credit that a worker at full speed earns per microsecond."""
+        """Credit per microsecond for a worker at full speed; a credit of 1 allows one job."""
         estimates = self.estimates
         budget = self.settings.fall_multiple / BUDGET_DIVISOR
         return budget * estimates.worker_throughput(now) / estimates.counted_gap_share(now)
 
     def allows(self, now: int, worker: WorkerRecord, pace: float) -> bool:
-        """Add the credit earned since the last call; return whether it is enough for a job."""
-        # Without the cap on the gap, all schedulers would have full credit after a long idle time and send at
-        # the same moment.
+        """Add the credit earned since the last call for this worker; return whether it allows a job."""
+        # Only ``tip_after_us`` of the time since that call counts. Otherwise all schedulers would have full
+        # credit after a time without jobs, and would send to the worker at the same moment.
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
         credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:
--- a/robinhill/placement/stall_detector.py
+++ b/robinhill/placement/stall_detector.py
@@ -1,7 +1,7 @@
 """Detection of pauses of this process: stopped, swapped out or blocked in its event loop. No I/O.
 
-A process records a heartbeat several times a second. If a heartbeat is late, messages that arrived meanwhile
-may still be unread, so the state of the process is as old as its last heartbeat.
+A process records a heartbeat several times a second. If a heartbeat is late, messages that have arrived since
+the previous heartbeat may still be unread, so the process may only assume that its state was current then.
 
 Times are microseconds of a clock that counts real time.
 """
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_US = 100_000
-MAX_HEARTBEAT_DELAY_US = 200_000  # with the interval, less than the 0.5 s grace period of drains
+MAX_HEARTBEAT_DELAY_US = 200_000  # added to the interval, less than the 0.5 s grace period of drains
 
 
 @dataclass(slots=True)
@@ -23,5 +23,5 @@
         return now_us - self.last_heartbeat_us > HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US
 
     def record_heartbeat(self, now_us: int) -> None:
-        """Record a heartbeat; the process must have read all messages that were waiting."""
+        """Record a heartbeat at ``now_us``; the process must have read all messages that arrived before."""
         self.last_heartbeat_us = now_us
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -5,9 +5,10 @@
 
 PRIOR_WEIGHT = 2.0  # weight of the prior, in samples
 SMOOTHING_SAMPLES = 32
-# An estimated quantile moves by these shares of its difference to a higher sample, and to a lower one. The
-# difference is limited, so that one huge sample counts as one.
+# An estimated quantile rises by the first share of its difference to a higher sample, and falls by the second
+# share of its difference to a lower one.
 QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3
+# The difference to a higher sample is limited to this, so that one huge sample has little effect.
 MAX_QUANTILE_STEP = 1.0
 
 
@@ -20,7 +21,7 @@
     at_us: int = 0  # when the last sample was added
 
     def add(self, now: int, value: float, window_us: int) -> None:
-        """Add a sample; earlier samples lose the weight factor e for each ``window_us`` that has passed."""
+        """Add a sample; the weight of earlier samples falls by a factor of e per ``window_us`` of age."""
         self.count = 1.0 + self.count * exp((self.at_us - now) / window_us)
         self.at_us = now
         self.value += (value - self.value) / self.count
@@ -37,5 +38,8 @@
 
 
 def smooth(mean: float, sample: float) -> float:
-    """Return the exponential mean over ``SMOOTHING_SAMPLES`` with a sample added; 0: no samples yet."""
+    """Return the exponential mean over ``SMOOTHING_SAMPLES`` with a sample added.
+
+    A ``mean`` of 0 has no samples yet.
+    """
     return mean + ((sample - mean) / SMOOTHING_SAMPLES if mean else sample)
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -11,7 +11,7 @@
 
 
 class AttemptCheck(Enum):
-    """The condition of an attempt that a timer checks."""
+    """The condition that is checked when the timer of an attempt expires."""
 
     PROGRESS = "look"  # whether the attempt has started, and makes progress
     OVERDUE = "overdue"  # whether the worker has completed any job since the attempt started
@@ -32,7 +32,10 @@
 
 
 def parse(tag: str) -> AttemptTimer | None:
-    """Parse the tag of an attempt's timer; None if it is another kind of timer or of an unknown version."""
+    """Parse the tag of an attempt's timer.
+
+    Returns None for the tag of another kind of timer and for one of an unknown version of the program.
+    """
     match tag.split():
         case [AttemptCheck.PROGRESS.value | AttemptCheck.OVERDUE.value as check, job, attempt]:
             return AttemptTimer(AttemptCheck(check), int(job), int(attempt))
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -1,14 +1,15 @@
 """When the watch on the endpoint list counts as broken, and when the next call to discovery begins. No I/O.
 
-A change of the list takes effect a fixed time after discovery has it and is reachable, whatever the result of
-this scheduler's calls. So without a working watch the next call begins in the first half of that time; the
-second half is for the wait at discovery, which serves calls one after another. Within the first half each
-call begins at a random moment, since hundreds of schedulers may lose their watches, or reach discovery again,
-at the same time. The decision module has a separate backoff for failed polls; this schedule does not wait for
-it.
-
-If an agent beside the scheduler pushes lists, the agent's list is in force at once, and a call to the agent
-does not delay other schedulers.
+A watch is a call to discovery whose response streams the endpoint list and its changes. A change of the list
+takes effect a fixed time after discovery has received it and is reachable, whether or not the calls of this
+scheduler succeed. So if the watch is lost, the next call begins in the first half of that time; the second
+half is for the wait at discovery, which serves calls one after another. Within the first half, each call
+begins at a random moment, since hundreds of schedulers may lose their watches, or reach discovery again, at
+the same time. The decision module (robinhill.logic) has a separate backoff for failed polls; this schedule
+does not depend on it.
+
+Instead of discovery itself, a local agent may push lists. A list from the agent takes effect at once, and a
+call to the agent does not delay other schedulers.
 """
 
 import random
@@ -16,51 +17,55 @@
 
 from robinhill import api
 
-# A change takes effect this long after discovery has it and is reachable.
+# A change of the list takes effect this long after discovery has received it and is reachable.
 LIST_CHANGE_BOUND_US = 6_000_000
-WATCH_SILENCE_TIMEOUT_US = 2_500_000  # discovery writes an empty line every 2 s
+WATCH_SILENCE_TIMEOUT_US = 2_500_000  # discovery writes an empty line to a watch every 2 s
 CALL_TIMEOUT_US = 3_500_000  # discovery fails calls that have waited 2 or 3 s
 QUEUED_CALL_MIN_US = 1_500_000  # a call that fails sooner has not waited in discovery's queue
-SPREAD_PER_SCHEDULER_US = 50_000  # random delay of calls after a failure; doubles with each further failure
+# The random delay of calls is at most this per scheduler of the fleet; doubles with each repeated failure.
+SPREAD_PER_SCHEDULER_US = 50_000
 MAX_SPREAD_DOUBLINGS = 6
-MIN_SPREAD_US = 250_000  # window of random delays once the first half of the change bound has passed
+MIN_SPREAD_US = 250_000  # maximum random delay after the first half of the change bound
 AGENT_BACKOFF_US = 100_000  # calls to an agent must succeed within the 0.5 s grace period of drains
 MAX_AGENT_BACKOFF_US = 200_000
-# When a call ends unanswered, the last time at which discovery counts as unreachable is this long before the
-# end of the call, but not before its start. The lease on the list, extended from that time, then lasts until
-# the next call has ended too.
+# After a call that discovery has not answered, discovery counts as unreachable until this long before the end
+# of the call, but at least until its start. The lease on the list, which lasts a change bound from that time
+# on, then ends after the next call has ended.
 UNANSWERED_CALL_OUTAGE_US = LIST_CHANGE_BOUND_US - CALL_TIMEOUT_US - MIN_SPREAD_US
 
 
 @dataclass(slots=True)
 class WatchSchedule:
-    """Timing of the calls to discovery at one address; ``lists_pushed``: an agent there pushes lists."""
+    """The times of calls to discovery; ``lists_pushed``: the called address is an agent that pushes lists."""
 
     lists_pushed: bool
     rng: random.Random
     fleet_size: int
     change_bound_us: int = LIST_CHANGE_BOUND_US
     due_us: int = 0  # deadline for receiving the next list; an outage of discovery extends it
-    last_received_us: int = 0  # last complete list or empty line of the open call; 0: none yet
+    last_received_us: int = 0  # when the open call last received a complete list or empty line; 0: never
     called_us: int = 0  # when the last call began
-    failed_calls: int = 0  # consecutive failures
+    failed_calls: int = 0  # number of consecutive failed calls
     unreachable_us: int | None = None  # when discovery was last unreachable; None: the last call reached it
 
     def start(self, now_us: int) -> int:
         """Start the schedule; return the delay before the first call (us).
 
-        The deadline for the next list is counted from now, and not from the time of the list with which the
-        process starts, as that list may be old.
+        The deadline for receiving a list counts from ``now_us``. It does not count from the time of the list
+        with which the process starts, as that list may be old.
         """
         self.due_us = now_us + self.change_bound_us
         return 0 if self.lists_pushed else self._random_wait_us(now_us)
 
     def record_address_change(self, now_us: int) -> None:
-        """Reset deadline and failures for a new address of discovery, which the caller must call at once."""
+        """Reset the deadline and the failures, because discovery has a new address.
+
+        The caller must start a call to the new address at once.
+        """
         self.due_us, self.failed_calls = now_us + self.change_bound_us, 0
 
     def record_call(self, now_us: int) -> None:
-        """Record that a call begins, which has received nothing yet."""
+        """Record that a call to discovery begins."""
         self.last_received_us, self.called_us = 0, now_us
 
     def record_received(self, now_us: int) -> None:
@@ -68,7 +73,7 @@
         self.last_received_us, self.failed_calls = now_us, 0
 
     def silence_deadline_us(self) -> int:
-        """Time at which the open call or watch counts as broken unless a message is received before (us)."""
+        """Time at which the open call counts as broken unless a message is received before (us)."""
         if self.last_received_us:
             return self.last_received_us + WATCH_SILENCE_TIMEOUT_US
         return self.called_us + CALL_TIMEOUT_US
@@ -80,12 +85,13 @@
         """
         self.unreachable_us = self._unreachable_since_us(now_us, answered)
         if self.last_received_us:
-            # Discovery may have become unreachable right after the last message, or at any time since.
+            # The deadline counts from the last message, as discovery may have become unreachable at any time
+            # after it.
             self.due_us = self.last_received_us + self.change_bound_us
         elif self.failed_calls > 1 and now_us - self.called_us < QUEUED_CALL_MIN_US:
-            # Discovery is down, and changes that it receives take effect only after it is reachable again. A
-            # single quick failure may be a network fault, and a call that waited in the queue has reached
-            # discovery: in both cases the deadline stays.
+            # Discovery is down. The deadline can be extended, as changes that discovery receives during an
+            # outage take effect only after it is reachable again. A single quick failure may be a network
+            # fault, and a call that waited in the queue has reached discovery: neither extends the deadline.
             self.due_us = self.called_us + self.change_bound_us
         self.failed_calls += 1
         return self._agent_wait_us() if self.lists_pushed else self._random_wait_us(now_us)
@@ -93,9 +99,9 @@
     def _unreachable_since_us(self, now_us: int, answered: bool) -> int | None:
         """Last time at which discovery may have been unreachable (us); None if the call reached it.
 
-        A caller cannot distinguish an outage of discovery from an overload, as calls fail alike. So a call
-        that discovery has not answered counts as an outage. Otherwise each outage of discovery would stop the
-        whole fleet from serving.
+        Calls fail in the same way during an outage and an overload of discovery, so a scheduler cannot
+        distinguish the two. A call without an answer counts as an outage. Otherwise the leases of all
+        schedulers would end during each outage of discovery, and the whole fleet would stop serving.
         """
         timed_out = now_us - self.called_us >= CALL_TIMEOUT_US
         if self.last_received_us or (answered and not (self.lists_pushed and timed_out)):
@@ -107,9 +113,10 @@
         return int(wait * (0.5 + self.rng.random() / 2))
 
     def _random_wait_us(self, now_us: int) -> int:
-        """Random delay before the next call (us): at least half of the maximum after repeated failures.
+        """Random delay before the next call (us).
 
-        Before the first call and after a first failure it may be 0.
+        After repeated failures it is at least half of the maximum delay. Before the first call and after a
+        first failure it may be 0.
         """
         max_wait = max(MIN_SPREAD_US, self.due_us - self.change_bound_us // 2 - now_us)
         doublings = min(max(0, self.failed_calls - 1), MAX_SPREAD_DOUBLINGS)
@@ -119,7 +126,7 @@
 
 
 def list_change_bound_us(settings: api.Settings) -> int:
-    """Time after which a change of the list takes effect (us): at most the interval of polls."""
+    """Time after which a change of the list takes effect (us): at most the poll interval of the settings."""
     return min(LIST_CHANGE_BOUND_US, settings.poll_interval_us)
 
 
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -1,8 +1,9 @@
 """The choice of the worker for a job: the age-priced rotation of docs/design.md.
 
 Among the eligible workers of the lowest rank, the one with the lowest cost x * ln(q) gets the job. The age x
-is the number of own sends since the last one to that worker; factors raise the cost for failures and waits.
-"Own" jobs and sends are those of this scheduler.
+is the number of own sends since the last one to that worker; q < 1 is a probability (see age_weights), so the
+cost is negative. Factors between 0 and 1 raise it towards 0 for failures and waits. "Own" jobs and sends are
+those of this scheduler.
 """
 
 from dataclasses import dataclass
@@ -14,14 +15,14 @@
 from robinhill.placement.records import JobRecord, WorkerRecord
 from robinhill.placement.slow_start import SlowStart
 
-# Divides the (negative) cost of a worker that has rejected the class, is suspected of losing answers, or has
-# recently been ejected (for jobs that must not run twice). Such a worker is chosen only if most others are no
-# better.
+# Divides the (negative) cost of a worker that has rejected the job's class, is suspected of losing answers,
+# or (for jobs that must not run twice) has been ejected and has not recovered. Such a worker is chosen only if
+# its age is far above that of all other workers, or if no other worker is better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_COST_EXPONENT = 8
-MAX_PROVEN_ERROR_SHARE = 0.1  # above this share a worker is not proven for jobs that must not run twice
-TIGHT_FIT_RANK = 2
+MAX_PROVEN_ERROR_SHARE = 0.1  # a worker with a higher error share is avoided for jobs that must not run twice
+TIGHT_FIT_RANK = 2  # increase of the rank of a worker that may miss the job's objective
 
 
 @dataclass(slots=True)
@@ -32,11 +33,11 @@
     job_class: int
     bound: bool  # the job may go to certain workers only
     unsafe: bool  # the job must not run twice
-    padded_hint_us: float  # hinted work times ``HINT_MARGIN``
-    sends: int
-    few_arrivals: bool
+    padded_hint_us: float  # the job's work hint times ``HINT_MARGIN``; 0: no hint
+    sends: int  # number of own sends before this job
+    few_arrivals: bool  # whether fewer own jobs arrive in a slow-start window than there are usable workers
     unbound_factor: float  # cost factor of workers that serve bound classes
-    max_idle_us: float  # the worker may have closed a connection idle for longer; inf: reconnecting is free
+    max_idle_us: float  # a worker may close a connection that is idle for longer; inf: reconnecting is free
 
 
 class WorkerChoice:
@@ -47,7 +48,8 @@
         self.weights = weights
         self.slow_start = slow_start
         self.settings, self.estimates = state.settings, state.estimates
-        self.saturated_classes: set[int] = set()  # job classes for which no worker had capacity
+        # Job classes for which no worker had capacity; cleared at the start of each pass over the queue.
+        self.saturated_classes: set[int] = set()
 
     def choose(self, now: int, job: JobRecord) -> WorkerRecord | None:
         """Return the worker for a job, or None if no worker can accept it now.
@@ -72,7 +74,7 @@
     def _cheapest(self, now: int, criteria: _Criteria) -> WorkerRecord | None:
         """Return the cheapest eligible worker of the lowest rank.
 
-        Each job compares all workers, so the checks that most workers need are inlined in the loop.
+        The loop visits all workers for each job, so the checks that most workers need are inlined in it.
         """
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
         bound, pace = criteria.bound, 0.0  # the pace is computed once, at the first worker in slow start
@@ -86,7 +88,7 @@
                     continue
             cost = (sends - worker.last_send) * worker.age_weight * worker.zone.cost_factor
             if cost > best_cost and not best_rank:
-                continue  # the remaining factors can only raise the cost
+                continue  # the factors of ``_full_cost`` can only raise the cost further
             if now < worker.ejected_until_us or now < worker.backoff_until_us:
                 continue
             if (bound and not klass.allows_worker(worker.entry)) or (
@@ -105,7 +107,10 @@
         return best
 
     def _full_cost(self, now: int, worker: WorkerRecord, criteria: _Criteria, cost: float) -> float:
-        """Raise the negative ``cost`` of the age towards 0 for new connections, failures and slow start."""
+        """Return ``cost``, raised towards 0 for a new connection, failures and slow start.
+
+        ``cost`` is the negative cost that follows from the worker's age and zone alone.
+        """
         max_idle_us = criteria.max_idle_us
         if max_idle_us < inf and (worker.in_flight or now - worker.connection_used_us > max_idle_us):
             age = criteria.sends - worker.last_send
@@ -115,13 +120,13 @@
         factor = criteria.unbound_factor if worker.serves_bound_classes else 1.0
         cost *= (1 - worker.error_share) ** ERROR_COST_EXPONENT * factor if criteria.few_arrivals else factor
         rejected = worker.class_backoff_until_us.get(criteria.job_class, 0) > now
-        # After an ejection, a worker is first tried with jobs that may run twice.
+        # After an ejection, a worker first gets jobs that may run twice.
         if rejected or now < worker.suspected_until_us or (worker.consecutive_ejections and criteria.unsafe):
             cost /= BACKOFF_DIVISOR
         return cost
 
     def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
-        """Return the worker's rank for the job: a lower rank is preferred whatever the cost.
+        """Return the worker's rank for the job; workers of a lower rank are preferred whatever their cost.
 
         The rank rises if the worker may miss the job's objective, and if it may be busy. While few jobs
         arrive, it also rises for a job that must not run twice if the worker has a high share of errors, or
@@ -145,9 +150,12 @@
         return ready and (not worker.in_flight or self.has_capacity(now, worker))
 
     def has_capacity(self, now: int, worker: WorkerRecord) -> bool:
-        """Whether the worker has capacity, by own jobs alone: load reports and health checks do not count."""
+        """Whether the worker can accept a further job, judged by the own jobs in flight there alone.
+
+        Load reports and health checks of the worker are not considered.
+        """
         if worker.unstarted_attempt:
-            return False  # an own job has not started: the worker is full, frozen or unreachable
+            return False  # an own job there has not started yet: the worker is full, frozen or unreachable
         limit = 1 if worker.consecutive_ejections else worker.concurrency_limit
         if len(worker.in_flight) < limit:
             return True
@@ -159,7 +167,11 @@
 
     @staticmethod
     def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
-        """Whether the job can meet its objective, by its hint, and cannot take effect twice at the worker."""
+        """Whether the worker can meet the job's objective, and whether the job can safely run there.
+
+        The objective is checked only for a job with a hint. A job that may have run before, and must not run
+        twice, is safe only while the worker's group drops repeats.
+        """
         klass, hint_us = job.klass, job.request.work_hint_us
         if hint_us and not klass.late_priority_weight and now + worker.unit_time * hint_us > job.objective_us:
             return False  # even the shortest time for the hinted work would miss the objective
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the decision module: the known workers, and the times of polls for the list.
+"""The endpoint list in the decision module: the records of listed workers, and the times of polls.
 
 This module creates and removes the records of workers, and updates the attributes that come from the list.
 """
@@ -23,12 +23,13 @@
         self.weights = weights
         self.slow_start = slow_start
         self._subscribed = False
-        self._failed_polls = 0  # consecutive failures
+        self._failed_polls = 0  # number of consecutive failed polls
 
     def schedule_first_poll(self) -> None:
         """Set a timer for the first poll, if the settings require a subscription.
 
-        The delay is random: schedulers that start together would overload discovery if they polled at once.
+        The delay is random: schedulers that start at the same time would overload discovery if they also
+        polled at the same time.
         """
         state = self.state
         wait_us = int(state.random.random() * state.derived.list_spread_us)
@@ -41,10 +42,10 @@
             self.state.actions.append(api.Subscribe())
 
     def schedule_retry(self) -> None:
-        """Set a timer for the next poll with exponential backoff, after half the poll interval at most.
+        """Set a timer for the next poll, with exponential backoff of at most half the poll interval.
 
-        The other half of the interval leaves time for the poll itself, so that this scheduler receives a
-        change before discovery counts the scheduler as notified of it.
+        The other half of the interval is left for the poll itself, so that this scheduler receives a change
+        of the list before discovery assumes that every scheduler has received it.
         """
         state = self.state
         spread_us = state.derived.list_spread_us << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS)
@@ -54,7 +55,7 @@
         state.actions.append(api.SetTimer(wait_us, timers.LIST_POLL))
 
     def apply(self, now: int, event: api.WorkersListed) -> None:
-        """Apply a full list, a cached list or changes to the records of workers."""
+        """Update the records of workers from a full list, a cached list or changes to the list."""
         state = self.state
         self._subscribed = self._subscribed or event.kind is not api.ListKind.CACHED
         self._failed_polls = 0
