--- a/robinhill/adapter.py
+++ b/robinhill/adapter.py
@@ -1,4 +1,8 @@
-"""Connects balancers to the simulator: decodes its messages to events and encodes actions to its commands."""
+"""Connects balancers to the simulator.
+
+The adapter decodes the simulator's messages to events of ``robinhill.api`` and encodes the resulting actions
+as the simulator's commands. A balancer is the decision module of one scheduler (``robinhill.logic``).
+"""
 
 import gc
 import sys
@@ -40,7 +44,7 @@
 
 
 class Host:
-    """Runs the balancers of all nodes in one stream of batches."""
+    """Runs one balancer for each node (simulated scheduler); a batch has messages for any number of nodes."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
@@ -74,9 +78,9 @@
         return api.JobProgress(m[1], m[2], m[5] or 0.0)
 
     def _decode(self, node: int, m: list[Json]) -> api.Event | Balancer | None:
-        """Decode one message to an event or to a new balancer; None if it calls for neither.
+        """Decode one message to an event or to a new balancer; raises WireError.
 
-        Raises WireError.
+        Returns None for a message that needs no balancer: it is ignored, or it changes only this host.
         """
         try:
             name = m[0]
@@ -110,7 +114,7 @@
         cmds.extend(_ENCODERS[type(action)](action) for action in actions)
 
     def batch(self, line: bytes) -> bytes:
-        """Handle one batch of messages and return the reply with the commands of all nodes.
+        """Handle one batch of messages; return the reply, which contains the commands of all nodes.
 
         Raises WireError.
         """
@@ -147,7 +151,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to batches, one a line, until the input ends; raises WireError."""
+    """Reply to each batch, which is one line of ``source``, until the input ends; raises WireError."""
     host = Host()
     for line in source:
         sink.write(host.batch(line))
@@ -155,7 +159,10 @@
 
 
 def main() -> int:
-    """Run on standard input and output; on malformed input print one line to standard error and return 2."""
+    """Run on standard input and output and return the exit status.
+
+    On malformed input, print one line to standard error and return 2.
+    """
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
     try:
--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -9,10 +9,10 @@
 
 
 class Repeat(Enum):
-    """Whether a job may run a second time.
+    """Whether a job may be sent again after it may have run.
 
-    SAFE: a second run does no harm. KEYED: workers drop repeats by idempotency key. UNSAFE: a second run may
-    do harm.
+    SAFE: a second run does no harm. KEYED: workers drop repeats of a job by its idempotency key, so it runs
+    once. UNSAFE: a second run may do harm.
     """
 
     SAFE = "safe"
@@ -21,7 +21,10 @@
 
 
 class Scope(Enum):
-    """Which workers drop each other's repeats of a keyed job: all, those of one zone or those of one cell."""
+    """The group of workers that drop repeats of a keyed job which has run at one of them.
+
+    ALL: all workers. ZONE: the workers of one zone. CELL: the workers of one cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -62,8 +65,9 @@
 class ListKind(IntEnum):
     """The kind of a ``WorkersListed`` event.
 
-    CHANGES: changes to the previous list. FULL: the complete list. CACHED: a complete list known from
-    earlier. FAILED: the list could not be fetched.
+    CHANGES: changes since the list that was last received. FULL: the complete list from discovery. CACHED: a
+    complete list that was not just received from discovery, so that polls continue. FAILED: the list could
+    not be fetched.
     """
 
     CHANGES = 0
@@ -73,7 +77,10 @@
 
 
 class SettingError(ValueError):
-    """A setting has an invalid value; ``name`` is its field, ``requirement`` says which values are valid."""
+    """A setting has an invalid value.
+
+    ``name`` is the setting's field; ``requirement`` says which values are valid.
+    """
 
     def __init__(self, name: str, requirement: str) -> None:
         super().__init__(f"{name}: {requirement}")
@@ -91,17 +98,16 @@
     """One class of jobs.
 
     ``kinds`` and ``zones`` restrict its jobs to workers of these machine types and zones (None: any).
-    ``memory_us``: how long workers remember the idempotency keys of its jobs.
     """
 
     latency_objective_us: int
     deadline_us: int
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0
-    stretch: float = 0.0
+    late_priority_weight: float = 0.0  # factor on the priority of late jobs; 0: a late answer is worthless
+    stretch: float = 0.0  # the work hint of a job times this factor extends its latency objective
     repeat: Repeat = Repeat.UNSAFE
     scope: Scope = Scope.ALL
-    memory_us: int = 0
+    memory_us: int = 0  # how long workers remember the idempotency keys of the class's jobs
     kinds: frozenset[int] | None = None
     zones: frozenset[int] | None = None
     stream: bool = False
@@ -129,7 +135,7 @@
         return self.repeat is Repeat.KEYED and self.scope is Scope.ALL
 
     def group_of(self, worker: "Worker") -> int:
-        """The worker's zone or cell, whose workers drop each other's repeats; -1 if the scope is ALL."""
+        """The number of the worker's zone or cell, whichever the scope of the class is; -1 if it is ALL."""
         return {Scope.ZONE: worker.zone, Scope.CELL: worker.cell}.get(self.scope, -1)
 
     def allows_worker(self, worker: "Worker") -> bool:
@@ -151,41 +157,41 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The configuration of a scheduler at its start.
+    """The settings of a scheduler at the start of its process.
 
-    ``full_may_have_run``: a worker may answer 'full' for a job that it has already begun.
-    ``close_within_us``: the time within which idle connections to a draining worker must be closed (None:
-    they may stay open).
+    ``fall_multiple``: a worker in slow start fails if it is sent this multiple of the work that it can do at
+    its current speed, within ``tip_after_us``. The prices are relative to each other; 0: the scheduler need
+    not avoid the event.
     """
 
     classes: tuple[JobClass, ...]
-    fleet_size: int = 1
-    zone: int = 0
-    quotas_per_s: tuple[float, ...] = ()
+    fleet_size: int = 1  # number of schedulers
+    zone: int = 0  # the zone of this scheduler
+    quotas_per_s: tuple[float, ...] = ()  # by tenant
     over_quota_priority_weight: float = 1.0
-    value_by_work: bool = False
-    must_subscribe: bool = False
+    value_by_work: bool = False  # True: priority weights are per unit of work; False: per job
+    must_subscribe: bool = False  # True: the scheduler must poll for the endpoint list; False: it is pushed
     poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
     slow_start_floor: float = 0.5  # share of its full speed at which a worker starts
-    slow_start_us: int = 10_000_000
+    slow_start_us: int = 10_000_000  # duration of a worker's slow start
     fall_multiple: float = 2.0
     tip_after_us: int = 1_000_000
     connect_timeout_us: int = 250_000
     max_attempts: int = 1
     parallel_attempts: bool = False
-    cancelling: bool = False
-    probes: bool = False
-    retry_after: bool = False
+    cancelling: bool = False  # whether attempts can be cancelled
+    probes: bool = False  # whether workers answer health checks
+    retry_after: bool = False  # whether rejections may ask the client for a delay before its retry
     max_retry_after_us: int = 0
-    reports_start: bool = False
-    progress_us: int = 0
-    cross_zone_price: float = 0.0
-    waste_price: float = 0.0
-    handshake_price: float = 0.0
-    keepalive_us: int = 60_000_000
-    full_may_have_run: bool = False
-    close_within_us: int | None = None
+    reports_start: bool = False  # whether workers report the start of each attempt
+    progress_us: int = 0  # interval at which workers report the progress of a job; 0: they do not
+    cross_zone_price: float = 0.0  # of a job sent to another zone
+    waste_price: float = 0.0  # of work whose result is not used
+    handshake_price: float = 0.0  # of a new connection
+    keepalive_us: int = 60_000_000  # workers close connections that are idle for longer
+    full_may_have_run: bool = False  # whether a worker may answer 'full' for a job that it has already begun
+    close_within_us: int | None = None  # for idle connections to a draining worker; None: they may stay open
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "classes", "must contain at least one class")
@@ -204,7 +210,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """One entry of the endpoint list; ``started_us`` is 0 for a worker that started long ago."""
+    """One entry of the endpoint list.
+
+    ``started_us`` is 0 for a worker that started long ago. ``weight`` is the worker's speed relative to other
+    workers, ``kind`` the number of its machine type.
+    """
 
     address: str
     zone: int = 0
@@ -219,16 +229,17 @@
 class Request:
     """A client's request.
 
-    ``group``: the zone or cell in which an earlier request with the same idempotency key may have run. Until
-    ``group_until_us`` this request may be sent only to workers of that group (0: there was no such request).
+    ``group``: the zone or cell in which an earlier request with the same idempotency key may have run (-1:
+    any). Until ``group_until_us`` this request may be sent only to workers of that group (0: there was no
+    such request).
     """
 
     job: int
     job_class: int
-    time_left_us: int
+    time_left_us: int  # from the arrival until the client's deadline
     tenant: int = 0
-    work_hint_us: int = 0
-    client_repeat: bool = False
+    work_hint_us: int = 0  # the client's estimate of the job's running time; 0: none
+    client_repeat: bool = False  # whether the client marks the request as a retry
     group: int = -1
     group_until_us: int = 0
 
@@ -278,7 +289,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; ``final``: the request has its answer, from this outcome or an earlier one."""
+    """An attempt has ended ``took_us`` after its send.
+
+    ``final``: the request has been answered, because of this outcome or an earlier one.
+    """
 
     job: int
     attempt: int
@@ -303,7 +317,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has ended; ``alive`` if the worker answered at all, even if it is draining."""
+    """A health check has ended; ``alive``: whether the worker gave any answer, be it draining or not."""
 
     address: str
     alive: bool
@@ -311,7 +325,7 @@
 
 @dataclass(slots=True)
 class ListLeaseChanged:
-    """The lease on the endpoint list was acquired or lost; without it no attempt is sent."""
+    """The lease on the endpoint list was acquired or lost; without the lease, no attempt may be sent."""
 
     held: bool
 
@@ -347,17 +361,20 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is rejected; used in log lines and metrics alone."""
+    """Why a request is rejected; used only in log lines and metrics."""
 
-    NO_WORKER = "no_worker"  # no worker had capacity while the request could still wait in the queue
-    OVERLOAD = "overload"  # load shedding: the waits of this scheduler's own jobs show an overload
+    NO_WORKER = "no_worker"  # no worker had capacity before the request's time in the queue was used up
+    OVERLOAD = "overload"  # load shedding, because this scheduler's jobs wait too long at workers
     ATTEMPTS_SPENT = "attempts_spent"  # the request has used the maximum number of attempts
-    ATTEMPT_ENDED = "attempt_ended"  # its last attempt ended with no time or worker left for another
+    ATTEMPT_ENDED = "attempt_ended"  # the last attempt ended, and no time or worker is left for another one
 
 
 @dataclass(slots=True)
 class Reject:
-    """Answer a request finally as rejected: a retry by the client does no harm."""
+    """Answer a request finally as rejected: a retry by the client does no harm.
+
+    ``retry_in_us``: the delay that the client is asked for before its retry; 0: none.
+    """
 
     job: int
     retry_in_us: int = 0
@@ -373,7 +390,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel a running attempt."""
+    """Cancel an attempt in flight; an ``AttemptEnded`` event reports its end."""
 
     job: int
     attempt: int
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -1,9 +1,10 @@
 """Reads the configuration from environment and files, validates it and applies defaults.
 
-``GW_CONFIG`` names a JSON file. ``GW_NAME``, ``GW_LISTEN``, ``GW_DISCOVERY`` and ``GW_OPS`` override its
-``name``, ``listen``, ``discovery`` and ``ops``. On a reload, though, the file's ``discovery`` overrides
-``GW_DISCOVERY``, because the environment of a running program cannot change. ``GW_OPERATOR`` names the
-operators' own file, which the platform does not know. Any fault raises a ConfigError that names the key.
+The environment variable ``GW_CONFIG`` names a JSON file, which the platform that starts the program provides.
+``GW_NAME``, ``GW_LISTEN``, ``GW_DISCOVERY`` and ``GW_OPS`` override the file's ``name``, ``listen``,
+``discovery`` and ``ops``. On a reload, though, the file's ``discovery`` overrides ``GW_DISCOVERY``, because
+the environment of a running program cannot change. ``GW_OPERATOR`` names the operators' own file, with
+options that the platform does not set. Any fault raises a ConfigError that names the key.
 """
 
 import logging
@@ -30,13 +31,14 @@
 
 T = TypeVar("T")
 RENAMED_KEYS = {"door": "admission"}  # deprecated keys of the operators' file and their current names
-DEFAULT_SOCKETS = 1024
-# Descriptors reserved for the log, the event loop, the listener, two watches of discovery and the
-# configuration file that a reload reads. They need fewer than 16; the others are a margin.
+DEFAULT_SOCKETS = 1024  # limit of open file descriptors
+# File descriptors reserved for the log, the event loop, the listener, two watches on the endpoint list of
+# discovery, and the configuration file while a reload reads it. They are fewer than 16; the rest is a margin.
 RESERVED_SOCKETS = 16
-OPS_SOCKETS = 32
+OPS_SOCKETS = 32  # maximum number of descriptors reserved for operators' connections
 MIN_CLIENT_SOCKETS = 8
-# Numeric keys of the settings as dotted paths, required and optional, then those of each class and tenant.
+# The numeric keys of the settings, as dotted paths: the required and the optional keys of the settings
+# themselves, then those of each job class and each tenant.
 REQUIRED_NUMBERS = (
     "fleet-size", "policy-limits.most-tries", "guarantees.drain-grace-us", "guarantees.cold-from",
     "guarantees.cold-us", "guarantees.fall-multiple", "guarantees.tip-after-us",
@@ -50,9 +52,9 @@
 REQUIRED_CLASS_NUMBERS = ("aim-us", "hard-limit-us")
 OPTIONAL_CLASS_NUMBERS = ("worth", "late-worth", "aim-stretch", "memory-span-us")
 OPTIONAL_TENANT_NUMBERS = ("quota-per-s",)
-# Integer keys, in addition to all times (``-us``): a float is rounded to the nearest integer.
+# Keys whose numbers are rounded to the nearest integer, like those of all times (keys that end in ``-us``).
 INTEGERS = ("fleet-size", "zone", "most-tries")
-MAX_INTEGER = 2**53  # not every larger integer is exact as a JSON number; 285 years in microseconds
+MAX_INTEGER = 2**53  # larger integers may lose precision as JSON numbers; as microseconds it is 285 years
 FLAGS = (
     "policy-limits.parallel-tries", "policy-limits.cancelling", "policy-limits.probes",
     "policy-limits.retry-after", "specifics.tells-start", "guarantees.late-shedding",
@@ -60,7 +62,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' own file: the options that the platform does not set. Every section has defaults."""
+    """The operators' own file, with the options that the platform does not set; each section has defaults."""
 
     log: LogOptions = LogOptions()
     admission: AdmissionOptions = AdmissionOptions()
@@ -72,7 +74,7 @@
 class Config:
     """A scheduler's configuration.
 
-    ``classes``, ``zones`` and ``machine_types`` hold names; ``settings`` refers to them by their indices.
+    ``classes``, ``zones`` and ``machine_types`` contain names; ``settings`` refers to each name by its index.
     """
 
     name: str
@@ -81,8 +83,8 @@
     socket_fd: int | None  # the clients' listening socket if inherited from the platform, else None
     ops: Address | None  # the address to listen on for operators' calls; None: no such listener
     seed: int
-    sockets: int  # the limit of open descriptors
-    folder: Path | None  # $TMPDIR, for state that outlives the process
+    sockets: int  # the maximum number of open file descriptors
+    folder: Path | None  # $TMPDIR, for state that outlives the process; None: no such folder
     known: protocol.EndpointList  # the endpoint list given in the configuration file
     settings: api.Settings
     classes: tuple[str, ...]
@@ -93,10 +95,11 @@
     clock_offset_us: int = 0  # a simulated error of the host's clock, for tests
 
     def client_sockets(self, processes: int = 1) -> int:
-        """The limit of connections from clients and for callbacks: half of the descriptors not reserved.
+        """The maximum number of connections that clients, and workers for their callbacks, may open.
 
-        The other half is for connections to workers: each attempt uses one connection and belongs to one
-        client's request. During a hand-over each of the two ``processes`` gets half of all descriptors.
+        It is half of the file descriptors that are not reserved. The other half is for connections to
+        workers: each client's request has one attempt at a time, which uses one connection. ``processes`` is
+        2 during a hand-over, when each of the two processes gets half of all descriptors.
         """
         return max(MIN_CLIENT_SOCKETS, (self.sockets // processes - RESERVED_SOCKETS - self.ops_sockets) // 2)
 
@@ -108,11 +111,11 @@
 
 @dataclass(slots=True, frozen=True)
 class VoterConfig:
-    """The configuration of one voter of the control group."""
+    """The configuration of one voter, a process that takes part in majority decisions on changes."""
 
     name: str
     ops: Address | None  # the address to listen on for operators' calls; None: no such listener
-    folder: Path | None  # $TMPDIR, for state that outlives the process
+    folder: Path | None  # $TMPDIR, for state that outlives the process; None: no such folder
     operator: OperatorFile
     clock_offset_us: int = 0  # a simulated error of the host's clock, for tests
 
@@ -135,8 +138,8 @@
 def load(env: Mapping[str, str] = os.environ, *, reloading: bool = False) -> Config:
     """Read the configuration from the environment and the files that it names; raises ConfigError.
 
-    ``reloading`` says that a running program reloads its configuration: the file's address of discovery then
-    overrides the environment's.
+    ``reloading``: a running program reloads its configuration, and the address of discovery in the file
+    overrides the one in the environment.
     """
     document = _document(env)
     discovery = document.get("discovery")
@@ -168,7 +171,10 @@
 
 
 def _operator_options(env: Mapping[str, str]) -> OperatorFile | None:
-    """Read the operators' file, if one is configured; ``GW_RECORD`` overrides its recording folder."""
+    """Read the operators' file, if one is configured.
+
+    ``GW_RECORD`` overrides the folder for recordings, even without such a file.
+    """
     operator = read_operator(env["GW_OPERATOR"]) if env.get("GW_OPERATOR") else None
     if folder := env.get("GW_RECORD"):
         options = operator or OperatorFile()
@@ -194,7 +200,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ConfigError("GW_OPERATOR", f"{path} is not valid JSON: {e}") from e
     if operator.mesh.voters:
-        from robinhill.control.operator_options import check_voters  # loaded only if needed
+        from robinhill.control.operator_options import check_voters  # imported only if voters are configured
 
         check_voters(operator.mesh)
     return operator
@@ -216,7 +222,10 @@
 
 
 def _path_as_written(key: str, document: Mapping[str, object]) -> str:
-    """Convert a key's path with current names to the path in the file, which may use a deprecated name."""
+    """Convert the path of a key, with current names, to its path in the file.
+
+    The file may use the deprecated name of a key.
+    """
     for old, current in RENAMED_KEYS.items():
         if old in document and (key == current or key.startswith(f"{current}.")):
             return old + key.removeprefix(current)
@@ -372,7 +381,7 @@
 
 
 def _without_nulls(value: object) -> object:
-    """Copy a JSON value without the keys whose value is null, which count as missing."""
+    """Copy a JSON value without the keys whose value is null: such keys count as missing."""
     if isinstance(value, dict):
         return {k: _without_nulls(v) for k, v in value.items() if v is not None}
     return [_without_nulls(v) for v in value] if isinstance(value, list) else value
@@ -381,8 +390,8 @@
 def _settings(options: dict[str, Any]) -> api.Settings:
     """Validate the options and translate them to the settings of the decision module.
 
-    Raises ConfigError. A value that only the decision module rejects is reported under the key ``settings``,
-    with the name of the value in the message.
+    Raises ConfigError. A value that this function accepts and ``read_settings`` rejects is reported under the
+    key ``settings``, and the message names the value's own key or field.
     """
     classes = options.get("classes")
     if not isinstance(classes, list) or not classes:
--- a/robinhill/logs.py
+++ b/robinhill/logs.py
@@ -1,6 +1,6 @@
-"""Formats log records as single lines of key=value pairs or JSON, written to standard error.
+"""Formats log records as single lines of key=value pairs or JSON, and writes them to standard error.
 
-The program logs with ``logging``; structlog's formatter renders the records.
+The program logs with the standard module ``logging``; a formatter of structlog renders the records.
 """
 
 import logging
@@ -21,7 +21,7 @@
 
     format: Literal["keyvalue", "json"] = "keyvalue"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines_a_second: int = DEFAULT_LINES_PER_SECOND
+    lines_a_second: int = DEFAULT_LINES_PER_SECOND  # limit for each event; does not apply to errors
 
 
 def _add_record_fields(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
@@ -36,7 +36,10 @@
 
 
 def _values_to_text(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Convert every value to text: the logfmt renderer treats booleans, None and empty values specially."""
+    """Convert every value to text: the logfmt renderer would treat booleans, None and empty values specially.
+
+    Floats are rounded to 6 significant digits.
+    """
     for key, value in event.items():
         event[key] = f"{value:.6g}" if isinstance(value, float) else str(value)
     return event
@@ -61,19 +64,22 @@
 
 
 class Throttle(logging.Filter):
-    """Limits the lines of each event to ``lines_a_second``: a flood of bad requests must not use up the CPU.
+    """Limits the log lines of each event to ``lines_a_second`` and drops the others.
 
-    The first line of an event that is written after dropped ones has their number in its field ``kept_back``.
-    Lines of level error and above are never dropped.
+    Otherwise logging could use up the CPU during a flood of bad requests. When lines of an event have been
+    dropped, the next line that is written for this event has their number in its field ``kept_back``. Lines
+    of level error and above are never dropped.
     """
 
     def __init__(self, lines_a_second: int) -> None:
         super().__init__()
         self.lines_a_second = lines_a_second
-        self._counts_by_event: dict[str, tuple[int, int, int]] = {}  # second, lines passed, lines dropped
+        # For each event: the Unix second of its last line, the number of lines written in that second, and
+        # the number of lines dropped since the last written one.
+        self._counts_by_event: dict[str, tuple[int, int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write the line, and set its ``kept_back`` if lines were dropped before it."""
+        """Return whether to write the line; set ``kept_back`` if lines of its event were dropped before."""
         if record.levelno >= logging.ERROR:
             return True
         second, passed, dropped = self._counts_by_event.get(record.msg, (0, 0, 0))
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -16,8 +16,8 @@
 from robinhill.placement.slow_start import SlowStart
 
 # Divides the (negative) cost of a worker that has rejected the job's class, is suspected of losing answers,
-# or (for jobs that must not run twice) has been ejected and has not recovered. Such a worker is chosen only if
-# its age is far above that of all other workers, or if no other worker is better.
+# or (for jobs that must not run twice) has been ejected and has not recovered. Such a worker is chosen only
+# if its age is far above that of all other workers, or if no other worker is better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_COST_EXPONENT = 8
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -1,7 +1,8 @@
-"""Decodes and encodes the platform's messages as typed values, without I/O.
+"""Decodes messages of the platform to typed values, and encodes typed values as messages, without I/O.
 
-The platform's header, path and field names appear in this module alone; the rest of the program uses the
-general terms of job scheduling. A message that violates the protocol raises `MalformedError`.
+The platform is the set of clients, workers and discovery services that a scheduler exchanges messages with.
+Its header, path and field names appear only in this module; the rest of the program uses the general terms of
+job scheduling. A message that violates the protocol raises `MalformedError`.
 """
 
 import math
@@ -17,7 +18,7 @@
 from yarl import URL
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_COST_US = 3_600_000_000  # one hour; keeps sums of estimates meaningful when a client sends an absurd one
+MAX_COST_US = 3_600_000_000  # one hour; limits the effect of a client's absurd estimate on sums of estimates
 
 REQUEST_ID = "X-Request-ID"
 CLASS = "X-Priority-Class"
@@ -47,27 +48,24 @@
 
 @dataclass(slots=True, frozen=True)
 class JobRequest:
-    """A client's request as received.
-
-    ``target`` is the path with its query; ``cost_us`` is the client's estimate of the work (0: no estimate).
-    """
+    """A client's request as received."""
 
     id: str
-    job_class: int
-    time_left_us: int
-    client_repeat: bool
-    target: str
+    job_class: int  # the index of the class
+    time_left_us: int  # from the arrival until the client's deadline
+    client_repeat: bool  # whether the client marks the request as a retry
+    target: str  # the path with its query
     body: bytes
-    headers: tuple[tuple[str, str], ...]
-    tenant: str = ""
-    cost_us: int = 0
+    headers: tuple[tuple[str, str], ...]  # the headers of the request that are in ``FORWARDED``
+    tenant: str = ""  # empty if the client sends none
+    cost_us: int = 0  # the client's estimate of the work; 0: no estimate
     key: str = ""  # the idempotency key; empty if the client sends none
 
 
 def check_framing(headers: MultiMapping[str]) -> None:
-    """Reject ambiguous framing: two parsers could disagree where the request ends (request smuggling).
+    """Reject a request whose framing is ambiguous; raises MalformedError.
 
-    Raises MalformedError.
+    Two parsers could disagree about where such a request ends (request smuggling).
     """
     lengths, codings = headers.getall("Content-Length", []), headers.getall("Transfer-Encoding", [])
     if len(lengths) + len(codings) > 1:
@@ -110,12 +108,14 @@
         )
     job_class = classes.index(name)
     left = parse_timeout(headers[TIMEOUT]) if TIMEOUT in headers else deadlines_us[job_class]
-    # The decision module compares each request with the longest timeout seen so far: one absurd value would
-    # make all later requests look late.
+    # The decision module (robinhill.logic) assumes that the client of a retry has already spent the
+    # difference between the retry's timeout and the longest timeout received for the class. One absurdly long
+    # timeout would make all later retries look late, so timeouts are limited to the deadline of the class.
     left = min(left, deadlines_us[job_class])
     passed = tuple((key, headers[key]) for key in FORWARDED if key in headers)
     if not all(value.isprintable() for _, value in passed):
-        # When forwarding, the HTTP client library would silently drop bytes that are not valid UTF-8.
+        # When the request is forwarded, the HTTP client library would silently drop bytes that are not valid
+        # UTF-8.
         raise MalformedError("a forwarded header contains characters that are not printable")
     return JobRequest(
         wire_id, job_class, left, headers.get(RETRIED) == "1", target, body, passed,
@@ -141,7 +141,10 @@
 
 
 def encode_handed_over_request(request: JobRequest) -> dict[str, object]:
-    """Encode a request for another process of this scheduler; latin-1 keeps every byte of the body."""
+    """Encode a request as a JSON object for another process of this scheduler.
+
+    The body is decoded as latin-1, which maps each possible byte to one character.
+    """
     return {
         "id": request.id,
         "job_class": request.job_class,
@@ -157,13 +160,13 @@
 
 
 def decode_handed_over_request(data: dict[str, Any]) -> JobRequest:
-    """Decode a request that another process has handed over."""
+    """Decode a request that another process of this scheduler has handed over."""
     headers = tuple((key, value) for key, value in data["headers"])
     return JobRequest(**(data | {"body": data["body"].encode("latin-1"), "headers": headers}))
 
 
 def cancellation_target(wire_id: str) -> str:
-    """The path of the call that cancels a job on a worker."""
+    """The path of the HTTP request to a worker that cancels a job; ``wire_id`` is the client's request id."""
     return f"/jobs/{quote(wire_id, safe='')}"
 
 
@@ -174,11 +177,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
     status: int
     body: bytes
-    retry_after_us: int = 0
+    retry_after_us: int = 0  # the delay that the client is asked for before a retry; 0: no such header
     close: bool = False  # whether to close the connection after this answer
 
     def headers(self) -> dict[str, str]:
@@ -192,7 +195,7 @@
 
 
 def fail_fast(retry_after_us: int = 0) -> Answer:
-    """The answer to a request rejected before it ran; the client may safely retry."""
+    """The answer to a request that is rejected without having run; the client may safely retry."""
     return Answer(503, b"refused, safe to try again\n", retry_after_us)
 
 
@@ -202,7 +205,7 @@
 
 
 def metrics(values: dict[str, Any]) -> Answer:
-    """Metrics for operators as a JSON object."""
+    """The answer that contains metrics for operators as a JSON object."""
     return Answer(200, orjson.dumps(values, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
 
 
@@ -226,7 +229,8 @@
 class JobEvent:
     """A worker's callback about a job.
 
-    ``source`` is the worker's id, ``share`` the completed fraction of the job (0 to 1).
+    ``id`` is the request id, ``source`` the worker's id, ``share`` the completed fraction of the job (0 to 1)
+    and ``result`` the result of a completed job.
     """
 
     id: str
@@ -277,7 +281,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """One entry of the endpoint list; ``instance_id`` identifies the worker, its ``host_port`` may change."""
+    """One entry of the endpoint list.
+
+    ``instance_id`` identifies the worker, whose ``host_port`` may change. ``weight`` is the worker's speed
+    relative to other workers.
+    """
 
     instance_id: str
     host_port: str
@@ -290,7 +298,7 @@
 
 
 def decode_instance_id(body: bytes) -> str:
-    """Decode a worker's id from the body of an operator's call; surrounding white space is ignored.
+    """Decode a worker's id from the body of an operator's request; surrounding white space is ignored.
 
     Raises MalformedError.
     """
@@ -304,9 +312,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One message of the endpoint list: the complete list if ``reset``, else changes to the previous version.
+    """A message of discovery: the complete endpoint list if ``reset``, else changes to the previous version.
 
-    ``generation`` is the version of the list after this message.
+    ``generation`` is the version of the list that results from this message.
     """
 
     generation: int
@@ -315,22 +323,23 @@
 
 
 class WatchEventReader:
-    """Splits the stream of a watch into watch events: endpoint lists, which may span lines, and empty lines.
+    """Splits the response to a watch on the endpoint list into events: lists, and empty lines between them.
 
-    Chunks of the stream may end anywhere: an event is complete with the line that closes its outermost
-    bracket. ``limit`` is the maximum size of an event in bytes; a larger event raises MalformedError.
+    A list may span several lines, and the received chunks may end anywhere. A list is complete with the line
+    that closes its outermost bracket. ``limit`` is its maximum size in bytes; a larger one raises
+    MalformedError.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._line = bytearray()  # bytes since the last line break
-        self._value = bytearray()  # complete lines of an incomplete event
-        self._depth = 0  # number of brackets in those lines that are not closed yet
+        self._value = bytearray()  # complete lines of a list that is not complete yet
+        self._depth = 0  # number of brackets that ``_value`` opens and does not close
 
     def feed(self, data: bytes) -> Iterator[EndpointList | None]:
-        """Add a chunk of the stream; yield the lists that it completes, in order.
+        """Add a chunk of the response; yield the lists that the chunk completes, in order.
 
-        Yields None for each empty line between them. Raises MalformedError for a malformed list and for one
+        Yields None for each empty line between lists. Raises MalformedError for a malformed list and for one
         that exceeds the limit.
         """
         *lines, rest = data.split(b"\n")
@@ -350,14 +359,14 @@
 
     def _add(self, line: bytes) -> None:
         self._value += line + b"\n"
-        # Brackets inside strings don't count; a JSON string cannot contain a raw line break, so that matching
-        # strings line by line is enough.
+        # Brackets inside strings do not count. A JSON string cannot contain a raw line break, so each string
+        # is within one line and the pattern can be matched line by line.
         for token in _JSON_TOKEN.findall(line):
             self._depth += (token in b"{[") - (token in b"}]")
 
 
 def decode_endpoint_list(data: object) -> EndpointList:
-    """Decode an endpoint list of discovery; raises MalformedError."""
+    """Decode a message of discovery with the endpoint list or its changes; raises MalformedError."""
     if not isinstance(data, dict):
         raise MalformedError("the endpoint list must be a JSON object")
     generation, reset, instances = data.get("generation"), data.get("reset", False), data.get("instances", [])
@@ -369,7 +378,7 @@
 
 
 def encode_listed_endpoint(d: ListedEndpoint) -> dict[str, object]:
-    """Encode an entry for another process of this scheduler, in the format of discovery's list."""
+    """Encode a list entry for another process of this scheduler, in the format that discovery uses."""
     return {
         "instanceId": d.instance_id,
         "hostPort": d.host_port,
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -1,4 +1,7 @@
-"""Translates start-up options, which use the platform's names, into ``api.Settings``."""
+"""Translates start-up options into ``api.Settings``, the settings of the decision module (robinhill.logic).
+
+The keys of the options are names of the platform that starts the schedulers.
+"""
 
 from typing import Any
 
@@ -8,7 +11,8 @@
 
 REPEATS = {"retryable": api.Repeat.SAFE, "dedup": api.Repeat.KEYED, "fragile": api.Repeat.UNSAFE}
 SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
-# Fields of the settings whose keys in the options have other names, and the names that errors use for them.
+# Names that error messages use for fields of ``api.Settings`` and ``api.JobClass``. These fields have keys
+# with other names in the options; error messages name all other fields by their own names.
 ERROR_NAMES = {
     "latency_objective_us": "aim_us",
     "poll_interval_us": "ask_every_us",
@@ -22,8 +26,9 @@
 def read_places(numbers: Json, setting: str, required: int = -1) -> frozenset[int] | None:
     """The numbers of the machine types or zones to which a job class is restricted; None: no restriction.
 
-    An empty list in the options means no restriction. If ``required`` is not -1, the class is in addition
-    restricted to this one machine type or zone. Raises ValueError.
+    ``numbers`` is the list in the options, where a missing or empty list means no restriction. ``required``
+    restricts the class further, to this one machine type or zone (-1: no further restriction). Raises
+    ValueError if ``numbers`` is not a list of integers; ``setting`` names the list in the error.
     """
     if numbers is not None and not (isinstance(numbers, list) and all(type(x) is int for x in numbers)):
         raise ValueError(f"{setting}: must be a list of integers")
@@ -34,10 +39,9 @@
 
 
 def read_settings(options: dict[str, Json]) -> api.Settings:
-    """Translate the options of the start message; unknown keys are ignored.
+    """Translate the start-up options to settings; unknown keys are ignored.
 
-    Raises ValueError for a value out of range; its message has the field's name in ``ERROR_NAMES``, or the
-    field's own name if it is not listed there.
+    Raises ValueError for a value out of range, and KeyError for a missing key.
     """
     try:
         return _read_settings(options)
