--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -160,8 +160,8 @@
     """The settings of a scheduler at the start of its process.
 
     ``fall_multiple``: a worker in slow start fails if it is sent this multiple of the work that it can do at
-    its current speed, within ``tip_after_us``. The prices are relative to each other; 0: the scheduler need
-    not avoid the event.
+    its current speed, within ``tip_after_us``. The prices are relative to each other; an event with the price
+    0 need not be avoided.
     """
 
     classes: tuple[JobClass, ...]
@@ -186,12 +186,13 @@
     max_retry_after_us: int = 0
     reports_start: bool = False  # whether workers report the start of each attempt
     progress_us: int = 0  # interval at which workers report the progress of a job; 0: they do not
-    cross_zone_price: float = 0.0  # of a job sent to another zone
-    waste_price: float = 0.0  # of work whose result is not used
-    handshake_price: float = 0.0  # of a new connection
-    keepalive_us: int = 60_000_000  # workers close connections that are idle for longer
+    cross_zone_price: float = 0.0  # price of sending a job to another zone
+    waste_price: float = 0.0  # price of work whose result is not used
+    handshake_price: float = 0.0  # price of opening a connection
+    keepalive_us: int = 60_000_000  # workers may close connections that are idle for longer
     full_may_have_run: bool = False  # whether a worker may answer 'full' for a job that it has already begun
-    close_within_us: int | None = None  # for idle connections to a draining worker; None: they may stay open
+    # Time within which idle connections to a draining worker must be closed; None: they may stay open.
+    close_within_us: int | None = None
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "classes", "must contain at least one class")
--- a/robinhill/config.py
+++ b/robinhill/config.py
@@ -31,7 +31,7 @@
 
 T = TypeVar("T")
 RENAMED_KEYS = {"door": "admission"}  # deprecated keys of the operators' file and their current names
-DEFAULT_SOCKETS = 1024  # limit of open file descriptors
+DEFAULT_SOCKETS = 1024  # limit of open file descriptors if the configuration sets none
 # File descriptors reserved for the log, the event loop, the listener, two watches on the endpoint list of
 # discovery, and the configuration file while a reload reads it. They are fewer than 16; the rest is a margin.
 RESERVED_SOCKETS = 16
--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -30,7 +30,7 @@
 # queue beyond its latency objective by this factor times (stretch - 1) times the usual job time of its class:
 # of an extension of ``stretch`` job times, the run itself takes one.
 UNHINTED_WAIT_FACTOR = 1.5
-TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has not responded for longer
+TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has not responded for this long
 # An attempt of a job with a work hint times out after the job's objective, by this share of stretch * hint.
 ATTEMPT_OVERRUN_SHARE = 0.25
 
@@ -124,7 +124,8 @@
         """The longest time that the job may wait in the queue (us).
 
         If the class has a priority weight for late answers, the job may wait as long as it can still meet the
-        client's deadline; otherwise only as long as it can meet its latency objective.
+        client's deadline; otherwise only as long as it can meet its latency objective. Without a hint, the
+        class's usual job time extends the wait (see ``UNHINTED_WAIT_FACTOR``).
         """
         klass, request = job.klass, job.request
         if klass.late_priority_weight:
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -1,9 +1,10 @@
 """Weights of the age-priced rotation.
 
 The cost of a worker is ln(q) times its age. The age is the number of own sends since the last one to that
-worker; q is the probability that the last own job there still runs when the next own job arrives. The factor
-on the age is the worker's weight. Weights change slowly, and recomputing them for each job would take most of
-the time of a decision, so they are cached.
+worker; q is the probability that the last own job there still runs when the next own job arrives. The age
+weight of a worker is the factor on its age: ln(q), divided by the expected job time unless few jobs are in
+flight. Weights change slowly, and recomputing them for each job would take most of the time of a decision, so
+they are cached.
 
 "Own" jobs and sends are those of this scheduler. Jobs of bound classes may go to certain workers only; all
 other jobs are unbound work.
@@ -29,7 +30,7 @@
 
     def __init__(self, state: DecisionState) -> None:
         self.state = state
-        self.weighted_rate = 0.0  # rate of own jobs at the last recomputation of all weights
+        self.weighted_rate = 0.0  # own jobs a second at the last recomputation of all weights
         self.unbound_factor = 1.0  # cost factor of unbound work at workers that serve bound classes
         self._has_bound_classes = any(klass.restricted for klass in state.settings.classes)
 
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -11,8 +11,8 @@
     """Values computed from the settings alone; times in microseconds."""
 
     list_spread_us: int  # window over which the schedulers' first polls for the endpoint list are spread
-    # Longest time between checks of the queue. A smaller difference between two times left of requests is
-    # ignored: it does not show that a client has retried.
+    # Longest time between checks of the queue. Also a tolerance: a request whose time left is shorter than
+    # that of a first request by no more than a tick is not taken for a retry.
     tick_us: int
     min_concurrency_limit: float  # lower bound of a worker's concurrency limit
     progress_timeout_us: int  # an attempt without progress for this long is lost; 0: workers report none
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -133,7 +133,7 @@
         self.mean_priority_weight = smooth(self.mean_priority_weight, priority_weight)
 
     def update_usable_workers(self, workers: Iterable[WorkerRecord]) -> None:
-        """Count the usable workers, and scale the number of served jobs so that it is the same per worker."""
+        """Count the usable workers; scale the count of served jobs so that the count per worker stays."""
         usable = max(1, sum(worker.ejected_until_us < inf for worker in workers))
         self.served.count = self.served.count * usable / self.usable_workers
         self.usable_workers = usable
@@ -168,7 +168,7 @@
     def add_job_time(self, now: int, worker: WorkerRecord, elapsed_us: float) -> None:
         """Add a job's time to the means of its worker and of the worker's kind of machine.
 
-        Multiplied by the worker's weight, the time is also added to the mean of all workers.
+        Multiplied by the worker's weight, the time is also added to the mean for workers of weight 1.
         """
         worker.own_time.add(now, elapsed_us, self.window_us)
         self.kinds.setdefault(worker.entry.kind, DecayingMean()).add(now, elapsed_us, self.window_us)
@@ -223,9 +223,9 @@
     def infer_wait(self, worker: WorkerRecord, request: api.Request, elapsed_us: int) -> float:
         """Estimate how long a job has waited at its worker, for workers that do not report starts (us).
 
-        The wait is the elapsed time less the shortest time of such a job with a margin. With a hint, the
-        shortest time is the hint times the worker's time per unit of work; without one it is the baseline of
-        the class, which, unlike the mean, does not follow a lasting overload.
+        The wait is the elapsed time less ``BASELINE_MARGIN`` times the shortest time of such a job. With a
+        hint, the shortest time is the hint times the worker's time per unit of work. Without a hint it is the
+        baseline of the class, which, unlike the class mean, does not follow a lasting overload.
         """
         kind, hint, own = worker.entry.kind, request.work_hint_us, worker.own_time.count
         work = hint or self.jobs.class_mean_us[request.job_class]
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -33,7 +33,7 @@
         """Return the delay of the timer that the caller must set for the next check of the queue (us).
 
         The check is due at ``until_us`` or ``tick_us`` after ``now``, whichever is sooner. The result is 0 if
-        an earlier call has returned a delay that ends by then.
+        the timer of an earlier call has not expired yet and will expire by then.
         """
         due = max(now + 1, min(until_us, now + tick_us))
         if now < self._next_check_us <= due:
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -22,11 +22,14 @@
 WATCH_SILENCE_TIMEOUT_US = 2_500_000  # discovery writes an empty line to a watch every 2 s
 CALL_TIMEOUT_US = 3_500_000  # discovery fails calls that have waited 2 or 3 s
 QUEUED_CALL_MIN_US = 1_500_000  # a call that fails sooner has not waited in discovery's queue
-# The random delay of calls is at most this per scheduler of the fleet; doubles with each repeated failure.
+# The maximum random delay of a call is this time multiplied by the number of schedulers. It doubles with each
+# consecutive failure after the first.
 SPREAD_PER_SCHEDULER_US = 50_000
 MAX_SPREAD_DOUBLINGS = 6
 MIN_SPREAD_US = 250_000  # maximum random delay after the first half of the change bound
-AGENT_BACKOFF_US = 100_000  # calls to an agent must succeed within the 0.5 s grace period of drains
+# Delay of the next call after a failed call to an agent; it doubles once, up to the maximum. It is short
+# because calls to an agent must succeed within the 0.5 s grace period of drains.
+AGENT_BACKOFF_US = 100_000
 MAX_AGENT_BACKOFF_US = 200_000
 # After a call that discovery has not answered, discovery counts as unreachable until this long before the end
 # of the call, but at least until its start. The lease on the list, which lasts a change bound from that time
@@ -81,7 +84,7 @@
     def record_lost(self, now_us: int, answered: bool = True) -> int:
         """Record that a call has failed or a watch has ended; return the delay before the next call (us).
 
-        ``answered``: discovery itself had begun to send its list.
+        ``answered``: whether the call had received a response with a success status.
         """
         self.unreachable_us = self._unreachable_since_us(now_us, answered)
         if self.last_received_us:
--- a/robinhill/settings.py
+++ b/robinhill/settings.py
@@ -41,7 +41,8 @@
 def read_settings(options: dict[str, Json]) -> api.Settings:
     """Translate the start-up options to settings; unknown keys are ignored.
 
-    Raises ValueError for a value out of range, and KeyError for a missing key.
+    Raises ValueError for a value out of range, and KeyError for a missing key or an unknown kind of repeat or
+    scope.
     """
     try:
         return _read_settings(options)
