--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -326,8 +326,8 @@
     """Splits the response to a watch on the endpoint list into events: lists, and empty lines between them.
 
     A list may span several lines, and the received chunks may end anywhere. A list is complete with the line
-    that closes its outermost bracket. ``limit`` is its maximum size in bytes; a larger one raises
-    MalformedError.
+    that closes its outermost bracket. ``limit`` is the maximum number of bytes that are kept of an incomplete
+    list; more raise MalformedError.
     """
 
     def __init__(self, limit: int) -> None:
@@ -339,8 +339,8 @@
     def feed(self, data: bytes) -> Iterator[EndpointList | None]:
         """Add a chunk of the response; yield the lists that the chunk completes, in order.
 
-        Yields None for each empty line between lists. Raises MalformedError for a malformed list and for one
-        that exceeds the limit.
+        Yields None for each empty line between lists. Raises MalformedError for a malformed list and for an
+        incomplete one that exceeds the limit.
         """
         *lines, rest = data.split(b"\n")
         for line in lines:
