--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -1,5 +1,5 @@
-"""Actions that the state machines of the control group return. The caller owns sockets and clock, and carries
-them out."""
+"""Actions that the state machines of the control group return. The caller, which owns the sockets and the
+clock, carries out the actions."""
 
 from dataclasses import dataclass
 
@@ -27,9 +27,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """Close a connection once its queued messages are written. The caller doesn't call ``unlinked`` for it.
+    """Close a connection once its queued messages are written. ``why``: reason for the log.
 
-    ``why``: reason for the log.
+    The caller does not call ``unlinked`` for this connection, as the state machine has already removed it.
     """
 
     link: Link
@@ -38,10 +38,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """The replica has stored ``records``, and the caller applies them.
+    """The replica has stored ``records``, and the caller puts them into effect.
 
-    The caller of an observer applies them before it carries out the next action, which may confirm them. The
-    caller of a voter saves the replica within a second or two. ``rejected`` is for the log.
+    The caller of an observer updates what it derives from the records, such as the set of cordoned workers,
+    before it carries out the next action, which may confirm the records to the voter. The caller of a voter
+    saves the replica to disk within a second or two. ``rejected`` is for the log.
     """
 
     records: tuple[Record, ...]
@@ -50,8 +51,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """An observer's lease became valid or expired. ``age_us``: age of the newest known majority state; None:
-    none was ever known."""
+    """An observer's lease became valid or expired.
+
+    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: it has never
+    known such a state.
+    """
 
     valid: bool
     age_us: int | None
@@ -59,7 +63,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LaggingObservers:
-    """Observers and voters that may not have applied a change: their number, and some of their names."""
+    """Observers that may not have applied a change, and voters that have sent no complete status of it.
+
+    ``count``: their number. ``names``: the names of some of them.
+    """
 
     count: int
     names: tuple[str, ...]
@@ -84,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """This voter has caught up, and counts for majorities from now on."""
+    """This voter knows all changes that were ever accepted, and counts for majorities from now on."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -6,7 +6,8 @@
 
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
-"""A quarter of the 4 s within which a region must be synchronized again after a partition heals."""
+"""Maximum wait between two attempts to connect to a voter. It is a quarter of the 4 s within which a region
+must be synchronized again after a partition heals."""
 
 CONNECT_TIMEOUT_US = 1_000_000
 """A connection attempt without a result for longer than this counts as failed."""
@@ -20,7 +21,7 @@
 
 
 class Backoff:
-    """Connection attempts and backoff by voter. Times: monotonic microseconds."""
+    """The connection attempt in flight and the backoff of each voter. Times are monotonic microseconds."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -32,7 +33,7 @@
         return frozenset(name for name, one in self._states.items() if one.connecting_since_us is not None)
 
     def due_us(self, voter: str) -> int:
-        """Time at which the next attempt to this voter may start."""
+        """Time at which the next attempt to this voter may start; 0 if there is no backoff."""
         state = self._states.get(voter)
         return state.due_us if state is not None else 0
 
@@ -41,13 +42,14 @@
         self._state(voter).connecting_since_us = mono_us
 
     def connected(self, voter: str) -> None:
-        """Record that the attempt succeeded; the next backoff starts from the minimum."""
+        """Record that the attempt succeeded; the voter's next backoff starts from `MIN_BACKOFF_US`."""
         self._states.pop(voter, None)
 
     def failed(self, mono_us: int, voter: str) -> None:
         """Record that the attempt failed or the connection ended.
 
-        The backoff doubles, up to `MAX_BACKOFF_US`; jitter shortens the wait by up to half of it.
+        The backoff doubles, up to `MAX_BACKOFF_US`. Jitter shortens the wait to between half and all of the
+        backoff.
         """
         state = self._state(voter)
         state.connecting_since_us = None
--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -1,9 +1,10 @@
 """Coordinates the changes tracked at a voter: exchanges barriers and statuses with the other voters, and
 reports progress to the writer of each change.
 
-Connects the `CommitTracker`, which determines whether this voter's changes are in force, with
-`ObserverProgress`, which tracks the observers that lag behind changes of this and other voters. Keeps the
-requester of each change, but no records.
+A *barrier* asks a voter which of its observers lag, that is, have not applied certain changes yet; a *status*
+is the reply. This module connects the `CommitTracker`, which determines whether this voter's changes are in
+force, with `ObserverProgress`, which tracks the observers that lag behind changes of this and other voters.
+It stores the requester of each change, but no records.
 """
 
 from collections.abc import Callable
@@ -18,14 +19,14 @@
 from robinhill.control.voter_links import GreetedVoter, VoterLinks
 
 STATUS_INTERVAL_US = 50_000
-"""Minimum interval between two statuses of a barrier while observers lag."""
+"""Minimum interval between two statuses of the same barrier while observers lag."""
 
 
 @dataclass(slots=True, frozen=True)
 class Requester:
-    """The origin of a change: an observer's link and the observer's own number of the change.
+    """The origin of a change: an observer's link, and the number that the observer gave the change.
 
-    ``link`` None: the caller of the state machine wrote the change.
+    ``link`` None: the caller of this voter's state machine wrote the change, and ``number`` is unused.
     """
 
     link: Link | None
@@ -36,7 +37,10 @@
 
 
 class ChangeCoordinator:
-    """Coordinates the changes tracked at one voter. ``counts``: whether this voter counts for majorities."""
+    """Coordinates the changes tracked at one voter.
+
+    ``counts`` returns whether this voter counts for majorities.
+    """
 
     def __init__(
         self,
@@ -62,19 +66,29 @@
         self._status_sent_us: dict[BarrierId, int] = {}
 
     def track(self, mono_us: int, requester: Requester, position: int, *, urgent: bool, hold: bool) -> int:
-        """Track a change that was stored at ``position``. Returns the number of the change."""
+        """Track a change that this voter has stored. Returns the number of the change at this voter.
+
+        ``position``: position of the latest change of this urgency in this voter's log, read after the change
+        was stored.
+        """
         self._last_change += 1
         self._requesters[self._last_change] = requester
         self.commit_tracker.track(mono_us, self._last_change, position, urgent=urgent, hold=hold)
         return self._last_change
 
     def report_untracked(self, link: Link, number: int, why: str) -> None:
-        """Report to an observer that its change is not tracked here; the change is replicated regardless."""
+        """Report to an observer that this voter does not track its change; ``why`` is the reason.
+
+        The records that this voter has stored are replicated regardless.
+        """
         progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
         self._outbox.send_to_observer(link, progress)
 
     def handle_barrier(self, mono_us: int, origin: str, barrier: wire.Barrier) -> None:
-        """Track, for another voter's barrier, which observers lag behind the head of this voter's log."""
+        """Track, for another voter's barrier, which observers lag behind the head of this voter's log.
+
+        The log already includes the changes that the barrier covers, as these were sent before the barrier.
+        """
         position = self._sessions.changelog.head(barrier.urgent)
         self.observer_progress.track(
             mono_us,
@@ -85,11 +99,11 @@
         )
 
     def end_barrier(self, origin: str, end: wire.BarrierEnd) -> None:
-        """Stop sending another voter statuses of its barrier."""
+        """Stop tracking a barrier of another voter, which needs no further status of the barrier."""
         self.observer_progress.untrack(BarrierId(origin, end.number))
 
     def voter_unlinked(self, name: str) -> None:
-        """Discard the statuses of a voter whose link has ended, and the barriers that it sent.
+        """Discard the statuses and the barriers that a voter sent whose link has ended.
 
         Both sides send their barriers again on the next link.
         """
@@ -97,16 +111,20 @@
         self.observer_progress.untrack_matching(lambda barrier: barrier.origin == name)
 
     def resend_statuses(self) -> None:
-        """Send all statuses again: this voter has begun to count for majorities, or is complete again."""
+        """Send all statuses again, as a status may now confirm a batch that an earlier one did not.
+
+        The caller calls this when this voter has begun to count for majorities, or again has all records of
+        another voter, after it had rejected one of them.
+        """
         self.observer_progress.dirty.update(self.observer_progress.tracked)
 
     def send_barriers(self, voter: GreetedVoter) -> None:
-        """Send a voter the barriers of all batches whose changes were sent to it."""
+        """Send a voter the barriers of all batches whose changes were already sent to the voter."""
         for batch in self.commit_tracker.batches_to_query(voter.name, voter.written_position):
             self._outbox.send_to_voter(voter.link, wire.Barrier(batch.number, batch.urgent, batch.hold))
 
     def advance(self, mono_us: int) -> None:
-        """Seal batches, send statuses, and report progress."""
+        """Seal the batches that are due, send changed statuses, and report the progress of changes."""
         self._seal_batches(mono_us)
         self._send_due_statuses(mono_us)
         self._report_progress(mono_us)
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -1,6 +1,7 @@
-"""The log of a voter's changes. Each observer's feed reads it from its own cursor, urgent kinds first.
+"""The log of a voter's changes. Each observer's feed reads the log from a cursor of its own.
 
-The log has no queue for each observer. A message is encoded once for all observers with the same cursor.
+A feed reads *urgent* changes, which are those of the urgent record kinds, before all others (*bulk* changes).
+Observers have no queues of their own: a message is encoded once for all observers with the same cursor.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,7 +13,7 @@
 
 MAX_RECORDS_PER_MESSAGE = 256
 SOFT_MAX_MESSAGE_BYTES = 32 << 10
-"""Size of a message's keys and values at which no further record is added."""
+"""Size of the keys and values in a message at which no further record is added to the message."""
 
 RecordName = tuple[str, str]
 
@@ -26,7 +27,10 @@
 
 
 class ChangeLog:
-    """The changes of a `Replica`. The caller must call `note` after each change, before it reads the log."""
+    """The changes of a `Replica`. The caller must call `note` after each change, before it reads the log.
+
+    ``messages_encoded``: the number of messages encoded since the log was created.
+    """
 
     def __init__(self, replica: Replica, urgent_kinds: Collection[str]) -> None:
         self.replica = replica
@@ -40,7 +44,7 @@
             self.note([record])
 
     def note(self, records: Iterable[Record]) -> None:
-        """Record at the replica's head position that these records have changed."""
+        """Record that these records have changed; the position of the changes is the replica's head."""
         for record in records:
             if record.kind in self.urgent_kinds:
                 self._urgent_positions.pop(record.name, None)
@@ -50,13 +54,13 @@
         self._encoded.clear()
 
     def head(self, urgent: bool) -> int:
-        """Position of the last urgent change; with ``urgent`` False, of the last change of another kind."""
+        """Return the position of the last urgent change, or of the last bulk change if not ``urgent``."""
         return self.urgent_head if urgent else self.bulk_head
 
     def after(self, cursor: int, urgent: bool) -> EncodedChanges:
-        """Return the next message for a reader at ``cursor``.
+        """Return the next message with urgent or bulk changes for a reader at ``cursor``.
 
-        A reader must read all urgent changes before it reads others.
+        A reader must read all urgent changes before it reads bulk changes.
         """
         key = cursor, urgent
         if (changes := self._encoded.get(key)) is None:
@@ -65,7 +69,7 @@
         return changes
 
     def collected(self) -> None:
-        """Drop the positions of records that the replica has removed as expired."""
+        """Drop the positions of urgent records that the replica has removed as expired."""
         record = self.replica.record
         positions = self._urgent_positions
         self._urgent_positions = {name: at for name, at in positions.items() if record(*name) is not None}
@@ -80,7 +84,7 @@
             if (record := self.replica.record(*name)) is not None:
                 records.append(record)
                 size_bytes += _size_bytes(record)
-            # A message must not split the changes at one position, as its cursor covers all of them.
+            # All changes at one position must be in one message, as the message's cursor covers all of them.
             may_end = index + 1 < len(names) and names[index + 1][1] > at
             full = len(records) >= MAX_RECORDS_PER_MESSAGE or size_bytes >= SOFT_MAX_MESSAGE_BYTES
             if may_end and full:
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -1,11 +1,15 @@
 """Tracks the changes that this voter receives from its caller or its observers until they are in force at all
 schedulers.
 
-Changes that arrive in quick succession share a batch, which takes one barrier to each other voter and
-one status from it. A change is *accepted* once a majority of voters has stored it
-(`robinhill.mesh.acceptance`); under `serve`, as soon as this voter has stored it. An accepted change is *in
-force* once each voter has reported that none of its observers lags. Under `hold` it is also in force once the
-bound has passed since it was accepted, as every lease that does not cover the change has expired by then.
+Changes that arrive in quick succession share a batch. For each batch, this voter sends one *barrier* to each
+other voter: a request to report how many of its observers have not applied the batch's changes yet (they
+*lag*). The reply is a *status*. Two modes determine what a scheduler does while it has no lease: it sends no
+jobs (`hold`), or it continues to send (`serve`).
+
+A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
+as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
+of its observers lags. Under `hold` it is also in force once the bound and its margins (`with_slack`) have
+passed since it was accepted, as every lease that does not cover the change has expired by then.
 """
 
 from dataclasses import dataclass, field
@@ -24,8 +28,9 @@
 
 MAX_BATCHES = 1_024
 MAX_TRACKED_CHANGES = 8_192
-"""At either limit the oldest accepted batch is dropped. Without a limit batches could accumulate: under
-`serve` they wait for a scheduler that was killed until an operator reports that it no longer runs."""
+"""At either limit the oldest accepted batch is dropped, and its progress is no longer reported. Without a
+limit batches could accumulate: under `serve` they wait for a scheduler that was killed until an operator
+reports that it no longer runs."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,10 +46,13 @@
 class ChangeBatch:
     """Changes that share a barrier.
 
-    ``position``: position of the last change in this voter's log. ``stamp``: identifies the batch in
-    `Acceptance`. ``sealed``: its barriers are due, so no change is added any more. ``queried``: voters that
-    were sent the barrier on their present link. ``lagging``: the last reported status of each voter.
-    ``dirty``: the status may have changed since the last report.
+    ``urgent``: all changes are of urgent kinds. ``hold``: the mode of the changes is `hold`, otherwise
+    `serve`. ``position``: position of the batch's last change in this voter's log. ``changes``: the numbers
+    of the changes. ``stamp``: identifies the batch in `Acceptance`. ``sealed``: the batch's barriers are due,
+    so no change is added any more. ``accepted_us``: when a majority had stored the changes; None before
+    then. ``queried``: voters that were sent the barrier on their present link. ``lagging``: the lagging
+    observers in the last status of each voter. ``last_reported``: the status in the last progress report.
+    ``dirty``: the status may have changed since that report.
     """
 
     number: int
@@ -94,7 +102,11 @@
         raise ChangesFull(f"{self._tracked_changes} changes are pending, none of them accepted")
 
     def track(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
-        """Track a change that was stored here at ``position``, the log's head for changes of its urgency."""
+        """Add a change that this voter has stored to a batch of equal urgency and mode.
+
+        ``change``: number of the change. ``position``: position of the latest change of this urgency in this
+        voter's log, read after the change was stored.
+        """
         batch = self._newest.get((urgent, hold))
         if batch is None or batch.sealed:
             self._last_number += 1
@@ -109,8 +121,8 @@
     def seal_due_batches(self, mono_us: int) -> list[ChangeBatch]:
         """Seal and return the batches whose barriers are due.
 
-        A batch is due at once unless an earlier one of equal urgency and mode was opened less than
-        `BATCH_INTERVAL_US` ago.
+        A batch is due at once unless an earlier batch of equal urgency and mode, which is still tracked, was
+        opened less than `BATCH_INTERVAL_US` ago.
         """
         due = [
             batch
@@ -122,7 +134,10 @@
         return due
 
     def next_us(self) -> int | None:
-        """Time at which the next batch is due to be sealed, or is in force as all leases have expired."""
+        """Time at which the next batch is due to be sealed, or is in force because leases have expired.
+
+        None if there is no such batch.
+        """
         times = [self._seal_due_us(batch) for batch in self._newest.values() if not batch.sealed]
         times += [
             batch.accepted_us + self._lease_us
@@ -148,20 +163,20 @@
         return due
 
     def record_own_status(self, mono_us: int, number: int, tracked: TrackedPosition, counts: bool) -> None:
-        """Record which observers of this voter lag behind a batch.
+        """Record which observers of this voter have not applied the changes of batch ``number`` yet.
 
         ``counts``: this voter counts for majorities, so its own copy of the changes confirms the batch.
         """
         batch = self.batches.get(number)
         if batch is None:
-            return  # the batch was dropped during the same call
+            return  # the batch was dropped earlier in the same call of the state machine
         batch.lagging[self.own_name] = tracked.lagging()
         batch.dirty = True
         if counts:
             self._confirmed(mono_us, batch, self.own_name, self.incarnation)
 
     def record_status(self, mono_us: int, voter: str, status: BarrierStatus) -> None:
-        """Record that another voter has stored a batch, and how many of its observers lag.
+        """Record that another voter has stored the changes of a batch, and how many of its observers lag.
 
         The caller must first call `voter_restarted` for the incarnations in the status.
         """
@@ -174,13 +189,13 @@
             self._confirmed(mono_us, batch, voter, status.incarnation)
 
     def voter_restarted(self, voter: str, incarnation: int) -> None:
-        """Discard the confirmations of a voter's earlier incarnations."""
+        """Discard the confirmations that earlier incarnations of a voter sent."""
         self.acceptance.started(voter, incarnation)
 
     def voter_unlinked(self, voter: str) -> None:
         """Discard the statuses of a voter whose link is lost, as they may be outdated once it reconnects.
 
-        Its barriers are sent again on the next link.
+        All barriers are sent to the voter again on the next link.
         """
         for batch in self.batches.values():
             batch.queried.discard(voter)
@@ -220,9 +235,9 @@
         return reports
 
     def take_ended(self) -> list[ChangeBatch]:
-        """Remove and return the batches that were dropped since the last call, in force or not.
+        """Remove and return the batches that were dropped since the last call, whether in force or not.
 
-        The caller ends their barriers.
+        The caller informs the other voters that the barriers of these batches have ended.
         """
         ended, self._ended = self._ended, []
         return ended
@@ -234,7 +249,7 @@
         return BatchStatus(accepted, in_force, NONE_LAGGING if in_force else lagging)
 
     def _lagging(self, batch: ChangeBatch) -> LaggingObservers:
-        """The lagging observers of all voters, and the voters that have not reported a status."""
+        """Return the lagging observers of all voters, and the voters that have not reported a status."""
         unreported = sorted(self.quorum.names - batch.lagging.keys())
         names = [f"voter {name}" for name in unreported]
         for lagging in sorted(batch.lagging.values(), key=lambda one: (one.count, one.names)):
--- a/robinhill/control/lease.py
+++ b/robinhill/control/lease.py
@@ -1,17 +1,18 @@
 """An observer's lease: the newest time as of which the observer knows the state of a majority of voters.
 
-**Guarantee.** An observer sends no job later than the bound after a change was accepted without knowing the
-change, whatever the network does. When a voter reads a heartbeat, it knows, for a majority of voters, the
-state that each of them had ``age_us`` earlier (`robinhill.mesh.freshness`, which also covers voters that lose
-their memory). It sends that state before its reply on the same ordered link, so an observer that has received
-the reply knows the state too. The time as of which it knows that state is computed from the time at which it
-*wrote* the heartbeat, on its own clock; as the voter read the heartbeat later, the result is never later than
-the true time. A majority that accepted a change before that time has at least one voter in common with the
-majority whose state the observer knows. A single time for all voters is enough, as only the oldest time in
-the majority bounds the lease.
+**Guarantee.** An observer with a valid lease knows every change that was accepted longer ago than the bound,
+whatever the network does. (In the `hold` mode an observer sends no job without a valid lease.) When a voter
+reads a heartbeat, it knows, for a majority of voters, the state that each of them had ``age_us`` earlier
+(`robinhill.mesh.freshness`, which also covers voters that lose their state at a restart). The voter sends
+that state before its reply on the same ordered link, so an observer that has received the reply knows the
+state too. The observer computes the time as of which it knows the state from the time at which it *wrote* the
+heartbeat, on its own clock. As the voter read the heartbeat later, the computed time is never later than the
+true time. A majority that accepted a change before the computed time has at least one voter in common with
+the majority whose state the observer knows. The lease has a single time and not one for each voter, as only
+the oldest time in the majority bounds the lease.
 
 Clocks of different processes are not compared; `RATE_ALLOWANCE` covers the difference of their rates. The
-time never moves back, even when the observer changes to another voter, as a replica only grows by merging.
+lease's time never moves back, even when the observer joins another voter, as a replica only grows by merging.
 """
 
 from collections import deque
@@ -20,11 +21,12 @@
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
 
 MAX_UNANSWERED_HEARTBEATS = 64
-"""Limit of the heartbeats in flight; a reply to an older one is ignored, which only delays the renewal."""
+"""Limit of the retained heartbeats that await a reply. The oldest is dropped above the limit, and a reply to
+it is ignored, which only delays the renewal of the lease."""
 
 
 class SentHeartbeat(NamedTuple):
-    """A heartbeat that awaits its reply. ``written_us``: the time just before it was written."""
+    """A heartbeat that awaits its reply. ``written_us``: the time just before the heartbeat was written."""
 
     number: int
     written_us: int
@@ -45,7 +47,10 @@
         self._accepts_replies = False
 
     def reset(self) -> None:
-        """Ignore replies until `accept_replies`, because the voter or the link has changed."""
+        """Ignore heartbeat replies until `accept_replies` is called.
+
+        The caller calls this when the primary voter or its link changes.
+        """
         self._accepts_replies = False
         self._in_flight.clear()
 
@@ -53,8 +58,8 @@
         """Renew the lease by replies to heartbeats that are sent from now on.
 
         The caller calls this once the replica is synchronized with the voter and the voter was sent the
-        records that it lacked. Replies to earlier heartbeats stay ignored, as the voter may have read those
-        while it knew less than the observer.
+        records that it lacked. Replies to earlier heartbeats stay ignored, as the voter may have read these
+        heartbeats while it still lacked records of the observer.
         """
         self._accepts_replies = True
         self._in_flight.clear()
@@ -69,16 +74,17 @@
         return self._last_number
 
     def reply_received(self, number: int, age_us: int) -> bool:
-        """Process a reply after all changes that it covers. Returns whether it extends the lease.
+        """Process a heartbeat reply. Returns whether it extends the lease.
 
-        ``age_us``: age of the majority's state that the voter knew when it read the heartbeat; negative: it
-        knew no majority's state.
+        The caller must already have merged all changes that the voter sent before the reply. ``age_us``: age
+        of the majority's state that the voter knew when it read the heartbeat; negative: it knew none.
         """
         if not self._accepts_replies or all(number != one.number for one in self._in_flight):
             return False
         written_us = self._pop_in_flight(number)
         if age_us < 0:
             return False
+        # Extends the age by one part in RATE_ALLOWANCE, rounded up, as the voter's clock may run slower.
         as_of_us = written_us - age_us - (age_us + RATE_ALLOWANCE - 1) // RATE_ALLOWANCE
         if self.as_of_us is not None and as_of_us <= self.as_of_us:
             return False
@@ -90,7 +96,10 @@
         return None if self.as_of_us is None else max(0, mono_us - self.as_of_us)
 
     def is_valid(self, mono_us: int) -> bool:
-        """Whether the lease has not expired. Cheap enough to be checked for each job."""
+        """Whether the lease was renewed at least once and has not expired.
+
+        Cheap enough to be checked for each job.
+        """
         return self.as_of_us is not None and mono_us - self.as_of_us <= self.bound_us
 
     def until_us(self) -> int:
@@ -98,7 +107,10 @@
         return NEVER if self.as_of_us is None else self.as_of_us + self.bound_us
 
     def _pop_in_flight(self, number: int) -> int:
-        """Return when a heartbeat was written; remove it and all earlier ones, as links are ordered."""
+        """Return when a heartbeat was written, and remove it and all earlier heartbeats.
+
+        As links are ordered, no reply to an earlier heartbeat can follow.
+        """
         while True:
             heartbeat = self._in_flight.popleft()
             if heartbeat.number == number:
--- a/robinhill/control/operator_options.py
+++ b/robinhill/control/operator_options.py
@@ -17,18 +17,21 @@
 
 
 def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
-    """Validate the voter keys that all processes share. Returns warnings; raises ConfigError."""
+    """Validate the voter keys, which are the same for all processes.
+
+    Returns warnings for the operator. Raises ConfigError.
+    """
     return options_of_voter(mesh, min(mesh.voters)).warnings
 
 
 def options_of_voter(mesh: MeshOptions, name: str) -> ControlOptions:
-    """Read the options of the voter ``name``. Raises ConfigError."""
+    """Return the options of the voter ``name``. Raises ConfigError."""
     keys = _keys(mesh)
     return _with_config_errors(lambda: voter_options(keys, name, kind_names(kinds())))
 
 
 def options_of_observer(mesh: MeshOptions, name: str) -> ControlOptions:
-    """Read the options of the scheduler ``name``, which is an observer. Raises ConfigError."""
+    """Return the options of the scheduler ``name``, which is an observer. Raises ConfigError."""
     keys = _keys(mesh)
     place = Place(mesh.region, mesh.zone)
     return _with_config_errors(lambda: observer_options(keys, name, place, kind_names(kinds())))
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -1,4 +1,8 @@
-"""Options of the control group: validates the voter keys of the operators' file. Reads no file itself."""
+"""Options of the control group: validates the voter keys of the operators' file. Reads no file itself.
+
+The *bound* (``mesh.bound_ms``) is the age of a scheduler's state at which its lease expires. Without a valid
+lease a scheduler sends no jobs in the `hold` mode, and continues to send in the `serve` mode (``on_lost``).
+"""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -12,13 +16,15 @@
 from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
-"""Limits the cost of the full mesh: each pair of voters has a link, and a write sends a message to each."""
+"""Limits the cost of the full mesh: each pair of voters has a link, and each change is sent to all voters."""
 
 HEARTBEATS_PER_BOUND = 4
-"""Heartbeats that an observer sends within the bound; the lease survives the loss of two."""
+"""Heartbeats that an observer sends to its primary voter within the bound; the lease stays valid if two
+successive heartbeats or their replies are lost."""
 
 PINGS_PER_BOUND = 16
-"""Pings that a voter sends to each other voter within the bound; their interval adds to a lease's age."""
+"""Pings that a voter sends to each other voter within the bound. A voter's knowledge of the others may be one
+ping interval old, and a lease that it renews is older by this age."""
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
@@ -31,9 +37,9 @@
 class VotersKeys(Struct, frozen=True):
     """The unvalidated keys of `mesh` that configure voters. Without ``voters`` there is no control group.
 
-    ``regions``: the zones of each region of the installation; where it is empty, any region is valid.
-    ``on_lost_by_kind``: whether a scheduler without a lease uses records of a kind; ``on_lost`` is the
-    default for all other kinds.
+    ``regions``: the zones of each region of the installation; if it is empty, any region is valid.
+    ``on_lost_by_kind``: whether a scheduler without a valid lease may still act on records of a kind
+    (`serve`) or may not (`hold`); ``on_lost`` is the default for all other kinds.
     """
 
     voters: dict[Name, VoterPlace] = {}
@@ -46,7 +52,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlOptions:
-    """The validated options of one voter or observer. Times are microseconds."""
+    """The validated options of one voter or observer. Times are microseconds.
+
+    ``warnings``: messages to the operator about options that are valid but not recommended.
+    """
 
     name: str
     installation: str
@@ -74,17 +83,23 @@
 
     @property
     def modes(self) -> str:
-        """All modes as one text; a voter rejects the join of an observer whose text differs."""
+        """``on_lost`` and ``on_lost_by_kind`` as one text.
+
+        A voter rejects the join of an observer whose text differs from the voter's.
+        """
         kinds = sorted(self.on_lost_by_kind.items())
         return ",".join([self.on_lost.value, *(f"{kind}={mode.value}" for kind, mode in kinds)])
 
     def mode_of(self, kind: str) -> Mode:
-        """The mode that applies to records of a kind while there is no lease."""
+        """Return the mode that applies to records of a kind while a scheduler has no valid lease."""
         return self.on_lost_by_kind.get(kind, self.on_lost)
 
 
 def voter_options(keys: VotersKeys, name: str, kinds: Sequence[str] = ()) -> ControlOptions:
-    """Validate the keys for the voter ``name``. Raises VotersMalformed, also where ``name`` is no voter."""
+    """Validate the keys for the voter ``name``. Raises VotersMalformed, also if ``name`` is not a voter.
+
+    ``kinds``: names of the registered record kinds; if empty, the kinds in the keys are not checked.
+    """
     if name not in keys.voters:
         raise VotersMalformed(
             "mesh.voters", f"{name!r} is not among them", "add it there, or start it as a scheduler (run)"
@@ -94,11 +109,14 @@
 
 
 def observer_options(keys: VotersKeys, name: str, place: Place, kinds: Sequence[str] = ()) -> ControlOptions:
-    """Validate the keys for the observer ``name``. Raises VotersMalformed, also where ``name`` is a voter."""
+    """Validate the keys for the observer ``name``. Raises VotersMalformed, also if ``name`` is a voter.
+
+    ``kinds``: names of the registered record kinds; if empty, the kinds in the keys are not checked.
+    """
     if name in keys.voters:
         raise VotersMalformed(
             "mesh.voters",
-            f"{name!r} is this scheduler's own name",
+            f"{name!r} is both the name of a voter and this scheduler's own name",
             "set GW_NAME to a name that no voter has",
         )
     if keys.voters and place.region and place.region not in _regions(keys):
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -9,7 +9,11 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """A voter's counters since its process started."""
+    """A voter's counters since its process started.
+
+    ``comparisons``: comparisons with observers' replicas. ``refused``: links closed because of a malformed,
+    unexpected or rejected message.
+    """
 
     bytes_to_voters: int = 0
     bytes_to_observers: int = 0
@@ -18,7 +22,7 @@
 
 
 class Outbox:
-    """Collects the actions of an observer."""
+    """Collects the actions of an observer; `VoterOutbox` collects those of a voter."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
--- a/robinhill/control/pending_offers.py
+++ b/robinhill/control/pending_offers.py
@@ -8,7 +8,7 @@
 from robinhill.mesh.records import Record
 
 MAX_PENDING_OFFERS = 1_024
-"""At this limit a new offer evicts the oldest accepted one."""
+"""At this limit a new offer evicts the oldest accepted offer."""
 
 
 class PendingOffers:
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -9,11 +9,11 @@
 from robinhill.mesh.records import Kind
 
 URGENT_KINDS = frozenset({CORDON})
-"""Kinds whose changes voters send to observers ahead of all others."""
+"""Record kinds whose changes voters send to observers before the changes of all other kinds."""
 
 
 def kinds() -> tuple[Kind[Any], ...]:
-    """Return all record kinds that each replica of the group registers."""
+    """Return the record kinds that the replica of each voter and each observer registers."""
     return (cordon_kind(), DRAIN_KIND, EVIDENCE_KIND, request_kind(MAX_RETRY_WINDOW_US))
 
 
