--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -1,8 +1,12 @@
-"""A voter's change feed to one observer: ranges that differ, changes, and heartbeat replies after them.
+"""A voter's change feed to one observer: it sends records, and replies to heartbeats.
 
-The send window limits the number of messages that the observer has not confirmed. When the window is full,
-the feed's cursor stays where it is, and the observer later receives only the newest value of each record. The
-feed replies to a heartbeat once it has sent all changes that were known when the heartbeat was read.
+An observer that can't resume from an earlier position first sends digests of its replica, one for each range
+of records, and the feed sends the records of the ranges whose digests differ. From then on the feed sends
+changes. *Urgent* changes, which are those of the urgent record kinds, are sent before all others. The feed
+replies to a heartbeat once it has sent all changes that the voter knew when it read the heartbeat.
+
+The send window limits the number of messages that the observer has not confirmed. While the window is full,
+the feed's cursor does not advance, so the observer later receives only the newest value of each record.
 """
 
 from dataclasses import dataclass
@@ -17,16 +21,19 @@
 """Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Up to this difference between the clocks, the voter computes its digests as of the observer's time. Beyond
-it, the voter uses its own time, so ranges with records that expired between the two times differ too."""
+"""Up to this difference between the clocks of the voter and the observer, the voter computes its digests as
+of the observer's time. Beyond it, the voter uses its own time, so that ranges with records that expired
+between the two times also differ."""
 
 DIGEST_BYTES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class _PendingReply:
-    """The reply to a heartbeat, due once all changes up to ``position`` are sent, and urgent ones up to
-    ``urgent_position``."""
+    """The reply to a heartbeat.
+
+    It is due once all changes up to ``position`` and all urgent changes up to ``urgent_position`` are sent.
+    """
 
     number: int
     age_us: int
@@ -37,8 +44,9 @@
 class ChangeFeed:
     """The change feed to one observer's link.
 
-    ``synchronized``: the observer was sent the voter's complete state as of some position, and receives the
-    changes since. ``sent``: number of messages with records sent on this link.
+    ``synchronized``: the observer was sent the voter's complete state as of some position, and is sent the
+    changes after this position. ``sent``: number of `RangeRecords`, `Compared` and `Changes` messages sent on
+    this link.
     """
 
     def __init__(self, changelog: ChangeLog) -> None:
@@ -50,13 +58,14 @@
         self._confirmed = 0
         self._differing_ranges: list[int] = []
         self._current_range = 0
-        self._unsent_records: list[Record] | None = None  # of the current range; None: no range is begun
-        self._compared_position: int | None = None  # of the comparison in progress; None: there is none
+        self._unsent_records: list[Record] | None = None  # of the current range; None: no range is being sent
+        # The replica's head when the comparison in progress began; 0: it is skipped; None: there is none.
+        self._compared_position: int | None = None
         self._pending_reply: _PendingReply | None = None
 
     @property
     def comparing(self) -> bool:
-        """Whether a comparison is in progress."""
+        """Whether the voter has received digests and has not sent `Compared` yet."""
         return self._compared_position is not None
 
     @property
@@ -71,7 +80,11 @@
         self._cursor = self._urgent_cursor = position
 
     def compare(self, now_us: int, digests: Digests) -> None:
-        """Begin to send the ranges whose digests differ. Raises JoinRefused for a wrong number of digests."""
+        """Begin to send the ranges whose digests differ from those of the voter's replica.
+
+        If the observer is synchronized but has not confirmed all changes, the comparison is skipped. Raises
+        JoinRefused for a wrong number of digests.
+        """
         if len(digests.digests) != RANGES * DIGEST_BYTES:
             raise JoinRefused("the digests have the wrong length, expected 8 bytes for each of 256 ranges")
         if self.synchronized and not self.idle:
@@ -94,12 +107,12 @@
 
         ``age_us``: age of the majority's state that the voter knows; None: it knows none.
         """
-        if self._pending_reply is None:  # otherwise this heartbeat gets no reply, but a later one does
+        if self._pending_reply is None:  # otherwise this heartbeat gets no reply, but a later heartbeat does
             position, urgent = self.changelog.replica.head, self.changelog.urgent_head
             self._pending_reply = _PendingReply(number, -1 if age_us is None else age_us, position, urgent)
 
     def confirm(self, count: int) -> None:
-        """Advance the send window: the observer has received ``count`` messages with records on this link."""
+        """Advance the send window: the observer has received ``count`` of the messages counted in `sent`."""
         self._confirmed = max(self._confirmed, min(count, self.sent))
 
     def draw(self) -> tuple[list[bytes], bool]:
@@ -145,7 +158,7 @@
         return data
 
     def _draw_range_parts(self) -> list[RangePart]:
-        """Return the next parts of the ranges that differ, up to the size of one message."""
+        """Return the next parts of the ranges whose digests differ, up to the size of one message."""
         parts: list[RangePart] = []
         size_bytes = count = 0
         while size_bytes < SOFT_MAX_MESSAGE_BYTES and count < MAX_RECORDS_PER_MESSAGE:
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -2,8 +2,9 @@
 
 There are two kinds of links: between two voters (`MeshData` carries the frames of `robinhill.mesh.session`),
 and from an observer to a voter. A position is the sequence number of a change in the log of one incarnation
-of one voter; positions of different logs can't be compared. Times are microseconds; ``at_us`` is Unix time.
-The order of fields and the tags define the wire format and never change.
+of one voter; positions of different logs can't be compared. Replicas are compared by the digests of *ranges*:
+the hash of a record's name assigns the record to one of 256 ranges. Times are microseconds; ``at_us`` is Unix
+time. The order of fields and the tags define the wire format and never change.
 """
 
 from typing import NamedTuple
@@ -15,7 +16,7 @@
 
 PROTOCOL = 1
 GOODBYE_JOIN_NUMBER = 1 << 62
-"""Stands for the join of an observer that said goodbye: higher than any real number of its incarnation."""
+"""Join number that represents an observer's goodbye; higher than any join number of the same incarnation."""
 
 MAX_MESSAGE_BYTES = 1 << 20
 """The receiver closes a link on which a larger message arrives."""
@@ -25,7 +26,7 @@
 
 
 class VoterIncarnation(NamedTuple):
-    """One process of a voter: a restart has a higher incarnation."""
+    """One process of a voter; the voter's process after a restart has a higher incarnation."""
 
     name: str
     incarnation: int
@@ -49,7 +50,7 @@
 
 
 class VoterStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """The sender's own state.
+    """The state of the voter that sends the message.
 
     ``counts``: the sender counts for majorities. ``voters``: digest of the list of voters that the sender
     uses. ``incarnations``: the newest incarnation that the sender knows of each voter, itself included.
@@ -62,11 +63,12 @@
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="barrier"):
-    """Asks how many of the receiver's observers have not applied all that the receiver stores at present.
+    """Asks how many of the receiver's observers have not applied all changes that the receiver stores now.
 
-    The sender has sent the changes that the barrier covers before it on the same ordered link. ``urgent``:
-    only changes of urgent kinds matter. ``hold``: the receiver doesn't wait for observers whose leases have
-    expired.
+    The sender has sent the changes that the barrier covers on the same ordered link before the barrier.
+    ``number``: chosen by the sender, and repeated in each `BarrierStatus`. ``urgent``: only changes of urgent
+    kinds matter. ``hold``: a scheduler without a lease sends no jobs, so the receiver doesn't wait for
+    observers whose leases have expired.
     """
 
     number: int
@@ -78,8 +80,9 @@
     """The sender has stored the changes of a barrier; ``lagging_count`` of its observers may not have applied
     them yet.
 
-    ``counts``: the sender counted for majorities and had rejected no record. ``incarnations``: as in
-    `VoterStatus`; the receiver records them before it counts the confirmation.
+    ``counts``: the sender counted for majorities, and lacked none of the receiver's records because of a
+    rejection. ``incarnations``: as in `VoterStatus`; the receiver records them before it counts the status as
+    a confirmation.
     """
 
     number: int
@@ -97,8 +100,10 @@
 
 
 class Migrated(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
-    """These observers are synchronized with the sender, or said goodbye to it. A voter that knows one of them
-    by an earlier join stops waiting for it."""
+    """These observers are synchronized with the sender, or said goodbye to the sender.
+
+    A receiver that knows an earlier join of one of these observers stops waiting for the observer.
+    """
 
     observers: tuple[ObserverJoin, ...]
 
@@ -119,10 +124,11 @@
 class Join(msgspec.Struct, frozen=True, array_like=True, tag="join"):
     """The first message on a link; a second one on a spare link makes it the primary link.
 
-    ``voter``, ``voter_incarnation``, ``position``: the observer has all changes of that voter's incarnation
-    up to the position; -1: it has no complete changes of any voter. ``spare``: the observer wants heartbeat
-    replies only. ``number`` counts the joins of this incarnation of the observer, so that voters can tell
-    the later of two joins.
+    ``voter``, ``voter_incarnation``, ``position``: the observer has all changes in the log of that voter's
+    incarnation up to the position; -1: it has the complete state of no voter. ``bound_us``, ``on_lost``: the
+    observer's bound and modes (`ControlOptions.modes`), which must equal the voter's. ``spare``: the observer
+    wants heartbeat replies only. ``number`` counts the joins of this incarnation of the observer, so that
+    voters can tell the later of two joins.
     """
 
     protocol: int
@@ -148,8 +154,8 @@
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
     """Records of the observer that the voter may lack.
 
-    ``number`` 0: a comparison found them, and no `Progress` is wanted. Otherwise it identifies a change that
-    the observer wrote, and the voter reports its `Progress`.
+    ``number`` 0: a comparison found the records, and the observer wants no `Progress`. Any other number
+    identifies a change that the observer wrote, and the voter reports the `Progress` of this change.
     """
 
     number: int
@@ -185,8 +191,8 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """Accepts a join. ``resumed``: the voter sends changes from the position in the join, without a
-    comparison."""
+    """Accepts a join. ``resumed``: the voter sends the changes after the position in the join, without a
+    comparison; False: a comparison follows, or the link is spare."""
 
     voter: str
     incarnation: int
@@ -194,11 +200,14 @@
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag="compare"):
-    """Requests the observer's `Digests`: the voter has capacity for a comparison now."""
+    """Requests the observer's `Digests`. The voter sends it once it has capacity for a comparison."""
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
-    """Some records of one range whose digests differed; ``last``: the voter has sent the whole range."""
+    """Some of the voter's records in a range whose digests differed.
+
+    ``index``: number of the range. ``last``: the voter has sent all its records of the range.
+    """
 
     index: int
     records: tuple[Record, ...]
@@ -206,13 +215,14 @@
 
 
 class RangeRecords(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """Some of the voter's records in ranges whose digests differed."""
+    """Some of the voter's records in one or more ranges whose digests differed."""
 
     parts: tuple[RangePart, ...]
 
 
 class Compared(msgspec.Struct, frozen=True, array_like=True, tag="compared"):
-    """Ends a comparison: with the ranges sent, the observer has all that the voter had at ``position``.
+    """Ends a comparison: with the ranges sent, the observer has all records that the voter had at
+    ``position`` of its log.
 
     ``position`` 0: the voter skipped the comparison because changes were in flight.
     """
@@ -233,7 +243,8 @@
     """When the voter read heartbeat ``number``, it knew a majority's state that was ``age_us`` old.
 
     ``age_us`` -1: it knew no majority's state. The changes up to ``position``, which the voter sent before
-    the reply, include all that it knew when it read the heartbeat.
+    the reply, include all changes that it knew when it read the heartbeat. On a spare link, and if ``number``
+    is 0, ``position`` is 0.
     """
 
     number: int
@@ -242,8 +253,12 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """Progress of an offered change. ``lagging_count``: number of observers and voters that may not have
-    applied it; ``lagging_names``: some of their names."""
+    """Progress of an offered change; ``number`` is the number in the `Offer`.
+
+    ``accepted``: the change can't be lost any more. ``in_force``: no scheduler can act without knowing it.
+    ``lagging_count``: number of observers that may not have applied the change, and of voters that have sent
+    no complete status of it. ``lagging_names``: some of the names of these observers and voters.
+    """
 
     number: int
     accepted: bool
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -2,10 +2,11 @@
 returns actions.
 
 A scheduler is an observer: it has a replica, in memory only, and no vote. It has a link to a primary voter,
-which sends all changes and renews the lease, and a spare link to another voter (`observer_links`). Its state
-never moves back in time: its replica only grows by merging (`replica_sync`), the time as of which its lease
-holds only advances (`lease`), and replies of a new voter count only once the observer and the voter have
-exchanged the records that the other lacked.
+which sends all changes and renews the lease, and a spare link to another voter (`observer_links`). Without a
+valid lease a scheduler sends no jobs in the `hold` mode, and continues to send in the `serve` mode. The
+observer's state never moves back in time: its replica only grows by merging (`replica_sync`), the time as of
+which it knows a majority's state only advances (`lease`), and replies of a new primary voter renew the lease
+only once the observer and the voter have exchanged the records that the other lacked.
 
 All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
 monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
@@ -42,10 +43,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ObserverStatus:
-    """The usability of one kind's records for scheduling.
+    """Whether the records of one kind may be used for scheduling.
 
-    ``may_act``: the scheduler may send jobs according to them. ``stale``: there is no valid lease.
-    ``age_us``: age of the newest known majority state; None: none was ever known.
+    ``may_act``: the scheduler may send jobs according to the records. ``stale``: there is no valid lease.
+    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: it has never
+    known such a state.
     """
 
     may_act: bool
@@ -79,7 +81,10 @@
         return self.tick(now_us, mono_us)
 
     def linked(self, now_us: int, mono_us: int, link: Link, voter: str) -> list[Action]:
-        """Join a voter on a connection that `Connect` has opened, or close the connection if not needed."""
+        """Join a voter on a connection that `Connect` has opened.
+
+        Closes the connection instead if no link to this voter is needed any more.
+        """
         if not self._links.opened(mono_us, link, voter):
             self._outbox.disconnect(link, "the connection is no longer needed")
             return self._outbox.take()
@@ -112,7 +117,7 @@
     def write(
         self, now_us: int, mono_us: int, kind: str, key: str, value: object
     ) -> tuple[int, Record, list[Action]]:
-        """Write a record and offer it to the primary voter, once synchronized with it.
+        """Write a record, and offer it to the primary voter once the replica is synchronized with the voter.
 
         Returns the change's number in `Progressed`, and the record. Raises ChangesFull or StateFull, or
         KeyError for an unregistered kind; in these cases nothing is changed.
@@ -130,17 +135,23 @@
         self._offers.drop(number)
 
     def has_lease(self, mono_us: int) -> bool:
-        """Whether the known majority's state is not older than the bound. Cheap enough for each job."""
+        """Whether the state of a majority that this observer knows is not older than the bound.
+
+        Cheap enough to be checked for each job.
+        """
         return self.lease.is_valid(mono_us)
 
     def status(self, kind: str, mono_us: int) -> ObserverStatus:
-        """Return whether the scheduler may act on records of a kind now, and the age of its state."""
+        """Return whether the scheduler may act on records of a kind now, and the age of the known state."""
         valid = self.lease.is_valid(mono_us)
         may_act = valid or self.options.mode_of(kind) is Mode.SERVE
         return ObserverStatus(may_act, not valid, self.lease.age_us(mono_us))
 
     def goodbye(self) -> list[Action]:
-        """Send a `Goodbye` to the voters after the last job. The caller must not send jobs from now on."""
+        """Send a `Goodbye` to the linked voters, and close all links.
+
+        The caller calls this after it has sent its last job, and must not send any job from then on.
+        """
         self._links.stop("goodbye")
         return self._outbox.take()
 
@@ -199,8 +210,8 @@
 
     @property
     def synchronized(self) -> bool:
-        """Whether the replica has the primary voter's complete state as of some position, and follows its
-        changes."""
+        """Whether the replica has the primary voter's complete state as of some position, and follows the
+        voter's later changes."""
         return self._sync.synchronized
 
     # Messages
@@ -272,7 +283,7 @@
             self._outbox.add(LeaseChanged(valid, self.lease.age_us(mono_us)))
 
     def _complete_sync(self, mono_us: int, link: Link) -> None:
-        """Follow the voter's changes once the replica is synchronized with it.
+        """Record that the replica is synchronized with the primary voter.
 
         Offers the pending changes, and renews the lease by replies to heartbeats that are sent from now on.
         """
@@ -289,10 +300,11 @@
     # The primary voter
 
     def _make_primary(self, now_us: int, mono_us: int, link: Link) -> None:
-        """Join the voter of this link; its replies renew no lease until the replica is synchronized with it.
+        """Join the voter of this link as the primary voter.
 
-        Clears the replica first if there was no lease for so long that it may contain records which other
-        processes have dropped as expired.
+        The voter's replies do not renew the lease until the replica is synchronized with the voter. Records
+        are dropped first if there was no valid lease for so long that other processes may have dropped the
+        records as expired.
         """
         without_lease_us = mono_us - self._lease_changed_us
         if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, without_lease_us):
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -72,7 +72,11 @@
     # Connections
 
     def connect(self, mono_us: int, *, synchronized: bool) -> None:
-        """Connect to a voter if there is no primary link, or no spare link while synchronized."""
+        """Connect to a voter if there is no primary link, or no spare link.
+
+        A spare link is only opened while the replica is synchronized with the primary voter
+        (``synchronized``).
+        """
         if not self._needs_link(synchronized):
             return
         voter = self.selection.next(mono_us, self.voters)
@@ -81,11 +85,11 @@
             self._outbox.add(Connect(voter))
 
     def connect_due_us(self, *, synchronized: bool) -> int | None:
-        """Time at which `connect` may start an attempt or time one out; None: no link is needed."""
+        """Time at which `connect` may start an attempt or record a timeout; None: no link is needed."""
         return self.selection.due_us(self.voters) if self._needs_link(synchronized) else None
 
     def opened(self, mono_us: int, link: Link, voter: str) -> bool:
-        """Register an open connection. Returns False if no link to this voter is needed."""
+        """Register an open connection to a voter. Returns False if no link to this voter is needed."""
         self.selection.backoff.connected(voter)
         complete = self.primary is not None and self.spare is not None
         if self.stopped or complete or voter not in self.options.voters or voter in self.voters:
@@ -157,7 +161,8 @@
     def send_heartbeats(self, mono_us: int, lease: ObserverLease, *, synchronized: bool) -> None:
         """Send the heartbeats that are due.
 
-        Those to the primary voter renew the lease; those to the spare voter check that it is reachable.
+        Replies of the primary voter renew the lease if the replica is synchronized. Heartbeats to the spare
+        voter check that it is reachable, and how old the majority's state is that it knows.
         """
         for link, state in self.by_link.items():
             if mono_us < state.next_heartbeat_us or not state.welcomed:
@@ -173,7 +178,7 @@
         return (state.next_heartbeat_us for state in self.by_link.values() if state.welcomed)
 
     def is_silent(self, mono_us: int, link: Link) -> bool:
-        """Whether no message was received on a link for longer than its timeout.
+        """Whether no message was received on a link for longer than the link's timeout.
 
         The timeout of the spare link is longer, as it carries fewer heartbeats.
         """
@@ -183,8 +188,13 @@
         return mono_us - self.by_link[link].last_received_us > timeout_us
 
     def should_fail_over(self, mono_us: int, lease_age_us: int | None) -> bool:
-        """Whether the primary voter has not renewed the lease for half of the bound, while the spare voter
-        knows a majority's state that is newer than that."""
+        """Whether the spare voter should become the primary one.
+
+        This is the case if the primary voter has been the primary one for at least half of the bound, the
+        lease's age exceeds half of the bound, and the majority's state in the spare voter's last reply was at
+        most that old. ``lease_age_us``: age of the majority's state that the observer knows; None: the lease
+        was never renewed.
+        """
         if self.primary is None or self.spare is None:
             return False
         half_us = self.options.bound_us // 2
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -1,13 +1,15 @@
-"""Tracks the positions that a voter's observers have applied, and the observers that a change still waits
-for.
+"""Tracks up to which positions of a voter's log its observers have applied the changes, and the observers
+that a change still waits for.
 
 An observer can only obtain its lease from a voter. So once *each* voter reports that all of its observers
 have applied a change, no scheduler can act without knowing the change. A voter waits for an observer that is
 linked, or that disconnected without a goodbye, until
 
-- the observer has confirmed the change, here or to another voter that reports so (`migrated_away`);
+- the observer has confirmed the change to this voter, or another voter reports that the observer has
+  synchronized with it by a later join (`migrated_away`) or said goodbye;
 - a later incarnation of the same name has joined, which implies that the earlier process has ended;
-- under `hold`, its lease has certainly expired: a lease lasts at most the bound after the voter's last reply;
+- under `hold` (a scheduler without a lease sends no jobs), its lease has certainly expired: a lease lasts at
+  most the bound after the voter's last reply;
 - an operator reports that the scheduler no longer runs (`remove`).
 
 A restarted voter doesn't know the observers of its earlier incarnation. It waits until all leases that the
@@ -22,11 +24,11 @@
 from robinhill.cordon.propagation import with_slack
 
 MAX_DEPARTED = 4_096
-"""Limit of the observers that are retained after a disconnect without a goodbye, and of the retained
+"""Limit of the *departed* observers, which disconnected without a goodbye, and also of the retained
 goodbyes."""
 
 MAX_DEPARTED_PER_QUERY = 64
-"""Limit of the departed observers in one query to the other voters."""
+"""Limit of the departed observers in one query that asks the other voters for later joins of them."""
 
 UNKNOWN_OBSERVERS = "observers of an earlier start"
 """Placeholder in a waiting set for all observers of this voter's earlier incarnation."""
@@ -34,7 +36,10 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class BarrierId:
-    """Identifies a barrier by the voter that sent it, and the number that this voter chose."""
+    """Identifies a barrier by the voter that sent it, and the number that the sender chose.
+
+    A barrier is a request to report which observers have not applied all changes up to a position.
+    """
 
     origin: str
     number: int
@@ -44,9 +49,11 @@
 class ObserverState:
     """An observer that has joined this voter.
 
-    ``link`` is None once the observer has disconnected. ``leased_us``: the last time at which this voter may
-    have renewed its lease. ``position``: it has applied all changes up to this position; ``urgent_position``:
-    the same for urgent changes; -1: it has confirmed none to this incarnation of the voter.
+    ``link``: the primary link; None once the observer has disconnected. ``leased_us``: the last time at which
+    this voter may have renewed the observer's lease. ``join``: number of its last join. ``position``: the
+    observer has applied all changes up to this position of the voter's log; ``urgent_position``: it has
+    applied all urgent changes up to this position; -1: it has confirmed none since its first join, or since
+    its last join that required a comparison. ``synchronized``: it has confirmed a position since then.
     """
 
     name: str
@@ -65,7 +72,7 @@
 
 @dataclass(slots=True)
 class TrackedPosition:
-    """A position in the log, and the names of the observers that have not yet applied the changes up to it.
+    """A position in the log, and the observers that have not yet applied all changes up to it (``waiting``).
 
     ``urgent``: only changes of urgent kinds matter. ``hold``: the wait for an observer also ends once its
     lease has expired.
@@ -77,14 +84,15 @@
     waiting: set[str] = field(default_factory=set)
 
     def lagging(self) -> LaggingObservers:
-        """The number of observers in the waiting set, with as many names as a message may have."""
+        """Return the number of waiting observers, and as many of their names as a message may have."""
         return LaggingObservers(len(self.waiting), tuple(sorted(self.waiting)[:MAX_LAGGING_NAMES]))
 
 
 class ObserverProgress:
     """The observers of one voter. Times are monotonic microseconds.
 
-    ``dirty``: barriers whose tracked position has a changed waiting set; the caller clears it.
+    ``tracked``: the position of each barrier. ``dirty``: barriers whose set of waiting observers has changed;
+    the caller removes a barrier from ``dirty`` when it sends the status.
     """
 
     def __init__(self, started_us: int, bound_us: int) -> None:
@@ -101,7 +109,7 @@
     def joined(
         self, mono_us: int, name: str, incarnation: int, join: int, link: Link
     ) -> ObserverState | None:
-        """Record the join of an observer. Returns None for a join that a later one has superseded.
+        """Record the join of an observer. Returns None for a join that a later join has superseded.
 
         A later incarnation replaces the earlier one, and no change waits for the earlier one any more.
         """
@@ -119,7 +127,7 @@
         return known
 
     def reset_position(self, name: str) -> None:
-        """Discard the positions that an observer has confirmed here, as it starts a new comparison."""
+        """Discard the positions that an observer has confirmed, as its new join requires a comparison."""
         observer = self.observers[name]
         observer.position = observer.urgent_position = -1
         observer.synchronized = False
@@ -128,7 +136,8 @@
         """Record that an observer has applied all changes up to ``position``, and all urgent ones up to
         ``urgent_position``.
 
-        Returns True if this is the first position that it confirms since its last comparison began.
+        Returns True if this is the first position that the observer confirms since its first join, or since
+        its last join that required a comparison.
         """
         observer = self.observers[name]
         observer.position = max(observer.position, position)
@@ -186,9 +195,10 @@
     # Observers of other voters
 
     def migrated_away(self, name: str, incarnation: int, join: int) -> bool:
-        """Remove an observer that is synchronized with another voter by a later join than the one known here.
+        """Remove an observer that is synchronized with another voter, or said goodbye to another voter.
 
-        Returns whether it was removed.
+        Does nothing unless this voter knows the observer by an earlier join. Returns whether the observer was
+        removed.
         """
         observer = self.observers.get(name)
         if observer is None or (observer.incarnation, observer.join) >= (incarnation, join):
@@ -222,9 +232,9 @@
         )
 
     def newer_joins(self, queried: Iterable[ObserverJoin]) -> tuple[ObserverJoin, ...]:
-        """Return the later joins that are known here of another voter's departed observers.
+        """Return the later joins of another voter's departed observers, as far as this voter knows them.
 
-        A later join is one that is linked and synchronized here, or a goodbye.
+        A join counts if the observer is linked to and synchronized with this voter, or said goodbye to it.
         """
         newer: list[ObserverJoin] = []
         for join in queried:
@@ -244,7 +254,8 @@
     ) -> TrackedPosition:
         """Start to track which observers have not applied all changes up to ``position`` yet.
 
-        Returns the tracked position with these observers, each of which the barrier waits for.
+        Returns the tracked position with these observers, all of which the barrier waits for. ``urgent`` and
+        ``hold``: as in `TrackedPosition`.
         """
         tracked = TrackedPosition(position, urgent, hold)
         for name, observer in self.observers.items():
@@ -258,12 +269,12 @@
         return tracked
 
     def untrack(self, barrier: BarrierId) -> None:
-        """Stop tracking the position of a barrier, whether observers lag or not."""
+        """Stop tracking the position of a barrier, whether or not observers still have to apply changes."""
         self.tracked.pop(barrier, None)
         self.dirty.discard(barrier)
 
     def untrack_matching(self, matches: Callable[[BarrierId], bool]) -> None:
-        """Untrack the positions of all barriers that match."""
+        """Stop tracking the positions of all barriers for which ``matches`` returns True."""
         for barrier in [barrier for barrier in self.tracked if matches(barrier)]:
             self.untrack(barrier)
 
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -25,8 +25,8 @@
 class ObserverSession:
     """A link from an observer.
 
-    ``join``: number of its last join. ``feed`` is None on a spare link. ``comparing``: it holds one of the
-    `MAX_COMPARISONS` slots for comparisons.
+    ``join``: number of the last join on this link. ``feed`` is None on a spare link. ``comparing``: the
+    session holds one of the `MAX_COMPARISONS` slots for comparisons.
     """
 
     name: str
@@ -38,7 +38,10 @@
 
 
 class ObserverSessions:
-    """The links from the observers of one voter. ``age_us``: age of the majority's state that it knows."""
+    """The links from the observers of one voter.
+
+    ``age_us`` returns the age of the majority's state that the voter knows at a monotonic time; None: none.
+    """
 
     def __init__(
         self,
@@ -74,7 +77,7 @@
         self._join(mono_us, link, join)
 
     def received(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        """Process any later message other than an offer.
+        """Process a message other than an offer on a link whose first message was accepted.
 
         Raises JoinRefused for a malformed or outdated join, or a message that observers don't send.
         """
@@ -93,7 +96,7 @@
             case wire.Digests() if feed is not None:
                 self._handle_digests(now_us, mono_us, link, session, feed, message)
             case wire.Applied() | wire.Digests():
-                return  # ignored: the observer has since joined on another link, or this link is spare
+                return  # ignored: the observer has later joined on another link, or this link is spare
             case _:
                 raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't send")
 
@@ -193,8 +196,11 @@
             self._send_changes(mono_us, link, session)
 
     def take_migrated(self) -> wire.Migrated | None:
-        """Return the message that names the observers which were synchronized here, or said goodbye, since
-        the last call; None if there are none."""
+        """Return the message for the other voters about observers that migrated to this voter or left.
+
+        It names the observers that were synchronized with this voter, or said goodbye to it, since the last
+        call; None if there are none.
+        """
         if not self._migrated:
             return None
         migrated = wire.Migrated(tuple(sorted(self._migrated.values())))
@@ -218,14 +224,17 @@
             self._grant_comparisons()
 
     def _is_current(self, link: Link, session: ObserverSession) -> bool:
-        """Whether this is the observer's newest primary link; changes are sent on no other."""
+        """Whether this is the observer's newest primary link, the only one on which changes are sent."""
         observer = self.observer_progress.observers.get(session.name)
         return observer is not None and observer.link == link
 
     # Closing of links
 
     def migrated_away(self, join: wire.ObserverJoin) -> None:
-        """Remove an observer that is synchronized with another voter, and close its outdated link here."""
+        """Remove an observer that, as another voter reports, is synchronized with that voter or said goodbye.
+
+        Also closes the observer's outdated link to this voter.
+        """
         observer = self.observer_progress.observers.get(join.name)
         removed = self.observer_progress.migrated_away(join.name, join.incarnation, join.number)
         if removed and observer is not None and observer.link is not None:
@@ -244,7 +253,7 @@
         self._outbox.disconnect(link, why)
 
     def closed(self, link: Link) -> None:
-        """Remove the session of a link that has ended, and reuse its slot for comparisons."""
+        """Remove the session of a link that has ended, and give its comparison slot to a queued observer."""
         session = self._by_link.pop(link, None)
         if session is None:
             return
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -116,7 +116,7 @@
     if name in keys.voters:
         raise VotersMalformed(
             "mesh.voters",
-            f"{name!r} is both the name of a voter and this scheduler's own name",
+            f"{name!r} is this scheduler's own name",
             "set GW_NAME to a name that no voter has",
         )
     if keys.voters and place.region and place.region not in _regions(keys):
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -1,9 +1,10 @@
 """Synchronization of an observer's replica with its primary voter: comparisons, changes, confirmations.
 
-In a comparison the observer sends digests, the voter sends the ranges that differ, and the observer offers
-the records that the voter lacks. From then on the replica is *synchronized* and follows the voter's changes.
-The replica never moves back in time, as it only grows by merging. This module is independent of connections
-and leases.
+In a comparison the observer sends digests of its replica, one for each range of records; the voter sends the
+records of the ranges whose digests differ, and the observer offers the records that the voter lacks. From
+then on the replica is *synchronized* and follows the voter's changes. *Urgent* changes, which are those of
+the urgent record kinds, are received before all others. The replica never moves back in time, as it only
+grows by merging. This module is independent of connections and leases.
 """
 
 from collections.abc import Iterable
@@ -18,19 +19,21 @@
 from robinhill.mesh.replica import Replica
 
 CONFIRM_INTERVAL_US = 10_000
-"""Minimum interval between two confirmations."""
+"""Minimum interval between two confirmations of received messages and applied changes."""
 
 MAX_RECORDS_PER_OFFER = 64
 SOFT_MAX_OFFER_BYTES = 32 << 10
-"""Size of the values in one offer of missing records at which no further record is added."""
+"""Size of the values in one offer at which no further record that the voter lacks is added to the offer."""
 
 REPAIR_INTERVAL_US = 30_000_000
-"""Maximum interval between two comparisons; each sends two kilobytes of digests."""
+"""Maximum interval between two comparisons of a synchronized replica, which repair differences. The observer
+sends two kilobytes of digests for each comparison."""
 
 REPAIR_RETRY_US = 5_000_000
 """Maximum interval between two comparisons after this replica has rejected a record."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
+"""Differs from every confirmation, so that the next confirmation is sent even if nothing has changed."""
 
 RecordName = tuple[str, str]
 
@@ -39,8 +42,8 @@
 class FeedPosition:
     """The observer's position in the changes of one incarnation of a voter.
 
-    It has all changes up to ``position``, and the urgent ones up to ``urgent_position``; -1: it does not have
-    the voter's complete state as of any position.
+    The observer has all changes up to ``position``, and all urgent changes up to ``urgent_position``; -1: it
+    does not have the voter's complete state as of any position. ``voter`` is empty if no voter is known yet.
     """
 
     voter: str = ""
@@ -52,22 +55,23 @@
 class ReplicaSync:
     """One observer's replica and its position in the primary voter's changes.
 
-    ``mono_us`` is monotonic time and ``now_us`` Unix time, in microseconds. ``feed_position`` refers to the
-    previous voter until the new one has replied to the join.
+    ``mono_us`` is monotonic time and ``now_us`` Unix time, in microseconds. After the observer has joined
+    another voter, ``feed_position`` refers to the voter before until the joined voter has replied.
     """
 
     def __init__(self, replica: Replica, outbox: Outbox, rng: Random, mono_us: int) -> None:
         self.replica = replica
         self.synchronized = False
         self.feed_position = FeedPosition()
-        self.rejected = False  # whether a record from the voter was rejected and is missing here
+        self.rejected = False  # whether this replica rejected a record from the voter, and so lacks it
         self.confirm_due_us = mono_us
         self._outbox = outbox
         self._rng = rng
         self._rejected_in_comparison = False
         self._messages_received = 0
         self._confirmed = wire.Applied(0, -1, -1)
-        # Names of the voter's records that are also stored here, for each range not completely received yet.
+        # For each range not completely received yet: names of the received records that this replica has in
+        # the voter's version.
         self._compared_names: dict[int, set[RecordName]] = {}
         self._missing_at_voter: dict[RecordName, None] = {}
         self._repair_due_us = 0
@@ -75,9 +79,9 @@
     # The primary voter
 
     def clear(self, without_lease_us: int) -> None:
-        """Drop outdated records, which other processes may have dropped as expired, and the position.
+        """Drop the position, and all records of kinds that other processes may have dropped as expired.
 
-        ``without_lease_us``: how long there has been no lease.
+        ``without_lease_us``: how long the observer has had no valid lease.
         """
         self.replica.clear(without_lease_us)
         self.feed_position = FeedPosition()
@@ -95,14 +99,14 @@
         self.synchronized = False
 
     def reset_position(self, voter: str, incarnation: int) -> None:
-        """Discard the position, as the voter doesn't resume from it; a comparison follows."""
+        """Discard the position, as the joined voter does not resume from it; a comparison follows."""
         self.feed_position = FeedPosition(voter, incarnation)
 
     def complete_sync(self, mono_us: int) -> None:
         """Mark the replica as synchronized, and schedule the next comparison.
 
-        The replica has the voter's complete state as of some position, and the voter was sent the records
-        that it lacked.
+        The caller calls this once the replica has the voter's complete state as of some position, and the
+        voter was sent the records that it lacked.
         """
         self.synchronized = True
         self._confirmed = NOT_CONFIRMED
@@ -120,7 +124,7 @@
         self._outbox.send(link, wire.Digests(now_us, digests))
 
     def receive_ranges(self, now_us: int, ranges: wire.RangeRecords) -> None:
-        """Merge the voter's records of ranges that differ, and determine the records that the voter lacks.
+        """Merge received records of the voter, and determine the records that the voter lacks.
 
         Only ranges that were received completely show which records the voter lacks.
         """
@@ -129,9 +133,10 @@
             self._receive_range_part(now_us, part)
 
     def finish_comparison(self, link: Link, position: int) -> None:
-        """Offer the records that the voter lacks, as all ranges that differ were received.
+        """Offer the records that the voter lacks, as all ranges whose digests differ were received.
 
-        ``position`` 0: the voter skipped the comparison.
+        ``position``: position in the voter's log that the ranges cover; 0: the voter skipped the comparison,
+        or its log is empty.
         """
         self._messages_received += 1
         self._offer_missing(link)
@@ -140,7 +145,11 @@
             self.advance_position(position, urgent=False)
 
     def repair(self, now_us: int, mono_us: int, link: Link) -> None:
-        """Begin another comparison if one is due, sooner if this replica has rejected a record."""
+        """Begin another comparison if one is due.
+
+        One is due within `REPAIR_INTERVAL_US`, or within `REPAIR_RETRY_US` if this replica has rejected a
+        record.
+        """
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
         if self.synchronized and mono_us >= self._repair_due_us:
@@ -186,12 +195,12 @@
         self.advance_position(changes.position, urgent=changes.urgent)
 
     def advance_position(self, position: int, *, urgent: bool) -> None:
-        """Record that all changes up to ``position`` were received; with ``urgent`` only the urgent ones.
+        """Record that all changes up to ``position`` were received; if ``urgent``, only the urgent changes.
 
-        The position does not advance while a record is rejected.
+        The position does not advance while this replica lacks a record that it has rejected.
         """
         if self.rejected:
-            return  # a position past a rejected record can't be confirmed
+            return  # a confirmed position must not include a change that this replica lacks
         feed = self.feed_position
         feed.urgent_position = max(feed.urgent_position, position)
         if not urgent:
@@ -219,8 +228,8 @@
     def confirm(self, mono_us: int, link: Link) -> None:
         """Confirm the received messages and, once synchronized, the applied changes to the voter.
 
-        Does nothing if nothing has changed since the last confirmation, or if that was sent less than
-        `CONFIRM_INTERVAL_US` ago.
+        Does nothing if nothing has changed since the last confirmation, or if the last confirmation was sent
+        less than `CONFIRM_INTERVAL_US` ago.
         """
         if not self.needs_confirmation() or mono_us < self.confirm_due_us:
             return
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -39,8 +39,8 @@
 from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
 
 FLUSH_INTERVAL_US = 5_000
-"""Minimum interval between two rounds of changes to observers; a change after a longer pause is sent at
-once."""
+"""Minimum interval between two times at which pending changes are sent to all observers. A change that comes
+after a longer pause is sent at once."""
 
 COLLECT_INTERVAL_US = 1_000_000
 """Interval at which expired records are collected and silent links closed."""
@@ -94,7 +94,10 @@
     # Links
 
     def start(self, now_us: int, mono_us: int) -> list[Action]:
-        """Begin to dial the other voters. Must be the first call; a single voter is caught up at once."""
+        """Begin to dial the other voters. Must be the first call.
+
+        A voter that is the only one in the list counts for majorities at once.
+        """
         if len(self._voter_links.names) == 1:
             self._mark_caught_up()
         return self.tick(now_us, mono_us)
@@ -144,9 +147,10 @@
         return number, record, self._finish(now_us, mono_us)
 
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
-        """Use a new list of voters, which may differ from the present one by one voter.
+        """Use a new list of voters, which may differ from the present list by one voter.
 
-        Raises VotersNotOneAtATime if it differs by more, or the previous change has not settled.
+        Raises VotersNotOneAtATime if it differs by more, or if the previous change of the list has not
+        settled (`VoterLinks.settle`).
         """
         changed = frozenset(options.voters) ^ frozenset(self.options.voters)
         if len(changed) > 1:
@@ -209,7 +213,10 @@
     # Status
 
     def age_us(self, mono_us: int) -> int | None:
-        """Age of the majority's state that this voter knows, for observers; None if it knows none."""
+        """Return the age of the majority's state that this voter reports to observers; None: it knows none.
+
+        The age is in microseconds.
+        """
         return self._voter_links.ages.age_us(mono_us)
 
     @property
@@ -262,7 +269,7 @@
         if isinstance(message, wire.MeshData):
             for event in voter.session.receive(now_us, mono_us, message.data):
                 self._handle_session_event(mono_us, link, event)
-        elif voter.name is not None:  # until its hello is received, the sender is unknown
+        elif voter.name is not None:  # messages before the hello are ignored, as their sender is unknown
             self._handle_voter_message(mono_us, voter, voter.name, message)
 
     def _handle_voter_message(
@@ -348,7 +355,8 @@
     def _track(self, mono_us: int, records: Iterable[Record], requester: Requester) -> int:
         """Track a change of these records. Returns its number.
 
-        The change is urgent if all its kinds are urgent, and tracked under `hold` if the mode of any kind is.
+        The change is urgent if all its kinds are urgent. It is tracked under the mode `hold` (a scheduler
+        without a lease sends no jobs) if that is the mode of at least one of its kinds.
         """
         kinds = {record.kind for record in records}
         urgent = kinds <= self.changelog.urgent_kinds
@@ -363,7 +371,10 @@
         self._changes.resend_statuses()
 
     def _is_sent_by_another(self, origin: str) -> bool:
-        """Whether a voter other than this one sends the changes of an origin to all voters."""
+        """Whether a voter other than this one sends the changes of an origin to all voters.
+
+        An origin is the process that wrote the changes: a voter, or an observer, whose voter sends them.
+        """
         observer = self.observer_progress.observers.get(origin)
         linked_here = observer is not None and observer.link is not None
         return origin != self.name and not linked_here
@@ -371,7 +382,7 @@
     def _finish(self, now_us: int, mono_us: int, *, pump: bool = True) -> list[Action]:
         """Advance the tracked changes, send pending messages, and return the actions of the call.
 
-        ``pump``: send pending messages to the other voters too.
+        ``pump``: also send the pending messages to the other voters.
         """
         if mono_us >= self._expire_waits_due_us:
             self._expire_waits_due_us = mono_us + STATUS_INTERVAL_US
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -1,7 +1,8 @@
 """A voter's links to the other voters: dialing, replication sessions, incarnations, and lists of voters.
 
-This module is independent of tracked changes and observers. Times are microseconds, ``mono_us`` monotonic and
-``now_us`` Unix time.
+"We" and "our" refer to the voter that runs this code. A voter's *hello* is the first frame of a session, with
+the voter's name and incarnation. This module is independent of tracked changes and observers. Times are
+microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -25,9 +26,9 @@
 class VoterLink:
     """A link to another voter.
 
-    ``dialed``: the voter that we connected to; None if the other voter connected. ``name`` is None until the
-    other voter's hello was received. ``status``: the last status received; ``sent_status``: the last status
-    sent.
+    ``dialed``: the voter that we connected to; None if the other voter connected to us. ``name``: the other
+    voter's name; None until its hello was received. ``status``: the last status received on this link;
+    ``sent_status``: the last status sent; None: there was none.
     """
 
     session: Session
@@ -39,7 +40,7 @@
 
     @property
     def written_position(self) -> int:
-        """Position up to which all our changes were sent to the voter, ahead of any later message.
+        """Position in our log up to which all changes were sent to the voter, so they precede later messages.
 
         0 until the first comparison has determined which records the voter lacks, and these are sent.
         """
@@ -56,18 +57,18 @@
 
 
 class _RequiredRounds(NamedTuple):
-    """The number of a session's comparisons after which a voter may be complete again."""
+    """The number of completed comparisons of ``session`` from which on a voter may be complete again."""
 
     session: Session
     rounds: int
 
 
 class IncompleteVoters:
-    """Voters that sent a record which was rejected here, so that we lack some of their state.
+    """Names of the *incomplete* voters: we rejected a record that they sent, so we lack some of their state.
 
-    While there is such a voter, our knowledge of other voters must not be reported, as other processes would
-    conclude that we have state which we lack. A voter is removed once a comparison that began after the
-    rejection finds no difference.
+    While there is an incomplete voter, we must not report how recent our knowledge of other voters is, as
+    other processes would conclude that we have state which we lack. A voter is removed from this set once a
+    comparison that began after the rejection finds no difference.
     """
 
     def __init__(self) -> None:
@@ -80,19 +81,20 @@
         return voter in self._required
 
     def record_rejected(self, voter: str, session: Session) -> None:
-        """Mark a voter as incomplete, as a record that it sent was rejected."""
-        # Two rounds, as the next comparison to end may have begun before the rejection.
+        """Mark a voter as incomplete, as we rejected a record that it sent."""
+        # Two more comparisons are required, as the next one to end may have begun before the rejection.
         self._required[voter] = _RequiredRounds(session, session.anti_entropy.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
-        """Whether a comparison shows that we have all records of this voter again.
+        """Return whether an incomplete voter is complete, as a comparison shows that we have all its records.
 
-        Returns True once: the voter is complete from then on.
+        The voter is then removed from this set, so True is returned once after each rejection.
         """
         if voter not in self._required:
             return False
         required = self._required[voter]
         anti_entropy = session.anti_entropy
+        # On a later session than that of the rejection, any comparison began after the rejection.
         rounds = required.rounds if required.session is session else 1
         if anti_entropy.rounds < rounds or anti_entropy.differing_count:
             return False
@@ -101,9 +103,10 @@
 
 
 class ReportableAges:
-    """The ages of our knowledge that sessions report to other voters, from `Freshness`.
+    """The ages of our knowledge that sessions report to other voters, computed by `Freshness`.
 
-    Our own age alone is reported while we lack some of another voter's state (`IncompleteVoters`).
+    The age of our knowledge of a voter is how long ago that voter had the state which we know of it. While we
+    lack some of another voter's state (`IncompleteVoters`), only the age of our own state, 0, is reported.
     """
 
     def __init__(self, freshness: Freshness, incomplete: IncompleteVoters) -> None:
@@ -121,7 +124,10 @@
         return self._reportable(self._freshness.starting_ages(mono_us))
 
     def age_us(self, mono_us: int) -> int | None:
-        """Age of the majority's state that we know, for observers; None: we know none."""
+        """Return the age of the majority's state that we know, which observers base their leases on.
+
+        The age is in microseconds; None: we know no majority's state, or a voter is incomplete.
+        """
         return None if self._incomplete else self._freshness.age_us(mono_us)
 
     def _reportable(self, ages: Mapping[str, int]) -> Mapping[str, int]:
@@ -132,7 +138,8 @@
 class VoterLinks:
     """The links of one voter to the other voters.
 
-    ``sent_by_another``: whether a voter other than this one sends the changes of an origin to all voters.
+    ``sent_by_another`` returns whether a voter other than this one sends all voters the changes that an
+    origin (the name of a voter or an observer) has written.
     """
 
     def __init__(
@@ -161,7 +168,7 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """Names of the voters in all lists in use, including this one."""
+        """Names of the voters in all lists that are in use, including this voter."""
         return self.freshness.quorum.names
 
     # Links
@@ -175,7 +182,10 @@
                 self._outbox.add(Connect(name))
 
     def dialed(self, mono_us: int, link: Link, name: str) -> None:
-        """Start a session on a connection that we dialed, or close it if the voter was removed meanwhile."""
+        """Start a session on a connection that we opened to the voter ``name``.
+
+        Closes the connection instead if the voter was removed from the list while the connection was opened.
+        """
         if name not in self.names:
             self._backoff.connected(name)
             self._outbox.disconnect(link, f"{name} was removed from the list of voters")
@@ -222,10 +232,10 @@
     # Messages
 
     def pump(self, now_us: int, mono_us: int) -> Iterator[GreetedVoter]:
-        """Send the pending frames of all sessions, then our status where it has changed.
+        """Send the pending frames of all sessions, then our status to each voter with an outdated one.
 
-        Yields each link on which a voter's hello was received, once its frames are sent; messages that the
-        caller then sends follow them.
+        Yields each link on which a voter's hello was received, once the frames of the link are sent; messages
+        that the caller sends on the link at that point follow the frames.
         """
         status = self._status()
         for link, voter in self.by_link.items():
@@ -248,7 +258,7 @@
     def record_incarnations(
         self, incarnations: Iterable[wire.VoterIncarnation]
     ) -> list[wire.VoterIncarnation]:
-        """Record the incarnations that another voter reports. Returns those that were not known here yet."""
+        """Record the incarnations that another voter reports. Returns those newer than the known ones."""
         newer = [voter for voter in incarnations if voter.name in self.names and self._is_newer(voter)]
         for voter in newer:
             self._incarnations[voter.name] = voter
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -1,5 +1,5 @@
-"""Chooses the voter that an observer joins: voters of its zone first, then of its region, then all others.
-Voters at the same distance are in random order."""
+"""Chooses the voter that an observer joins: voters of the observer's zone first, then of its region, then all
+others. The order of the voters within each of these three groups is random."""
 
 from collections.abc import Collection, Mapping
 from random import Random
@@ -12,7 +12,7 @@
 
 
 class VoterSelection:
-    """The voters in order of preference, with the backoff of each. Times are monotonic microseconds."""
+    """The voters in order of preference (``order``), with their backoff. Times are monotonic microseconds."""
 
     def __init__(self, voters: Mapping[str, VoterPlace], place: Place, rng: Random) -> None:
         self.backoff = Backoff(rng)
@@ -43,7 +43,7 @@
     def due_us(self, linked: Collection[str]) -> int | None:
         """Time at which `next` may return a voter, because an attempt times out or a backoff ends.
 
-        None if all voters are linked.
+        ``linked``: voters with a link. None if all voters have one.
         """
         if self.backoff.connecting:
             return self.backoff.expires_us()
