--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -79,8 +79,9 @@
 class Progressed:
     """The progress of a tracked change. ``number`` is the number that ``write`` returned for the change.
 
-    ``accepted``: a majority of voters has stored the change, so it can't be lost any more; under `serve` one
-    voter that has stored it is enough. ``in_force``: no scheduler can act without knowing the change.
+    ``accepted``: a majority of voters has stored the change, so it can't be lost any more. In the mode
+    `serve`, in which schedulers continue to send without a lease, one voter that has stored the change is
+    enough. ``in_force``: no scheduler can act without knowing the change.
     """
 
     number: int
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -2,9 +2,9 @@
 schedulers.
 
 Changes that arrive in quick succession share a batch. For each batch, this voter sends one *barrier* to each
-other voter: a request to report how many of its observers have not applied the batch's changes yet (they
-*lag*). The reply is a *status*. Two modes determine what a scheduler does while it has no lease: it sends no
-jobs (`hold`), or it continues to send (`serve`).
+other voter: a request to report how many of the receiver's observers *lag*, that is, have not applied the
+batch's changes yet. The reply is a *status*. Two modes determine what a scheduler does while it has no lease:
+it sends no jobs (`hold`), or it continues to send (`serve`).
 
 A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
 as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
@@ -203,7 +203,7 @@
             batch.dirty = True
 
     def reconfigured(self, mono_us: int) -> None:
-        """Evaluate the acceptance of all batches again, as the list of voters has changed."""
+        """Evaluate the acceptance of all batches again, as the lists of voters in use have changed."""
         accepted = set(self.acceptance.reevaluate(mono_us))
         for batch in self.batches.values():
             batch.dirty = True
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -3,8 +3,9 @@
 There are two kinds of links: between two voters (`MeshData` carries the frames of `robinhill.mesh.session`),
 and from an observer to a voter. A position is the sequence number of a change in the log of one incarnation
 of one voter; positions of different logs can't be compared. Replicas are compared by the digests of *ranges*:
-the hash of a record's name assigns the record to one of 256 ranges. Times are microseconds; ``at_us`` is Unix
-time. The order of fields and the tags define the wire format and never change.
+the hash of a record's name assigns the record to one of 256 ranges. Changes of *urgent* record kinds are sent
+to observers before all others. Times are microseconds; ``at_us`` is Unix time. The order of fields and the
+tags define the wire format and never change.
 """
 
 from typing import NamedTuple
@@ -44,7 +45,7 @@
 
 
 class MeshData(msgspec.Struct, frozen=True, array_like=True, tag="mesh"):
-    """Frames of the replication session between two voters: records, pings, digests."""
+    """Frames of the replication session between two voters, such as records, pings and digests."""
 
     data: bytes
 
@@ -111,8 +112,8 @@
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
     """The sender waits for these observers, which disconnected without a goodbye.
 
-    A voter that knows a later join of one of them replies with `Migrated`. This repairs the loss of an
-    earlier `Migrated`, or its arrival before the join that it supersedes.
+    A voter that knows a later join of one of them replies with `Migrated`. The reply is needed if an earlier
+    `Migrated` was lost, or arrived before the join that it supersedes.
     """
 
     observers: tuple[ObserverJoin, ...]
@@ -172,7 +173,8 @@
 
 
 class Applied(msgspec.Struct, frozen=True, array_like=True, tag="applied"):
-    """The observer has applied all changes up to ``position``, and all urgent ones up to ``urgent``.
+    """The observer has applied all changes up to ``position``, and all urgent changes up to ``urgent``; -1:
+    the observer is not synchronized yet.
 
     ``received``: number of `RangeRecords`, `Compared` and `Changes` messages received on this link; it
     advances the voter's send window.
@@ -191,8 +193,11 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """Accepts a join. ``resumed``: the voter sends the changes after the position in the join, without a
-    comparison; False: a comparison follows, or the link is spare."""
+    """Accepts a join.
+
+    ``resumed``: the voter sends the changes after the position in the join, without a comparison; False: a
+    comparison follows, or the link is spare.
+    """
 
     voter: str
     incarnation: int
@@ -200,7 +205,7 @@
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag="compare"):
-    """Requests the observer's `Digests`. The voter sends it once it has capacity for a comparison."""
+    """Requests the observer's `Digests`; sent once the voter has capacity for a comparison."""
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
@@ -240,7 +245,8 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True, array_like=True, tag="reply"):
-    """When the voter read heartbeat ``number``, it knew a majority's state that was ``age_us`` old.
+    """When the voter read heartbeat ``number``, it knew a majority's state that was ``age_us`` old: for each
+    voter of a majority, the state that this voter had ``age_us`` earlier.
 
     ``age_us`` -1: it knew no majority's state. The changes up to ``position``, which the voter sent before
     the reply, include all changes that it knew when it read the heartbeat. On a spare link, and if ``number``
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -167,7 +167,8 @@
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Do all work that is due by now."""
+        """Do the work that is due: expiry of records and links, failover, connections, heartbeats and
+        comparisons."""
         if mono_us >= self._collect_due_us:
             self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self.replica.collect(now_us)
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -1,4 +1,5 @@
-"""An observer's links: one to the primary voter, which sends changes and renews the lease, and a spare one.
+"""An observer's links: one to the primary voter, which sends changes and renews the lease, and a spare link
+to another voter, which replaces the primary voter in a failover.
 
 Chooses voters, joins them, sends heartbeats, and detects silent links and the need for a failover. This
 module is independent of records. Times are monotonic microseconds.
@@ -162,7 +163,7 @@
         """Send the heartbeats that are due.
 
         Replies of the primary voter renew the lease if the replica is synchronized. Heartbeats to the spare
-        voter check that it is reachable, and how old the majority's state is that it knows.
+        voter check that it is reachable, and report the age of the majority's state that it knows.
         """
         for link, state in self.by_link.items():
             if mono_us < state.next_heartbeat_us or not state.welcomed:
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -179,7 +179,8 @@
     def remove_expired(self, mono_us: int) -> None:
         """Remove disconnected observers whose leases have expired.
 
-        The caller may use this only where the mode of all kinds is `hold`.
+        The caller may use this only if the mode of all kinds is `hold`, as in the `serve` mode a scheduler
+        continues to send jobs after its lease has expired.
         """
         for name in [name for name in self._departed if self._lease_expired(mono_us, name)]:
             self.remove(name)
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -40,7 +40,8 @@
 class ObserverSessions:
     """The links from the observers of one voter.
 
-    ``age_us`` returns the age of the majority's state that the voter knows at a monotonic time; None: none.
+    ``age_us`` returns the age of the majority's state that the voter knows at a monotonic time, or None if it
+    knows no majority's state.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self._join(mono_us, link, join)
 
     def received(self, now_us: int, mono_us: int, link: Link, message: wire.AnyMessage) -> None:
-        """Process a message other than an offer on a link whose first message was accepted.
+        """Process a message, other than an offer, that follows the first join on a link.
 
         Raises JoinRefused for a malformed or outdated join, or a message that observers don't send.
         """
@@ -137,7 +138,7 @@
         self._grant_comparisons()
 
     def _may_resume(self, join: wire.Join) -> bool:
-        """Whether the observer has all changes of this voter's present incarnation up to some position."""
+        """Whether the observer can resume: its position is in the log of this voter's present incarnation."""
         same_log = join.voter == self.options.name and join.voter_incarnation == self.incarnation
         return same_log and 0 <= join.position <= self.changelog.replica.head
 
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -24,7 +24,7 @@
 
 PINGS_PER_BOUND = 16
 """Pings that a voter sends to each other voter within the bound. A voter's knowledge of the others may be one
-ping interval old, and a lease that it renews is older by this age."""
+ping interval old, and the leases that the voter renews expire earlier by the age of this knowledge."""
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -56,7 +56,7 @@
     """One observer's replica and its position in the primary voter's changes.
 
     ``mono_us`` is monotonic time and ``now_us`` Unix time, in microseconds. After the observer has joined
-    another voter, ``feed_position`` refers to the voter before until the joined voter has replied.
+    another primary voter, ``feed_position`` still refers to the previous one until the new one has replied.
     """
 
     def __init__(self, replica: Replica, outbox: Outbox, rng: Random, mono_us: int) -> None:
@@ -79,7 +79,7 @@
     # The primary voter
 
     def clear(self, without_lease_us: int) -> None:
-        """Drop the position, and all records of kinds that other processes may have dropped as expired.
+        """Drop the position, and the kinds of records that other processes may have dropped as expired.
 
         ``without_lease_us``: how long the observer has had no valid lease.
         """
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -181,7 +181,8 @@
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Do all work that is due by now."""
+        """Do the work that is due: expiry of records and links, connections, changes of the list of voters,
+        and sending of pending messages."""
         if mono_us >= self._collect_due_us:
             self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self._collect(now_us, mono_us)
@@ -213,9 +214,9 @@
     # Status
 
     def age_us(self, mono_us: int) -> int | None:
-        """Return the age of the majority's state that this voter reports to observers; None: it knows none.
+        """Return the age, in microseconds, of the majority's state that this voter reports to observers.
 
-        The age is in microseconds.
+        None: it knows no majority's state, or lacks records that it rejected.
         """
         return self._voter_links.ages.age_us(mono_us)
 
