--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -1,8 +1,9 @@
 """Runs the voters and schedulers of a control group on loopback and injects faults into links and processes.
 
 Voters are linked to each other and schedulers to voters, each link through a relay. The rules checked are
-those of several schedulers under ``hold``, whose guarantees apply under any fault; the voters' copies of the
-records must converge just as the schedulers' copies do.
+those of `robinhill.emulator.rig` in ``hold`` mode, in which a scheduler without a lease stops sending jobs
+and whose guarantees apply under any fault. The voters' copies of the records must converge just as the
+schedulers' copies do.
 """
 
 import asyncio
@@ -66,7 +67,7 @@
 # Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
-"""The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
+"""The longest time from equal copies until all schedulers have a lease, before a schedule begins."""
 
 
 @dataclass(slots=True, eq=False)
@@ -97,7 +98,7 @@
         return [self.relays[pair] for pair in pairs if pair in self.relays]
 
     def address(self) -> str:
-        """The client address of the next scheduler in round-robin order, also if that is not running."""
+        """The client address of the next scheduler in round-robin order, even if it is not running."""
         return self.programs[self.schedulers[next(self._round_robin) % len(self.schedulers)]].listen
 
     async def may_send(self, name: str) -> bool:
@@ -106,10 +107,10 @@
         return status == 200 and reply.get("may_act") is True
 
     async def wait_until_sending_allowed(self, timeout_s: float) -> None:
-        """Wait until all schedulers may send at the same poll.
+        """Poll until all schedulers report in the same poll that they may send.
 
-        A scheduler reports equal copies before its voter can grant a lease. Raises RuntimeError with the
-        names of the schedulers that may not send at the timeout.
+        Equal copies are not enough: a scheduler's copy can equal the others before its voter can grant a
+        lease. Raises RuntimeError with the names of the schedulers that may not send at the timeout.
         """
         missing = list(self.schedulers)
         with contextlib.suppress(TimeoutError):
@@ -139,7 +140,12 @@
 
 @dataclass(slots=True, frozen=True)
 class _Layout:
-    """Names, addresses and files of one rig. ``relays`` are keyed by the connecting process and the voter."""
+    """Names, addresses and files of one rig.
+
+    ``addresses``: the address at which each voter listens for links, by its name. ``relays``: by the
+    connecting process and the voter that it connects to. ``voter_entry``, ``entry``: the arguments of the
+    Python interpreter that runs a voter or a scheduler.
+    """
 
     folder: Path
     site: Site
@@ -166,7 +172,7 @@
         return {"mesh": section | {"on_lost": "hold"}}
 
     async def programs(self, discovery: Discovery, workers: dict[str, Worker]) -> dict[str, Program]:
-        """The programs of all processes by name, with their folders; none is started."""
+        """Create the programs and folders of all processes; returns the programs, not started, by name."""
         programs: dict[str, Program] = {}
         for name in self.names:
             (self.folder / name / "state").mkdir(parents=True)
@@ -211,11 +217,11 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> AsyncIterator[ControlRig]:
-    """Start all processes, synchronize them and wait for send leases; stop all of them after the block.
+    """Start all processes, wait for equal copies and for leases, and stop all processes after the block.
 
-    ``entry`` and ``voter_entry`` are the interpreter's arguments for a scheduler and a voter; tests pass
-    programs with a planted defect. Raises RuntimeError if copies do not become equal or leases are not
-    granted in time.
+    ``entry`` and ``voter_entry`` are the arguments of the Python interpreter that runs a scheduler or a
+    voter; tests pass programs with a planted defect. Raises RuntimeError if copies do not become equal or
+    leases are not granted in time.
     """
     site = Site(KINDS, schedulers=schedulers)
     names = process_names(voters + schedulers)
@@ -280,7 +286,7 @@
 
 
 def idle_schedulers(events: list[Event], schedulers: tuple[str, ...]) -> tuple[str, ...]:
-    """Schedulers that sent no job before the last fault ended, so that no rule about sends was exercised."""
+    """Schedulers that sent no job before the last fault ended; no rule about sends was tested for them."""
     faults_ended = max((e.at for e in events if e.what is EventType.FAULT_ENDED), default=inf)
     sent = {e.scheduler for e in events if e.what is EventType.SENT and e.at <= faults_ended}
     return tuple(name for name in schedulers if name not in sent)
@@ -289,7 +295,7 @@
 def broken(events: list[Event], terms: Limits, voters: tuple[str, ...]) -> list[str]:
     """Descriptions of broken rules about several processes.
 
-    Voters send no jobs, so that sending again after the faults is required of schedulers alone.
+    Voters send no jobs, so only schedulers are required to send again after the faults.
     """
     found = repeated_unsafe_jobs(events, set(UNSAFE))
     found += late_sends(events, terms)
@@ -299,7 +305,11 @@
 
 
 def schedule_of(seed: int, voters: int, schedulers: int) -> Schedule:
-    """The schedule of a seed, restricted to links that exist and to killing at most a minority of voters."""
+    """The schedule of a seed, restricted to links that exist and to killing at most a minority of voters.
+
+    Faults between two schedulers are moved to a link with a voter. A fault that would kill one voter too many
+    or that overlaps an earlier fault of the schedule is dropped.
+    """
     workers = [f"w{i}" for i in range(WORKERS)]
     whole = draw(seed, voters + schedulers, workers)
     voting = whole.names[:voters]
@@ -319,7 +329,10 @@
 
 
 def _move_to_existing_link(fault: Fault, voters: tuple[str, ...], rng: random.Random) -> Fault:
-    """The fault, moved to a link with a random voter if it is between two schedulers, which have no link."""
+    """Return the fault, with a random voter in place of its first target if both targets are schedulers.
+
+    Schedulers have links to voters only.
+    """
     if fault.kind not in LINK_FAULTS or any(name in voters for name in fault.targets):
         return fault
     return replace(fault, targets=(rng.choice(voters), fault.targets[1]))
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -5,7 +5,11 @@
 draws the schedule of faults for that seed, prints it, plays it and reports broken rules; with `--shrink` it
 reduces a failing schedule to the faults that it needs. Each link passes through a relay. Workers, discovery
 and clients are emulated. Each scheduler has an address of its own at each worker, so that the worker can send
-the call-backs to the scheduler that sent the job.
+the call-backs about a job to the scheduler that sent the job.
+
+Each scheduler has a copy of the records, such as cordons, that the schedulers replicate; copies are compared
+by their digests. `--on-lost` is the mode of a scheduler without a lease, which has no recent contact with a
+majority of the schedulers: under `hold` it stops sending jobs, under `serve` it continues.
 """
 
 import argparse
@@ -49,14 +53,14 @@
 
 Json = dict[str, Any]
 WORKERS = 6
-LOAD = 100.0  # requests per second in total, enough that each scheduler sends to each worker within a bound
-BOUND_MS = 1000
+LOAD = 100.0  # requests per second in total, enough for each scheduler to send to each worker in BOUND_MS
+BOUND_MS = 1000  # default upper limit of the time from accepting a cordon to the last send to its worker
 OPERATOR_CALL_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.02  # between two polls of the digests
 LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
 CONVERGENCE_LIMIT_S = 2.0  # the longest time from the end of the last fault to equal copies
-RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
-RECOVERY_LOAD_S = 0.8
+RECOVERY_TIMEOUT_S = 3.0  # the longest time from the request of a cordon until it is in force, without faults
+RECOVERY_LOAD_S = 0.8  # duration of the load with which each scheduler must show that it sends jobs again
 # Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
 CONVERGENCE_GRACE_S = 4.0
 # Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
@@ -89,7 +93,10 @@
 
 @dataclass(slots=True)
 class LatenessMonitor:
-    """Measures how late the event loop runs; the times of events in the journal can be late by as much."""
+    """Measures the delay of the event loop, by which times in the journal can be late.
+
+    ``worst_s``: the longest delay since ``start``.
+    """
 
     worst_s: float = 0.0
     _task: asyncio.Task[None] | None = None
@@ -136,7 +143,7 @@
         self.relays[end, start].set_impairment(impairment, Direction.BACK)
 
     def links(self, fault: Fault) -> list[Relay]:
-        """Both relays of each link that a fault affects."""
+        """The relays of the links that a fault affects: two for each link, one for each end that may dial."""
         if fault.kind is FaultKind.PARTITION:
             ends = [(a, b) for a in fault.targets for b in self.names if b not in fault.targets]
         else:
@@ -148,7 +155,10 @@
     async def call_operator(
         self, name: str, method: str, path: str, body: Json | None = None
     ) -> tuple[int, Json]:
-        """Call a scheduler's operators' API; returns the status and the reply, status 0 without an answer."""
+        """Call a scheduler's operators' API; returns the HTTP status and the JSON object of the reply.
+
+        The status is 0 if the scheduler does not answer. The object is empty if the reply contains none.
+        """
         url = f"http://{self.programs[name].ops}{path}"
         timeout = aiohttp.ClientTimeout(total=OPERATOR_CALL_TIMEOUT_S)
         data = orjson.dumps(body) if body is not None else None
@@ -185,7 +195,10 @@
         return reply
 
     async def digest(self, name: str) -> str | None:
-        """The digest of a scheduler's copy of the records; None without an answer or before catch-up."""
+        """The digest of a scheduler's copy of the records.
+
+        None if the scheduler does not answer, or has not caught up with the other schedulers yet.
+        """
         status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
@@ -199,7 +212,11 @@
         await asyncio.gather(*map(poll, self.names))
 
     async def wait_for_equal_copies(self, within_s: float) -> float | None:
-        """Poll until all copies are equal; returns the seconds since the last fault, None on a timeout."""
+        """Poll until all copies are equal, or until ``within_s`` have passed.
+
+        Returns the seconds from the last fault, start of a scheduler or operator's call to equal copies; None
+        on a timeout.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while equal_after(self.journal.events) is None:
@@ -208,9 +225,10 @@
         return equal_after(self.journal.events)
 
     async def play_and_verify(self, schedule: Schedule, equal_within_s: float) -> float | None:
-        """Play a schedule, wait for equal copies, and check that all schedulers have recovered.
+        """Play a schedule, wait for equal copies, and record whether all schedulers have recovered.
 
-        Returns the seconds from the end of the last fault to equal copies, None if they never became equal.
+        Returns the seconds from the end of the last fault to equal copies, None if they did not become equal
+        within ``equal_within_s``.
         """
         self.journal.events[:] = [e for e in self.journal.events if e.what is not EventType.DIGEST]
         await self.play(schedule)
@@ -237,9 +255,10 @@
                 self.journal.record(EventType.CORDONS_LISTED, kind=" ".join(ids), scheduler=name)
 
     async def check_recovery(self) -> None:
-        """After the last fault, send load to all schedulers, and set a cordon at each until it is in force.
+        """Send requests to all schedulers, then set a cordon at each and record whether it comes into force.
 
-        The journal's rules then judge whether each scheduler has recovered.
+        Called after the last fault. The checker's rules then decide from the journal whether each scheduler
+        has recovered.
         """
 
         async def check_scheduler(name: str, worker: str) -> None:
@@ -300,11 +319,11 @@
     # Clients
 
     def address(self) -> str:
-        """The client address of the next scheduler in round-robin order, also if that is not running."""
+        """The client address of the next scheduler in round-robin order, even if it is not running."""
         return self.programs[self.names[next(self._round_robin) % len(self.names)]].listen
 
     async def load(self, seconds: float, rate: float = LOAD) -> None:
-        """Send requests for this long at ``rate`` per second, and wait for all answers."""
+        """Send requests for ``seconds`` at ``rate`` per second in total, and wait for all answers."""
         await self.clients.play(
             [Tenant(f"t{i}", rate / 4, retries=1, honour_retry_after=False) for i in range(4)], seconds
         )
@@ -334,7 +353,8 @@
             case FaultKind.FULL_DISK:
                 state = self.state(fault.targets[0])
                 state.rename(state.with_suffix(".aside"))
-                state.touch()  # replaced by a file, as write permissions of a folder would not stop root
+                # A file replaces the folder, as a folder without write permission would not stop root.
+                state.touch()
             case _:
                 for relay in self.links(fault):
                     relay.set_impairment(impairment)
@@ -365,7 +385,10 @@
             self.journal.record(EventType.FAULT_ENDED, kind=fault.kind.name, scheduler=affected)
 
     async def play(self, schedule: Schedule) -> None:
-        """Apply faults and operators' calls at their times under load, until all are done and answered."""
+        """Apply the schedule's faults and operators' calls at their times, under load.
+
+        Returns once all faults have ended and all calls and requests are answered or have timed out.
+        """
         loop = asyncio.get_running_loop()
         start = loop.time()
 
@@ -376,7 +399,8 @@
 
         async def fault(planned: Fault) -> None:
             await sleep_until(planned.at_s)
-            # On a slow machine a restart may outlast the fault; the lock delays this process's next fault.
+            # On a slow machine a restart may outlast the fault; the lock then delays the next fault of this
+            # process until the restart is complete.
             async with (
                 process_locks[planned.targets[0]]
                 if planned.kind in PROCESS_FAULTS
@@ -406,7 +430,7 @@
 
 
 def link_impairment(fault: Fault) -> Impairment:
-    """The impairment that a link fault applies to messages."""
+    """The impairment that a link fault applies to messages; none for faults that are injected differently."""
     match fault.kind:
         case FaultKind.LOSS:
             return Impairment(loss=fault.size)
@@ -433,9 +457,9 @@
 ) -> AsyncIterator[Rig]:  # fmt: skip
     """Start a rig, wait until its links are up and all copies equal, and stop it after the block.
 
-    ``mesh`` holds further keys for this section of the operators' file. ``entry`` is the interpreter's
-    arguments; tests pass a program with a planted defect. Raises RuntimeError if copies do not become equal
-    in time.
+    ``mesh``: further keys for the section ``mesh`` of the operators' file. ``entry``: the arguments of the
+    Python interpreter that runs a scheduler; tests pass a program with a planted defect. Raises RuntimeError
+    if copies do not become equal in time.
     """
     site = Site(KINDS, schedulers=processes)
     names, journal, lateness = process_names(processes), AwaitableJournal(), LatenessMonitor()
@@ -498,8 +522,8 @@
     counts: Counter[EventType]
     late_s: float  # the longest delay of the rig's own event loop
     journal: Journal
-    links: dict[str, int]  # sums of the relays' counters
-    # Schedulers that sent no job before the last fault ended; set by the control rig only
+    links: dict[str, int]  # sums of the relays' counters, by the counter's name
+    # Schedulers that sent no job before the last fault ended; only the control rig sets this field.
     idle_schedulers: tuple[str, ...] = ()
 
     def __str__(self) -> str:
@@ -526,7 +550,7 @@
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
-    """The schedule of a seed; with ``only``, a comma-separated list of numbers, just those of its faults."""
+    """The schedule of a seed. ``only``: comma-separated numbers of the faults to retain; None retains all."""
     whole = draw(seed, processes, [f"w{i}" for i in range(WORKERS)])
     if only is None:
         return whole
@@ -567,7 +591,7 @@
     parser = argparse.ArgumentParser(prog="python -m robinhill.emulator.rig", description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--processes", type=int, default=5)
-    parser.add_argument("--only", help="comma-separated numbers of the faults to play, or none")
+    parser.add_argument("--only", help="comma-separated numbers of the faults to play; `none`: no fault")
     parser.add_argument("--on-lost", choices=("hold", "serve"), default="hold")
     parser.add_argument("--bound-ms", type=int, default=BOUND_MS)
     parser.add_argument(
