--- a/robinhill/net/peers/agreed_clock.py
+++ b/robinhill/net/peers/agreed_clock.py
@@ -8,11 +8,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CLOCK_DIFFERENCE_US = 2_000_000  # with a larger difference cordons would end noticeably late or early
+# A larger difference from a peer's clock is logged, as cordons would end noticeably late or early.
+MAX_CLOCK_DIFFERENCE_US = 2_000_000
 
 
 class AgreedClock(Clock):
-    """This host's Unix time, corrected by the median of all peers' clocks."""
+    """This host's Unix time, corrected to the median of this host's clock and the clocks of all known peers.
+
+    ``offset_us``: the correction, added to this host's time; 0 while the difference from the median is small
+    or too few clocks are known.
+    """
 
     def __init__(self, own: Clock) -> None:
         self.own = own
--- a/robinhill/net/peers/dialling.py
+++ b/robinhill/net/peers/dialling.py
@@ -11,10 +11,13 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_BACKOFF_S = 0.05  # doubled with each attempt; the wait is random between 10% and 100% of it
+# The longest wait before the second attempt; it doubles with each further attempt. The actual wait is random,
+# between 10% and 100% of the longest one.
+FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0  # two attempts fit into the 2 s within which replicas must be equal after a partition
-MAX_COUNTED_ATTEMPTS = 16
-# Of two peers, the one with the smaller name dials at once. The other one waits this long for that link.
+MAX_COUNTED_ATTEMPTS = 16  # further attempts are not counted, as the wait is at MAX_BACKOFF_S long before
+# Of two peers, the one with the smaller name dials at once. The other one waits this long for the link from
+# the first, and dials only if there is none.
 ACCEPT_FIRST_S = 0.1
 REPORTED_FROM_ATTEMPT = 3
 REPORT_INTERVAL_S = 60.0  # between two log entries about a peer that stays unreachable
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -37,25 +37,26 @@
 
 log = logging.getLogger(__name__)
 
-HELLO_TIMEOUT_US = 2_000_000
-CONNECT_TIMEOUT_S = 1.0  # for the TCP connection and its upgrade to a websocket
-SERVER_CLOSE_TIMEOUT_S = 0.2
-MAX_LINKS_WITHOUT_HELLO = 16
+HELLO_TIMEOUT_US = 2_000_000  # from the opening of a link to the peer's hello, the first message on a link
+CONNECT_TIMEOUT_S = 1.0  # for opening the TCP connection and upgrading it to a websocket
+SERVER_CLOSE_TIMEOUT_S = 0.2  # for the close frame of a peer that dialled
+MAX_LINKS_WITHOUT_HELLO = 16  # links beyond this number are answered with 503
 MAX_REPORTED_REJECTIONS = 16  # most recent rejections in the status for operators
 SILENCE_TIMEOUT_US = 800_000  # a link without messages for this time plus one ping interval is closed
-# If the periodic check of links is later than this, the process was paused and messages may be unread.
+# If the periodic check of links is late by more than this, the process was paused and messages may be unread.
 PAUSE_THRESHOLD_US = 500_000
 STABLE_LINK_US = 2_000_000  # a link that stays open for this long resets the peer's backoff
-MIN_IDLE_S = 0.001
+MIN_IDLE_S = 0.001  # the shortest wait before a link without a message to write checks for one again
 
 
 class PeerConnections(Actor[PeerMessage]):
     """Maintains one link to each partner, and accepts links from other schedulers up to ``max_links``.
 
     Partners are the peers with which the overlay (``robinhill.mesh.overlay``) links this scheduler; they are
-    a subset of all peers. ``links``: links by peer, after the peer's hello; ``opening``: links before the
-    hello. ``alive`` returns the names of schedulers considered alive: links to other schedulers replace links
-    to partners that are not. ``on_member_message`` receives messages that are not part of replication.
+    a subset of all peers. ``links``: by the peer's name, the links on which the peer's hello was received;
+    ``opening``: links before the peer's hello. ``alive`` returns the names of the schedulers considered
+    alive; if too few partners are alive, this scheduler dials further live schedulers. ``on_member_message``
+    receives the sender's name and the payload of messages that are not part of replication.
     """
 
     def __init__(
@@ -126,7 +127,7 @@
                 self._configure(message)
 
     def wake(self) -> None:
-        """Write changes of the replica to all peers."""
+        """Make all links check for changes of the replica to write."""
         for link in self.links.values():
             link.wake()
 
@@ -160,7 +161,7 @@
     async def _connect(self, name: str) -> str | None:
         """Dial a peer once, and return when the link has ended.
 
-        Returns the reason if dialling failed or the link ended early, None if the link was stable.
+        Returns the reason if dialling failed or the link ended within `STABLE_LINK_US`, None otherwise.
         """
         assert self._client
         address = self._address_of(name)
@@ -263,7 +264,7 @@
     def _reason_to_close(self, link: PeerLink, hello: Hello) -> str | None:
         """Why a new link must be closed; None to keep it.
 
-        Of two links between the same schedulers, both sides keep the same one.
+        If two schedulers have opened two links to each other, both sides choose the same link to keep.
         """
         c = self.configured
         other = self.links.get(hello.name)
--- a/robinhill/net/peers/peer_link.py
+++ b/robinhill/net/peers/peer_link.py
@@ -10,14 +10,14 @@
 from robinhill.mesh.session import Session
 
 MESH_PATH = "/v1/mesh"
-CLOSE_TIMEOUT_S = 0.5  # for the peer's close frame
+CLOSE_TIMEOUT_S = 0.5  # the longest wait for the peer's close frame
 MAX_CLOSE_REASON_BYTES = 120  # fits into a websocket's close frame
 
 Socket = aiohttp.ClientWebSocketResponse | web.WebSocketResponse
 
 
 class PeerLink:
-    """Owns the websocket of a link; the session belongs to the actor that created the link.
+    """Owns the websocket of a link. The session, the protocol's state machine, belongs to the link's creator.
 
     ``address``: the peer's address; ``dialled``: whether this side opened the link; ``opened_us``: monotonic
     time of the opening. ``close_reason``: why this side closed the link, None until then. ``confirmed``:
@@ -37,11 +37,11 @@
 
     @property
     def name(self) -> str:
-        """The peer's name; empty before its hello."""
+        """The peer's name; empty until the peer's hello, the first message on a link, is received."""
         return self.session.peer.name if self.session.peer else ""
 
     def wake(self) -> None:
-        """Check for messages to write."""
+        """Make `run` call ``next_message`` now, as there may be a new message to write."""
         self._wake.set()
 
     def close(self, reason: str) -> None:
@@ -59,12 +59,13 @@
         """Read and write until either side closes the link. Returns the reason.
 
         ``next_message`` returns the next message to write, None if there is none now; ``idle_s`` returns the
-        time after which to call it again even if `wake` is not called. ``on_message`` is called with each
-        received message.
+        time after which to call ``next_message`` again even if `wake` is not called. ``on_message`` is called
+        with each received message.
         """
         reading = asyncio.ensure_future(self._read(on_message))
         writing = asyncio.ensure_future(self._write(next_message, idle_s))
-        closing = asyncio.ensure_future(self._closing.wait())  # a write to an unreachable peer may block
+        # `close` must end the link even while a write to an unreachable peer blocks.
+        closing = asyncio.ensure_future(self._closing.wait())
         try:
             await asyncio.wait([reading, writing, closing], return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -91,7 +92,7 @@
         return self.close_reason or peer_reason or "closed by the peer"
 
     async def _read(self, on_message: Callable[["PeerLink", bytes], None]) -> str:
-        """Pass messages to ``on_message`` until the peer closes the link. Returns the peer's reason."""
+        """Pass messages to ``on_message`` until the link ends. Returns the reason; empty if there is none."""
         while True:
             message = await self.socket.receive()
             if message.type is aiohttp.WSMsgType.BINARY:
--- a/robinhill/net/peers/peer_listener.py
+++ b/robinhill/net/peers/peer_listener.py
@@ -17,7 +17,7 @@
 
 
 class PeerListener:
-    """Serves ``address``; ``accept`` handles each request."""
+    """Listens on ``address`` for the HTTP requests with which peers open links; ``accept`` handles each."""
 
     def __init__(
         self, address: Address, accept: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -27,7 +27,10 @@
         self._runner: web.ServerRunner | None = None
 
     async def run(self) -> None:
-        """Bind the address, which the scheduler's previous process may still hold, and start to serve."""
+        """Bind the address and start to serve; binding is retried until it succeeds.
+
+        The scheduler's previous process may still listen on the address.
+        """
         reported = False
         while True:
             try:
--- a/robinhill/net/peers/peer_messages.py
+++ b/robinhill/net/peers/peer_messages.py
@@ -12,8 +12,8 @@
 class PeerEvents(Protocol):
     """The owner of the replica, which is notified of the links' events.
 
-    Its methods are called directly and not through a mailbox: received records must be applied before a later
-    answer on the same link extends a lease.
+    Its methods are called directly and not through a mailbox: received records must be applied before an
+    answer to a ping, received later on the same link, extends a lease. A link's first message is a hello.
     """
 
     def records_received(self, received: RecordsReceived) -> None:
@@ -63,8 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Configure:
-    """A new configuration: this scheduler's identity, the peers' addresses, and the limits of links.
+    """A new configuration of the links.
 
+    ``identity``: this scheduler's part of the hello; ``addresses``: host:port by the peer's name;
     ``max_links``: maximum number of links; ``interval_us``: interval between pings.
     """
 
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -44,9 +44,13 @@
 
 log = logging.getLogger(__name__)
 
-COLLECT_INTERVAL_S = 1.0
-FINAL_ACKNOWLEDGEMENT_WAIT_S = 0.1  # for the last acknowledgement to reach partners
-RENEW_INTERVAL_S = 60.0  # so that two processes with one name do not raise their incarnations endlessly
+COLLECT_INTERVAL_S = 1.0  # between two removals of expired records
+# Before the links are closed, for partners to receive the acknowledgement that this scheduler sends no more.
+FINAL_ACKNOWLEDGEMENT_WAIT_S = 0.1
+# The shortest time between two renewals of the incarnation. Without it, two processes with the same name
+# would raise their incarnations in turn, endlessly.
+RENEW_INTERVAL_S = 60.0
+# Options that need a restart; a reload does not change them.
 RESTART_OPTIONS = (
     "installation",
     "name",
@@ -54,7 +58,7 @@
     "bound_ms",
     "on_lost",
     "folder",
-)  # not changed by a reload
+)
 
 
 class Replication:
@@ -120,7 +124,10 @@
         )
 
     def _restored_replica(self) -> Replica:
-        """Create a replica with the records of the last process and a larger incarnation."""
+        """Create a replica with the records that this scheduler's last process saved.
+
+        Its incarnation is larger than that of the last process.
+        """
         header, records = self.snapshot_store.load()
         incarnation = next_incarnation(self.clock.own.now_us(), header.incarnation if header else 0)
         replica = Replica(self.name, incarnation, _record_kinds())
@@ -141,7 +148,7 @@
         self.supervisor.spawn(saving, "keep")
 
     async def close(self) -> None:
-        """Send the last acknowledgement, save the last snapshot, then close all links."""
+        """Notify peers that this scheduler sends no more jobs, save a snapshot, then close all links."""
         self.cordons.leave()
         await self.snapshot_store.save(
             self.replica.head, self._snapshot_header(), list(self._persistent_records())
@@ -187,7 +194,8 @@
     def _renew_incarnation(self, incarnation: int) -> None:
         """Switch to a later incarnation than ``incarnation``, which peers know for this scheduler's name.
 
-        Either this host's clock was set back, or another scheduler has the same name.
+        Peers know a later incarnation if this host's clock was set back, or if another scheduler has the same
+        name. Within `RENEW_INTERVAL_S` of the last renewal, the later incarnation is only logged.
         """
         if time.monotonic() - self._renewed_s < RENEW_INTERVAL_S:
             log.error("duplicate_name", extra={"as": self.name, "incarnation": incarnation})
@@ -228,7 +236,11 @@
         ).encode()
 
     def reconfigure(self, options: MeshOptions) -> None:
-        """Use a new list of peers, unless an option has changed that needs a restart."""
+        """Use a new list of peers.
+
+        If an option that needs a restart has changed, or the list is rejected, nothing changes and the reason
+        is logged.
+        """
         changed = [key for key in RESTART_OPTIONS if getattr(options, key) != getattr(self.options, key)]
         if changed or _listen_address(options, self.name) != self.peers.listen:
             log.warning("reload_needs_restart", extra={"keys": ",".join(f"mesh.{k}" for k in changed)})
--- a/robinhill/net/peers/snapshot_restore.py
+++ b/robinhill/net/peers/snapshot_restore.py
@@ -14,8 +14,8 @@
 class RestoreResult:
     """The result of restoring a snapshot.
 
-    ``rejected``: number of records that were rejected or stored with a warning; ``age_us``: the age of the
-    snapshot.
+    ``rejected``: number of records that were rejected or stored with a warning; ``age_us``: time since the
+    snapshot was saved, at least 0.
     """
 
     rejected: int
@@ -27,8 +27,9 @@
 ) -> RestoreResult:
     """Merge the records of a snapshot into ``replica``.
 
-    The records of all kinds whose lifetime may have passed since the snapshot are removed after the merge:
-    other processes may have removed them by now, and this replica would replicate them again.
+    If the lifetime of a kind of records may have passed since the snapshot was saved, its records are removed
+    after the merge: other processes may already have removed these records, and this replica would send them
+    again.
     """
     _, rejected = merge_records(replica, now_us, records)
     log_rejected(rejected)
--- a/robinhill/net/peers/snapshot_store.py
+++ b/robinhill/net/peers/snapshot_store.py
@@ -1,7 +1,7 @@
-"""The snapshot of this scheduler's replica on disk, in one file of $TMPDIR.
+"""The snapshot on disk of a scheduler's or voter's replica, in one file of $TMPDIR.
 
-A new file is written beside the old one, synced and renamed. An invalid file is quarantined and does not end
-the program, as peers have its records.
+A new file is written beside the old one, synced and renamed. An invalid file is quarantined, that is renamed,
+and the process starts without its records, as other processes have them.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 FILE_NAME = "mesh.state"
-QUARANTINE_FILE_NAME = "mesh.state.aside"  # replaced by the next quarantined file
+QUARANTINE_FILE_NAME = "mesh.state.aside"  # holds the last quarantined file only
 SAVE_INTERVAL_S = 1.0
 MAX_BYTES = 256 << 20
 
@@ -26,7 +26,8 @@
 class SnapshotStore:
     """Saves and loads the snapshots of the scheduler or voter ``origin``. Without a folder, nothing is saved.
 
-    ``failing``: whether the last save failed; ``saved_head``: number of the last change in the last snapshot.
+    ``failing``: whether the last save failed; ``saved_head``: number of the replica's last change that the
+    last snapshot contains, -1 if the next periodic save must not be skipped.
     """
 
     def __init__(self, folder: Path | None, installation: str, origin: str) -> None:
@@ -77,7 +78,7 @@
                 await self.save(head(), header(), list(records()))
 
     async def save(self, head: int, header: SnapshotHeader, records: list[Record]) -> None:
-        """Save a snapshot in a thread. The first of consecutive failures is logged; the next save retries."""
+        """Save a snapshot in a thread. Of consecutive failures, only the first one is logged."""
         if not self.folder:
             return
         try:
