--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -26,8 +26,10 @@
 """No connection is accepted beyond this number; the process's limit of descriptors may be lower."""
 
 MIN_TICK_US = 1_000
+"""Shortest delay of the next `tick`, even if the state machine asks for an earlier one."""
+
 REPORT_INTERVAL_S = 60.0
-"""Minimum time between two log entries that a voter is unreachable."""
+"""Minimum time between two log entries that the same voter is unreachable."""
 
 FAILURES_TO_REPORT = 3
 """Consecutive failures after which a voter is reported as unreachable."""
@@ -107,7 +109,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Call ``work`` in the driver's mailbox, as it uses the machine: an operator's call or a reload."""
+    """Call ``work``, such as an operator's call or a reload, while the driver handles this message.
+
+    The state machine, which ``work`` uses, must not be called concurrently.
+    """
 
     work: Callable[[], None]
 
@@ -117,7 +122,10 @@
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Counters of connections and messages since the start of the process."""
+    """Counters of connections and messages since the start of the process.
+
+    ``lost``: connections that ended without a `Disconnect` action of this process.
+    """
 
     opened: int = 0
     lost: int = 0
@@ -212,7 +220,7 @@
             link.close(SHUTDOWN_REASON)
         await self._connections.close()
 
-    # Events of connections, put into the mailbox (ConnectionHandler)
+    # ConnectionHandler: puts the events of connections into the mailbox
 
     def may_accept(self) -> bool:
         """Whether there is capacity for another connection."""
--- a/robinhill/net/control_group/link.py
+++ b/robinhill/net/control_group/link.py
@@ -10,11 +10,11 @@
 
 CONTROL_PATH = "/v1/control"
 CLOSE_TIMEOUT_S = 0.5
-"""For writing the queued messages, and again for the other side's close frame."""
+"""The longest time to write the queued messages, and then again to wait for the other side's close frame."""
 
 MAX_QUEUED_BYTES = 16 << 20
-"""A link with more queued bytes is closed, as the other side reads too slowly. The protocol's send window is
-far smaller."""
+"""A link with more queued bytes is closed, as the other side reads too slowly. The protocol's send window,
+which limits the unconfirmed messages to an observer, is far smaller."""
 
 MAX_CLOSE_REASON_BYTES = 120
 """Fits into a websocket's close frame."""
@@ -25,8 +25,9 @@
 class ControlLink:
     """One end of a connection.
 
-    ``voter``: the dialed voter, None if the connection was accepted. ``close_reason``: why this side closed
-    the connection, None until then.
+    ``number``: the connection's identifier within this process. ``voter``: the dialed voter, None if the
+    connection was accepted. ``queued_bytes``: size of the messages not yet written. ``close_reason``: why
+    this side closed the connection, None until then.
     """
 
     def __init__(self, number: int, socket: Socket, address: str, voter: str | None) -> None:
@@ -51,7 +52,10 @@
         self._wake.set()
 
     def close(self, why: str) -> None:
-        """Close the connection once the queue is written, so that `run` returns. The first reason counts."""
+        """Close the connection once the queue is written, or after a timeout, so that `run` returns.
+
+        Only the first reason is recorded.
+        """
         if self.close_reason is None:
             self.close_reason = why
             self._wake.set()
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -41,10 +41,10 @@
 log = logging.getLogger(__name__)
 
 RESTART_KEYS = ("installation", "name", "bound_ms", "on_lost", "on_lost_by_kind", "region", "zone", "folder")
-"""Keys of `mesh` that a reload does not change."""
+"""Keys of the section `mesh` of the operators' file that need a restart; a reload does not change them."""
 
 MIN_EXPIRY_WAIT_S = 0.005
-"""Minimum delay before the cordons are evaluated again when one of them expires."""
+"""Minimum delay of the timer that evaluates the cordons again when the next of them expires."""
 
 CONFIRMATION_REJECTED = Answer(
     409, b"an observing scheduler does not count for majorities: confirm at a voter (PUT /ops/mesh/vouch)\n"
@@ -106,7 +106,7 @@
         return cordons
 
     def _attach(self) -> None:
-        """Make the dispatcher check cordons before each send, and readiness fail until clients are served."""
+        """Make the dispatcher check cordons before each send, and readiness checks fail until catch-up."""
         self.inbound.catching_up = True
         self.dispatcher.use_cordons(
             self.may_send,
@@ -144,7 +144,10 @@
     # Checks before a send
 
     def may_send(self, worker: ListedEndpoint) -> bool:
-        """Whether a job may be sent to a worker now; called immediately before each write."""
+        """Whether a job may be sent to a worker now; called immediately before a job's request is written.
+
+        A scheduler in `hold` mode sends nothing without a lease.
+        """
         if self._stopped or covers(self.cordons.targets, worker):
             return False
         return not self._requires_lease or self.has_lease()
@@ -201,7 +204,11 @@
         return metric_lines(lines)
 
     def reconfigure(self, mesh: MeshOptions) -> None:
-        """Use a new list of voters, unless a key in `RESTART_KEYS` has changed, which needs a restart."""
+        """Use a new list of voters.
+
+        If a key in `RESTART_KEYS` has changed, which needs a restart, or the list is invalid, nothing changes
+        and the reason is logged.
+        """
         if needs_restart(self.mesh, mesh, RESTART_KEYS):
             return
         try:
@@ -233,8 +240,8 @@
     def _apply_cordons(self) -> None:
         """Derive the cordoned targets from the replica, and pass them to the dispatcher.
 
-        `may_send` uses the new targets as soon as this returns. So the confirmation that the observer sends
-        next is correct even if the dispatcher handles its message later.
+        `may_send` uses the new targets as soon as this method returns. The observer may therefore confirm to
+        its voter that the new cordons are applied, even if the dispatcher handles `CordonsChanged` later.
         """
         targets = self.cordons.update()
         self.dispatcher.tell(CordonsChanged(lambda worker: covers(targets, worker), lambda: None))
--- a/robinhill/net/control_group/recovery.py
+++ b/robinhill/net/control_group/recovery.py
@@ -30,9 +30,10 @@
     now_us: int,
     only_kinds: Collection[str] | None = None,
 ) -> Recovery:
-    """Restore the records that the last process saved in ``folder``, and choose a later incarnation.
+    """Restore the records that the member's last process saved in ``folder``, and choose an incarnation.
 
-    ``only_kinds``: names of the kinds to restore, None for all. Without a folder nothing is restored.
+    The incarnation is later than that of the last process. ``only_kinds``: names of the kinds of records to
+    restore, None for all. Without a folder nothing is restored.
     """
     snapshot_store = SnapshotStore(folder, installation, name)
     header, records = snapshot_store.load()
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -45,7 +45,7 @@
 """Interval for rewriting the records of cordons that last longer than the records' lifetime."""
 
 RESTART_KEYS = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
-"""Keys of `mesh` that a reload does not change."""
+"""Keys of the section `mesh` of the operators' file that need a restart; a reload does not change them."""
 
 
 class VoterProcess:
@@ -131,7 +131,8 @@
     def reload(self) -> None:
         """Apply a changed operators' file, which may add or remove one voter.
 
-        An invalid file, or one that changes more than one voter, changes nothing.
+        An invalid file changes nothing. A file that changes more than one voter, or a key that needs a
+        restart, changes only the logging.
         """
         try:
             new = configuration.load_voter(self.env)
