--- a/robinhill/commands/__init__.py
+++ b/robinhill/commands/__init__.py
@@ -29,9 +29,9 @@
 # Flags of `control` with their environment variables and help texts.
 VOTER_FLAGS = {
     "--operator": ("GW_OPERATOR", "JSON file of the operators, which names all voters"),
-    "--name": ("GW_NAME", "name of this voter there"),
+    "--name": ("GW_NAME", "name of this voter in that file"),
     "--ops": ("GW_OPS", "host:port for operators"),
-    "--folder": ("TMPDIR", "folder for its state"),
+    "--folder": ("TMPDIR", "folder for the voter's state"),
 }
 
 
@@ -125,7 +125,7 @@
 @click.option("--operator", default=None, type=click.Path(exists=True, dir_okay=False))
 @click.pass_context
 def demo(context: click.Context, seconds: float, workers: int, operator: str | None) -> None:
-    """Run a scheduler, workers, discovery and clients on loopback, and show what each tenant gets."""
+    """Run a scheduler, workers, discovery and clients on loopback, and show how each tenant is served."""
     from robinhill.commands.demo import show
 
     context.exit(show(seconds, workers, operator))
@@ -207,7 +207,7 @@
     "wait_s",
     default=None,
     type=click.FloatRange(0, 600),
-    help="seconds to wait until it is in force",
+    help="seconds to wait until the change is in force",
 )
 
 
--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -12,7 +12,7 @@
 from robinhill.commands.exit_codes import FAULTY, OK
 from robinhill.config_types import ConfigError
 
-PLACEHOLDER_SECRET = bytes(16)  # any value serves, since the output contains no hashes
+PLACEHOLDER_SECRET = bytes(16)  # key for hashes of callers; any value serves, as no hash is printed
 
 
 def check(files: tuple[str, ...]) -> int:
@@ -29,7 +29,7 @@
 
 
 def _summary(path: str) -> str:
-    """The summary of a file: one with ``settings`` is the platform's, any other is an operators' file.
+    """The summary of a file. A file with the key "settings" is the platform's, any other an operators' file.
 
     Raises ConfigError if the file is faulty.
     """
--- a/robinhill/commands/control.py
+++ b/robinhill/commands/control.py
@@ -8,7 +8,10 @@
 
 
 def vote(env: Mapping[str, str]) -> int:
-    """Run the voter until SIGTERM. Exit code: 0, or 1 if an actor died, 2 if the configuration is faulty."""
+    """Run the voter until SIGTERM or SIGINT.
+
+    Returns the exit code: 0, or 1 if an actor died, 2 if the configuration is faulty.
+    """
 
     async def run(settings: config.VoterConfig) -> None:
         await VoterProcess(settings, env).run()
--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -1,5 +1,6 @@
-"""`robinhill cordon set | lift | list | wait`: call one scheduler about cordons, which all apply.
+"""`robinhill cordon set | lift | list | wait`: change or list cordons by a call to one scheduler or voter.
 
+All schedulers apply the cordons.
 Each command returns its exit code. The scheduler validates a call; this module sends it and prints the reply.
 """
 
@@ -16,7 +17,7 @@
 
 Json = dict[str, Any]
 CORDONS_PATH = "/ops/cordons"
-RESPONSE_MARGIN_S = 10.0  # added to the time that the scheduler waits, for the timeout of a call
+RESPONSE_MARGIN_S = 10.0  # a call times out this long after the time for which it asks the scheduler to wait
 POLL_INTERVAL_S = 0.1
 EXIT_FAILED = 1  # the call failed or was rejected, or the cordon was not in force in time
 
@@ -95,7 +96,7 @@
 
 
 def wait_until_in_force(ops: str, cordon_id: str, wait_s: float) -> int:
-    """Wait until all schedulers apply an existing cordon. Raises CallFailed after ``wait_s``."""
+    """Wait until all schedulers apply an existing cordon. Raises CallFailed if ``wait_s`` is too short."""
     deadline_s = time.monotonic() + wait_s
     while True:
         (cordon,) = call_scheduler(ops, "GET", _path_of(cordon_id))["cordons"][:1]
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -20,14 +20,15 @@
 
 Json = dict[str, Any]
 REFRESH_S = 1.0
-# The number of small tenants beside a large one, and the load of all tenants relative to the capacity.
+# The number of small tenants beside one large tenant, and the load of all tenants as a multiple of the
+# workers' capacity.
 SMALL_COUNT, LOAD_FACTOR = 8, 1.3
-LARGE_SHARE = 0.6  # of the load, requested by the large tenant
+LARGE_SHARE = 0.6  # share of the load that the large tenant requests
 ADMISSION: Json = {"admission": {"enabled": True}}
 
 
 def show(seconds: float, workers: int, operator: str | None) -> int:
-    """Run the demo for this long, or until Ctrl-C.
+    """Run the demo for ``seconds``, or until Ctrl-C. ``operator``: an operators' file, None for the default.
 
     Returns the exit code: 1 if a rule was broken or the scheduler failed, 2 if the operators' file is faulty.
     """
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -1,6 +1,7 @@
 """`robinhill model`: describe traffic, simulate a situation, and compare two sides on a situation.
 
-A side is a version of the scheduler with its settings.
+A situation is a simulated installation: its duration, traffic, workers, clients and faults. A side is a
+version of the scheduler with its settings.
 """
 
 import subprocess
@@ -31,7 +32,10 @@
 
 
 def situation(name: str) -> Description:
-    """The shipped situation of this name, or the description in this file. Raises DescriptionError."""
+    """The description in the file ``name`` if there is one, otherwise the shipped situation of that name.
+
+    Raises DescriptionError.
+    """
     if Path(name).exists():
         return read(Path(name))
     try:
@@ -43,7 +47,7 @@
 
 @contextmanager
 def version(name: str) -> Iterator[Version]:
-    """A side of a comparison: `this`, a file, a git revision, or several of them joined by `+`.
+    """A side of a comparison: `this` (the running version), a file, a git revision, or several joined by `+`.
 
     A file is an operators' file or an object with "settings", "clients" and "admission". A revision is
     checked out to a temporary git worktree until the end of the context. Raises DescriptionError.
@@ -77,9 +81,10 @@
 
 
 def _is_operators_file(document: object) -> bool:
-    """Whether the document is an operators' file and no side's own file, which has no "log".
+    """Whether the document is an operators' file with the keys "admission" and "log" at most.
 
-    A document with admission alone has the same meaning in both.
+    Any other document is read as a side's file, which has no key "log". A document with the key "admission"
+    alone means the same in both kinds of file.
     """
     if not isinstance(document, dict):
         return False
@@ -111,7 +116,11 @@
 
 
 def describe(source: str, kinds_of: str) -> int:
-    """Print the description of a situation, or fit one to a recording and print that."""
+    """Print the description of a situation, or fit a description to a recording and print the description.
+
+    ``source``: a recording, or the name or JSON file of a situation. ``kinds_of``: for a recording, the
+    situation from which the description takes the job classes, the fleet and the clients.
+    """
     if Path(source).exists() and not source.endswith(".json"):
         base = situation(kinds_of)
         trace = load(Path(source), base.traffic.kinds)
@@ -150,7 +159,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ComparisonOptions:
-    """Options of `model compare`. ``until`` is the precision, as a share, at which the comparison stops."""
+    """Options of `model compare`.
+
+    ``a``, ``b``: the sides, as for `version`; ``on``: the situation; ``trace``: a recording whose requests
+    replace the generated traffic. ``until``: the precision of the difference, as a share, at which the
+    comparison stops. ``processes``: None for one per core.
+    """
 
     a: str
     b: str
@@ -203,7 +217,7 @@
 
 
 def run_and_report_errors(call: object, *arguments: object) -> int:
-    """Run a command and return its exit code; a faulty description, trace or file is printed and gives 2."""
+    """Run a command and return its exit code: 2, with the error printed, for a faulty description or file."""
     assert callable(call)
     logs.configure()
     try:
--- a/robinhill/commands/process.py
+++ b/robinhill/commands/process.py
@@ -1,4 +1,4 @@
-"""Shared by the long-running sub-commands: set-up of logging and configuration, and exit codes."""
+"""The common part of the sub-commands that run a server: logging, configuration and exit codes."""
 
 import asyncio
 import gc
@@ -17,9 +17,9 @@
 def serve_until_end(
     load: Callable[[], Settings], work: Callable[[Settings], Coroutine[Any, Any, None]]
 ) -> int:
-    """Load the configuration and run ``work`` to its end.
+    """Load the configuration with ``load``, and run ``work`` with it to the end.
 
-    Returns the exit code: 0 after the work, 1 if an actor died, 2 if the configuration is faulty.
+    Returns the exit code: 0 once ``work`` has ended, 1 if an actor died, 2 if the configuration is faulty.
     """
     logs.configure()
     try:
--- a/robinhill/commands/run.py
+++ b/robinhill/commands/run.py
@@ -8,7 +8,10 @@
 
 
 def serve(env: Mapping[str, str]) -> int:
-    """Run the scheduler until drained. Exit code: 0, or 1 if an actor died, 2 for a faulty configuration."""
+    """Run the scheduler until it has drained after a signal.
+
+    Returns the exit code: 0, or 1 if an actor died, 2 if the configuration is faulty.
+    """
 
     async def run(settings: config.Config) -> None:
         await Scheduler(settings, env).run()
