--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -96,7 +96,10 @@
 
 
 def wait_until_in_force(ops: str, cordon_id: str, wait_s: float) -> int:
-    """Wait until all schedulers apply an existing cordon. Raises CallFailed if ``wait_s`` is too short."""
+    """Wait until all schedulers apply an existing cordon.
+
+    Raises CallFailed if the cordon is not in force within ``wait_s``.
+    """
     deadline_s = time.monotonic() + wait_s
     while True:
         (cordon,) = call_scheduler(ops, "GET", _path_of(cordon_id))["cordons"][:1]
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -64,7 +64,7 @@
 CONVERGENCE_LIMIT_S = 4.0
 """The longest time from the end of the last fault to equal copies at all voters and schedulers."""
 
-# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
+# Copies are still compared for this time after CONVERGENCE_LIMIT_S, to report how late they become equal.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """The longest time from equal copies until all schedulers have a lease, before a schedule begins."""
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -57,13 +57,14 @@
 BOUND_MS = 1000  # default upper limit of the time from accepting a cordon to the last send to its worker
 OPERATOR_CALL_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.02  # between two polls of the digests
-LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
+LINKS_UP_TIMEOUT_S = 20.0  # the longest time from the start of the schedulers to equal copies
 CONVERGENCE_LIMIT_S = 2.0  # the longest time from the end of the last fault to equal copies
 RECOVERY_TIMEOUT_S = 3.0  # the longest time from the request of a cordon until it is in force, without faults
 RECOVERY_LOAD_S = 0.8  # duration of the load with which each scheduler must show that it sends jobs again
-# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
+# Copies are still compared for this time after CONVERGENCE_LIMIT_S, to report how late they become equal.
 CONVERGENCE_GRACE_S = 4.0
-# Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
+# Jobs are short, so that workers have capacity for further jobs at any moment, and the last job ends soon
+# after the run.
 KINDS = (
     JobKind("member-lookup", 20, 60, 2.5, 1_000, share=0.5),
     JobKind("season-report", 60, 200, 2.0, 2_000, share=0.3),
--- a/robinhill/net/control_group/connections.py
+++ b/robinhill/net/control_group/connections.py
@@ -20,7 +20,7 @@
 from robinhill.net.control_group.link import CLOSE_TIMEOUT_S, CONTROL_PATH, ControlLink, Socket
 
 CONNECT_TIMEOUT_S = 1.0
-"""For the TCP connection and its upgrade to a websocket."""
+"""The longest time for opening a TCP connection and upgrading it to a websocket."""
 
 WEBSOCKET_CLOSE_TIMEOUT_S = 0.2
 LISTENER_SHUTDOWN_TIMEOUT_S = 0.2
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -168,8 +168,9 @@
     """Drives one state machine.
 
     ``address_of``: returns the address at which a voter listens; ``perform_action``: performs an action that
-    does not concern connections; ``after_actions``: called each time after the actions that one call of the
-    machine returned; ``accepted``: the machine's method for accepted connections, if it accepts any.
+    does not concern connections; ``after_actions``: called each time after the actions returned by one call
+    of the machine are performed; ``accepted``: the machine's method for accepted connections, if it accepts
+    any.
     """
 
     def __init__(
--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -52,7 +52,7 @@
 
 
 class ObservingScheduler:
-    """Connects one scheduler to the control group: its voters, its copy of the cordons, and its lease."""
+    """Connects one scheduler to the control group's voters; checks cordons and the lease before each send."""
 
     def __init__(
         self, config: Config, supervisor: Supervisor, clock: Clock, dispatcher: Dispatcher, inbound: Inbound
@@ -71,7 +71,7 @@
         self.snapshot_store = recovery.snapshot_store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
-        # Only for the jitter of reconnections and replica comparisons; scheduling decisions never use it.
+        # Used only for the jitter of reconnections and replica comparisons, never for scheduling decisions.
         rng = random.Random(f"{self.name} {self.incarnation}")
         self.observer = Observer(self.options, self.incarnation, self.replica, rng, mono_us())
         self.driver = Driver(
@@ -163,7 +163,10 @@
         return await call_cordons(self.driver, self.cordons, method, cordon_id, body, wait)
 
     def status(self) -> Answer:
-        """Return the state of this scheduler's replica as JSON, with a digest for comparing replicas."""
+        """Return this scheduler's voters, lease and replica as JSON.
+
+        Replicas can be compared by the digest, which is null until the replica is synchronized.
+        """
         status = self.observer.status(CORDON, mono_us())
         synchronized = self.observer.synchronized
         return make_status_answer(
--- a/robinhill/net/control_group/operator_support.py
+++ b/robinhill/net/control_group/operator_support.py
@@ -23,7 +23,7 @@
 
 
 def traffic_metrics(traffic: TrafficCounters) -> list[str]:
-    """Return the metrics of connections that all members of the control group have."""
+    """Return the metrics of connections and messages that voters and observing schedulers have in common."""
     return [
         f"opened:{traffic.opened}|c",
         f"lost:{traffic.lost}|c",
--- a/robinhill/net/control_group/voter_operators.py
+++ b/robinhill/net/control_group/voter_operators.py
@@ -1,4 +1,4 @@
-"""The operators' server of a voter: the calls that schedulers serve too, and one that only voters serve."""
+"""The operators' server of a voter: calls that schedulers serve too, and the removal of a scheduler."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -63,7 +63,7 @@
         self.snapshot_store = recovery.snapshot_store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
-        # Only for the jitter of reconnections; decisions never use it.
+        # Used only for the jitter of reconnections, never for decisions.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
         self.driver = Driver(
@@ -132,7 +132,7 @@
         """Apply a changed operators' file, which may add or remove one voter.
 
         An invalid file changes nothing. A file that changes more than one voter, or a key that needs a
-        restart, changes only the logging.
+        restart, changes only the options of the log.
         """
         try:
             new = configuration.load_voter(self.env)
@@ -173,7 +173,7 @@
         )
 
     def status(self) -> Answer:
-        """Return the state of this voter's replica as JSON, with a digest for comparing replicas."""
+        """Return this voter's links, majority and replica as JSON; replicas can be compared by the digest."""
         age_us = self.voter.age_us(mono_us())
         return make_status_answer(
             {
@@ -192,7 +192,7 @@
         )
 
     def confirm_complete(self) -> Answer:
-        """Record an operator's confirmation that this voter knows all changes in force."""
+        """Count this voter for majorities: an operator confirms that it knows all changes in force."""
         log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"this voter counts for majorities now\n")
--- a/robinhill/net/peers/agreed_clock.py
+++ b/robinhill/net/peers/agreed_clock.py
@@ -31,7 +31,7 @@
         return self._last_us
 
     def observe(self, peer: str, peer_us: int) -> None:
-        """Update the correction from ``peer_us``, a peer's Unix time in its hello."""
+        """Update the correction from ``peer_us``, the Unix time that a peer has sent on opening a link."""
         offset_us = peer_us - self.own.now_us()
         self._peer_offsets_us[peer] = offset_us
         if abs(offset_us) > MAX_CLOCK_DIFFERENCE_US:
--- a/robinhill/net/peers/peer_connections.py
+++ b/robinhill/net/peers/peer_connections.py
@@ -39,8 +39,8 @@
 
 HELLO_TIMEOUT_US = 2_000_000  # from the opening of a link to the peer's hello, the first message on a link
 CONNECT_TIMEOUT_S = 1.0  # for opening the TCP connection and upgrading it to a websocket
-SERVER_CLOSE_TIMEOUT_S = 0.2  # for the close frame of a peer that dialled
-MAX_LINKS_WITHOUT_HELLO = 16  # links beyond this number are answered with 503
+SERVER_CLOSE_TIMEOUT_S = 0.2  # the longest wait for the close frame of a peer that dialled
+MAX_LINKS_WITHOUT_HELLO = 16  # while as many links await the peer's hello, new ones are answered with 503
 MAX_REPORTED_REJECTIONS = 16  # most recent rejections in the status for operators
 SILENCE_TIMEOUT_US = 800_000  # a link without messages for this time plus one ping interval is closed
 # If the periodic check of links is late by more than this, the process was paused and messages may be unread.
@@ -316,7 +316,10 @@
     # Timer and configuration
 
     def _check_links(self) -> None:
-        """Close silent links, unless this process was paused and messages may be unread."""
+        """Close silent links. After a pause of this process, ping their peers instead.
+
+        Messages that were received during the pause may still be unread.
+        """
         now_us = mono_us()
         interval_us = self.configured.interval_us
         late_us = now_us - self._checked_us - interval_us
--- a/robinhill/net/peers/peer_link.py
+++ b/robinhill/net/peers/peer_link.py
@@ -1,4 +1,7 @@
-"""The transport of one link to a peer: a websocket; each message is created only when it can be written."""
+"""The transport of one link to a peer, a websocket.
+
+Each message is created only when it can be written, so that it contains the newest records.
+"""
 
 import asyncio
 import contextlib
--- a/robinhill/net/peers/peer_messages.py
+++ b/robinhill/net/peers/peer_messages.py
@@ -17,7 +17,7 @@
     """
 
     def records_received(self, received: RecordsReceived) -> None:
-        """Handle the records of a push, which were merged or rejected."""
+        """Handle the records that a peer has pushed, and that the replica has merged or rejected."""
         ...
 
     def hello_received(self, name: str, incarnation: int, peer_us: int) -> None:
@@ -65,7 +65,7 @@
 class Configure:
     """A new configuration of the links.
 
-    ``identity``: this scheduler's part of the hello; ``addresses``: host:port by the peer's name;
+    ``identity``: what this scheduler's hello states about it; ``addresses``: host:port by the peer's name;
     ``max_links``: maximum number of links; ``interval_us``: interval between pings.
     """
 
--- a/robinhill/net/peers/replication.py
+++ b/robinhill/net/peers/replication.py
@@ -45,7 +45,8 @@
 log = logging.getLogger(__name__)
 
 COLLECT_INTERVAL_S = 1.0  # between two removals of expired records
-# Before the links are closed, for partners to receive the acknowledgement that this scheduler sends no more.
+# The wait before the links are closed, in which partners receive the acknowledgement that this scheduler
+# sends no more jobs. Partners are the peers to which it has links.
 FINAL_ACKNOWLEDGEMENT_WAIT_S = 0.1
 # The shortest time between two renewals of the incarnation. Without it, two processes with the same name
 # would raise their incarnations in turn, endlessly.
@@ -175,7 +176,7 @@
     # Events of peer connections
 
     def records_received(self, received: RecordsReceived) -> None:
-        """Handle the records of a push, which were merged or rejected."""
+        """Handle the records that a peer has pushed, and that the replica has merged or rejected."""
         self.cordons.receive_records(received)
 
     def hello_received(self, name: str, incarnation: int, peer_us: int) -> None:
@@ -223,7 +224,7 @@
         return make_status_answer(msgspec.to_builtins(self.cordons.status()) | own)
 
     def confirm_complete(self) -> Answer:
-        """Record an operator's confirmation that this scheduler knows all cordons in force."""
+        """Count this scheduler for majorities: an operator confirms that it knows all cordons in force."""
         self.cordons.confirm_complete("confirmed by an operator")
         return Answer(200, b"this scheduler counts for majorities now\n")
 
