--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -82,7 +82,10 @@
 
 
 def list_cordons(ops: str, as_json: bool) -> int:
-    """Print all cordons, and the schedulers that are not alive or have another list of peers."""
+    """Print all cordons, and the schedulers that are not alive or whose list of peers differs.
+
+    A scheduler's list of peers is compared with that of the called scheduler.
+    """
     listing = call_scheduler(ops, "GET", CORDONS_PATH)
     if as_json:
         click.echo(json.dumps(listing, indent=2))
