--- a/robinhill/net/control_group/observing_scheduler.py
+++ b/robinhill/net/control_group/observing_scheduler.py
@@ -272,7 +272,7 @@
         voters = self.observer.voter, self.observer.spare_voter
         if voters != self._reported_voters:
             self._reported_voters = voters
-            log.info("voters_in_use", extra={"voter": voters[0], "spare": voters[1]})
+            log.info("observed_voters_changed", extra={"voter": voters[0], "spare": voters[1]})
 
     def _start_serving(self) -> None:
         """Start to serve clients, as the replica is synchronized or `catch_up_ms` have passed."""
--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -232,7 +232,7 @@
             case Progressed():
                 self.cordons.record_progress(action)
             case CaughtUp():
-                log.info("counts_for_majorities", extra={"voter": self.config.name})
+                log.info("quorum_participation_started", extra={"voter": self.config.name})
             case VotersSettled():
                 log.info("voters_settled", extra={"voters": ",".join(sorted(self.options.voters))})
 
