--- a/robinhill/net/control_group/voter_process.py
+++ b/robinhill/net/control_group/voter_process.py
@@ -45,7 +45,7 @@
 """Interval for rewriting the records of cordons that last longer than the records' lifetime."""
 
 RESTART_KEYS = ("installation", "bound_ms", "on_lost", "on_lost_by_kind", "folder")
-"""Keys of `mesh` that a reload does not change."""
+"""Keys of the section `mesh` of the operators' file that need a restart; a reload does not change them."""
 
 
 class VoterProcess:
@@ -63,7 +63,7 @@
         self.snapshot_store = recovery.snapshot_store
         self.incarnation = recovery.incarnation
         self.replica = recovery.replica
-        # Only for the jitter of reconnections; decisions never use it.
+        # Used only for the jitter of reconnections, never for decisions.
         rng = random.Random(f"{config.name} {self.incarnation}")
         self.voter = Voter(self.options, self.incarnation, self.replica, URGENT_KINDS, rng, mono_us())
         self.driver = Driver(
@@ -131,7 +131,8 @@
     def reload(self) -> None:
         """Apply a changed operators' file, which may add or remove one voter.
 
-        An invalid file, or one that changes more than one voter, changes nothing.
+        An invalid file changes nothing. A file that changes more than one voter, or a key that needs a
+        restart, changes only the options of the log.
         """
         try:
             new = configuration.load_voter(self.env)
@@ -172,7 +173,7 @@
         )
 
     def status(self) -> Answer:
-        """Return the state of this voter's replica as JSON, with a digest for comparing replicas."""
+        """Return this voter's links, majority and replica as JSON; replicas can be compared by the digest."""
         age_us = self.voter.age_us(mono_us())
         return make_status_answer(
             {
@@ -191,7 +192,7 @@
         )
 
     def confirm_complete(self) -> Answer:
-        """Record an operator's confirmation that this voter knows all changes in force."""
+        """Count this voter for majorities: an operator confirms that it knows all changes in force."""
         log.warning("voter_confirmed", extra={"voter": self.config.name})
         self.driver.tell(Run(self._confirm_complete))
         return Answer(200, b"this voter counts for majorities now\n")
