--- a/robinhill/mesh/__init__.py
+++ b/robinhill/mesh/__init__.py
@@ -1,4 +1,4 @@
 """Replication between schedulers: records, replica, links, failure detector and leases.
 
-Nothing here does I/O or reads a clock: callers pass the time as an argument.
+No module of this package does I/O or reads a clock: callers pass the time as an argument.
 """
--- a/robinhill/mesh/acceptance.py
+++ b/robinhill/mesh/acceptance.py
@@ -9,25 +9,28 @@
 from robinhill.mesh.records import Stamp
 
 MAX_TRACKED_CHANGES = 4_096
-"""Above this limit the oldest change is dropped and reported as not accepted; operators may repeat it."""
+"""Above this limit the change that was tracked first is no longer tracked, and is reported as not accepted.
+
+Operators may repeat such a change."""
 
 
 @dataclass(slots=True)
 class _TrackedChange:
     tracked_since_us: int
-    confirmed_by: dict[str, int] = field(default_factory=dict)  # scheduler -> incarnation that confirmed
-    accepted_us: int | None = None
+    confirmed_by: dict[str, int] = field(default_factory=dict)  # scheduler -> its incarnation that confirmed
+    accepted_us: int | None = None  # monotonic time; None until the change is accepted
 
 
 class Acceptance:
     """Counts the confirmations of changes. An accepted change stays accepted.
 
-    A confirmation counts if the scheduler that wrote it was caught up (`Freshness.caught_up`) *at that
-    moment*: a scheduler that stored the change before it caught up confirms the change again afterwards. The
-    confirmation counts only until a newer incarnation of that scheduler is known. The news of an incarnation
-    must therefore arrive before any confirmation that was written with knowledge of it. That is so because
-    incarnations spread like records, and each link that relays a confirmation first delivers everything that
-    its writer knew. The reasons for both rules are given in `freshness`.
+    A confirmation is a scheduler's statement that it has stored a change. It counts if that scheduler was
+    caught up (`Freshness.caught_up`) *when it wrote the confirmation*: a scheduler that stored the change
+    before it caught up confirms the change again afterwards. The confirmation counts only until a newer
+    incarnation of that scheduler is known. A new incarnation must therefore be received before any
+    confirmation by a scheduler that knew of that incarnation. This holds because incarnations spread like
+    records, and each link that relays a confirmation first delivers everything that the writer of the
+    confirmation knew. The reasons for both rules are given in `freshness`.
     """
 
     def __init__(self, quorum: Quorum) -> None:
@@ -49,7 +52,7 @@
     def started(self, peer: str, incarnation: int) -> None:
         """Record an incarnation of a peer; confirmations by its earlier incarnations no longer count.
 
-        Changes that are accepted already stay accepted.
+        Changes that were accepted earlier stay accepted.
         """
         if incarnation <= self._incarnations.get(peer, 0):
             return
@@ -83,17 +86,20 @@
         ]
 
     def accepted_us(self, stamp: Stamp) -> int | None:
-        """Return when (monotonic) a change was accepted; None if it is not accepted or not tracked."""
+        """Return the monotonic time when a change was accepted; None if it is not accepted or not tracked."""
         change = self._changes.get(stamp)
         return change.accepted_us if change is not None else None
 
     def unconfirmed(self, stamp: Stamp) -> list[str]:
-        """Return the names of schedulers that have not confirmed a change, sorted; all if it is untracked."""
+        """Return the sorted names of the schedulers that have not confirmed a change.
+
+        For a change that is not tracked, these are all schedulers.
+        """
         change = self._changes.get(stamp)
         return sorted(self._quorum.names - (change.confirmed_by.keys() if change is not None else set()))
 
     def oldest_pending_us(self, mono_us: int) -> int:
-        """Return how long the oldest unaccepted change has been tracked; 0 if all are accepted."""
+        """Return the longest time for which an unaccepted change has been tracked; 0 if all are accepted."""
         pending = [change for change in self._changes.values() if change.accepted_us is None]
         return max((mono_us - change.tracked_since_us for change in pending), default=0)
 
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -14,24 +14,26 @@
 
 KIND_NAME = "notice"
 VERSION = 1
-LIFETIME_US = 7 * 86_400_000_000  # longer than the repair of a scheduler takes
-REWRITE_INTERVAL_US = 86_400_000_000
+LIFETIME_US = 7 * 86_400_000_000  # longer than the repair of a scheduler's host takes
+REWRITE_INTERVAL_US = 86_400_000_000  # an unchanged acknowledgement is written again after this time
 MAX_ACKNOWLEDGEMENTS = 4_096  # one for each scheduler, including names that are no longer configured
-MAX_RECENT_CHANGES = 8  # listed one by one; the digest over all changes covers the others
+MAX_RECENT_CHANGES = 8  # changes listed one by one; all others are covered by one digest over all of them
 DIGEST_BYTES = 8
-MAX_BYTES = 4_096
+MAX_BYTES = 4_096  # of an encoded acknowledgement
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
-    """The state that one scheduler has applied. ``sequence`` counts its acknowledgements in this incarnation.
-
-    ``mode`` and ``bound_us``: its settings ``on_lost`` and ``bound_ms``. ``caught_up``: whether it counted
-    towards majorities when it wrote the acknowledgement. ``serving``: whether it accepts clients. ``left``:
-    whether this is its last acknowledgement, written at shutdown after its last send. ``names_digest``:
-    digest of its list of schedulers. ``applied_digest``: digest of all cordons that its dispatcher applies;
-    the dispatcher sends nothing more to the workers concerned after that. ``recent_digests``: the digests of
-    the cordons that changed last, by target. ``incarnations``: the incarnations of other schedulers that it
-    learned of last.
+    """The state that one scheduler, the writer, has applied.
+
+    ``sequence`` counts the writer's acknowledgements in this incarnation. ``mode`` and ``bound_us``: its
+    settings ``on_lost`` and ``bound_ms``. ``caught_up``: whether the writer counted towards majorities when
+    it wrote the acknowledgement. ``serving``: whether it accepts clients. ``left``: whether this is the
+    writer's last acknowledgement, written at shutdown after its last job was sent. ``names_digest``: digest
+    of its list of schedulers. ``applied_digest``: digest of all cordons that its dispatcher has applied and
+    under which the dispatcher sends nothing more to the workers concerned. ``recent_digests``: target and
+    digest of each of the most recently changed cordons; empty while the dispatcher has not applied all
+    changes. ``incarnations``: name and incarnation of the other schedulers that most recently started, as far
+    as the writer knows. Both tuples have at most `MAX_RECENT_CHANGES` entries.
     """
 
     version: int
@@ -55,8 +57,8 @@
 def merge(one: Acknowledgement, other: Acknowledgement) -> Acknowledgement:
     """Return the later of two acknowledgements of a scheduler.
 
-    Two that differ but have the same sequence number come from two processes with one name, or one is
-    damaged; comparing the encoded values makes every copy retain the same one.
+    Two different acknowledgements with the same sequence number come from two processes with one name, or one
+    of the two is damaged. Comparing their encoded values makes every scheduler retain the same one.
     """
     return max(one, other, key=lambda each: (each.incarnation, each.sequence, encode(each)))
 
@@ -101,12 +103,12 @@
 
 
 def list_digest(names: Iterable[str]) -> bytes:
-    """Return a digest of the configured schedulers, by which schedulers with another list are detected."""
+    """Return a digest of the configured names, by which schedulers with different lists are detected."""
     return digest(*(name.encode() for name in sorted(names)))
 
 
 class AppliedDigests:
-    """Digests of applied values by key, and one over all of them, updated with each change."""
+    """The digest of each applied value, by key, and one digest over all values, updated with each change."""
 
     def __init__(self) -> None:
         self._by_key: dict[str, bytes] = {}
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -1,9 +1,12 @@
 """Anti-entropy over one link: rounds that compare digests of ranges to find which records the peer lacks.
 
-One side opens each round with its range digests, and the other side answers with its own. Each side then
-knows which ranges differ, sends the versions of its records in those ranges, and compares the versions of the
-peer with its own to find which records the peer lacks. Those records are only listed here (``pending``); the
-session pushes them.
+A range is a subset of the records, selected by a hash of the record's name. The *version* of a record is its
+kind, its key and a digest of the whole record.
+
+One side opens each round with the digests of its ranges, and the other side answers with the digests of its
+own ranges. Each side then knows which ranges differ, sends the versions of its records in those ranges, and
+compares the versions that it receives with its own records to find which records the peer lacks. This module
+only lists those records (``pending``); the session pushes them.
 """
 
 from collections.abc import Sequence
@@ -20,12 +23,12 @@
 )
 from robinhill.mesh.records import Record, RecordName
 
-MAX_VERSIONS_PER_PART = 512  # a frame with this many, some 20 kB, gets no further part either
+MAX_VERSIONS_PER_PART = 512  # no further part is added to a frame that has this many versions, some 20 kB
 MAX_PARTS_PER_RANGE = 4096
-ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the start of the next
-RESEND_TIMEOUT_US = 300_000  # without a frame of the current round; doubled with each resend request
+ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the start of the next round
+RESEND_TIMEOUT_US = 300_000  # time without a frame of the current round; doubled with each resend request
 MAX_RESEND_TIMEOUT_US = 5_000_000
-MAX_CLOCK_DIFFERENCE_US = 5_000_000  # if the opener's clock differs by more, the answer is as of our own time
+MAX_CLOCK_DIFFERENCE_US = 5_000_000  # above it, the answer's digests are as of our time, not the opener's
 DIGEST_BYTES = 8
 
 
@@ -42,10 +45,11 @@
 
 
 class AntiEntropy:
-    """The anti-entropy rounds of one link. ``opens``: whether this side opens them.
+    """The anti-entropy rounds of one link. ``opens``: whether this side opens the rounds.
 
     ``rounds``: the number of completed rounds. ``differing_count``: the number of ranges that differed in the
-    last round. ``pending``: records that the peer was found to lack, in the order in which they were found.
+    last comparison of digests, 0 before the first one. ``pending``: names of the records that the peer was
+    found to lack, in the order in which the rounds found them.
     """
 
     def __init__(self, store: DigestSource, opens: bool) -> None:
@@ -62,18 +66,18 @@
         self._to_send: list[RangeDigests | VersionsResendRequest] = []  # at most one of each
         self._ranges_to_send: list[int] = []
         self._parts_to_send: list[RangePart] = []
-        self._awaited: set[int] = set()
+        self._awaited: set[int] = set()  # ranges whose versions have not been received completely
         self._received_parts: dict[int, dict[int, RangePart]] = {}  # by range and part, of incomplete ranges
-        self._due_us = 0
+        self._due_us = 0  # monotonic time when `tick` has work to do
         self._timeout_us = RESEND_TIMEOUT_US
 
     @property
     def next_us(self) -> int | None:
-        """When `tick` is due (monotonic); None if nothing is due before the next frame is received."""
+        """The monotonic time when `tick` is due; None if it is not due before the next frame is received."""
         return self._due_us if self._in_progress or self.opens else None
 
     def tick(self, now_us: int, mono_us: int) -> None:
-        """Open a round if one is due, or request again the versions that the current round still awaits."""
+        """Open a round if one is due, or request again the versions that the current round still lacks."""
         if mono_us < self._due_us:
             return
         if self._awaited:
@@ -90,9 +94,10 @@
             self._ranges_to_send = sorted(requested | set(self._ranges_to_send))
 
     def digests_received(self, now_us: int, mono_us: int, frame: RangeDigests) -> None:
-        """Compare the peer's digests with ours. They are the first frame of a round in each direction.
+        """Compare the peer's digests with ours. Digests are the first frame of a round in each direction.
 
-        Raises PeerRejected if the frame is malformed, or if both sides open rounds or both answer.
+        Digests of an earlier round and repeated digests are ignored. Raises PeerRejected if the frame is
+        malformed, or if both sides open rounds or both answer.
         """
         if len(frame.digests) != RANGES * DIGEST_BYTES or frame.answers is not self.opens:
             raise PeerRejected(
@@ -101,7 +106,7 @@
             )
         if frame.answers:
             if frame.round != self._round or self._digests_received:
-                return  # the answer is late or duplicated
+                return  # an answer to an earlier round, or a duplicate of the answer to this round
         elif frame.round <= self._round:
             return
         else:
@@ -114,9 +119,10 @@
         self._progress(mono_us)
 
     def versions_received(self, mono_us: int, frame: RecordVersions) -> None:
-        """Add the records that the peer lacks, by the versions in ``frame``, to ``pending``.
+        """Store the versions in ``frame``, and add the records that the peer lacks to ``pending``.
 
-        Frames of other rounds are ignored.
+        The records of a range are added once all parts of the range are received. Frames of other rounds are
+        ignored.
         """
         if not self._digests_received or frame.round != self._round:
             return
@@ -152,7 +158,10 @@
         return [i for i, their in enumerate(theirs) if int.from_bytes(their, "big") != self._own_digests[i]]
 
     def _add_part(self, part: RangePart) -> None:
-        """Store a part; once its range is complete, add the records that the peer lacks to ``pending``."""
+        """Store a part. If its range is complete, add the records that the peer lacks to ``pending``.
+
+        The peer lacks a record if it has no version of the record or a different one.
+        """
         parts = self._received_parts.setdefault(part.index, {})
         parts[part.part] = part
         if len(parts) < part.parts:
@@ -165,7 +174,7 @@
         self._awaited.discard(part.index)
 
     def _progress(self, mono_us: int) -> None:
-        """Reset the resend timeout after a frame of the round; end the round if nothing more is awaited."""
+        """Reset the resend timeout after a frame of the round; end the round if no versions are awaited."""
         if not self._in_progress:
             return
         self._timeout_us = RESEND_TIMEOUT_US
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -1,12 +1,13 @@
-"""The hybrid logical clock, and the rule for timestamps from the future.
+"""The hybrid logical clock, and the rules for timestamps from the future.
 
-A stamp is later than every stamp that its writer had received and as close to Unix time as that allows
-(Kulkarni et al., "Logical physical clocks", 2014).
+A stamp is the timestamp of a record: Unix time and a count. It is later than every stamp that its writer had
+received, and as close to Unix time as that allows (Kulkarni et al., "Logical physical clocks", 2014). A
+*copy* is the set of all replicated records as one scheduler stores it.
 
-**Stamps from the future.** No copy ever changes a stamp: each would adjust it by its own clock, and copies
-would differ for as long as the clocks do. Stamps and expiry times merge by their maximum on every copy, so
-copies stay equal byte for byte whatever their clocks show. Three rules limit the effect of a stamp from the
-future:
+**Stamps from the future.** No copy ever changes the stamp of a record that it receives: each copy would
+adjust the stamp by its own clock, and copies would differ for as long as the clocks do. Stamps and expiry
+times merge by their maximum on every copy, so copies stay equal byte for byte whatever their clocks show.
+Three rules limit the effect of a stamp from the future:
 
 1. It does not advance other clocks: a stamp more than ``MAX_SKEW_US`` ahead leaves the clock of every process
    that receives it unchanged, so a host with a wrong clock does not spread its time (as it would with plain
@@ -15,14 +16,14 @@
    stamps its next write of that record with the successor of that stamp, even if the successor is in the
    future too. The write therefore wins on all copies.
 3. It extends the lifetime of a record by at most ``MAX_FUTURE_US``: a record whose stamp or expiry time is
-   further ahead than that is rejected. The rejection ends as time passes, so it delays the merge but does not
-   keep copies different for good. ``MAX_FUTURE_US`` is a day, which covers every mistaken time zone, the
-   usual gross error: a cordon from such a host still takes effect, and one from a host whose clock is years
-   ahead is never *accepted*.
+   further ahead than ``MAX_FUTURE_US`` is rejected. The rejection ends as time passes, so it delays the merge
+   but does not keep copies different for good. ``MAX_FUTURE_US`` is a day, which covers every mistaken time
+   zone, the usual gross error: a cordon from a host with the wrong time zone still takes effect, and a cordon
+   from a host whose clock is years ahead is never *accepted* (confirmed by a majority).
 
-Rules 1 and 3 are reported (``StampAhead``). Reducing the stamp on arrival instead would do more harm than the
-wrong clock: a host whose clock shows 1970 would reduce the stamps of all records of all other hosts, and so
-end them.
+A record to which rule 1 or 3 applies is reported (``StampAhead``). Reducing its stamp on arrival instead
+would do more harm than the wrong clock: a host whose clock shows 1970 would reduce the stamps of all records
+of all other hosts, and so end them.
 
 A host whose own clock is wrong lets records expire too early or too late. ``agreed_offset_us`` computes the
 correction that the caller applies to its time before it passes the time to the replica.
@@ -33,18 +34,18 @@
 from robinhill.mesh.errors import FutureStamp
 from robinhill.mesh.records import Record, Stamp
 
-MAX_SKEW_US = 5_000_000  # hosts with NTP differ by far less; a larger difference is a fault to report
-MAX_FUTURE_US = 24 * 3_600_000_000
+MAX_SKEW_US = 5_000_000  # clocks of hosts with NTP differ by far less; a larger skew is a fault to report
+MAX_FUTURE_US = 24 * 3_600_000_000  # a record with a stamp further in the future is rejected (rule 3)
 MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # of a record of any kind, registered in this process or not
 MAX_TIME_US = 2**53 - 1  # the year 2255; JSON readers round larger integers
-MAX_COUNT = 2**32 - 1  # the largest number of writes within one microsecond
+MAX_COUNT = 2**32 - 1  # the largest count of a stamp, which tells writes within one microsecond apart
 MIN_CLOCKS = 3  # if only two clocks are known and they differ, either may be wrong
 
 
 class StampAhead(FutureStamp):
     """A stamp is more than ``MAX_SKEW_US`` in the future.
 
-    ``stored``: the record that the replica stores now, None if it rejected the record.
+    ``stored``: the record that the replica stores after the merge, None if it rejected the received record.
     """
 
     code = "StampAhead"
@@ -69,9 +70,10 @@
     def tick(self, now_us: int, after: Stamp | None = None) -> Stamp:
         """Return a stamp for a write at ``now_us``.
 
-        It is later than ``after``, the stamp of the record that the write replaces.
+        The stamp is later than ``after``, the stamp of the record that the write replaces; None if there is
+        no such record.
         """
-        # The second condition holds after the clock of this host was set back.
+        # The second condition is true after the clock of this host was set back.
         if now_us > self._wall_us or self._wall_us > now_us + MAX_SKEW_US:
             self._wall_us, self._count = now_us, 0
         else:
@@ -82,7 +84,10 @@
         return Stamp(*_next(after.wall_us, after.count), self.origin, self.incarnation)
 
     def observe(self, now_us: int, stamp: Stamp) -> None:
-        """Make later ticks return stamps after ``stamp``, unless it is more than ``MAX_SKEW_US`` ahead."""
+        """Make later ticks return stamps after the received ``stamp``.
+
+        A stamp more than ``MAX_SKEW_US`` ahead of ``now_us`` is ignored.
+        """
         if stamp.wall_us <= now_us + MAX_SKEW_US:
             self._wall_us, self._count = max((self._wall_us, self._count), (stamp.wall_us, stamp.count))
 
@@ -92,9 +97,9 @@
 
 
 def ahead_us(now_us: int, record: Record) -> int:
-    """Return how far a record is in the future: its stamp, or its expiry time minus the longest lifetime.
+    """Return how far a record is in the future, in microseconds; negative if it is in the past.
 
-    Negative if both are in the past.
+    The later of two times counts: its stamp, and its expiry time minus the longest lifetime of any kind.
     """
     return max(record.stamp.wall_us, record.until_us - MAX_LIFETIME_US) - now_us
 
@@ -102,17 +107,18 @@
 def next_incarnation(now_us: int, before: int = 0) -> int:
     """Return the incarnation of a process that starts.
 
-    ``before``: the last known incarnation of the previous process, from disk or from peers.
+    ``before``: the last known incarnation of the previous process, from disk or from peers; 0 if unknown.
     """
     return max(now_us, before + 1)
 
 
 def agreed_offset_us(offsets_us: Iterable[int]) -> int:
-    """Return the correction that moves our time to the median of our clock and those of the peers.
+    """Return the correction that moves our time to the median of our clock and the clocks of the peers.
 
     ``offsets_us``: for each live peer, its time minus ours. The correction is 0 while fewer than
-    ``MIN_CLOCKS`` clocks are known, and if the median is within half of ``MAX_SKEW_US``: such small
-    differences are harmless, whereas a step of the time might not be.
+    ``MIN_CLOCKS`` clocks, ours included, are known. It is also 0 if the median differs from our clock by at
+    most half of ``MAX_SKEW_US``: such a small difference is harmless, whereas a step of our time might not
+    be.
     """
     offsets = sorted([0, *offsets_us])
     if len(offsets) < MIN_CLOCKS:
--- a/robinhill/mesh/delivery_windows.py
+++ b/robinhill/mesh/delivery_windows.py
@@ -1,7 +1,8 @@
 """Receive and send window of a link: which pushes were received, and which are written but not confirmed.
 
-The windows store push numbers and record names only, in bounded memory. A lost push is replaced by a new one
-with the newest values of its records.
+A push is a numbered message with records that the peer lacks; the peer confirms pushes by number. The windows
+store push numbers and record names only, in bounded memory. A lost push is replaced by a new push with the
+newest values of the same records.
 """
 
 from collections.abc import Iterable
@@ -10,7 +11,7 @@
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import RecordName
 
-WINDOW_PUSHES = 64  # pushes in flight; further changes stay in the replica until one is confirmed
+WINDOW_PUSHES = 64  # unconfirmed pushes; further changes stay in the replica until a push is confirmed
 MAX_RESEND_NUMBERS = 64  # lost pushes requested in one frame
 
 
@@ -19,12 +20,12 @@
 
     def __init__(self) -> None:
         self.low = 0
-        self._beyond: set[int] = set()
+        self._beyond: set[int] = set()  # received numbers above ``low``, after a gap
 
     def received(self, number: int, replaces: Iterable[int]) -> None:
-        """Record the number of a push and those of the lost pushes that it replaces.
+        """Record a received push: its number, and the numbers of the lost pushes that it replaces.
 
-        Raises PeerRejected if the peer ignores its send window.
+        Raises PeerRejected if the peer writes more pushes after a lost one than its send window permits.
         """
         for each in (number, *replaces):
             if each > self.low:
@@ -36,16 +37,20 @@
             raise PeerRejected("the peer ignores its send window: too many pushes follow one that was lost")
 
     def missing(self, up_to: int) -> tuple[int, ...]:
-        """Return the first numbers up to ``up_to`` that were not received, at most ``MAX_RESEND_NUMBERS``."""
+        """Return the numbers up to ``up_to`` that were not received, ascending.
+
+        At most the first ``MAX_RESEND_NUMBERS`` are returned.
+        """
         last = min(up_to, self.low + 4 * WINDOW_PUSHES)
         return tuple(n for n in range(self.low + 1, last + 1) if n not in self._beyond)[:MAX_RESEND_NUMBERS]
 
 
 @dataclass(slots=True, frozen=True)
 class SentPush:
-    """A push that was written: the names of its records, and the numbers of the lost pushes it replaces.
+    """A push that was written, with the ``names`` of its records.
 
-    ``cursor_before``: the sender's cursor in the change log before this push.
+    ``cursor_before``: the sender's cursor in the change log before this push; 0 for records that anti-entropy
+    found. ``replaces``: the numbers of the lost pushes that this push replaces.
     """
 
     names: tuple[RecordName, ...]
@@ -54,7 +59,7 @@
 
 
 class SendWindow:
-    """The pushes that are written and not confirmed. ``last``: the number of the latest push."""
+    """The pushes that are written and not confirmed. ``last``: the number of the latest push, initially 0."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -82,7 +87,7 @@
         self._to_resend.update((n, None) for n in numbers if n in self._unconfirmed)
 
     def next_lost(self) -> SentPush | None:
-        """Remove a lost push and return the push that replaces it; None if no push is lost."""
+        """Remove the first lost push and return its replacement, not numbered yet; None if none is lost."""
         while self._to_resend:
             number = next(iter(self._to_resend))
             del self._to_resend[number]
@@ -96,8 +101,8 @@
             del self._unconfirmed[number]
 
     def confirmed_cursor(self, cursor: int) -> int:
-        """Return the change number up to which the peer has received all changes.
+        """Return the number of the change up to which the peer has received all changes.
 
-        ``cursor``: the sender's cursor, which is the result if no push is unconfirmed.
+        ``cursor``: the sender's cursor in the change log, which is the result if no push is unconfirmed.
         """
         return min((push.cursor_before for push in self._unconfirmed.values()), default=cursor)
--- a/robinhill/mesh/digests.py
+++ b/robinhill/mesh/digests.py
@@ -1,9 +1,10 @@
-"""Digests of a copy: one for each of 256 ranges of records, updated with each change.
+"""Digests of one scheduler's copy of the replicated records: one for each of 256 ranges of records.
 
-The hash of its name assigns a record to a range. The digest of a range is the sum, modulo 2**64, of hashes
-that cover the name, stamp, expiry time and value of its records. So a change costs one hash, the order of
-changes does not matter, and equal copies have equal digests. Two copies that differ in a range have equal
-digests of it with probability 2**-64. This detects lost records; it does not protect against an attacker.
+A hash of the record's name assigns each record to a range. The digest of a range is the sum, modulo 2**64, of
+hashes that cover the name, stamp, expiry time and value of its records. So a change costs one hash, the order
+of changes does not matter, and equal copies have equal digests. Two copies that differ in a range have equal
+digests of that range with probability 2**-64. The digests detect lost records; they do not protect against an
+attacker.
 """
 
 import struct
@@ -32,7 +33,7 @@
 
 
 class RangeSums:
-    """The digests of all ranges, as sums of record hashes."""
+    """The digests of all ranges, as sums of record hashes that are updated with each change."""
 
     def __init__(self) -> None:
         self._sums = [0] * RANGES
--- a/robinhill/mesh/errors.py
+++ b/robinhill/mesh/errors.py
@@ -29,7 +29,7 @@
 class ForeignState(MeshError):
     """A record or file is damaged, has an unsupported version or belongs to another installation.
 
-    It is not used.
+    No part of the record or file is used.
     """
 
     code = "ForeignState"
--- a/robinhill/mesh/expiry_index.py
+++ b/robinhill/mesh/expiry_index.py
@@ -1,8 +1,9 @@
 """Index of stored records by the span of time in which they expire.
 
-At the end of a span the records that expire in it stop counting in digests, on all copies at once. They stay
-stored for another ``MAX_SKEW_US``, so that copies whose clocks differ by less compute the same digests as of
-any time.
+Time is divided into spans of ``SPAN_US``. At the end of a span the records that expire in that span are no
+longer included in digests, on the copies of all schedulers at once. The records stay stored for another
+``MAX_SKEW_US``, so that schedulers whose clocks differ by less than that compute equal digests as of the same
+time.
 """
 
 import heapq
@@ -14,7 +15,10 @@
 
 
 def span_of(us: int) -> int:
-    """Return the span at whose end a record that expires at ``us`` stops counting in digests."""
+    """Return the number of the span in which a record expires whose expiry time is ``us``.
+
+    Span n ends at the Unix time n * ``SPAN_US``.
+    """
     return -(-us // SPAN_US)
 
 
@@ -27,11 +31,11 @@
     """Stored records by the span in which they expire."""
 
     def __init__(self) -> None:
-        self._by_span: dict[int, dict[StoredRecord, None]] = {}
-        self._heap: list[int] = []
+        self._by_span: dict[int, dict[StoredRecord, None]] = {}  # the records of a span, oldest entry first
+        self._heap: list[int] = []  # spans, including some without records
 
     def add(self, stored: StoredRecord) -> None:
-        """Add a record under its present expiry time."""
+        """Add a record under its current expiry time."""
         stored.expiry_span = span_of(stored.record.until_us)
         records = self._by_span.get(stored.expiry_span)
         if records is None:
@@ -61,15 +65,16 @@
         return None
 
     def expired(self, span: int) -> list[tuple[int, int]]:
-        """Return range and hash of the records that stopped counting in digests with this span or earlier."""
+        """Return range and hash of the stored records that digests omit from the end of ``span`` on."""
         return [
             (stored.range_index, stored.hash) for end in self._until(span) for stored in self._by_span[end]
         ]
 
     def _until(self, span: int) -> set[int]:
-        """Return the spans up to ``span`` that are not empty.
+        """Return the spans up to ``span`` that contain records.
 
-        Visits only heap entries up to ``span``: every entry below a later one is later too.
+        The search skips the subtree below each heap entry that is later than ``span``, as all entries in that
+        subtree are later too.
         """
         found: set[int] = set()
         to_visit = [0]  # heap positions; the children of position ``at`` are 2 * at + 1 and 2 * at + 2
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -1,26 +1,28 @@
 """Failure detector: which schedulers are alive, suspect, dead or have left, by pings and gossip (SWIM).
 
 Source: Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style process group membership
-protocol", 2002. Suspicion that shortens with independent reporters, and informing the suspect first, are from
-Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018.
+protocol", 2002. Two further rules are from Dadgar, Phillips, Currey, "Lifeguard: local health awareness for
+more accurate failure detection", 2018: the time for a refutation shortens with the number of independent
+reporters, and in a message to a suspect the first update is the suspicion itself.
 
 - Each period one member is pinged, in an order that is shuffled for each round. If its ack does not arrive in
   time, a few other members are asked for an indirect ping. The member becomes *suspect* only if no ack
-  arrives through them either, so one bad link does not make a member suspect.
+  arrives through those members either, so one bad link does not make a member suspect.
 - A suspect that is informed of the suspicion refutes it: it increments the refutation count of its
   incarnation, and that update wins over the suspicion. A suspect that does not refute in time is *dead*, once
   this scheduler has pinged it itself. While this scheduler receives anything from a suspect directly, the
   suspect does not become dead, whatever other members report.
-- Dead members are still pinged, at a lower rate, so that the two sides of a partition find each other again;
-  a member that returns refutes. A restarted member has a larger incarnation, which wins over all updates on
-  earlier ones. A member reports itself as *left* at a graceful shutdown; only a new incarnation changes that.
+- Dead members are still pinged, at a lower rate, so that the two sides of a partition detect each other once
+  the partition ends; a member that is reachable again refutes its death. A restarted member has a larger
+  incarnation, which wins over all updates on its earlier incarnations. A member reports itself as *left* at a
+  graceful shutdown; only a new incarnation changes that state.
 - After a pause of this process (stopped, or its host suspended) every deadline is postponed by the duration
   of the pause, as acks may have arrived that the process has not read. `ProcessPaused` is then the first
   action.
 
-Members are configured; gossip about other names is ignored. Leases do not depend on the failure detector: a
-member may be dead here and still count towards the majority of a lease, or the reverse. No I/O: the owner
-carries out the actions returned.
+Members are the configured schedulers; gossip about other names is ignored. Leases do not depend on the
+failure detector: a member may be dead in this scheduler's view and still count towards the majority of a
+lease, or be alive and not count. The detector does no I/O: its owner carries out the actions returned.
 """
 
 import random
@@ -71,15 +73,15 @@
         self._round = PingRound(rng)
         self._dead_round = PingRound(rng)
         self._in_flight = PingsInFlight()
-        self._periods = 0
-        self._last_called_us: int | None = None
+        self._periods = 0  # number of periods in which a ping was due
+        self._last_called_us: int | None = None  # monotonic time of the last call; None before the first one
         self._next_ping_us = 0
         self.reload(peers)
 
     # Queries
 
     def states(self) -> dict[str, MemberState]:
-        """Return the state of each peer. A peer is dead until something was received from or about it."""
+        """Return the state of each peer. A peer is dead until a message was received from or about it."""
         return {name: member.state for name, member in self.table.members.items()}
 
     def alive(self) -> list[str]:
@@ -97,14 +99,14 @@
         return 0 if member is None else member.incarnation
 
     def last_received_us(self, peer: str) -> int | None:
-        """Return when (monotonic) something was last received from this peer directly; None if never."""
+        """Return the monotonic time when a message was last received directly from a peer; None if never."""
         member = self.table.members.get(peer)
         return None if member is None else member.last_received_us
 
     # Events
 
     def reload(self, peers: Mapping[str, str]) -> None:
-        """Use a new list of peers. Peers of both lists keep their state; new ones are pinged first.
+        """Use a new list of peers. Peers of both lists keep their state; added peers are pinged first.
 
         Raises ValueError if there are more than `MAX_PEERS`.
         """
@@ -118,7 +120,9 @@
         self._dead_round.reload(self.table.members, first=[])
 
     def tick(self, mono_us: int) -> list[Action]:
-        """Expire pings and suspicions and send the next ping. To be called about ten times a second.
+        """Expire pings and suspicions, and send the next ping if it is due.
+
+        To be called about ten times a second.
 
         Returns the actions to carry out, `ProcessPaused` first.
         """
@@ -126,7 +130,7 @@
         self._expire_pings(mono_us)
         self._review_suspects(mono_us)
         if mono_us >= self._next_ping_us:
-            # Without the lower limit, a late tick would be followed by a burst of pings.
+            # Without the minimum of half a period, a late tick would be followed by a burst of pings.
             half_us = self.options.period_us // 2
             self._next_ping_us = max(self._next_ping_us + self.options.period_us, mono_us + half_us)
             self._ping_next(mono_us)
@@ -146,7 +150,7 @@
         self.table.apply(mono_us, message.updates)
         match message:
             case Ping() if message.target == self.me:
-                # A member that has just started joins through any other, whose ack contains all updates.
+                # The ack to a member that has just started contains updates on all members.
                 self._ack(sender, message.number, self.me, self.table.incarnation, full=restarted)
             case PingRequest() if message.target == self.me:
                 self._ack(sender, message.number, self.me, self.table.incarnation)
@@ -159,13 +163,16 @@
         return self._take_actions()
 
     def received_from(self, mono_us: int, peer: str, incarnation: int) -> None:
-        """Record that something of any kind was received from this peer over its link."""
+        """Record that a message of any kind was received from this peer over its link."""
         self._detect_pause(mono_us)
         if peer in self.table.members:
             self.table.received_from(mono_us, peer, incarnation)
 
     def link_lost(self, mono_us: int, peer: str) -> list[Action]:
-        """Ping a peer at once after its link broke, as a crash breaks links before a ping times out."""
+        """Ping a peer at once after the link to it broke.
+
+        A crash of the peer breaks its links earlier than the next regular ping would time out.
+        """
         self._detect_pause(mono_us)
         member = self.table.members.get(peer)
         if member is not None and member.state <= MemberState.SUSPECT:
@@ -197,7 +204,7 @@
         return self.table.has_gossip
 
     def gossip_message(self) -> Gossip:
-        """Return a message with updates only, for a partner; its updates are empty if there are none."""
+        """Return a message with updates only, for a partner; without updates if there are none to spread."""
         return Gossip(self.me, self.table.incarnation, self.table.gossip())
 
     # Pings
@@ -226,7 +233,8 @@
 
     def _needs_ping(self, mono_us: int, member: Member) -> bool:
         if member.state > MemberState.SUSPECT:
-            # Nothing was ever received from or about the member, so it is dead only by default.
+            # A dead member is pinged here only if its state is the initial one: no message was ever received
+            # from it or about it.
             return member.incarnation == 0 and member.last_received_us is None
         return not member.received_within(mono_us, self.options.recent_us)
 
@@ -287,7 +295,7 @@
     def _ping_failed(self, mono_us: int, ping: PingInFlight, member: Member) -> None:
         peer = ping.target
         if member.received_within(mono_us, self.options.recent_us):
-            return  # the messages received on its link show that it is alive
+            return  # messages that were recently received from the member show that it is alive
         if member.state <= MemberState.SUSPECT and ping.attempt < self.options.attempts:
             self._ping(mono_us, peer, ping.attempt + 1)
         elif member.state is MemberState.ALIVE:
@@ -296,10 +304,10 @@
             self.table.add_reporter(peer, self.me)
 
     def _ack(self, peer: str, number: int, target: str, incarnation: int, full: bool = False) -> None:
-        """Send an ack to ``peer``. ``full``: include updates on all members.
+        """Send an ack to ``peer``: ``target`` is alive. ``full``: include updates on all members.
 
-        The ack always includes the state of its target, so that a peer that has missed the target's
-        refutation receives it.
+        The ack always includes the state of ``target``, so that a peer that has missed the target's
+        refutation receives that refutation.
         """
         table = self.table
         updates = table.all_updates() if full else (table.update_of(target), *table.gossip(peer))
@@ -318,10 +326,13 @@
     # Pauses
 
     def _detect_pause(self, mono_us: int) -> None:
-        """Postpone every deadline if this process was paused. To be called before any deadline is checked."""
+        """Postpone every deadline if this process was paused since the last call of the detector.
+
+        To be called before any deadline is checked.
+        """
         last_us, self._last_called_us = self._last_called_us, mono_us
         if last_us is None:
-            # A random first ping keeps schedulers that start together from pinging at the same moment.
+            # A random time of the first ping prevents schedulers that start together from pinging together.
             self._next_ping_us = mono_us + self._rng.randrange(self.options.period_us)
             return
         gap_us = mono_us - last_us
--- a/robinhill/mesh/failure_detector_actions.py
+++ b/robinhill/mesh/failure_detector_actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPing:
-    """Write a ping to ``peer``: on its link if there is one, otherwise in a request of its own."""
+    """Write a ping to ``peer``: on the link to it if there is one, otherwise in a separate request."""
 
     peer: str
     message: Ping
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPingRequest:
-    """Write a request to ``via`` to ping ``peer``."""
+    """Write a request to the member ``via`` to ping ``peer`` on behalf of this scheduler."""
 
     peer: str
     via: str
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessPaused:
-    """This process was paused for ``us``.
+    """This process was paused for ``us`` microseconds.
 
     Always the first action, so that the owner checks its lease before it does anything else.
     """
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -1,9 +1,9 @@
 """Wire format of a link between two schedulers: a message is a MessagePack array of frames.
 
-The protocol tolerates messages that are lost, duplicated or reordered. A plain TCP connection does none of
-this, but no guarantee may depend on the network equipment between two schedulers. Pushes are therefore
-numbered, and every other frame may be sent again. This module encodes and decodes frames; ``session``
-processes them.
+The protocol tolerates messages that are lost, duplicated or reordered. A plain TCP connection does not lose,
+duplicate or reorder messages, but no guarantee may depend on the network equipment between two schedulers.
+Pushes are therefore numbered, and every other frame may be sent again. This module encodes and decodes
+frames; ``session`` processes them.
 """
 
 import hashlib
@@ -24,7 +24,8 @@
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
     """The identity of the sender; the first frame in each direction.
 
-    ``names``: all configured schedulers; the ages in the sender's pongs are in this order. ``now_us``: the
+    ``features``: optional protocol features of the sender; none are defined yet. ``names``: all schedulers
+    that the sender is configured with; the ages in the sender's pongs are in this order. ``now_us``: the
     sender's Unix time.
     """
 
@@ -40,7 +41,8 @@
 class Push(msgspec.Struct, frozen=True, array_like=True, tag="push"):
     """Records that the receiver lacks.
 
-    ``replaces``: numbers of lost pushes whose records are sent again here, in their newest form.
+    ``number``: counts the sender's pushes on this link, from 1. ``replaces``: numbers of lost pushes whose
+    records this push contains with their newest values.
     """
 
     number: int
@@ -51,9 +53,9 @@
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
     """Requests a pong.
 
-    The receiver sends it once it has written everything that it knew when the ping arrived.
-    ``pushed``: the number of the sender's last push before this ping. ``low``: the sender has received all
-    pushes of the receiver up to this number.
+    The receiver sends the pong once it has written every change that it knew when the ping arrived.
+    ``pushed``: the number of the sender's last push before this ping, 0 if there was none. ``low``: the
+    sender has received all pushes of the receiver up to this number.
     """
 
     number: int
@@ -64,12 +66,12 @@
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
     """The answer to the ping of this ``number``.
 
-    The sender's pushes up to ``pushed`` contain everything that it knew when the ping arrived. ``low``: the
-    sender has received all pushes of the receiver up to this number. ``ages_ms``: for each scheduler, in the
-    order of ``names`` in the sender's hello, how old the sender's knowledge of it was when the ping arrived.
-    The ages are rounded up; -1 stands for an unknown age or a scheduler that does not count towards
-    majorities. The sender itself is included if it counts. ``starting_ms``: index in ``names`` and age for
-    each scheduler that does not count yet.
+    The sender's pushes up to ``pushed`` contain every change that the sender knew when the ping arrived.
+    ``low``: the sender has received all pushes of the receiver up to this number. ``ages_ms``: for each
+    scheduler, in the order of ``names`` in the sender's hello, how old the sender's knowledge of that
+    scheduler was when the ping arrived. The ages are rounded up; -1 stands for an unknown age or a scheduler
+    that does not count towards majorities. The sender's own age is 0 if the sender counts towards majorities.
+    ``starting_ms``: index in ``names`` and age for each scheduler that does not count towards majorities yet.
     """
 
     number: int
@@ -86,10 +88,12 @@
 
 
 class RangeDigests(msgspec.Struct, frozen=True, array_like=True, tag="ranges"):
-    """Digests of all ranges, 8 bytes each. ``answers``: the sender answers; False: it opens the round.
+    """Digests of all ranges of the sender's records, 8 bytes each.
 
-    ``at_us``: the Unix time as of which the digests are computed, repeated in the answer; records that have
-    expired by then do not count in them.
+    ``round``: the number of the anti-entropy round on this link. ``answers``: True if the sender answers the
+    receiver's digests, False if the sender opens the round. ``at_us``: the Unix time as of which the digests
+    are computed; records that have expired by then are not included. The answer repeats the time, unless the
+    clocks differ too much.
     """
 
     round: int
@@ -99,7 +103,11 @@
 
 
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
-    """Part ``part`` of ``parts`` of the versions in range ``index``: kind, key and digest of its records."""
+    """One part of the record versions in range ``index``.
+
+    ``part``: the index of this part, from 0, among all ``parts`` of the range. ``versions``: kind, key and
+    digest of each record.
+    """
 
     index: int
     part: int
@@ -108,14 +116,14 @@
 
 
 class RecordVersions(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
-    """The versions of the sender's records in ranges that differ."""
+    """The versions of the sender's records in ranges whose digests differ between sender and receiver."""
 
     round: int
     parts: tuple[RangePart, ...]
 
 
 class VersionsResendRequest(msgspec.Struct, frozen=True, array_like=True, tag="redo"):
-    """Requests the record versions of ranges again, as they were not received."""
+    """Requests the record versions of the ranges ``indices`` again, as the sender has not received them."""
 
     round: int
     indices: tuple[int, ...]
@@ -156,5 +164,5 @@
 
 
 def record_digest(record: Record) -> bytes:
-    """Return the digest by which two copies compare their versions of a record."""
+    """Return the digest by which two schedulers compare their versions of a record."""
     return hashlib.blake2b(_encoder.encode(record), digest_size=RECORD_DIGEST_BYTES).digest()
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -1,38 +1,46 @@
 """The lease by which this scheduler may send: how old its knowledge of a majority of schedulers is.
 
-docs/mesh.md describes the protocol. "We" is this scheduler; a *partner* is a scheduler with a link to it.
+docs/mesh.md describes the protocol. "We" is this scheduler; a *partner* is a scheduler with a link to it. A
+change, such as a cordon, is *accepted* once a majority of schedulers has confirmed that they store it. The
+*bound* is the longest time after a cordon's acceptance during which a scheduler may still send without
+knowledge of the cordon. The *state* of a scheduler is the set of replicated records that it stores.
 
 **The guarantee.** Once the bound has passed since a cordon's acceptance, no scheduler that does not know the
 cordon sends a job. This holds for any behaviour of links, provided that there is never a majority of
 schedulers that have lost their state and not caught up. Proof: a lease at time T means that for each
 scheduler of a majority R, we know everything that it knew at some moment later than T - bound. If the cordon
-was accepted before T - bound, R has a scheduler in common with the majority Q that had stored the cordon by
-then. What that scheduler knew at its moment includes the cordon, unless it lost its state in between;
-``caught_up`` covers that case.
+was accepted before T - bound, R has a scheduler S in common with the majority Q that had stored the cordon by
+then. What S knew at its moment includes the cordon, unless S lost its state between storing the cordon and
+that moment; ``caught_up`` covers that case.
 
 **Moments** are measured by our clock alone: the moment as of which we know a partner is the time at which we
-*wrote* the ping. The partner answered later, so our moment is never later than the true one. Neither the
-duration of ping and answer matters, nor whether the partner was paused between the two. The same argument
-applies if a partner reports how old its own knowledge of a third scheduler was when it answered. Only the
-*rates* of two clocks are compared that way: see `RATE_ALLOWANCE`.
+*wrote* the ping. The partner answered later, so our moment is never later than the time as of which we
+actually know the partner. Neither the duration of ping and answer matters, nor whether the partner was paused
+between the two. The same argument applies if a partner reports how old its own knowledge of a third scheduler
+was when it answered. Such a reported age depends only on the *rates* of the two clocks, not on the times that
+they show: see `RATE_ALLOWANCE`.
 
 **Which schedulers count towards majorities.** A scheduler that lost its state at a start does not count
 towards any majority until `may_catch_up` is true; until then its answers do not include its own name in
-``ages_us``. Equal digests with one peer are sufficient for serving but not for counting: that peer may belong
-to the minority that does not know an accepted cordon. To count again, it needs the state of either of these:
+``ages_us``. Equal digests with one peer are sufficient for accepting clients but not for counting towards
+majorities: that peer may belong to the minority that does not know an accepted cordon. To count again, the
+scheduler needs the state of either of these:
 
 - A majority of schedulers, made up of *others* that count, each as of a moment when it knew our incarnation.
-  That condition makes acceptance safe. Suppose that a scheduler confirmed a cordon, lost its state and caught
-  up from others that do not know the cordon yet. These others then report the new incarnation to the
-  scheduler that waits for acceptance before their own confirmations count, so the old confirmation is
-  discarded (`Acceptance.started`). Source: Michael, Ports, Sharma, Szekeres, "Recovering shared objects
-  without stable storage", 2017; its crash vectors are the incarnations, which spread here like other state.
+  That each of them knew our incarnation makes acceptance safe. Suppose that a scheduler confirmed a cordon,
+  lost its state and caught up from others that do not know the cordon yet. The scheduler that waits for
+  acceptance then receives the new incarnation from these others before it receives their confirmations, so
+  the old confirmation is discarded (`Acceptance.started`). Source: Michael, Ports, Sharma, Szekeres,
+  "Recovering shared objects without stable storage", 2017. The crash vectors of that paper are the
+  incarnations, which spread between schedulers like records.
 - All others, whether they count or not, as of a moment when they knew our incarnation. This covers the first
-  start of a fleet, and the start after all schedulers were down together. No other knowledge exists then.
+  start of a fleet, and the start after all schedulers were down at the same time. Their state is then all the
+  state that exists.
 
-The lease does not cover a process that is paused between its check of the lease and its write; no protocol
-between processes can. The caller therefore checks the lease last, and again after a pause. ``mono_us`` must
-advance while the host is suspended (CLOCK_BOOTTIME, where it is available).
+The lease does not cover a process that is paused between its check of the lease and its write of the job; no
+protocol between processes can prevent a late write. The caller therefore checks the lease last, and again
+after a pause. ``mono_us`` is monotonic time and must advance while the host is suspended (CLOCK_BOOTTIME,
+where it is available).
 """
 
 from collections import deque
@@ -44,22 +52,23 @@
 """Unanswered pings retained for each partner. An answer to an older ping is ignored, which is safe."""
 
 MAX_AGES = 256
-"""Maximum number of entries in an answer; the most recent are chosen. 256 is more than a majority of 500
-schedulers and takes at most 6 KB."""
+"""Maximum number of ages in an answer; the smallest ages are chosen. 256 schedulers are more than a majority
+of 500, and their ages take at most 6 KB."""
 
 RATE_ALLOWANCE = 1_000
-"""An age that another process measured is extended by one part in 1,000, as its clock may run slower than
-ours: NTP changes the rate of a clock by at most 500 ppm."""
+"""An age that another process measured is extended by one part in 1,000, as the clock of that process may run
+slower than ours: NTP changes the rate of a clock by at most 500 ppm."""
 
 NEVER = -(1 << 62)
-"""A moment before all others; the value of `lease_until` if there is no lease."""
+"""A moment before all others; the value of `lease_until` if no majority is known."""
 
 
 class Freshness:
     """The moments as of which the other schedulers are known, and the lease that follows from them.
 
-    The caller sets ``caught_up`` once `may_catch_up` is true, or earlier if the process has read from disk
-    everything that it ever confirmed, or if an operator confirms that no cordon is in force.
+    The caller sets ``caught_up`` once `may_catch_up` is true. It may set ``caught_up`` earlier if the process
+    has read from disk everything that it ever confirmed, or if an operator confirms that no cordon is in
+    force.
     """
 
     def __init__(self, me: str, peers: Iterable[str], bound_us: int) -> None:
@@ -68,16 +77,19 @@
         self.quorum = Quorum(me, peers)
         self._caught_up = False
         self._names = self.quorum.names
-        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}  # by partner: ping number, time written
-        self._counting_moments: dict[str, int] = {}  # of schedulers that counted towards majorities
-        self._starting_moments: dict[str, int] = {}  # of schedulers that did not count yet
-        self._introduced_us: dict[str, int] = {}  # the time from which a peer knows our incarnation
-        self._incarnations: dict[str, int] = {}
+        # By partner: the number of each unanswered ping, and the time when the ping was written.
+        self._pending_pings: dict[str, deque[tuple[int, int]]] = {}
+        # By scheduler: the latest moment as of which it is known while it counted towards majorities.
+        self._counting_moments: dict[str, int] = {}
+        # By scheduler: the latest moment as of which it is known while it did not count yet.
+        self._starting_moments: dict[str, int] = {}
+        self._introduced_us: dict[str, int] = {}  # by peer: the time from which it knows our incarnation
+        self._incarnations: dict[str, int] = {}  # by peer: its newest known incarnation
         self._majority_moment = self._find_majority_moment()
 
     @property
     def caught_up(self) -> bool:
-        """Whether this scheduler counts towards majorities, its own and those of others."""
+        """Whether this scheduler counts towards majorities, here and at the other schedulers."""
         return self._caught_up
 
     @caught_up.setter
@@ -104,17 +116,18 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        """Record the answer to ping ``number``; all changes that precede the answer are stored here.
+        """Record the answer to ping ``number``.
 
-        ``ages_us``: the partner's `ages`, computed after it had received the ping; it must have written all
-        its changes until then before the answer. ``starting_us``: its `starting_ages`. The partner must have
-        received our incarnation in the hello of the link. Unknown and duplicated numbers are ignored.
+        ``ages_us``: the partner's `ages`, computed after it had received the ping. ``starting_us``: the
+        partner's `starting_ages`, computed at the same time. To be called once this scheduler has stored all
+        changes that the partner knew when it computed the ages. The partner must have received our
+        incarnation in the hello of the link. Unknown and duplicated numbers are ignored.
         """
         pings = self._pending_pings.get(partner)
         if pings is None or all(pending != number for pending, _ in pings):
             return
         written_us = mono_us
-        while pings:  # the link is ordered, so no answers to earlier pings can follow
+        while pings:  # the link is ordered, so no answer to an earlier ping can follow this answer
             pending, written_us = pings.popleft()
             if pending == number:
                 break
@@ -126,19 +139,19 @@
     def introduced(self, mono_us: int, peer: str) -> None:
         """Record that a peer without a link to us knows our incarnation.
 
-        The peer's acknowledgement, which other peers relay, names our incarnation.
+        The evidence is the peer's acknowledgement, which other peers relay and which names our incarnation.
         """
         if peer in self._names:
             self._introduced_us.setdefault(peer, mono_us)
 
     def started(self, peer: str, incarnation: int) -> None:
-        """Record an incarnation of a peer, which its hello or another peer has reported.
+        """Record an incarnation of a peer, which the peer's hello or another peer has reported.
 
         The hello of a link must be recorded before any ping on that link.
 
         If the peer has restarted, the moments of its previous process are dropped, so that they do not help
-        this scheduler to catch up. They do not extend the lease any more either, although that would be safe:
-        what the previous process knew at a moment remains true.
+        this scheduler to catch up. The dropped moments do not extend the lease any more either, although that
+        would be safe: our knowledge of what the previous process knew at a moment remains correct.
         """
         previous = self._incarnations.get(peer, 0)
         if peer not in self._names or incarnation <= previous:
@@ -149,18 +162,19 @@
             self._majority_moment = self._find_majority_moment()
 
     def ages(self, mono_us: int) -> dict[str, int]:
-        """Return the age of our knowledge of each scheduler that counts, the `MAX_AGES` most recent.
+        """Return the ages, in microseconds, of our knowledge of schedulers that count towards majorities.
 
-        Sent in answers to pings. Includes this scheduler, with age 0, only if it counts.
+        Answers to pings contain these ages; at most the `MAX_AGES` smallest ones are returned. This scheduler
+        is included, with age 0, only if it counts towards majorities itself.
         """
         own = {self.me: 0} if self._caught_up else {}
         return own | self._most_recent(self._counting_moments, mono_us, MAX_AGES - len(own))
 
     def starting_ages(self, mono_us: int) -> dict[str, int]:
-        """Return the age of our knowledge of each scheduler that does not count yet, the most recent.
+        """Return the ages, in microseconds, of our knowledge of schedulers that do not count yet.
 
-        Sent in answers to pings, with at most `MAX_AGES` entries. Includes this scheduler, with age 0, only
-        if it does not count.
+        Answers to pings contain these ages; at most the `MAX_AGES` smallest ones are returned. This scheduler
+        is included, with age 0, only if it does not count towards majorities yet.
         """
         own = {} if self._caught_up else {self.me: 0}
         counts = self._counting_moments
@@ -168,7 +182,10 @@
         return own | self._most_recent(starting, mono_us, MAX_AGES - len(own))
 
     def age_us(self, mono_us: int) -> int | None:
-        """Return the age of our knowledge of a majority; None if no majority is known."""
+        """Return the age of our knowledge of a majority, in microseconds; None if no majority is known.
+
+        This is the smallest age that the knowledge of each scheduler of some majority does not exceed.
+        """
         if self._majority_moment is None:
             return None
         return max(0, mono_us - self._majority_moment)
@@ -178,9 +195,9 @@
         return self._majority_moment is not None and mono_us - self._majority_moment <= self.bound_us
 
     def lease_until(self, mono_us: int) -> int:
-        """Return when the lease ends if no further answer is received.
+        """Return the monotonic time when the lease ends if no further answer is received.
 
-        The time may be in the past; it is `NEVER` if no majority is known.
+        The time may be in the past. It is `NEVER` if no majority is known.
         """
         if self._majority_moment is None:
             return NEVER
@@ -194,18 +211,21 @@
         return self._counting_moments.get(peer)
 
     def may_catch_up(self) -> bool:
-        """Whether all changes that were ever accepted are known here, so that `caught_up` may be set."""
+        """Whether all changes that were ever accepted are stored here, so that `caught_up` may be set."""
         return self._majority_of_others() or all(
             self._known_since_introduced(peer, with_starting=True) for peer in self._names if peer != self.me
         )
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Use a new list of schedulers. Until `settle`, majorities of the old and the new one are needed."""
+        """Use a new list of schedulers.
+
+        Until `settle` is called, a majority of the old list and a majority of the new list are needed.
+        """
         self.quorum.reconfigure(peers)
         self._list_changed()
 
     def settle(self) -> None:
-        """Drop all lists of schedulers but the newest; `Quorum.settle` explains when that is safe."""
+        """Drop all lists of schedulers but the newest list; `Quorum.settle` explains when that is safe."""
         self.quorum.settle()
         self._list_changed()
 
@@ -233,14 +253,14 @@
                 if peer == self.me or peer not in self._names:
                     continue
             elif previous >= written_us - age_us:
-                continue  # an early exit: most entries of most answers are older than the known moment
+                continue  # saves the computation below: most ages in most answers imply no later moment
             age_us = max(0, age_us)  # a negative age would extend a lease into the future
             moment = written_us - age_us - (age_us + RATE_ALLOWANCE - 1) // RATE_ALLOWANCE
             if previous is None or moment > previous:
                 moments[peer] = moment
 
     def _most_recent(self, moments: Mapping[str, int], mono_us: int, limit: int) -> dict[str, int]:
-        """Return the ages of at most ``limit`` moments, the most recent ones."""
+        """Return the ages of at most ``limit`` moments, the latest ones."""
         if len(moments) > limit:
             moments = dict(sorted(moments.items(), key=lambda item: (-item[1], item[0]))[:limit])
         return {peer: mono_us - at for peer, at in moments.items()}
@@ -249,9 +269,10 @@
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        """Whether a majority of the schedulers, without this one, counts towards majorities.
+        """Whether the other schedulers that meet both of the following conditions are a majority.
 
-        Each of them must be known as of a moment when it knew our incarnation.
+        We know the scheduler as of a moment when it counted towards majorities, and when it knew our
+        incarnation.
         """
         return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
