--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -211,7 +211,7 @@
         return self._counting_moments.get(peer)
 
     def may_catch_up(self) -> bool:
-        """Whether all changes that were ever accepted are stored here, so that `caught_up` may be set."""
+        """Whether this scheduler stores every change that was ever accepted; `caught_up` may be set then."""
         return self._majority_of_others() or all(
             self._known_since_introduced(peer, with_starting=True) for peer in self._names if peer != self.me
         )
--- a/robinhill/mesh/merging.py
+++ b/robinhill/mesh/merging.py
@@ -3,8 +3,8 @@
 **The merge rule** is `merged`. Value, stamp and expiry time merge independently: the value by the rule of its
 kind, the stamp and the expiry time to the larger of the two. Each of these merges is commutative, associative
 and idempotent, and therefore the merge of records is too. For a known kind the stamp does not decide which
-value wins: it names the last writer and ranks records for eviction. For a kind that this process does not
-know, the value with the larger stamp wins.
+value wins: the stamp names the last writer and ranks records for eviction. For an *unknown* kind, one that is
+not registered in this process, the value with the larger stamp wins.
 """
 
 from typing import Any
@@ -14,18 +14,19 @@
 from robinhill.mesh.record_table import NOT_DECODED
 from robinhill.mesh.records import Kind, Record
 
-MAX_MERGED_VALUE_BYTES = 256 << 10  # a cordon takes some 100 bytes, evidence of 200 schedulers 10,000
+MAX_MERGED_VALUE_BYTES = 256 << 10  # a cordon takes some 100 bytes, evidence of 200 schedulers some 10,000
 MAX_NAME_CHARACTERS = 512  # of a record's key or origin
 MAX_KIND_CHARACTERS = 64
 MAX_INCARNATION = 2**63
 
 
 def merged(kind: Kind[Any] | None, a: Record, b: Record) -> Record:
-    """Merge two versions of a record to the one that every copy stores once it has received both.
+    """Merge two versions of a record to the version that every copy stores once it has received both.
 
-    For an unknown kind (None), the value with the larger stamp wins. If the stamps are equal, a process that
-    knows the kind has merged one of the values; the longer one wins, then the larger. Raises ForeignState if
-    the kind can't decode a value.
+    For an unknown kind (None), the value with the larger stamp wins. If the stamps are equal but the values
+    differ, one of the values is the result of a merge by a process that knows the kind; the longer value
+    wins, or the larger one if both have the same length. Raises ForeignState if the kind can't decode a
+    value.
     """
     return merge_with_value(kind, a, b)[0]
 
@@ -33,9 +34,10 @@
 def merge_with_value(
     kind: Kind[Any] | None, a: Record, b: Record, value_of_a: object = NOT_DECODED
 ) -> tuple[Record, object]:
-    """Merge two versions as `merged` does, and return the decoded value too, or `NOT_DECODED`.
+    """Merge two versions as `merged` does, and return the result and its decoded value.
 
-    ``value_of_a``: the value of ``a`` if it has been decoded before.
+    ``value_of_a``: the decoded value of ``a``, or `NOT_DECODED`. The value returned is `NOT_DECODED` if the
+    merge did not need to decode it.
     """
     value: object = NOT_DECODED
     if kind is None:
@@ -70,7 +72,7 @@
 
 
 def malformed_reason(record: Record) -> str:
-    """Return why a record of any kind is malformed; an empty string if it is not."""
+    """Return the reason why a record of any kind is malformed; an empty string if it is well-formed."""
     stamp = record.stamp
     if (
         not 0 < len(record.kind) <= MAX_KIND_CHARACTERS
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -1,4 +1,6 @@
-"""Settings of replication between schedulers, as in the operators' file. The names of the keys end in units.
+"""Settings of replication between schedulers, as in the operators' file.
+
+A setting with a unit has the unit at the end of its name: ``bound_ms`` is in milliseconds.
 
 This is the only module of the mesh that a scheduler without peers imports, so it must stay small.
 """
@@ -10,7 +12,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")]
 HostPort = Annotated[str, Meta(max_length=128, pattern=r"^.+:[0-9]{1,5}$")]
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]{1,64}$")]
-MAX_FULL_MESH_PEERS = 16  # with up to this many peers every scheduler has a link to every other
+MAX_FULL_MESH_PEERS = 16  # with up to this many peers every scheduler has a link to every other scheduler
 MAX_PEERS = 999
 
 
@@ -25,17 +27,20 @@
 class MeshOptions(Struct, frozen=True, forbid_unknown_fields=True):
     """Which schedulers replicate to each other, and how late a cordon may take effect.
 
-    Replication is disabled without ``peers``, which may include this scheduler, so that all schedulers can
-    use the same file. ``name`` defaults to the scheduler's name, ``listen`` to its address among ``peers``.
-    ``bound_ms``: the longest time after the acceptance of a cordon during which a dispatcher that does not
-    know it may still send. ``on_lost``: whether a scheduler without a lease continues to ``serve`` or holds
-    new work (``hold``). ``catch_up_ms``: how long a scheduler that has just started waits for the state of
-    its peers before it serves without that state. ``folder``: whether the scheduler saves a snapshot of its
-    copy in $TMPDIR. ``gang_*``: headers in which a job names its gang, the size of the gang and its index.
+    ``peers``: name and address of each scheduler; may include this scheduler, so that all schedulers can use
+    the same file. Replication is disabled if ``peers`` is empty. ``installation``: links to schedulers of
+    another installation are rejected. ``name`` defaults to the scheduler's name, ``listen`` to its address
+    among ``peers``. ``bound_ms``: the longest time after the acceptance of a cordon during which a dispatcher
+    that does not know the cordon may still send jobs. ``on_lost``: whether a scheduler without a lease
+    continues to send jobs (``serve``) or sends no new ones until it has a lease (``hold``). ``partners``: the
+    maximum number of links of this scheduler. ``catch_up_ms``: how long a scheduler that has just started
+    waits for the state of its peers before it accepts clients without that state. ``folder``: whether the
+    scheduler saves a snapshot of its replicated records in $TMPDIR. ``gang_*``: headers in which a job names
+    its gang, the size of the gang and the job's index in the gang.
 
     ``voters``: the control group, which replaces ``peers`` (docs/control.md). ``regions``: all regions of the
     installation and their zones, to validate locations. ``region`` and ``zone``: the location of this
-    scheduler. ``on_lost_by_kind``: overrides ``on_lost`` for the kinds of records named.
+    scheduler. ``on_lost_by_kind``: overrides ``on_lost`` for the listed kinds of records.
     """
 
     installation: Name = "robinhill"
@@ -69,10 +74,10 @@
 
     @property
     def interval_us(self) -> int:
-        """The interval between pings on a link.
+        """The interval between pings on a link: a third of the bound in a full mesh, otherwise a sixth.
 
         Each link on the path from one scheduler to another adds at most one interval to the age of what the
-        second knows about the first. A path has one link in a full mesh, and at most four among 200
-        schedulers. The rest of the bound is for network delay.
+        second scheduler knows about the first. A path has one link in a full mesh, and at most four among 200
+        schedulers. The part of the bound that the intervals do not use is for network delay.
         """
         return self.bound_ms * 1000 // (3 if len(self.peers) <= MAX_FULL_MESH_PEERS else 6)
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -1,18 +1,19 @@
 """The overlay network: which schedulers have a link to each other.
 
-Links are symmetric, each scheduler has at most 16, and failures hardly partition the network. Up to 17
+Links are symmetric, each scheduler has at most 16 links, and failures hardly partition the network. Up to 17
 schedulers form a full mesh. More schedulers form a ring, sorted by name, with links at fixed distances in
-both directions: to the neighbours, and three pairs of fingers (long-distance links) whose distances grow by a
-constant factor. This has the following properties:
+both directions: to the neighbours, and three pairs of fingers (long-distance links) in each direction, whose
+distances grow by a constant factor. The distance of two schedulers is the number of steps along the ring. A
+*partner* of a scheduler is another scheduler with a link to it. The overlay has the following properties:
 
 - Both ends compute a link from the operators' list alone, and every scheduler has the same number of links.
 - Among 200 schedulers every other one is reached over at most 4 links.
 - Long fingers skip neighbouring names, such as the hosts of one rack, which fail together.
-- As fingers come in pairs, both ends of each link have at least two partners in common, which can send
-  indirect pings over existing links.
+- As the two fingers of a pair differ by one in distance, and neighbours are linked, both ends of each link
+  have at least two partners in common, which can send indirect pings over existing links.
 
 Alternatives: a full mesh needs 19,900 links for 200 schedulers; random partners must be agreed on and
-repaired after each change; a Chord ring has one-way links and no bound on those into one scheduler.
+repaired after each change; a Chord ring has one-way links and no bound on the links into one scheduler.
 
 Links are computed from the *configured* names, not from the live ones: otherwise each crash would move most
 fingers, and schedulers whose views differ for a moment would open the wrong links. Instead, a scheduler with
@@ -24,9 +25,9 @@
 from itertools import chain
 
 MAX_LINKS = 16  # of a scheduler, including those that its peers opened
-DISTANCES_PER_DIRECTION = 7  # on a ring: 14 links, so that two are free for repair
+DISTANCES_PER_DIRECTION = 7  # on a ring: 14 links, so that two of the 16 are free for repair
 MAX_DISTANCE_SHARE = 0.4  # of the ring; at 0.5 the fingers of both directions would end at the same scheduler
-MIN_LIVE_PARTNERS = 4  # a scheduler with fewer opens further links
+MIN_LIVE_PARTNERS = 4  # a scheduler with fewer live partners opens further links
 
 
 def partners(me: str, names: Iterable[str]) -> list[str]:
@@ -42,10 +43,11 @@
 
 
 def opens_link(me: str, peer: str, names: Iterable[str]) -> bool:
-    """Whether ``me`` opens the link to ``peer``, rather than accepting it.
+    """Whether ``me`` opens the link to ``peer``; otherwise ``peer`` opens it.
 
-    The end from which the other is nearer in the forward direction of the ring opens the link, so that each
-    scheduler opens half of its links. If both distances are equal, the scheduler with the smaller name does.
+    Forward is the direction of ascending names. ``me`` opens the link if the forward distance from ``me`` to
+    ``peer`` is smaller than the backward distance, so that each scheduler opens half of its links. If both
+    distances are equal, the scheduler with the smaller name opens the link.
     """
     ring = _ring(me, names)
     forward = ring.index(peer)
@@ -56,8 +58,9 @@
 def repair_partners(me: str, names: Iterable[str], alive: Collection[str]) -> list[str]:
     """Return further schedulers to open links to while fewer than `MIN_LIVE_PARTNERS` partners are alive.
 
-    These are the nearest live schedulers on the ring, in both directions. Each accepts the link while it has
-    fewer than `MAX_LINKS`. If one rejects it, the caller removes that one from ``alive`` and tries again.
+    These are the nearest live schedulers on the ring, in both directions. Each of them accepts the link while
+    it has fewer than `MAX_LINKS` links. If a scheduler rejects the link, the caller removes that scheduler
+    from ``alive`` and calls this function again.
     """
     ring = _ring(me, names)
     own = set(partners(me, ring))
--- a/robinhill/mesh/ping_rounds.py
+++ b/robinhill/mesh/ping_rounds.py
@@ -6,7 +6,7 @@
 
 from robinhill.mesh.member_table import Member
 
-MAX_PINGS_IN_FLIGHT = 64  # including pings on behalf of others; only a flood of requests would exceed it
+MAX_PINGS_IN_FLIGHT = 64  # including pings on behalf of others; only a flood of such requests can exceed it
 
 
 class PingRound:
@@ -17,11 +17,17 @@
         self._names: list[str] = []  # members still to be pinged in this round, the next one last
 
     def reload(self, members: dict[str, Member], first: list[str]) -> None:
-        """Drop names that are no longer members. `next` then returns those in ``first``, from its end."""
+        """Drop names that are no longer members, and make `next` return the names in ``first`` first.
+
+        Their order is reversed: the last name in ``first`` is returned by the next call.
+        """
         self._names = [name for name in self._names if name in members] + first
 
     def next(self, members: dict[str, Member], eligible: Callable[[Member], bool]) -> str | None:
-        """Return the next eligible member, skipping ineligible ones; None if no member is eligible."""
+        """Return the name of the next eligible member, skipping others; None if no member is eligible.
+
+        A new round starts once all members of the current round were returned or skipped.
+        """
         for _ in range(2):
             while self._names:
                 name = self._names.pop()
@@ -34,17 +40,17 @@
 
 @dataclass(slots=True)
 class PingInFlight:
-    """A ping that awaits an ack: our own, or one on behalf of ``requester``.
+    """A ping that awaits an ack: this scheduler's own ping, or a ping on behalf of ``requester``.
 
-    ``requester_number``: the number of the ping in the requester's message.
+    ``requester_number``: the number of the ping in the requester's message; 0 for an own ping.
     """
 
     target: str
     direct_until_us: int  # deadline of a direct ack
-    until_us: int  # deadline of any ack
+    until_us: int  # deadline of a direct or indirect ack
     attempt: int = 1
-    indirect: bool = False  # whether indirect pings were requested, or this one is on behalf of another
-    requester: str = ""
+    indirect: bool = False  # whether indirect pings were requested, or this ping is on behalf of a requester
+    requester: str = ""  # empty for an own ping
     requester_number: int = 0
 
 
@@ -84,7 +90,7 @@
     def postpone(self, us: int) -> None:
         """Postpone all deadlines by ``us``, the duration of a pause of this process.
 
-        Acks may have arrived during the pause that the process has not read yet.
+        The process may not yet have read acks that arrived during the pause.
         """
         for ping in self.by_number.values():
             ping.direct_until_us += us
--- a/robinhill/mesh/ping_schedule.py
+++ b/robinhill/mesh/ping_schedule.py
@@ -1,24 +1,28 @@
-"""The schedule of pings on a link: when the next one is due, which are unanswered, and their round trip.
+"""The schedule of pings on a link: when the next ping is due, which are unanswered, and their round trip.
 
-Times are monotonic microseconds of this process. ``session`` builds the frames.
+Pongs answer pings. A ping also requests the confirmation of pushes (numbered messages with records), which
+the pong contains. Times are monotonic microseconds of this process. ``session`` builds the frames.
 """
 
 PING_GAP_US = 50_000  # minimum time between pings, and from a push to the ping that requests its confirmation
 FIRST_TIMEOUT_US = 250_000  # timeout of an answer while the round-trip time is unknown
 MIN_TIMEOUT_US = 50_000
-MAX_PINGS_IN_FLIGHT = 8
+MAX_PINGS_IN_FLIGHT = 8  # unanswered pings remembered; the answers to older pings are ignored
 
 
 class PingSchedule:
-    """The pings of one side of a link: one per ``interval_us``, more while a ping or push is unanswered."""
+    """The pings of one side of a link: one per ``interval_us``, more while a ping or push is unanswered.
+
+    ``due_us``: when the next regular ping is due; pings after lost frames may be due earlier.
+    """
 
     def __init__(self, interval_us: int) -> None:
         self.interval_us = interval_us
         self.round_trip_us: int | None = None  # smoothed; None before the first answer
         self.due_us = 0
-        self._last_us = -PING_GAP_US
+        self._last_us = -PING_GAP_US  # the time at which the last ping was written
         self._number = 0
-        self._in_flight: dict[int, int] = {}  # by number: the time the ping was written
+        self._in_flight: dict[int, int] = {}  # by the number of an unanswered ping: the time it was written
 
     @property
     def timeout_us(self) -> int:
@@ -28,7 +32,10 @@
         return max(MIN_TIMEOUT_US, self.round_trip_us + self.round_trip_us // 2)
 
     def next_us(self, unconfirmed_pushes: bool) -> int:
-        """Return when the next ping is due: earlier than ``interval_us`` if a ping or a push may be lost."""
+        """Return when the next ping is due.
+
+        A ping is due before ``interval_us`` has passed if the last ping or a push may be lost.
+        """
         if self._in_flight or unconfirmed_pushes:
             return min(self.due_us, self._last_us + max(PING_GAP_US, self.timeout_us))
         return self.due_us
@@ -38,11 +45,11 @@
         self.due_us = min(self.due_us, self._last_us + PING_GAP_US)
 
     def push_written(self, mono_us: int) -> None:
-        """Make a ping due soon after a push; the pong confirms the push."""
+        """Make a ping due at most ``PING_GAP_US`` after a push; the pong then confirms the push."""
         self.due_us = min(self.due_us, max(mono_us, self._last_us) + PING_GAP_US)
 
     def pong_written(self, mono_us: int) -> None:
-        """Make a ping that is due within half an interval due now, to share a message with the pong."""
+        """If a ping is due within half an interval, make it due at once, to share a message with the pong."""
         if self.due_us - mono_us < self.interval_us // 2:
             self.due_us = mono_us
 
@@ -57,9 +64,9 @@
         return self._number
 
     def answered(self, mono_us: int, number: int) -> int | None:
-        """Record the answer to ping ``number`` and return its round trip; None if the number is unknown.
+        """Record the answer to ping ``number`` and return its round-trip time.
 
-        Earlier pings count as answered too.
+        Earlier pings count as answered too. None if no ping of this number is unanswered.
         """
         if (written_us := self._in_flight.get(number)) is None:
             return None
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -1,8 +1,9 @@
 """Outbound pushes of one link: new changes, records that the peer lacks, and replacements of lost pushes.
 
-Changes after a cursor in the change log are new. Nothing is queued: a push is built when the transport has
-capacity, from the newest value of each record. Changes that the peer should receive from their writer
-directly are delayed, so that most of them need not be relayed.
+A push is a numbered message with records. The sender has a cursor in the change log of its own records;
+changes after the cursor are new. Nothing is queued: a push is built when the transport has capacity, from the
+newest value of each record. Changes that the peer should receive directly from the scheduler that wrote them
+are delayed, so that most of them need not be relayed.
 """
 
 from collections.abc import Callable
@@ -14,7 +15,7 @@
 
 MAX_RECORDS_PER_PUSH = 256
 MAX_PUSH_BYTES = 64 << 10  # of values; a longer push would delay the pong that is written after it
-FRAME_OVERHEAD_BYTES = 4 << 10  # of a frame, in addition to the key and value of a record
+FRAME_OVERHEAD_BYTES = 4 << 10  # upper limit of a frame's size in addition to the key and value of a record
 RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer directly
 
 
@@ -23,7 +24,7 @@
 
     @property
     def head(self) -> int:
-        """The number of the latest change."""
+        """The number of the latest change; 0 if there was none."""
         ...
 
     def record(self, kind: str, key: str) -> Record | None:
@@ -31,15 +32,18 @@
         ...
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """Return records that changed after ``cursor``, and the cursor for the next call."""
+        """Return at most ``limit`` records changed after ``cursor``, and the cursor for the next call."""
         ...
 
 
 class PushSender:
-    """The pushes of one side of a link. ``own_name`` and ``peer_name``: the two schedulers.
+    """The pushes of one side of a link.
 
-    ``cursor``: all changes up to this number are written, or are left to the comparison of digests.
-    ``receives_directly``: whether the peer should receive the changes of an origin from that origin itself.
+    ``own_name`` and ``peer_name``: this scheduler and the peer; ``peer_name`` is empty before the peer's
+    hello. ``cursor``: the number of a change. No change up to the cursor is pushed as a new change any more:
+    it was written, was sent by the peer itself, is left to the comparison of digests (anti-entropy), or is
+    too large for a message. ``receives_directly``: called with the name of a scheduler, returns whether the
+    peer should receive the changes that this scheduler wrote directly from it.
     """
 
     def __init__(self, log: ChangeLog, own_name: str, pending: dict[RecordName, None]) -> None:
@@ -49,19 +53,21 @@
         self.cursor = log.head
         self.window = SendWindow()
         self.receives_directly: Callable[[str], bool] = lambda _origin: False
-        self.relay_due_us: int | None = None  # when delayed changes must be written
+        self.relay_due_us: int | None = None  # when delayed changes must be written; None if there are none
         self.pushed = 0  # number of records that were pushed
-        self.skipped = 0  # number of records that were not pushed, as the peer was known to have them
-        self._pending = pending  # records that anti-entropy found the peer to lack
-        self._peer_has: dict[RecordName, Record] = {}  # records after the cursor that the peer has sent
+        # Number of records that were not pushed, because the peer was known to have them or for their size.
+        self.skipped = 0
+        self._pending = pending  # names of records that anti-entropy found the peer to lack
+        # The records changed after the cursor that the peer itself has sent, by name.
+        self._peer_has: dict[RecordName, Record] = {}
 
     @property
     def confirmed_cursor(self) -> int:
-        """The number up to which the peer has received our changes."""
+        """The number of the last change up to which the peer has received all our changes."""
         return self.window.confirmed_cursor(self.cursor)
 
     def peer_has(self, record: Record) -> None:
-        """Record that the peer has sent this record, so that it is not pushed unless it changes again."""
+        """Record that the peer has sent this record, so that the record is not pushed unless it changes."""
         if self.cursor < self.log.head and self.log.record(*record.name) == record:
             self._peer_has[record.name] = record
 
@@ -78,8 +84,8 @@
     def changes(self, mono_us: int, pong_pending: bool) -> Push | None:
         """Return a push with changes after the cursor, without records that the peer is known to have.
 
-        ``pong_pending``: a pong waits for these changes, so they are not delayed. Returns None if there is
-        nothing to push now, or the send window is full.
+        ``pong_pending``: whether a pong may only be written after these changes; they are not delayed then.
+        Returns None if there are no changes to push, all of them are delayed, or the send window is full.
         """
         limit = MAX_RECORDS_PER_PUSH
         while self.cursor < self.log.head and self.window.has_capacity:
@@ -98,7 +104,7 @@
         return None
 
     def pending_records(self) -> Push | None:
-        """Return a push with the newest form of records that anti-entropy found the peer to lack.
+        """Return a push with the newest values of records that anti-entropy found the peer to lack.
 
         None if there are no such records, or the send window is full.
         """
@@ -120,7 +126,7 @@
         return Push(number, tuple(records), sent.replaces)
 
     def _discard_passed(self, records: list[Record]) -> None:
-        """Discard the state of records that the cursor has passed."""
+        """Discard what is stored in this sender about records that the cursor has passed."""
         for record in records:
             self._peer_has.pop(record.name, None)
             self._pending.pop(record.name, None)
@@ -129,10 +135,11 @@
             self.relay_due_us = None
 
     def _delayed(self, mono_us: int, records: list[Record], pong_pending: bool) -> bool:
-        """Whether to delay relaying these records, as the peer should receive all of them from their writers.
+        """Whether to delay relaying ``records`` because the peer should receive all from their writers.
 
-        The first call starts the delay. It is twice as long if our name is larger than the peer's, so that
-        two schedulers that could relay the same changes to each other do not do so at the same time.
+        The first call starts the delay. The delay is twice as long if our name is larger than the peer's, so
+        that two schedulers that could relay the same changes to each other do not relay them at the same
+        time.
         """
         if pong_pending or len(records) >= MAX_RECORDS_PER_PUSH:
             return False
@@ -146,6 +153,6 @@
         return mono_us < self.relay_due_us
 
     def _fits(self, record: Record) -> bool:
-        """Whether the record is small enough for a message."""
+        """Whether the record is small enough for a message of at most ``MAX_MESSAGE_BYTES``."""
         limit = MAX_MESSAGE_BYTES - MAX_PUSH_BYTES - FRAME_OVERHEAD_BYTES
         return len(record.value) + len(record.key) <= limit
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -5,7 +5,9 @@
 from robinhill.mesh.errors import MeshError
 
 MAX_UNSETTLED_LISTS = 4
-"""The most lists in force at a time: more changes in a row suggest that a script reconfigures in a loop."""
+"""Maximum number of lists in force at a time.
+
+More changes before the first one has settled suggest that a script reconfigures in a loop."""
 
 
 class ListsUnsettled(MeshError):
@@ -16,7 +18,9 @@
 
 
 class Quorum:
-    """The lists of schedulers in force: one, or several from a change until all schedulers know of it.
+    """The lists of schedulers in force: one, or several from a change of the list until it has settled.
+
+    A change has *settled* once all schedulers know the newest list (see `settle`).
 
     A quorum is a majority of *every* list in force. A majority of the old list alone need not share a member
     with a majority of the new list alone, but each of them shares one with a majority of both lists. Source:
@@ -29,7 +33,7 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The schedulers of all lists in force, including this one."""
+        """The names of the schedulers in any list in force, including this scheduler."""
         return frozenset().union(*self._lists)
 
     @property
@@ -38,7 +42,9 @@
         return self._lists
 
     def reconfigure(self, peers: Iterable[str]) -> None:
-        """Add a new list of schedulers: a quorum then also needs a majority of this list.
+        """Add a new list of schedulers: from then on a quorum also needs a majority of the new list.
+
+        ``peers`` may omit this scheduler, which is a member of every list.
 
         Raises ListsUnsettled if more than ``MAX_UNSETTLED_LISTS`` would be in force.
         """
@@ -48,17 +54,18 @@
         lists = (*(scheduler_list for scheduler_list in self._lists if scheduler_list != new), new)
         if len(lists) > MAX_UNSETTLED_LISTS:
             raise ListsUnsettled(
-                f"{len(lists)} lists of schedulers would be in force, as earlier changes have not settled"
+                f"{len(lists)} lists of schedulers would be in force, more than {MAX_UNSETTLED_LISTS}:"
+                " not all schedulers are known to have received the earlier changes of the list"
             )
         self._lists = lists
 
     def settle(self) -> None:
-        """Drop all lists but the newest, so that majorities of the older ones are no longer needed.
+        """Drop all lists but the newest, so that majorities of the older lists are no longer needed.
 
-        This is safe once no scheduler can act on a majority of an older list alone. That holds when the
+        Settling is safe once no scheduler can act on a majority of an older list alone. This is so when the
         newest list, which spreads as a record like any other, was accepted (`Acceptance`, under the lists of
-        this object) longer ago than the bound of the lease: every scheduler that sends or accepts after that
-        knows the newest list and has called `reconfigure`.
+        this object) longer ago than the bound of the lease: every scheduler that sends jobs or accepts
+        changes after that knows the newest list and has called `reconfigure`.
         """
         self._lists = self._lists[-1:]
 
@@ -72,10 +79,12 @@
     def majority_moment(self, moments: Mapping[str, int], counts_self: bool) -> int | None:
         """Return the latest moment as of which a majority of every list is known.
 
-        For one list this is the oldest moment of the majority with the most recent moments; for several
-        lists, the earliest of these. ``moments``: by name of another scheduler among `names`, the moment as
-        of which it is known. ``counts_self``: whether this scheduler counts towards the majorities too, as of
-        now. None if fewer than a majority are known; `FAR_FUTURE` if this scheduler alone is a majority.
+        For one list, take the majority with the latest moments; the result is the earliest moment in that
+        majority. For several lists, the result is the earliest of the results for each list. ``moments``: by
+        name of another scheduler among `names`, the moment as of which that scheduler is known.
+        ``counts_self``: whether this scheduler counts towards the majorities too; its own moment never limits
+        the result. None if fewer schedulers than a majority are known; `FAR_FUTURE` if this scheduler alone
+        is a majority.
         """
         earliest = FAR_FUTURE
         for scheduler_list in self._lists:
--- a/robinhill/mesh/record_merging.py
+++ b/robinhill/mesh/record_merging.py
@@ -1,4 +1,8 @@
-"""Merges received records into a replica, and collects those that it rejected or stored with a warning."""
+"""Merges received records into a replica, and collects the records rejected or stored with a warning.
+
+A record is stored with a warning (`StampAhead`) if it is in the future by more than ``MAX_SKEW_US``, but not
+by more than ``MAX_FUTURE_US`` (`clocks`).
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,20 +17,23 @@
     """The part of the replica's interface that merging uses."""
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a record. Returns the record stored now, None if nothing changed. Raises MeshError."""
+        """Merge a record. Returns the record stored after the merge, None if nothing changed.
+
+        Raises MeshError if the record was rejected, or was stored with a warning.
+        """
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class RejectedRecord:
-    """A record that a replica rejected, or stored with a warning. ``error``: the reason."""
+    """A received ``record`` that a replica rejected, or stored with a warning. ``error``: the reason."""
 
     record: Record
     error: MeshError
 
     @property
     def stored_with_warning(self) -> Record | None:
-        """The record that was stored in spite of the error; None if the record was rejected."""
+        """The record that the replica stores in spite of the error; None if it rejected the record."""
         return self.error.stored if isinstance(self.error, StampAhead) else None
 
 
@@ -35,7 +42,8 @@
 ) -> tuple[Record | None, RejectedRecord | None]:
     """Merge a record.
 
-    Returns the record stored now, None if the replica did not change, and the rejection or warning, if any.
+    Returns two values: the record stored after the merge, None if the replica did not change; and the
+    rejection or warning, None if there is neither.
     """
     try:
         return replica.merge(now_us, record), None
@@ -49,7 +57,8 @@
 ) -> tuple[list[Record], list[RejectedRecord]]:
     """Merge ``records``.
 
-    Returns the records stored now where the replica changed, and those rejected or stored with a warning.
+    Returns two lists: the records stored after the merges that changed the replica, and the records that were
+    rejected or stored with a warning.
     """
     changed: list[Record] = []
     rejected: list[RejectedRecord] = []
@@ -63,5 +72,5 @@
 
 
 def any_rejected(rejected: Iterable[RejectedRecord]) -> bool:
-    """Whether a record was not stored at all, so that this replica lacks a record that the sender has."""
+    """Whether any record was not stored at all, so that this replica lacks a record that the sender has."""
     return any(rejection.stored_with_warning is None for rejection in rejected)
--- a/robinhill/mesh/record_table.py
+++ b/robinhill/mesh/record_table.py
@@ -1,4 +1,4 @@
-"""The records of one kind in one copy: decoded once, counted, sorted by key, and ranked for eviction.
+"""The records of one kind in one scheduler's replica: decoded once, counted, sorted, ranked for eviction.
 
 ``merging`` contains the merge rule; ``replica`` assigns timestamps and enforces the limits of kinds.
 """
@@ -12,14 +12,16 @@
 NOT_DECODED = object()
 """Stands for a value that was not decoded yet."""
 
-STALE_ENTRIES = 64  # a heap or log is rebuilt once it has this many entries more than twice its live ones
+STALE_ENTRIES = 64  # a heap or log is rebuilt once its length exceeds twice its live entries plus this number
 
 
 class StoredRecord:
-    """A record as this copy stores it, with derived data that would be costly to compute again.
+    """A record as this replica stores it, with derived data that would be costly to compute again.
 
-    ``place``: the key in its table. ``change_number``: the number of its last change, -1 once it is dropped.
-    ``expiry_span``: the span of time in which it expires (`expiry_index`).
+    ``place``: the record's key in ``table``. ``value``: the decoded value, or `NOT_DECODED`. ``hash`` and
+    ``range_index``: the record's hash for digests, and the range to which the record belongs (`digests`).
+    ``change_number``: the number of the record's last change, -1 before the first one and once the record is
+    dropped. ``expiry_span``: the number of the span of time in which the record expires (`expiry_index`).
     """
 
     __slots__ = ("change_number", "expiry_span", "hash", "place", "range_index", "record", "table", "value")
@@ -36,7 +38,7 @@
 
 
 def size_of(record: Record) -> int:
-    """Return the size of a record in bytes, for limits: its key and value, without Python's overhead."""
+    """Return the size of a record that counts towards limits: the bytes of its key and its value."""
     return len(record.key) + len(record.value)
 
 
@@ -46,15 +48,17 @@
     def __init__(self, kind: Kind[Any] | None) -> None:
         self.kind = kind
         self.stored: dict[str, StoredRecord] = {}
-        self.bytes = 0
-        self._eviction_heap: list[tuple[Any, str, int]] | None = None  # built when `first_to_evict` needs it
+        self.bytes = 0  # of the keys and values of all records
+        # Rank (two items) and change number of each record, and stale entries; built by `first_to_evict`.
+        self._eviction_heap: list[tuple[Any, str, int]] | None = None
         self._sorted_places: list[str] | None = None  # built at the first call of `live`
+        # The cached result of `live`, which is valid from ``_live_from_us`` to ``_live_until_us``.
         self._live: list[tuple[str, object]] | None = None
         self._live_from_us = 0
         self._live_until_us = 0
 
     def place(self, kind: str, key: str) -> str:
-        """Return the key of a record in this table."""
+        """Return the key of a record in this table: its own key, preceded by its kind if that is unknown."""
         return key if self.kind is not None else f"{kind}\0{key}"
 
     def put(self, stored: StoredRecord, record: Record) -> None:
@@ -106,10 +110,13 @@
             stored = self.stored.get(place)
             if stored is not None and stored.change_number == change_number:
                 return stored
-            heapq.heappop(self._eviction_heap)  # stale: the record has changed since or was dropped
+            heapq.heappop(self._eviction_heap)  # a stale entry: its record was changed or dropped
 
     def value(self, stored: StoredRecord) -> object:
-        """Return the decoded value of a record, which is decoded at the first call."""
+        """Return the decoded value of a record; the first call decodes it.
+
+        The value of an unregistered kind can't be decoded and is returned as stored.
+        """
         if stored.value is NOT_DECODED:
             encoded = stored.record.value
             stored.value = self.kind.decode(encoded) if self.kind else encoded
--- a/robinhill/mesh/records.py
+++ b/robinhill/mesh/records.py
@@ -19,7 +19,8 @@
     """When and by which process a record was last written: a hybrid logical timestamp; the larger is later.
 
     Source: Kulkarni et al., "Logical physical clocks", 2014. ``origin``: the scheduler that wrote the record.
-    ``incarnation`` increases at each start of ``origin``, even if the clock of its host was set back.
+    ``wall_us``: Unix time. ``count``: tells stamps with the same ``wall_us`` apart. ``incarnation``
+    increases at each start of ``origin``, even if the clock of its host was set back.
     """
 
     wall_us: int
@@ -31,9 +32,9 @@
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """One piece of replicated state, on the wire and on disk.
 
-    ``kind`` and ``key`` name the record. ``value`` is MessagePack that only its kind can decode: a process
-    that does not know the kind, as a peer runs a newer version, stores and relays the record with the larger
-    stamp unchanged. At ``until_us`` (Unix time) the record expires, and it may be dropped.
+    ``kind`` and ``key`` name the record. ``value`` is MessagePack that only the record's kind can decode. A
+    process may not know the kind, if a peer runs a newer version; it then stores and relays the value with
+    the larger stamp unchanged. At ``until_us`` (Unix time) the record expires, and may be dropped.
     """
 
     kind: str
@@ -52,11 +53,11 @@
 class Kind(Generic[Value]):
     """One kind of records, registered with the replica.
 
-    ``merge`` combines versions that differ; it must be pure, commutative, associative and idempotent.
+    ``merge`` combines two values of a record; it must be pure, commutative, associative and idempotent.
     ``encode`` must be canonical (equal values give equal bytes). ``bound``: the maximum number of records.
-    Above it, records with the smallest sort key, as returned by ``evict``, are evicted first; if ``evict`` is
-    None, new records are rejected. ``lifetime_us``: the time from its last write after which a record
-    expires. ``persistent``: whether records are saved to disk and restored at a start.
+    ``evict`` returns a sort key: above the bound, the record with the smallest sort key is evicted first. If
+    ``evict`` is None, new records are rejected instead. ``lifetime_us``: the time from its last write after
+    which a record expires. ``persistent``: whether records are saved to disk and restored at a start.
     """
 
     name: str
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -1,27 +1,29 @@
-"""One copy of the replicated state. Copies that merged the same records, in whatever order, are equal.
+"""One scheduler's copy of the replicated records.
 
-The rule by which two versions of a record merge is in ``merging``, timestamps are in ``clocks``.
+Copies that merged the same records, in whatever order, are equal. The rule by which two versions of a record
+merge is in ``merging``, timestamps are in ``clocks``.
 
 **Expiry.** After ``until_us`` a record is expired: it is not returned by queries, is not merged into a live
-version, and is replaced by a live version. It stays stored until the end of its span of time
-(`expiry_index`). Then it stops counting in digests, on all copies at once, and ``MAX_SKEW_US`` later it is
-dropped. So copies may call ``collect`` at any time. Clocks that differ by less than ``MAX_SKEW_US`` do not
-make digests differ either, as the opener sends the time along with its digests and the other side answers as
-of that time. (For less than ``MAX_SKEW_US``, the clocks of two copies may lie on either side of a record's
-expiry. One of them may then still merge the record into a value that it writes. The result spreads to all
-copies like that of any merge.)
-
-**After a disconnection.** Removals are part of the values of kinds and expire with their record. A scheduler
-that was disconnected for longer than a kind's lifetime, and rewrote a record in that time, could therefore
-restore items that the others have removed and whose removal has expired. Such a scheduler checks ``stale``.
-If it is true, the scheduler calls ``clear`` and fetches a complete snapshot from a peer before it writes,
-serves or answers peers. ``disconnected_us`` is the time since the last contact with a majority, or since the
-snapshot file was saved.
-
-**Limits.** ``write`` rejects new records at a kind's bound, ``merge`` at twice the bound: records that
-several schedulers accepted concurrently must fit on all copies, or copies would differ by the order of
-arrival. Kinds that evict do not reject records at their bound: every copy retains the records of the highest
-rank, which are the same on all copies.
+version of the same record, and is replaced by a live version. It stays stored until the end of its span of
+time (`expiry_index`). From then on it is not included in digests, on all copies at once, and ``MAX_SKEW_US``
+later it is dropped. So each scheduler may call ``collect`` at any time. Clocks that differ by less than
+``MAX_SKEW_US`` do not make digests differ either: the scheduler that opens a comparison of digests sends the
+time along with its digests, and the other scheduler answers as of that time. (During a time shorter than
+``MAX_SKEW_US``, a record may be expired by one scheduler's clock and live by another's. The latter scheduler
+may then still merge the record into a value that it writes. The result spreads to all copies like the result
+of any merge.)
+
+**After a disconnection.** The values of a kind that permits removals contain the removals too, and these
+expire with the record. A scheduler that was disconnected for longer than a kind's lifetime, and rewrote a
+record in that time, could therefore restore items that the others have removed and whose removal has expired.
+Such a scheduler checks ``stale``. If the result is true, the scheduler calls ``clear`` and fetches a complete
+snapshot from a peer before it writes, accepts clients or answers peers. ``disconnected_us`` is the time since
+the last contact with a majority, or since the snapshot file was saved.
+
+**Limits.** At a kind's bound (its maximum number of records) ``write`` rejects new records; ``merge`` rejects
+them at twice the bound. Records that several schedulers accepted concurrently must fit on all copies, or
+copies would differ by the order of arrival. Kinds that evict do not reject records at their bound: every copy
+retains the records of the highest rank, which are the same on all copies.
 """
 
 from collections.abc import Iterable, Iterator
@@ -52,10 +54,10 @@
 
 MAX_WRITTEN_VALUE_BYTES = MAX_MERGED_VALUE_BYTES // 4  # the merge of concurrent writes may be larger
 MERGE_BOUND_FACTOR = 2  # of a kind's bound: each side of a partition may have written up to the bound
-MAX_KIND_BYTES = 16 << 20  # of keys and values
+MAX_KIND_BYTES = 16 << 20  # of the keys and values of one kind
 MAX_UNKNOWN_RECORDS = 4_096  # of all unregistered kinds together
 MAX_COLLECTED = 1_000  # records dropped by one call of `collect`, which takes some milliseconds
-UNKNOWN = "unknown"
+UNKNOWN = "unknown"  # the name under which `sizes` reports unregistered kinds
 
 
 class Replica:
@@ -90,10 +92,11 @@
     # Changes
 
     def write(self, now_us: int, kind: str, key: str, value: object) -> Record:
-        """Merge ``value`` into the present value by the kind's rule, stamp the result and renew its lifetime.
+        """Merge ``value`` into the current value by the kind's rule, stamp the result and renew its lifetime.
 
-        Returns the record stored now. Raises StateFull if the kind has reached its bound or the value is too
-        large, ValueError if the record is malformed, and KeyError for a kind that is not registered.
+        Without a live record of this key, ``value`` is stored as it is. Returns the record that is stored
+        after the write. Raises StateFull if the kind has reached its bound or the value is too large,
+        ValueError if the record is malformed, and KeyError for a kind that is not registered.
         """
         self._now_us = now_us
         table = self._tables[kind]
@@ -117,15 +120,18 @@
         if reason := malformed_reason(record):
             raise ValueError(f"{kind} {key!r} was not written: {reason}")
         if not self._put(table, record, value, bound_factor=1):
-            raise StateFull(f"{rule.bound} records of {kind} are stored that all outrank {key!r}")
+            raise StateFull(
+                f"{kind} {key!r} was not written: the kind has reached its limit, and the new record would be"
+                " the first to be evicted"
+            )
         return record
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a peer's record. Returns the record stored now if this copy has changed, else None.
+        """Merge a peer's record. Returns the record stored after the merge, None if this copy is unchanged.
 
         Raises ForeignState if the record is malformed or can't be decoded, StateFull if it exceeds a limit,
-        or StampAhead if it is too far in the future. The ``stored`` of StampAhead is the record stored now if
-        this copy has changed nevertheless, None if the record was rejected.
+        or StampAhead if it is too far in the future. The ``stored`` of StampAhead is the record stored after
+        the merge if this copy has changed nevertheless, None if the record was rejected.
         """
         self._now_us = now_us
         if reason := malformed_reason(record):
@@ -164,9 +170,10 @@
         return dropped
 
     def stale(self, now_us: int, disconnected_us: int) -> bool:
-        """Whether this copy could restore items that others have removed.
+        """Whether this copy could restore items that other schedulers have removed.
 
-        ``disconnected_us``: the time since this scheduler was last in contact with a majority.
+        This is so if a kind with live records has a lifetime of at most ``disconnected_us``, the time since
+        this scheduler was last in contact with a majority, plus ``MAX_SKEW_US``.
         """
         self._now_us = now_us
         return any(
@@ -175,10 +182,11 @@
         )
 
     def clear(self, disconnected_us: int | None = None) -> list[Record]:
-        """Drop the records of all kinds whose lifetime may have passed in ``disconnected_us``.
+        """Drop the records of all registered kinds whose lifetime may have passed in ``disconnected_us``.
 
         Without ``disconnected_us``, drop the records of all kinds, including unregistered ones. Returns the
-        live records that this process was the last to write, so that operators may repeat their requests.
+        dropped records that were live and that this process was the last to write, so that operators may
+        repeat the requests that wrote them.
         """
         own: list[Record] = []
         for table in [*self._tables.values(), self._unknown]:
@@ -200,7 +208,7 @@
 
     @property
     def head(self) -> int:
-        """The number of the latest change."""
+        """The number of the latest change; 0 if there was none."""
         return self._log.head
 
     def value(self, kind: str, key: str) -> object | None:
@@ -232,9 +240,10 @@
         return self._log.since(cursor, limit)
 
     def snapshot(self, persistent_only: bool = False) -> Iterator[Record]:
-        """Iterate over all live records, oldest change first. Records may change during the iteration.
+        """Iterate over all live records, in the order of their last changes.
 
-        ``persistent_only``: skip registered kinds that are not persistent.
+        The replica may change during the iteration. ``persistent_only``: omit records of registered kinds
+        that are not persistent.
         """
         for stored in self._log.records():
             if stored.record.until_us > self._now_us:
@@ -253,7 +262,7 @@
     # Digests
 
     def digest(self, now_us: int) -> bytes:
-        """Return a digest of 16 bytes as of ``now_us``, which is equal for equal copies only."""
+        """Return a digest of 16 bytes over all records as of ``now_us``; only equal copies have the same."""
         return self._digests(now_us)[1]
 
     def ranges(self, now_us: int) -> tuple[int, ...]:
@@ -274,7 +283,11 @@
     # Storing
 
     def _put(self, table: RecordTable, record: Record, value: object, bound_factor: int) -> bool:
-        """Store ``record``. Returns False if it was evicted at once; raises StateFull if it is rejected."""
+        """Store ``record``.
+
+        ``bound_factor``: a kind that does not evict is full at its bound multiplied by this factor. Returns
+        False if ``record`` was evicted at once; raises StateFull if it is rejected.
+        """
         place = table.place(record.kind, record.key)
         stored = table.stored.get(place)
         evicts = table.kind is None or table.kind.evict is not None
@@ -333,9 +346,9 @@
 
 
 def _merge_into(stored: StoredRecord, record: Record, now_us: int) -> tuple[Record, object]:
-    """Return the record to store in place of ``stored``, and its value or `NOT_DECODED`.
+    """Return the record to store in place of ``stored``, and its decoded value or `NOT_DECODED`.
 
-    The record is ``stored.record`` itself if ``record`` does not change it.
+    The record returned is ``stored.record`` itself if merging ``record`` changes nothing.
     """
     stored_is_live = stored.record.until_us > now_us
     if stored_is_live != (record.until_us > now_us):
@@ -348,12 +361,16 @@
 
 
 def _check_size(table: RecordTable, record: Record, stored: StoredRecord | None) -> None:
-    """Raise StateFull if a value, or a kind that does not evict, would become too large."""
+    """Raise StateFull if a value, or all records of a kind that does not evict, would become too large."""
     evicts = table.kind is None or table.kind.evict is not None
     grows = size_of(record) - (size_of(stored.record) if stored is not None else 0)
     crowded = not evicts and grows > 0 and table.bytes + grows > MAX_KIND_BYTES
     if crowded or len(record.value) > MAX_MERGED_VALUE_BYTES:
-        raise StateFull(f"{record.kind} {record.key!r} is too large: {table.bytes} bytes are stored already")
+        raise StateFull(
+            f"{record.kind} {record.key!r} is too large: its value has {len(record.value)} bytes, the limit"
+            f" is {MAX_MERGED_VALUE_BYTES}; {table.bytes} bytes of the kind are stored, the limit is"
+            f" {MAX_KIND_BYTES}"
+        )
 
 
 def _describe_ahead(record: Record, ahead: int) -> str:
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -1,10 +1,10 @@
 """One end of a link between two schedulers, as a state machine that consumes and produces messages. No I/O.
 
-After the hellos both sides compare their copies by anti-entropy, and push every change made since then.
-Nothing is queued for a slow peer: the owner calls ``draw`` for a message when the transport has capacity, and
-the message contains the newest value of each record. A pong takes effect only once everything that its sender
-knew when the ping arrived is stored here; leases depend on that (``freshness``). Times are monotonic
-microseconds of this process unless noted otherwise.
+After the hellos both sides compare their records by anti-entropy, and push every change made since then.
+Changes are not queued for a slow peer: the owner of the session calls ``draw`` for a message when the
+transport has capacity, and the message contains the newest value of each record. A pong takes effect only
+once every change that its sender knew when the ping arrived is stored at the receiver; leases depend on that
+(``freshness``). Times are monotonic microseconds of this process unless noted otherwise.
 """
 
 from collections import deque
@@ -45,7 +45,7 @@
 
 MAX_FRAMES_PER_MESSAGE = 16  # each message costs a system call, so small frames share a message
 MAX_SMALL_PUSH_RECORDS = 8  # a push with more records is the last frame of its message
-MAX_MEMBER_MESSAGES = 64  # waiting to be written; above this the oldest are dropped
+MAX_MEMBER_MESSAGES = 64  # waiting to be written; above this number the oldest are dropped
 
 
 class Store(Protocol):
@@ -53,11 +53,14 @@
 
     @property
     def head(self) -> int:
-        """The number of the latest change."""
+        """The number of the latest change; 0 if there was none."""
         ...
 
     def merge(self, now_us: int, record: Record) -> Record | None:
-        """Merge a peer's record. Returns the record stored now, None if nothing changed."""
+        """Merge a peer's record. Returns the record stored after the merge, None if nothing changed.
+
+        Raises MeshError if the record was rejected, or was stored with a warning.
+        """
         ...
 
     def record(self, kind: str, key: str) -> Record | None:
@@ -65,7 +68,7 @@
         ...
 
     def since(self, cursor: int, limit: int) -> tuple[list[Record], int]:
-        """Return records that changed after ``cursor``, and the cursor for the next call."""
+        """Return at most ``limit`` records changed after ``cursor``, and the cursor for the next call."""
         ...
 
     def ranges(self, now_us: int) -> Sequence[int]:
@@ -81,7 +84,7 @@
     """The part of the interface of `Freshness` that a session uses: ages of our knowledge of schedulers."""
 
     def pinged(self, mono_us: int, partner: str, number: int) -> None:
-        """Record that a ping is about to be written."""
+        """Record that ping ``number`` is about to be written to ``partner``."""
         ...
 
     def answered(
@@ -92,15 +95,18 @@
         ages_us: Mapping[str, int],
         starting_us: Mapping[str, int] | None = None,
     ) -> None:
-        """Record the answer to a ping; all changes that precede it are stored here."""
+        """Record the answer to ping ``number``, once all changes that precede the answer are stored.
+
+        ``ages_us`` and ``starting_us``: the partner's `ages` and `starting_ages` when the ping arrived.
+        """
         ...
 
     def ages(self, mono_us: int) -> Mapping[str, int]:
-        """Return the ages of our knowledge of schedulers that count towards majorities."""
+        """Return the ages (us) of our knowledge of the schedulers that count towards majorities, by name."""
         ...
 
     def starting_ages(self, mono_us: int) -> Mapping[str, int]:
-        """Return the ages of our knowledge of schedulers that do not count yet."""
+        """Return the ages (us) of our knowledge of the schedulers that do not count yet, by name."""
         ...
 
 
@@ -117,7 +123,10 @@
 
 @dataclass(slots=True)
 class _PendingPong:
-    """A pong that is due once our changes up to ``head`` are written, with the ages at the ping's arrival."""
+    """A pong that is due once our changes up to the one numbered ``head`` are written.
+
+    ``number``: the number of the ping. ``ages_us`` and ``starting_us``: the ages when the ping arrived.
+    """
 
     number: int
     head: int
@@ -128,8 +137,10 @@
 class Session:
     """One end of a link. The ends differ only in that one of them ``opens`` the rounds of anti-entropy.
 
-    ``peer``: the peer's hello, None until it was received. ``last_received_us``: when the last message was
-    received. ``confirmed_cursor``: the peer has our changes up to this number.
+    ``interval_us``: interval between pings. ``peer``: the peer's hello, None until it was received.
+    ``last_received_us``: when the last message was received, 0 before the first one. ``confirmed_cursor``:
+    the number of the change up to which the peer has all our changes, 0 until the first comparison of digests
+    and the pushes that result from it are written.
     """
 
     def __init__(
@@ -148,9 +159,10 @@
         self._missing: tuple[int, ...] = ()  # numbers of lost pushes to request again
         self._hello_confirmed = False  # whether the peer is known to have our hello
         self._hello_due_us = 0
-        self._initial_sync_written = False  # whether the pushes written contain all that we knew at the hello
-        self._pending_pong: _PendingPong | None = None
-        self._early_pongs: list[Pong] = []  # received before all pushes that precede them
+        # Whether the pushes written contain every record that the peer lacked at the peer's hello.
+        self._initial_sync_written = False
+        self._pending_pong: _PendingPong | None = None  # for a received ping that is not answered yet
+        self._early_pongs: list[Pong] = []  # received before some of the pushes that precede them
         self._member_messages: deque[bytes] = deque(maxlen=MAX_MEMBER_MESSAGES)
 
     # Receiving
@@ -166,7 +178,7 @@
             return self._receive_hello(now_us, mono_us, frame)
         self._hello_confirmed = True  # a peer writes other frames only after it has received our hello
         if self.peer is None:
-            return []  # the peer's hello was lost or overtaken by this frame, which will be sent again
+            return []  # the peer's hello was lost or overtaken by this frame; the peer sends the frame again
         match frame:
             case Push():
                 return self._receive_push(now_us, mono_us, frame)
@@ -212,7 +224,7 @@
         return [HelloReceived(hello)]
 
     def _check(self, hello: Hello) -> None:
-        """Raise PeerRejected if there can be no link with this peer."""
+        """Raise PeerRejected if a link to the sender of ``hello`` is not permitted."""
         if hello.protocol != PROTOCOL:
             raise PeerRejected(f"{hello.name} uses protocol {hello.protocol}, this scheduler uses {PROTOCOL}")
         if hello.installation != self.own.installation:
@@ -246,7 +258,8 @@
     def _receive_ping(self, mono_us: int, ping: Ping) -> None:
         self._confirm(ping.low)
         self._missing = self._received.missing(ping.pushed)
-        if self._pending_pong is None:  # otherwise the pong of an earlier ping is due, and more pings follow
+        # While the pong to an earlier ping is pending, this ping is not answered; the peer sends more pings.
+        if self._pending_pong is None:
             self._pending_pong = _PendingPong(
                 ping.number, self.store.head, self.ages.ages(mono_us), self.ages.starting_ages(mono_us)
             )
@@ -275,11 +288,14 @@
     # Sending
 
     def send_member_message(self, payload: bytes) -> None:
-        """Queue a message that is not part of replication; it may be lost."""
+        """Queue an application message that is not part of replication; the message may be lost."""
         self._member_messages.append(payload)
 
     def next_us(self) -> int:
-        """Return when `draw` next has something to write, unless a message or a change arrives before."""
+        """Return when `draw` will have a message to write.
+
+        A received message or a changed record may give it one earlier.
+        """
         if self.peer is None:
             return self._hello_due_us
         due = [self._ping_due_us()]
@@ -292,9 +308,9 @@
         return min(due)
 
     def draw(self, now_us: int, mono_us: int) -> bytes | None:
-        """Return the next message to write; None if there is nothing to write at the moment.
+        """Return the next message to write; None if there is nothing to write at ``mono_us``.
 
-        To be called when the transport has capacity.
+        To be called when the transport has capacity. ``now_us``: Unix time.
         """
         frames: list[Frame] = []
         while (
@@ -355,7 +371,7 @@
         return Hello(PROTOCOL, own.installation, own.name, own.incarnation, own.features, now_us, own.names)
 
     def _pong(self, mono_us: int) -> Pong | None:
-        """Return the pending pong if all changes that must precede it are written; None otherwise."""
+        """Return the pending pong if all changes that must precede it are written; otherwise None."""
         pending = self._pending_pong
         if pending is None or not self._initial_sync_written or self.sender.cursor < pending.head:
             return None
--- a/robinhill/mesh/session_events.py
+++ b/robinhill/mesh/session_events.py
@@ -1,4 +1,4 @@
-"""Events that a session returns to its owner for received frames."""
+"""Events that a session, one end of a link between two schedulers, returns for received frames."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordsReceived:
-    """The records that a push changed here, and those that were rejected or stored with a warning."""
+    """A push was received that changed the replica, or whose records were rejected or stored with a warning.
+
+    ``records``: the changed records as the replica stores them. ``rejected``: the records that were rejected
+    or stored with a warning.
+    """
 
     records: tuple[Record, ...]
     rejected: tuple[RejectedRecord, ...] = ()
@@ -24,9 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PingAnswered:
-    """Ping ``number`` was answered, and all that the peer knew when the ping arrived is stored here.
+    """Ping ``number`` was answered, and this scheduler stores all changes that the peer knew at its arrival.
 
-    ``took_us``: the round trip of the ping. ``confirmed_cursor``: the peer has our changes up to this number.
+    ``took_us``: the round-trip time. ``confirmed_cursor``: the number of the change up to which the peer has
+    all our changes.
     """
 
     number: int
@@ -36,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberMessageReceived:
-    """An application message of another scheduler, which is not part of replication."""
+    """An application message of the peer, which is not part of replication, was received."""
 
     payload: bytes
 
--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -1,12 +1,14 @@
-"""File format of a snapshot of a copy. Encodes and decodes only; the caller reads and writes the file.
+"""File format of a snapshot of one scheduler's replicated records.
 
-A file starts with magic bytes and a version. Frames follow, each of a length, a checksum and MessagePack. The
-first frame is the header, the others contain records, and the last one is empty and marks the file as
-complete. Each checksum is keyed by the previous one, so a frame that is damaged, missing, duplicated or out
-of place is detected. No part of an invalid file is used; peers still store its records.
+This module only encodes and decodes; the caller reads and writes the file. A file starts with magic bytes and
+a version. Frames follow, each of a length, a checksum and MessagePack. The first frame is the header, the
+others contain records, and the last frame is empty and marks the file as complete. Each checksum is keyed by
+the checksum of the previous frame, so a frame that is damaged, missing, duplicated or out of place is
+detected. No part of an invalid file is used; other schedulers still store its records.
 
-The caller writes to a temporary file in the same folder, syncs it and renames it. It quarantines a file that
-raises ForeignState under another name, and merges the records of a valid file with ``Replica.merge``.
+The caller writes to a temporary file in the same folder, syncs the file and renames it. If decoding a file
+raises ForeignState, the caller quarantines the file under another name. It merges the records of a valid file
+with ``Replica.merge``.
 """
 
 import struct
@@ -20,7 +22,7 @@
 
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
-FRAME_BYTES = 64 << 10  # a frame with this many bytes gets no further record
+FRAME_BYTES = 64 << 10  # no further record is added to a frame once it has this many bytes
 MAX_FRAME_BYTES = 1 << 20  # more than ``FRAME_BYTES`` and one record of the largest size
 _HEAD = struct.Struct(f"<{len(MAGIC)}sH")
 _CHECKSUM_BYTES = 16
@@ -29,10 +31,10 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The process that wrote the file: scheduler ``origin`` in its ``incarnation``.
+    """The process that wrote the file: the scheduler ``origin`` in its ``incarnation``.
 
-    The next process of this scheduler must have a larger incarnation. ``saved_us``: the Unix time at which
-    the file was written.
+    The next process of ``origin`` must have a larger incarnation. ``saved_us``: the Unix time at which the
+    file was written.
     """
 
     installation: str
@@ -93,13 +95,19 @@
 
 
 def _frame(checksum: bytes, payload: bytes) -> tuple[bytes, bytes]:
-    """Return the checksum and the bytes of a frame. ``checksum``: that of the previous frame."""
+    """Return the checksum and the bytes of a frame.
+
+    ``checksum``: the checksum of the previous frame, empty for the first frame.
+    """
     checksum = blake2b(payload, digest_size=_CHECKSUM_BYTES, key=checksum).digest()
     return checksum, _FRAME.pack(len(payload), checksum) + payload
 
 
 def _frames(data: bytes) -> Iterator[bytes]:
-    """Yield the payloads of all frames. Raises ForeignState at the first that is damaged."""
+    """Yield the payloads of all frames except the empty last one.
+
+    Raises ForeignState at the first frame that is damaged, and for missing frames or data after the last one.
+    """
     offset, checksum = _HEAD.size, b""
     while offset + _FRAME.size <= len(data):
         length, expected = _FRAME.unpack_from(data, offset)
--- a/robinhill/mesh/swim_messages.py
+++ b/robinhill/mesh/swim_messages.py
@@ -1,6 +1,8 @@
 """Messages of the failure detector, named as in SWIM: ping, indirect ping, ack and gossip.
 
-Every message contains gossip, which is updates on the state of members. Messages are encoded as MessagePack.
+Every message contains gossip: updates on the states of members, which are the configured schedulers. A
+member's *incarnation* identifies its process and increases at each start. Messages are encoded as
+MessagePack.
 """
 
 import enum
@@ -8,11 +10,16 @@
 import msgspec
 
 MAX_REFUTATIONS = 1 << 60
-"""The limit in one incarnation: a damaged update can't raise the count above the integers of MessagePack."""
+"""Upper limit of the refutation count in one incarnation, which MessagePack can encode.
+
+The limit prevents a damaged update from raising the count above the largest integer of MessagePack."""
 
 
 class MemberState(enum.IntEnum):
-    """The state of a member. Of two updates with equal incarnation and refutations the larger state wins."""
+    """The state of a member. Of two updates with equal incarnation and refutations the larger state wins.
+
+    ``DEAD`` is the conclusion of other members; ``LEFT`` is reported by the member itself at its shutdown.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,9 +30,10 @@
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The state of one member, as spread by gossip.
 
-    ``state``: a `MemberState` as a number; unknown numbers, from a newer peer, are ignored. ``incarnation``:
-    identifies the process of ``name`` and increases at each start. ``refutations``: how often that process
-    has refuted a suspicion. ``reporter``: the member that suspects it.
+    ``state``: a `MemberState` as a number; updates with an unknown number, from a newer peer, are ignored.
+    ``incarnation``: identifies the process of ``name`` and increases at each start. ``refutations``: how many
+    suspicions that process has refuted. ``reporter``: a member that suspects ``name``; empty unless the state
+    is ``SUSPECT``.
     """
 
     name: str
@@ -36,7 +44,7 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Incarnation and refutations. The later of two updates has the larger version."""
+        """Incarnation and refutations; of two updates on a member, the later one has the larger version."""
         return self.incarnation, self.refutations
 
     @property
@@ -47,7 +55,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="check"):
-    """Requests an `Ack` with the same number from ``target``."""
+    """Requests an `Ack` with the same number from ``target``, which is the receiver."""
 
     sender: str
     incarnation: int
@@ -57,7 +65,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag="check-for"):
-    """Requests an indirect ping: the receiver pings ``target`` and forwards its `Ack` with our number."""
+    """Requests an indirect ping: the receiver pings ``target``, and reports its `Ack` with our ``number``."""
 
     sender: str
     incarnation: int
@@ -67,7 +75,10 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="checked"):
-    """Reports that ``target`` is alive in ``target_incarnation``; sent by ``target`` itself or forwarded."""
+    """Reports that ``target`` is alive in ``target_incarnation``.
+
+    The sender is ``target`` itself, or a member that pinged ``target`` on behalf of the receiver.
+    """
 
     sender: str
     incarnation: int
@@ -78,7 +89,10 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="word"):
-    """Updates only: sent to partners after a change, and to announce that the sender leaves."""
+    """A message with updates only.
+
+    Sent to partners (members with a link to the sender) after a change, and when the sender shuts down.
+    """
 
     sender: str
     incarnation: int
