--- a/robinhill/mesh/acceptance.py
+++ b/robinhill/mesh/acceptance.py
@@ -1,6 +1,7 @@
 """Tracks which changes a majority of schedulers has confirmed, and which schedulers have not confirmed them.
 
-A change that a majority has confirmed is *accepted*.
+A *change* is the write of a replicated record, identified by the record's stamp. A change that a majority has
+confirmed is *accepted*. An *incarnation* identifies one process of a scheduler, and increases at each start.
 """
 
 from dataclasses import dataclass, field
@@ -72,10 +73,10 @@
         return change is not None and self._add_confirmation(mono_us, peer, incarnation, change)
 
     def confirmed_through(self, mono_us: int, peer: str, incarnation: int, head: Stamp) -> list[Stamp]:
-        """Record that a caught-up scheduler has stored all changes by ``head``'s origin up to ``head``.
+        """Record that a caught-up scheduler has stored all changes of a process up to the change ``head``.
 
-        Changes by other incarnations of the origin are not included.
-        Returns the changes that have become accepted by this confirmation.
+        That process is the incarnation of the scheduler that wrote ``head``; changes that other incarnations
+        wrote are not included. Returns the changes that have become accepted by this confirmation.
         """
         return [
             stamp
--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -29,8 +29,8 @@
     settings ``on_lost`` and ``bound_ms``. ``caught_up``: whether the writer counted towards majorities when
     it wrote the acknowledgement. ``serving``: whether it accepts clients. ``left``: whether this is the
     writer's last acknowledgement, written at shutdown after its last job was sent. ``names_digest``: digest
-    of its list of schedulers. ``applied_digest``: digest of all cordons that its dispatcher has applied and
-    under which the dispatcher sends nothing more to the workers concerned. ``recent_digests``: target and
+    of its list of schedulers. ``applied_digest``: digest of all cordons that its dispatcher has applied; the
+    dispatcher sends nothing more to the workers that these cordons cover. ``recent_digests``: target and
     digest of each of the most recently changed cordons; empty while the dispatcher has not applied all
     changes. ``incarnations``: name and incarnation of the other schedulers that most recently started, as far
     as the writer knows. Both tuples have at most `MAX_RECENT_CHANGES` entries.
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -28,7 +28,7 @@
 ROUND_INTERVAL_US = 5_000_000  # from the end of a round to the start of the next round
 RESEND_TIMEOUT_US = 300_000  # time without a frame of the current round; doubled with each resend request
 MAX_RESEND_TIMEOUT_US = 5_000_000
-MAX_CLOCK_DIFFERENCE_US = 5_000_000  # above it, the answer's digests are as of our time, not the opener's
+MAX_CLOCK_DIFFERENCE_US = 5_000_000  # if the opener's clock differs by more, we answer as of our own time
 DIGEST_BYTES = 8
 
 
@@ -63,7 +63,7 @@
         self._digests_received = False
         self._own_digests: Sequence[int] = ()
         self._differing: frozenset[int] = frozenset()
-        self._to_send: list[RangeDigests | VersionsResendRequest] = []  # at most one of each
+        self._to_send: list[RangeDigests | VersionsResendRequest] = []  # at most one frame of each type
         self._ranges_to_send: list[int] = []
         self._parts_to_send: list[RangePart] = []
         self._awaited: set[int] = set()  # ranges whose versions have not been received completely
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -9,21 +9,21 @@
 times merge by their maximum on every copy, so copies stay equal byte for byte whatever their clocks show.
 Three rules limit the effect of a stamp from the future:
 
-1. It does not advance other clocks: a stamp more than ``MAX_SKEW_US`` ahead leaves the clock of every process
-   that receives it unchanged, so a host with a wrong clock does not spread its time (as it would with plain
-   hybrid clocks).
-2. It wins only over records that were written without knowledge of it. A scheduler that has received it
-   stamps its next write of that record with the successor of that stamp, even if the successor is in the
-   future too. The write therefore wins on all copies.
-3. It extends the lifetime of a record by at most ``MAX_FUTURE_US``: a record whose stamp or expiry time is
-   further ahead than ``MAX_FUTURE_US`` is rejected. The rejection ends as time passes, so it delays the merge
-   but does not keep copies different for good. ``MAX_FUTURE_US`` is a day, which covers every mistaken time
-   zone, the usual gross error: a cordon from a host with the wrong time zone still takes effect, and a cordon
-   from a host whose clock is years ahead is never *accepted* (confirmed by a majority).
+1. Such a stamp does not advance other clocks: a stamp more than ``MAX_SKEW_US`` ahead leaves the clock of
+   every process that receives the stamp unchanged, so a host with a wrong clock does not spread its time (as
+   it would with plain hybrid clocks).
+2. Such a stamp wins only over stamps of the same record that were written without knowledge of it. A
+   scheduler that has received the stamp gives its next write of that record the successor of the stamp, even
+   if the successor is in the future too. The write therefore wins on all copies.
+3. Such a stamp extends the lifetime of a record by at most ``MAX_FUTURE_US``: a record whose stamp or expiry
+   time is further ahead than ``MAX_FUTURE_US`` is rejected. The rejection ends as time passes, so it delays
+   the merge but does not keep copies different for good. ``MAX_FUTURE_US`` is a day, which covers every
+   mistaken time zone, the usual gross error: a cordon from a host with the wrong time zone still takes
+   effect, and a cordon from a host whose clock is years ahead is never *accepted* (confirmed by a majority).
 
 A record to which rule 1 or 3 applies is reported (``StampAhead``). Reducing its stamp on arrival instead
 would do more harm than the wrong clock: a host whose clock shows 1970 would reduce the stamps of all records
-of all other hosts, and so end them.
+of all other hosts, and so end these records.
 
 A host whose own clock is wrong lets records expire too early or too late. ``agreed_offset_us`` computes the
 correction that the caller applies to its time before it passes the time to the replica.
--- a/robinhill/mesh/failure_detector.py
+++ b/robinhill/mesh/failure_detector.py
@@ -106,7 +106,7 @@
     # Events
 
     def reload(self, peers: Mapping[str, str]) -> None:
-        """Use a new list of peers. Peers of both lists keep their state; added peers are pinged first.
+        """Use a new list of peers. Peers in both lists keep their state; added peers are pinged first.
 
         Raises ValueError if there are more than `MAX_PEERS`.
         """
@@ -122,9 +122,8 @@
     def tick(self, mono_us: int) -> list[Action]:
         """Expire pings and suspicions, and send the next ping if it is due.
 
-        To be called about ten times a second.
-
-        Returns the actions to carry out, `ProcessPaused` first.
+        To be called about ten times a second. Returns the actions to carry out; `ProcessPaused` is the first
+        one if the process was paused.
         """
         self._detect_pause(mono_us)
         self._expire_pings(mono_us)
@@ -139,7 +138,7 @@
     def handle(self, mono_us: int, message: Message) -> list[Action]:
         """Process a message whose ``sender`` the caller has verified.
 
-        Returns the actions to carry out, `ProcessPaused` first.
+        Returns the actions to carry out; `ProcessPaused` is the first one if the process was paused.
         """
         self._detect_pause(mono_us)
         sender = message.sender
--- a/robinhill/mesh/failure_detector_options.py
+++ b/robinhill/mesh/failure_detector_options.py
@@ -28,8 +28,8 @@
     consecutive attempts fail one time in 2,500."""
 
     suspicion_periods: float = 5.0
-    """Time in which a suspect with a single reporter may refute, in periods; multiplied by the logarithm to
-    base 10 of the number of members."""
+    """A suspect with a single reporter has this many periods to refute the suspicion, multiplied by the
+    logarithm to base 10 of the number of members (at least 10)."""
 
     min_suspicion_factor: float = 0.5
     """Fraction of the time for a refutation that remains once ``max_reporters`` members in addition to the
@@ -40,7 +40,8 @@
     applies in full."""
 
     gossip_factor: float = 1.5
-    """Each update is sent this many times, multiplied by the logarithm to base 2 of the number of members."""
+    """Each update is sent this many times, multiplied by the logarithm to base 2 of the number of members,
+    and at least `member_table.MIN_GOSSIP_SENDS` times."""
 
     max_updates: int = 24
     """Maximum number of updates in one message: less than 1 KB, so that a message fits into one packet."""
@@ -53,5 +54,5 @@
     """A member is not pinged if a message was received from it directly within this time."""
 
     pause_us: int = 2_000_000
-    """The process counts as paused if the detector was not called for this time; it is called ten times a
-    second."""
+    """The process counts as paused if the detector was not called for this time; its owner calls it ten times
+    a second."""
--- a/robinhill/mesh/frames.py
+++ b/robinhill/mesh/frames.py
@@ -14,10 +14,10 @@
 from robinhill.mesh.errors import PeerRejected
 from robinhill.mesh.records import Record
 
-PROTOCOL = 1
-RANGES = 256
+PROTOCOL = 1  # version of the protocol; both sides must have the same
+RANGES = 256  # number of ranges; a hash of the record's name assigns each record to one of them
 MAX_MESSAGE_BYTES = 1 << 20  # a receiver closes the link at a larger message
-MAX_MEMBERS = 1024
+MAX_MEMBERS = 1024  # names in a hello
 RECORD_DIGEST_BYTES = 8
 
 
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -1,4 +1,4 @@
-"""The lease by which this scheduler may send: how old its knowledge of a majority of schedulers is.
+"""The lease that permits this scheduler to send jobs: how old its knowledge of a majority of schedulers is.
 
 docs/mesh.md describes the protocol. "We" is this scheduler; a *partner* is a scheduler with a link to it. A
 change, such as a cordon, is *accepted* once a majority of schedulers has confirmed that they store it. The
@@ -10,8 +10,8 @@
 schedulers that have lost their state and not caught up. Proof: a lease at time T means that for each
 scheduler of a majority R, we know everything that it knew at some moment later than T - bound. If the cordon
 was accepted before T - bound, R has a scheduler S in common with the majority Q that had stored the cordon by
-then. What S knew at its moment includes the cordon, unless S lost its state between storing the cordon and
-that moment; ``caught_up`` covers that case.
+then. What S knew at the moment as of which we know S includes the cordon, unless S lost its state between
+storing the cordon and that moment; ``caught_up`` covers that case.
 
 **Moments** are measured by our clock alone: the moment as of which we know a partner is the time at which we
 *wrote* the ping. The partner answered later, so our moment is never later than the time as of which we
@@ -79,9 +79,9 @@
         self._names = self.quorum.names
         # By partner: the number of each unanswered ping, and the time when the ping was written.
         self._pending_pings: dict[str, deque[tuple[int, int]]] = {}
-        # By scheduler: the latest moment as of which it is known while it counted towards majorities.
+        # By scheduler: the latest moment as of which it is known and at which it counted towards majorities.
         self._counting_moments: dict[str, int] = {}
-        # By scheduler: the latest moment as of which it is known while it did not count yet.
+        # By scheduler: the latest moment as of which it is known and at which it did not count yet.
         self._starting_moments: dict[str, int] = {}
         self._introduced_us: dict[str, int] = {}  # by peer: the time from which it knows our incarnation
         self._incarnations: dict[str, int] = {}  # by peer: its newest known incarnation
--- a/robinhill/mesh/member_table.py
+++ b/robinhill/mesh/member_table.py
@@ -17,7 +17,7 @@
 from robinhill.mesh.swim_messages import MemberState, MemberUpdate
 
 MAX_REPORTERS = 8  # names of reporters stored for each suspect
-MIN_MEMBERS_FOR_SUSPICION = 10  # smaller groups use the suspicion time of 10: a shorter one has no benefit
+MIN_MEMBERS_FOR_SUSPICION = 10  # fewer members use the suspicion time of 10: a shorter time has no benefit
 MIN_GOSSIP_SENDS = 3  # each update is sent at least this many times
 
 
@@ -73,7 +73,7 @@
         self._max_gossip_sends = MIN_GOSSIP_SENDS
 
     def reload(self, names: Iterable[str]) -> list[str]:
-        """Use a new list of peers; peers of both lists keep their state. Returns the added peers, sorted."""
+        """Use a new list of peers; peers in both lists keep their state. Returns the added peers, sorted."""
         others = sorted(set(names) - {self.me})
         new = [name for name in others if name not in self.members]
         self.members = {name: self.members.get(name) or Member() for name in others}
--- a/robinhill/mesh/options.py
+++ b/robinhill/mesh/options.py
@@ -29,14 +29,15 @@
 
     ``peers``: name and address of each scheduler; may include this scheduler, so that all schedulers can use
     the same file. Replication is disabled if ``peers`` is empty. ``installation``: links to schedulers of
-    another installation are rejected. ``name`` defaults to the scheduler's name, ``listen`` to its address
-    among ``peers``. ``bound_ms``: the longest time after the acceptance of a cordon during which a dispatcher
-    that does not know the cordon may still send jobs. ``on_lost``: whether a scheduler without a lease
-    continues to send jobs (``serve``) or sends no new ones until it has a lease (``hold``). ``partners``: the
-    maximum number of links of this scheduler. ``catch_up_ms``: how long a scheduler that has just started
-    waits for the state of its peers before it accepts clients without that state. ``folder``: whether the
-    scheduler saves a snapshot of its replicated records in $TMPDIR. ``gang_*``: headers in which a job names
-    its gang, the size of the gang and the job's index in the gang.
+    another installation are rejected. ``name``: defaults to the scheduler's name. ``listen``: the address for
+    links from peers; defaults to the scheduler's address among ``peers``. ``bound_ms``: the longest time
+    after the acceptance of a cordon during which a dispatcher that does not know the cordon may still send
+    jobs. ``on_lost``: whether a scheduler without a lease continues to send jobs (``serve``) or sends no new
+    ones until it has a lease (``hold``). ``partners``: the maximum number of links of this scheduler.
+    ``catch_up_ms``: how long a scheduler that has just started waits for the state of its peers before it
+    accepts clients without that state. ``folder``: whether the scheduler saves a snapshot of its replicated
+    records in $TMPDIR. ``gang_*``: headers in which a job names its gang, the size of the gang and the job's
+    index in the gang.
 
     ``voters``: the control group, which replaces ``peers`` (docs/control.md). ``regions``: all regions of the
     installation and their zones, to validate locations. ``region`` and ``zone``: the location of this
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -7,7 +7,7 @@
 *partner* of a scheduler is another scheduler with a link to it. The overlay has the following properties:
 
 - Both ends compute a link from the operators' list alone, and every scheduler has the same number of links.
-- Among 200 schedulers every other one is reached over at most 4 links.
+- Among 200 schedulers each scheduler reaches every other scheduler over at most 4 links.
 - Long fingers skip neighbouring names, such as the hosts of one rack, which fail together.
 - As the two fingers of a pair differ by one in distance, and neighbours are linked, both ends of each link
   have at least two partners in common, which can send indirect pings over existing links.
--- a/robinhill/mesh/ping_rounds.py
+++ b/robinhill/mesh/ping_rounds.py
@@ -14,7 +14,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._names: list[str] = []  # members still to be pinged in this round, the next one last
+        self._names: list[str] = []  # members still to be pinged in this round, the next member at the end
 
     def reload(self, members: dict[str, Member], first: list[str]) -> None:
         """Drop names that are no longer members, and make `next` return the names in ``first`` first.
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -67,7 +67,7 @@
         return self.window.confirmed_cursor(self.cursor)
 
     def peer_has(self, record: Record) -> None:
-        """Record that the peer has sent this record, so that the record is not pushed unless it changes."""
+        """Record that the peer has sent ``record``, so that it is not pushed unless it changes again."""
         if self.cursor < self.log.head and self.log.record(*record.name) == record:
             self._peer_has[record.name] = record
 
@@ -135,7 +135,7 @@
             self.relay_due_us = None
 
     def _delayed(self, mono_us: int, records: list[Record], pong_pending: bool) -> bool:
-        """Whether to delay relaying ``records`` because the peer should receive all from their writers.
+        """Whether to delay ``records`` because the peer should receive all of them from their writers.
 
         The first call starts the delay. The delay is twice as long if our name is larger than the peer's, so
         that two schedulers that could relay the same changes to each other do not relay them at the same
--- a/robinhill/mesh/quorum.py
+++ b/robinhill/mesh/quorum.py
@@ -23,8 +23,9 @@
     A change has *settled* once all schedulers know the newest list (see `settle`).
 
     A quorum is a majority of *every* list in force. A majority of the old list alone need not share a member
-    with a majority of the new list alone, but each of them shares one with a majority of both lists. Source:
-    joint consensus in Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014.
+    with a majority of the new list alone, but each of them shares a member with a majority of both lists.
+    Source: joint consensus in Ongaro and Ousterhout, "In search of an understandable consensus algorithm",
+    2014.
     """
 
     def __init__(self, me: str, peers: Iterable[str]) -> None:
@@ -64,8 +65,8 @@
 
         Settling is safe once no scheduler can act on a majority of an older list alone. This is so when the
         newest list, which spreads as a record like any other, was accepted (`Acceptance`, under the lists of
-        this object) longer ago than the bound of the lease: every scheduler that sends jobs or accepts
-        changes after that knows the newest list and has called `reconfigure`.
+        this object) longer ago than the bound of the lease: every scheduler that sends jobs or counts
+        confirmations after that knows the newest list and has called `reconfigure`.
         """
         self._lists = self._lists[-1:]
 
--- a/robinhill/mesh/record_table.py
+++ b/robinhill/mesh/record_table.py
@@ -58,7 +58,10 @@
         self._live_until_us = 0
 
     def place(self, kind: str, key: str) -> str:
-        """Return the key of a record in this table: its own key, preceded by its kind if that is unknown."""
+        """Return the key under which this table stores a record.
+
+        This is the record's key, preceded by its kind in the table of all unregistered kinds.
+        """
         return key if self.kind is not None else f"{kind}\0{key}"
 
     def put(self, stored: StoredRecord, record: Record) -> None:
--- a/robinhill/mesh/records.py
+++ b/robinhill/mesh/records.py
@@ -19,8 +19,9 @@
     """When and by which process a record was last written: a hybrid logical timestamp; the larger is later.
 
     Source: Kulkarni et al., "Logical physical clocks", 2014. ``origin``: the scheduler that wrote the record.
-    ``wall_us``: Unix time. ``count``: tells stamps with the same ``wall_us`` apart. ``incarnation``
-    increases at each start of ``origin``, even if the clock of its host was set back.
+    ``wall_us``: Unix time, or a later time that the writer had received in another stamp. ``count``: orders
+    stamps with the same ``wall_us``. ``incarnation`` increases at each start of ``origin``, even if the clock
+    of its host was set back.
     """
 
     wall_us: int
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -13,9 +13,10 @@
 may then still merge the record into a value that it writes. The result spreads to all copies like the result
 of any merge.)
 
-**After a disconnection.** The values of a kind that permits removals contain the removals too, and these
-expire with the record. A scheduler that was disconnected for longer than a kind's lifetime, and rewrote a
-record in that time, could therefore restore items that the others have removed and whose removal has expired.
+**After a disconnection.** The value of a record may contain several items, and then contains the removals of
+items too, which expire with the record. A scheduler that was disconnected for longer than a kind's lifetime,
+and rewrote a record in that time, could therefore restore items that the others have removed and whose
+removal has expired.
 Such a scheduler checks ``stale``. If the result is true, the scheduler calls ``clear`` and fetches a complete
 snapshot from a peer before it writes, accepts clients or answers peers. ``disconnected_us`` is the time since
 the last contact with a majority, or since the snapshot file was saved.
--- a/robinhill/mesh/session_events.py
+++ b/robinhill/mesh/session_events.py
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PingAnswered:
-    """Ping ``number`` was answered, and this scheduler stores all changes that the peer knew at its arrival.
+    """Ping ``number`` was answered.
 
-    ``took_us``: the round-trip time. ``confirmed_cursor``: the number of the change up to which the peer has
-    all our changes.
+    This scheduler stores all changes that the peer knew when the ping arrived at the peer. ``took_us``: the
+    round-trip time. ``confirmed_cursor``: the number of the change up to which the peer has all our changes.
     """
 
     number: int
--- a/robinhill/mesh/snapshot.py
+++ b/robinhill/mesh/snapshot.py
@@ -23,7 +23,7 @@
 MAGIC = b"robinhill mesh at rest\n"
 VERSION = 1
 FRAME_BYTES = 64 << 10  # no further record is added to a frame once it has this many bytes
-MAX_FRAME_BYTES = 1 << 20  # more than ``FRAME_BYTES`` and one record of the largest size
+MAX_FRAME_BYTES = 1 << 20  # exceeds ``FRAME_BYTES`` plus one record of the largest size
 _HEAD = struct.Struct(f"<{len(MAGIC)}sH")
 _CHECKSUM_BYTES = 16
 _FRAME = struct.Struct(f"<I{_CHECKSUM_BYTES}s")
