--- a/robinhill/api.py
+++ b/robinhill/api.py
@@ -167,7 +167,7 @@
     classes: tuple[JobClass, ...]
     fleet_size: int = 1  # number of schedulers
     zone: int = 0  # the zone of this scheduler
-    quotas_per_s: tuple[float, ...] = ()  # by tenant
+    quotas_per_s: tuple[float, ...] = ()  # quota of each tenant, in the order of the tenants in the options
     over_quota_priority_weight: float = 1.0
     value_by_work: bool = False  # True: priority weights are per unit of work; False: per job
     must_subscribe: bool = False  # True: the scheduler must poll for the endpoint list; False: it is pushed
--- a/robinhill/logs.py
+++ b/robinhill/logs.py
@@ -17,7 +17,7 @@
 
 
 class LogOptions(Struct, frozen=True, forbid_unknown_fields=True):
-    """The section ``log`` of the operators' file."""
+    """Options for log lines, read from the section ``log`` of the operators' configuration file."""
 
     format: Literal["keyvalue", "json"] = "keyvalue"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -79,7 +79,11 @@
         self._counts_by_event: dict[str, tuple[int, int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to write the line; set ``kept_back`` if lines of its event were dropped before."""
+        """Return whether to write the line.
+
+        The field ``kept_back`` of a line that is written is set to the number of lines of its event that were
+        dropped since the last written one, unless that number is 0.
+        """
         if record.levelno >= logging.ERROR:
             return True
         second, passed, dropped = self._counts_by_event.get(record.msg, (0, 0, 0))
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -200,7 +200,10 @@
         return waits
 
     def bound_speed_share(self, workers: Iterable[WorkerRecord]) -> float:
-        """The share of the total speed of usable workers that those serving bound classes contribute."""
+        """Return the share that workers which serve bound classes have in the total speed of usable workers.
+
+        A bound class is a job class that is restricted to workers of some machine types or zones.
+        """
         speeds = [
             (1 / worker.job_time_us, worker.serves_bound_classes)
             for worker in workers
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -114,7 +114,8 @@
         until = attempt.sent_us + self.klass.memory_us
         self.group_until_us = min(self.group_until_us, until) if self.may_have_run else until
         self.may_have_run, self.group = True, attempt.group
-        if self.klass.repeat is api.Repeat.KEYED:  # after that time, the job must not be sent any more
+        if self.klass.repeat is api.Repeat.KEYED:
+            # The job must not be sent again once the group no longer drops its repeats.
             self.queue_deadline_us = min(self.queue_deadline_us, self.group_until_us)
 
 
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -67,7 +67,7 @@
 
         An attempt that has not started is cancelled to move its job to another worker, or because the job is
         late. An attempt that has started is cancelled if it has made no progress for so long that its answer
-        must be lost.
+        is presumed lost.
         """
         due_us = self._cancel_due_us(now, attempt)
         if now >= due_us:
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -1,12 +1,13 @@
 """When the watch on the endpoint list counts as broken, and when the next call to discovery begins. No I/O.
 
 A watch is a call to discovery whose response streams the endpoint list and its changes. A change of the list
-takes effect a fixed time after discovery has received it and is reachable, whether or not the calls of this
-scheduler succeed. So if the watch is lost, the next call begins in the first half of that time; the second
-half is for the wait at discovery, which serves calls one after another. Within the first half, each call
-begins at a random moment, since hundreds of schedulers may lose their watches, or reach discovery again, at
-the same time. The decision module (robinhill.logic) has a separate backoff for failed polls; this schedule
-does not depend on it.
+takes effect a fixed time after discovery has received the change, whether or not the calls of this scheduler
+succeed. If discovery receives the change while schedulers cannot reach it, the fixed time begins when
+discovery is reachable again. So if the watch is lost, the next call begins in the first half of the fixed
+time; the second half is for the wait at discovery, which serves calls one after another. Within the first
+half, each call begins at a random moment, since hundreds of schedulers may lose their watches, or reach
+discovery again, at the same time. The decision module (robinhill.logic) has a separate backoff for failed
+polls; this schedule does not depend on it.
 
 Instead of discovery itself, a local agent may push lists. A list from the agent takes effect at once, and a
 call to the agent does not delay other schedulers.
@@ -26,7 +27,9 @@
 # consecutive failure after the first.
 SPREAD_PER_SCHEDULER_US = 50_000
 MAX_SPREAD_DOUBLINGS = 6
-MIN_SPREAD_US = 250_000  # maximum random delay after the first half of the change bound
+# A random delay ends at the latest with the first half of ``change_bound_us``. If less than this time remains
+# of the first half, the delay is limited to this time instead.
+MIN_SPREAD_US = 250_000
 # Delay of the next call after a failed call to an agent; it doubles once, up to the maximum. It is short
 # because calls to an agent must succeed within the 0.5 s grace period of drains.
 AGENT_BACKOFF_US = 100_000
@@ -39,7 +42,10 @@
 
 @dataclass(slots=True)
 class WatchSchedule:
-    """The times of calls to discovery; ``lists_pushed``: the called address is an agent that pushes lists."""
+    """Computes when a call to discovery begins, and when an open call counts as broken.
+
+    ``lists_pushed``: the calls go to a local agent that pushes lists, instead of to discovery itself.
+    """
 
     lists_pushed: bool
     rng: random.Random
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -31,7 +31,7 @@
 
     job: JobRecord
     job_class: int
-    bound: bool  # the job may go to certain workers only
+    bound: bool  # whether the job's class is restricted to workers of some machine types or zones
     unsafe: bool  # the job must not run twice
     padded_hint_us: float  # the job's work hint times ``HINT_MARGIN``; 0: no hint
     sends: int  # number of own sends before this job
