--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -110,8 +110,9 @@
 
 
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
-    """The sender waits for these observers, which disconnected without a goodbye.
+    """Asks whether the receiver knows later joins of observers that left the sender without a goodbye.
 
+    The sender still waits for these observers to apply its changes, although their leases have expired.
     A voter that knows a later join of one of them replies with `Migrated`. The reply is needed if an earlier
     `Migrated` was lost, or arrived before the join that it supersedes.
     """
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -162,8 +162,9 @@
     def send_heartbeats(self, mono_us: int, lease: ObserverLease, *, synchronized: bool) -> None:
         """Send the heartbeats that are due.
 
-        Replies of the primary voter renew the lease if the replica is synchronized. Heartbeats to the spare
-        voter check that it is reachable, and report the age of the majority's state that it knows.
+        Replies of the primary voter renew the lease if the replica is synchronized. Replies of the spare
+        voter confirm that it is reachable, and contain the age of the majority's state that the spare voter
+        knows.
         """
         for link, state in self.by_link.items():
             if mono_us < state.next_heartbeat_us or not state.welcomed:
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -26,7 +26,7 @@
     """A link from an observer.
 
     ``join``: number of the last join on this link. ``feed`` is None on a spare link. ``comparing``: the
-    session holds one of the `MAX_COMPARISONS` slots for comparisons.
+    session holds one of the `MAX_COMPARISONS` slots for comparing the observer's replica with the voter's.
     """
 
     name: str
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -103,10 +103,11 @@
 
 
 class ReportableAges:
-    """The ages of our knowledge that sessions report to other voters, computed by `Freshness`.
+    """The ages of our knowledge of voters, which sessions report to other voters; computed by `Freshness`.
 
-    The age of our knowledge of a voter is how long ago that voter had the state which we know of it. While we
-    lack some of another voter's state (`IncompleteVoters`), only the age of our own state, 0, is reported.
+    We know the state that a voter had at some past time; the age of our knowledge of the voter is the time
+    that has passed since then. While we lack some of another voter's state (`IncompleteVoters`), only the age
+    of our own state, 0, is reported.
     """
 
     def __init__(self, freshness: Freshness, incomplete: IncompleteVoters) -> None:
@@ -232,7 +233,7 @@
     # Messages
 
     def pump(self, now_us: int, mono_us: int) -> Iterator[GreetedVoter]:
-        """Send the pending frames of all sessions, then our status to each voter with an outdated one.
+        """Send the pending frames of each session, then our `VoterStatus` if it changed since the last one.
 
         Yields each link on which a voter's hello was received, once the frames of the link are sent; messages
         that the caller sends on the link at that point follow the frames.
