--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -184,8 +184,9 @@
     """Return the automatic cordons that this scheduler should set at ``now_us``, as targets and reasons.
 
     ``items`` are all cordons, by target; ``alive`` are the names of the schedulers that may propose cordons.
-    A worker is not proposed while it has an automatic cordon. After an operator has lifted one, observations
-    count again from LIFT_COOLDOWN_US later on.
+    A worker is not proposed while it has an automatic cordon. After an operator has lifted an automatic
+    cordon, observations of its worker are ignored if they were made before the lift or up to LIFT_COOLDOWN_US
+    after it.
     """
     options, others = options or DetectionOptions(), frozenset(alive) - {own_name}
     histories = {worker: _read_history(now_us, items.get(f"worker/{worker}")) for worker in workers}
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -1,10 +1,11 @@
 """The budget: how many workers automatic cordons may take out of service.
 
-An automatic reason is a proposal. Each scheduler has a copy of all proposals, ranks them by the same total
-order as the others, and admits each one that does not exceed a share of the budget. A proposal that is not
-admitted has no effect until the budget has room for it. So no scheduler ever cordons more workers than the
-budget allows, in whatever order the proposals of several schedulers arrive. Schedulers with the same
-proposals and workers admit the same proposals, so they need no coordination before they propose.
+An automatic reason is a proposal. Each scheduler has a copy of all proposals, and ranks them by the same
+total order as the other schedulers. In this order, it admits each proposal whose workers exceed neither the
+remaining budget of the fleet nor that of their zones. A proposal that is not admitted has no effect until the
+budget has room for it. So no scheduler ever cordons more workers than the budget allows, in whatever order
+the proposals of several schedulers arrive. Schedulers with the same proposals and workers admit the same
+proposals, so they need no coordination before they propose.
 """
 
 from collections import Counter
--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -19,9 +19,11 @@
 # Limits of the cordons of one target. A writer adds no reason beyond MAX_REASONS. A merge of concurrent
 # writes may exceed MAX_REASONS, but a value from a peer that exceeds MAX_ENTRIES, MAX_WRITERS, MAX_RANGES or
 # MAX_INTEGER is rejected.
-MAX_REASONS = 32  # number of different IDs
+MAX_REASONS = 32  # number of different cordon IDs
 MAX_ENTRIES = 1_024  # number of reasons, including several with the same ID that were written concurrently
-MAX_WRITERS = 2_048  # 200 schedulers, each started 10 times while one target was never without a cordon
+# Number of processes that have set cordons of the target. The limit allows for 200 schedulers, each started
+# 10 times while the target was never without a cordon.
+MAX_WRITERS = 2_048
 MAX_RANGES = 4_096  # number of ranges of seen counters, over all writers
 MAX_INTEGER = 2**62  # for counters and Unix microseconds (146,000 years); fits an integer of MessagePack
 
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -172,8 +172,8 @@
     def next_deadline_us(self) -> int | None:
         """Return when the stage or the caller's wait may change without a further event; None if never.
 
-        This is the earlier of two times: the caller's deadline, and the expiry of the last lease, if only the
-        expiry of leases is missing for the change to be in force.
+        This is the earlier of two times: the caller's deadline, and the expiry of the last lease of the
+        unconfirmed schedulers, if the change will then be in force without further confirmations.
         """
         if self.stage is PropagationStage.IN_FORCE:
             return None
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -104,7 +104,7 @@
     lifted_us: int = 0
 
 
-CordonItems = Iterable[tuple[str, CordonSet]]  # by target
+CordonItems = Iterable[tuple[str, CordonSet]]  # pairs of a target and its cordons
 
 
 def active_entries(value: CordonSet, now_us: int) -> tuple[Entry, ...]:
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -19,7 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-STARTS_DELAY_S = 0.05  # batches the starts of several peers into one acknowledgement
+# Delay between the report of a peer's process start and the acknowledgement that includes it, so that one
+# acknowledgement includes several peers that start at about the same time.
+STARTS_DELAY_S = 0.05
 
 
 class AcknowledgementWriter:
--- a/robinhill/net/cordons/cordon_records.py
+++ b/robinhill/net/cordons/cordon_records.py
@@ -59,7 +59,10 @@
 
 
 class CordonRecords:
-    """The cordons in a replica. ``origin`` and ``incarnation`` identify this process as a writer in dots."""
+    """The cordons in a replica.
+
+    ``origin`` (this scheduler's name) and ``incarnation`` identify this process in the `Dot` of each write.
+    """
 
     def __init__(self, replica: Replica, clock: Clock, origin: str, incarnation: Callable[[], int]) -> None:
         self.replica = replica
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -47,7 +47,7 @@
 
     @property
     def state(self) -> str:
-        """The state of the change, by the name that answers to operators contain."""
+        """The state of the change, as it is written in answers to operators."""
         if self.in_force:
             return IN_FORCE
         return ACCEPTED if self.accepted else STORED
