--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -66,7 +66,9 @@
     SILENT = 1  # the connection has waited for a complete request for at least MIN_SILENCE_S
     IDLE = 2  # between requests; none of them was a job, a worker's callback or an operator's call
     TOO_YOUNG = 3  # a request or its response may be in transit
-    IDLE_SERVED = 4  # between requests; the client or worker has used it and would have to connect again
+    # Between requests, at least one of which was a job, a worker's callback or an operator's call. The peer
+    # would have to open a new connection for its next request.
+    IDLE_SERVED = 4
 
 
 class _LingeringTransport:
@@ -133,7 +135,10 @@
         super().connection_made(cast(asyncio.Transport, _LingeringTransport(self._raw_transport, self)))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop the timer. If the answer to an adopted request has not begun, `adopt` returns False."""
+        """Stop the timer and unregister the connection.
+
+        Also makes a call of `adopt` return False if it still waits for the answer to its request to begin.
+        """
         self._raw_transport = None
         self._enter_phase(_Phase.CLOSING)
         self.listener.open.discard(self)
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -141,7 +141,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the front should send clients to this process."""
+        """Whether the front (the clients' load balancer) should send clients to this process."""
         return self.serving and not (
             self.shutting_down
             or self.drained_by_operators
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -321,8 +321,8 @@
         """The time until which the next attempt may be written to the connection.
 
         For a retry of a keyed request (one with an idempotency key) that may already have run, it is the end
-        of the window in which workers drop duplicates of the request; connecting to a worker may take longer.
-        Otherwise it is the request's deadline.
+        of the window in which workers drop duplicates of the request, because the window may end while the
+        endpoint is still connecting to the worker. Otherwise it is the request's deadline.
         """
         job_class = self.config.settings.classes[request.request.job_class]
         job = self.balancer.jobs.get(request.job)
--- a/robinhill/net/dispatcher/traffic_recorder.py
+++ b/robinhill/net/dispatcher/traffic_recorder.py
@@ -16,7 +16,10 @@
 
 
 class TrafficRecorder:
-    """Adds a record for each event; called by the dispatcher and the admission actor."""
+    """Adds requests, attempts, answers and endpoints to the recording, each as one record.
+
+    The dispatcher and the admission actor call it.
+    """
 
     def __init__(self, recorder: "Recorder", clock: Clock, classes: tuple[str, ...]) -> None:
         self.recorder = recorder
