--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -69,11 +69,12 @@
 class Process:
     """A simulated process: the state machine of a voter or an observer, its clock and its connections.
 
-    ``rate``: the deviation of its monotonic clock in parts per million. ``tick_us``: when its next tick is
-    scheduled. ``steps``: the number of calls of its state machine. ``as_of_us`` and ``keys``: the maximum
-    lease time and number of records that the checks have seen. ``checked_count``: the first changes of
-    `Network.changes`, which the checks have included so far. ``missing``: those of them that the replica had
-    not stored at the last check.
+    ``rate``: the deviation of its monotonic clock in parts per million. ``tick_us``: when its next tick
+    is scheduled. ``steps``: the number of calls of its state machine. ``as_of_us`` and ``keys``: the time
+    as of which an observer knew a majority's state (`ObserverLease.as_of_us`) and the number of its
+    records, both at the last check; neither may decrease. ``checked_count``: how many elements of
+    `Network.changes`, from the first one, the checks have included so far. ``missing``: the changes among
+    them that the replica had not stored at the last check.
     """
 
     name: str
@@ -118,7 +119,8 @@
 
     ``regions``: the number of regions, to which voters and observers are assigned in turn. ``delay_us`` and
     ``cross_region_delay_us``: the minimum delay of a message within and between regions. ``loss``: the
-    fraction of messages that are retransmitted. ``note_capacity``: for each process, the bound of its notes.
+    fraction of messages that are retransmitted. ``note_capacity``: for each process named there, the maximum
+    number of records of the kind NOTE that it accepts from its own writes (20,000 for the other processes).
     """
 
     def __init__(
@@ -210,7 +212,11 @@
         self._perform(process, process.machine.start(self.now_us, process.mono_us(self.at_us)))
 
     def crash(self, name: str) -> None:
-        """End a process without a goodbye. Its host closes its connections; a cut delays the notice of it."""
+        """Terminate a process without the goodbye message of a regular stop.
+
+        The other ends of its connections are notified that the connections were closed, but across a cut
+        only after the cut has ended.
+        """
         process = self.processes.pop(name)
         process.alive = False
         for number in sorted(process.connections):
@@ -261,7 +267,7 @@
     # Faults
 
     def cut(self, one: str, other: str) -> None:
-        """Delay all messages between two regions or processes, and let new connections between them fail."""
+        """Delay all messages between two regions or processes, and make new connections between them fail."""
         self.cuts.add(frozenset((one, other)))
 
     def isolate(self, region: str) -> None:
@@ -448,7 +454,7 @@
         base_us = self.delay_us if same_region else self.cross_region_delay_us
         return base_us + self.rng.randint(0, base_us // 4)
 
-    # Rules
+    # Rules that observers must not violate
 
     def _record_progress(self, process: Process, progressed: Progressed) -> None:
         change = self._by_number[process.name, process.incarnation, progressed.number]
@@ -466,8 +472,9 @@
     def check_rules(self) -> None:
         """Append to `violations` each violation of the rules by an observer.
 
-        Its replica and its lease time must never move back. While its lease is valid, it must have stored
-        every change that is in force or, under `hold`, was accepted longer than the bound ago.
+        The number of records in its replica, and the time as of which its lease says that it knows a
+        majority's state, must never decrease. While its lease is valid, it must have stored every change that
+        is in force or, under `hold`, was accepted longer than the bound ago.
         """
         for process in self.observers():
             self._check_monotone(process)
@@ -521,7 +528,7 @@
         )
 
     def settled(self) -> bool:
-        """Whether all observers are synchronized and, with more than one voter, have a spare link."""
+        """Whether all observers are synchronized and have a spare link to a second voter, if there is one."""
         spare = len(self.voters()) > 1
         return all(
             one.machine.synchronized and (one.machine.spare_voter is not None or not spare)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -50,7 +50,8 @@
             network.cut(*rng.sample(voters + observers, 2))
         case "heal":
             network.heal()
-        case "lose voter":  # one at a time: changes survive no majority that loses its replicas at once
+        case "lose voter":
+            # One voter at a time: a change may be lost if a majority loses its replicas at the same time.
             if all(network.voter(name).counts for name in voters):
                 network.restart(rng.choice(voters))
         case "restart observer":
@@ -77,7 +78,10 @@
 
 
 def leased_network(delay_us: int = 2_000, cross_region_delay_us: int = 40_000) -> Network:
-    """Return a network in which all observers have a lease and no voter waits for unknown observers."""
+    """Return a network in which all observers have a lease.
+
+    No voter waits for the leases of observers of its earlier incarnation any more.
+    """
     network = Network(3, 6, regions=3, delay_us=delay_us, cross_region_delay_us=cross_region_delay_us)
     network.run_until(network.leased, 5 * SECOND)
     network.run(with_slack(network.bound_us) + SECOND)
@@ -124,7 +128,8 @@
 
 
 def observer_fails_over_without_a_change() -> Network:
-    """A change can't reach an observer from its voter, so it fails over to a distant voter that has it."""
+    """An observer is cut off from its voter and fails over to a voter in another region, which has stored a
+    change that the observer lacks."""
     network = leased_network(delay_us=30_000, cross_region_delay_us=80_000)
     name = network.observer("s0001").voter
     assert name is not None
@@ -146,7 +151,7 @@
 
 
 def ignore_disconnected_observers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let changes not wait for observers that disconnected without a goodbye."""
+    """Inject a bug: changes do not wait for observers that disconnected without a goodbye message."""
     original = ObserverProgress.track
 
     def faulty(
@@ -160,7 +165,7 @@
 
 
 def ignore_unknown_observers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let changes not wait for observers of the voter's earlier incarnation."""
+    """Inject a bug: changes do not wait for observers of the voter's earlier incarnation."""
     original = ObserverProgress.__init__
 
     def faulty(self: ObserverProgress, started_us: int, bound_us: int) -> None:
@@ -171,7 +176,7 @@
 
 
 def ignore_unreported_voters(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let changes not wait for voters that have not reported a status."""
+    """Inject a bug: changes do not wait for voters that have not reported a status."""
 
     def faulty(self: CommitTracker, batch: ChangeBatch) -> LaggingObservers:
         return LaggingObservers(sum(one.count for one in batch.lagging.values()), ())
@@ -180,7 +185,8 @@
 
 
 def migrate_at_the_join(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Report an observer as migrated when it joins, before it is synchronized."""
+    """Inject a bug: a voter reports to the others that an observer has migrated to it as soon as the observer
+    joins, not only once the observer is synchronized."""
     original = ObserverSessions._grant_comparisons
 
     def faulty(self: ObserverSessions) -> None:
@@ -193,7 +199,7 @@
 
 
 def double_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let an observer's lease expire only after twice the bound."""
+    """Inject a bug: an observer's lease expires only after twice the bound."""
 
     def faulty(self: ObserverLease, mono_us: int) -> bool:
         return self.as_of_us is not None and mono_us - self.as_of_us <= 2 * self.bound_us
@@ -202,7 +208,7 @@
 
 
 def clear_the_replica_before_comparisons(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let an observer discard its replica when it synchronizes, instead of merging into it."""
+    """Inject a bug: an observer discards its replica when it synchronizes, instead of merging into it."""
     original = ReplicaSync.send_digests
 
     def faulty(self: ReplicaSync, now_us: int, link: int) -> None:
--- a/tests/test_control_network.py
+++ b/tests/test_control_network.py
@@ -12,7 +12,10 @@
 
 
 def leased_network(voters: int, observers: int, **options: object) -> Network:
-    """Return a network in which all observers are synchronized and have a lease and a spare link."""
+    """Return a network in which all observers are synchronized and have a lease.
+
+    With more than one voter, each observer also has a spare link, to which it can fail over.
+    """
     network = Network(voters, observers, **options)  # type: ignore[arg-type]
     network.run_until(network.leased, 5 * SECOND)
     network.run_until(network.settled, 5 * SECOND)
@@ -150,7 +153,8 @@
 
 
 def test_an_outdated_join_stops_lagging_once_the_observer_migrates() -> None:
-    """A voter learns of the join and its lost link only after the observer has joined another voter."""
+    """An observer's join at a voter, and the loss of that link, are recorded only after the observer has
+    joined another voter."""
     network = leased_network(3, 3, on_lost=Mode.SERVE)
     primary = network.observer("s0000").voter
     other = next(name for name in network.keys.voters if name != primary)
@@ -214,7 +218,8 @@
     network = leased_network(3, 60, regions=3, bound_ms=4_000)
     network.isolate("r1")
     network.run(20 * SECOND)
-    assert max(one.steps for one in network.processes.values()) < 40 * 100  # no process polls in a loop
+    # No process runs a busy loop: each makes fewer than 160 steps per simulated second in these 25 s.
+    assert max(one.steps for one in network.processes.values()) < 40 * 100
     connects = network.action_counts["Connect"]
     comparisons = sum(network.voter(one.name).metrics.comparisons for one in network.voters())
     network.heal()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -33,12 +33,12 @@
 
 
 def region_and_zone(number: int) -> Json:
-    """Return the region and zone of voter ``number`` and of the scheduler beside it."""
+    """Return the region and zone of voter ``number`` and of the scheduler in the same zone."""
     return {"region": "east" if number < 2 else "west", "zone": f"zone-{number}"}
 
 
 class ControlGroup:
-    """Voters in three zones of two regions, a scheduler in the zone of each, and workers that all share."""
+    """Voters in three zones of two regions, schedulers in these zones, and workers that they all share."""
 
     def __init__(self, root: Path, schedulers: tuple[str, ...], **mesh: Any) -> None:
         self.root = root
@@ -125,7 +125,7 @@
 
 
 async def wait_for_log(program: Program, text: str, times: int = 1) -> None:
-    """Wait until the program's log contains a text as often as ``times``."""
+    """Wait until the program's log contains a text at least ``times`` times."""
 
     async def found() -> bool:
         return program.log.read_text().count(text) >= times
@@ -141,16 +141,16 @@
 
 
 async def reports(program: Program, path: str, **expected: Any) -> bool:
-    """Whether the response to an operators' call has these values."""
+    """Whether the JSON response to an operators' GET of ``path`` has the ``expected`` values."""
     _, text = await program.call("GET", path)
     response = json.loads(text)
     return all(response.get(key) == value for key, value in expected.items())
 
 
 async def wait_until_settled(program: Program, not_voter: str | None = None) -> Json:
-    """Wait until a scheduler is synchronized and has a lease and a spare voter, and return its status.
+    """Wait until a scheduler is synchronized and has a lease and links to two voters, and return its status.
 
-    Neither of its two voters may be ``not_voter``.
+    Neither its primary voter nor its spare voter, the one for failover, may be ``not_voter``.
     """
 
     async def is_settled() -> bool:
@@ -189,9 +189,8 @@
         async with running_group() as group:
             s1, s3 = group.schedulers["s1"], group.schedulers["s3"]
             assert await group.run_jobs("s3", 12) == {"w0", "w1", "w2"}
-            assert (await cordon(s1, "c0", target="worker/w9"))[
-                0
-            ] == 200  # no earlier incarnation has a lease now
+            # After this cordon, changes no longer wait for leases that earlier incarnations may have granted.
+            assert (await cordon(s1, "c0", target="worker/w9"))[0] == 200
             status, response = await cordon(s1)
             assert (status, response["in_force"], response["unconfirmed"]) == (200, True, [])
             assert response["ms"] < BOUND_MS
@@ -217,7 +216,8 @@
             assert sum(map(int, observers)) == 3
             assert "app.control.lease:1|g" in (await s1.call("GET", "/ops/stats"))[1]
 
-            # Under `serve` the scheduler continues to send by its last state, and reports how old it is.
+            # Under `serve` the scheduler continues to send jobs according to its last known state, and
+            # reports the age of that state.
             for name in ("v2", "v3"):
                 group.voters[name].signal(signal.SIGSTOP)
             await wait_for_log(s1, "event=control_lease_expired")
@@ -267,7 +267,7 @@
 
 
 def test_under_hold_a_lease_survives_the_loss_of_a_voter_but_expires_without_a_majority() -> None:
-    """A change then waits for a killed scheduler until the lease of that scheduler must have expired."""
+    """With a majority, a change waits for a killed scheduler until that scheduler's lease has expired."""
 
     async def scenario() -> None:
         bound_s = 2.0
@@ -303,8 +303,8 @@
             await s2.kill()
             status, response = await cordon(s1, "c2", target="worker/w1")
             assert status == 200 and response["in_force"]
-            # The killed scheduler could send until its lease expired, which is the bound after the last
-            # heartbeat reply that it received.
+            # The killed scheduler could have sent jobs until its lease expired, at most one bound after the
+            # last heartbeat reply that it received.
             assert response["ms"] > bound_s * 1000 / 2
 
     asyncio.run(scenario())
