--- a/tests/test_mesh_processes.py
+++ b/tests/test_mesh_processes.py
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Schedulers with the same workers, which report to the scheduler that the last jobs were sent to."""
+    """Schedulers that share their workers. The workers report to the scheduler last used by `run_jobs`."""
 
     def __init__(self, root: Path, **mesh: Any) -> None:
         self.site, self.journal = Site((QUICK,), cold_s=0.2), Journal()
@@ -104,7 +104,7 @@
 
 
 async def wait_for_log(program: Program, text: str, times: int = 1) -> None:
-    """Wait until the program's log contains a text as often as ``times``."""
+    """Wait until the program's log contains a text at least ``times`` times."""
     async with asyncio.timeout(10):
         while program.log.read_text().count(text) < times:
             await asyncio.sleep(0.02)
--- a/tests/test_mesh_replica.py
+++ b/tests/test_mesh_replica.py
@@ -47,7 +47,7 @@
 
 
 def merge(copy: Replica, now: int, record: Record) -> Record | None:
-    """Merge a record, and return the stored one as `Replica.merge` does, also if its stamp is ahead."""
+    """Merge a record, and return the stored record as `Replica.merge` does, even if it raises StampAhead."""
     try:
         return copy.merge(now, record)
     except StampAhead as e:
@@ -98,7 +98,7 @@
         change = ((), before[0]) if remove and before else ((self.last_number,), ())
         try:
             record = self.copies[i].write(self.now + self.skews_us[i], kind, str(key), change)
-        except StateFull:  # the kind is full of newer records, as this copy's clock is an hour behind
+        except StateFull:  # the kind holds its 3 records, all newer: this copy's clock is an hour behind
             assert kind == "few" and not before and any(self.skews_us)
             return
         assert self.copies[i].record(kind, str(key)) == record
@@ -113,7 +113,9 @@
         )
         drain = record_kinds.Drain(at_us, f"s{i}", draining, "")
         self.copies[i].write(self.now + self.skews_us[i], "drain", "s9", drain)
-        assert self.copies[i].value("drain", "s9") == drain, "a drain must win over those its writer knew"
+        assert self.copies[i].value("drain", "s9") == drain, (
+            "a drain must replace the one its writer had stored"
+        )
 
     @rule(pair=st.sampled_from(list(permutations(range(3), 2))), limit=st.integers(1, 4))
     def push(self, pair: tuple[int, int], limit: int) -> None:
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -54,7 +54,8 @@
         self.frame_number = 0
         self.sent_bytes = [0, 0]
         self.cut = self.allow_missing = False
-        self.stored_at_ping: dict[tuple[int, int], dict[Any, Any]] = {}  # by receiver and ping number
+        # By the receiver and the number of a ping: the receiver's records when the ping arrived.
+        self.stored_at_ping: dict[tuple[int, int], dict[Any, Any]] = {}
         self.peers: list[Peer] = []
         for index, name in enumerate("ab"):
             replica = Replica(name, 1 + index, [kind()])
@@ -100,7 +101,8 @@
         for event in peer.session.receive(UNIX + self.now, self.now, frame):
             peer.events.append(event)
             if isinstance(event, PingAnswered) and not self.allow_missing:
-                # The sender of the ping must now have all records that the other peer had when it arrived.
+                # The sender of the ping must now have all records that the receiver of the ping had stored
+                # when the ping arrived.
                 for name, record in self.stored_at_ping[1 - receiver, event.number].items():
                     stored = peer.replica.record(*name)
                     assert stored and stored.stamp >= record.stamp, (name, self.now)
@@ -141,7 +143,8 @@
     link.run(2 * S)
     assert link.equal
     assert [s.session.sender.pushed for s in link.peers] == [2000, 2000]
-    # The key "0" is written at both peers, and one of the two records need not be skipped.
+    # Each peer skips the 2,000 records received from the other. But both wrote the key "0", and the peer
+    # with the newer record of it does not store the received one, which it then need not skip.
     assert sum(s.session.sender.skipped for s in link.peers) == 3999
     before = sum(link.sent_bytes)
     link.run(ROUND_INTERVAL_US)
@@ -181,7 +184,7 @@
 
 
 def test_a_change_missing_from_all_pushes_is_repaired_by_anti_entropy() -> None:
-    """The sender's cursor is moved past the change, as a bug of the sender might."""
+    """The sender's cursor is moved past the change, as a bug in the sender might do."""
     link = SimulatedLink(5)
     link.run(S)
     link.write(1, "lost", 7)
