--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: default settings, a balancer that is driven event by event, and known failures."""
+"""Shared helpers: default settings, a balancer driven event by event, and the marking of known failures."""
 
 from typing import Any
 
@@ -45,7 +45,7 @@
     """A balancer and its simulated clock.
 
     ``workers``: the workers of the first endpoint list, or their number. Each method handles one event and
-    returns the balancer's actions. Those with ``after_us`` advance the clock by it first.
+    returns the balancer's actions. A method with ``after_us`` advances the clock by that time first.
     """
 
     def __init__(self, workers: list[api.Worker] | int = 4, seed: int = 7, **changes: Any) -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -52,10 +52,11 @@
     def run(
         self, cold_workers: list[str], at_s: float, removed: int = 0, **scenario: Any
     ) -> tuple[float, float]:
-        """Simulate workers that start at ``at_s``; return their highest use of a window and mean total use.
+        """Simulate workers that start at ``at_s``; return how much of their budget of attempts they received.
 
-        Both are shares of the budget, see ``slow_start_use``. ``removed``: number of workers that leave the
-        endpoint list at ``at_s``.
+        The first value is the highest share of the budget of a time window among these workers, the second is
+        the mean share of the budget of the whole slow start; see ``slow_start_use``. ``removed``: number of
+        workers that are removed from the endpoint list at ``at_s``.
         """
         node_settings = settings(fleet_size=self.nodes, **self.changes)
         started = int(at_s * S)
@@ -119,7 +120,7 @@
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
 def test_schedulers_that_just_started_stay_within_the_budget(nodes: int) -> None:
-    """Such schedulers estimate the throughput of a worker from few jobs and a short time."""
+    """A new scheduler estimates the throughput of a worker from few jobs and a short time."""
     for delay_s in (0.1, 2.0):
         starts_s = [4.0 + 0.1 * node / nodes for node in range(nodes)]
         highest_use, _ = Fleet(nodes, 8, 0.1, 4).run(NEW_WORKERS, 4.0 + delay_s, starts_s=starts_s)
@@ -167,8 +168,8 @@
 
 
 def test_worker_that_returns_in_slow_start_stays_within_the_budget() -> None:
-    """The first jobs to a worker that returned after draining were 0.5 s apart whatever its throughput, which
-    was 1.55 times the budget with jobs of 2 s."""
+    """The first jobs to a worker that returned after draining were sent 0.5 s apart, whatever the throughput
+    of the worker. With jobs of 2 s, this was 1.55 times the budget."""
     fleet = Fleet(
         10, 24, 2.0, 1, slow_start_floor=0.2, fall_multiple=2.0, tip_after_us=2 * S, slow_start_us=9 * S
     )
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -18,7 +18,8 @@
 
 
 def test_worker_with_a_waiting_job_of_this_node_gets_no_other() -> None:
-    """Rotation that ignored waiting jobs put jobs behind others (all three deployments, plain design)."""
+    """A rotation that ignored waiting jobs sent jobs to workers at which another job of the same node already
+    waited (all three deployments, plain design)."""
     node = Node(2, reports_start=True)
     first, second = sent_to(node.submit()), sent_to(node.submit(MS))
     assert {first, second} == {"w0", "w1"}
@@ -85,16 +86,16 @@
 
 
 def test_waiting_job_is_neither_cancelled_nor_moved_if_waste_is_costly() -> None:
-    """A high ``waste_price`` means that cancelling stops no work: cancelled jobs ran on without a client
-    (keyed site at full size, 0.00)."""
+    """A high ``waste_price`` means that cancelling stops no work: cancelled jobs continued to run although
+    no client waited for them (keyed site at full size, 0.00)."""
     node = Node(2, reports_start=True, waste_price=0.2)
     assert not of_type(node.submit(), api.SetTimer)
     assert not of_type(node.submit(2 * S), api.Cancel)
 
 
 def test_safe_job_that_does_not_start_is_moved() -> None:
-    """Each of 100 nodes is unaware of the others' jobs, and a third of the jobs waited in workers' queues
-    (unsafe site at full size)."""
+    """Each of 100 nodes is unaware of the jobs of the other nodes. A third of the jobs waited in workers'
+    queues (unsafe site at full size)."""
     node = Node(2, reports_start=True)
     actions = node.submit()
     (timer,) = of_type(actions, api.SetTimer)
@@ -104,8 +105,8 @@
 
 
 def test_moves_of_waiting_jobs_are_limited_to_a_share_of_completed_jobs() -> None:
-    """Cancelled jobs ran on: while other workers had free slots, most work was done for jobs that had been
-    moved away (genova-sala, calm)."""
+    """Cancelled jobs continued to run: while other workers had free slots, workers did most of their work for
+    jobs that had been moved to another worker (genova-sala, calm)."""
     node = Node(60, reports_start=True)
     due: list[tuple[int, str]] = []
     for _ in range(40):
@@ -182,8 +183,8 @@
 
 
 def test_job_time_of_an_unused_worker_is_estimated_by_its_machine_type() -> None:
-    """A node sent each worker one job in ten seconds, so that the estimated speed of a worker was merely the
-    length of its last job (all sites at full size)."""
+    """A node sent each worker only one job in ten seconds, so that the estimated job time of a worker was
+    merely the duration of its last job (all sites at full size)."""
     node = Node([api.Worker(f"w{i}", kind=i % 2) for i in range(20)])
     for _ in range(10):
         address = sent_to(node.submit(10 * MS))
@@ -346,13 +347,13 @@
         node.end_attempt(node.jobs, took_us=(300 if restricted else 100) * MS)
     assert all(kind for restricted, kind in sends if restricted)
     assert sum(kind for restricted, kind in sends[100:] if not restricted) == 0, (
-        "restricted jobs alone fill the machines of their type"
+        "the machines of this type must be left to the restricted jobs, which fill them"
     )
 
 
 def test_keyed_job_that_does_not_start_is_moved_within_its_group() -> None:
-    """Each of 100 nodes is unaware of the others' jobs, and keyed jobs waited in queues while other workers
-    of their cell had free slots (igp site)."""
+    """Each of 100 nodes is unaware of the jobs of the other nodes. Keyed jobs waited in queues while other
+    workers of their cell had free slots (igp site)."""
     workers = [api.Worker(f"w{i}", cell=i // 2) for i in range(4)]
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.CELL)
     node = Node(workers, classes=(keyed,), reports_start=True)
@@ -365,7 +366,7 @@
     node = Node(1, classes=(keyed,), reports_start=True)
     (timer,) = of_type(node.submit(), api.SetTimer)
     assert not of_type(node.handle(api.TimerFired(timer.tag), timer.after_us), api.Cancel), (
-        "no other worker exists"
+        "the job must not be cancelled, as no other worker exists"
     )
 
 
@@ -537,13 +538,13 @@
     node.balancer.workers["w0"].concurrency_limit = 1.0
     assert not of_type(node.submit(S), api.Send), "the first job may still run"
     assert of_type(node.submit(S), api.Send), (
-        "no report of it for more than one and a half progress intervals"
+        "the first job had no progress report for more than one and a half progress intervals"
     )
 
 
 def test_job_without_a_hint_is_held_longer_once_the_usual_run_time_is_known() -> None:
-    """Lookups were rejected after 0.3 s, although a lookup of the usual length can wait for 1 s and still be
-    in time (calm and rude days)."""
+    """Lookups were rejected after 0.3 s, although a lookup of the usual duration can wait for 1 s and still
+    be answered in time (calm and rude days)."""
     node = Node(1, reports_start=True)
     node.submit()
     start_job(node, 1, MS)
@@ -560,7 +561,7 @@
     """Renewals written to the open connections of a machine that had become unreachable were lost (fleet
     days)."""
     node = Node(1, reports_start=True)
-    assert not of_type(node.submit(), api.CloseIdle)  # no connection can be open yet
+    assert not of_type(node.submit(), api.CloseIdle)  # before the first job, no connection is open
     node.end_attempt(1, after_us=50 * MS)
     assert not of_type(node.submit(100 * MS), api.CloseIdle)
     node.end_attempt(2, after_us=50 * MS)
@@ -596,8 +597,8 @@
 
 
 def test_worker_with_an_overdue_answer_is_chosen_last() -> None:
-    """Such a worker starts jobs, but its answers never arrive: seven consecutive renewals were lost on two
-    such workers (lost answers)."""
+    """Two workers started jobs, but their answers never arrived: seven consecutive renewals were lost on
+    these workers (lost answers)."""
     node = Node(2, reports_start=True, probes=True)
     for job in (1, 2):
         node.submit()
@@ -643,8 +644,8 @@
 
 
 def test_safe_job_reset_after_a_long_run_is_retried_if_time_is_left() -> None:
-    """Reports that were killed when their worker was released were rejected, although even the long ones had
-    time for another run."""
+    """Jobs of the class "reports" that were killed when their worker was released were rejected, although
+    even the long ones had time for another run."""
     node = Node(2, reports_start=True)
     node.submit()
     start_job(node, 1, MS)
@@ -655,8 +656,8 @@
 
 
 def test_worker_gets_the_next_job_after_a_pause_if_jobs_waited_there() -> None:
-    """Eight nodes that each keep one job at the same worker queue behind each other there (Kalevi, overload,
-    big-1)."""
+    """If each of eight nodes always has one job at the same worker, their jobs wait for each other there
+    (Kalevi, overload, big-1)."""
 
     def pause_us(waits_us: int) -> int:
         node = Node(1, reports_start=True, fleet_size=8)
@@ -674,7 +675,7 @@
 
 
 def test_held_jobs_that_are_late_rank_by_their_value_when_late() -> None:
-    """Jobs that were already late took the slots of jobs that could still be in time (Kalevi, overload)."""
+    """Jobs that were already late occupied slots that jobs still in time needed (Kalevi, overload)."""
     for late_weight, first in ((0.2, 3), (0.9, 2)):
         classes = (
             klass(priority_weight=3.0, late_priority_weight=late_weight),
@@ -690,8 +691,8 @@
 
 
 def test_node_with_few_jobs_in_flight_does_not_move_waiting_jobs() -> None:
-    """200 nodes with few jobs each moved one job in nine, to workers just as full, while the cancelled
-    attempts ran on."""
+    """200 nodes with few jobs each moved one job in nine to workers that were just as full, while the
+    cancelled attempts continued to run."""
     node = Node(60, reports_start=True, fleet_size=200)
     for _ in range(20):
         node.submit(200 * MS)
@@ -701,7 +702,7 @@
     assert node.balancer.state.few_in_flight
     assert not of_type(node.handle(api.TimerFired(timer.tag), timer.after_us), api.Cancel)
     assert not of_type(node.handle(api.TimerFired(timer.tag), 2 * S), api.Cancel), (
-        "nor past the latency objective"
+        "the job must not be cancelled past its latency objective either"
     )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
-"""Simulations of many schedulers: effects that add up over them, and facts that each learns too late alone.
+"""Simulations of many schedulers: effects that add up, and facts that one scheduler alone learns too late.
 
-Also: no job is sent again after its end. Parentheses name the bench's site and day of an observed failure.
-Charges are a job class of the bench's sites.
+Also covered: no job is sent again after its end. Parentheses name the bench's site and day of an observed
+failure. Charges are a job class of the bench's sites.
 """
 
 import random
@@ -32,9 +32,9 @@
 
 @pytest.mark.parametrize("nodes", [40, 200])
 def test_unsafe_jobs_avoid_failing_workers_more_than_safe_jobs_do(nodes: int) -> None:
-    """Each of 40 nodes sends a job to the same worker once in 30 s and learned on its own that the worker
-    fails. The jobs that revealed it were charges (unsafe jobs) as often as others: 36 of 859 charges of a day
-    were lost (zone+vast)."""
+    """Each of 40 nodes sent a job to the same worker only once in 30 s, and each had to learn on its own that
+    the worker fails. The jobs whose failure showed this were charges (unsafe jobs) as often as other jobs: 36
+    of the 859 charges of a day were lost (zone+vast)."""
     sent = simulate_fleet(nodes, WORKERS, 80, 30, fail_half_if_failing, classes=(SAFE, SAFE, SAFE, UNSAFE))
     sends = Counter((s.worker in FAILING, s.job_class == 3) for s in sent)
     unsafe = sends[True, True] / (sends[True, True] + sends[False, True])
@@ -62,8 +62,9 @@
 
 
 def test_unsafe_jobs_use_new_workers_nearly_as_much_as_safe_jobs_do() -> None:
-    """Six in ten workers are replaced. Of 194 charges (unsafe jobs) in the next 5 s, only one went to a new
-    worker; the remaining workers were known but full, and 4 in 10 charges waited there (join+vast)."""
+    """Six in ten workers were replaced. Of 194 charges (unsafe jobs) in the next 5 s, only one was sent to a
+    new worker. The others were sent to the remaining, known workers, which were full, and 4 in 10 charges
+    waited there (join+vast)."""
     new = [api.Worker(f"new{i}", started_us=START + 20 * S) for i in range(36)]
     removed = [api.Worker(f"w{i}", state=api.WorkerState.REMOVED) for i in range(36)]
     sent = simulate_fleet(
@@ -76,8 +77,8 @@
 
 def test_nodes_with_few_arrivals_do_not_all_leave_a_full_zone_together() -> None:
     """A third of the workers are in the zone where 6 in 10 jobs arrive. All nodes learned of the same waits
-    late, and the cost of a zone grew with the eighth power of its wait: no job crossed zones, then nine in
-    ten did, and the other zone became as full (join+vast)."""
+    late, and the cost of a zone grew with the eighth power of its wait: at first no job crossed zones, then
+    nine in ten did, and the other zone became as full (join+vast)."""
     workers = [api.Worker(f"w{i}", zone=int(i < 21)) for i in range(60)]
     zones = [int(node < 24) for node in range(40)]
     lenient = klass(latency_objective_us=S, deadline_us=20 * S)
@@ -90,9 +91,9 @@
 
 
 def test_jobs_leave_a_zone_whose_workers_all_refuse_connections() -> None:
-    """The workers of a zone refuse connections for 5 s. Each of them was ejected by its own failures only, at
-    four attempts per job, and again after each ejection: half of the zone's requests were rejected while the
-    other zone was idle (zone+vast)."""
+    """The workers of a zone refuse connections for 5 s. Each worker was ejected only because of its own
+    failures, and was tried and ejected again after each ejection, at four attempts per job. So half of the
+    zone's requests were rejected while the other zone was idle (zone+vast)."""
 
     def refuse_zone(worker: str, at_us: int, rng: random.Random) -> tuple[O, int]:
         if int(worker[1:]) < 30 and 20 * S <= at_us < 25 * S:
@@ -168,8 +169,8 @@
 
 
 def test_keyed_job_that_ran_past_its_dedup_window_is_failed() -> None:
-    """A job that had started was expected to take longer and was held past its dedup window, after which no
-    worker may run it again."""
+    """A job that had started was held past its dedup window, because it was expected to run longer. After the
+    window no worker may run the job again."""
     keyed = klass(repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, memory_us=300 * MS)
     node = Node(2, classes=(keyed,), reports_start=True)
     node.submit()
