--- a/tests/surfaces.py
+++ b/tests/surfaces.py
@@ -387,7 +387,7 @@
 
 
 def write_snapshot(folder: Path) -> None:
-    """Save a snapshot of ``stored_records`` by the store that schedulers and voters use."""
+    """Save a snapshot of ``stored_records`` with the store that schedulers and voters use."""
     store = SnapshotStore(folder, "fernvale", "s1")
     header = snapshot.SnapshotHeader(
         installation="fernvale", origin="s1", incarnation=77, saved_us=1_700_000_000_000_000
@@ -427,7 +427,7 @@
 
 
 def load_disabled_workers(folder: Path) -> set[str]:
-    """Load the disabled workers that the last process saved."""
+    """Load the names of the disabled workers that an earlier process saved."""
     return DisabledWorkerStore(folder).load()
 
 
@@ -470,12 +470,12 @@
 
 
 def exported_state() -> Json:
-    """State that a decision module in use exports for its successor."""
+    """State that a decision module (`Balancer`) in use exports for that of the successor process."""
     return _as_json(placement_state.export_state(_used_node().balancer))
 
 
 def reexported_state(state: Json) -> Json:
-    """Import a decision module's state into a new module and export it again."""
+    """Import the exported state of one `Balancer` into a new one, and export the new one's state."""
     node = Node(3, reports_start=True)
     placement_state.import_state(node.balancer, state)
     return _as_json(placement_state.export_state(node.balancer))
@@ -506,7 +506,7 @@
 
 
 def exported_admission() -> Json:
-    """State that an admission control in use exports for its successor."""
+    """State that an admission control in use exports for that of the successor process."""
     fleet = Fleet(slots=1, run_ms=300)
     for _ in range(8):
         fleet.send("a")
@@ -525,7 +525,7 @@
 
 
 def exported_caller() -> Json:
-    """The tenant and origin of a request, as handed over with the request."""
+    """The tenant and origin of a request, as handed over together with the request."""
     caller = Caller(tenant=1, name="name2", network=3, fingerprint=4)
     written = _as_json(admission_state.export_caller(caller))
     assert admission_state.import_caller(written) == caller
@@ -544,7 +544,7 @@
 
 
 def encoded_worker_event() -> Json:
-    """A worker's report about a job, as one process forwards it to the other."""
+    """A worker's report about a job, as a process forwards it to its successor or predecessor."""
     event = JobEvent("id1", "w2", JobState.STARTED, 0.5, "result3")
     written = _as_json(protocol.encode_job_event(event))
     assert protocol.decode_job_event_object(written) == event
@@ -552,7 +552,7 @@
 
 
 def encoded_listed_worker() -> Json:
-    """An entry of the endpoint list, as one process sends it to the other."""
+    """An entry of the endpoint list, as a process sends it to its successor."""
     entry = ListedEndpoint(
         instance_id="id1", host_port="127.0.0.1:2", zone="zone3", machine_type="type4", cell=5,
         lifecycle=Lifecycle.ACTIVE, weight=6.0, started_us=7_000,
@@ -610,7 +610,7 @@
 
 
 def cordon_states() -> list[str]:
-    """States of a cordon in replies to operators."""
+    """The states of a cordon that replies to operators can contain."""
     return [*views.STAGE_NAMES.values(), views.OVER_BUDGET, views.NOT_TRACKED]
 
 
--- a/tests/test_compat_handover.py
+++ b/tests/test_compat_handover.py
@@ -49,7 +49,7 @@
 
 
 def assert_same(found: Any, expected: Any, where: str = "") -> None:
-    """Check equality; floats may differ by rounding, whose last digits depend on the processor."""
+    """Check equality; floats may differ in their last digits, because rounding depends on the processor."""
     if isinstance(expected, dict):
         assert list(found) == list(expected), where
         for key, value in expected.items():
