--- a/robinhill/commands/check.py
+++ b/robinhill/commands/check.py
@@ -29,9 +29,10 @@
 
 
 def _summary(path: str) -> str:
-    """The summary of a file: one with ``settings`` is the platform's, any other is an operators' file.
+    """Return the summary of a file.
 
-    Raises ConfigError if the file is faulty.
+    A file with the key ``settings`` is a platform's file, any other file is an operators' file. Raises
+    ConfigError if the file is faulty.
     """
     try:
         document = orjson.loads(Path(path).read_bytes())
--- a/robinhill/commands/cordons.py
+++ b/robinhill/commands/cordons.py
@@ -1,5 +1,6 @@
-"""`robinhill cordon set | lift | list | wait`: call one scheduler about cordons, which all apply.
+"""`robinhill cordon set | lift | list | wait`: set, lift, list and await cordons through one scheduler.
 
+A cordon set at one scheduler applies at all schedulers.
 Each command returns its exit code. The scheduler validates a call; this module sends it and prints the reply.
 """
 
@@ -16,7 +17,7 @@
 
 Json = dict[str, Any]
 CORDONS_PATH = "/ops/cordons"
-RESPONSE_MARGIN_S = 10.0  # added to the time that the scheduler waits, for the timeout of a call
+RESPONSE_MARGIN_S = 10.0  # a call's timeout is this plus the time for which the scheduler may wait
 POLL_INTERVAL_S = 0.1
 EXIT_FAILED = 1  # the call failed or was rejected, or the cordon was not in force in time
 
@@ -31,7 +32,7 @@
     """Call the operators' API at ``ops`` (host:port) and return the JSON reply.
 
     With ``wait_s`` the scheduler replies once the change is in force, at the latest after that time. Raises
-    CallFailed.
+    CallFailed if the call is rejected or not answered, or if ``ops`` is malformed.
     """
     host, _, port = ops.rpartition(":")
     if not (host and port.isdigit()):
--- a/robinhill/commands/demo.py
+++ b/robinhill/commands/demo.py
@@ -29,7 +29,8 @@
 def show(seconds: float, workers: int, operator: str | None) -> int:
     """Run the demo for this long, or until Ctrl-C.
 
-    Returns the exit code: 1 if a rule was broken or the scheduler failed, 2 if the operators' file is faulty.
+    Returns the exit code: 1 if the checker found a broken rule or the scheduler failed, 2 if the operators'
+    file is faulty.
     """
     given = ADMISSION
     if operator:
--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -1,6 +1,7 @@
 """`robinhill model`: describe traffic, simulate a situation, and compare two sides on a situation.
 
-A side is a version of the scheduler with its settings.
+A situation is a description of a fleet, its traffic, its clients and its faults. A side is a version of the
+scheduler with its settings.
 """
 
 import subprocess
@@ -31,7 +32,10 @@
 
 
 def situation(name: str) -> Description:
-    """The shipped situation of this name, or the description in this file. Raises DescriptionError."""
+    """Return the description of a situation. ``name``: the path of its file, or a shipped situation's name.
+
+    Raises DescriptionError if neither exists or the file is faulty.
+    """
     if Path(name).exists():
         return read(Path(name))
     try:
@@ -77,9 +81,9 @@
 
 
 def _is_operators_file(document: object) -> bool:
-    """Whether the document is an operators' file and no side's own file, which has no "log".
+    """Whether the document is an operators' file rather than a side's own file, which has no key "log".
 
-    A document with admission alone has the same meaning in both.
+    A document that contains only admission has the same meaning as either.
     """
     if not isinstance(document, dict):
         return False
