--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -19,7 +19,7 @@
 from robinhill.emulator.worker import WORK_ATTRIBUTE
 
 REJECTION_STATUSES = (429, 503)
-MIN_RETRY_DELAY_S = 0.01  # also of a client that ignores Retry-After
+MIN_RETRY_DELAY_S = 0.01  # applies also to clients that ignore Retry-After
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,7 +36,7 @@
     retries: int = 0
     honour_retry_after: bool = True
     work_factor: float = 1.0
-    kinds: tuple[str, ...] = ()  # classes that the tenant requests, by their shares; empty: all of the site's
+    kinds: tuple[str, ...] = ()  # requested classes, in proportion to their shares; empty: all of the site's
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,9 +92,8 @@
         self.random = random.Random(seed)
         self.header = header
         self.requested_jobs: list[RequestedJob] = []
-        self.max_lateness_s = (
-            0.0  # the longest delay of a request past its planned time: this machine was slow
-        )
+        # The longest delay of a request past its planned time; a large value means that this machine was slow
+        self.max_lateness_s = 0.0
         self._sequence = count()
         self._key_prefix = f"{seed:x}"
         self._pending_tasks: set[asyncio.Task[None]] = set()
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -1,7 +1,8 @@
 """Runs the voters and schedulers of a control group on loopback and injects faults into links and processes.
 
-Voters are linked to each other and schedulers to voters, each link through a relay. The rules checked are
-those of several schedulers under ``hold``, whose guarantees apply under any fault; the voters' copies of the
+Voters are linked to each other and schedulers to voters, each link through a relay. All schedulers run in the
+mode ``hold``, in which a scheduler without a lease sends no jobs. The run is checked against the checker's
+rules for several schedulers in this mode, whose guarantees apply under any fault. The voters' copies of the
 records must converge just as the schedulers' copies do.
 """
 
@@ -61,9 +62,11 @@
 Json = dict[str, Any]
 BOUND_MS = 1_000
 CONVERGENCE_LIMIT_S = 4.0
-"""The longest time from the end of the last fault to equal copies at all voters and schedulers."""
+"""The longest time from the end of the last fault until all voters and schedulers have equal copies of the
+records."""
 
-# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
+# After CONVERGENCE_LIMIT_S the rig polls the processes' copies of the records for this much longer, so that a
+# run that exceeds the limit reports by how much.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """The longest time from equal copies to a send lease at each scheduler, before a schedule begins."""
@@ -71,7 +74,7 @@
 
 @dataclass(slots=True, eq=False)
 class ControlRig(Rig):
-    """A rig of voters and schedulers; ``names`` are those of all processes, the voters first."""
+    """A rig of voters and schedulers; ``names`` contains the names of all processes, the voters first."""
 
     voters: tuple[str, ...] = ()
 
@@ -106,10 +109,11 @@
         return status == 200 and reply.get("may_act") is True
 
     async def wait_until_sending_allowed(self, timeout_s: float) -> None:
-        """Wait until all schedulers may send at the same poll.
+        """Poll all schedulers until, in one poll, each of them reports that it may send jobs.
 
-        A scheduler reports equal copies before its voter can grant a lease. Raises RuntimeError with the
-        names of the schedulers that may not send at the timeout.
+        It does not suffice to wait for equal copies of the records: a scheduler reports a copy equal to the
+        others before its voter can grant it a lease. Raises RuntimeError with the names of the schedulers that
+        may not send at the timeout.
         """
         missing = list(self.schedulers)
         with contextlib.suppress(TimeoutError):
@@ -257,7 +261,7 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:
-    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
+    """Play one schedule on newly started processes and check the run; logs remain in ``folder``."""
     schedulers = len(schedule.names) - voters
     rig = control_rig(
         voters,
@@ -287,9 +291,9 @@
 
 
 def broken(events: list[Event], terms: Limits, voters: tuple[str, ...]) -> list[str]:
-    """Descriptions of broken rules about several processes.
+    """Describe how the run broke the checker's rules for several processes.
 
-    Voters send no jobs, so that sending again after the faults is required of schedulers alone.
+    Only schedulers must send jobs again after the faults, since voters send none.
     """
     found = repeated_unsafe_jobs(events, set(UNSAFE))
     found += late_sends(events, terms)
--- a/robinhill/emulator/discovery.py
+++ b/robinhill/emulator/discovery.py
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, eq=False)
 class Discovery:
-    """Serves the discovery API of PROTOCOL for a set of emulated workers, and sends changes without delay.
+    """Serves the platform's discovery API for a set of emulated workers, and sends changes without delay.
 
-    A test clears ``answering`` to delay all answers; once it is set again, a delayed call gets the list of
-    that moment. With ``busy_s`` each call gets 503 after that time, as from an overloaded service. With
-    ``torn`` the answer to a watch is cut off in the middle of the list.
+    A test clears ``answering`` to delay all answers; once it is set again, a delayed call gets the list as it
+    then is. With ``busy_s`` each call gets 503 after that time, as from an overloaded service. With ``torn``
+    the answer to a watch is cut off in the middle of the list.
     """
 
     workers: Iterable[Worker]
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -1,5 +1,6 @@
-"""Plays a small situation of the model against the real program on loopback, with the model's workers in real
-time.
+"""Plays a small situation of robinhill.model against the real program on loopback, in real time.
+
+The emulated workers run their jobs in the model's workers.
 
 The trace, the workers, their speeds and their faults come from the model's description and seed. The results
 therefore differ from the model's only through the sockets, the program's actors and this machine's timing.
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -189,9 +189,9 @@
             self._changed.set()
 
     def _schedule_delivery(self, message: bytes) -> None:
-        """Drop the message, or schedule its delivery once or twice, as the impairment and the draws decide.
+        """Drop the message, or schedule its delivery once or twice, by the impairment and random draws.
 
-        Each message takes the same five draws under any impairment, so that runs of one seed stay comparable.
+        Each message takes five random draws under any impairment, so that runs of one seed stay comparable.
         """
         impairment, passed = self.relay.impairment[self.direction], self.relay.passed[self.direction]
         rng = self.relay.rngs[self.direction]
@@ -377,7 +377,9 @@
                 for each in writers:
                     each.close()
         except (OSError, ValueError, asyncio.CancelledError):
-            pass  # target refused, malformed message, or a fault reset it; both ends are reset below
+            # The target refused, a message was malformed, or a fault reset the connection. Both ends are
+            # reset below.
+            pass
         finally:
             for each in writers:
                 _reset(each)
@@ -399,7 +401,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Reset the connection, as a host does that does not know it; one that is closing is left to close."""
+    """Reset the connection, as a host without any state of it does, unless it is already closing."""
     if writer.is_closing():
         return
     if sock := writer.get_extra_info("socket"):
--- a/robinhill/emulator/rig.py
+++ b/robinhill/emulator/rig.py
@@ -2,10 +2,11 @@
 
     python -m robinhill.emulator.rig --seed 7 --processes 5
 
-draws the schedule of faults for that seed, prints it, plays it and reports broken rules; with `--shrink` it
-reduces a failing schedule to the faults that it needs. Each link passes through a relay. Workers, discovery
-and clients are emulated. Each scheduler has an address of its own at each worker, so that the worker can send
-the call-backs to the scheduler that sent the job.
+draws the schedule of faults for that seed, prints it, runs it and reports which rules of robinhill.checker
+the run broke. With `--shrink` it reduces a failing schedule to the faults that the failure needs.
+
+Each link passes through a relay. Workers, discovery and clients are emulated. Each scheduler has an address
+of its own at each worker, so that the worker can send the call-backs to the scheduler that sent the job.
 """
 
 import argparse
@@ -49,15 +50,17 @@
 
 Json = dict[str, Any]
 WORKERS = 6
-LOAD = 100.0  # requests per second in total, enough that each scheduler sends to each worker within a bound
+LOAD = 100.0  # requests per second in total, enough that each scheduler sends to each worker within BOUND_MS
 BOUND_MS = 1000
 OPERATOR_CALL_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.02  # between two polls of the digests
+# In the following, copies are the schedulers' copies of the records; they are equal if their digests are.
 LINKS_UP_TIMEOUT_S = 20.0  # from the start of the schedulers to equal copies
 CONVERGENCE_LIMIT_S = 2.0  # the longest time from the end of the last fault to equal copies
 RECOVERY_TIMEOUT_S = 3.0  # from the request of a cordon until it is in force, without faults
 RECOVERY_LOAD_S = 0.8
-# Copies are still compared for this time after CONVERGENCE_LIMIT_S, so that a run reports how late they are.
+# After CONVERGENCE_LIMIT_S the rig polls the copies' digests for this much longer, so that a run that exceeds
+# the limit reports by how much.
 CONVERGENCE_GRACE_S = 4.0
 # Jobs are short, so that a job may be sent at any moment and the last one ends soon after the run.
 KINDS = (
@@ -185,7 +188,10 @@
         return reply
 
     async def digest(self, name: str) -> str | None:
-        """The digest of a scheduler's copy of the records; None without an answer or before catch-up."""
+        """The digest of a scheduler's copy of the records; None if there is no answer or no digest in it.
+
+        A scheduler reports no digest before it has caught up.
+        """
         status, reply = await self.call_operator(name, "GET", "/ops/mesh")
         return str(reply["digest"]) if status == 200 and "digest" in reply else None
 
@@ -239,7 +245,7 @@
     async def check_recovery(self) -> None:
         """After the last fault, send load to all schedulers, and set a cordon at each until it is in force.
 
-        The journal's rules then judge whether each scheduler has recovered.
+        The checker's rules then decide from the journal whether each scheduler has recovered.
         """
 
         async def check_scheduler(name: str, worker: str) -> None:
@@ -433,9 +439,9 @@
 ) -> AsyncIterator[Rig]:  # fmt: skip
     """Start a rig, wait until its links are up and all copies equal, and stop it after the block.
 
-    ``mesh`` holds further keys for this section of the operators' file. ``entry`` is the interpreter's
-    arguments; tests pass a program with a planted defect. Raises RuntimeError if copies do not become equal
-    in time.
+    ``mesh`` contains further keys for the section "mesh" of the operators' file. ``entry`` is the
+    interpreter's arguments; tests pass a program with a planted defect. Raises RuntimeError if copies do not
+    become equal in time.
     """
     site = Site(KINDS, schedulers=processes)
     names, journal, lateness = process_names(processes), AwaitableJournal(), LatenessMonitor()
@@ -516,7 +522,7 @@
     schedule: Schedule, folder: Path, *, on_lost: str, bound_ms: int = BOUND_MS,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:  # fmt: skip
-    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
+    """Play one schedule on newly started processes and check the run; logs remain in ``folder``."""
     mesh = {"on_lost": on_lost, "bound_ms": bound_ms}
     async with rig(len(schedule.names), folder, seed=schedule.seed, mesh=mesh, entry=entry) as running:
         equal = await running.play_and_verify(schedule, CONVERGENCE_LIMIT_S + CONVERGENCE_GRACE_S)
@@ -526,7 +532,10 @@
 
 
 def schedule_of(seed: int, processes: int, only: str | None = None) -> Schedule:
-    """The schedule of a seed; with ``only``, a comma-separated list of numbers, just those of its faults."""
+    """The schedule of a seed.
+
+    With ``only``, a comma-separated list of fault numbers, the schedule contains no other faults.
+    """
     whole = draw(seed, processes, [f"w{i}" for i in range(WORKERS)])
     if only is None:
         return whole
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -40,7 +40,7 @@
     STALL = "stalls"  # delivers nothing until the end of the fault, and then all pending messages
     ONE_WAY = "stalls one way of"  # as STALL, for messages from the first target to the second
     DEAF = "loses all one way of"  # drops all messages from the first target to the second
-    TEAR = "tears"  # truncates both connections; size: bytes that are still delivered
+    TEAR = "tears"  # truncates each connection of the link; size: bytes that are still delivered
     SEVER = "resets"  # resets the open connections
     HALF_OPEN = "half-opens"  # accepts connections and delivers nothing
     FLAP = "flaps"  # takes the link down and up in turns; size: the longest period in seconds
@@ -55,7 +55,7 @@
 LINK_FAULTS = tuple(FaultKind)[: tuple(FaultKind).index(FaultKind.PARTITION)]
 PROCESS_FAULTS = tuple(FaultKind)[tuple(FaultKind).index(FaultKind.KILL) :]
 KILL_FAULTS = (FaultKind.KILL, FaultKind.WIPE, FaultKind.CLOCK)
-# Added to the kinds to draw from, so that cutting off, pausing and killing a scheduler are drawn more often.
+# Listed again among the kinds to draw from, so that partitions, pauses and kills are drawn more often.
 FREQUENT_FAULTS = (FaultKind.PARTITION, FaultKind.PARTITION, FaultKind.PAUSE, FaultKind.KILL)
 INSTANT_FAULTS = (FaultKind.TEAR, FaultKind.SEVER)
 MESSAGE_SHARES = {FaultKind.LOSS: (0.1, 0.6), FaultKind.REORDER: (0.1, 0.5), FaultKind.DOUBLE: (0.1, 0.5)}
--- a/robinhill/emulator/site.py
+++ b/robinhill/emulator/site.py
@@ -16,7 +16,7 @@
 class JobKind:
     """A class of jobs. Times are in milliseconds; ``work_ms`` is the mean run time on a worker of speed 1.
 
-    A job is in time within ``aim_ms`` plus ``stretch`` times its own run time.
+    A job is in time if it is answered within ``aim_ms`` plus ``stretch`` times its own run time.
     """
 
     name: str
@@ -29,7 +29,8 @@
     share: float = 1.0  # of the requests
 
 
-# The operators' classes with jobs an eighth as long, so that a run of a minute has enough of them.
+# The classes of `robinhill.model.sites` with times about an eighth as long, so that a run of a minute has
+# enough jobs.
 KINDS = (
     JobKind("member-lookup", 80, 40, 2.5, 1_000, share=0.47),
     JobKind("season-report", 450, 400, 2.0, 3_500, share=0.31),
--- a/robinhill/emulator/worker.py
+++ b/robinhill/emulator/worker.py
@@ -1,4 +1,4 @@
-"""An emulated worker that accepts jobs over HTTP and runs them in the model's worker, in real time."""
+"""An emulated worker: accepts jobs over HTTP and runs them in real time in the worker of robinhill.model."""
 
 import asyncio
 import contextlib
@@ -26,8 +26,8 @@
 
 
 class RealTime:
-    """The interface of the model's agenda in real time: `now` is the monotonic clock in microseconds, and
-    scheduled calls are timers of the event loop.
+    """Implements `robinhill.model.workers.Clock` in real time: `now` is the monotonic clock in microseconds,
+    and scheduled calls are timers of the event loop.
     """
 
     @property
@@ -134,7 +134,7 @@
         """Make jobs take ``factor`` times as long from now on."""
         self.core.set_slowdown(factor)
 
-    # The protocol
+    # The platform's protocol
 
     async def _handle(self, request: web.BaseRequest, name: str, listen: str | None) -> web.StreamResponse:
         if self.core.silent:
@@ -169,7 +169,7 @@
         return web.Response(status=503, headers={"X-Not-Processed": "1"})
 
     def _report(self, listen: str | None, what: str, job: Job) -> None:
-        """Report a job's new state to the scheduler; the model's worker calls this."""
+        """Report a job's new state to the scheduler; called by ``core``, the worker of robinhill.model."""
         report = {"id": job.request, "from": self.name, "state": what}
         if what == "done":
             report["result"] = f"{job.request} by {self.name}"
@@ -178,7 +178,7 @@
         task.add_done_callback(self._call_back_tasks.discard)
 
     async def _post_report(self, listen: str | None, body: bytes) -> None:
-        """Send a call-back until the scheduler acknowledges it, at most ten times."""
+        """Send a call-back until the scheduler acknowledges it, at most MAX_CALL_BACK_TRIES times."""
         assert self._session
         for _ in range(MAX_CALL_BACK_TRIES):
             to = f"http://{listen or self.scheduler}/v1/job-events"
