--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -200,8 +200,8 @@
 def test_start_does_not_import_ssl_admission_or_numpy(tmp_path: Path) -> None:
     """A restart is an outage for the requests that arrive meanwhile.
 
-    Importing ssl, which loads the certificates of the machine, and the code of admission took a fifth of that
-    time, and no connection here uses either.
+    Importing ssl, which loads the certificates of the machine, and the code of admission took a fifth of the
+    time to start, although a scheduler uses no TLS and, by default, no admission.
     """
     (tmp_path / "config.json").write_text("{}")
     code = (
--- a/tests/test_control_rig.py
+++ b/tests/test_control_rig.py
@@ -24,7 +24,7 @@
     [(0.3, 7.0, T.PARTITION, ("n3", "n4"), 0.0)],
     [Call(0.1, False, "n4", "w0", "early"), Call(0.8, False, "n5", "w1", "amid")],
 )
-# The round trip takes less than half of the bound, after which a link counts as unresponsive.
+# A link counts as unresponsive after half of the bound (1.5 s); with jitter a round trip takes up to 1.35 s.
 LONG_DELAY_SCHEDULE: FaultsAndCalls = (
     [(0.0, 7.0, T.DELAY, (voter, "n4"), 0.45) for voter in ("n1", "n2", "n3")],
     [
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,4 +1,7 @@
-"""Client connections that close, time out or disconnect just as a request arrives; races are forced."""
+"""Client connections that close, time out or disconnect just as a request arrives.
+
+The tests force these races instead of waiting for them to happen.
+"""
 
 import asyncio
 import os
@@ -463,7 +466,10 @@
 def test_partially_received_request_is_answered_after_the_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The program exited 0.05 s after its last answer; the rest of the request hit a closed connection."""
+    """The program exited 0.05 s after its last answer.
+
+    The rest of the request arrived on a connection that was already closed.
+    """
     monkeypatch.setattr(scheduler, "ACCEPT_AFTER_SIGTERM_S", 0.0)
 
     async def scenario() -> None:
--- a/tests/test_endings_discovery.py
+++ b/tests/test_endings_discovery.py
@@ -147,7 +147,7 @@
     for seed in range(3):
         fleet = Fleet(200, 50 * MS)
         fleet.simulate("reset", seed)
-        # The service time of all calls, and 1 s
+        # The service time of all calls, and a margin of 1 s
         assert max(fleet.list_received_us.values()) <= 200 * 50 * MS + S
 
 
@@ -373,7 +373,8 @@
     asyncio.run(scenario())
 
 
-# Malformed responses of discovery. Each one loses the watch and is logged, and has no other effect.
+# Malformed responses of discovery. Each one ends its call, which is logged as `watch_lost`, and has no other
+# effect.
 MALFORMED_RESPONSES = {
     "not http": b"\x00\x01\x02 nonsense\r\n\r\n",
     "endless head": b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,
@@ -618,7 +619,7 @@
         async with unstarted_scheduler(tmp_path, discovery, "push") as scheduler:
             await scheduler.start()
             assert scheduler.readiness().status == 200
-            call = await discovery.next_call()  # has been unanswered since the start
+            call = await discovery.next_call()  # the call made at the start, not answered yet
             assert not scheduler.dispatcher.table.destinations and discovery.calls.empty()
             call.send(HEAD + chunk(list_line(43, zone="brisbane", machineType="std-8")))
             while "s-1" not in scheduler.dispatcher.table.destinations:
--- a/tests/test_endings_handover.py
+++ b/tests/test_endings_handover.py
@@ -441,7 +441,7 @@
             await until(lambda: relay.scheduler.handover and not relay.scheduler.handover.predecessor)
             assert relay.scheduler.inbound._listener.budget == relay.scheduler.config.client_sockets()
             env.schedulers.remove(old)
-            await old.close()  # leaves the successor alone at the address
+            await old.close()  # from here on only the successor accepts connections at the address
             client = await env.run_job(relay.scheduler, "j1")
             assert await env.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
@@ -671,7 +671,7 @@
             assert [worker.concurrency_limit for worker in old.dispatcher.balancer.workers.values()] == limits
             relay.old.exit()
             env.schedulers.remove(new)
-            await new.close()  # leaves the predecessor alone at the address
+            await new.close()  # from here on only the predecessor accepts connections at the address
             relay.new.exit()
             assert await env.event("j1", "done", "one") == 204
             assert await client.answer() == (200, "one")
@@ -682,7 +682,10 @@
 
 
 def test_endpoint_that_stops_with_a_release_in_its_mailbox_does_not_block_the_request(tmp_path: Path) -> None:
-    """The release gets a negative reply, and the request is sent to another worker."""
+    """The worker endpoint's actor stops before it handles the message to release the request's attempt.
+
+    The dispatcher aborts the release, so its reply is None, and sends the request to another worker.
+    """
 
     async def scenario() -> None:
         async with environment(tmp_path, workers=2) as env:
@@ -706,7 +709,7 @@
     asyncio.run(scenario())
 
 
-# A successor inherits the age of the predecessor's state
+# A successor inherits the list lease and the clock of its predecessor
 
 
 LEASE_KEYS = ("list_confirmed_us", "list_until_us")
@@ -756,7 +759,10 @@
 def test_successor_adopts_its_predecessors_clock_although_the_wall_clock_was_stepped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A step of an hour between the two starts made each deadline handed over expired or an hour away."""
+    """A wall clock step of an hour between the two starts shifted each deadline that was handed over.
+
+    Deadlines had expired at the hand-over, or were an hour away.
+    """
 
     async def scenario() -> None:
         async with environment(tmp_path) as env:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -144,8 +144,8 @@
     sock = socket.socket()
     # A restarted discovery binds a port on which connections of earlier watches remain.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # The program binds some of these ports after the player has closed them, and no other process may get
-    # them in between; `free_address` sees to that.
+    # The program binds some of these ports after the player has closed them. `free_address` reserves them, so
+    # that no other process gets them in between.
     host, _, port = free_address().rpartition(":")
     sock.bind((host, int(port)))
     sock.settimeout(STEP_TIMEOUT_S)
@@ -192,7 +192,7 @@
         self.programs: list[subprocess.Popen[str]] = []
         self.inherited_fds: tuple[int, ...] = ()
         self.sends_single_bytes = False
-        self.unchanged_discovery: UnchangedDiscovery | None = None  # if no step acts as discovery
+        self.unchanged_discovery: UnchangedDiscovery | None = None  # None if steps act as discovery
         self.steps_act_as_discovery = False
         self.accepts_clients = threading.Event()  # set once the newest process accepts clients
         self.ops_addresses: list[tuple[str, int]] = []  # of each process, in order of their start
--- a/tests/test_list_after_start.py
+++ b/tests/test_list_after_start.py
@@ -137,7 +137,9 @@
             setup.discovery.answering.clear()
             await asyncio.sleep(0.1)  # discovery's end of the watch reaches the program's socket
             drain_and_remove_workers(setup)
-            await asyncio.sleep(LIST_CHANGE_BOUND_US / 1e6 + 0.6)  # the bound, and the 0.5 s grace of drains
+            # The propagation bound, the 0.5 s (drain-grace-us) for which a draining worker may still receive
+            # jobs, and a margin of 0.1 s
+            await asyncio.sleep(LIST_CHANGE_BOUND_US / 1e6 + 0.6)
             since = time.monotonic()
             setup.program.signal(signal.SIGCONT)
             await run_clients(setup, 1.0)
--- a/tests/test_mesh_rig.py
+++ b/tests/test_mesh_rig.py
@@ -10,7 +10,8 @@
 
 T = FaultKind
 BOUND_MS = 600
-# One cordon before the faults; during them one at an affected scheduler, one at another, and a lift.
+# Operators set a cordon at n1, before most schedules' faults begin. Later, mostly during the faults, they set
+# one at n3, which most schedules affect, and one at n2, and lift the first cordon at n2.
 CALLS = (
     Call(0.1, False, "n1", "w0", "early"),
     Call(0.5, False, "n3", "w1", "amid"),
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,7 @@
-"""SIGTERM while clients keep sending requests on persistent connections."""
+"""SIGTERM while clients keep sending requests on persistent connections.
+
+Every request is answered, and the last answer on each connection has the header `Connection: close`.
+"""
 
 import asyncio
 import signal
