--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -112,8 +112,8 @@
         """Poll all schedulers until, in one poll, each of them reports that it may send jobs.
 
         It does not suffice to wait for equal copies of the records: a scheduler reports a copy equal to the
-        others before its voter can grant it a lease. Raises RuntimeError with the names of the schedulers that
-        may not send at the timeout.
+        others before its voter can grant it a lease. Raises RuntimeError with the names of the schedulers
+        that may not send at the timeout.
         """
         missing = list(self.schedulers)
         with contextlib.suppress(TimeoutError):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,7 @@
 
 
 def journal(*events: tuple[EventType, str, int]) -> Journal:
-    """A journal of one renewal-charge request: its events, each with a worker and a status, are 0.1 s apart."""
+    """A journal of one renewal-charge request. Its events have a worker and a status and are 0.1 s apart."""
     made = Journal()
     for number, (what, worker, status) in enumerate(events):
         made.events.append(Event(number / 10, what, "j", worker, status, "renewal-charge"))
