--- a/robinhill/commands/modelling.py
+++ b/robinhill/commands/modelling.py
@@ -1,7 +1,7 @@
 """`robinhill model`: describe traffic, simulate a situation, and compare two sides on a situation.
 
-A situation is a simulated installation: its duration, traffic, workers, clients and faults. A side is a
-version of the scheduler with its settings.
+A situation is a description of a fleet, its traffic, its clients and its faults. A side is a version of the
+scheduler with its settings.
 """
 
 import subprocess
@@ -32,9 +32,9 @@
 
 
 def situation(name: str) -> Description:
-    """The description in the file ``name`` if there is one, otherwise the shipped situation of that name.
+    """Return the description of a situation. ``name``: the path of its file, or a shipped situation's name.
 
-    Raises DescriptionError.
+    Raises DescriptionError if neither exists or the file is faulty.
     """
     if Path(name).exists():
         return read(Path(name))
@@ -81,10 +81,9 @@
 
 
 def _is_operators_file(document: object) -> bool:
-    """Whether the document is an operators' file with the keys "admission" and "log" at most.
+    """Whether the document is an operators' file rather than a side's own file, which has no key "log".
 
-    Any other document is read as a side's file, which has no key "log". A document with the key "admission"
-    alone means the same in both kinds of file.
+    A document that contains only admission has the same meaning as either.
     """
     if not isinstance(document, dict):
         return False
--- a/robinhill/emulator/control_rig.py
+++ b/robinhill/emulator/control_rig.py
@@ -1,9 +1,9 @@
 """Runs the voters and schedulers of a control group on loopback and injects faults into links and processes.
 
-Voters are linked to each other and schedulers to voters, each link through a relay. The rules checked are
-those of `robinhill.emulator.rig` in ``hold`` mode, in which a scheduler without a lease stops sending jobs
-and whose guarantees apply under any fault. The voters' copies of the records must converge just as the
-schedulers' copies do.
+Voters are linked to each other and schedulers to voters, each link through a relay. All schedulers run in the
+mode ``hold``, in which a scheduler without a lease sends no jobs. The run is checked against the checker's
+rules for several schedulers in this mode, whose guarantees apply under any fault. The voters' copies of the
+records must converge just as the schedulers' copies do.
 """
 
 import asyncio
@@ -62,9 +62,11 @@
 Json = dict[str, Any]
 BOUND_MS = 1_000
 CONVERGENCE_LIMIT_S = 4.0
-"""The longest time from the end of the last fault to equal copies at all voters and schedulers."""
+"""The longest time from the end of the last fault until all voters and schedulers have equal copies of the
+records."""
 
-# Copies are still compared for this time after CONVERGENCE_LIMIT_S, to report how late they become equal.
+# After CONVERGENCE_LIMIT_S the rig polls the processes' copies of the records for this much longer, so that a
+# run that exceeds the limit reports by how much.
 CONVERGENCE_GRACE_S = 4.0
 LEASE_TIMEOUT_S = 10.0
 """The longest time from equal copies until all schedulers have a lease, before a schedule begins."""
@@ -72,7 +74,7 @@
 
 @dataclass(slots=True, eq=False)
 class ControlRig(Rig):
-    """A rig of voters and schedulers; ``names`` are those of all processes, the voters first."""
+    """A rig of voters and schedulers; ``names`` contains the names of all processes, the voters first."""
 
     voters: tuple[str, ...] = ()
 
@@ -107,10 +109,11 @@
         return status == 200 and reply.get("may_act") is True
 
     async def wait_until_sending_allowed(self, timeout_s: float) -> None:
-        """Poll until all schedulers report in the same poll that they may send.
+        """Poll all schedulers until, in one poll, each of them reports that it may send jobs.
 
-        Equal copies are not enough: a scheduler's copy can equal the others before its voter can grant a
-        lease. Raises RuntimeError with the names of the schedulers that may not send at the timeout.
+        It does not suffice to wait for equal copies of the records: a scheduler reports a copy equal to the
+        others before its voter can grant it a lease. Raises RuntimeError with the names of the schedulers
+        that may not send at the timeout.
         """
         missing = list(self.schedulers)
         with contextlib.suppress(TimeoutError):
@@ -263,7 +266,7 @@
     voter_entry: tuple[str, ...] = VOTER,
     entry: tuple[str, ...] = PROGRAM,
 ) -> Outcome:
-    """Play one schedule on newly started processes and check the rules; logs remain in ``folder``."""
+    """Play one schedule on newly started processes and check the run; logs remain in ``folder``."""
     schedulers = len(schedule.names) - voters
     rig = control_rig(
         voters,
@@ -293,9 +296,9 @@
 
 
 def broken(events: list[Event], terms: Limits, voters: tuple[str, ...]) -> list[str]:
-    """Descriptions of broken rules about several processes.
+    """Describe how the run broke the checker's rules for several processes.
 
-    Voters send no jobs, so only schedulers are required to send again after the faults.
+    Only schedulers must send jobs again after the faults, since voters send none.
     """
     found = repeated_unsafe_jobs(events, set(UNSAFE))
     found += late_sends(events, terms)
