--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -5,20 +5,23 @@
 
 A worker is a suspect if a quorum of observers, and more than half of all observers of the worker, find it an
 outlier: its amount reaches the absolute threshold of the cause, and exceeds a baseline by a margin derived
-from the same threshold. The baseline is the highest of the observer's own median over similar workers and the
-medians over all observers for the fleet and for the worker's zone, machine type and cell. So in a group that
-is slow as a whole, a suspect must be slower than the group by the margin.
+from the same threshold. The baseline is the highest of five medians: the observer's own median over similar
+workers, and the medians of all observers' amounts in the fleet and in the worker's zone, machine type and
+cell (0 for a group of fewer than MIN_GROUP_SIZE workers). So in a group that is slow as a whole, a suspect
+must be slower than the group by the margin.
 
 If more than COMMON_CAUSE_SHARE of the workers in the fleet or in a zone, machine type or cell are unhealthy,
 the cause is common to the group. Cordons don't remove a common cause, so no worker of the group is proposed.
-A worker is unhealthy if it has an automatic cordon, or if half a quorum and most of its observers find its
-amount at or above an absolute threshold. If an observer reports more than MAX_OVER_THRESHOLD_SHARE of its
-workers as over a threshold, the fault is likely the observer's, and all its observations are discarded.
+A worker is unhealthy if it has an automatic cordon, or if at least half a quorum of observers, and more than
+half of the worker's observers, find its amount at or above the absolute threshold of a cause. If an observer
+reports more than MAX_OVER_THRESHOLD_SHARE of its workers as over a threshold, the fault is likely the
+observer's, and all its observations are discarded.
 
 The same evidence gives the same proposals at every scheduler. The order in which schedulers may propose a
-cordon differs from worker to worker: the first scheduler proposes the cordon at once, and each later one only
-if its copy of the cordons has no automatic cordon of the worker at its turn. Each scheduler applies the
-budget to all proposals in its copy, see ``budget``. This module performs no I/O. Times are Unix microseconds.
+cordon differs from worker to worker: the first scheduler proposes the cordon at once. Each later one waits
+for its turn (turns are PROPOSAL_TURN_US apart), and proposes the cordon only if its copy of the cordons still
+has no automatic cordon of the worker at that time. Each scheduler applies the budget to all proposals in its
+copy, see ``budget``. This module performs no I/O. Times are Unix microseconds.
 """
 
 import math
@@ -41,13 +44,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """An observer's measurement of a worker, made up to ``at_us``. Healthy workers are reported too.
+    """An observer's measurement of a worker, made up to ``at_us``. Observers also report healthy workers.
 
     The meaning of ``amount`` depends on the cause: for 'silent' and 'failing' it is the share of attempts
     with this fault, for 'slow' and 'lagging' a time as a multiple of the expected time. ``baseline`` is the
-    observer's median amount over workers of the same zone and machine type, or over all workers if it knows
-    fewer than four of these. ``worker_count`` is the number of workers that the observer observed. A single
-    failure is not reported as an observation.
+    observer's median amount over workers of the same zone and machine type, or over all workers if the
+    observer knows fewer than four workers of that zone and type. ``worker_count`` is the number of workers
+    that the observer observed. A single failure is not reported as an observation.
     """
 
     observer: str
@@ -64,8 +67,8 @@
     """Thresholds of detection; all schedulers must have the same values.
 
     ``quorum``: the number of observers that must agree. ``..._share`` and ``..._multiple``: the threshold of
-    each cause. ``max_observation_age_us``: older observations are ignored. ``duration_us``: the duration of a
-    worker's first automatic cordon.
+    each cause, as a share of attempts or as a multiple of the expected time. ``max_observation_age_us``:
+    older observations are ignored. ``duration_us``: the duration of a worker's first automatic cordon.
     """
 
     quorum: int = limits.DEFAULT_QUORUM
@@ -91,7 +94,7 @@
             )
 
     def threshold(self, cause: str) -> float:
-        """Return the lowest amount that makes a worker an outlier if all others are healthy."""
+        """Return the lowest amount that makes a worker an outlier if all other workers are healthy."""
         return {
             "silent": self.silent_share,
             "failing": self.failing_share,
@@ -116,8 +119,8 @@
 class Suspect:
     """A worker that a quorum of observers finds an outlier.
 
-    ``cause`` is the cause with the most outlying observations, and ``amount`` the median of these.
-    ``since_us`` is the time of the observation that completed the quorum.
+    ``cause`` is the cause with the most outlying observations, and ``amount`` is the median amount of these
+    observations. ``since_us`` is the time of the observation that completed the quorum.
     """
 
     worker: str
@@ -156,7 +159,8 @@
 
     Workers of a group with a common cause are left out. ``evidence_after_us``: by worker, the time up to
     which its observations no longer count as evidence. ``cordoned``: workers that already have an automatic
-    cordon; they count towards a common cause even without evidence, as they get no attempts to be measured.
+    cordon; they count towards a common cause even without evidence, because they get no attempts that
+    observers could measure.
     """
     # Observations up to ``evidence_after_us`` are no evidence about their worker, but they still count in the
     # check whether their observer is reliable, and in the baselines.
@@ -207,8 +211,9 @@
     """Summary of a worker's automatic cordons.
 
     ``is_active``: whether the worker has an automatic cordon that has not ended. ``evidence_after_us``:
-    observations up to this time are no evidence for a further cordon. ``times``: the number of consecutive
-    automatic cordons, the last of which ended within the past REPEAT_WINDOW_US; 0 if none ended within it.
+    observations up to this time are no evidence for a further cordon. ``times``: the number of automatic
+    cordons that each began within REPEAT_WINDOW_US after the end of the one before; 0 if no automatic cordon
+    ended within the past REPEAT_WINDOW_US.
     """
 
     is_active: bool
@@ -222,8 +227,8 @@
     reasons = [entry.reason for entry in value.entries if entry.reason.automatic]
     ended = [reason for reason in reasons if reason.has_ended(now_us)]
     recent = [reason.times for reason in ended if reason.until_us + limits.REPEAT_WINDOW_US > now_us]
-    # The clock of the host that wrote the lift may be far ahead. Such a time is ignored, as it would prevent
-    # automatic cordons until then.
+    # If the clock of the host that wrote the lift is far ahead, the lift appears to be in the future. Such a
+    # lift is ignored, because it would prevent automatic cordons of the worker until that future time.
     lifted_us = value.lifted_us if value.lifted_us <= now_us + limits.MAX_CLOCK_SKEW_US else 0
     cooldown_end_us = lifted_us + limits.LIFT_COOLDOWN_US if lifted_us else 0
     evidence_after_us = max([cooldown_end_us, *(reason.until_us for reason in ended)])
@@ -252,7 +257,7 @@
 
 
 def _proposal_turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
-    """Return how many schedulers precede this one in the order for a worker, at most MAX_PROPOSAL_TURNS."""
+    """Return how many schedulers have an earlier turn for a worker than this one, up to MAX_PROPOSAL_TURNS."""
 
     def rank(name: str) -> bytes:
         return blake2s(f"{worker}\0{name}".encode(), digest_size=8).digest()
@@ -294,8 +299,8 @@
 ) -> dict[ObservationKey, Observation]:
     """Discard all observations by observers that report too many of their workers as over a threshold.
 
-    Too many are several workers that make up more than MAX_OVER_THRESHOLD_SHARE. The number of an observer's
-    workers is the highest ``worker_count`` of its observations.
+    Too many means at least two workers that make up more than MAX_OVER_THRESHOLD_SHARE of the observer's
+    workers. The number of an observer's workers is the highest ``worker_count`` of its observations.
     """
     over_threshold: dict[str, set[str]] = defaultdict(set)
     worker_counts: dict[str, int] = {}
@@ -335,13 +340,16 @@
 
 
 def _is_unhealthy(evidence: _WorkerEvidence, options: DetectionOptions) -> bool:
-    """Return whether half a quorum, and most of a worker's observers, find the worker over a threshold."""
+    """Return whether enough observers find a worker's amount at or above an absolute threshold.
+
+    Enough are at least half a quorum, and more than half of the worker's observers.
+    """
     over, observers = len(evidence.over_threshold), len(evidence.observers)
     return 2 * over >= options.quorum and 2 * over > observers
 
 
 def _make_suspect(worker: str, evidence: _WorkerEvidence, options: DetectionOptions) -> Suspect | None:
-    """Return a worker as a suspect; None if no quorum of observers finds it an outlier."""
+    """Return a worker as a suspect; None unless a quorum, and most of its observers, find it an outlier."""
     observers: dict[str, int] = {}  # by observer: time of its first observation of an outlying amount
     outlying = [each for observations in evidence.outlying.values() for each in observations]
     for each in sorted(outlying, key=lambda each: each.at_us):
@@ -374,9 +382,10 @@
 def _find_baselines(
     latest: dict[ObservationKey, Observation], workers: Mapping[str, Location]
 ) -> dict[str, dict[str, float]]:
-    """Return, by cause, the median amount of each group of at least MIN_GROUP_SIZE workers.
+    """Return, by cause and group, the median of the workers' amounts in groups of MIN_GROUP_SIZE or more.
 
-    A worker without an observation counts with the amount of a healthy one: 1 for multiples, 0 for shares.
+    The amount of a worker is the median of its observations. A worker without an observation counts with the
+    amount of a healthy worker: 1 for multiples, 0 for shares.
     """
     amounts: dict[str, dict[str, list[float]]] = {cause: defaultdict(list) for cause in CAUSES}
     for key, each in latest.items():
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -3,9 +3,9 @@
 An automatic reason is a proposal. Each scheduler has a copy of all proposals, and ranks them by the same
 total order as the other schedulers. In this order, it admits each proposal whose workers exceed neither the
 remaining budget of the fleet nor that of their zones. A proposal that is not admitted has no effect until the
-budget has room for it. So no scheduler ever cordons more workers than the budget allows, in whatever order
-the proposals of several schedulers arrive. Schedulers with the same proposals and workers admit the same
-proposals, so they need no coordination before they propose.
+budget has room for it. So automatic cordons never affect more workers at a scheduler than the budget allows,
+in whatever order the proposals of several schedulers arrive. Schedulers with the same proposals and workers
+admit the same proposals, so they need no coordination before they propose.
 """
 
 from collections import Counter
@@ -20,7 +20,9 @@
 CAUSES = ("silent", "failing", "lagging", "slow")
 """Causes of automatic cordons, most severe first. Causes that only newer versions know rank after these."""
 
-ROUNDING = 1e-9  # added before rounding down, as a product may be too small: 0.29 * 100 is 28.999999999999996
+# Added to the product of a share and a number of workers before it is rounded down, because a floating-point
+# product may be slightly too small: 0.29 * 100 is 28.999999999999996.
+ROUNDING = 1e-9
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,8 +38,9 @@
 class Budget:
     """Maximum shares of workers with automatic cordons; must be the same at all schedulers.
 
-    They are shares of those listed workers that operators have not cordoned. The resulting number of workers
-    is rounded down: with a share of 0.1 and nine workers there are no automatic cordons.
+    Each share is relative to the listed workers (of the fleet or of one zone) that operators have not
+    cordoned. The resulting number of workers is rounded down: with a share of 0.1 and nine workers there are
+    no automatic cordons.
     """
 
     fleet_share: float = limits.FLEET_SHARE
@@ -59,8 +62,8 @@
 
         ``proposals`` are pairs of target and entry; ``matching`` are the listed workers of each target;
         ``workers`` are all listed workers. A worker that operators have cordoned uses no budget. Proposals
-        are ranked by the severity of their cause, and with the same cause the older one is admitted first,
-        so a newer one never displaces it.
+        are ranked by the severity of their cause. Of proposals with the same cause, the older ones are
+        admitted first, so a newer proposal never displaces an older one.
         """
         free = [location.zone for worker, location in workers.items() if worker not in operator_cordoned]
         fleet_capacity = floor(self.fleet_share * len(free) + ROUNDING)
--- a/robinhill/cordon/codec.py
+++ b/robinhill/cordon/codec.py
@@ -54,7 +54,7 @@
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """The first field of the encoding, which all versions share."""
+    """The first field of the encoding, which is the same in all versions of the encoding."""
 
     version: int
 
--- a/robinhill/cordon/errors.py
+++ b/robinhill/cordon/errors.py
@@ -8,7 +8,10 @@
 
 
 def format_names(names: Sequence[str], none: str = "none") -> str:
-    """Return the first MAX_NAMES_SHOWN names as text and the number of the others; ``none`` for no names."""
+    """Return text with the first MAX_NAMES_SHOWN names and the number of further names.
+
+    If ``names`` is empty, the text is ``none``.
+    """
     if not names:
         return none
     rest = f" and {len(names) - MAX_NAMES_SHOWN} more" if len(names) > MAX_NAMES_SHOWN else ""
@@ -69,7 +72,8 @@
 class NotAccepted(CordonError):
     """When the call's wait ended, the change was not accepted: no majority was known to store it.
 
-    The majority is one of the schedulers, or of a control group's voters. The change continues to spread.
+    A majority of the schedulers is needed, or with a control group a majority of its voters. The change
+    continues to propagate.
     """
 
     code = "NotAccepted"
@@ -83,7 +87,7 @@
 class BoundNotMet(CordonError):
     """When the call's wait ended, the change was accepted, but some schedulers had not confirmed it.
 
-    The change continues to spread.
+    The change continues to propagate.
     """
 
     code = "BoundNotMet"
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -18,14 +18,17 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkersCordoned:
-    """Listed workers, ascending, that were cordoned: they get no new attempts; running ones continue."""
+    """The IDs, ascending, of listed workers that became cordoned.
+
+    These workers get no new attempts; their running attempts continue.
+    """
 
     workers: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class WorkersUncordoned:
-    """Listed workers, ascending, whose last cordon has ended: they may get attempts again.
+    """The IDs, ascending, of listed workers whose last cordon has ended. They may get attempts again.
 
     ``started_us``: when the slow start of these workers begins.
     """
@@ -71,7 +74,7 @@
     def update(
         self, now_us: int, items: Iterable[tuple[str, CordonSet]], workers: Mapping[str, Location]
     ) -> IndexUpdate:
-        """Replace the index's contents by all cordons, given by target, and all listed workers.
+        """Rebuild the index from ``items`` (all cordons, by target) and ``workers`` (all listed workers).
 
         A cordon also applies to workers that are listed later. A worker that is removed from the list is
         reported neither as cordoned nor as uncordoned.
@@ -117,7 +120,10 @@
         return tuple((target, entry) for target in sorted(self._active) for entry in self._active[target])
 
     def is_in_effect(self, target: str, reason: Reason) -> bool:
-        """Return whether an active reason cordons its workers; automatic ones over the budget do not."""
+        """Return whether an active reason cordons its target's workers.
+
+        Only an automatic reason that exceeds the budget does not.
+        """
         return not reason.automatic or (target, reason.id) in self._admitted
 
     def check_budget(self) -> None:
--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -19,16 +19,17 @@
 # Limits of the cordons of one target. A writer adds no reason beyond MAX_REASONS. A merge of concurrent
 # writes may exceed MAX_REASONS, but a value from a peer that exceeds MAX_ENTRIES, MAX_WRITERS, MAX_RANGES or
 # MAX_INTEGER is rejected.
-MAX_REASONS = 32  # number of different cordon IDs
+MAX_REASONS = 32  # number of different cordon IDs of one target
 MAX_ENTRIES = 1_024  # number of reasons, including several with the same ID that were written concurrently
-# Number of processes that have set cordons of the target. The limit allows for 200 schedulers, each started
-# 10 times while the target was never without a cordon.
+# Number of processes that have set cordons of the target. A value retains the writes of all these processes
+# until its record expires, and each restart of a scheduler is a further process. The limit allows for 200
+# schedulers, each started 10 times while the target was never without a cordon.
 MAX_WRITERS = 2_048
 MAX_RANGES = 4_096  # number of ranges of seen counters, over all writers
 MAX_INTEGER = 2**62  # for counters and Unix microseconds (146,000 years); fits an integer of MessagePack
 
-MAX_TARGETS = 8_192  # 1,000 workers, each with eight successive instance IDs
-RECORD_LIFETIME_US = 30 * DAY_US  # a record is renewed before it expires while it has a longer cordon
+MAX_TARGETS = 8_192  # number of targets with a record: 1,000 workers, each with eight successive instance IDs
+RECORD_LIFETIME_US = 30 * DAY_US  # a record with a cordon that ends later is renewed before it expires
 # A reason is retained for this time after its end. The time exceeds the clock skew between hosts, and
 # REPEAT_WINDOW_US, within which an automatic cordon that has ended makes the worker's next one longer.
 ENDED_RETENTION_US = DAY_US
@@ -58,7 +59,7 @@
 MAX_AUTOMATIC_DURATION_US = 80 * MINUTE_US  # the default duration, doubled four times
 # After an operator has lifted an automatic cordon, its target gets no automatic cordon for this time.
 LIFT_COOLDOWN_US = 15 * MINUTE_US
-MIN_GROUP_SIZE = 4  # a smaller group has no baseline and no common cause
+MIN_GROUP_SIZE = 4  # a group with fewer workers gets no baseline and is not checked for a common cause
 PROPOSAL_TURN_US = SECOND_US // 2  # delay between the turns of two successive schedulers to propose a cordon
 MAX_PROPOSAL_TURNS = 8  # number of schedulers with a turn of their own; all later ones share the next turn
 # An automatic cordon lasts twice as long as the worker's last one if it begins within this time after the end
--- a/robinhill/cordon/peer_state.py
+++ b/robinhill/cordon/peer_state.py
@@ -5,7 +5,7 @@
 from robinhill.cordon.propagation import ProcessStatus
 from robinhill.mesh.acknowledgements import Acknowledgement
 
-GONE_AFTER_US = 5_000_000  # a peer whose link was lost is "suspect" for this time, and after it "gone"
+GONE_AFTER_US = 5_000_000  # a peer whose link was lost is "suspect" for this time, and "gone" afterwards
 
 
 @dataclass(slots=True)
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -3,8 +3,8 @@
 Each scheduler runs in one of two modes (`Mode`): without a lease it sends no new attempts (``hold``), or it
 continues to send (``serve``). A change, which sets or lifts a cordon, passes the stages received, stored (at
 this process), accepted and in force. Under ``hold`` the change is accepted once a majority of the configured
-schedulers stores it (the mesh counts them), under ``serve`` as soon as this process stores it. A change that
-sets a cordon is in force once one of the following is true of each scheduler:
+schedulers stores it (`mesh.acceptance` counts these schedulers), under ``serve`` as soon as this process
+stores it. A change that sets a cordon is in force once one of the following is true of each scheduler:
 
 - it has confirmed, *after its last send to the target's workers*, that it has applied the change;
 - it has left: its process announced its own end after its last send;
@@ -32,7 +32,7 @@
 
 
 class Mode(Enum):
-    """Whether a scheduler sends attempts while it has no lease, when it may not know the latest cordons."""
+    """Whether a scheduler sends attempts while it has no lease, and so may not know the latest cordons."""
 
     SERVE = "serve"
     """The scheduler continues to send."""
@@ -68,9 +68,9 @@
 class Scheduler:
     """The state of one scheduler as known to this scheduler.
 
-    ``incarnation``: the latest known one; 0 if none is known. ``mode`` and ``bound_us`` are from the last
-    acknowledgement by this incarnation; None and 0 without one. ``mode`` is also None if it is unknown to
-    this version.
+    ``incarnation``: the scheduler's latest known incarnation; 0 if none is known. ``mode`` and ``bound_us``
+    are from the last acknowledgement by this incarnation; None and 0 without such an acknowledgement.
+    ``mode`` is also None if this version of the program does not know the scheduler's mode.
     """
 
     name: str
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks the propagation of this process's changes of cordons by the acknowledgements of all schedulers.
+"""Tracks how far this process's changes of cordons have propagated, from all schedulers' acknowledgements.
 
 Each scheduler has a copy of all cordons. Its acknowledgement (`mesh.acknowledgements`) contains digests of
 the cordons that its dispatcher has applied. Merging never removes information from a copy. So if a scheduler
@@ -36,9 +36,9 @@
 class TrackedChange:
     """A change that this process wrote, and the digests that confirm it in a scheduler's acknowledgement.
 
-    ``began_us``: when the change was written. ``stamps``: the stamps of the written records, by target.
-    ``digests``: the digests of the values that this process's copy has held since the change, by target.
-    ``overall_digests``: its digests of all cordons since the change.
+    ``began_us``: when the change was written, on the monotonic clock. ``stamps``: the stamps of the written
+    records, by target. ``digests``: by changed target, the digests of the values that this process's copy has
+    held since the change. ``overall_digests``: the digests of all cordons in that copy since the change.
     """
 
     key: str
@@ -194,7 +194,10 @@
                 self._confirm_changes(mono_us, name, acknowledgement)
 
     def record_start(self, mono_us: int, name: str, incarnation: int) -> bool:
-        """Record the incarnation of a peer. Returns whether the peer has restarted: a lower one was known."""
+        """Record the incarnation of a peer.
+
+        Returns whether the peer has restarted, that is, whether a lower incarnation of the peer was known.
+        """
         peer = self.peers[name]
         if incarnation <= peer.incarnation:
             return False
@@ -218,8 +221,8 @@
         current = peer.current_acknowledgement
         if current is None:
             return Scheduler(name, peer.incarnation, status)
-        # A mode that only newer versions know becomes None. Then the expiry of a lease proves nothing, and
-        # the scheduler must confirm each change.
+        # A mode that only newer versions know becomes None. Then the expiry of the scheduler's lease does not
+        # prove that it has stopped sending, so the scheduler must confirm each change.
         mode = Mode(current.mode) if current.mode in MODES else None
         return Scheduler(name, peer.incarnation, status, mode, current.bound_us)
 
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -23,7 +23,8 @@
 NAME = "cordon"  # the kind of the replica's records of cordons
 VERSION = 1  # of the encoding
 AUTOMATIC_ID_PREFIX = "auto-"  # reserved: operators can't set a cordon whose ID begins with it
-# Used instead of str.isprintable(), whose result differs by Python version.
+# Matches text without control characters and line separators. Used instead of str.isprintable(), whose result
+# differs by Python version.
 _LINE = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]*")
 _ID = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._:@-]{{0,{limits.MAX_ID_CHARS - 1}}}")
 _TARGET = re.compile(r"(worker|zone|kind)/\S(.*\S)?|cell/(0|-?[1-9][0-9]{0,17})")
@@ -32,7 +33,10 @@
 
 
 class Dot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The identity of one write. ``counter`` increases with each write of a process, whatever its target."""
+    """The identity of one write.
+
+    ``counter`` increases with each write of a process, whatever the target of the write.
+    """
 
     origin: str
     incarnation: int
@@ -53,7 +57,8 @@
     ``since_us`` is when the cordon was set; ``until_us`` is its end, 0 if it lasts until it is lifted. ``by``
     is the operator who set the cordon, or the scheduler that proposed it. Automatic reasons also have
     ``cause`` (the observed fault), ``observers`` (the schedulers that observed the fault) and ``times`` (the
-    number of consecutive automatic cordons of the worker, this one included).
+    number of automatic cordons of the worker, up to this one, of which each began within REPEAT_WINDOW_US
+    after the end of the one before).
     """
 
     id: str
@@ -110,8 +115,8 @@
 def active_entries(value: CordonSet, now_us: int) -> tuple[Entry, ...]:
     """Return the active entries, one for each ID, by ascending ID.
 
-    If an ID was written twice concurrently, both entries are active; the one with the later end is returned,
-    or the one without an end.
+    If an ID was written twice concurrently, both entries may be active. Then the entry without an end is
+    returned, or if both have an end, the entry with the later end.
     """
     active = [e for e in value.entries if not e.reason.has_ended(now_us)]
     if len(active) < 2:
@@ -174,9 +179,9 @@
 
 
 def lift_cordon(present: CordonSet | None, cordon_id: str, now_us: int) -> CordonSet:
-    """Return the value without the reasons that have an ID.
+    """Return the value without the reasons whose ID is ``cordon_id``.
 
-    Reasons with this ID that other copies contain, and that ``present`` has not seen, survive the merge.
+    A reason with this ID in another copy survives the merge with that copy if ``present`` has not seen it.
     Raises CordonUnknown if the ID is not active in ``present``.
     """
     value = _without_expired(present or CordonSet(), now_us)
@@ -291,7 +296,10 @@
 
 
 def _end_sort_key(entry: Entry) -> tuple[bool, int, Entry]:
-    """Return the sort key that selects one of several entries of an ID: no end ranks above the latest end."""
+    """Return the sort key of entries with the same ID, of which the highest is selected.
+
+    An entry without an end ranks above all entries with an end.
+    """
     return entry.reason.until_us == 0, entry.reason.until_us, entry
 
 
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -114,7 +114,7 @@
 
 
 def read_put(cordon_id: str, body: bytes, now_us: int) -> tuple[str, Reason]:
-    """Parse the body of a PUT and return its target and reason. Raises CordonMalformed."""
+    """Parse the body of a PUT and return its target and reason. Raises CordonMalformed if it is invalid."""
     if len(body) > limits.MAX_BODY_BYTES:
         raise CordonMalformed(f"the request body is longer than {limits.MAX_BODY_BYTES} bytes")
     try:
@@ -127,7 +127,10 @@
 
 
 def _read_end_us(put: PutBody, now_us: int) -> int:
-    """Return the end of the cordon as Unix microseconds; 0 if it has none. An end before 1970 becomes 1."""
+    """Return the end of the cordon as Unix microseconds; 0 if it has none.
+
+    An end in 1970 or earlier becomes at least 1, because 0 means that the cordon has no end.
+    """
     if put.until is not None and put.for_s is not None:
         raise CordonMalformed("the request has both until and for_s; give at most one of them")
     if put.until is not None:
@@ -222,7 +225,7 @@
 
 
 def _to_datetime(unix_us: int) -> datetime:
-    """Convert Unix microseconds to a datetime; a time after the latest possible datetime becomes that one."""
+    """Convert Unix microseconds to a datetime; a time that is too late for one becomes datetime.max."""
     try:
         return _EPOCH + timedelta(microseconds=unix_us)
     except OverflowError:
