--- a/robinhill/cordon/automatic.py
+++ b/robinhill/cordon/automatic.py
@@ -257,7 +257,10 @@
 
 
 def _proposal_turn(worker: str, own_name: str, others: AbstractSet[str]) -> int:
-    """Return how many schedulers have an earlier turn for a worker than this one, up to MAX_PROPOSAL_TURNS."""
+    """Return how many schedulers precede this one in the order of turns to propose a cordon of the worker.
+
+    The result is at most MAX_PROPOSAL_TURNS.
+    """
 
     def rank(name: str) -> bytes:
         return blake2s(f"{worker}\0{name}".encode(), digest_size=8).digest()
@@ -367,7 +370,10 @@
 
 
 def _groups(worker: str, workers: Mapping[str, Location]) -> Sequence[str]:
-    """Return the groups that a worker belongs to: '' for the fleet, and its zone, kind and cell targets."""
+    """Return the groups that a worker belongs to: '' for the fleet, then its zone, machine type and cell.
+
+    The last three are in the form of targets, such as 'zone/NAME'.
+    """
     return "", *targets_of(worker, workers[worker])[1:]
 
 
@@ -407,8 +413,9 @@
 
 
 def _find_common_causes(unhealthy: AbstractSet[str], workers: Mapping[str, Location]) -> set[str]:
-    """Return the groups with a common cause: several workers, more than COMMON_CAUSE_SHARE, are unhealthy.
+    """Return the groups with a common cause.
 
+    In such a group at least two workers, and more than COMMON_CAUSE_SHARE of all its workers, are unhealthy.
     ``unhealthy`` includes the workers with an automatic cordon. Groups below MIN_GROUP_SIZE are left out.
     """
     counts: dict[str, int] = defaultdict(int)
--- a/robinhill/cordon/budget.py
+++ b/robinhill/cordon/budget.py
@@ -1,11 +1,11 @@
 """The budget: how many workers automatic cordons may take out of service.
 
-An automatic reason is a proposal. Each scheduler has a copy of all proposals, and ranks them by the same
-total order as the other schedulers. In this order, it admits each proposal whose workers exceed neither the
-remaining budget of the fleet nor that of their zones. A proposal that is not admitted has no effect until the
-budget has room for it. So automatic cordons never affect more workers at a scheduler than the budget allows,
-in whatever order the proposals of several schedulers arrive. Schedulers with the same proposals and workers
-admit the same proposals, so they need no coordination before they propose.
+Each automatic cordon is at first a proposal. Each scheduler has a copy of all proposals, and ranks them by
+the same total order as the other schedulers. In this order, it admits each proposal whose workers exceed
+neither the remaining budget of the fleet nor that of their zones. A proposal that is not admitted has no
+effect until the budget has room for it. So automatic cordons never affect more workers at a scheduler than
+the budget allows, in whatever order the proposals of several schedulers arrive. Schedulers with the same
+proposals and workers admit the same proposals, so they need no coordination before they propose.
 """
 
 from collections import Counter
--- a/robinhill/cordon/codec.py
+++ b/robinhill/cordon/codec.py
@@ -36,7 +36,7 @@
     """
     try:
         if (version := _head.decode(data).version) != VERSION:
-            raise ForeignState(f"the cordons of a target are of version {version}, expected {VERSION}")
+            raise ForeignState(f"the cordons of a target have version {version}, expected {VERSION}")
         value = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as e:
         raise ForeignState(f"the cordons of a target can't be decoded: {e}") from e
@@ -79,7 +79,7 @@
     if len(value.entries) > limits.MAX_ENTRIES or len(value.seen) > limits.MAX_WRITERS:
         return f"more than {limits.MAX_ENTRIES} entries or {limits.MAX_WRITERS} writers"
     if sum(len(s.ranges) for s in value.seen) > limits.MAX_RANGES:
-        return f"more than {limits.MAX_RANGES} ranges of seen counters"
+        return f"the seen dots have more than {limits.MAX_RANGES} ranges of counters"
     return ""
 
 
@@ -98,9 +98,9 @@
     if not is_line(seen.origin, limits.MAX_NAME_CHARS):
         return f"a writer's name is longer than {limits.MAX_NAME_CHARS} characters or not one line"
     if not ranges or ranges != join_ranges(ranges) or any(low > high for low, high in ranges):
-        return "counter ranges are missing, overlap or are not in ascending order"
+        return "the counter ranges of a writer's seen dots are missing, overlap or are not in ascending order"
     if not (ranges[0][0] >= 1 and ranges[-1][1] <= limits.MAX_INTEGER):
-        return f"a seen counter is not in the range 1 to {limits.MAX_INTEGER}"
+        return f"the counter of a seen dot is not in the range 1 to {limits.MAX_INTEGER}"
     return ""
 
 
--- a/robinhill/cordon/index.py
+++ b/robinhill/cordon/index.py
@@ -1,7 +1,8 @@
 """Index of one scheduler's cordons: which listed workers are cordoned, and by which reasons.
 
-A *listed* worker is on the list of workers that discovery provides. The index is derived from this list and
-from the values of all targets. It decides which automatic cordons are within the budget, and never changes a
+A *listed* worker is on the list of workers that discovery provides. A *reason* is one cordon of a target, and
+*active* until it ends or is lifted. The index is derived from the list of workers and from the values of all
+targets (see `value.CordonSet`). It decides which automatic cordons are within the budget, and never changes a
 value. Times are Unix microseconds.
 """
 
--- a/robinhill/cordon/propagation_tracker.py
+++ b/robinhill/cordon/propagation_tracker.py
@@ -28,7 +28,7 @@
 from robinhill.mesh.quorum import Quorum
 from robinhill.mesh.records import Record, Stamp
 
-MAX_DIGESTS = 256  # number of digests retained for each change and target; older ones confirm nothing
+MAX_DIGESTS = 256  # number of digests retained for each change and target; dropped digests confirm nothing
 MODES = {mode.value for mode in Mode}
 
 
@@ -61,8 +61,8 @@
     """The tracked changes of this process, and the known state of the other schedulers.
 
     ``applied``: the digests of the cordons in this process's copy. ``recent_targets``: the most recently
-    changed targets, at most MAX_RECENT_CHANGES, the latest at the end. ``bound_us``: the bound that this
-    scheduler is configured with.
+    changed targets, at most MAX_RECENT_CHANGES, the latest at the end. ``bound_us``: the bound (upper limit
+    of the propagation time) that this scheduler is configured with.
     """
 
     def __init__(self, own_name: str, mode: Mode, bound_us: int, quorum: Quorum) -> None:
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -21,7 +21,7 @@
 from robinhill.cordon.errors import CordonElsewhere, CordonMalformed, CordonsFull, CordonUnknown
 
 NAME = "cordon"  # the kind of the replica's records of cordons
-VERSION = 1  # of the encoding
+VERSION = 1  # the version of the encoding of a `CordonSet`
 AUTOMATIC_ID_PREFIX = "auto-"  # reserved: operators can't set a cordon whose ID begins with it
 # Matches text without control characters and line separators. Used instead of str.isprintable(), whose result
 # differs by Python version.
@@ -245,8 +245,8 @@
 def check_id(cordon_id: str, *, automatic: bool = False) -> str:
     """Return the ID unchanged.
 
-    Raises CordonMalformed if the ID is invalid, or has the prefix of automatic cordons while ``automatic`` is
-    false, or the other way round.
+    Raises CordonMalformed if the ID is invalid, if it has the prefix AUTOMATIC_ID_PREFIX while ``automatic``
+    is false, or if it lacks the prefix while ``automatic`` is true.
     """
     if not is_cordon_id(cordon_id):
         raise CordonMalformed(
--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -4,9 +4,10 @@
     DELETE /ops/cordons/ID
     GET /ops/cordons        returns a ``Listing``
 
-A PUT may have ``for_s`` (the duration in seconds) in place of ``until``, or neither. With ``?wait=SECONDS``,
-a PUT or DELETE waits until the change is in force. The JSON keys are part of the operators' interface: a
-Python field that is renamed keeps its JSON key. `propagation` defines the stages accepted and in force.
+A PUT may have ``for_s`` (the duration in seconds) in place of ``until``. With neither, the cordon has no end.
+With ``?wait=SECONDS``, a PUT or DELETE waits until the change is in force. The JSON keys are part of the
+operators' interface: a Python field that is renamed keeps its JSON key. `propagation` defines the stages
+accepted and in force.
 """
 
 import math
@@ -92,7 +93,8 @@
 class ChangeSummary(msgspec.Struct, frozen=True):
     """The result of a PUT or DELETE.
 
-    ``error``: if the wait ended before the change was in force, the reason and what the operator can do.
+    ``error``: if the wait ended before the change was in force, the cause and what the operator can do;
+    otherwise empty.
     """
 
     id: str
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -1,7 +1,7 @@
 """Writes this scheduler's own acknowledgement: a record with the cordons that its dispatcher has applied.
 
-This module owns the acknowledgement's sequence number, and its list of the incarnations of peers that started
-last. It does not handle the other schedulers' acknowledgements.
+This module owns two parts of the acknowledgement: its sequence number, and its list of the peers that started
+most recently with their incarnations. It does not handle the other schedulers' acknowledgements.
 """
 
 import asyncio
@@ -46,7 +46,10 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def record_start(self, name: str, incarnation: int) -> None:
-        """Include a peer's incarnation in all acknowledgements until MAX_RECENT_CHANGES peers start later."""
+        """Include a peer's incarnation in all acknowledgements from this call on.
+
+        It is left out again after MAX_RECENT_CHANGES other peers have started later.
+        """
         self._peer_starts.pop(name, None)
         self._peer_starts[name] = incarnation
         if len(self._peer_starts) > acknowledgements.MAX_RECENT_CHANGES:
@@ -58,7 +61,7 @@
             self._timer = asyncio.get_running_loop().call_later(STARTS_DELAY_S, write)
 
     def write(self, mono_us: int, applied_digest: bytes, *, serving: bool, left: bool = False) -> None:
-        """Write the acknowledgement.
+        """Write the acknowledgement, and cancel the scheduled write, if any.
 
         ``applied_digest``: digest of the cordons that the dispatcher has applied. ``serving``: whether this
         scheduler accepts clients. ``left``: whether this process has made its last send to a worker.
@@ -95,7 +98,7 @@
             self._timer = None
 
     def _recent_digests(self, applied_digest: bytes) -> tuple[tuple[str, bytes], ...]:
-        """Return the digests of the targets that changed last, by target.
+        """Return the digests of the cordons of the most recently changed targets, by target.
 
         The result is empty while the dispatcher has not applied all changes in this scheduler's copy.
         """
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -5,8 +5,8 @@
 modules implement these parts; the actor passes events from peers, the dispatcher and operators on to them.
 
 Records from peers are applied at once (`receive_records`) instead of through the mailbox. The reason is that
-a peer's answer to a ping may renew the lease, which `may_send` checks last before each send. The answer must
-not take effect before a cordon that the peer sent ahead of it.
+a peer's answer to a ping may renew the lease, which `may_send` checks immediately before each send. The
+answer must not take effect before a cordon that the peer sent ahead of the answer.
 """
 
 import asyncio
@@ -43,8 +43,9 @@
 log = logging.getLogger(__name__)
 
 MIN_MAINTENANCE_DELAY_US = 5_000  # the shortest time until the next maintenance
-REACHABLE_US = 10_000_000  # a scheduler is reachable if its state as of this time ago, or later, is known
-RENEWAL_INTERVAL_US = 3_600_000_000  # interval between checks which records must be renewed
+# A scheduler is reachable if its state is known as of a moment less than this time ago.
+REACHABLE_US = 10_000_000
+RENEWAL_INTERVAL_US = 3_600_000_000  # interval between checks of which records must be renewed
 
 
 @dataclass(slots=True, frozen=True)
@@ -188,7 +189,10 @@
         self.tracker.record_link(mono_us(), name, False)
 
     def record_answer(self, name: str) -> None:
-        """Record that a peer has answered a ping: all its state from before the answer has been received."""
+        """Record that a peer has answered a ping: all its state from before the answer has been received.
+
+        The answer may end the catch-up phase, and may give this scheduler the lease.
+        """
         self._catch_up.record_answer(name)
         if not self.freshness.caught_up and self.freshness.may_catch_up():
             self.confirm_complete("received the state of peers")
@@ -301,16 +305,17 @@
             self._writer.schedule(self._write_acknowledgement)
 
     def _update(self) -> None:
-        """Update the index of cordons, and notify the dispatcher, which confirms when it has applied them."""
-        # `collect` comes first: it drops expired records, and passes the current Unix time to the replica.
-        # The replica's items include only records that had not expired at the latest time passed to it.
+        """Update the index of cordons, and notify the dispatcher, which later confirms the notification."""
+        # `collect` must precede the update: it drops expired records, and passes the current Unix time to the
+        # replica. The replica's items include only records that had not expired at the latest time passed in.
         self.replica.collect(self.clock.now_us())
         workers = {worker.instance_id: location_of(worker) for worker in self.listed_workers()}
         self._next_end_us = self.index.update(self.clock.now_us(), self._records.items(), workers).next_end_us
         self._notifier.notify_cordons(cordoned_targets(self.index), self.tracker.applied.combined)
 
     def _record_applied(self, number: int) -> None:
-        # A later change has its own notification, and is acknowledged once that notification is applied.
+        # The acknowledgement covers the changes up to this notification. A later change has its own
+        # notification, and is acknowledged once that notification is applied.
         if self._notifier.confirm_applied(number):
             self._write_acknowledgement()
             self._answer_and_reschedule()
@@ -344,7 +349,7 @@
         self._answer_and_reschedule()
 
     def _renew_records(self, unix_us: int) -> None:
-        """Rewrite the records that a cordon would outlast, and drop the digests of expired records."""
+        """Rewrite records that would expire before their cordons end; drop the digests of expired records."""
         targets = self.tracker.applied.keys()
         for target in targets:
             record = self.replica.record(value.NAME, target)
--- a/robinhill/net/cordons/catch_up.py
+++ b/robinhill/net/cordons/catch_up.py
@@ -41,8 +41,8 @@
     def serve_if_ready(self, mono_us: int) -> bool:
         """End the phase if it is complete, or if it has lasted for ``catch_up_ms``.
 
-        It is complete once the whole state of all peers, or of one peer that serves, was received. Returns
-        whether this call has ended the phase.
+        The phase is complete once the whole state of all peers, or of one peer that accepts clients, was
+        received. Returns whether this call has ended the phase.
         """
         age_s = self.age_s(mono_us)
         complete = self._is_complete()
--- a/robinhill/net/cordons/change_waits.py
+++ b/robinhill/net/cordons/change_waits.py
@@ -29,7 +29,7 @@
 
 
 class ChangeWaits:
-    """All waiting calls. ``describe`` returns the body of the answer to a call that requested a change."""
+    """All waiting calls. ``describe`` returns the body of the answer to a call that requested the change."""
 
     def __init__(self, describe: Callable[[PendingChange], ChangeReply]) -> None:
         self._describe = describe
@@ -51,7 +51,7 @@
         self._waits.append(wait)
 
     def answer_fulfilled(self, change: PendingChange) -> None:
-        """Answer the calls whose wait for a change is fulfilled; called after a change of its state."""
+        """Answer the calls whose wait for ``change`` is fulfilled; called when its state may have changed."""
         for wait in [w for w in self._waits if w.change is change]:
             if wait.fulfilled:
                 self._end(wait, 200)
--- a/robinhill/net/cordons/cordon_records.py
+++ b/robinhill/net/cordons/cordon_records.py
@@ -23,7 +23,8 @@
 class CordonChange:
     """A change that a call requests.
 
-    ``values`` are the new values by target; ``cordon`` is the reason that is set, None for a lift.
+    ``values`` are the new values by target. ``cordon`` is the reason that the change sets, with the dot of
+    the write; None for a lift.
     """
 
     cordon_id: str
--- a/robinhill/net/cordons/dispatcher_notifier.py
+++ b/robinhill/net/cordons/dispatcher_notifier.py
@@ -1,7 +1,7 @@
 """Notifies the dispatcher of cordons and of the lease, and records which cordons the dispatcher confirmed.
 
-This module owns the current set of cordoned targets at this process. Other modules decide which targets these
-are, and whether this scheduler holds the lease.
+This module owns the current set of cordoned targets at this process. Other modules decide which targets are
+cordoned, and whether this scheduler holds the lease.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     ``on_applied`` is called with a notification's number once the dispatcher and all endpoints have applied
     it. ``targets`` are the targets in the last notification of cordons. ``applied_digest`` is the digest of
     the cordons that the dispatcher last confirmed. ``has_lease``: whether this scheduler held the lease at
-    the last notification of the lease; True before the first one.
+    the last notification of the lease; True before the first notification.
     """
 
     def __init__(
--- a/robinhill/net/cordons/fleet.py
+++ b/robinhill/net/cordons/fleet.py
@@ -19,7 +19,10 @@
 
     @property
     def bound_us(self) -> int:
-        """The bound: this scheduler holds the lease while its knowledge of a majority is at most this old."""
+        """The bound (upper limit of the propagation time), in microseconds.
+
+        This scheduler holds the lease while its knowledge of a majority's state is at most this old.
+        """
         return self.options.bound_ms * 1000
 
     @property
--- a/robinhill/net/cordons/group_member.py
+++ b/robinhill/net/cordons/group_member.py
@@ -1,8 +1,8 @@
 """Cordons at a member of the control group (voter or scheduler): operators' calls and the cordoned targets.
 
-This module owns the index and the changes that were requested at this member; the voter or observer owns the
-records. After the start of the process, the module is only called while the driver (the actor that calls the
-voter or observer) handles a message of its mailbox.
+This module owns the index of cordons and the changes that were requested at this member; the voter or
+observer owns the records. After the start of the process, the module is only called while the driver (the
+actor that calls the voter or observer) handles a message of its mailbox.
 """
 
 import logging
@@ -97,7 +97,7 @@
         return self.targets
 
     def renew_records(self) -> None:
-        """Rewrite the records that a cordon would outlast. Stops at the first write that is rejected."""
+        """Rewrite records that would expire before their cordons end. Stops at the first rejected write."""
         now_us = self.clock.now_us()
         for target, present in self._records.items():
             if not self._records.needs_renewal(target, present, now_us):
@@ -116,7 +116,10 @@
         handle_call(call, self, HTTP_STATUS)
 
     def record_progress(self, report: Progressed) -> None:
-        """Record the progress of a change that is tracked at this member, and answer calls that await it."""
+        """Record the progress of a change that is tracked at this member.
+
+        Also answers the calls whose wait for the change is now fulfilled.
+        """
         change = self.changes.record_progress(report)
         if change is not None:
             self._waits.answer_fulfilled(change)
@@ -126,7 +129,7 @@
         self._waits.stop()
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown.
+        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown if none has the ID.
 
         The progress of a cordon is known at the member where it was set, and at a member that was called with
         the cordon's ID, because that call starts to track it.
@@ -143,8 +146,9 @@
     def change(self, call: CordonCall) -> None:
         """Write the requested change, and answer the call once its wait is fulfilled or timed out.
 
-        With ``wait`` the call waits until the change is in force. Without it the call waits until the change
-        is accepted, at most for the length of the bound.
+        With the parameter ``wait``, the call waits for that time until the change is in force. Without the
+        parameter, the call waits until the change is accepted, for at most the bound (the upper limit of the
+        propagation time).
         """
         wait_us = call.wait_us
         requested = self._records.prepare_change(call)
--- a/robinhill/net/cordons/mesh_calls.py
+++ b/robinhill/net/cordons/mesh_calls.py
@@ -1,7 +1,7 @@
 """Carries out operators' calls at a scheduler that shares state with peers.
 
-It writes and tracks the requested changes, and answers the calls. This module owns the waiting calls. The
-actor handles all other effects of a change, in ``on_written``.
+This module writes and tracks the requested changes, answers the calls, and owns the calls that wait. The
+actor handles all other effects of a change, in the function that it passes as ``on_written``.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 
 
 class MeshCalls:
-    """Carries out operators' calls.
+    """Carries out operators' calls about cordons.
 
     ``mono_us`` reads the monotonic clock; ``on_written`` is called with the records that a change wrote.
     """
@@ -77,7 +77,7 @@
     def show(self, cordon_id: str) -> ListingReply:
         """Return the cordon with an ID, or all cordons for '', and the status of each scheduler.
 
-        Raises CordonUnknown.
+        Raises CordonUnknown if no active cordon has the ID.
         """
         now_us = self.mono_us()
         listing = views.list_cordons(now_us, self.index, self.tracker.propagations)
@@ -93,7 +93,7 @@
         key = str(requested.cordon.dot) if requested.cordon else f"lift {self.records.next_counter()}"
         wait_us = call.wait_us
         now_us = self.mono_us()
-        self.tracker.propagations.reserve()  # precedes the write, as it may reject the call
+        self.tracker.propagations.reserve()  # raises if the call must be rejected, so it precedes the write
         replica, unix_us = self.records.replica, self.clock.now_us()
         written = [
             replica.write(unix_us, value.NAME, target, new) for target, new in requested.values.items()
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -26,9 +26,9 @@
 class CordonCall:
     """An operator's call.
 
-    ``cordon_id`` is '' for a GET of all cordons. ``wait`` is the query parameter of that name: the seconds to
-    wait until the requested change is in force. If it is None, a call that changes cordons waits only until
-    the change is accepted.
+    ``cordon_id`` is '' for a GET of all cordons. ``wait`` is the query parameter of that name: the number of
+    seconds to wait until the requested change is in force. Without the parameter (None), a call that changes
+    cordons waits only until the change is accepted.
     """
 
     method: str
@@ -50,14 +50,20 @@
     """The part of a process that carries out calls: `MeshCalls` or `GroupCordons`."""
 
     def show(self, cordon_id: str) -> ListingReply:
-        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown."""
+        """Return the cordon with an ID, or all cordons for ''. Raises CordonUnknown if none has the ID."""
 
     def change(self, call: CordonCall) -> None:
-        """Write the requested change, and answer once it has reached the state that the caller waits for."""
+        """Write the requested change, and answer the call when its wait ends.
+
+        The wait ends once the change has reached the state that the caller waits for, or at a timeout.
+        """
 
 
 def handle_call(call: CordonCall, handler: CallHandler, statuses: Mapping[type[RobinhillError], int]) -> None:
-    """Carry out a call. A GET, and a call that is rejected, are answered before this function returns.
+    """Carry out a call, unless it already has an answer.
+
+    A GET, and a call that is rejected, are answered before this function returns. The handler answers each
+    other call later, or at once if there is nothing to wait for.
 
     ``statuses`` maps error classes to HTTP statuses. The status of any other error is 500 if it is a
     CordonError, and otherwise 507, for example if a limit of stored records is reached.
--- a/robinhill/net/cordons/peer_list_transition.py
+++ b/robinhill/net/cordons/peer_list_transition.py
@@ -21,12 +21,14 @@
         self.fleet = fleet
         self.freshness = freshness
         self.tracker = tracker
+        # Monotonic time since when all schedulers are known to use the current list; None if they are not.
         self._agreed_since_us: int | None = None
 
     def end_if_settled(self, mono_us: int) -> None:
         """End the transition if all schedulers are known to use the current list for longer than the bound.
 
-        Called at each maintenance of the cordon actor; the time counts from the call that first finds it so.
+        Called at each maintenance of the cordon actor. The time begins with the first call that finds that
+        all schedulers use the current list, and begins again after a call that finds that they don't.
         """
         if len(self.freshness.quorum.lists) == 1:
             return
--- a/robinhill/net/cordons/pending_changes.py
+++ b/robinhill/net/cordons/pending_changes.py
@@ -1,8 +1,10 @@
 """Changes of cordons that were requested at a member of the control group, and the progress of each.
 
-A change is *accepted* once it can no longer be lost, and *in force* once no scheduler can act without it. A
-change is written as one record for each of its targets. A progress report (`Progressed`) refers to a record
-by the number that its write returned. This module performs no I/O.
+A change is *accepted* once a majority of the control group's voters stores it, so that it can no longer be
+lost (in ``serve`` mode, in which schedulers send without a lease, one voter is enough). It is *in force* once
+no scheduler can act without it. A change is written as one record for each of its targets. A progress report
+(`Progressed`) refers to a record by the number that the write of the record returned. This module performs no
+I/O.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,7 +14,7 @@
 
 MAX_PENDING_RECORDS = 512
 """The maximum number of tracked records. Beyond it the oldest records without a waiting caller are no longer
-tracked; they take effect all the same."""
+tracked; their changes take effect nevertheless."""
 
 STORED, ACCEPTED, IN_FORCE = "stored", "accepted", "in force"
 
@@ -98,7 +100,7 @@
         return self._by_dot.get(dot)
 
     def pending_count(self) -> int:
-        """Return how many changes have tracked records, which are not in force yet."""
+        """Return the number of changes with at least one tracked record, which is not in force yet."""
         return len({id(change) for change in self._by_number.values()})
 
     def abandon_excess(self) -> list[int]:
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -70,8 +70,9 @@
 
     ``state``: one of PROCESS_STATUS_NAMES. ``on_lost``: its mode without a lease (``serve`` or ``hold``);
     None if unknown. ``counts``: whether it counts for majorities. ``same_list``: whether its list of
-    schedulers equals that of the answering one. ``knowledge_age_ms``: the time since the moment as of which
-    its whole state is known; None if it has not counted for majorities since its last known start.
+    schedulers equals that of the answering scheduler. ``knowledge_age_ms``: the milliseconds since the moment
+    as of which the answering scheduler knows this scheduler's whole state (0 for the answering scheduler);
+    None if this scheduler has not counted for majorities since its last known start.
     """
 
     name: str
@@ -96,8 +97,8 @@
 
     ``digest``: the digest of the copy; None while the scheduler does not accept clients. ``counts``: whether
     the scheduler counts for majorities. ``on_lost``: its mode without a lease. ``lease``: whether it holds
-    the lease. ``majority_age_ms``: the age of its knowledge of a majority's state; None if no majority is
-    known.
+    the lease. ``majority_age_ms``: the age of its knowledge of a majority's state, in milliseconds; None if
+    it does not know the state of a majority.
     """
 
     name: str
@@ -114,7 +115,10 @@
 
 
 def make_cordon_reply(view: CordonView, lagging: tuple[str, ...], state: str | None = None) -> CordonReply:
-    """Return a reply with a cordon's view and its lagging schedulers; a ``state`` replaces the view's."""
+    """Return a reply with a cordon's view and its lagging schedulers.
+
+    ``state``, if given, replaces the state in the view.
+    """
     reply = CordonReply(**msgspec.structs.asdict(view), lagging=lagging)
     return reply if state is None else msgspec.structs.replace(reply, state=state)
 
