--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -35,7 +35,7 @@
 ENDED_RETENTION_US = DAY_US
 
 MAX_DURATION_US = 366 * DAY_US  # from the time of the write to the end of a cordon, if it has an end
-MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations dated further into the future are ignored
+MAX_CLOCK_SKEW_US = 5 * MINUTE_US  # observations and times of lifts further in the future are ignored
 
 # Margins added to the propagation bound. NTP slews a clock by at most 500 ppm, so the rates of two clocks
 # differ by at most 1,000 ppm (CLOCK_DRIFT_SHARE). SEND_SLACK_US covers a send that the lease allowed and that
@@ -55,13 +55,15 @@
 # If a larger share of the workers in a fleet, zone, machine type or cell is unhealthy, the cause is common to
 # the group, and cordons don't remove it.
 COMMON_CAUSE_SHARE = 0.3
-AUTOMATIC_DURATION_US = 5 * MINUTE_US  # duration of a worker's first automatic cordon
+AUTOMATIC_DURATION_US = (
+    5 * MINUTE_US
+)  # duration of an automatic cordon with none before, see REPEAT_WINDOW_US
 MAX_AUTOMATIC_DURATION_US = 80 * MINUTE_US  # the default duration, doubled four times
 # After an operator has lifted an automatic cordon, its target gets no automatic cordon for this time.
 LIFT_COOLDOWN_US = 15 * MINUTE_US
 MIN_GROUP_SIZE = 4  # a group with fewer workers gets no baseline and is not checked for a common cause
 PROPOSAL_TURN_US = SECOND_US // 2  # delay between the turns of two successive schedulers to propose a cordon
 MAX_PROPOSAL_TURNS = 8  # number of schedulers with a turn of their own; all later ones share the next turn
-# An automatic cordon lasts twice as long as the worker's last one if it begins within this time after the end
-# of the last one, up to MAX_AUTOMATIC_DURATION_US.
+# An automatic cordon that begins within this time after the end of the worker's previous automatic cordon
+# lasts twice as long as the previous one, but at most MAX_AUTOMATIC_DURATION_US.
 REPEAT_WINDOW_US = 2 * MAX_AUTOMATIC_DURATION_US
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -120,7 +120,8 @@
         self._schedulers = {s.name: s for s in schedulers}
         if own_name not in self._schedulers:
             raise ValueError(f"{own_name} is not among the schedulers")
-        self._confirmed_incarnations: dict[str, int] = {}  # by scheduler: latest incarnation that confirmed
+        # By scheduler: the latest incarnation that has confirmed the change.
+        self._confirmed_incarnations: dict[str, int] = {}
 
     def mark_stored(self, mono_us: int) -> None:
         """Record that the change counts as stored at this process, see `PropagationTracker.track`."""
--- a/robinhill/cordon/value.py
+++ b/robinhill/cordon/value.py
@@ -161,7 +161,7 @@
     A reason that is set again gets a new dot, so that it survives a concurrent lift of the earlier write; it
     keeps the earliest ``since_us`` of the active reasons with its ID. ``dot`` must be larger than all earlier
     dots of this process. Raises CordonMalformed if the reason is invalid, and CordonsFull if the target
-    already has MAX_REASONS others.
+    already has MAX_REASONS reasons with other IDs.
     """
     check_reason(reason, now_us)
     value = _without_expired(present or CordonSet(), now_us)
--- a/robinhill/net/cordons/acknowledgement_writer.py
+++ b/robinhill/net/cordons/acknowledgement_writer.py
@@ -25,7 +25,10 @@
 
 
 class AcknowledgementWriter:
-    """Writes the acknowledgement record of this scheduler; ``written_us``: Unix time of the last write."""
+    """Writes the acknowledgement record of this scheduler.
+
+    ``written_us``: the Unix time of the last write; 0 before the first write.
+    """
 
     def __init__(
         self,
--- a/robinhill/net/cordons/actor.py
+++ b/robinhill/net/cordons/actor.py
@@ -110,7 +110,7 @@
         self._catch_up = CatchUp(fleet, self.tracker, mono_us())
         self._transition = PeerListTransition(fleet, freshness, self.tracker)
         self._next_end_us = 0  # Unix time when the next cordon ends; 0 if none has an end
-        self._renewal_due_us = 0
+        self._renewal_due_us = 0  # monotonic time of the next check of which records must be renewed
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_us = 0  # monotonic time when the maintenance timer expires; 0 if it is not running
 
--- a/robinhill/net/cordons/operator_calls.py
+++ b/robinhill/net/cordons/operator_calls.py
@@ -39,7 +39,7 @@
 
     @property
     def wait_us(self) -> int | None:
-        """The maximum time to wait until the change is in force; None without ``wait``.
+        """The maximum time to wait until the change is in force, in microseconds; None without ``wait``.
 
         Raises CordonMalformed if ``wait`` is invalid.
         """
--- a/robinhill/net/cordons/replies.py
+++ b/robinhill/net/cordons/replies.py
@@ -68,11 +68,12 @@
 class SchedulerReply(msgspec.Struct, frozen=True):
     """The status of one scheduler as known to the scheduler that answers.
 
-    ``state``: one of PROCESS_STATUS_NAMES. ``on_lost``: its mode without a lease (``serve`` or ``hold``);
-    None if unknown. ``counts``: whether it counts for majorities. ``same_list``: whether its list of
-    schedulers equals that of the answering scheduler. ``knowledge_age_ms``: the milliseconds since the moment
-    as of which the answering scheduler knows this scheduler's whole state (0 for the answering scheduler);
-    None if this scheduler has not counted for majorities since its last known start.
+    ``state``: one of PROCESS_STATUS_NAMES. ``on_lost``: its mode: without a lease, it continues to send
+    attempts (``serve``) or sends none (``hold``); None if the mode is unknown. ``counts``: whether it counts
+    for majorities. ``same_list``: whether its list of schedulers equals that of the answering scheduler.
+    ``knowledge_age_ms``: the milliseconds since the moment as of which the answering scheduler knows this
+    scheduler's whole state (0 for the answering scheduler); None if this scheduler has not counted for
+    majorities since its last known start.
     """
 
     name: str
@@ -85,7 +86,10 @@
 
 
 class ListingReply(msgspec.Struct, frozen=True):
-    """Active cordons, the listed workers that are cordoned, and the status of all schedulers."""
+    """Active cordons, the listed workers that are cordoned, and the status of all schedulers.
+
+    A member of the control group gives no ``schedulers``.
+    """
 
     cordons: tuple[CordonReply, ...]
     cordoned_workers: tuple[str, ...] = msgspec.field(name="held")
@@ -96,9 +100,9 @@
     """The status of a scheduler's copy of the shared state.
 
     ``digest``: the digest of the copy; None while the scheduler does not accept clients. ``counts``: whether
-    the scheduler counts for majorities. ``on_lost``: its mode without a lease. ``lease``: whether it holds
-    the lease. ``majority_age_ms``: the age of its knowledge of a majority's state, in milliseconds; None if
-    it does not know the state of a majority.
+    the scheduler counts for majorities. ``on_lost``: its mode, as in `SchedulerReply`. ``lease``: whether it
+    holds the lease. ``majority_age_ms``: the age of its knowledge of a majority's state, in milliseconds;
+    None if it does not know the state of a majority.
     """
 
     name: str
