--- a/robinhill/cordon/limits.py
+++ b/robinhill/cordon/limits.py
@@ -55,9 +55,8 @@
 # If a larger share of the workers in a fleet, zone, machine type or cell is unhealthy, the cause is common to
 # the group, and cordons don't remove it.
 COMMON_CAUSE_SHARE = 0.3
-AUTOMATIC_DURATION_US = (
-    5 * MINUTE_US
-)  # duration of an automatic cordon with none before, see REPEAT_WINDOW_US
+# Duration of a worker's automatic cordon if no other one of the worker ended within REPEAT_WINDOW_US before.
+AUTOMATIC_DURATION_US = 5 * MINUTE_US
 MAX_AUTOMATIC_DURATION_US = 80 * MINUTE_US  # the default duration, doubled four times
 # After an operator has lifted an automatic cordon, its target gets no automatic cordon for this time.
 LIFT_COOLDOWN_US = 15 * MINUTE_US
