--- a/robinhill/cordon/views.py
+++ b/robinhill/cordon/views.py
@@ -4,9 +4,10 @@
     DELETE /ops/cordons/ID
     GET /ops/cordons        returns a ``Listing``
 
-A PUT may have ``for_s`` (the duration in seconds) in place of ``until``, or neither. With ``?wait=SECONDS``,
-a PUT or DELETE waits until the change is in force. The JSON keys are part of the operators' interface: a
-Python field that is renamed keeps its JSON key. `propagation` defines the stages accepted and in force.
+A PUT may have ``for_s`` (the duration in seconds) in place of ``until``. With neither, the cordon has no end.
+With ``?wait=SECONDS``, a PUT or DELETE waits until the change is in force. The JSON keys are part of the
+operators' interface: a Python field that is renamed keeps its JSON key. `propagation` defines the stages
+accepted and in force.
 """
 
 import math
@@ -92,7 +93,8 @@
 class ChangeSummary(msgspec.Struct, frozen=True):
     """The result of a PUT or DELETE.
 
-    ``error``: if the wait ended before the change was in force, the reason and what the operator can do.
+    ``error``: if the wait ended before the change was in force, the cause and what the operator can do;
+    otherwise empty.
     """
 
     id: str
@@ -114,7 +116,7 @@
 
 
 def read_put(cordon_id: str, body: bytes, now_us: int) -> tuple[str, Reason]:
-    """Parse the body of a PUT and return its target and reason. Raises CordonMalformed."""
+    """Parse the body of a PUT and return its target and reason. Raises CordonMalformed if it is invalid."""
     if len(body) > limits.MAX_BODY_BYTES:
         raise CordonMalformed(f"the request body is longer than {limits.MAX_BODY_BYTES} bytes")
     try:
@@ -127,7 +129,10 @@
 
 
 def _read_end_us(put: PutBody, now_us: int) -> int:
-    """Return the end of the cordon as Unix microseconds; 0 if it has none. An end before 1970 becomes 1."""
+    """Return the end of the cordon as Unix microseconds; 0 if it has none.
+
+    An end in 1970 or earlier becomes at least 1, because 0 means that the cordon has no end.
+    """
     if put.until is not None and put.for_s is not None:
         raise CordonMalformed("the request has both until and for_s; give at most one of them")
     if put.until is not None:
@@ -222,7 +227,7 @@
 
 
 def _to_datetime(unix_us: int) -> datetime:
-    """Convert Unix microseconds to a datetime; a time after the latest possible datetime becomes that one."""
+    """Convert Unix microseconds to a datetime; a time that is too late for one becomes datetime.max."""
     try:
         return _EPOCH + timedelta(microseconds=unix_us)
     except OverflowError:
