--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -27,11 +27,12 @@
 
 # A client may send a work hint, its estimate of a job's running time. The latency objective of the job is
 # then extended by the hint times the ``stretch`` of the job's class. Without a hint, a job may wait in the
-# queue beyond its latency objective by this factor times (stretch - 1) times the usual job time of its class:
-# of an extension of ``stretch`` job times, the run itself takes one.
+# queue beyond its latency objective, for this factor times (stretch - 1) times the usual job time of its
+# class. 1 is subtracted because the run of the job itself takes one of the ``stretch`` job times.
 UNHINTED_WAIT_FACTOR = 1.5
 TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has not responded for this long
-# An attempt of a job with a work hint times out after the job's objective, by this share of stretch * hint.
+# An attempt of a job with a work hint times out this share of stretch * hint after the job's latency
+# objective, unless late answers of its class still have a value.
 ATTEMPT_OVERRUN_SHARE = 0.25
 
 
@@ -237,14 +238,18 @@
         worker.connection_used_us = now
         timeout_us = 0
         if hint_us and not klass.late_priority_weight:
-            # The hint determines when a late answer is worthless. From then on the attempt would only use
-            # capacity of the worker, so it times out.
+            # The hint determines the time after which an answer is worthless. A longer attempt would use
+            # capacity of the worker for nothing, so the attempt times out.
             overrun_us = ATTEMPT_OVERRUN_SHARE * klass.stretch * hint_us
             timeout_us = max(1, int(job.objective_us + overrun_us) - now)
         state.actions.append(api.Send(job.request.job, worker.entry.address, timeout_us))
 
     def _give_up(self, job: JobRecord, why: api.RejectionReason, unconfirmed: bool = False) -> None:
-        """Reject the job if a retry by its client is harmless; otherwise fail it, as it may have run."""
+        """Answer the request finally without a result: as rejected if a retry by its client does no harm.
+
+        Otherwise the answer is a failure, because the job may have run and a second run may do harm.
+        ``unconfirmed``: the client may retry without delay.
+        """
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
         klass = job.klass
@@ -264,7 +269,7 @@
     # The queue
 
     def _place_queued(self, now: int) -> None:
-        """Place queued jobs, the highest priority first, and answer those past their queue deadline."""
+        """Place queued jobs, the highest priority first; reject or fail those past their queue deadline."""
         queued = self.queue.take_all()
         saturated_classes = self.choice.saturated_classes
         saturated_classes.clear()
@@ -290,7 +295,8 @@
     def _schedule_queue_check(self, now: int, until_us: int) -> None:
         """Set a timer for the next check of the queue.
 
-        The check is due at ``until_us``, or after a tick if that is sooner, to detect new capacity.
+        The check is due at ``until_us``, or after ``DerivedSettings.tick_us`` if that is sooner, so that new
+        capacity of workers is detected.
         """
         if wait_us := self.queue.next_check_us(now, until_us, self.state.derived.tick_us):
             self.state.actions.append(api.SetTimer(wait_us, timers.QUEUE_CHECK))
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -1,13 +1,13 @@
-"""Weights of the age-priced rotation.
+"""Weights of the age-priced rotation, which chooses the worker with the lowest cost for each job.
 
-The cost of a worker is ln(q) times its age. The age is the number of own sends since the last one to that
-worker; q is the probability that the last own job there still runs when the next own job arrives. The age
-weight of a worker is the factor on its age: ln(q), divided by the expected job time unless few jobs are in
-flight. Weights change slowly, and recomputing them for each job would take most of the time of a decision, so
-they are cached.
+The cost of a worker is its age times its age weight. The age is the number of own sends since the last own
+send to that worker. The age weight is ln(q), where q is the probability that the last own job sent to the
+worker still runs when the next own job arrives. Unless fewer own jobs are in flight than there are usable
+workers, ln(q) is divided by the expected job time. Weights change slowly, and recomputing them for each job
+would take most of the time of a decision, so they are cached.
 
-"Own" jobs and sends are those of this scheduler. Jobs of bound classes may go to certain workers only; all
-other jobs are unbound work.
+"Own" jobs and sends are those of this scheduler. A bound class is a job class that is restricted to workers
+of some machine types or zones; the jobs of all other classes are unbound work.
 """
 
 from math import log1p
@@ -16,12 +16,12 @@
 from robinhill.placement.estimates import US_PER_S
 from robinhill.placement.records import WorkerRecord
 
-RATE_CHANGE_SHARE = 1 / 5  # relative change of the job rate at which all weights are recomputed
+RATE_CHANGE_SHARE = 1 / 5  # all weights are recomputed if the rate of own jobs has changed by more than this
 SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_EXPONENT = 8
 ZONE_COST_EXPONENT = 8
-# With few arrivals, each scheduler learns only after a delay that a zone is full. A higher exponent would
-# then make all schedulers move to the next zone at the same time.
+# A scheduler to which few jobs arrive learns only after a delay that a zone is full. With a higher exponent,
+# all schedulers would then move their jobs to the next zone at the same time.
 ZONE_COST_EXPONENT_FEW_ARRIVALS = 2
 
 
@@ -65,8 +65,9 @@
         self._update_unbound()
 
     def _update_zones(self) -> None:
-        # The cost of a zone follows from the waits of own jobs, which are longer in a zone that is full or
-        # distant. The prices of crossing zones and of handshakes are converted to waiting time.
+        # The cost factor of a zone follows from the waits of own jobs, which are longer in a zone that is
+        # full or distant. The prices of crossing zones and of handshakes are converted to waiting time, at
+        # ``unit_us`` microseconds for a price of 1.
         state, zones = self.state, self.state.estimates.zones
         settings, tick_us = state.settings, state.derived.tick_us
         price = settings.cross_zone_price * (len(zones) > 1)
--- a/robinhill/placement/decision_state.py
+++ b/robinhill/placement/decision_state.py
@@ -1,7 +1,7 @@
-"""The state that the parts of the decision module share: settings, records, estimates and pending actions.
+"""The state that the parts of the decision module share: settings, records, estimates and actions.
 
-This module makes no decisions. Times are whole microseconds of the caller's clock. "Own" jobs and sends are
-those of this scheduler.
+The actions are those to be returned for the event that is being handled. This module makes no decisions.
+Times are whole microseconds of the caller's clock. "Own" jobs and sends are those of this scheduler.
 """
 
 import random
@@ -13,8 +13,8 @@
 from robinhill.placement.records import Attempt, AttemptKey, JobRecord, WorkerRecord
 
 UNKNOWN_JOB_US = 1_000_000.0  # assumed time of a job before any own job has completed
-# Time that discovery spends on a poll. The first polls of all schedulers are spread over this time times the
-# number of schedulers.
+# Time that discovery spends on a poll. The first polls of all schedulers are spread over this time multiplied
+# by the number of schedulers, but at most over half the poll interval.
 LIST_POLL_US = 50_000
 MAX_FLEET_JOBS_WAITING = 3.0  # jobs of all schedulers together that may wait at one worker
 
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -11,12 +11,15 @@
     """Values computed from the settings alone; times in microseconds."""
 
     list_spread_us: int  # window over which the schedulers' first polls for the endpoint list are spread
-    # Longest time between checks of the queue. Also a tolerance: a request whose time left is shorter than
-    # that of a first request by no more than a tick is not taken for a retry.
+    # Longest time between checks of the queue. It is also a tolerance in the detection of retries: a client's
+    # retry leaves less time until the client's deadline than its first request, but a request that leaves
+    # less time by no more than this tolerance counts as a first request.
     tick_us: int
     min_concurrency_limit: float  # lower bound of a worker's concurrency limit
-    progress_timeout_us: int  # an attempt without progress for this long is lost; 0: workers report none
-    max_idle_us: float  # a worker may close a connection that is idle for longer; inf: reconnecting is free
+    progress_timeout_us: int  # an attempt without progress for this long counts as lost; 0: not reported
+    # A worker may close a connection that is idle for longer; inf: idle time does not matter, because the
+    # settings set no price for a new connection.
+    max_idle_us: float
     can_cancel_unstarted: bool  # True if workers report starts, and attempts can be cancelled
     can_check_health: bool  # True if workers answer health checks, and attempts can be cancelled
 
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -1,9 +1,10 @@
-"""Estimates of job times, arrival rates and waits, smoothed over own jobs. Statistics only: no decisions.
+"""Smoothed estimates of job times, arrival rates and waits, from own jobs. This module makes no decisions.
 
 Times are microseconds. Values are smoothed over the slow-start window (``Settings.slow_start_us``), or over
-``SMOOTHING_SAMPLES`` of ``placement.statistics``. "Own" jobs are those that this scheduler itself has
+``placement.statistics.SMOOTHING_SAMPLES`` samples. "Own" jobs are those that this scheduler itself has
 received or sent. "Usable" workers are those that the endpoint list shows as ready, even if this scheduler has
-ejected them.
+ejected them. A unit of work is a microsecond of a job's work hint or, for a job without a hint, a microsecond
+of the mean job time of its class.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,8 @@
 from robinhill.placement.statistics import PRIOR_WEIGHT, DecayingMean, follow_low_quantile, smooth
 
 US_PER_S = 1e6
-BASELINE_RISE = 1 / 1024  # share of its distance to the mean that a class baseline rises per completed job
+# With each completed job, the baseline job time of its class rises by this share of its distance to the mean.
+BASELINE_RISE = 1 / 1024
 MAX_TIME_RATIO = 4  # the time of a job is clipped to this multiple of the expected time
 BASELINE_MARGIN = 1.3  # a job's time above this multiple of the shortest expected time counts as a wait
 
@@ -42,7 +44,11 @@
         return self.class_mean_us[job_class] or self.mean_us
 
     def add(self, job_class: int, elapsed_us: int, clipped_us: float) -> None:
-        """Add a completed job's time; a mean without samples takes ``elapsed_us``, others ``clipped_us``."""
+        """Add a completed job's time to the means.
+
+        ``clipped_us`` is the time limited to a multiple of the expected time. The first sample of a mean is
+        ``elapsed_us``, because nothing was known to limit it by; each later sample is ``clipped_us``.
+        """
         self.mean_us = self._smooth(self.mean_us, elapsed_us, clipped_us)
         mean = self._smooth(self.class_mean_us[job_class], elapsed_us, clipped_us)
         self.class_mean_us[job_class] = mean
@@ -56,21 +62,23 @@
 
 
 class ClientRetries:
-    """Estimates how much of its deadline a client has already spent on earlier requests for the same job."""
+    """Estimates how much of the time until its deadline a client has spent on earlier requests for a job."""
 
     def __init__(self, classes: int, min_spent_us: int) -> None:
         """``min_spent_us``: a request whose client has spent no more than this counts as a first request."""
         self.min_spent_us = min_spent_us
-        # Longest time left of any request received, by class; assumed to be the time left of a first request.
+        # Longest time until the client's deadline of all requests received (us), by class; assumed to be the
+        # time that a client sets for its first request.
         self.max_time_left_us = [0] * classes
         self.unretried_answers = 0  # own rejections and failures that no retry has followed yet
 
     def spent_us(self, request: api.Request) -> int:
         """Return the time that the client has spent before this request (us).
 
-        A request with less time left than the maximum of its class counts as a retry if the client marks it
-        as one, or if an own rejection or failure has not been followed by a retry yet. For any other request
-        the client has spent nothing, and only set a shorter deadline.
+        The result is the difference between the time left of this request and the maximum of its class if the
+        difference is at most ``min_spent_us``, if the client marks the request as a retry, or if an own
+        rejection or failure has not been followed by a retry yet. Otherwise the client is assumed to have set
+        a shorter deadline, and the result is 0.
         """
         full = max(self.max_time_left_us[request.job_class], request.time_left_us)
         self.max_time_left_us[request.job_class] = full
@@ -86,7 +94,7 @@
     """The rate of own jobs, their times by worker and kind of machine, and their waits by zone."""
 
     def __init__(self, settings: api.Settings, job_times: JobTimes, unknown_job_us: float) -> None:
-        """``unknown_job_us``: assumed time of a job before any has completed."""
+        """``unknown_job_us``: assumed time of a job before any own job has completed."""
         self.settings = settings
         self.jobs = job_times
         self.unknown_job_us = unknown_job_us
@@ -95,14 +103,14 @@
         self.rate = US_PER_S / settings.slow_start_us  # own jobs a second
         self.rate_updated_us = 0
         self.zones: dict[int, ZoneWait] = {}
-        self.kinds: dict[int, DecayingMean] = {}  # job time by kind of machine
-        self.weighted_time = DecayingMean()  # job time on a worker of weight 1
+        self.kinds: dict[int, DecayingMean] = {}  # mean job time by kind of machine
+        self.weighted_time = DecayingMean()  # mean job time on a worker of weight 1
         self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
         self.served = DecayingMean()  # time from send to completion of own jobs at usable workers
         self.usable_workers = 1
         self.mean_priority_weight = 0.0  # mean of the requests' priority weights per unit of work
-        self.requested_us = 2 * unknown_job_us  # sum of the expected work of all requests, plus a prior
-        self.unbound_us = unknown_job_us  # part of ``requested_us`` in classes that may go to any worker
+        self.requested_us = 2 * unknown_job_us  # sum of the expected job times of all requests, plus a prior
+        self.unbound_us = unknown_job_us  # like ``requested_us``, for requests of classes that are not bound
 
     def start(self, now: int) -> None:
         """Begin the smoothing window at ``now``, with no jobs observed."""
@@ -126,14 +134,18 @@
     def add_work(self, expected_us: float, priority_weight: float, bound: bool) -> None:
         """Add a request's expected time and its priority weight per unit of work to the estimates.
 
-        ``bound``: jobs of the request's class may go to certain workers only.
+        ``bound``: the request's class is restricted to workers of some machine types or zones.
         """
         self.requested_us += expected_us
         self.unbound_us += 0.0 if bound else expected_us
         self.mean_priority_weight = smooth(self.mean_priority_weight, priority_weight)
 
     def update_usable_workers(self, workers: Iterable[WorkerRecord]) -> None:
-        """Count the usable workers; scale the count of served jobs so that the count per worker stays."""
+        """Count the usable workers.
+
+        The count of served jobs is scaled so that the number of served jobs per usable worker does not
+        change.
+        """
         usable = max(1, sum(worker.ejected_until_us < inf for worker in workers))
         self.served.count = self.served.count * usable / self.usable_workers
         self.usable_workers = usable
@@ -192,7 +204,11 @@
         return self.zones.setdefault(number, ZoneWait())
 
     def zone_waits(self, tick_us: int, crossing_us: float) -> list[float]:
-        """Waits of own jobs by zone (us); ``crossing_us`` is added for zones other than this scheduler's."""
+        """The mean wait of own jobs in each zone (us), in the order of ``zones``.
+
+        For a zone other than this scheduler's, the prior of the mean is ``tick_us`` instead of 0, and
+        ``crossing_us`` is added. ``tick_us`` / 16 is added for every zone, so that no wait is 0.
+        """
         waits = []
         for number, zone in self.zones.items():
             is_other = number != self.settings.zone
--- a/robinhill/placement/exported_format.py
+++ b/robinhill/placement/exported_format.py
@@ -94,8 +94,10 @@
 class ExportedWorker(TypedDict):
     """State of one worker.
 
-    ``own``: mean time of this scheduler's jobs at the worker; ``full``: pairs of a job class that the worker
-    rejected and the end of its backoff (us); ``out``: number of this scheduler's attempts in flight there.
+    ``values``: attributes of the worker's record, under ``WORKER_KEYS``; ``own``: mean time of this
+    scheduler's jobs at the worker; ``full``: pairs of a job class that the worker rejected because it was
+    full, and the end of the class's backoff (us); ``out``: number of this scheduler's attempts in flight at
+    the worker.
     """
 
     values: Json
@@ -123,7 +125,11 @@
 
 
 class ExportedAttempt(TypedDict):
-    """An attempt in flight; ``waiting``: whether its worker has not reported its start yet."""
+    """An attempt in flight at the worker with this address.
+
+    ``attempt``: number of the attempt, from 0; ``waiting``: whether the worker can report the start of the
+    attempt, and has not reported it yet; ``values``: attributes of the attempt, under ``ATTEMPT_KEYS``.
+    """
 
     address: str
     attempt: int
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -64,8 +64,8 @@
     estimates = balancer.estimates
     for record, keys in _learned_records(balancer):
         _import(record, keys, state["own"])
-    # The exported age weights may follow from another version's formula. A rate of 0 makes this process
-    # recompute them at the first choice of a worker.
+    # The exported age weights may have been computed by another version's formula. Because the rate at their
+    # last computation is set to 0, this process recomputes them at its first choice of a worker.
     balancer.weights.weighted_rate = 0.0
     _import(estimates.weighted_time, MEAN_KEYS, state["unit"])
     for number, values in state["kinds"]:
@@ -80,7 +80,10 @@
 
 
 def export_job(balancer: Balancer, number: int) -> ExportedJob | None:
-    """Remove a job and its attempts, and return them for another process; None if the job is unknown."""
+    """Remove a job and its attempts from the balancer and return them, for import by another process.
+
+    Returns None if the balancer does not know the job.
+    """
     if (job := balancer.jobs.pop(number, None)) is None:
         return None
     keys = [key for key in balancer.attempts if key[0] == number]
@@ -180,9 +183,9 @@
     attempt = balancer.attempts[key] = Attempt(key, worker, now, job, 0, -1)
     _import(attempt, ATTEMPT_KEYS, exported["values"])
     worker.in_flight.add(key)
-    # `_import_worker` has lowered the limit by 1 for each attempt in flight at the predecessor, which is now
-    # undone for this attempt. `export_job` does not lower the limit, so for a job that this process takes
-    # back the limit stays.
+    # `_import_worker` has lowered the limit by 1 for each attempt in flight at the predecessor. This attempt
+    # now counts as in flight at this process, so the limit is raised by 1 again. `export_job` does not lower
+    # the limit, so the limit is not raised for a job that this process takes back.
     worker.concurrency_limit += 0.0 if own else 1.0
     if exported["waiting"]:
         worker.unstarted_attempt = attempt
--- a/robinhill/placement/idempotency.py
+++ b/robinhill/placement/idempotency.py
@@ -2,8 +2,8 @@
 
 A client's retry has the idempotency key of the first request and a new request id. If the first request may
 have run, a repeat is dropped only by the workers of one group: the zone or cell of the worker to which the
-first request was sent, or all workers, as the job class sets. They drop repeats only for the time that the
-class sets (``JobClass.memory_us``).
+first request was sent, or all workers, depending on ``JobClass.scope``. These workers drop repeats only for
+the time ``JobClass.memory_us``.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
     _in_flight: dict[AttemptKey, ClassKey] = field(default_factory=dict)
 
     def dedup_window(self, now_us: int, job_class: int, key: str) -> DedupWindow | None:
-        """Return the open window that restricts a repeat of this key; None: it may go to any worker."""
+        """Return the window of this key that is open; None: a repeat may be sent to any worker."""
         window = self._windows.get((job_class, key))
         return window if window and now_us < window.until_us else None
 
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -1,10 +1,11 @@
 """The lease on the endpoint list: whether a scheduler may send jobs to the workers on it. No I/O.
 
 Each message of discovery (a list, changes, or an empty line) renews the lease. A change of the list takes
-effect a fixed time after discovery has received it and is reachable, even for a scheduler that has not
-received the change. A scheduler may therefore use a list only for a limited time after discovery has last
-confirmed it. This age of the list counts from discovery's last message, never from the start of the process
-that uses the list, and a list of unknown age has no lease. Without a valid lease no job is sent: requests are
+effect a fixed time after discovery has received it, even for a scheduler that has not received the change. If
+discovery is unreachable when it receives the change, the fixed time begins when it is reachable again. A
+scheduler may therefore use a list only for a limited time after discovery has last confirmed it. The age of a
+list counts from discovery's last message, never from the start of the process that uses the list, and a list
+of unknown age has no lease. Without a valid lease no job is sent: requests are
 queued for as long as an answer is useful, then rejected.
 
 Times are microseconds of the caller's clock, which must count real time.
@@ -20,7 +21,8 @@
     list_change_bound_us,
 )
 
-RENEWAL_MARGIN_US = 1_000_000  # time allowed from the timeout of a silent watch to the next call's response
+# Time allowed for the next call to discovery to respond after a watch without messages has timed out.
+RENEWAL_MARGIN_US = 1_000_000
 ADDRESS_CHANGE_BOUND_US = 4_000_000  # a change of discovery's address takes effect after this time
 UNKNOWN_AGE_MS = -1
 
@@ -50,8 +52,9 @@
     def from_settings(cls, settings: api.Settings, version: int) -> "ListLease":
         """Create a lease on the configured list of this version; it is not valid before its first renewal.
 
-        Each renewal lasts until the next message of a watch is due, even if the poll interval is shorter than
-        the time between messages.
+        Each renewal lasts at least until a watch without messages has timed out and the next call has had
+        ``RENEWAL_MARGIN_US`` to respond. With a shorter poll interval, the lease would otherwise end between
+        two messages of a watch.
         """
         duration_us = max(WATCH_SILENCE_TIMEOUT_US + RENEWAL_MARGIN_US, list_change_bound_us(settings))
         return cls(duration_us, version=version)
--- a/robinhill/placement/outcomes.py
+++ b/robinhill/placement/outcomes.py
@@ -65,7 +65,8 @@
     def _failed(self, now: int, attempt: Attempt, outcome: api.Outcome, took_us: int) -> None:
         state, worker = self.state, attempt.worker
         late = outcome is api.Outcome.TIMEOUT or attempt.cancel_requested
-        # A lost answer must not count as a sign of a slow or full worker: load would shift to other workers.
+        # A lost answer must not count as a sign of a slow or full worker, because load would then shift
+        # away from a worker that may be neither.
         timeout_us = state.derived.progress_timeout_us
         lost = late and attempt.last_progress_us and 0 < timeout_us <= now - attempt.last_progress_us
         full = outcome is api.Outcome.FULL
@@ -86,7 +87,8 @@
 def _is_inconclusive(attempt: Attempt, outcome: api.Outcome) -> bool:
     """Whether the outcome shows nothing about the worker.
 
-    This is so if the client caused the outcome, or the attempt was sent before the worker was readmitted.
+    Returns True if the client caused the outcome, or if the attempt was sent before the worker was last
+    readmitted after being ejected or unlisted.
     """
     cancelled = outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
     by_client = cancelled and not attempt.cancel_requested
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejection of failing workers, health checks of silent workers, and lost answers.
+"""Outlier detection: ejection of failing workers, health checks of unresponsive workers, and lost answers.
 
 Only jobs of this scheduler ("own" jobs) count as evidence about a worker. The ejection time doubles with each
 consecutive ejection, and at most half of all workers are ejected at a time.
@@ -10,10 +10,13 @@
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.records import Attempt, WorkerRecord
 
-MIN_MAX_EJECTION_US = 4_000_000  # an ejection lasts at most this, or half the slow-start window if longer
+# An ejection lasts at most half the slow-start window, or at most this time if half the window is shorter.
+MIN_MAX_EJECTION_US = 4_000_000
 SILENT_EJECTIONS = 3  # after failed health checks, an ejection lasts as if at least this many had preceded it
 MAX_FAILURE_SHARE = 0.4  # a worker with a higher share of fast failures is an outlier
-HEALTH_CHECKS = 2  # consecutive failures before ejection; a busy machine can miss one check during a pause
+# Consecutive failed health checks after which a worker is ejected; one is not enough, because a busy machine
+# can miss a check during a pause.
+HEALTH_CHECKS = 2
 
 
 class OutlierDetector:
--- a/robinhill/placement/overload.py
+++ b/robinhill/placement/overload.py
@@ -35,7 +35,8 @@
     def adapt(self, now: int, attempt: Attempt, waited_us: float, delay_us: float) -> None:
         """Adapt the shed share, the worker's limit and the waits of its zone to an own job's wait.
 
-        ``waited_us``: time that the job waited at its worker; ``delay_us``: that time plus the network delay.
+        ``waited_us``: time that the job waited at its worker; infinite if the worker was full or the answer
+        was late. ``delay_us``: the wait, plus the network delay if the worker reports starts.
         """
         worker, objective_us = attempt.worker, attempt.job.klass.latency_objective_us
         step = ((waited_us > objective_us) - 0.5) * SHED_STEP
@@ -71,8 +72,8 @@
     def lower_priority_if_late(now: int, job: JobRecord) -> bool:
         """Lower the priority of a queued job that can no longer meet its latency objective.
 
-        The priority is multiplied by the class's ``late_priority_weight``, or stays if that is 0. Returns
-        False for a job that can still meet its objective or was found late before.
+        The priority is multiplied by the class's ``late_priority_weight``, unless that is 0. Returns False,
+        and changes nothing, if the job can still meet its objective or an earlier call has found it late.
         """
         if now <= job.latest_start_us:
             return False
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -2,7 +2,8 @@
 
 Records hold state and make no decisions. Names that end in ``_us`` hold whole microseconds; a timestamp is by
 the caller's clock, and 0 means that the event has not happened. "Own" jobs are those that this scheduler
-itself has sent.
+itself has sent. A unit of work is a microsecond of a job's work hint or, for a job without a hint, a
+microsecond of the mean job time of its class.
 """
 
 from dataclasses import dataclass, field
@@ -28,23 +29,26 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerRecord:
-    """What this scheduler knows of one worker, from the endpoint list and from own jobs."""
+    """The state of one worker, as known to this scheduler from the endpoint list and from own jobs."""
 
     entry: api.Worker
     tie_breaker: float  # random, so that schedulers differ in their order of workers with equal costs
     zone: ZoneWait
     job_time_us: float  # expected time from send to completion; prior: the mean of the kind of machine
-    last_send: int = 0  # number of the last own send to this worker; far in the past if there was none
+    # Number of the last own send to this worker, counted over all workers. Before the first send to the
+    # worker it is a number that determines when the rotation chooses the worker.
+    last_send: int = 0
     # Time from send to completion of own jobs at this worker, without a prior.
     own_time: DecayingMean = field(default_factory=DecayingMean)
     age_weight: float = -1.0  # cost (negative) per own send since the last one to this worker
-    slow_start_until_us: int = 0  # latest end of the slow start
+    slow_start_until_us: int = 0  # end of the slow start; 0 or past: the worker is not in slow start
     ejected_until_us: float = 0  # infinite while the endpoint list does not show the worker as ready
     in_flight: set[AttemptKey] = field(default_factory=set)  # own attempts at this worker
     unstarted_attempt: "Attempt | None" = None  # the attempt in flight whose start has not been reported
-    # Number of own jobs that run at the worker without a wait; below 1: one at a time, with pauses.
+    # Estimated number of own jobs that can run at the worker at the same time without waiting. Below 1: one
+    # job is sent at a time, with a pause after each.
     concurrency_limit: float = 1.0
-    min_start_delay_us: float = 0.0  # shortest time from send to reported start: the network delay
+    min_start_delay_us: float = 0.0  # shortest time from send to reported start, taken as the network delay
     own_unit_time: float = 0.0  # low quantile of the time per unit of work, from own jobs at this worker
     unit_time: float = 0.0  # like ``own_unit_time``, with the quantile of the kind of machine as prior
     failure_share: float = 0.0  # smoothed share of own jobs that failed fast
@@ -55,7 +59,8 @@
     serves_bound_classes: bool = False  # True if a class restricted to certain workers may run here
     last_response_us: int = 0  # last start, progress or answer reported by the worker itself
     last_completion_us: int = 0
-    suspected_until_us: int = 0  # answers seem to be lost: a high cost makes the worker a last resort
+    # Until this time, answers of the worker are assumed to be lost, and its high cost makes it a last resort.
+    suspected_until_us: int = 0
     health_check_since_us: int = 0  # start of the health checks in progress; 0: none is in progress
     failed_health_checks: int = 0  # consecutive failures of the health checks in progress
     backoff_until_us: int = 0  # end of the pause in sends that enforces a concurrency limit below 1
@@ -70,7 +75,7 @@
         return now < self.suspected_until_us or is_ejected
 
     def readmit(self, now: int) -> None:
-        """Readmit the worker: its earlier failures, ejections and attempts no longer count."""
+        """Allow sends to the worker again; its earlier failures, ejections and attempts are disregarded."""
         self.ejected_until_us, self.readmitted_us = 0, now
         self.consecutive_ejections, self.failure_share, self.suspected_until_us = 0, 0.0, 0
         self.in_flight, self.unstarted_attempt, self.class_backoff_until_us = set(), None, {}
@@ -106,7 +111,9 @@
     may_have_run: bool = False  # whether any attempt that was sent may have run
     group: int = -1  # zone or cell whose workers drop repeats of the job once it may have run; -1: all do
     group_until_us: int = 0  # end of the time in which the group drops repeats
-    order: float = 0.0  # sort key in the queue, lowest first: minus the priority weight per unit of work
+    # Sort key in the queue, lowest first: minus the class's priority weight, divided by the expected job time
+    # unless ``Settings.value_by_work`` is set.
+    order: float = 0.0
     latest_start_us: int = 0  # a job that starts later misses its latency objective
 
     def record_possible_run(self, attempt: "Attempt") -> None:
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -1,7 +1,8 @@
-"""Retries: when an attempt is cancelled so that its job can move, and whether a failed attempt is retried.
+"""Retries: when an attempt is cancelled to send its job to another worker, and which attempt is the last.
 
 No hedged requests are sent: a job has one attempt at a time. Cancelled jobs may keep running at their
-workers, so cancels of waiting jobs are limited by a retry budget that grows with completed jobs.
+workers and waste capacity, so cancels of jobs that wait at a worker are limited by a retry budget, which
+grows with each completed job.
 """
 
 from math import inf
@@ -13,8 +14,9 @@
 
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
-CHEAP_WASTE_PRICE = 0.1  # price of wasted work, in mean job times, below which attempts may be cancelled
-OVERDUE_FACTOR = 2.0  # multiple of the class's baseline job time after which a started attempt is overdue
+# An attempt may be cancelled if the price of the work that it may waste, in mean job times, is below this.
+CHEAP_WASTE_PRICE = 0.1
+OVERDUE_FACTOR = 2.0  # a started attempt is overdue after this multiple of its class's baseline job time
 
 
 class Retries:
@@ -37,8 +39,8 @@
         state, klass, worker = self.state, attempt.job.klass, attempt.worker
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
-        # Few workers are eligible for a keyed job, so it moves only if it waits longer than the mean wait in
-        # the worker's zone.
+        # After its first send, few workers are eligible for a job whose repeats are dropped by key. Its
+        # attempt is therefore cancelled only if it waits longer than the mean wait in the worker's zone.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
         wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
@@ -46,7 +48,8 @@
     def schedule_overdue_check(self, attempt: Attempt) -> None:
         """Set a timer for the time when a started attempt becomes overdue.
 
-        The check is whether its worker has completed any job since the attempt started.
+        When the timer expires, it is checked whether the worker has completed any job since the attempt last
+        reported progress. No timer is set if no job of the class has completed yet.
         """
         if usual_us := self.state.job_times.class_baseline_us[attempt.job.request.job_class]:
             wait_us = int(OVERDUE_FACTOR * usual_us)
@@ -77,12 +80,12 @@
             self.state.set_attempt_timer(int(due_us - now) + 1, timers.AttemptCheck.PROGRESS, attempt)
 
     def _cancel_due_us(self, now: int, attempt: Attempt) -> float:
-        """Time at which to cancel the attempt (us), unless its state changes before; infinite: never."""
+        """Time at which to cancel the attempt if its state does not change before (us); infinite: never."""
         state, job, klass = self.state, attempt.job, attempt.job.klass
         if attempt.worker.unstarted_attempt is attempt:
             if state.few_in_flight and klass.repeat is api.Repeat.SAFE:
-                # Another choice of a worker would be based on the same information, and the cancelled attempt
-                # may keep running.
+                # A second choice of a worker would be based on the same information as the first, and the
+                # cancelled attempt may keep running.
                 return inf
             if self._should_move(now, attempt):
                 return now
@@ -101,18 +104,18 @@
         return in_time and self.state.list_leased and self._can_move(now, attempt)
 
     def _late_cancel_us(self, now: int, job: JobRecord) -> float:
-        """Time at which to cancel a waiting job because its answer would be late (us).
+        """Time at which to cancel the attempt of a waiting job because its answer would be late (us).
 
-        If the retry budget is below 1, it is at least a tick from now.
+        If the retry budget is below 1, this time is at least ``DerivedSettings.tick_us`` after ``now``.
         """
         mean_us = self.state.job_times.class_mean_us[job.request.job_class]
         due_us = job.objective_us + (job.klass.stretch - 1) * mean_us / 4
         return due_us if self.budget >= 1 else max(due_us, now + self.state.derived.tick_us)
 
     def _can_move(self, now: int, attempt: Attempt) -> bool:
-        """Whether the job may run at another worker.
+        """Whether the job may run at another worker after its attempt has been cancelled.
 
-        A keyed job may do so only if a worker of the attempt's group is idle.
+        A job whose repeats are dropped by key may do so only if a worker of the attempt's group is idle.
         """
         klass = attempt.job.klass
         if klass.repeat is not api.Repeat.KEYED:
@@ -134,7 +137,7 @@
             ran_us = now - attempt.last_progress_us + usual_us
             until_us = int(job.objective_us + max(0.0, klass.stretch - 1) * ran_us)
             job.queue_deadline_us = min(job.client_deadline_us - 1, max(job.queue_deadline_us, until_us))
-        # With this setting, a worker may answer "full" for a job that it has begun.
+        # If ``full_may_have_run`` is set, a worker may answer "full" for a job that it has begun.
         full_may_have_run = outcome is api.Outcome.FULL and state.settings.full_may_have_run
         if not outcome.never_ran or full_may_have_run:
             job.record_possible_run(attempt)
@@ -143,7 +146,7 @@
     def is_last(job: JobRecord, outcome: api.Outcome) -> bool:
         """Whether the job must not be retried after an attempt with this outcome.
 
-        This is so if the time for the job is used up, or if it may have run and must not run twice.
+        Returns True if the time for the job is used up, or if the job may have run and must not run twice.
         """
         out_of_time = outcome in (api.Outcome.TIMEOUT, api.Outcome.NOT_SENT)
         return out_of_time or (job.may_have_run and job.klass.repeat is api.Repeat.UNSAFE)
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: how often this scheduler may send a job to a worker that has started recently.
 
 A worker in slow start fails if all schedulers together send it more than ``Settings.fall_multiple`` times the
-work that it can do at its current speed. Each scheduler therefore earns credit for its next job to such a
-worker over time, at a pace that follows the number of own jobs that a worker at full speed completes. "Own"
-jobs are those of this scheduler.
+work that it can do at its current speed. Each scheduler therefore accumulates credit for its next job to such
+a worker over time, at a pace that is proportional to the number of own jobs that a worker at full speed
+completes per microsecond. "Own" jobs are those of this scheduler.
 """
 
 from robinhill.placement.decision_state import DecisionState
@@ -46,8 +46,8 @@
 
     def allows(self, now: int, worker: WorkerRecord, pace: float) -> bool:
         """Add the credit earned since the last call for this worker; return whether it allows a job."""
-        # Only ``tip_after_us`` of the time since that call counts. Otherwise all schedulers would have full
-        # credit after a time without jobs, and would send to the worker at the same moment.
+        # At most ``tip_after_us`` of the time since the last call earns credit. Otherwise all schedulers
+        # would have full credit after a time without jobs, and would send to the worker at the same moment.
         gap = min(now - worker.slow_start_credit_us, self.settings.tip_after_us)
         credit = worker.slow_start_credit + gap * pace * self.estimates.slow_start_share(now, worker)
         if worker.slow_start_credit < 1.0 <= credit:
--- a/robinhill/placement/stall_detector.py
+++ b/robinhill/placement/stall_detector.py
@@ -1,7 +1,8 @@
 """Detection of pauses of this process: stopped, swapped out or blocked in its event loop. No I/O.
 
 A process records a heartbeat several times a second. If a heartbeat is late, messages that have arrived since
-the previous heartbeat may still be unread, so the process may only assume that its state was current then.
+the previous heartbeat may still be unread, so the process may only assume that its state was current at the
+time of the previous heartbeat.
 
 Times are microseconds of a clock that counts real time.
 """
@@ -9,12 +10,13 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_US = 100_000
-MAX_HEARTBEAT_DELAY_US = 200_000  # added to the interval, less than the 0.5 s grace period of drains
+# The sum of the interval and this delay must be less than the 0.5 s grace period of drains.
+MAX_HEARTBEAT_DELAY_US = 200_000
 
 
 @dataclass(slots=True)
 class StallDetector:
-    """Detects a stall by the time since the last heartbeat."""
+    """Detects a pause of this process by the time since its last heartbeat."""
 
     last_heartbeat_us: int
 
--- a/robinhill/placement/statistics.py
+++ b/robinhill/placement/statistics.py
@@ -5,10 +5,10 @@
 
 PRIOR_WEIGHT = 2.0  # weight of the prior, in samples
 SMOOTHING_SAMPLES = 32
-# An estimated quantile rises by the first share of its difference to a higher sample, and falls by the second
-# share of its difference to a lower one.
+# The estimate of a low quantile rises by ``QUANTILE_RISE`` times its difference to a higher sample, and falls
+# by ``QUANTILE_FALL`` times its difference to a lower sample.
 QUANTILE_RISE, QUANTILE_FALL = 0.05, 0.3
-# The difference to a higher sample is limited to this, so that one huge sample has little effect.
+# The difference to a higher sample is limited to this value, so that one huge sample has little effect.
 MAX_QUANTILE_STEP = 1.0
 
 
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -13,8 +13,8 @@
 class AttemptCheck(Enum):
     """The condition that is checked when the timer of an attempt expires."""
 
-    PROGRESS = "look"  # whether the attempt has started, and makes progress
-    OVERDUE = "overdue"  # whether the worker has completed any job since the attempt started
+    PROGRESS = "look"  # whether the attempt has started, and whether it makes progress
+    OVERDUE = "overdue"  # whether the worker has completed any job since the attempt last made progress
 
 
 @dataclass(slots=True, frozen=True)
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -3,11 +3,11 @@
 A watch is a call to discovery whose response streams the endpoint list and its changes. A change of the list
 takes effect a fixed time after discovery has received the change, whether or not the calls of this scheduler
 succeed. If discovery receives the change while schedulers cannot reach it, the fixed time begins when
-discovery is reachable again. So if the watch is lost, the next call begins in the first half of the fixed
-time; the second half is for the wait at discovery, which serves calls one after another. Within the first
-half, each call begins at a random moment, since hundreds of schedulers may lose their watches, or reach
-discovery again, at the same time. The decision module (robinhill.logic) has a separate backoff for failed
-polls; this schedule does not depend on it.
+discovery is reachable again. If a watch is lost, the next call therefore begins in the first half of the
+fixed time, counted from the watch's last message; the second half is for the wait at discovery, which serves
+calls one after another. Within the first half, each call begins at a random moment, since hundreds of
+schedulers may lose their watches, or reach discovery again, at the same time. The decision module
+(robinhill.logic) has a separate backoff for failed polls; this schedule does not depend on it.
 
 Instead of discovery itself, a local agent may push lists. A list from the agent takes effect at once, and a
 call to the agent does not delay other schedulers.
@@ -18,25 +18,26 @@
 
 from robinhill import api
 
-# A change of the list takes effect this long after discovery has received it and is reachable.
+# A change of the list takes effect this long after discovery has received the change or, if discovery was
+# unreachable then, after it is reachable again. A shorter poll interval shortens this time.
 LIST_CHANGE_BOUND_US = 6_000_000
 WATCH_SILENCE_TIMEOUT_US = 2_500_000  # discovery writes an empty line to a watch every 2 s
 CALL_TIMEOUT_US = 3_500_000  # discovery fails calls that have waited 2 or 3 s
-QUEUED_CALL_MIN_US = 1_500_000  # a call that fails sooner has not waited in discovery's queue
-# The maximum random delay of a call is this time multiplied by the number of schedulers. It doubles with each
-# consecutive failure after the first.
+QUEUED_CALL_MIN_US = 1_500_000  # a call that fails in less time has not waited in discovery's queue
+# The maximum random delay of a call is this time multiplied by the number of schedulers. The maximum doubles
+# with each consecutive failure after the first.
 SPREAD_PER_SCHEDULER_US = 50_000
 MAX_SPREAD_DOUBLINGS = 6
-# A random delay ends at the latest with the first half of ``change_bound_us``. If less than this time remains
-# of the first half, the delay is limited to this time instead.
+# A random delay ends at the latest when half of ``WatchSchedule.change_bound_us`` remains until ``due_us``.
+# If less than this time remains until then, the delay is limited to this time instead.
 MIN_SPREAD_US = 250_000
 # Delay of the next call after a failed call to an agent; it doubles once, up to the maximum. It is short
 # because calls to an agent must succeed within the 0.5 s grace period of drains.
 AGENT_BACKOFF_US = 100_000
 MAX_AGENT_BACKOFF_US = 200_000
 # After a call that discovery has not answered, discovery counts as unreachable until this long before the end
-# of the call, but at least until its start. The lease on the list, which lasts a change bound from that time
-# on, then ends after the next call has ended.
+# of the call, but at least until its start. The lease on the list lasts ``LIST_CHANGE_BOUND_US`` (or less,
+# with a shorter poll interval) from that time on, so it then ends after the next call has ended.
 UNANSWERED_CALL_OUTAGE_US = LIST_CHANGE_BOUND_US - CALL_TIMEOUT_US - MIN_SPREAD_US
 
 
@@ -50,7 +51,7 @@
     lists_pushed: bool
     rng: random.Random
     fleet_size: int
-    change_bound_us: int = LIST_CHANGE_BOUND_US
+    change_bound_us: int = LIST_CHANGE_BOUND_US  # time after which a change of the list takes effect
     due_us: int = 0  # deadline for receiving the next list; an outage of discovery extends it
     last_received_us: int = 0  # when the open call last received a complete list or empty line; 0: never
     called_us: int = 0  # when the last call began
@@ -124,8 +125,8 @@
     def _random_wait_us(self, now_us: int) -> int:
         """Random delay before the next call (us).
 
-        After repeated failures it is at least half of the maximum delay. Before the first call and after a
-        first failure it may be 0.
+        After two or more consecutive failures the delay is at least half of its maximum. Before the first
+        call and after a single failure it may be 0.
         """
         max_wait = max(MIN_SPREAD_US, self.due_us - self.change_bound_us // 2 - now_us)
         doublings = min(max(0, self.failed_calls - 1), MAX_SPREAD_DOUBLINGS)
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -1,9 +1,10 @@
 """The choice of the worker for a job: the age-priced rotation of docs/design.md.
 
-Among the eligible workers of the lowest rank, the one with the lowest cost x * ln(q) gets the job. The age x
-is the number of own sends since the last one to that worker; q < 1 is a probability (see age_weights), so the
-cost is negative. Factors between 0 and 1 raise it towards 0 for failures and waits. "Own" jobs and sends are
-those of this scheduler.
+Among the eligible workers of the lowest rank, the one with the lowest cost gets the job. The cost is x *
+ln(q), multiplied by factors. The age x is the number of own sends since the last own send to that worker; q <
+1 is a probability (see age_weights), so the cost is negative. The factors lie between 0 and 1 and raise the
+cost towards 0 for failures and waits. "Own" jobs and sends are those of this scheduler. A bound class is a
+job class that is restricted to workers of some machine types or zones.
 """
 
 from dataclasses import dataclass
@@ -16,8 +17,8 @@
 from robinhill.placement.slow_start import SlowStart
 
 # Divides the (negative) cost of a worker that has rejected the job's class, is suspected of losing answers,
-# or (for jobs that must not run twice) has been ejected and has not recovered. Such a worker is chosen only
-# if its age is far above that of all other workers, or if no other worker is better.
+# or (for jobs that must not run twice) has been ejected and has not recovered. Of the workers of one rank,
+# such a worker is chosen only if its age is far above that of the others, or if the others are no better.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_COST_EXPONENT = 8
@@ -37,7 +38,7 @@
     sends: int  # number of own sends before this job
     few_arrivals: bool  # whether fewer own jobs arrive in a slow-start window than there are usable workers
     unbound_factor: float  # cost factor of workers that serve bound classes
-    max_idle_us: float  # a worker may close a connection that is idle for longer; inf: reconnecting is free
+    max_idle_us: float  # a worker may close a connection that is idle for longer; inf: idle time is ignored
 
 
 class WorkerChoice:
@@ -77,7 +78,10 @@
         The loop visits all workers for each job, so the checks that most workers need are inlined in it.
         """
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
-        bound, pace = criteria.bound, 0.0  # the pace is computed once, at the first worker in slow start
+        bound, pace = (
+            criteria.bound,
+            0.0,
+        )  # the pace of credits for slow start; computed if needed
         slow_start, has_capacity = self.slow_start, self.has_capacity
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         saturated = True
@@ -109,6 +113,7 @@
     def _full_cost(self, now: int, worker: WorkerRecord, criteria: _Criteria, cost: float) -> float:
         """Return ``cost``, raised towards 0 for a new connection, failures and slow start.
 
+        For a job of a class that is not bound, the cost of a worker that serves bound classes is raised too.
         ``cost`` is the negative cost that follows from the worker's age and zone alone.
         """
         max_idle_us = criteria.max_idle_us
@@ -128,9 +133,10 @@
     def _rank(self, now: int, worker: WorkerRecord, criteria: _Criteria) -> int:
         """Return the worker's rank for the job; workers of a lower rank are preferred whatever their cost.
 
-        The rank rises if the worker may miss the job's objective, and if it may be busy. While few jobs
-        arrive, it also rises for a job that must not run twice if the worker has a high share of errors, or
-        is out of slow start and has not completed any own job.
+        The rank rises if the worker may miss the job's objective, and if the worker may be busy. While fewer
+        own jobs arrive in a slow-start window than there are usable workers, the rank for a job that must not
+        run twice also rises if the worker has a high share of errors, or if it is out of slow start and has
+        not completed any own job.
         """
         hint_us = criteria.padded_hint_us
         rank = (
@@ -169,8 +175,9 @@
     def _fits(now: int, worker: WorkerRecord, job: JobRecord) -> bool:
         """Whether the worker can meet the job's objective, and whether the job can safely run there.
 
-        The objective is checked only for a job with a hint. A job that may have run before, and must not run
-        twice, is safe only while the worker's group drops repeats.
+        The objective is checked only for a job with a hint whose answer is worthless when late. A job that
+        may have run before, and must not run twice, is safe only at a worker of the group that drops its
+        repeats, and only until ``JobRecord.group_until_us``.
         """
         klass, hint_us = job.klass, job.request.work_hint_us
         if hint_us and not klass.late_priority_weight and now + worker.unit_time * hint_us > job.objective_us:
--- a/robinhill/placement/worker_list.py
+++ b/robinhill/placement/worker_list.py
@@ -97,14 +97,20 @@
         self.weights.update_worker(worker)
 
     def stop_using(self, worker: WorkerRecord) -> None:
-        """Stop sending to a worker that drains or was removed, and close its idle connections."""
+        """Stop sending to a worker that is draining or was removed.
+
+        Its idle connections are closed if the settings limit the time for which they may stay open.
+        """
         worker.ejected_until_us = inf
         if worker.connection_used_us and self.state.settings.close_within_us is not None:
             worker.connection_used_us = 0
             self.state.actions.append(api.CloseIdle(worker.entry.address))
 
     def on_connection_idle(self, now: int, worker: WorkerRecord) -> None:
-        """Record that an attempt's connection is idle; close it if the worker is draining or removed."""
+        """Record that an attempt has left a connection to the worker idle.
+
+        If the worker is draining or was removed, its idle connections are closed as in `stop_using`.
+        """
         listed = self.state.workers.get(worker.entry.address, worker)
         listed.connection_used_us = now
         if listed.ejected_until_us == inf:
