--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -184,8 +184,8 @@
             return
         if self.retries.is_last(job, outcome):
             # The scheduler cancelled the attempt before the queue deadline, but nothing confirms that the job
-            # did not run. The client may retry with another scheduler at once, so the rejection asks for no
-            # delay.
+            # did not run. If the request is rejected, its client may retry with another scheduler at once, so
+            # the rejection asks for no delay.
             unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
             self._give_up(job, api.RejectionReason.ATTEMPT_ENDED, unconfirmed)
         else:
@@ -248,7 +248,7 @@
         """Answer the request finally without a result: as rejected if a retry by its client does no harm.
 
         Otherwise the answer is a failure, because the job may have run and a second run may do harm.
-        ``unconfirmed``: the client may retry without delay.
+        ``unconfirmed``: nothing confirms that the job did not run; a rejection then asks for no delay.
         """
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -81,7 +81,10 @@
             zone.new_connection_factor = zone.cost_factor * connected_share**CONNECTION_COST_EXPONENT
 
     def _update_unbound(self) -> None:
-        """Move unbound work away from workers that serve bound classes, as far as that equalises the load."""
+        """Compute the cost factor that moves unbound work away from workers that serve bound classes.
+
+        The aim is that these workers have the same load as the others, relative to their speed.
+        """
         if not self._has_bound_classes:
             return
         estimates = self.state.estimates
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -3,8 +3,8 @@
 Times are microseconds. Values are smoothed over the slow-start window (``Settings.slow_start_us``), or over
 ``placement.statistics.SMOOTHING_SAMPLES`` samples. "Own" jobs are those that this scheduler itself has
 received or sent. "Usable" workers are those that the endpoint list shows as ready, even if this scheduler has
-ejected them. A unit of work is a microsecond of a job's work hint or, for a job without a hint, a microsecond
-of the mean job time of its class.
+ejected them. For times per unit of work, the unit is a microsecond of a job's work hint or, for a job without
+a hint, a microsecond of the mean job time of its class.
 """
 
 from collections.abc import Iterable
@@ -22,15 +22,16 @@
 
 
 class JobTimes:
-    """Mean job times from send to completion (us), of all jobs and by class, and the mean work hint.
+    """Holds mean job times from send to completion (us), of all jobs and by class, and the mean work hint.
 
     A work hint is a client's estimate of the running time of its job.
     """
 
     def __init__(self, classes: int) -> None:
-        self.mean_us = 0.0
-        self.class_mean_us = [0.0] * classes
-        self.class_baseline_us = [0.0] * classes  # by class: falls with the class mean at once, rises slowly
+        self.mean_us = 0.0  # 0: no job has completed yet
+        self.class_mean_us = [0.0] * classes  # 0: no job of the class has completed yet
+        # By class: the usual time without overload. It falls with the class mean at once, and rises slowly.
+        self.class_baseline_us = [0.0] * classes
         self.mean_hint_us = 0.0  # 0: no hint received yet
 
     def add_hint(self, hint_us: int) -> None:
@@ -91,7 +92,7 @@
 
 
 class Estimates:
-    """The rate of own jobs, their times by worker and kind of machine, and their waits by zone."""
+    """Estimates the rate of own jobs, their times by worker and kind of machine, and their waits by zone."""
 
     def __init__(self, settings: api.Settings, job_times: JobTimes, unknown_job_us: float) -> None:
         """``unknown_job_us``: assumed time of a job before any own job has completed."""
@@ -244,7 +245,8 @@
 
         The wait is the elapsed time less ``BASELINE_MARGIN`` times the shortest time of such a job. With a
         hint, the shortest time is the hint times the worker's time per unit of work. Without a hint it is the
-        baseline of the class, which, unlike the class mean, does not follow a lasting overload.
+        baseline of the class, which, unlike the class mean, does not follow a lasting overload. The elapsed
+        time also updates the times per unit of work of the worker and of its kind of machine.
         """
         kind, hint, own = worker.entry.kind, request.work_hint_us, worker.own_time.count
         work = hint or self.jobs.class_mean_us[request.job_class]
--- a/robinhill/placement/idempotency.py
+++ b/robinhill/placement/idempotency.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class IdempotencyKeys:
-    """The deduplication windows of keys sent to workers; beyond ``MAX_KEYS`` the oldest are evicted."""
+    """Holds the deduplication windows of keys sent to workers; above ``MAX_KEYS``, the oldest is evicted."""
 
     _windows: dict[ClassKey, DedupWindow] = field(default_factory=dict)
     _in_flight: dict[AttemptKey, ClassKey] = field(default_factory=dict)
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -10,7 +10,7 @@
 
 
 class JobQueue:
-    """The queued jobs, sorted by ``JobRecord.order``, lowest first; jobs of equal order by their arrival."""
+    """Holds the queued jobs, sorted by ``JobRecord.order``, lowest first; jobs of equal order by arrival."""
 
     def __init__(self) -> None:
         self.jobs: list[JobRecord] = []
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -5,8 +5,8 @@
 discovery is unreachable when it receives the change, the fixed time begins when it is reachable again. A
 scheduler may therefore use a list only for a limited time after discovery has last confirmed it. The age of a
 list counts from discovery's last message, never from the start of the process that uses the list, and a list
-of unknown age has no lease. Without a valid lease no job is sent: requests are
-queued for as long as an answer is useful, then rejected.
+of unknown age has no lease. Without a valid lease no job is sent: requests are queued for as long as an
+answer is useful, then rejected.
 
 Times are microseconds of the caller's clock, which must count real time.
 """
@@ -37,13 +37,13 @@
 
 @dataclass(slots=True)
 class ListLease:
-    """Origin, version and age of the list in use, and the end of the lease on it (``until_us``)."""
+    """Holds origin, version and age of the list in use, and the end of the lease on it (``until_us``)."""
 
-    duration_us: int = LIST_CHANGE_BOUND_US
+    duration_us: int = LIST_CHANGE_BOUND_US  # how long the lease lasts after a message of discovery
     origin: ListOrigin = ListOrigin.CONFIGURATION
     version: int = 0
     confirmed_us: int | None = None  # when discovery last confirmed the list; None: unknown
-    until_us: int = 0
+    until_us: int = 0  # 0: the lease has never been valid, or is invalid because the list's age is unknown
     # When discovery's address changed to one that has not answered yet, or when that new address was last
     # unreachable; None: the current address has answered.
     address_changed_us: int | None = None
@@ -82,8 +82,8 @@
     def record_address_change(self, now_us: int) -> None:
         """Limit the lease because discovery has a new address.
 
-        The limit counts from the first of several changes without a message of discovery in between, so
-        repeated changes do not extend the lease.
+        The limit counts from the first address change since discovery's last message, so repeated address
+        changes do not extend the lease.
         """
         if self.address_changed_us is None:
             self.address_changed_us = now_us
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -12,7 +12,8 @@
 
 # An ejection lasts at most half the slow-start window, or at most this time if half the window is shorter.
 MIN_MAX_EJECTION_US = 4_000_000
-SILENT_EJECTIONS = 3  # after failed health checks, an ejection lasts as if at least this many had preceded it
+# After failed health checks, an ejection lasts as long as if at least this many ejections had preceded it.
+SILENT_EJECTIONS = 3
 MAX_FAILURE_SHARE = 0.4  # a worker with a higher share of fast failures is an outlier
 # Consecutive failed health checks after which a worker is ejected; one is not enough, because a busy machine
 # can miss a check during a pause.
@@ -26,8 +27,9 @@
         self.state = state
 
     def record_failure(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Count a fast failure of an attempt, and eject the worker if it is an outlier.
+        """Count a failure of an attempt, and eject the worker if it is an outlier.
 
+        The caller does not count a rejection by a full worker, or a late answer unless it is presumed lost.
         Without ejection, a worker that fails fast would look fast and attract more jobs.
         """
         state, worker = self.state, attempt.worker
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -2,8 +2,8 @@
 
 Records hold state and make no decisions. Names that end in ``_us`` hold whole microseconds; a timestamp is by
 the caller's clock, and 0 means that the event has not happened. "Own" jobs are those that this scheduler
-itself has sent. A unit of work is a microsecond of a job's work hint or, for a job without a hint, a
-microsecond of the mean job time of its class.
+itself has sent. For times per unit of work, the unit is a microsecond of a job's work hint or, for a job
+without a hint, a microsecond of the mean job time of its class.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
     entry: api.Worker
     tie_breaker: float  # random, so that schedulers differ in their order of workers with equal costs
     zone: ZoneWait
-    job_time_us: float  # expected time from send to completion; prior: the mean of the kind of machine
+    job_time_us: float  # expected time from send to completion; prior: mean of its kind of machine
     # Number of the last own send to this worker, counted over all workers. Before the first send to the
     # worker it is a number that determines when the rotation chooses the worker.
     last_send: int = 0
@@ -56,7 +56,8 @@
     consecutive_ejections: int = 0
     # End of the backoff for each job class that the worker has rejected because it was full.
     class_backoff_until_us: dict[int, int] = field(default_factory=dict)
-    serves_bound_classes: bool = False  # True if a class restricted to certain workers may run here
+    # Whether a class that is restricted to some machine types or zones may run at this worker.
+    serves_bound_classes: bool = False
     last_response_us: int = 0  # last start, progress or answer reported by the worker itself
     last_completion_us: int = 0
     # Until this time, answers of the worker are assumed to be lost, and its high cost makes it a last resort.
@@ -110,7 +111,7 @@
     attempts_in_flight: int = 0
     may_have_run: bool = False  # whether any attempt that was sent may have run
     group: int = -1  # zone or cell whose workers drop repeats of the job once it may have run; -1: all do
-    group_until_us: int = 0  # end of the time in which the group drops repeats
+    group_until_us: int = 0  # end of the time in which workers of the group drop repeats
     # Sort key in the queue, lowest first: minus the class's priority weight, divided by the expected job time
     # unless ``Settings.value_by_work`` is set.
     order: float = 0.0
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -18,7 +18,7 @@
 
 # Divides the (negative) cost of a worker that has rejected the job's class, is suspected of losing answers,
 # or (for jobs that must not run twice) has been ejected and has not recovered. Of the workers of one rank,
-# such a worker is chosen only if its age is far above that of the others, or if the others are no better.
+# such a worker is chosen only if its age is far above that of the others, or if all their costs are divided.
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_COST_EXPONENT = 8
@@ -78,10 +78,7 @@
         The loop visits all workers for each job, so the checks that most workers need are inlined in it.
         """
         job, klass, sends = criteria.job, criteria.job.klass, criteria.sends
-        bound, pace = (
-            criteria.bound,
-            0.0,
-        )  # the pace of credits for slow start; computed if needed
+        bound, pace = criteria.bound, 0.0  # the pace is computed once, at the first worker in slow start
         slow_start, has_capacity = self.slow_start, self.has_capacity
         best, best_key, best_rank, best_cost = None, (9, 0.0, 0, 0.0), 9, 0.0
         saturated = True
@@ -156,7 +153,7 @@
         return ready and (not worker.in_flight or self.has_capacity(now, worker))
 
     def has_capacity(self, now: int, worker: WorkerRecord) -> bool:
-        """Whether the worker can accept a further job, judged by the own jobs in flight there alone.
+        """Whether the worker can accept a further job, judged only by the own jobs in flight at the worker.
 
         Load reports and health checks of the worker are not considered.
         """
