--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -1,5 +1,10 @@
 """Actions that the state machines of the control group return. The caller, which owns the sockets and the
-clock, carries out the actions."""
+clock, carries out the actions.
+
+A *voter* and an *observer* each have a replica of the group's records, and only voters take part in
+majorities. An observer is a scheduler; its *lease* is valid while the newest state of a majority of voters
+that it knows is not older than a configured bound.
+"""
 
 from dataclasses import dataclass
 
@@ -20,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Connect:
-    """Open a connection to a voter, and report the result by calling ``linked`` or ``failed``."""
+    """Open a connection to a voter, and then call ``linked`` or ``failed`` of the state machine."""
 
     voter: str
 
@@ -29,7 +34,8 @@
 class Disconnect:
     """Close a connection once its queued messages are written. ``why``: reason for the log.
 
-    The caller does not call ``unlinked`` for this connection, as the state machine has already removed it.
+    The caller does not call ``unlinked`` for this connection, as the state machine has already removed the
+    connection.
     """
 
     link: Link
@@ -42,7 +48,8 @@
 
     The caller of an observer updates what it derives from the records, such as the set of cordoned workers,
     before it carries out the next action, which may confirm the records to the voter. The caller of a voter
-    saves the replica to disk within a second or two. ``rejected`` is for the log.
+    saves the replica to disk within a second or two. ``rejected``: received records that the replica rejected
+    or stored with a warning; the caller logs them.
     """
 
     records: tuple[Record, ...]
@@ -53,8 +60,8 @@
 class LeaseChanged:
     """An observer's lease became valid or expired.
 
-    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: it has never
-    known such a state.
+    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: the observer
+    has never known such a state.
     """
 
     valid: bool
@@ -63,9 +70,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LaggingObservers:
-    """Observers that may not have applied a change, and voters that have sent no complete status of it.
+    """Observers that may not have applied a change, and voters whose report about their observers is missing
+    or, because the voter rejected a record, incomplete.
 
-    ``count``: their number. ``names``: the names of some of them.
+    ``count``: number of these observers and voters. ``names``: names of some of these observers and voters.
     """
 
     count: int
@@ -80,8 +88,9 @@
     """The progress of a tracked change. ``number`` is the number that ``write`` returned for the change.
 
     ``accepted``: a majority of voters has stored the change, so it can't be lost any more. In the mode
-    `serve`, in which schedulers continue to send without a lease, one voter that has stored the change is
-    enough. ``in_force``: no scheduler can act without knowing the change.
+    `serve`, in which schedulers continue to send jobs without a lease, a change already counts as accepted
+    once one voter has stored it. ``in_force``: no scheduler can send jobs any more without knowing the
+    change.
     """
 
     number: int
@@ -97,7 +106,8 @@
 
 @dataclass(slots=True, frozen=True)
 class VotersSettled:
-    """All voters use the newest list of voters; this voter has dropped the earlier lists."""
+    """All voters have used the newest list of voters for longer than a lease lasts, and this voter has
+    dropped the earlier lists."""
 
 
 Action = Send | Connect | Disconnect | Apply | LeaseChanged | Progressed | CaughtUp | VotersSettled
--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -33,7 +33,7 @@
         return frozenset(name for name, one in self._states.items() if one.connecting_since_us is not None)
 
     def due_us(self, voter: str) -> int:
-        """Time at which the next attempt to this voter may start; 0 if there is no backoff."""
+        """Time at which the next attempt to this voter may start; 0 if the voter has no backoff."""
         state = self._states.get(voter)
         return state.due_us if state is not None else 0
 
@@ -48,8 +48,8 @@
     def failed(self, mono_us: int, voter: str) -> None:
         """Record that the attempt failed or the connection ended.
 
-        The backoff doubles, up to `MAX_BACKOFF_US`. Jitter shortens the wait to between half and all of the
-        backoff.
+        The backoff starts at `MIN_BACKOFF_US` and doubles with each further failure, up to `MAX_BACKOFF_US`.
+        The wait before the next attempt is a random time between half of the backoff and the whole backoff.
         """
         state = self._state(voter)
         state.connecting_since_us = None
@@ -64,7 +64,7 @@
                 self.failed(mono_us, name)
 
     def expires_us(self) -> int | None:
-        """Time at which the oldest attempt in flight times out; None if there is none."""
+        """Time at which the oldest attempt in flight times out; None if no attempt is in flight."""
         since_us = [at for state in self._states.values() if (at := state.connecting_since_us) is not None]
         return min(since_us) + CONNECT_TIMEOUT_US + 1 if since_us else None
 
--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -1,10 +1,12 @@
 """Coordinates the changes tracked at a voter: exchanges barriers and statuses with the other voters, and
 reports progress to the writer of each change.
 
-A *barrier* asks a voter which of its observers lag, that is, have not applied certain changes yet; a *status*
-is the reply. This module connects the `CommitTracker`, which determines whether this voter's changes are in
-force, with `ObserverProgress`, which tracks the observers that lag behind changes of this and other voters.
-It stores the requester of each change, but no records.
+Observers are schedulers; a change is *in force* once no scheduler can send jobs without knowing the change. A
+*batch* is a group of changes that share a barrier. A *barrier* asks a voter which of its observers lag, that
+is, have not applied the batch's changes yet; a *status* is the reply. This module connects the
+`CommitTracker`, which determines whether this voter's changes are in force, with `ObserverProgress`, which
+tracks the observers of this voter that lag, for the barriers of this voter and of the other voters. This
+module stores the requester of each change, but no records.
 """
 
 from collections.abc import Callable
@@ -39,7 +41,8 @@
 class ChangeCoordinator:
     """Coordinates the changes tracked at one voter.
 
-    ``counts`` returns whether this voter counts for majorities.
+    ``counts`` returns whether this voter counts for majorities, which it does once it knows all changes that
+    a majority of voters has ever stored.
     """
 
     def __init__(
@@ -68,8 +71,10 @@
     def track(self, mono_us: int, requester: Requester, position: int, *, urgent: bool, hold: bool) -> int:
         """Track a change that this voter has stored. Returns the number of the change at this voter.
 
-        ``position``: position of the latest change of this urgency in this voter's log, read after the change
-        was stored.
+        ``position``: position of the latest change of equal urgency in this voter's log, read after the
+        change was stored. ``urgent``: the change is sent to observers before changes that are not urgent.
+        ``hold``: schedulers without a lease send no jobs, so lagging schedulers are only waited for until
+        their leases have expired.
         """
         self._last_change += 1
         self._requesters[self._last_change] = requester
@@ -79,7 +84,7 @@
     def report_untracked(self, link: Link, number: int, why: str) -> None:
         """Report to an observer that this voter does not track its change; ``why`` is the reason.
 
-        The records that this voter has stored are replicated regardless.
+        The records of the change that this voter has stored are still replicated.
         """
         progress = wire.Progress(number, False, False, 1, (f"voter {self.name}: {why}",))
         self._outbox.send_to_observer(link, progress)
@@ -111,10 +116,11 @@
         self.observer_progress.untrack_matching(lambda barrier: barrier.origin == name)
 
     def resend_statuses(self) -> None:
-        """Send all statuses again, as a status may now confirm a batch that an earlier one did not.
+        """Send the statuses of all barriers again, as a status may now confirm that this voter has stored a
+        batch, which the status sent before did not confirm.
 
-        The caller calls this when this voter has begun to count for majorities, or again has all records of
-        another voter, after it had rejected one of them.
+        The caller calls this when this voter has begun to count for majorities, or when this voter has all
+        records of another voter again, after it had rejected one of that voter's records.
         """
         self.observer_progress.dirty.update(self.observer_progress.tracked)
 
@@ -124,7 +130,8 @@
             self._outbox.send_to_voter(voter.link, wire.Barrier(batch.number, batch.urgent, batch.hold))
 
     def advance(self, mono_us: int) -> None:
-        """Seal the batches that are due, send changed statuses, and report the progress of changes."""
+        """Seal the batches that are due, so that no change is added to them, send changed statuses, and
+        report the progress of changes."""
         self._seal_batches(mono_us)
         self._send_due_statuses(mono_us)
         self._report_progress(mono_us)
@@ -137,7 +144,11 @@
             )
 
     def _send_due_statuses(self, mono_us: int) -> None:
-        """Send the statuses that have changed, at once if no observer lags, otherwise at intervals."""
+        """Send the statuses that have changed.
+
+        A status without lagging observers is sent at once; other statuses of one barrier are sent at
+        intervals of at least `STATUS_INTERVAL_US`.
+        """
         tracked, dirty = self.observer_progress.tracked, self.observer_progress.dirty
         for barrier in sorted(dirty):
             last_us = self._status_sent_us.get(barrier, mono_us - STATUS_INTERVAL_US)
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -3,10 +3,12 @@
 An observer that can't resume from an earlier position first sends digests of its replica, one for each range
 of records, and the feed sends the records of the ranges whose digests differ. From then on the feed sends
 changes. *Urgent* changes, which are those of the urgent record kinds, are sent before all others. The feed
-replies to a heartbeat once it has sent all changes that the voter knew when it read the heartbeat.
+replies to a heartbeat once it has sent all changes that the voter knew when the voter read the heartbeat.
 
-The send window limits the number of messages that the observer has not confirmed. While the window is full,
-the feed's cursor does not advance, so the observer later receives only the newest value of each record.
+The feed's *cursor* is the position in the voter's log up to which the feed has sent the changes. The send
+window limits the number of messages that the observer has not confirmed. While the window is full, the cursor
+does not advance and nothing is queued. Once the window has room again, the feed sends the records that
+changed after the cursor, each with its newest value only.
 """
 
 from dataclasses import dataclass
@@ -18,12 +20,14 @@
 from robinhill.mesh.records import Record
 
 MAX_UNCONFIRMED_MESSAGES = 8
-"""Size of the send window; with `SOFT_MAX_MESSAGE_BYTES` about 256 KB for each observer."""
+"""Size of the send window. With messages of `SOFT_MAX_MESSAGE_BYTES` the window holds about 256 KB for each
+observer."""
 
 MAX_CLOCK_DIFFERENCE_US = 5_000_000
-"""Up to this difference between the clocks of the voter and the observer, the voter computes its digests as
-of the observer's time. Beyond it, the voter uses its own time, so that ranges with records that expired
-between the two times also differ."""
+"""Digests leave out expired records, so they depend on the time as of which they are computed. Up to this
+difference between the clocks of the voter and the observer, the voter computes its digests as of the
+observer's time. Beyond this difference, the voter uses its own time, so that the digests of ranges with
+records that expired between the two times differ too."""
 
 DIGEST_BYTES = 8
 
@@ -32,7 +36,8 @@
 class _PendingReply:
     """The reply to a heartbeat.
 
-    It is due once all changes up to ``position`` and all urgent changes up to ``urgent_position`` are sent.
+    The reply is due once all changes up to ``position`` and all urgent changes up to ``urgent_position`` are
+    sent. ``age_us``: age of the majority's state that the voter knew; -1: the voter knew none.
     """
 
     number: int
@@ -70,17 +75,17 @@
 
     @property
     def idle(self) -> bool:
-        """Whether all changes are sent and confirmed."""
+        """Whether all changes are sent, and the observer has confirmed all messages."""
         sent = self._cursor >= self.changelog.bulk_head and self._urgent_cursor >= self.changelog.urgent_head
         return sent and self._confirmed == self.sent
 
     def resume(self, position: int) -> None:
-        """Feed changes from ``position``; the observer has all earlier changes of this voter."""
+        """Feed the changes after ``position``; the observer has all changes of this voter up to it."""
         self.synchronized = True
         self._cursor = self._urgent_cursor = position
 
     def compare(self, now_us: int, digests: Digests) -> None:
-        """Begin to send the ranges whose digests differ from those of the voter's replica.
+        """Begin to send the records of the ranges whose digests differ from those of the voter's replica.
 
         If the observer is synchronized but has not confirmed all changes, the comparison is skipped. Raises
         JoinRefused for a wrong number of digests.
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -1,7 +1,8 @@
 """The log of a voter's changes. Each observer's feed reads the log from a cursor of its own.
 
 A feed reads *urgent* changes, which are those of the urgent record kinds, before all others (*bulk* changes).
-Observers have no queues of their own: a message is encoded once for all observers with the same cursor.
+Observers have no queues of their own: a message is encoded once for all observers with the same cursor. A
+cursor is the position up to which a reader has received the changes.
 """
 
 from collections.abc import Collection, Iterable
@@ -29,7 +30,8 @@
 class ChangeLog:
     """The changes of a `Replica`. The caller must call `note` after each change, before it reads the log.
 
-    ``messages_encoded``: the number of messages encoded since the log was created.
+    ``urgent_head``, ``bulk_head``: positions of the last urgent change and of the last bulk change; 0 if
+    there was none. ``messages_encoded``: the number of messages encoded since the log was created.
     """
 
     def __init__(self, replica: Replica, urgent_kinds: Collection[str]) -> None:
@@ -60,7 +62,8 @@
     def after(self, cursor: int, urgent: bool) -> EncodedChanges:
         """Return the next message with urgent or bulk changes for a reader at ``cursor``.
 
-        A reader must read all urgent changes before it reads bulk changes.
+        A reader must read all urgent changes before it reads bulk changes, as messages with bulk changes
+        leave out the urgent records but advance the reader past them.
         """
         key = cursor, urgent
         if (changes := self._encoded.get(key)) is None:
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -47,12 +47,13 @@
     """Changes that share a barrier.
 
     ``urgent``: all changes are of urgent kinds. ``hold``: the mode of the changes is `hold`, otherwise
-    `serve`. ``position``: position of the batch's last change in this voter's log. ``changes``: the numbers
-    of the changes. ``stamp``: identifies the batch in `Acceptance`. ``sealed``: the batch's barriers are due,
-    so no change is added any more. ``accepted_us``: when a majority had stored the changes; None before
-    then. ``queried``: voters that were sent the barrier on their present link. ``lagging``: the lagging
-    observers in the last status of each voter. ``last_reported``: the status in the last progress report.
-    ``dirty``: the status may have changed since that report.
+    `serve`. ``opened_us``: when the first change was added. ``position``: position of the batch's last change
+    in this voter's log. ``changes``: the numbers of the changes. ``stamp``: identifies the batch in
+    `Acceptance`. ``sealed``: the batch's barriers are due, so no change is added any more. ``accepted_us``:
+    when this voter found that a majority had stored the changes; None before then. ``queried``: voters that
+    were sent the barrier on their present link. ``lagging``: the lagging observers in the last status of each
+    voter. ``last_reported``: the status in the last progress report; None if there was no report. ``dirty``:
+    the status may have changed since the status was last evaluated for a report.
     """
 
     number: int
@@ -104,8 +105,8 @@
     def track(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
         """Add a change that this voter has stored to a batch of equal urgency and mode.
 
-        ``change``: number of the change. ``position``: position of the latest change of this urgency in this
-        voter's log, read after the change was stored.
+        ``change``: number of the change. ``position``: position of the latest change of equal urgency in this
+        voter's log, read after the change was stored. ``urgent``, ``hold``: as in `ChangeBatch`.
         """
         batch = self._newest.get((urgent, hold))
         if batch is None or batch.sealed:
@@ -258,7 +259,8 @@
         return LaggingObservers(count, tuple(names[:MAX_LAGGING_NAMES]))
 
     def _leases_expired(self, mono_us: int, batch: ChangeBatch) -> bool:
-        """Whether every lease that does not cover an accepted batch has expired."""
+        """Whether a batch of the mode `hold` is accepted, and every lease of an observer that may not know
+        the batch's changes has expired."""
         return batch.hold and batch.accepted_us is not None and mono_us >= batch.accepted_us + self._lease_us
 
     def _seal_due_us(self, batch: ChangeBatch) -> int:
--- a/robinhill/control/errors.py
+++ b/robinhill/control/errors.py
@@ -4,7 +4,10 @@
 
 
 class VotersMalformed(MeshError):
-    """A key of the operators' file that configures voters has an invalid value. ``key``: the key's path."""
+    """A key of the operators' configuration file that configures voters has an invalid value.
+
+    ``key``: the key's path, such as ``mesh.voters``.
+    """
 
     code = "VotersMalformed"
     advice = "correct the named key in the operators' file, identically on all hosts, and restart"
@@ -32,9 +35,11 @@
 
 
 class ChangesFull(MeshError):
-    """The limit of tracked changes is reached, and no more can be tracked.
+    """The limit of tracked changes is reached, and no further change can be tracked.
 
-    None of the tracked changes is accepted yet, and only the tracking of an accepted change may end early.
+    A change is tracked so that its progress can be reported to its writer. At the limit, the tracking of the
+    oldest accepted changes ends early, but none of the tracked changes is accepted yet. A change is accepted
+    once a majority of voters has stored it; in the mode `serve`, once one voter has stored it.
     """
 
     code = "ChangesFull"
--- a/robinhill/control/lease.py
+++ b/robinhill/control/lease.py
@@ -1,15 +1,20 @@
 """An observer's lease: the newest time as of which the observer knows the state of a majority of voters.
 
+A change is *accepted* once a majority of voters has stored it. The *bound* is the configured age of the known
+state at which the lease expires.
+
 **Guarantee.** An observer with a valid lease knows every change that was accepted longer ago than the bound,
-whatever the network does. (In the `hold` mode an observer sends no job without a valid lease.) When a voter
-reads a heartbeat, it knows, for a majority of voters, the state that each of them had ``age_us`` earlier
-(`robinhill.mesh.freshness`, which also covers voters that lose their state at a restart). The voter sends
-that state before its reply on the same ordered link, so an observer that has received the reply knows the
-state too. The observer computes the time as of which it knows the state from the time at which it *wrote* the
-heartbeat, on its own clock. As the voter read the heartbeat later, the computed time is never later than the
-true time. A majority that accepted a change before the computed time has at least one voter in common with
-the majority whose state the observer knows. The lease has a single time and not one for each voter, as only
-the oldest time in the majority bounds the lease.
+whatever the network does. (In the `hold` mode an observer, which is a scheduler, sends no job without a valid
+lease.)
+
+When a voter reads a heartbeat, it knows, for a majority of voters, the state that each of them had ``age_us``
+earlier (`robinhill.mesh.freshness`, which also covers voters that lose their state at a restart). The voter
+sends that state before its reply on the same ordered link, so an observer that has received the reply knows
+the state too. The observer computes the time as of which it knows the state from the time at which it *wrote*
+the heartbeat, on its own clock. As the voter read the heartbeat later, the computed time is never later than
+the true time. A majority that accepted a change before the computed time has at least one voter in common
+with the majority whose state the observer knows. The lease has a single time and not one for each voter, as
+only the oldest time in the majority bounds the lease.
 
 Clocks of different processes are not compared; `RATE_ALLOWANCE` covers the difference of their rates. The
 lease's time never moves back, even when the observer joins another voter, as a replica only grows by merging.
@@ -21,8 +26,8 @@
 from robinhill.mesh.freshness import NEVER, RATE_ALLOWANCE
 
 MAX_UNANSWERED_HEARTBEATS = 64
-"""Limit of the retained heartbeats that await a reply. The oldest is dropped above the limit, and a reply to
-it is ignored, which only delays the renewal of the lease."""
+"""Limit of the retained heartbeats that await a reply. Above the limit the oldest heartbeat is dropped, and a
+reply to the dropped heartbeat is ignored, which only delays the renewal of the lease."""
 
 
 class SentHeartbeat(NamedTuple):
@@ -84,7 +89,8 @@
         written_us = self._pop_in_flight(number)
         if age_us < 0:
             return False
-        # Extends the age by one part in RATE_ALLOWANCE, rounded up, as the voter's clock may run slower.
+        # The age is extended by one part in RATE_ALLOWANCE, rounded up, as the voter's clock may run slower
+        # than this observer's clock.
         as_of_us = written_us - age_us - (age_us + RATE_ALLOWANCE - 1) // RATE_ALLOWANCE
         if self.as_of_us is not None and as_of_us <= self.as_of_us:
             return False
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -1,11 +1,15 @@
 """Messages on links of the control group: tagged MessagePack arrays. Links deliver messages in order.
 
 There are two kinds of links: between two voters (`MeshData` carries the frames of `robinhill.mesh.session`),
-and from an observer to a voter. A position is the sequence number of a change in the log of one incarnation
-of one voter; positions of different logs can't be compared. Replicas are compared by the digests of *ranges*:
-the hash of a record's name assigns the record to one of 256 ranges. Changes of *urgent* record kinds are sent
-to observers before all others. Times are microseconds; ``at_us`` is Unix time. The order of fields and the
-tags define the wire format and never change.
+and from an observer, which is a scheduler, to a voter. An observer receives all changes on its *primary* link
+and only heartbeat replies on its *spare* link to another voter. A voter *counts for majorities* once it knows
+all changes that were ever accepted, that is, stored by a majority of voters.
+
+A position is the sequence number of a change in the log of one incarnation of one voter; positions of
+different logs can't be compared. Replicas are compared by the digests of *ranges*: the hash of a record's
+name assigns the record to one of 256 ranges. Changes of *urgent* record kinds are sent to observers before
+all others. Times are microseconds; ``at_us`` is Unix time. The order of fields and the tags define the wire
+format and never change.
 """
 
 from typing import NamedTuple
@@ -34,7 +38,10 @@
 
 
 class ObserverJoin(NamedTuple):
-    """The join of an observer's process to a voter; ``number`` increases with each join of an incarnation."""
+    """The join of an observer's process to a voter.
+
+    ``number`` increases with each join of one incarnation of the observer.
+    """
 
     name: str
     incarnation: int
@@ -81,9 +88,9 @@
     """The sender has stored the changes of a barrier; ``lagging_count`` of its observers may not have applied
     them yet.
 
-    ``counts``: the sender counted for majorities, and lacked none of the receiver's records because of a
-    rejection. ``incarnations``: as in `VoterStatus`; the receiver records them before it counts the status as
-    a confirmation.
+    ``counts``: the sender counted for majorities, and did not lack records of the receiver that the sender
+    had rejected. ``incarnations``: as in `VoterStatus`; the receiver records them before it counts the status
+    as a confirmation that the sender has stored the changes.
     """
 
     number: int
@@ -103,14 +110,16 @@
 class Migrated(msgspec.Struct, frozen=True, array_like=True, tag="moved"):
     """These observers are synchronized with the sender, or said goodbye to the sender.
 
-    A receiver that knows an earlier join of one of these observers stops waiting for the observer.
+    A receiver that knows an earlier join of one of these observers stops waiting for that observer to apply
+    changes.
     """
 
     observers: tuple[ObserverJoin, ...]
 
 
 class Departed(msgspec.Struct, frozen=True, array_like=True, tag="departed"):
-    """Asks whether the receiver knows later joins of observers that left the sender without a goodbye.
+    """Asks whether the receiver knows later joins of observers that disconnected from the sender without a
+    goodbye.
 
     The sender still waits for these observers to apply its changes, although their leases have expired.
     A voter that knows a later join of one of them replies with `Migrated`. The reply is needed if an earlier
@@ -165,9 +174,11 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Requests a `HeartbeatReply` after all changes that the voter knows when it reads the heartbeat.
+    """Requests a `HeartbeatReply`, which the voter sends after all changes that it knows when it reads the
+    heartbeat.
 
-    ``number`` 0: no lease depends on the reply, and the voter replies at once.
+    ``number`` identifies the heartbeat in the reply; 0: no lease depends on the reply, and the voter replies
+    at once.
     """
 
     number: int
@@ -187,7 +198,7 @@
 
 
 class Goodbye(msgspec.Struct, frozen=True, array_like=True, tag="goodbye"):
-    """The observer sends no more jobs, so no change needs to wait for it."""
+    """The observer sends no more jobs, so no change needs to wait until the observer has applied it."""
 
 
 # To an observer
@@ -227,10 +238,11 @@
 
 
 class Compared(msgspec.Struct, frozen=True, array_like=True, tag="compared"):
-    """Ends a comparison: with the ranges sent, the observer has all records that the voter had at
-    ``position`` of its log.
+    """Ends a comparison: with the records sent in `RangeRecords`, the observer has all records that the voter
+    had at ``position`` of the voter's log.
 
-    ``position`` 0: the voter skipped the comparison because changes were in flight.
+    ``position`` 0: the voter skipped the comparison because the observer had not confirmed all changes yet,
+    or the voter's log is empty.
     """
 
     position: int
@@ -249,9 +261,9 @@
     """When the voter read heartbeat ``number``, it knew a majority's state that was ``age_us`` old: for each
     voter of a majority, the state that this voter had ``age_us`` earlier.
 
-    ``age_us`` -1: it knew no majority's state. The changes up to ``position``, which the voter sent before
-    the reply, include all changes that it knew when it read the heartbeat. On a spare link, and if ``number``
-    is 0, ``position`` is 0.
+    ``age_us`` -1: the voter knew no majority's state. The changes up to ``position``, which the voter sent
+    before the reply, include all changes that the voter knew when it read the heartbeat. On a spare link, and
+    if ``number`` is 0, ``position`` is 0.
     """
 
     number: int
@@ -262,9 +274,11 @@
 class Progress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
     """Progress of an offered change; ``number`` is the number in the `Offer`.
 
-    ``accepted``: the change can't be lost any more. ``in_force``: no scheduler can act without knowing it.
-    ``lagging_count``: number of observers that may not have applied the change, and of voters that have sent
-    no complete status of it. ``lagging_names``: some of the names of these observers and voters.
+    ``accepted``: a majority of voters has stored the change, so it can't be lost any more; or one voter has
+    stored it, and schedulers continue to send jobs without a lease (mode `serve`). ``in_force``: no scheduler
+    can send jobs any more without knowing the change. ``lagging_count``: number of observers that may not
+    have applied the change, and of voters whose `BarrierStatus` is missing or, because the voter rejected a
+    record, incomplete. ``lagging_names``: some of the names of these observers and voters.
     """
 
     number: int
@@ -295,7 +309,7 @@
 
 
 def read(data: bytes) -> AnyMessage:
-    """Decode a message. Raises JoinRefused for one that is malformed or too large."""
+    """Decode a message. Raises JoinRefused if the message is malformed or too large."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise JoinRefused(f"a message has {len(data)} bytes, the limit is {MAX_MESSAGE_BYTES}")
     try:
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -38,7 +38,7 @@
 from robinhill.mesh.replica import Replica
 
 COLLECT_INTERVAL_US = 1_000_000
-"""Interval at which expired records are collected."""
+"""Interval at which expired records are removed from the replica."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,8 +46,8 @@
     """Whether the records of one kind may be used for scheduling.
 
     ``may_act``: the scheduler may send jobs according to the records. ``stale``: there is no valid lease.
-    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: it has never
-    known such a state.
+    ``age_us``: age of the newest state of a majority of voters that the observer knows; None: the observer
+    has never known such a state.
     """
 
     may_act: bool
@@ -56,7 +56,8 @@
 
 
 class Observer:
-    """One observer. ``rng`` jitters reconnections and the comparisons that repair the replica."""
+    """One observer. ``incarnation``: identifies this process, and is higher after each restart. ``rng``:
+    jitters reconnections and the comparisons that repair the replica."""
 
     def __init__(
         self, options: ControlOptions, incarnation: int, replica: Replica, rng: Random, mono_us: int
@@ -131,18 +132,20 @@
         return offer.number, record, self._finish(mono_us)
 
     def abandon(self, number: int) -> None:
-        """Stop reporting the progress of a change; the change itself stays, and is replicated."""
+        """Stop reporting the progress of a change; its record stays in the replica and is replicated."""
         self._offers.drop(number)
 
     def has_lease(self, mono_us: int) -> bool:
-        """Whether the state of a majority that this observer knows is not older than the bound.
+        """Whether the newest state of a majority of voters that this observer knows is not older than the
+        bound (``mesh.bound_ms``).
 
         Cheap enough to be checked for each job.
         """
         return self.lease.is_valid(mono_us)
 
     def status(self, kind: str, mono_us: int) -> ObserverStatus:
-        """Return whether the scheduler may act on records of a kind now, and the age of the known state."""
+        """Return whether the scheduler may act on records of a kind at ``mono_us``, and the age of the state
+        that the observer knows."""
         valid = self.lease.is_valid(mono_us)
         may_act = valid or self.options.mode_of(kind) is Mode.SERVE
         return ObserverStatus(may_act, not valid, self.lease.age_us(mono_us))
@@ -196,12 +199,12 @@
 
     @property
     def voter(self) -> str | None:
-        """Name of the primary voter; None without a primary link."""
+        """Name of the primary voter; None if there is no primary link."""
         return self._links.primary_voter
 
     @property
     def spare_voter(self) -> str | None:
-        """Name of the voter on the spare link; None without one."""
+        """Name of the voter on the spare link; None if there is no spare link."""
         return self._links.spare_voter
 
     @property
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -1,8 +1,9 @@
 """An observer's links: one to the primary voter, which sends changes and renews the lease, and a spare link
 to another voter, which replaces the primary voter in a failover.
 
-Chooses voters, joins them, sends heartbeats, and detects silent links and the need for a failover. This
-module is independent of records. Times are monotonic microseconds.
+Chooses voters, joins them, sends heartbeats, and detects silent links and the need for a failover. The
+*bound* is the configured age of the known state of a majority of voters at which the observer's lease
+expires. This module is independent of records. Times are monotonic microseconds.
 """
 
 from collections.abc import Iterator
@@ -29,7 +30,8 @@
     """A link to a voter.
 
     ``welcomed``: the voter has accepted a join on this link. ``majority_age_us``: age of the majority's state
-    in the voter's last heartbeat reply; None: the voter knew none, or has not replied yet.
+    that the voter reported in its last heartbeat reply; None: the voter knew no majority's state, or has not
+    replied yet.
     """
 
     voter: str
@@ -40,7 +42,11 @@
 
 
 class ObserverLinks:
-    """The links of one observer. ``primary_changes``: how often a link became the primary one."""
+    """The links of one observer.
+
+    ``primary``, ``spare``: the link with that role; None if there is none. ``primary_changes``: how often a
+    link became the primary one. ``stopped``: all links were closed for good by `stop`.
+    """
 
     def __init__(self, options: ControlOptions, incarnation: int, outbox: Outbox, rng: Random) -> None:
         self.options = options
@@ -57,12 +63,12 @@
 
     @property
     def primary_voter(self) -> str | None:
-        """Name of the voter on the primary link; None without one."""
+        """Name of the voter on the primary link; None if there is no primary link."""
         return self.by_link[self.primary].voter if self.primary is not None else None
 
     @property
     def spare_voter(self) -> str | None:
-        """Name of the voter on the spare link; None without one."""
+        """Name of the voter on the spare link; None if there is no spare link."""
         return self.by_link[self.spare].voter if self.spare is not None else None
 
     @property
@@ -162,9 +168,9 @@
     def send_heartbeats(self, mono_us: int, lease: ObserverLease, *, synchronized: bool) -> None:
         """Send the heartbeats that are due.
 
-        Replies of the primary voter renew the lease if the replica is synchronized. Replies of the spare
-        voter confirm that it is reachable, and contain the age of the majority's state that the spare voter
-        knows.
+        Replies of the primary voter renew the lease if the replica was synchronized with that voter when the
+        heartbeat was sent (``synchronized``). Replies of the spare voter confirm that the spare voter is
+        reachable, and contain the age of the majority's state that it knows.
         """
         for link, state in self.by_link.items():
             if mono_us < state.next_heartbeat_us or not state.welcomed:
@@ -182,7 +188,8 @@
     def is_silent(self, mono_us: int, link: Link) -> bool:
         """Whether no message was received on a link for longer than the link's timeout.
 
-        The timeout of the spare link is longer, as it carries fewer heartbeats.
+        The timeout of the spare link is longer than that of the primary link, as fewer heartbeats are sent on
+        the spare link.
         """
         timeout_us = self.options.bound_us // SILENT_TIMEOUTS_PER_BOUND
         if link != self.primary:
@@ -192,10 +199,11 @@
     def should_fail_over(self, mono_us: int, lease_age_us: int | None) -> bool:
         """Whether the spare voter should become the primary one.
 
-        This is the case if the primary voter has been the primary one for at least half of the bound, the
-        lease's age exceeds half of the bound, and the majority's state in the spare voter's last reply was at
-        most that old. ``lease_age_us``: age of the majority's state that the observer knows; None: the lease
-        was never renewed.
+        The spare voter should if all of these hold: the primary voter has been the primary one for at least
+        half of the bound; the majority's state that the observer knows is older than half of the bound, or
+        the observer knows none; and the age of the majority's state in the spare voter's last heartbeat reply
+        was at most half of the bound. ``lease_age_us``: age of the majority's state that the observer knows;
+        None: the lease was never renewed.
         """
         if self.primary is None or self.spare is None:
             return False
