--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -199,7 +199,7 @@
     def should_fail_over(self, mono_us: int, lease_age_us: int | None) -> bool:
         """Whether the spare voter should become the primary one.
 
-        The spare voter should if all of these hold: the primary voter has been the primary one for at least
+        Returns True if all of these conditions hold: the primary voter has been the primary one for at least
         half of the bound; the majority's state that the observer knows is older than half of the bound, or
         the observer knows none; and the age of the majority's state in the spare voter's last heartbeat reply
         was at most half of the bound. ``lease_age_us``: age of the majority's state that the observer knows;
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -1,19 +1,21 @@
 """Tracks up to which positions of a voter's log its observers have applied the changes, and the observers
 that a change still waits for.
 
-An observer can only obtain its lease from a voter. So once *each* voter reports that all of its observers
-have applied a change, no scheduler can act without knowing the change. A voter waits for an observer that is
-linked, or that disconnected without a goodbye, until
+An observer is a scheduler; its lease is valid while the state of a majority of voters that it knows is not
+older than a configured bound. An observer can only obtain its lease from a voter. So once *each* voter
+reports that all of its observers have applied a change, no scheduler can send jobs without knowing the
+change. For each change, a voter waits for each observer that is linked, or that disconnected without a
+goodbye, until
 
 - the observer has confirmed the change to this voter, or another voter reports that the observer has
   synchronized with it by a later join (`migrated_away`) or said goodbye;
 - a later incarnation of the same name has joined, which implies that the earlier process has ended;
-- under `hold` (a scheduler without a lease sends no jobs), its lease has certainly expired: a lease lasts at
-  most the bound after the voter's last reply;
+- under `hold` (a scheduler without a lease sends no jobs), the observer's lease has certainly expired: a
+  lease lasts at most the bound after the voter's last reply, and `with_slack` adds margins to the bound;
 - an operator reports that the scheduler no longer runs (`remove`).
 
-A restarted voter doesn't know the observers of its earlier incarnation. It waits until all leases that the
-earlier incarnation may have renewed have expired.
+A restarted voter doesn't know the observers of its earlier incarnation. For each change, it therefore also
+waits until all leases that the earlier incarnation may have renewed have expired.
 """
 
 from collections.abc import Callable, Iterable
@@ -53,7 +55,8 @@
     this voter may have renewed the observer's lease. ``join``: number of its last join. ``position``: the
     observer has applied all changes up to this position of the voter's log; ``urgent_position``: it has
     applied all urgent changes up to this position; -1: it has confirmed none since its first join, or since
-    its last join that required a comparison. ``synchronized``: it has confirmed a position since then.
+    its last join that required a comparison of the replicas. ``synchronized``: it has confirmed a position
+    since that join.
     """
 
     name: str
@@ -91,8 +94,9 @@
 class ObserverProgress:
     """The observers of one voter. Times are monotonic microseconds.
 
-    ``tracked``: the position of each barrier. ``dirty``: barriers whose set of waiting observers has changed;
-    the caller removes a barrier from ``dirty`` when it sends the status.
+    ``lease_us``: maximum time from a voter's heartbeat reply to the end of the lease that the reply renewed,
+    with margins. ``tracked``: the position of each barrier. ``dirty``: barriers whose set of waiting
+    observers has changed; the caller removes a barrier from ``dirty`` when it sends the status.
     """
 
     def __init__(self, started_us: int, bound_us: int) -> None:
@@ -101,8 +105,9 @@
         self.tracked: dict[BarrierId, TrackedPosition] = {}
         self.dirty: set[BarrierId] = set()
         self._unknown_until_us = started_us + self.lease_us
-        self._departed: dict[str, None] = {}  # least recently queried first
-        self._goodbyes: dict[str, ObserverJoin] = {}  # oldest first
+        # Names of departed observers; those about which other voters were queried least recently are first.
+        self._departed: dict[str, None] = {}
+        self._goodbyes: dict[str, ObserverJoin] = {}  # by observer name; the oldest goodbye is first
 
     # Observers
 
@@ -156,9 +161,10 @@
         self.observers[name].leased_us = mono_us
 
     def link_lost(self, name: str, link: Link) -> None:
-        """Record that an observer has disconnected without a goodbye; changes still wait for it.
+        """Record that an observer has disconnected without a goodbye; changes still wait for the observer.
 
-        Beyond `MAX_DEPARTED` the least recently queried departed observer is removed.
+        Beyond `MAX_DEPARTED` departed observers, the one about which the other voters were queried least
+        recently is removed, and changes no longer wait for it.
         """
         observer = self.observers.get(name)
         if observer is None or observer.link != link:
@@ -198,8 +204,8 @@
     def migrated_away(self, name: str, incarnation: int, join: int) -> bool:
         """Remove an observer that is synchronized with another voter, or said goodbye to another voter.
 
-        Does nothing unless this voter knows the observer by an earlier join. Returns whether the observer was
-        removed.
+        ``join``: number of the observer's join to the other voter. Does nothing unless this voter knows the
+        observer by an earlier join. Returns whether the observer was removed.
         """
         observer = self.observers.get(name)
         if observer is None or (observer.incarnation, observer.join) >= (incarnation, join):
@@ -233,9 +239,11 @@
         )
 
     def newer_joins(self, queried: Iterable[ObserverJoin]) -> tuple[ObserverJoin, ...]:
-        """Return the later joins of another voter's departed observers, as far as this voter knows them.
+        """Return the joins that this voter knows of another voter's departed observers, and that are later
+        than the queried joins.
 
-        A join counts if the observer is linked to and synchronized with this voter, or said goodbye to it.
+        A join of an observer is only returned if the observer is linked to and synchronized with this voter.
+        For an observer that said goodbye to this voter, the join with `GOODBYE_JOIN_NUMBER` is returned.
         """
         newer: list[ObserverJoin] = []
         for join in queried:
@@ -255,8 +263,9 @@
     ) -> TrackedPosition:
         """Start to track which observers have not applied all changes up to ``position`` yet.
 
-        Returns the tracked position with these observers, all of which the barrier waits for. ``urgent`` and
-        ``hold``: as in `TrackedPosition`.
+        Returns the tracked position with these observers. Under ``hold`` those whose leases have expired are
+        left out. While leases of this voter's earlier incarnation may be valid, `UNKNOWN_OBSERVERS` is
+        included. ``urgent`` and ``hold``: as in `TrackedPosition`.
         """
         tracked = TrackedPosition(position, urgent, hold)
         for name, observer in self.observers.items():
@@ -270,7 +279,8 @@
         return tracked
 
     def untrack(self, barrier: BarrierId) -> None:
-        """Stop tracking the position of a barrier, whether or not observers still have to apply changes."""
+        """Stop tracking the position of a barrier, whether or not observers still have to apply changes up to
+        the position."""
         self.tracked.pop(barrier, None)
         self.dirty.discard(barrier)
 
@@ -282,8 +292,8 @@
     def expire_waits(self, mono_us: int) -> None:
         """End the waits that are not needed any more because leases have expired.
 
-        These are the wait for observers of this voter's earlier incarnation, and under `hold` the wait for
-        any observer whose lease has expired.
+        These are the waits for observers of this voter's earlier incarnation, and under `hold` the waits for
+        observers whose leases have expired.
         """
         for barrier, tracked in self.tracked.items():
             if UNKNOWN_OBSERVERS in tracked.waiting and mono_us >= self._unknown_until_us:
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -1,7 +1,9 @@
 """A voter's links from observers: joins, comparisons, change feeds, heartbeats and goodbyes.
 
-This module has no links to other voters; the caller sends them the message that `take_migrated` returns.
-Times are microseconds, ``mono_us`` monotonic and ``now_us`` Unix time.
+An observer receives changes on its *primary* link. On its *spare* link to another voter it only receives
+heartbeat replies, until the spare link replaces the primary link in a failover. This module has no links to
+other voters; the caller sends them the message that `take_migrated` returns. Times are microseconds,
+``mono_us`` monotonic and ``now_us`` Unix time.
 """
 
 from collections.abc import Callable, Mapping
@@ -59,7 +61,8 @@
         self.observer_progress = observer_progress
         self._age_us = age_us
         self._by_link: dict[Link, ObserverSession] = {}
-        self._migrated: dict[str, wire.ObserverJoin] = {}  # since the last `take_migrated`
+        # By observer name: the joins that the next `take_migrated` returns.
+        self._migrated: dict[str, wire.ObserverJoin] = {}
         self._outbox = outbox
         self._comparison_queue: dict[Link, None] = {}
         self._comparing: set[Link] = set()
@@ -72,7 +75,10 @@
     # Messages
 
     def open(self, mono_us: int, link: Link, join: wire.Join) -> None:
-        """Open a session on a link whose first message is a join. Raises JoinRefused."""
+        """Open a session on a link whose first message is a join.
+
+        Raises JoinRefused if the observer's options do not match this voter's, or the join is outdated.
+        """
         self._check(join)
         self._by_link[link] = ObserverSession(join.name, join.incarnation, join.number, mono_us)
         self._join(mono_us, link, join)
@@ -192,15 +198,15 @@
     # Changes
 
     def flush(self, mono_us: int) -> None:
-        """Send all observers the changes that their send windows allow."""
+        """Send each observer the changes that it lacks, as far as its send window allows."""
         for link, session in self._by_link.items():
             self._send_changes(mono_us, link, session)
 
     def take_migrated(self) -> wire.Migrated | None:
         """Return the message for the other voters about observers that migrated to this voter or left.
 
-        It names the observers that were synchronized with this voter, or said goodbye to it, since the last
-        call; None if there are none.
+        The message names the observers whose replicas became synchronized with this voter, or that said
+        goodbye to this voter, since the last call. Returns None if there are no such observers.
         """
         if not self._migrated:
             return None
@@ -225,7 +231,7 @@
             self._grant_comparisons()
 
     def _is_current(self, link: Link, session: ObserverSession) -> bool:
-        """Whether this is the observer's newest primary link, the only one on which changes are sent."""
+        """Whether ``link`` is the observer's newest primary link, the only one on which changes are sent."""
         observer = self.observer_progress.observers.get(session.name)
         return observer is not None and observer.link == link
 
@@ -254,7 +260,8 @@
         self._outbox.disconnect(link, why)
 
     def closed(self, link: Link) -> None:
-        """Remove the session of a link that has ended, and give its comparison slot to a queued observer."""
+        """Remove the session of a link that has ended, and give the comparison slot of that session, if it
+        had one, to a queued observer."""
         session = self._by_link.pop(link, None)
         if session is None:
             return
--- a/robinhill/control/operator_options.py
+++ b/robinhill/control/operator_options.py
@@ -1,4 +1,7 @@
-"""Maps the operators' file to the options of voters and observers; invalid keys raise ConfigError."""
+"""Maps the operators' configuration file to the options of voters and observers.
+
+Invalid keys raise ConfigError.
+"""
 
 from collections.abc import Callable
 
@@ -17,7 +20,7 @@
 
 
 def check_voters(mesh: MeshOptions) -> tuple[str, ...]:
-    """Validate the voter keys, which are the same for all processes.
+    """Validate the keys that configure voters, which are the same for all processes.
 
     Returns warnings for the operator. Raises ConfigError.
     """
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -1,7 +1,9 @@
-"""Options of the control group: validates the voter keys of the operators' file. Reads no file itself.
+"""Options of the control group: validates the keys of the operators' configuration file that configure
+voters. Reads no file itself.
 
-The *bound* (``mesh.bound_ms``) is the age of a scheduler's state at which its lease expires. Without a valid
-lease a scheduler sends no jobs in the `hold` mode, and continues to send in the `serve` mode (``on_lost``).
+A scheduler is an *observer* of the voters. The *bound* (``mesh.bound_ms``) is the age of the replicated state
+that a scheduler knows at which the scheduler's lease expires. Without a valid lease a scheduler sends no jobs
+in the `hold` mode, and continues to send in the `serve` mode (``on_lost``).
 """
 
 from collections import Counter
@@ -23,12 +25,12 @@
 successive heartbeats or their replies are lost."""
 
 PINGS_PER_BOUND = 16
-"""Pings that a voter sends to each other voter within the bound. A voter's knowledge of the others may be one
-ping interval old, and the leases that the voter renews expire earlier by the age of this knowledge."""
+"""Pings that a voter sends to each other voter within the bound. A voter's knowledge of the other voters may
+be one ping interval old, and the leases that the voter renews expire earlier by the age of this knowledge."""
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
-    """The region and zone of a process; each is empty where the operators' file does not set it."""
+    """The region and zone of a process; empty if the operators' configuration file does not set them."""
 
     region: str = ""
     zone: str = ""
@@ -38,8 +40,9 @@
     """The unvalidated keys of `mesh` that configure voters. Without ``voters`` there is no control group.
 
     ``regions``: the zones of each region of the installation; if it is empty, any region is valid.
-    ``on_lost_by_kind``: whether a scheduler without a valid lease may still act on records of a kind
-    (`serve`) or may not (`hold`); ``on_lost`` is the default for all other kinds.
+    ``on_lost_by_kind``: by record kind, whether a scheduler without a valid lease may still send jobs
+    according to the records of the kind (`serve`) or may not (`hold`); ``on_lost`` applies to all other
+    kinds.
     """
 
     voters: dict[Name, VoterPlace] = {}
--- a/robinhill/control/outbox.py
+++ b/robinhill/control/outbox.py
@@ -11,8 +11,8 @@
 class Metrics:
     """A voter's counters since its process started.
 
-    ``comparisons``: comparisons with observers' replicas. ``refused``: links closed because of a malformed,
-    unexpected or rejected message.
+    ``comparisons``: comparisons of the voter's replica with observers' replicas, including comparisons that
+    were skipped. ``refused``: links closed because of a malformed, unexpected or rejected message.
     """
 
     bytes_to_voters: int = 0
--- a/robinhill/control/pending_offers.py
+++ b/robinhill/control/pending_offers.py
@@ -1,5 +1,5 @@
-"""Changes that an observer wrote itself, retained until they are in force so that the observer can offer them
-to another voter after a failover."""
+"""Changes that an observer wrote itself, retained so that the observer can offer them to another voter after
+a failover. A change is retained until it is *in force*: no scheduler can send jobs without knowing it."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,7 +8,8 @@
 from robinhill.mesh.records import Record
 
 MAX_PENDING_OFFERS = 1_024
-"""At this limit a new offer evicts the oldest accepted offer."""
+"""At this limit a new offer evicts the oldest offer whose change the voter has reported as accepted
+(`Progressed.accepted`)."""
 
 
 class PendingOffers:
@@ -45,7 +46,7 @@
         return offer
 
     def accepted(self, number: int) -> None:
-        """Record that a majority of voters has stored the change, so its offer may be evicted."""
+        """Record that a change was accepted, so its offer may be evicted."""
         self._accepted.add(number)
 
     def drop(self, number: int) -> None:
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -30,7 +30,7 @@
 sends two kilobytes of digests for each comparison."""
 
 REPAIR_RETRY_US = 5_000_000
-"""Maximum interval between two comparisons after this replica has rejected a record."""
+"""Maximum interval between two comparisons while this replica lacks a record that it has rejected."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
 """Differs from every confirmation, so that the next confirmation is sent even if nothing has changed."""
@@ -56,7 +56,8 @@
     """One observer's replica and its position in the primary voter's changes.
 
     ``mono_us`` is monotonic time and ``now_us`` Unix time, in microseconds. After the observer has joined
-    another primary voter, ``feed_position`` still refers to the previous one until the new one has replied.
+    another primary voter, ``feed_position`` still refers to the previous primary voter until the new one has
+    replied to the join. ``confirm_due_us``: monotonic time from which the next confirmation may be sent.
     """
 
     def __init__(self, replica: Replica, outbox: Outbox, rng: Random, mono_us: int) -> None:
@@ -79,7 +80,8 @@
     # The primary voter
 
     def clear(self, without_lease_us: int) -> None:
-        """Drop the position, and the kinds of records that other processes may have dropped as expired.
+        """Drop the position, and all records of the kinds of which other processes may have dropped records
+        as expired.
 
         ``without_lease_us``: how long the observer has had no valid lease.
         """
@@ -95,7 +97,7 @@
         self._missing_at_voter.clear()
 
     def stop_sync(self) -> None:
-        """End the synchronization, as the link to the primary voter has ended."""
+        """Mark the replica as not synchronized, as the link to the primary voter has ended."""
         self.synchronized = False
 
     def reset_position(self, voter: str, incarnation: int) -> None:
@@ -133,7 +135,8 @@
             self._receive_range_part(now_us, part)
 
     def finish_comparison(self, link: Link, position: int) -> None:
-        """Offer the records that the voter lacks, as all ranges whose digests differ were received.
+        """Offer the records that the voter lacks, and advance the position; called once all ranges whose
+        digests differ were received.
 
         ``position``: position in the voter's log that the ranges cover; 0: the voter skipped the comparison,
         or its log is empty.
@@ -147,8 +150,9 @@
     def repair(self, now_us: int, mono_us: int, link: Link) -> None:
         """Begin another comparison if one is due.
 
-        One is due within `REPAIR_INTERVAL_US`, or within `REPAIR_RETRY_US` if this replica has rejected a
-        record.
+        The next comparison is due within `REPAIR_INTERVAL_US` after the last one, or within `REPAIR_RETRY_US`
+        if this replica lacks a record that it has rejected. Each interval is random, between half of this
+        maximum and the maximum.
         """
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
@@ -189,7 +193,7 @@
     # Changes
 
     def receive_changes(self, now_us: int, changes: wire.Changes) -> None:
-        """Merge changes that the voter sent, and advance the position."""
+        """Merge changes that the voter sent, and advance the position to that of the message."""
         self._messages_received += 1
         self._merge(now_us, changes.records)
         self.advance_position(changes.position, urgent=changes.urgent)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -1,10 +1,11 @@
 """A voter of the control group, as a state machine without I/O: it processes messages and time, and returns
 actions.
 
-Voters replicate records among themselves over a full mesh of links (`voter_links`); only voters count for
-majorities. Each observer joins one voter, which sends it all changes (`observer_sessions`). A voter tracks
-the changes that it receives from its caller or its observers until they are in force at all schedulers
-(`change_coordinator`).
+Voters replicate records among themselves over a full mesh of links (`voter_links`). Only voters count for
+majorities, and each voter only once it knows all changes that were ever accepted, that is, stored by a
+majority of voters. Each observer, which is a scheduler, joins one voter, which sends the observer all changes
+(`observer_sessions`). A voter tracks the changes that it receives from its caller or its observers until the
+changes are in force: no scheduler can send jobs without knowing them (`change_coordinator`).
 
 All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
 monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
@@ -39,15 +40,20 @@
 from robinhill.mesh.session_events import Event, HelloReceived, PingAnswered, RecordsReceived
 
 FLUSH_INTERVAL_US = 5_000
-"""Minimum interval between two times at which pending changes are sent to all observers. A change that comes
-after a longer pause is sent at once."""
+"""Minimum interval between two times at which pending changes are sent to all observers. A change that is
+received after this interval has passed since the last such time is sent at once."""
 
 COLLECT_INTERVAL_US = 1_000_000
-"""Interval at which expired records are collected and silent links closed."""
+"""Interval at which expired records are removed from the replica and silent links are closed."""
 
 
 class Voter:
-    """One voter. ``replica`` may hold records that were read from disk. ``rng`` jitters reconnections."""
+    """One voter.
+
+    ``incarnation``: identifies this process, and is higher after each restart. ``replica`` may hold records
+    that were read from disk. ``urgent_kinds``: record kinds whose changes are sent to observers before all
+    others. ``rng`` jitters reconnections.
+    """
 
     def __init__(
         self,
@@ -149,8 +155,9 @@
     def change_voters(self, now_us: int, mono_us: int, options: ControlOptions) -> list[Action]:
         """Use a new list of voters, which may differ from the present list by one voter.
 
-        Raises VotersNotOneAtATime if it differs by more, or if the previous change of the list has not
-        settled (`VoterLinks.settle`).
+        Raises VotersNotOneAtATime if the lists differ by more than one voter, or if the previous change of
+        the list has not settled: not all voters have used the changed list for longer than a lease lasts
+        (`VoterLinks.settle`).
         """
         changed = frozenset(options.voters) ^ frozenset(self.options.voters)
         if len(changed) > 1:
@@ -174,7 +181,8 @@
         return self._finish(now_us, mono_us)
 
     def remove_observer(self, now_us: int, mono_us: int, observer: str) -> list[Action]:
-        """End all waits for a scheduler which, as an operator has reported, no longer runs."""
+        """Remove a scheduler which, as an operator has reported, no longer runs, so that no change waits
+        until the scheduler has applied it."""
         self._sessions.remove(observer)
         return self._finish(now_us, mono_us)
 
@@ -216,7 +224,7 @@
     def age_us(self, mono_us: int) -> int | None:
         """Return the age, in microseconds, of the majority's state that this voter reports to observers.
 
-        None: it knows no majority's state, or lacks records that it rejected.
+        None: this voter knows no majority's state, or lacks records that it rejected.
         """
         return self._voter_links.ages.age_us(mono_us)
 
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -27,8 +27,8 @@
     """A link to another voter.
 
     ``dialed``: the voter that we connected to; None if the other voter connected to us. ``name``: the other
-    voter's name; None until its hello was received. ``status``: the last status received on this link;
-    ``sent_status``: the last status sent; None: there was none.
+    voter's name; None until its hello was received. ``status``: the last status received on this link; None
+    if none was received. ``sent_status``: the last status sent on this link; None if none was sent.
     """
 
     session: Session
@@ -42,7 +42,8 @@
     def written_position(self) -> int:
         """Position in our log up to which all changes were sent to the voter, so they precede later messages.
 
-        0 until the first comparison has determined which records the voter lacks, and these are sent.
+        0 until the first comparison has determined which records the voter lacks, and while such records are
+        still to be sent.
         """
         anti_entropy = self.session.anti_entropy
         return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
@@ -57,7 +58,7 @@
 
 
 class _RequiredRounds(NamedTuple):
-    """The number of completed comparisons of ``session`` from which on a voter may be complete again."""
+    """The number of comparisons that ``session`` must have completed before a voter may be complete again."""
 
     session: Session
     rounds: int
@@ -209,7 +210,7 @@
         self._backoff.connected(voter.dialed or name)
 
     def closed(self, mono_us: int, link: Link) -> str | None:
-        """Remove a link. Returns the voter's name if this was its current link."""
+        """Remove a link. Returns the other voter's name if the link was its current one, otherwise None."""
         voter = self.by_link.pop(link, None)
         if voter is None:
             return None
@@ -271,7 +272,10 @@
         return tuple(sorted(self._incarnations.values()))
 
     def reconfigure(self, options: ControlOptions) -> None:
-        """Add a new list of voters; majorities of the earlier lists are required too until `settle`."""
+        """Add a new list of voters.
+
+        Until `settle` drops the earlier lists, a majority of each earlier list is required too.
+        """
         self.options = options
         self.freshness.reconfigure(options.voters)
         self._agreed_since_us = None
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -30,7 +30,8 @@
     def next(self, mono_us: int, linked: Collection[str]) -> str | None:
         """Return the most preferred voter without a link whose backoff has ended.
 
-        None if there is no such voter, or while a connection attempt to any voter is in flight.
+        ``linked``: voters with a link. Returns None if there is no such voter, or while a connection attempt
+        to any voter is in flight.
         """
         self.backoff.expire(mono_us)
         if self.backoff.connecting:
