--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -38,7 +38,7 @@
         return state.due_us if state is not None else 0
 
     def connect(self, mono_us: int, voter: str) -> None:
-        """Record that a connection attempt starts now."""
+        """Record that a connection attempt to a voter starts at ``mono_us``."""
         self._state(voter).connecting_since_us = mono_us
 
     def connected(self, voter: str) -> None:
@@ -57,7 +57,7 @@
         state.due_us = mono_us + self._rng.randint(state.backoff_us // 2, state.backoff_us)
 
     def expire(self, mono_us: int) -> None:
-        """Record the attempts that have timed out as failed."""
+        """Record attempts that are in flight for longer than `CONNECT_TIMEOUT_US` as failed."""
         for name, state in self._states.items():
             since_us = state.connecting_since_us
             if since_us is not None and mono_us - since_us > CONNECT_TIMEOUT_US:
--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -92,7 +92,8 @@
     def handle_barrier(self, mono_us: int, origin: str, barrier: wire.Barrier) -> None:
         """Track, for another voter's barrier, which observers lag behind the head of this voter's log.
 
-        The log already includes the changes that the barrier covers, as these were sent before the barrier.
+        The log already includes the changes that the barrier covers, as the other voter sent these changes
+        before the barrier.
         """
         position = self._sessions.changelog.head(barrier.urgent)
         self.observer_progress.track(
@@ -108,9 +109,9 @@
         self.observer_progress.untrack(BarrierId(origin, end.number))
 
     def voter_unlinked(self, name: str) -> None:
-        """Discard the statuses and the barriers that a voter sent whose link has ended.
+        """Discard the statuses and the barriers that were received from a voter whose link has ended.
 
-        Both sides send their barriers again on the next link.
+        Both voters send their barriers again on the next link.
         """
         self.commit_tracker.voter_unlinked(name)
         self.observer_progress.untrack_matching(lambda barrier: barrier.origin == name)
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -37,7 +37,8 @@
     """The reply to a heartbeat.
 
     The reply is due once all changes up to ``position`` and all urgent changes up to ``urgent_position`` are
-    sent. ``age_us``: age of the majority's state that the voter knew; -1: the voter knew none.
+    sent. ``age_us``: age of the newest state of a majority of voters that the voter knew when it read the
+    heartbeat; -1: the voter knew no such state.
     """
 
     number: int
@@ -64,7 +65,8 @@
         self._differing_ranges: list[int] = []
         self._current_range = 0
         self._unsent_records: list[Record] | None = None  # of the current range; None: no range is being sent
-        # The replica's head when the comparison in progress began; 0: it is skipped; None: there is none.
+        # Head of the replica's log when the comparison in progress began; 0: the comparison is skipped; None:
+        # no comparison is in progress.
         self._compared_position: int | None = None
         self._pending_reply: _PendingReply | None = None
 
@@ -110,7 +112,8 @@
     def heartbeat(self, number: int, age_us: int | None) -> None:
         """Queue the reply to a heartbeat that was just read, unless another reply is pending.
 
-        ``age_us``: age of the majority's state that the voter knows; None: it knows none.
+        ``age_us``: age of the newest state of a majority of voters that the voter knows; None: the voter
+        knows no such state.
         """
         if self._pending_reply is None:  # otherwise this heartbeat gets no reply, but a later heartbeat does
             position, urgent = self.changelog.replica.head, self.changelog.urgent_head
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -2,7 +2,7 @@
 
 A feed reads *urgent* changes, which are those of the urgent record kinds, before all others (*bulk* changes).
 Observers have no queues of their own: a message is encoded once for all observers with the same cursor. A
-cursor is the position up to which a reader has received the changes.
+cursor is the position up to which a reader has read the changes.
 """
 
 from collections.abc import Collection, Iterable
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -29,8 +29,8 @@
 MAX_BATCHES = 1_024
 MAX_TRACKED_CHANGES = 8_192
 """At either limit the oldest accepted batch is dropped, and its progress is no longer reported. Without a
-limit batches could accumulate: under `serve` they wait for a scheduler that was killed until an operator
-reports that it no longer runs."""
+limit batches could accumulate: under `serve` a batch waits for a scheduler that was killed until an operator
+reports that the scheduler no longer runs."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,7 +84,7 @@
         self._lease_us = with_slack(bound_us)
         self._tracked_changes = 0
         self._last_number = 0
-        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # by urgent and hold
+        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # newest batch for each (urgent, hold)
         self._ended: list[ChangeBatch] = []
 
     # Changes
@@ -194,7 +194,8 @@
         self.acceptance.started(voter, incarnation)
 
     def voter_unlinked(self, voter: str) -> None:
-        """Discard the statuses of a voter whose link is lost, as they may be outdated once it reconnects.
+        """Discard the statuses of a voter whose link is lost, as the statuses may be outdated once the voter
+        reconnects.
 
         All barriers are sent to the voter again on the next link.
         """
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -74,9 +74,9 @@
     """Asks how many of the receiver's observers have not applied all changes that the receiver stores now.
 
     The sender has sent the changes that the barrier covers on the same ordered link before the barrier.
-    ``number``: chosen by the sender, and repeated in each `BarrierStatus`. ``urgent``: only changes of urgent
-    kinds matter. ``hold``: a scheduler without a lease sends no jobs, so the receiver doesn't wait for
-    observers whose leases have expired.
+    ``number``: chosen by the sender, and repeated in each `BarrierStatus`. ``urgent``: the request covers
+    only changes of urgent record kinds. ``hold``: a scheduler without a lease sends no jobs, so the receiver
+    doesn't wait for observers whose leases have expired.
     """
 
     number: int
@@ -133,7 +133,7 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag="join"):
-    """The first message on a link; a second one on a spare link makes it the primary link.
+    """The first message on a link; a second join on a spare link makes that link the primary link.
 
     ``voter``, ``voter_incarnation``, ``position``: the observer has all changes in the log of that voter's
     incarnation up to the position; -1: it has the complete state of no voter. ``bound_us``, ``on_lost``: the
@@ -186,7 +186,7 @@
 
 class Applied(msgspec.Struct, frozen=True, array_like=True, tag="applied"):
     """The observer has applied all changes up to ``position``, and all urgent changes up to ``urgent``; -1:
-    the observer is not synchronized yet.
+    the observer does not have the voter's complete state as of any position yet.
 
     ``received``: number of `RangeRecords`, `Compared` and `Changes` messages received on this link; it
     advances the voter's send window.
@@ -249,8 +249,10 @@
 
 
 class Changes(msgspec.Struct, frozen=True, array_like=True, tag="changes"):
-    """The newest values of the records that changed up to ``position``; ``urgent``: only those of urgent
-    kinds."""
+    """The newest values of the records that have changed since the observer's position, up to ``position``.
+
+    ``urgent``: the message covers only records of urgent kinds.
+    """
 
     position: int
     urgent: bool
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -105,7 +105,7 @@
         return self._finish(mono_us)
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """Process a received message; a malformed or unexpected one closes the link."""
+        """Process a received message. Closes the link if the message is malformed or unexpected."""
         if link in self._links.by_link:
             try:
                 self._dispatch(now_us, mono_us, link, wire.read(data))
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -77,8 +77,8 @@
 class TrackedPosition:
     """A position in the log, and the observers that have not yet applied all changes up to it (``waiting``).
 
-    ``urgent``: only changes of urgent kinds matter. ``hold``: the wait for an observer also ends once its
-    lease has expired.
+    ``urgent``: observers only have to apply the changes of urgent record kinds up to the position. ``hold``:
+    the wait for an observer also ends once the observer's lease has expired.
     """
 
     position: int
@@ -114,9 +114,10 @@
     def joined(
         self, mono_us: int, name: str, incarnation: int, join: int, link: Link
     ) -> ObserverState | None:
-        """Record the join of an observer. Returns None for a join that a later join has superseded.
+        """Record the join of an observer, and return the observer's state.
 
-        A later incarnation replaces the earlier one, and no change waits for the earlier one any more.
+        Returns None, and records nothing, if a later join of the observer is already known. A later
+        incarnation replaces the earlier one, and no change waits for the earlier one any more.
         """
         known = self.observers.get(name)
         if known is not None and (known.incarnation, known.join) > (incarnation, join):
@@ -226,7 +227,8 @@
     def departed_to_query(self, mono_us: int) -> tuple[ObserverJoin, ...]:
         """Return departed observers whose leases have expired, to query the other voters about them.
 
-        Returns at most `MAX_DEPARTED_PER_QUERY`, the least recently queried first.
+        Returns at most `MAX_DEPARTED_PER_QUERY` observers; those about which the other voters were queried
+        least recently come first.
         """
         expired = [name for name in self._departed if self._lease_expired(mono_us, name)]
         names = expired[:MAX_DEPARTED_PER_QUERY]
--- a/robinhill/control/observer_sessions.py
+++ b/robinhill/control/observer_sessions.py
@@ -20,7 +20,8 @@
 from robinhill.cordon.propagation import Mode
 
 MAX_COMPARISONS = 64
-"""Limit of the observers that compare their replicas with this voter at the same time; others are queued."""
+"""Limit of the observers that compare their replicas with this voter's at the same time. Further observers
+wait in a queue."""
 
 
 @dataclass(slots=True)
@@ -42,8 +43,8 @@
 class ObserverSessions:
     """The links from the observers of one voter.
 
-    ``age_us`` returns the age of the majority's state that the voter knows at a monotonic time, or None if it
-    knows no majority's state.
+    ``age_us`` returns the age, at a monotonic time, of the newest state of a majority of voters that this
+    voter knows; None if this voter knows no such state.
     """
 
     def __init__(
@@ -103,7 +104,7 @@
             case wire.Digests() if feed is not None:
                 self._handle_digests(now_us, mono_us, link, session, feed, message)
             case wire.Applied() | wire.Digests():
-                return  # ignored: the observer has later joined on another link, or this link is spare
+                return  # ignored, as the observer has later joined on another link, or this link is spare
             case _:
                 raise JoinRefused(f"{session.name} sent {type(message).__name__}, which observers don't send")
 
@@ -144,7 +145,8 @@
         self._grant_comparisons()
 
     def _may_resume(self, join: wire.Join) -> bool:
-        """Whether the observer can resume: its position is in the log of this voter's present incarnation."""
+        """Whether the observer can resume without a comparison, as the position in its join is in the log of
+        this voter's present incarnation."""
         same_log = join.voter == self.options.name and join.voter_incarnation == self.incarnation
         return same_log and 0 <= join.position <= self.changelog.replica.head
 
@@ -272,11 +274,12 @@
         self._grant_comparisons()
 
     def silent_links(self, mono_us: int) -> list[Link]:
-        """Links on which nothing was received for longer than the bound."""
+        """Links on which nothing was received for longer than the bound (``mesh.bound_ms``)."""
         timeout_us = self.options.bound_us
         return [link for link, one in self._by_link.items() if mono_us - one.last_received_us > timeout_us]
 
     def expire_departed(self, mono_us: int) -> None:
-        """Remove disconnected observers whose leases have expired, if the mode of all kinds is `hold`."""
+        """Remove disconnected observers whose leases have expired, if the mode of all record kinds is `hold`,
+        in which a scheduler without a lease sends no jobs."""
         if self.options.on_lost is Mode.HOLD and Mode.SERVE not in self.options.on_lost_by_kind.values():
             self.observer_progress.remove_expired(mono_us)
--- a/robinhill/control/record_kinds.py
+++ b/robinhill/control/record_kinds.py
@@ -18,5 +18,5 @@
 
 
 def kind_names(registered: Iterable[Kind[Any]]) -> tuple[str, ...]:
-    """Return the names of record kinds, as they are spelled in the operators' file."""
+    """Return the names of record kinds, as they are spelled in the operators' configuration file."""
     return tuple(kind.name for kind in registered)
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -33,7 +33,8 @@
 """Maximum interval between two comparisons while this replica lacks a record that it has rejected."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
-"""Differs from every confirmation, so that the next confirmation is sent even if nothing has changed."""
+"""Differs from every confirmation that can be sent. Set as the last confirmation, it causes the next one to
+be sent even if nothing has changed."""
 
 RecordName = tuple[str, str]
 
@@ -71,8 +72,8 @@
         self._rejected_in_comparison = False
         self._messages_received = 0
         self._confirmed = wire.Applied(0, -1, -1)
-        # For each range not completely received yet: names of the received records that this replica has in
-        # the voter's version.
+        # By number of a range that is not completely received yet: names of the received records of which
+        # this replica stores the voter's version.
         self._compared_names: dict[int, set[RecordName]] = {}
         self._missing_at_voter: dict[RecordName, None] = {}
         self._repair_due_us = 0
@@ -151,8 +152,7 @@
         """Begin another comparison if one is due.
 
         The next comparison is due within `REPAIR_INTERVAL_US` after the last one, or within `REPAIR_RETRY_US`
-        if this replica lacks a record that it has rejected. Each interval is random, between half of this
-        maximum and the maximum.
+        if this replica lacks a record that it has rejected. The intervals are random.
         """
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -127,7 +127,7 @@
         return self._finish(now_us, mono_us)
 
     def received(self, now_us: int, mono_us: int, link: Link, data: bytes) -> list[Action]:
-        """Process a received message; a malformed or unexpected one closes the link."""
+        """Process a received message. Closes the link if the message is malformed or unexpected."""
         head = self.replica.head
         try:
             self._dispatch(now_us, mono_us, link, wire.read(data))
@@ -189,8 +189,8 @@
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Do the work that is due: expiry of records and links, connections, changes of the list of voters,
-        and sending of pending messages."""
+        """Do the work that is due: expiry of records and links, connections, settling of a changed list of
+        voters, and sending of pending messages."""
         if mono_us >= self._collect_due_us:
             self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self._collect(now_us, mono_us)
@@ -240,7 +240,7 @@
 
     @property
     def linked_observers(self) -> int:
-        """Number of observers that have joined this voter, synchronized or not, without spare links."""
+        """Number of observers whose primary link is to this voter, synchronized or not."""
         return sum(session.feed is not None for session in self._sessions.by_link.values())
 
     @property
@@ -431,7 +431,7 @@
             self._changes.voter_unlinked(name)
 
     def _drop_silent_links(self, mono_us: int) -> None:
-        """Close links on which nothing was received for longer than the bound."""
+        """Close links on which nothing was received for longer than the bound (``mesh.bound_ms``)."""
         pending = [link for link, at in self._pending_links.items() if mono_us - at > self.options.bound_us]
         voters, observers = self._voter_links.silent_links(mono_us), self._sessions.silent_links(mono_us)
         for link in (*pending, *voters, *observers):
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -166,7 +166,8 @@
         self._outbox = outbox
         self._sent_by_another = sent_by_another
         self._backoff = Backoff(rng)
-        self._agreed_since_us: int | None = None  # time since which all voters use the newest list
+        # Monotonic time since when all voters use the newest list; None if not all of them are known to.
+        self._agreed_since_us: int | None = None
 
     @property
     def names(self) -> frozenset[str]:
@@ -222,7 +223,7 @@
         return voter.name
 
     def silent_links(self, mono_us: int) -> list[Link]:
-        """Links on which nothing was received for longer than the bound."""
+        """Links on which nothing was received for longer than the bound (``mesh.bound_ms``)."""
         timeout_us = self.options.bound_us
         return [link for link, voter in self.by_link.items() if mono_us - voter.last_received_us > timeout_us]
 
--- a/robinhill/control/voter_selection.py
+++ b/robinhill/control/voter_selection.py
@@ -44,7 +44,7 @@
     def due_us(self, linked: Collection[str]) -> int | None:
         """Time at which `next` may return a voter, because an attempt times out or a backoff ends.
 
-        ``linked``: voters with a link. None if all voters have one.
+        ``linked``: voters with a link. Returns None if all voters have a link.
         """
         if self.backoff.connecting:
             return self.backoff.expires_us()
