--- a/robinhill/control/lease.py
+++ b/robinhill/control/lease.py
@@ -1,7 +1,7 @@
 """An observer's lease: the newest time as of which the observer knows the state of a majority of voters.
 
-A change is *accepted* once a majority of voters has stored it. The *bound* is the configured age of the known
-state at which the lease expires.
+A change is *accepted* once a majority of voters has stored it. The *bound* is the configured maximum age of
+the state that the observer knows; the lease expires when this state becomes older than the bound.
 
 **Guarantee.** An observer with a valid lease knows every change that was accepted longer ago than the bound,
 whatever the network does. (In the `hold` mode an observer, which is a scheduler, sends no job without a valid
@@ -82,7 +82,8 @@
         """Process a heartbeat reply. Returns whether it extends the lease.
 
         The caller must already have merged all changes that the voter sent before the reply. ``age_us``: age
-        of the majority's state that the voter knew when it read the heartbeat; negative: it knew none.
+        of the majority's state that the voter knew when it read the heartbeat; negative: the voter knew no
+        majority's state.
         """
         if not self._accepts_replies or all(number != one.number for one in self._in_flight):
             return False
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -2,8 +2,9 @@
 to another voter, which replaces the primary voter in a failover.
 
 Chooses voters, joins them, sends heartbeats, and detects silent links and the need for a failover. The
-*bound* is the configured age of the known state of a majority of voters at which the observer's lease
-expires. This module is independent of records. Times are monotonic microseconds.
+*bound* is the configured maximum age of the state of a majority of voters that the observer knows; the
+observer's lease expires when this state becomes older than the bound. This module is independent of records.
+Times are monotonic microseconds.
 """
 
 from collections.abc import Iterator
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -1,9 +1,10 @@
 """Options of the control group: validates the keys of the operators' configuration file that configure
 voters. Reads no file itself.
 
-A scheduler is an *observer* of the voters. The *bound* (``mesh.bound_ms``) is the age of the replicated state
-that a scheduler knows at which the scheduler's lease expires. Without a valid lease a scheduler sends no jobs
-in the `hold` mode, and continues to send in the `serve` mode (``on_lost``).
+A scheduler is an *observer* of the voters. The *bound* (``mesh.bound_ms``) is the maximum age of the
+replicated state that a scheduler knows; the scheduler's lease expires when this state becomes older than the
+bound. Without a valid lease a scheduler sends no jobs in the `hold` mode, and continues to send in the
+`serve` mode (``on_lost``).
 """
 
 from collections import Counter
@@ -30,7 +31,7 @@
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
-    """The region and zone of a process; empty if the operators' configuration file does not set them."""
+    """The region and zone of a process; each is empty if the operators' configuration file does not set it."""
 
     region: str = ""
     zone: str = ""
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -42,8 +42,8 @@
     def written_position(self) -> int:
         """Position in our log up to which all changes were sent to the voter, so they precede later messages.
 
-        0 until the first comparison has determined which records the voter lacks, and while such records are
-        still to be sent.
+        0 until the first comparison has determined which records the voter lacks, and while any record that a
+        comparison found the voter to lack is still to be sent.
         """
         anti_entropy = self.session.anti_entropy
         return self.session.sender.cursor if anti_entropy.rounds and not anti_entropy.pending else 0
