--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -31,7 +31,7 @@
 
 
 class Place(Struct, frozen=True, forbid_unknown_fields=True):
-    """The region and zone of a process; each is empty if the operators' configuration file does not set it."""
+    """The region and zone of a process; each is empty if the operators' file does not set it."""
 
     region: str = ""
     zone: str = ""
