--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -29,8 +29,8 @@
 MAX_BATCHES = 1_024
 MAX_TRACKED_CHANGES = 8_192
 """At either limit the oldest accepted batch is dropped, and its progress is no longer reported. Without a
-limit batches could accumulate: under `serve` they wait for a scheduler that was killed until an operator
-reports that it no longer runs."""
+limit batches could accumulate: under `serve` a batch waits for a scheduler that was killed until an operator
+reports that the scheduler no longer runs."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,12 +47,13 @@
     """Changes that share a barrier.
 
     ``urgent``: all changes are of urgent kinds. ``hold``: the mode of the changes is `hold`, otherwise
-    `serve`. ``position``: position of the batch's last change in this voter's log. ``changes``: the numbers
-    of the changes. ``stamp``: identifies the batch in `Acceptance`. ``sealed``: the batch's barriers are due,
-    so no change is added any more. ``accepted_us``: when a majority had stored the changes; None before
-    then. ``queried``: voters that were sent the barrier on their present link. ``lagging``: the lagging
-    observers in the last status of each voter. ``last_reported``: the status in the last progress report.
-    ``dirty``: the status may have changed since that report.
+    `serve`. ``opened_us``: when the first change was added. ``position``: position of the batch's last change
+    in this voter's log. ``changes``: the numbers of the changes. ``stamp``: identifies the batch in
+    `Acceptance`. ``sealed``: the batch's barriers are due, so no change is added any more. ``accepted_us``:
+    when this voter found that a majority had stored the changes; None before then. ``queried``: voters that
+    were sent the barrier on their present link. ``lagging``: the lagging observers in the last status of each
+    voter. ``last_reported``: the status in the last progress report; None if there was no report. ``dirty``:
+    the status may have changed since the status was last evaluated for a report.
     """
 
     number: int
@@ -83,7 +84,7 @@
         self._lease_us = with_slack(bound_us)
         self._tracked_changes = 0
         self._last_number = 0
-        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # by urgent and hold
+        self._newest: dict[tuple[bool, bool], ChangeBatch] = {}  # newest batch for each (urgent, hold)
         self._ended: list[ChangeBatch] = []
 
     # Changes
@@ -104,8 +105,8 @@
     def track(self, mono_us: int, change: int, position: int, *, urgent: bool, hold: bool) -> None:
         """Add a change that this voter has stored to a batch of equal urgency and mode.
 
-        ``change``: number of the change. ``position``: position of the latest change of this urgency in this
-        voter's log, read after the change was stored.
+        ``change``: number of the change. ``position``: position of the latest change of equal urgency in this
+        voter's log, read after the change was stored. ``urgent``, ``hold``: as in `ChangeBatch`.
         """
         batch = self._newest.get((urgent, hold))
         if batch is None or batch.sealed:
@@ -193,7 +194,8 @@
         self.acceptance.started(voter, incarnation)
 
     def voter_unlinked(self, voter: str) -> None:
-        """Discard the statuses of a voter whose link is lost, as they may be outdated once it reconnects.
+        """Discard the statuses of a voter whose link is lost, as the statuses may be outdated once the voter
+        reconnects.
 
         All barriers are sent to the voter again on the next link.
         """
@@ -258,7 +260,8 @@
         return LaggingObservers(count, tuple(names[:MAX_LAGGING_NAMES]))
 
     def _leases_expired(self, mono_us: int, batch: ChangeBatch) -> bool:
-        """Whether every lease that does not cover an accepted batch has expired."""
+        """Whether a batch of the mode `hold` is accepted, and every lease of an observer that may not know
+        the batch's changes has expired."""
         return batch.hold and batch.accepted_us is not None and mono_us >= batch.accepted_us + self._lease_us
 
     def _seal_due_us(self, batch: ChangeBatch) -> int:
