--- a/robinhill/mesh/acknowledgements.py
+++ b/robinhill/mesh/acknowledgements.py
@@ -19,7 +19,7 @@
 MAX_ACKNOWLEDGEMENTS = 4_096  # one for each scheduler, including names that are no longer configured
 MAX_RECENT_CHANGES = 8  # changes listed one by one; all others are covered by one digest over all of them
 DIGEST_BYTES = 8
-MAX_BYTES = 4_096  # of an encoded acknowledgement
+MAX_BYTES = 4_096  # a longer encoded acknowledgement is rejected
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
--- a/robinhill/mesh/change_log.py
+++ b/robinhill/mesh/change_log.py
@@ -21,7 +21,7 @@
         # An entry is a record and the number of one of its changes. The entry is live while that number
         # equals the record's ``change_number``; it is stale once the record has changed again or was dropped.
         self._entries: list[StoredRecord] = []
-        self._numbers: list[int] = []  # of the changes, by the position of the entry
+        self._numbers: list[int] = []  # the change number of each entry, by the entry's position
 
     def append(self, stored: StoredRecord, live_records: int) -> None:
         """Give a changed record the next number. ``live_records``: how many records the copy stores.
--- a/robinhill/mesh/clocks.py
+++ b/robinhill/mesh/clocks.py
@@ -36,7 +36,7 @@
 
 MAX_SKEW_US = 5_000_000  # clocks of hosts with NTP differ by far less; a larger skew is a fault to report
 MAX_FUTURE_US = 24 * 3_600_000_000  # a record with a stamp further in the future is rejected (rule 3)
-MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # of a record of any kind, registered in this process or not
+MAX_LIFETIME_US = 31 * 24 * 3_600_000_000  # limit for records of all kinds, registered in this process or not
 MAX_TIME_US = 2**53 - 1  # the year 2255; JSON readers round larger integers
 MAX_COUNT = 2**32 - 1  # the largest count of a stamp, which tells writes within one microsecond apart
 MIN_CLOCKS = 3  # if only two clocks are known and they differ, either may be wrong
--- a/robinhill/mesh/merging.py
+++ b/robinhill/mesh/merging.py
@@ -15,7 +15,7 @@
 from robinhill.mesh.records import Kind, Record
 
 MAX_MERGED_VALUE_BYTES = 256 << 10  # a cordon takes some 100 bytes, evidence of 200 schedulers some 10,000
-MAX_NAME_CHARACTERS = 512  # of a record's key or origin
+MAX_NAME_CHARACTERS = 512  # maximum length of a record's key, and of its origin
 MAX_KIND_CHARACTERS = 64
 MAX_INCARNATION = 2**63
 
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -14,7 +14,9 @@
 from robinhill.mesh.records import Record, RecordName
 
 MAX_RECORDS_PER_PUSH = 256
-MAX_PUSH_BYTES = 64 << 10  # of values; a longer push would delay the pong that is written after it
+# Target for the total size of the values in one push, which a single record may exceed; a longer push would
+# delay the pong that is written after it.
+MAX_PUSH_BYTES = 64 << 10
 FRAME_OVERHEAD_BYTES = 4 << 10  # upper limit of a frame's size in addition to the key and value of a record
 RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer directly
 
@@ -55,7 +57,8 @@
         self.receives_directly: Callable[[str], bool] = lambda _origin: False
         self.relay_due_us: int | None = None  # when delayed changes must be written; None if there are none
         self.pushed = 0  # number of records that were pushed
-        # Number of records that were not pushed, because the peer was known to have them or for their size.
+        # Number of records that were not pushed, because the peer was known to have them or because they were
+        # too large for a message.
         self.skipped = 0
         self._pending = pending  # names of records that anti-entropy found the peer to lack
         # The records changed after the cursor that the peer itself has sent, by name.
--- a/robinhill/mesh/record_kinds.py
+++ b/robinhill/mesh/record_kinds.py
@@ -27,12 +27,12 @@
 
 HOUR_US = 3_600_000_000
 MAX_RETRY_WINDOW_US = 600_000_000  # default time within which a client may retry a keyed request
-MAX_OBSERVATIONS = 600  # of one worker: three by each of 200 schedulers
+MAX_OBSERVATIONS = 600  # maximum stored for one worker: three by each of 200 schedulers
 MAX_DRAIN_RECORDS = 1_024  # one for each scheduler, including schedulers that are no longer configured
 DRAIN_LIFETIME_US = 7 * 24 * HOUR_US
 MAX_EVIDENCE_RECORDS = 8_192  # one for each worker; those written longest ago are evicted first
 EVIDENCE_LIFETIME_US = HOUR_US
-MIN_LIFETIME_US = 60_000_000  # of a record of a keyed request
+MIN_LIFETIME_US = 60_000_000  # shortest lifetime of the record of a keyed request
 MAX_REQUEST_RECORDS = 16_384  # one for each idempotency key; those written longest ago are evicted first
 SILENT, FAILING, SLOW = "silent", "failing", "slow"
 PLACED, FAILED, ENDED = 1, 2, 3
--- a/robinhill/mesh/record_table.py
+++ b/robinhill/mesh/record_table.py
@@ -48,7 +48,7 @@
     def __init__(self, kind: Kind[Any] | None) -> None:
         self.kind = kind
         self.stored: dict[str, StoredRecord] = {}
-        self.bytes = 0  # of the keys and values of all records
+        self.bytes = 0  # total size of the keys and values of all records
         # Rank (two items) and change number of each record, and stale entries; built by `first_to_evict`.
         self._eviction_heap: list[tuple[Any, str, int]] | None = None
         self._sorted_places: list[str] | None = None  # built at the first call of `live`
--- a/robinhill/mesh/replica.py
+++ b/robinhill/mesh/replica.py
@@ -54,9 +54,11 @@
 from robinhill.mesh.records import Kind, Record
 
 MAX_WRITTEN_VALUE_BYTES = MAX_MERGED_VALUE_BYTES // 4  # the merge of concurrent writes may be larger
-MERGE_BOUND_FACTOR = 2  # of a kind's bound: each side of a partition may have written up to the bound
-MAX_KIND_BYTES = 16 << 20  # of the keys and values of one kind
-MAX_UNKNOWN_RECORDS = 4_096  # of all unregistered kinds together
+# Records merged from peers may exceed a kind's bound on the number of records by this factor: each side of a
+# partition may have written up to the bound.
+MERGE_BOUND_FACTOR = 2
+MAX_KIND_BYTES = 16 << 20  # limit of the total size of the keys and values of one kind
+MAX_UNKNOWN_RECORDS = 4_096  # limit of the number of records of all unregistered kinds together
 MAX_COLLECTED = 1_000  # records dropped by one call of `collect`, which takes some milliseconds
 UNKNOWN = "unknown"  # the name under which `sizes` reports unregistered kinds
 
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -45,7 +45,7 @@
 
 MAX_FRAMES_PER_MESSAGE = 16  # each message costs a system call, so small frames share a message
 MAX_SMALL_PUSH_RECORDS = 8  # a push with more records is the last frame of its message
-MAX_MEMBER_MESSAGES = 64  # waiting to be written; above this number the oldest are dropped
+MAX_MEMBER_MESSAGES = 64  # member messages waiting to be written; above this number the oldest are dropped
 
 
 class Store(Protocol):
@@ -162,7 +162,7 @@
         # Whether the pushes written contain every record that the peer lacked at the peer's hello.
         self._initial_sync_written = False
         self._pending_pong: _PendingPong | None = None  # for a received ping that is not answered yet
-        self._early_pongs: list[Pong] = []  # received before some of the pushes that precede them
+        self._early_pongs: list[Pong] = []  # pongs that arrived before pushes written earlier
         self._member_messages: deque[bytes] = deque(maxlen=MAX_MEMBER_MESSAGES)
 
     # Receiving
@@ -258,7 +258,8 @@
     def _receive_ping(self, mono_us: int, ping: Ping) -> None:
         self._confirm(ping.low)
         self._missing = self._received.missing(ping.pushed)
-        # While the pong to an earlier ping is pending, this ping is not answered; the peer sends more pings.
+        # Only one pong is pending at a time. While the pong to an earlier ping is not written yet, this ping
+        # gets no pong; the peer pings again on its schedule.
         if self._pending_pong is None:
             self._pending_pong = _PendingPong(
                 ping.number, self.store.head, self.ages.ages(mono_us), self.ages.starting_ages(mono_us)
