--- a/robinhill/checker/journal.py
+++ b/robinhill/checker/journal.py
@@ -24,10 +24,10 @@
     OVERLOADED = auto()  # a cold worker was sent more than its slow start allows
     # Runs with several schedulers. In events of cordons ``request`` is the cordon's id.
     CORDON_REQUESTED = auto()  # an operator's call to set a cordon was sent to a scheduler
-    CORDONED = auto()  # the scheduler accepted the call
+    CORDONED = auto()  # the scheduler accepted the call to set the cordon
     IN_FORCE = auto()  # the cordon was reported to be in force everywhere
     LIFT_REQUESTED = auto()  # an operator's call to lift a cordon was sent to a scheduler
-    LIFTED = auto()  # the scheduler accepted the call
+    LIFTED = auto()  # the scheduler accepted the call to lift the cordon
     CORDONS_LISTED = auto()  # a scheduler lists the ids in ``kind``, separated by blanks, as in force
     RECOVERY_CHECKED = auto()  # a cordon was set at a scheduler after all faults; status 1: it is in force
     DIGEST = auto()  # a scheduler reports the digest of its replica, in ``kind``
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -16,15 +16,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """The limits that are checked."""
+    """The installation's guarantees, and the tolerances with which a run is checked against them.
+
+    ``is_hold_mode``: True for the setting `hold`, under which no scheduler sends jobs without a lease; False
+    for `serve`, whose bound applies only to schedulers that have had no fault for ``recovery_s``.
+    """
 
     bound_s: float  # from the acceptance of a cordon to the last send to its worker
-    is_hold_mode: (
-        bool  # `hold`: no scheduler sends without a majority; otherwise `serve`, which promises less
-    )
+    is_hold_mode: bool
     convergence_s: float = 2.0  # from the end of the last fault until all replicas are equal
     recovery_s: float = 2.0  # for links to recover after a fault; `serve` guarantees nothing until then
-    late_s: float = 0.0  # delay of the emulators' events on a busy host
+    late_s: float = 0.0  # how late the emulators may have recorded events on a busy host
     grace_s: float = 0.05  # from a scheduler's write to the worker's event for it
 
 
--- a/robinhill/checker/rules.py
+++ b/robinhill/checker/rules.py
@@ -73,7 +73,9 @@
             may_have_run = True
         elif event.what is EventType.RETURNED:
             in_flight.discard(event.worker)
-            may_have_run = False  # earlier attempts were returned too, or are reported above
+            # The worker has not run this attempt. If an earlier attempt may have run, a violation was
+            # already reported when this attempt was sent.
+            may_have_run = False
         elif event.what in (EventType.ENDED, EventType.CANCELLED):
             in_flight.discard(event.worker)
         elif (
--- a/robinhill/emulator/relay.py
+++ b/robinhill/emulator/relay.py
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class DirectionCounters:
-    """Counters of one direction since the relay started, in messages but for ``octets``."""
+    """Counters of one direction since the relay started: bytes in ``octets``, messages in all others."""
 
     whole: int = 0  # delivered in full
     lost: int = 0
--- a/robinhill/net/control_group/driver.py
+++ b/robinhill/net/control_group/driver.py
@@ -161,7 +161,7 @@
 
 
 def _ignore_accepted(_mono_us: int, _link: Link) -> None:
-    """Default for ``accepted``, for machines that only dial."""
+    """Do nothing: default for ``accepted``, for state machines that dial voters and accept no connections."""
 
 
 class Driver(Actor[DriverMessage]):
@@ -318,7 +318,7 @@
             extra = {"voter": link.voter, "address": link.address, "why": why}
             log.log(level, "control_link_closed", extra=extra)
 
-    # Time
+    # Timer of the next `tick`
 
     def _schedule_tick(self) -> None:
         if self._stopping:
--- a/robinhill/record/frames.py
+++ b/robinhill/record/frames.py
@@ -21,7 +21,8 @@
 _HEADER = struct.Struct("<20sI")
 _FRAME_HEADER = struct.Struct("<II")
 MAX_FRAME_BYTES = 16 << 20  # compressed; a greater length means that the frame is damaged
-MAX_UNPACKED_BYTES = 64 << 20  # of one frame, so that a small damaged or forged frame can't exhaust memory
+# Limit of the uncompressed size of one frame, so that a small damaged or forged frame can't exhaust memory.
+MAX_UNPACKED_BYTES = 64 << 20
 COMPRESSION_LEVEL = 3
 SUFFIX = ".rec"
 
