--- a/benchmarks/control_explorer.py
+++ b/benchmarks/control_explorer.py
@@ -85,14 +85,17 @@
 
 @dataclass(frozen=True)
 class ControlRules:
-    """The rules that a variant breaks; the defaults are the correct ones."""
+    """The rules of the control group that the search applies.
+
+    The defaults are those of the real program. A variant sets one of them to a deliberate fault.
+    """
 
     voters: Rules = field(default_factory=Rules)
     lease: type[ObserverLease] = ObserverLease
     accepts_unsynchronized: bool = False  # replies of a new voter count before its state was received
     replaces_state: bool = False  # the state of a new voter replaces the observer's, instead of being merged
     reply_overtakes_changes: bool = False  # a reply arrives before the changes that precede it
-    joint_majorities: bool = True  # during a change of the list, majorities of both lists are needed
+    joint_majorities: bool = True  # while the list of voters changes, majorities of both lists are needed
     settles_immediately: bool = False  # a voter drops the old list without a delay
 
 
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -39,8 +39,8 @@
 
     name: str
     share_delay_us: int | None = 50_000
-    slow_fraction: float = 0.1  # of the workers
-    reports_progress: bool = True  # by workers, for each running job
+    slow_fraction: float = 0.1  # fraction of the workers that are slow
+    reports_progress: bool = True  # whether workers report the progress of each running job
     common_slowdown: float = 1.0  # factor that applies to all workers, in the middle third of the time
     repeat: Repeat = Repeat.SAFE
     gangs: int = 60
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -30,7 +30,7 @@
 Json = dict[str, Any]
 DEFAULT_RESULTS_FILE = "mesh-figures.jsonl"
 CORDON_WORKERS = 3  # few, so that each receives jobs often and the time of the last send is precise
-CORDON_LOAD_PER_S = 150.0  # requests; above about 200 the emulators, which share one process, are late
+CORDON_LOAD_PER_S = 150.0  # requests per second; above about 200 the emulators, all in one process, are late
 OBSERVATION_S = 0.4  # time after the reply to a cordon in which sends to the worker are still recorded
 CORDON_TIMEOUT_S = 5.0
 WARM_UP_S = 2.0
--- a/benchmarks/mesh_explorer.py
+++ b/benchmarks/mesh_explorer.py
@@ -83,7 +83,10 @@
 
 @dataclass
 class Rules:
-    """The rules that a variant breaks; the defaults are the correct ones."""
+    """The rules of the mesh that the search applies.
+
+    The defaults are those of the real program. A variant sets one of them to a deliberate fault.
+    """
 
     freshness: type[Freshness] = Freshness
     counts_before_catch_up: bool = False  # a restarted scheduler counts for majorities at once
@@ -172,7 +175,7 @@
         self.remaining = remaining
         self.nodes = nodes
         self.in_transit = in_transit  # messages written and not yet read, by index in `Explorer.links`
-        self.ping_numbers = ping_numbers  # of the latest ping on each link
+        self.ping_numbers = ping_numbers  # the number of the latest ping on each link
         self.accepted_us: int | None = None
         self.previous: State | None = None
         self.step = ""
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -1,6 +1,7 @@
 """Cost of replication for each scheduler while no record changes, by the number of schedulers.
 
-The measured costs are CPU time, bytes and messages sent, and memory.
+The measured costs are CPU time, bytes and messages sent, and memory. Most are measured with hollow
+schedulers: the real replication code in one process, on a simulated clock (`hollow`).
 """
 
 import asyncio
--- a/benchmarks/scale/spread.py
+++ b/benchmarks/scale/spread.py
@@ -1,4 +1,8 @@
-"""Propagation time and cost of a cordon change, by the number of schedulers in regions with lossy links."""
+"""Propagation time and cost of a cordon change, by the number of schedulers in regions with lossy links.
+
+Most figures are from hollow schedulers: the real replication code in one process, on a simulated clock
+(`hollow`).
+"""
 
 import asyncio
 import random
@@ -25,7 +29,7 @@
 CHANGE_INTERVAL_S = 1.0  # shorter than planned: 20,000 changes a day are one every 4.3 s
 SETTLE_S = 5.0
 CALL_TIMEOUT_S = 30.0
-BOUND_S = 4.0  # the planned bound
+BOUND_S = 4.0  # `bound_ms` of the planned installation; how long a call to set a real cordon waits
 
 
 @dataclass(slots=True, frozen=True)
