--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -281,8 +281,8 @@
     async def wait_until_ready(self) -> None:
         """Wait until all schedulers are ready. Raises TimeoutError if they are not.
 
-        On a first start some schedulers may not catch up by themselves; after the first timeout these are
-        confirmed as complete, as an operator does.
+        On a first start some schedulers may not catch up by themselves. After a first timeout, this method
+        calls `confirm_complete` for these schedulers, as an operator would, and waits once more.
         """
         with contextlib.suppress(TimeoutError):
             await self.wait_until(lambda: self.ready, FORMATION_TIMEOUT_S)
--- a/robinhill/checker/journal.py
+++ b/robinhill/checker/journal.py
@@ -20,7 +20,7 @@
     ENDED = auto()  # a worker has run an attempt to its end, or lost it
     CANCELLED = auto()  # a worker received a call to stop an attempt, or the connection closed before its 202
     DRAINING = auto()  # discovery has listed a worker as draining or removed
-    STARTED = auto()  # a worker has started, cold
+    STARTED = auto()  # a worker has started or restarted, and is cold: its slow start begins
     OVERLOADED = auto()  # a cold worker was sent more than its slow start allows
     # Runs with several schedulers. In events of cordons ``request`` is the cordon's id.
     CORDON_REQUESTED = auto()  # an operator's call to set a cordon was sent to a scheduler
@@ -29,7 +29,7 @@
     LIFT_REQUESTED = auto()  # an operator's call to lift a cordon was sent to a scheduler
     LIFTED = auto()  # the scheduler accepted the call to lift the cordon
     CORDONS_LISTED = auto()  # a scheduler lists the ids in ``kind``, separated by blanks, as in force
-    RECOVERY_CHECKED = auto()  # a cordon was set at a scheduler after all faults; status 1: it is in force
+    RECOVERY_CHECKED = auto()  # a cordon was set at a scheduler after all faults; status 1: in force, 0: not
     DIGEST = auto()  # a scheduler reports the digest of its replica, in ``kind``
     FAULT_STARTED = auto()  # a fault of a scheduler or one of its links has started
     FAULT_ENDED = auto()  # the fault has ended
@@ -58,7 +58,7 @@
     started_jobs: Counter[str] = field(default_factory=Counter)  # by worker, for live metrics
 
     def add(self, event: Event) -> None:
-        """Append an event with its own time."""
+        """Append an event, whose time the caller has set."""
         self.events.append(event)
         if event.what is EventType.EXECUTION_STARTED:
             self.started_jobs[event.worker] += 1
--- a/robinhill/checker/mesh.py
+++ b/robinhill/checker/mesh.py
@@ -199,7 +199,7 @@
 def equal_after(events: list[Event]) -> float | None:
     """Seconds from the last fault or call until all replicas of live schedulers were equal and stayed so.
 
-    None if they never were, or were not at the end.
+    None if the replicas never became equal, or were not equal at the end of the run.
     """
     settled_at = _settled_at(events)
     live: set[str] = set()
--- a/robinhill/emulator/client.py
+++ b/robinhill/emulator/client.py
@@ -53,7 +53,7 @@
 class Try:
     """One HTTP request for a job, and its answer."""
 
-    at: float  # sent at, monotonic seconds
+    at: float  # monotonic time, in seconds, when the request was sent
     status: int = 0  # 0: no answer was received
     took_s: float = 0.0
     retry_after_s: float | None = None
--- a/robinhill/mesh/session.py
+++ b/robinhill/mesh/session.py
@@ -162,7 +162,7 @@
         # Whether the pushes written contain every record that the peer lacked at the peer's hello.
         self._initial_sync_written = False
         self._pending_pong: _PendingPong | None = None  # for a received ping that is not answered yet
-        self._early_pongs: list[Pong] = []  # pongs that arrived before pushes written earlier
+        self._early_pongs: list[Pong] = []  # received before pushes that the peer had written earlier
         self._member_messages: deque[bytes] = deque(maxlen=MAX_MEMBER_MESSAGES)
 
     # Receiving
@@ -295,7 +295,7 @@
     def next_us(self) -> int:
         """Return when `draw` will have a message to write.
 
-        A received message or a changed record may give it one earlier.
+        The time may become earlier when a message is received or a record of the replica changes.
         """
         if self.peer is None:
             return self._hello_due_us
