--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -28,8 +28,8 @@
 SECOND_US = 1_000_000
 WORKER_COUNT = 40
 SLOTS_PER_WORKER = 4
-TIME_PER_WORK_UNIT = {"new": 1.0, "old": 1.4}  # by kind of worker
-MESSAGE_DELAY_US = 2_000  # between scheduler and worker
+TIME_PER_WORK_UNIT = {"new": 1.0, "old": 1.4}  # relative run time of a job, by kind of worker
+MESSAGE_DELAY_US = 2_000  # delay of each message between scheduler and worker
 FIRST_SEED = 101
 
 
@@ -96,13 +96,13 @@
 
 @dataclass
 class Result:
-    durations_us: list[int] = field(default_factory=list)  # of gangs
+    durations_us: list[int] = field(default_factory=list)  # duration of each completed gang
     false_by_basis: Counter[str] = field(default_factory=Counter)  # false calls, by the basis of the verdict
-    calls: set[tuple[int, str]] = field(default_factory=set)  # job, worker
+    calls: set[tuple[int, str]] = field(default_factory=set)  # straggler calls: job, worker
     runs_at_slow: set[tuple[int, str]] = field(default_factory=set)  # job, slow worker that started it
     slow_workers: set[str] = field(default_factory=set)
     wasted_us: float = 0.0  # slot time of withdrawn attempts
-    total_slot_time_us: float = 0.0  # of all attempts
+    total_slot_time_us: float = 0.0  # slot time of all attempts
     moves: int = 0
     evidence: list[tuple[str, str]] = field(default_factory=list)  # worker, observer
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -24,7 +24,7 @@
 
 MAX_PROCESSES = 24
 WORKER_NAME = "worker"
-WORKER_SLOTS = 8_192  # of the one emulated worker that runs the jobs of all listed workers
+WORKER_SLOTS = 8_192  # slots of the one emulated worker that runs the jobs of all listed workers
 LONG_KIND = JobKind("long", 60_000, 60_000, 2.0, 120_000)
 SHORT_KIND = JobKind("short", 2, 500, 2.0, 2_000)
 SETTLE_S = 1.0
--- a/robinhill/emulator/loopback.py
+++ b/robinhill/emulator/loopback.py
@@ -30,7 +30,7 @@
 class LoopbackResult:
     """The result of one run on loopback."""
 
-    share: float  # of the requested worth, answered in time
+    share: float  # share of the requested worth that was answered in time
     by_kind: dict[str, float]  # the same share for each class
     broken: list[str] = field(default_factory=list)
     max_lateness_s: float = 0.0  # the longest delay of a request past its planned time on this machine
--- a/robinhill/emulator/schedule.py
+++ b/robinhill/emulator/schedule.py
@@ -22,7 +22,7 @@
 CALL_COUNT_RANGE = (5, 10)
 # The probability that a call is made during a fault, at a scheduler that the fault affects.
 CALL_DURING_FAULT_PROBABILITY = 0.6
-MAX_REJECTED_DRAWS = 200  # in total, after which the schedule is complete with the faults drawn so far
+MAX_REJECTED_DRAWS = 200  # after this many rejected draws in total, the schedule has the faults drawn so far
 CLOCK_OFFSETS_S = (-3600.0, -90.0, -5.0, 0.4, 5.0, 90.0, 3600.0)
 Item = TypeVar("Item")
 
--- a/robinhill/emulator/site.py
+++ b/robinhill/emulator/site.py
@@ -26,7 +26,7 @@
     deadline_ms: int
     worth: float = 1.0
     repeat: str = "retryable"
-    share: float = 1.0  # of the requests
+    share: float = 1.0  # relative share of this class among the requests
 
 
 # The classes of `robinhill.model.sites` with times about an eighth as long, so that a run of a minute has
--- a/robinhill/mesh/anti_entropy.py
+++ b/robinhill/mesh/anti_entropy.py
@@ -67,7 +67,8 @@
         self._ranges_to_send: list[int] = []
         self._parts_to_send: list[RangePart] = []
         self._awaited: set[int] = set()  # ranges whose versions have not been received completely
-        self._received_parts: dict[int, dict[int, RangePart]] = {}  # by range and part, of incomplete ranges
+        # The parts received of ranges that are not complete yet, by range and index of the part.
+        self._received_parts: dict[int, dict[int, RangePart]] = {}
         self._due_us = 0  # monotonic time when `tick` has work to do
         self._timeout_us = RESEND_TIMEOUT_US
 
--- a/robinhill/mesh/overlay.py
+++ b/robinhill/mesh/overlay.py
@@ -26,7 +26,9 @@
 
 MAX_LINKS = 16  # maximum number of links of one scheduler, including those that its peers opened
 DISTANCES_PER_DIRECTION = 7  # on a ring: 14 links, so that two of the 16 are free for repair
-MAX_DISTANCE_SHARE = 0.4  # of the ring; at 0.5 the fingers of both directions would end at the same scheduler
+# Distance of the longest fingers as a share of the ring; at 0.5 the fingers of both directions would end at
+# the same scheduler.
+MAX_DISTANCE_SHARE = 0.4
 MIN_LIVE_PARTNERS = 4  # a scheduler with fewer live partners opens further links
 
 
--- a/robinhill/mesh/push_sender.py
+++ b/robinhill/mesh/push_sender.py
@@ -18,7 +18,7 @@
 # delay the pong that is written after it.
 MAX_PUSH_BYTES = 64 << 10
 FRAME_OVERHEAD_BYTES = 4 << 10  # upper limit of a frame's size in addition to the key and value of a record
-RELAY_DELAY_US = 60_000  # before relaying changes that the peer should receive from their writer directly
+RELAY_DELAY_US = 60_000  # delay before relaying changes that the peer should receive from their writer
 
 
 class ChangeLog(Protocol):
--- a/robinhill/record/records.py
+++ b/robinhill/record/records.py
@@ -11,7 +11,7 @@
     id: int
     kind: str
     tenant: int
-    size: int  # of the request body, in bytes
+    size: int  # length of the request body in bytes
     time_left_us: int
     is_client_retry: bool
 
