--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -30,7 +30,8 @@
     def __init__(self, classes: int) -> None:
         self.mean_us = 0.0  # 0: no job has completed yet
         self.class_mean_us = [0.0] * classes  # 0: no job of the class has completed yet
-        # By class: the usual time without overload. It falls with the class mean at once, and rises slowly.
+        # By class: the usual time of a job without overload. It falls to a lower class mean at once, and
+        # rises slowly to a higher one.
         self.class_baseline_us = [0.0] * classes
         self.mean_hint_us = 0.0  # 0: no hint received yet
 
@@ -201,7 +202,7 @@
         return 1 - (1 - self.settings.slow_start_floor) * remaining
 
     def zone(self, number: int) -> ZoneWait:
-        """Return the waits in a zone; a zone seen for the first time gets a new record."""
+        """Return the record of own jobs' waits in a zone; it is created on the first call for the zone."""
         return self.zones.setdefault(number, ZoneWait())
 
     def zone_waits(self, tick_us: int, crossing_us: float) -> list[float]:
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -89,7 +89,8 @@
                 return inf
             if self._should_move(now, attempt):
                 return now
-            if not klass.late_priority_weight:  # under overload, late answers must not use capacity
+            if not klass.late_priority_weight:
+                # A late answer is worthless, so its job must not use capacity, which overload makes scarce.
                 return self._late_cancel_us(now, job)
         timeout_us = state.derived.progress_timeout_us
         repeatable = klass.late_priority_weight and klass.repeat is api.Repeat.SAFE
--- a/robinhill/protocol.py
+++ b/robinhill/protocol.py
@@ -171,7 +171,7 @@
 
 
 def format_timeout(left_us: int) -> str:
-    """Format microseconds as the value of a timeout header; values below 1 become 1."""
+    """Format microseconds as the value of a timeout header; a time below 1 us becomes 1 us."""
     return f"{max(1, left_us)}u"
 
 
