--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -87,7 +87,7 @@
     waiting: set[str] = field(default_factory=set)
 
     def lagging(self) -> LaggingObservers:
-        """Return the number of waiting observers, and as many of their names as a message may have."""
+        """Return the number of observers in ``waiting``, and as many of their names as a message may have."""
         return LaggingObservers(len(self.waiting), tuple(sorted(self.waiting)[:MAX_LAGGING_NAMES]))
 
 
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -228,7 +228,7 @@
         return [link for link, voter in self.by_link.items() if mono_us - voter.last_received_us > timeout_us]
 
     def next_us(self) -> Iterator[int]:
-        """Times at which a session or a connection attempt is due."""
+        """Times at which a session will have a message to write or a connection attempt may start."""
         yield from (voter.session.next_us() for voter in self.by_link.values())
         yield from (self._backoff.due_us(name) for name in self._to_dial())
 
--- a/robinhill/cordon/propagation.py
+++ b/robinhill/cordon/propagation.py
@@ -201,7 +201,7 @@
         return self.mode is Mode.SERVE or self.majority_since_us is not None
 
     def _has_confirmed(self, scheduler: Scheduler) -> bool:
-        """Return whether the scheduler's current process, or a later one, has confirmed the change."""
+        """Return whether a process of at least ``scheduler.incarnation`` has confirmed the change."""
         confirmed = self._confirmed_incarnations.get(scheduler.name)
         return confirmed is not None and confirmed >= scheduler.incarnation
 
