--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -139,7 +139,10 @@
             pending.append(_PendingMeasurement(now, wait_us, class_queue.removed_work_us + work_ahead_us))
 
     def record_progress(self, now: int, class_queue: ClassQueue) -> None:
-        """Finish the measurements that have ended; must be called after work was removed from the queue."""
+        """End the measurements of promised waits that are complete, and count each by its accuracy.
+
+        Must be called after work was removed from the class queue.
+        """
         pending = self._pending.get(class_queue)
         if pending is None:
             return
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -109,7 +109,7 @@
     async def close(self) -> None:
         """Reject new requests and close all connections.
 
-        Connections are drained first, unless requests are still pending.
+        If no request is pending, connections are drained first. Otherwise they are closed without a drain.
         """
         self.shutting_down = self.rejects_new_requests = True
         if not self.pending_count:
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -246,8 +246,8 @@
         evicted = [c for (rank, _), c in ranked[:ACCEPT_BATCH_CONNECTIONS] if rank < EvictionRank.TOO_YOUNG]
         only_served = bool(ranked) and ranked[0][0][0] is EvictionRank.IDLE_SERVED
         if not evicted and not self._connecting and only_served:
-            # None of these is dropped while a connection is being accepted: the new connection may send no
-            # request, and then has a lower rank.
+            # No IDLE_SERVED connection is dropped while a connection is being accepted: the new connection
+            # may send no request, and then has a lower rank, so that it is dropped first.
             evicted = [c for _, c in ranked[:1]]
         for connection in evicted:
             connection.drop()
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -543,7 +543,7 @@
         self._apply_restrictions()
         import_balancer(self.balancer, state)
 
-    # Figures
+    # Metrics and shutdown
 
     def stats(self) -> Answer:
         """The current metrics of this scheduler as an answer for operators."""
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -63,7 +63,8 @@
 
     endpoint_list: EndpointList | None
     cached: bool = False  # a complete list from the configuration or a predecessor instead of discovery
-    # Time at which the last byte of the list was read; None: the list does not renew the lease on it.
+    # Time at which the last byte of the list was read, from which the lease on the endpoint list is renewed;
+    # None: this message does not renew the lease.
     received_us: int | None = None
 
 
--- a/robinhill/net/dispatcher/worker_restrictions.py
+++ b/robinhill/net/dispatcher/worker_restrictions.py
@@ -18,7 +18,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OutOfUse:
-    """When a worker was out of use at this scheduler; ``until_us`` is 0 while it is still out of use."""
+    """Start and end of a worker's time out of use at this scheduler, that is, disabled or cordoned.
+
+    ``until_us`` is 0 while the worker is still out of use.
+    """
 
     since_us: int
     until_us: int = 0
