--- a/robinhill/logic.py
+++ b/robinhill/logic.py
@@ -27,12 +27,14 @@
 
 # A client may send a work hint, its estimate of a job's running time. The latency objective of the job is
 # then extended by the hint times the ``stretch`` of the job's class. Without a hint, a job may wait in the
-# queue beyond its latency objective, for this factor times (stretch - 1) times the usual job time of its
+# queue longer than its latency objective, by UNHINTED_WAIT_FACTOR * (stretch - 1) * the usual job time of its
 # class. 1 is subtracted because the run of the job itself takes one of the ``stretch`` job times.
 UNHINTED_WAIT_FACTOR = 1.5
-TRUSTED_CONNECTION_US = 250_000  # a connection may be dead if its worker has not responded for this long
-# An attempt of a job with a work hint times out this share of stretch * hint after the job's latency
-# objective, unless late answers of its class still have a value.
+# If a worker has not responded for longer than this time, the connections to it may be dead. Its idle
+# connections are then closed before the next send.
+TRUSTED_CONNECTION_US = 250_000
+# An attempt of a job with a work hint times out at the end of the job's latency objective plus
+# ATTEMPT_OVERRUN_SHARE * stretch * hint. It has no such timeout if the class gives late answers a value.
 ATTEMPT_OVERRUN_SHARE = 0.25
 
 
@@ -185,7 +187,7 @@
         if self.retries.is_last(job, outcome):
             # The scheduler cancelled the attempt before the queue deadline, but nothing confirms that the job
             # did not run. If the request is rejected, its client may retry with another scheduler at once, so
-            # the rejection asks for no delay.
+            # the rejection does not ask for a delay.
             unconfirmed = attempt.cancel_requested and now < job.queue_deadline_us
             self._give_up(job, api.RejectionReason.ATTEMPT_ENDED, unconfirmed)
         else:
@@ -245,10 +247,11 @@
         state.actions.append(api.Send(job.request.job, worker.entry.address, timeout_us))
 
     def _give_up(self, job: JobRecord, why: api.RejectionReason, unconfirmed: bool = False) -> None:
-        """Answer the request finally without a result: as rejected if a retry by its client does no harm.
+        """Send the client a final answer without a result.
 
-        Otherwise the answer is a failure, because the job may have run and a second run may do harm.
-        ``unconfirmed``: nothing confirms that the job did not run; a rejection then asks for no delay.
+        The answer is a rejection if a retry by the client does no harm. Otherwise it is a failure, because
+        the job may have run and a second run may do harm. ``unconfirmed``: nothing confirms that the job did
+        not run; a rejection then does not ask the client to delay its retry.
         """
         self.jobs.pop(job.request.job, None)
         self.client_retries.unretried_answers += 1
@@ -278,8 +281,8 @@
         for job in queued:
             saturated = not available or job.request.job_class in saturated_classes
             if now < job.queue_deadline_us and saturated:
-                # No worker has capacity for the job, so it stays queued and no worker is chosen: a choice for
-                # each job of a long queue at each event would be too slow.
+                # No worker has capacity for the job, so it stays queued. `place` is not called: evaluating
+                # all workers for each job of a long queue at each event would be too slow.
                 self.queue.jobs.append(job)
             elif self.jobs.get(job.request.job) is job:
                 self.place(now, job)
--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -2,9 +2,9 @@
 
 The cost of a worker is its age times its age weight. The age is the number of own sends since the last own
 send to that worker. The age weight is ln(q), where q is the probability that the last own job sent to the
-worker still runs when the next own job arrives. Unless fewer own jobs are in flight than there are usable
-workers, ln(q) is divided by the expected job time. Weights change slowly, and recomputing them for each job
-would take most of the time of a decision, so they are cached.
+worker still runs when the next own job arrives. If at least as many own jobs are in flight as there are
+usable workers, the weight is ln(q) divided by the worker's expected job time. Weights change slowly, and
+recomputing them for each job would take most of the time of a decision, so they are cached.
 
 "Own" jobs and sends are those of this scheduler. A bound class is a job class that is restricted to workers
 of some machine types or zones; the jobs of all other classes are unbound work.
@@ -16,7 +16,8 @@
 from robinhill.placement.estimates import US_PER_S
 from robinhill.placement.records import WorkerRecord
 
-RATE_CHANGE_SHARE = 1 / 5  # all weights are recomputed if the rate of own jobs has changed by more than this
+# All weights are recomputed if the rate of own jobs has changed by more than this share since the last time.
+RATE_CHANGE_SHARE = 1 / 5
 SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_EXPONENT = 8
 ZONE_COST_EXPONENT = 8
--- a/robinhill/placement/derived_settings.py
+++ b/robinhill/placement/derived_settings.py
@@ -16,7 +16,8 @@
     # less time by no more than this tolerance counts as a first request.
     tick_us: int
     min_concurrency_limit: float  # lower bound of a worker's concurrency limit
-    progress_timeout_us: int  # an attempt without progress for this long counts as lost; 0: not reported
+    # An attempt without progress for this long counts as lost; 0: workers do not report progress.
+    progress_timeout_us: int
     # A worker may close a connection that is idle for longer; inf: idle time does not matter, because the
     # settings set no price for a new connection.
     max_idle_us: float
--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -30,8 +30,8 @@
     def __init__(self, classes: int) -> None:
         self.mean_us = 0.0  # 0: no job has completed yet
         self.class_mean_us = [0.0] * classes  # 0: no job of the class has completed yet
-        # By class: the usual time of a job without overload. It falls to a lower class mean at once, and
-        # rises slowly to a higher one.
+        # For each class, the time that a job usually takes without overload (us). If the class mean is lower,
+        # the baseline falls to it at once; if the class mean is higher, the baseline rises towards it slowly.
         self.class_baseline_us = [0.0] * classes
         self.mean_hint_us = 0.0  # 0: no hint received yet
 
@@ -69,10 +69,10 @@
     def __init__(self, classes: int, min_spent_us: int) -> None:
         """``min_spent_us``: a request whose client has spent no more than this counts as a first request."""
         self.min_spent_us = min_spent_us
-        # Longest time until the client's deadline of all requests received (us), by class; assumed to be the
-        # time that a client sets for its first request.
+        # For each class, the longest time until the client's deadline (us) that any request has had on
+        # arrival. Clients are assumed to set this time for their first requests.
         self.max_time_left_us = [0] * classes
-        self.unretried_answers = 0  # own rejections and failures that no retry has followed yet
+        self.unretried_answers = 0  # number of own rejections and failures that no retry has followed yet
 
     def spent_us(self, request: api.Request) -> int:
         """Return the time that the client has spent before this request (us).
@@ -174,7 +174,8 @@
     def counted_gap_share(self, now: int) -> float:
         """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``.
 
-        It is at least 0.5.
+        It is at least 0.5. Slow start divides its pace by this share, because it caps the gaps that earn
+        credit at ``Settings.tip_after_us``.
         """
         tip = self.settings.tip_after_us
         return max(0.5, -expm1(-self.rate * tip / (US_PER_S * self.window_share(now))))
--- a/robinhill/placement/exported_format.py
+++ b/robinhill/placement/exported_format.py
@@ -11,7 +11,7 @@
 Json = dict[str, Any]
 Keys = Mapping[str, str]
 
-# Each mapping gives the key under which the value of each attribute of one object is exported.
+# Each mapping belongs to one object, and maps the names of its attributes to the keys of the exported values.
 SENDS_KEYS: Keys = {"sends": "sends"}
 WEIGHTED_RATE_KEYS: Keys = {"weighted_rate": "priced_rate"}
 RETRY_BUDGET_KEYS: Keys = {"budget": "budget"}
@@ -111,8 +111,9 @@
 
     ``own``: counters and estimates of the whole scheduler; ``unit``: mean job time on a worker of weight 1;
     ``kinds``: mean job time by kind of machine; ``zones``: mean wait by zone; ``quick``: low quantile of the
-    time per unit of work, by kind of machine; ``served``: mean time of completed jobs; ``seats``: state of
-    workers by address. Each pair begins with the number of a kind of machine or of a zone.
+    time per unit of work, by kind of machine; ``served``: mean time of completed jobs at usable workers;
+    ``seats``: state of workers by address. Each pair begins with the number of a kind of machine or of a
+    zone.
     """
 
     own: Json
@@ -138,7 +139,11 @@
 
 
 class ExportedJob(TypedDict):
-    """A job and its attempts in flight."""
+    """A job and its attempts in flight.
+
+    ``request``: attributes of the request, under ``REQUEST_KEYS``; ``values``: attributes of the job's
+    record, under ``JOB_KEYS``; ``flights``: the attempts in flight.
+    """
 
     request: Json
     values: Json
--- a/robinhill/placement/exported_state.py
+++ b/robinhill/placement/exported_state.py
@@ -155,9 +155,9 @@
     # them until `import_job` imports them.
     worker.concurrency_limit = max(1.0, worker.concurrency_limit - exported["out"])
     if listed_as_unavailable or worker.ejected_until_us == inf:
-        # An infinite ``ejected_until_us`` means that the worker is not listed as ready. This process's
-        # endpoint list decides that, because it is newer than the list of the process that exported the
-        # state.
+        # An infinite ``ejected_until_us`` means that the worker is not listed as ready. Whether it is ready
+        # is read from this process's endpoint list, which is newer than the list of the process that exported
+        # the state.
         worker.ejected_until_us = inf if listed_as_unavailable else 0
 
 
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -92,8 +92,9 @@
     def record_unreachable(self, called_us: int, as_of_us: int) -> None:
         """Extend the lease because a call begun at ``called_us`` found discovery unreachable at ``as_of_us``.
 
-        Changes that discovery receives during an outage take effect only after it is reachable again, so a
-        lease that was valid at the start of the call stays valid.
+        For a change that discovery receives during an outage, the fixed time before it takes effect begins
+        when discovery is reachable again. A lease that was valid at the start of the call is therefore
+        extended to ``duration_us`` after ``as_of_us``.
         """
         if called_us >= self.until_us:
             return
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -29,7 +29,8 @@
     def record_failure(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
         """Count a failure of an attempt, and eject the worker if it is an outlier.
 
-        The caller does not count a rejection by a full worker, or a late answer unless it is presumed lost.
+        It must not be called for a rejection by a full worker, nor for a late answer that is not presumed
+        lost.
         Without ejection, a worker that fails fast would look fast and attract more jobs.
         """
         state, worker = self.state, attempt.worker
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -1,9 +1,9 @@
 """The decision module's records of zones, workers, jobs and attempts.
 
-Records hold state and make no decisions. Names that end in ``_us`` hold whole microseconds; a timestamp is by
-the caller's clock, and 0 means that the event has not happened. "Own" jobs are those that this scheduler
-itself has sent. For times per unit of work, the unit is a microsecond of a job's work hint or, for a job
-without a hint, a microsecond of the mean job time of its class.
+Records hold state and make no decisions. Names that end in ``_us`` hold microseconds; a timestamp is a
+reading of the caller's clock, and 0 means that the event has not happened. "Own" jobs are those that this
+scheduler itself has sent. For times per unit of work, the unit is a microsecond of a job's work hint or, for
+a job without a hint, a microsecond of the mean job time of its class.
 """
 
 from dataclasses import dataclass, field
@@ -15,13 +15,13 @@
 AttemptKey = tuple[int, int]  # number of the job, number of its attempt
 
 FAILURE_DECAY = 0.75  # factor on a worker's failure and error shares at each success
-FAILURE_STEP = 0.25  # share of its distance to 1 by which a share rises at each failure
+FAILURE_STEP = 0.25  # a failure raises the failure share (or error share) by this part of its distance to 1
 RECOVERED_FAILURE_SHARE = 0.25  # below this failure share a success resets the count of consecutive ejections
 
 
 @dataclass(slots=True, eq=False)
 class ZoneWait(DecayingMean):
-    """The mean wait of own jobs in a zone, and the cost factors of the zone's workers that follow from it."""
+    """The mean wait of own jobs in a zone, and the cost factors of the zone's workers computed from it."""
 
     cost_factor: float = 1.0
     new_connection_factor: float = 1.0  # used instead of ``cost_factor`` if the job needs a new connection
@@ -34,7 +34,8 @@
     entry: api.Worker
     tie_breaker: float  # random, so that schedulers differ in their order of workers with equal costs
     zone: ZoneWait
-    job_time_us: float  # expected time from send to completion; prior: mean of its kind of machine
+    # Expected time from send to completion of a job. Its prior is the mean of the worker's kind of machine.
+    job_time_us: float
     # Number of the last own send to this worker, counted over all workers. Before the first send to the
     # worker it is a number that determines when the rotation chooses the worker.
     last_send: int = 0
@@ -110,7 +111,8 @@
     attempts: int = 0  # number of attempts sent
     attempts_in_flight: int = 0
     may_have_run: bool = False  # whether any attempt that was sent may have run
-    group: int = -1  # zone or cell whose workers drop repeats of the job once it may have run; -1: all do
+    # Zone or cell whose workers drop repeats of the job once it may have run; -1: all workers drop them.
+    group: int = -1
     group_until_us: int = 0  # end of the time in which workers of the group drop repeats
     # Sort key in the queue, lowest first: minus the class's priority weight, divided by the expected job time
     # unless ``Settings.value_by_work`` is set.
@@ -136,6 +138,7 @@
     sent_us: int
     job: JobRecord
     in_flight_at_send: int  # other own jobs in flight at the worker when this attempt was sent
-    group: int  # zone or cell, at the time of the send, whose workers drop repeats of the job; -1: all do
+    # Zone or cell, at the time of the send, whose workers drop repeats of the job; -1: all workers drop them.
+    group: int
     cancel_requested: bool = False
     last_progress_us: int = 0  # when the worker last reported the start or progress
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -39,8 +39,9 @@
         state, klass, worker = self.state, attempt.job.klass, attempt.worker
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
-        # After its first send, few workers are eligible for a job whose repeats are dropped by key. Its
-        # attempt is therefore cancelled only if it waits longer than the mean wait in the worker's zone.
+        # If workers drop repeats of a job by its idempotency key, few workers are eligible for the job after
+        # its first send. The check, which may cancel the attempt, is therefore delayed by the mean wait in the
+        # worker's zone.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
         wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
@@ -116,7 +117,8 @@
     def _can_move(self, now: int, attempt: Attempt) -> bool:
         """Whether the job may run at another worker after its attempt has been cancelled.
 
-        A job whose repeats are dropped by key may do so only if a worker of the attempt's group is idle.
+        A job whose repeats workers drop by idempotency key may move only if a worker of the attempt's group
+        is idle.
         """
         klass = attempt.job.klass
         if klass.repeat is not api.Repeat.KEYED:
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -10,7 +10,8 @@
 from robinhill.placement.records import WorkerRecord
 
 BUDGET_DIVISOR = 2  # the pace uses half of ``fall_multiple``, as random peaks of the load exceed the mean
-UNUSED_TURNS = 1000  # initial age, in turns of the rotation, of a worker that must be chosen next
+# Initial age of a worker that must be chosen next, in turns of the rotation (one job for each worker).
+UNUSED_TURNS = 1000
 
 
 class SlowStart:
--- a/robinhill/placement/timers.py
+++ b/robinhill/placement/timers.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-QUEUE_CHECK = "held"  # check the jobs in the queue
-LIST_POLL = "list"  # poll discovery for the endpoint list
+QUEUE_CHECK = "held"  # tag of the timer for the next check of the queued jobs
+LIST_POLL = "list"  # tag of the timer for the next poll of discovery for the endpoint list
 
 
 class AttemptCheck(Enum):
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -29,15 +29,16 @@
 SPREAD_PER_SCHEDULER_US = 50_000
 MAX_SPREAD_DOUBLINGS = 6
 # A random delay ends at the latest when half of ``WatchSchedule.change_bound_us`` remains until ``due_us``.
-# If less than this time remains until then, the delay is limited to this time instead.
+# If that moment is past or less than this time away, the delay is limited to this time instead.
 MIN_SPREAD_US = 250_000
 # Delay of the next call after a failed call to an agent; it doubles once, up to the maximum. It is short
 # because calls to an agent must succeed within the 0.5 s grace period of drains.
 AGENT_BACKOFF_US = 100_000
 MAX_AGENT_BACKOFF_US = 200_000
-# After a call that discovery has not answered, discovery counts as unreachable until this long before the end
-# of the call, but at least until its start. The lease on the list lasts ``LIST_CHANGE_BOUND_US`` (or less,
-# with a shorter poll interval) from that time on, so it then ends after the next call has ended.
+# After a call that discovery has not answered, discovery counts as having been unreachable until this long
+# before the end of the call, but at least until its start. The lease on the list lasts
+# ``LIST_CHANGE_BOUND_US`` (or less, with a shorter poll interval) from that time on. Without a shorter poll
+# interval it then ends after a next call that begins within ``MIN_SPREAD_US`` has timed out.
 UNANSWERED_CALL_OUTAGE_US = LIST_CHANGE_BOUND_US - CALL_TIMEOUT_US - MIN_SPREAD_US
 
 
--- a/robinhill/placement/worker_choice.py
+++ b/robinhill/placement/worker_choice.py
@@ -22,7 +22,9 @@
 BACKOFF_DIVISOR = 64.0
 HINT_MARGIN = 1.5  # workers that would meet the objective even with this multiple of the hint are preferred
 ERROR_COST_EXPONENT = 8
-MAX_PROVEN_ERROR_SHARE = 0.1  # a worker with a higher error share is avoided for jobs that must not run twice
+# While few own jobs arrive (``_Criteria.few_arrivals``), a worker with a higher error share than this has a
+# higher rank, and is therefore avoided, for jobs that must not run twice.
+MAX_PROVEN_ERROR_SHARE = 0.1
 TIGHT_FIT_RANK = 2  # increase of the rank of a worker that may miss the job's objective
 
 
