--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -190,7 +190,11 @@
         self.weighted_time.add(now, elapsed_us * worker.entry.weight, self.window_us)
 
     def add_completion(self, now: int, worker: WorkerRecord, request: api.Request, elapsed_us: int) -> None:
-        """Add a completed job's time, clipped and normalised by the expected time of its class and hint."""
+        """Add a completed job's time to the estimates, clipped to a multiple of its expected time.
+
+        For the means of the worker and its kind of machine, the time is also divided by the expected time of
+        the job's class and hint, and multiplied by the mean time of all jobs.
+        """
         mean = self.jobs.mean_us
         expected = self.jobs.expected_us(request.job_class, request.work_hint_us) or max(1.0, elapsed_us)
         clipped = min(max(1, elapsed_us), MAX_TIME_RATIO * expected)
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -23,7 +23,9 @@
 
 # Time allowed for the next call to discovery to respond after a watch without messages has timed out.
 RENEWAL_MARGIN_US = 1_000_000
-ADDRESS_CHANGE_BOUND_US = 4_000_000  # a change of discovery's address takes effect after this time
+# A change of discovery's address takes effect after this time: messages from the previous address extend the
+# lease no further.
+ADDRESS_CHANGE_BOUND_US = 4_000_000
 UNKNOWN_AGE_MS = -1
 
 
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -14,7 +14,8 @@
 
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
-# An attempt may be cancelled if the price of the work that it may waste, in mean job times, is below this.
+# An attempt may be cancelled if ``Settings.waste_price`` times the work that the cancel may waste (in mean job
+# times) is below this.
 CHEAP_WASTE_PRICE = 0.1
 OVERDUE_FACTOR = 2.0  # a started attempt is overdue after this multiple of its class's baseline job time
 
@@ -40,8 +41,8 @@
         if not state.derived.can_cancel_unstarted or not self._worth_cancelling(attempt.job):
             return
         # If workers drop repeats of a job by its idempotency key, few workers are eligible for the job after
-        # its first send. The check, which may cancel the attempt, is therefore delayed by the mean wait in the
-        # worker's zone.
+        # its first send. The check, which may cancel the attempt, is therefore delayed by the mean wait in
+        # the worker's zone.
         usual_wait_us = worker.zone.value * (klass.repeat is api.Repeat.KEYED)
         wait_us = worker.min_start_delay_us + klass.latency_objective_us // 4 + usual_wait_us
         state.set_attempt_timer(int(wait_us), timers.AttemptCheck.PROGRESS, attempt)
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: how often this scheduler may send a job to a worker that has started recently.
 
-A worker in slow start fails if all schedulers together send it more than ``Settings.fall_multiple`` times the
-work that it can do at its current speed. Each scheduler therefore accumulates credit for its next job to such
-a worker over time, at a pace that is proportional to the number of own jobs that a worker at full speed
-completes per microsecond. "Own" jobs are those of this scheduler.
+A worker in slow start fails if, within ``Settings.tip_after_us``, all schedulers together send it more than
+``Settings.fall_multiple`` times the work that it can do at its current speed. Each scheduler therefore
+accumulates credit for its next job to such a worker over time, at a pace that is proportional to the number
+of own jobs that a worker at full speed completes per microsecond. "Own" jobs are those of this scheduler.
 """
 
 from robinhill.placement.decision_state import DecisionState
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -54,7 +54,8 @@
     fleet_size: int
     change_bound_us: int = LIST_CHANGE_BOUND_US  # time after which a change of the list takes effect
     due_us: int = 0  # deadline for receiving the next list; an outage of discovery extends it
-    last_received_us: int = 0  # when the open call last received a complete list or empty line; 0: never
+    # When the open call last received a complete list or an empty line; 0: it has received neither yet.
+    last_received_us: int = 0
     called_us: int = 0  # when the last call began
     failed_calls: int = 0  # number of consecutive failed calls
     unreachable_us: int | None = None  # when discovery was last unreachable; None: the last call reached it
