--- a/robinhill/placement/idempotency.py
+++ b/robinhill/placement/idempotency.py
@@ -34,7 +34,7 @@
     _in_flight: dict[AttemptKey, ClassKey] = field(default_factory=dict)
 
     def dedup_window(self, now_us: int, job_class: int, key: str) -> DedupWindow | None:
-        """Return the window of this key that is open; None: a repeat may be sent to any worker."""
+        """Return the open window of this key; None: no window is open, and any worker may get a repeat."""
         window = self._windows.get((job_class, key))
         return window if window and now_us < window.until_us else None
 
--- a/robinhill/placement/job_queue.py
+++ b/robinhill/placement/job_queue.py
@@ -33,8 +33,8 @@
         """Return the delay of the timer that the caller must set for the next check of the queue (us).
 
         The check is due at ``until_us`` or ``tick_us`` after ``now``, whichever is sooner. The result is 0 if
-        no new timer is needed, because a timer that an earlier call asked for expires between ``now`` and the
-        time at which the check is due.
+        no new timer is needed, because the timer for which an earlier call returned a delay expires between
+        ``now`` and the time at which the check is due.
         """
         due = max(now + 1, min(until_us, now + tick_us))
         if now < self._next_check_us <= due:
--- a/robinhill/placement/retries.py
+++ b/robinhill/placement/retries.py
@@ -14,8 +14,8 @@
 
 RETRY_BUDGET_PER_COMPLETION = 0.1
 MAX_RETRY_BUDGET = 10.0
-# An attempt may be cancelled if ``Settings.waste_price`` times the work that the cancel may waste (in mean job
-# times) is below this.
+# An attempt may be cancelled if ``Settings.waste_price`` times the work that the cancel may waste (in mean
+# job times) is below this.
 CHEAP_WASTE_PRICE = 0.1
 OVERDUE_FACTOR = 2.0  # a started attempt is overdue after this multiple of its class's baseline job time
 
