--- a/robinhill/placement/age_weights.py
+++ b/robinhill/placement/age_weights.py
@@ -16,7 +16,8 @@
 from robinhill.placement.estimates import US_PER_S
 from robinhill.placement.records import WorkerRecord
 
-# All weights are recomputed if the rate of own jobs has changed by more than this share since the last time.
+# All weights are recomputed if the rate of own jobs has changed by more than this share since their last
+# recomputation.
 RATE_CHANGE_SHARE = 1 / 5
 SENDS_PER_UPDATE = 8  # own sends between updates of the cost factors of zones and of unbound work
 CONNECTION_COST_EXPONENT = 8
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -72,10 +72,11 @@
             self.check_health(now, worker)
 
     def check_health(self, now: int, worker: WorkerRecord) -> None:
-        """Start a health check of a worker that does not respond, if own jobs are in flight there.
+        """Start a health check of a worker that does not respond, if it has own attempts in flight.
 
-        After failed checks, these jobs may move to other workers. Nothing happens if the worker is unlisted
-        or being checked already, or if the settings allow no health checks or no cancels.
+        After failed checks, jobs that are safe to repeat move from the worker to others. Nothing happens if
+        the worker is unlisted or being checked already, or if the settings allow no health checks or no
+        cancels.
         """
         state = self.state
         listed = state.workers.get(worker.entry.address) is worker
