--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -106,11 +106,12 @@
         self.rate_updated_us = 0
         self.zones: dict[int, ZoneWait] = {}
         self.kinds: dict[int, DecayingMean] = {}  # mean job time by kind of machine
-        self.weighted_time = DecayingMean()  # mean job time on a worker of weight 1
+        # Mean job time on a worker of weight 1. A worker's weight is its relative speed in the endpoint list.
+        self.weighted_time = DecayingMean()
         self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
         self.served = DecayingMean()  # time from send to completion of own jobs at usable workers
         self.usable_workers = 1
-        self.mean_priority_weight = 0.0  # mean of the requests' priority weights per unit of work
+        self.mean_priority_weight = 0.0  # exponential mean of the priority weights passed to `add_work`
         self.requested_us = 2 * unknown_job_us  # sum of the expected job times of all requests, plus a prior
         self.unbound_us = unknown_job_us  # like ``requested_us``, for requests of classes that are not bound
 
@@ -134,9 +135,11 @@
         self.rate_updated_us = now
 
     def add_work(self, expected_us: float, priority_weight: float, bound: bool) -> None:
-        """Add a request's expected time and its priority weight per unit of work to the estimates.
+        """Add a request's expected time and priority weight to the estimates.
 
-        ``bound``: the request's class is restricted to workers of some machine types or zones.
+        ``priority_weight``: the class's priority weight, divided by the expected time unless
+        ``Settings.value_by_work`` is set. ``bound``: the request's class is restricted to workers of some
+        machine types or zones.
         """
         self.requested_us += expected_us
         self.unbound_us += 0.0 if bound else expected_us
