--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -30,8 +30,8 @@
     def __init__(self, classes: int) -> None:
         self.mean_us = 0.0  # 0: no job has completed yet
         self.class_mean_us = [0.0] * classes  # 0: no job of the class has completed yet
-        # By class: the usual time of a job without overload. It falls to a lower class mean at once, and
-        # rises slowly to a higher one.
+        # For each class, the time that a job usually takes without overload (us). If the class mean is lower,
+        # the baseline falls to it at once; if the class mean is higher, the baseline rises towards it slowly.
         self.class_baseline_us = [0.0] * classes
         self.mean_hint_us = 0.0  # 0: no hint received yet
 
@@ -69,10 +69,10 @@
     def __init__(self, classes: int, min_spent_us: int) -> None:
         """``min_spent_us``: a request whose client has spent no more than this counts as a first request."""
         self.min_spent_us = min_spent_us
-        # Longest time until the client's deadline of all requests received (us), by class; assumed to be the
-        # time that a client sets for its first request.
+        # For each class, the longest time until the client's deadline (us) that any request has had on
+        # arrival. Clients are assumed to set this time for their first requests.
         self.max_time_left_us = [0] * classes
-        self.unretried_answers = 0  # own rejections and failures that no retry has followed yet
+        self.unretried_answers = 0  # number of own rejections and failures that no retry has followed yet
 
     def spent_us(self, request: api.Request) -> int:
         """Return the time that the client has spent before this request (us).
@@ -106,11 +106,12 @@
         self.rate_updated_us = 0
         self.zones: dict[int, ZoneWait] = {}
         self.kinds: dict[int, DecayingMean] = {}  # mean job time by kind of machine
-        self.weighted_time = DecayingMean()  # mean job time on a worker of weight 1
+        # Mean job time on a worker of weight 1. A worker's weight is its relative speed in the endpoint list.
+        self.weighted_time = DecayingMean()
         self.unit_times: dict[int, float] = {}  # low quantile of time per unit of work, by kind of machine
         self.served = DecayingMean()  # time from send to completion of own jobs at usable workers
         self.usable_workers = 1
-        self.mean_priority_weight = 0.0  # mean of the requests' priority weights per unit of work
+        self.mean_priority_weight = 0.0  # exponential mean of the priority weights passed to `add_work`
         self.requested_us = 2 * unknown_job_us  # sum of the expected job times of all requests, plus a prior
         self.unbound_us = unknown_job_us  # like ``requested_us``, for requests of classes that are not bound
 
@@ -134,9 +135,11 @@
         self.rate_updated_us = now
 
     def add_work(self, expected_us: float, priority_weight: float, bound: bool) -> None:
-        """Add a request's expected time and its priority weight per unit of work to the estimates.
+        """Add a request's expected time and priority weight to the estimates.
 
-        ``bound``: the request's class is restricted to workers of some machine types or zones.
+        ``priority_weight``: the class's priority weight, divided by the expected time unless
+        ``Settings.value_by_work`` is set. ``bound``: the request's class is restricted to workers of some
+        machine types or zones.
         """
         self.requested_us += expected_us
         self.unbound_us += 0.0 if bound else expected_us
@@ -174,7 +177,8 @@
     def counted_gap_share(self, now: int) -> float:
         """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``.
 
-        It is at least 0.5.
+        It is at least 0.5. Slow start divides its pace by this share, because it caps the gaps that earn
+        credit at ``Settings.tip_after_us``.
         """
         tip = self.settings.tip_after_us
         return max(0.5, -expm1(-self.rate * tip / (US_PER_S * self.window_share(now))))
@@ -189,7 +193,11 @@
         self.weighted_time.add(now, elapsed_us * worker.entry.weight, self.window_us)
 
     def add_completion(self, now: int, worker: WorkerRecord, request: api.Request, elapsed_us: int) -> None:
-        """Add a completed job's time, clipped and normalised by the expected time of its class and hint."""
+        """Add a completed job's time to the estimates, clipped to a multiple of its expected time.
+
+        For the means of the worker and its kind of machine, the time is also divided by the expected time of
+        the job's class and hint, and multiplied by the mean time of all jobs.
+        """
         mean = self.jobs.mean_us
         expected = self.jobs.expected_us(request.job_class, request.work_hint_us) or max(1.0, elapsed_us)
         clipped = min(max(1, elapsed_us), MAX_TIME_RATIO * expected)
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -23,7 +23,9 @@
 
 # Time allowed for the next call to discovery to respond after a watch without messages has timed out.
 RENEWAL_MARGIN_US = 1_000_000
-ADDRESS_CHANGE_BOUND_US = 4_000_000  # a change of discovery's address takes effect after this time
+# A change of discovery's address takes effect after this time: messages from the previous address extend the
+# lease no further.
+ADDRESS_CHANGE_BOUND_US = 4_000_000
 UNKNOWN_AGE_MS = -1
 
 
@@ -92,8 +94,9 @@
     def record_unreachable(self, called_us: int, as_of_us: int) -> None:
         """Extend the lease because a call begun at ``called_us`` found discovery unreachable at ``as_of_us``.
 
-        Changes that discovery receives during an outage take effect only after it is reachable again, so a
-        lease that was valid at the start of the call stays valid.
+        For a change that discovery receives during an outage, the fixed time before it takes effect begins
+        when discovery is reachable again. A lease that was valid at the start of the call is therefore
+        extended to ``duration_us`` after ``as_of_us``.
         """
         if called_us >= self.until_us:
             return
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -29,7 +29,8 @@
     def record_failure(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
         """Count a failure of an attempt, and eject the worker if it is an outlier.
 
-        The caller does not count a rejection by a full worker, or a late answer unless it is presumed lost.
+        It must not be called for a rejection by a full worker, nor for a late answer that is not presumed
+        lost.
         Without ejection, a worker that fails fast would look fast and attract more jobs.
         """
         state, worker = self.state, attempt.worker
@@ -71,10 +72,11 @@
             self.check_health(now, worker)
 
     def check_health(self, now: int, worker: WorkerRecord) -> None:
-        """Start a health check of a worker that does not respond, if it has jobs that could be moved.
+        """Start a health check of a worker that does not respond, if it has own attempts in flight.
 
-        Nothing happens if the worker is unlisted or being checked already, if it has no own attempts in
-        flight, or if the settings allow no health checks or no cancels.
+        After failed checks, jobs that are safe to repeat move from the worker to others. Nothing happens if
+        the worker is unlisted or being checked already, or if the settings allow no health checks or no
+        cancels.
         """
         state = self.state
         listed = state.workers.get(worker.entry.address) is worker
--- a/robinhill/placement/slow_start.py
+++ b/robinhill/placement/slow_start.py
@@ -1,16 +1,17 @@
 """Slow start: how often this scheduler may send a job to a worker that has started recently.
 
-A worker in slow start fails if all schedulers together send it more than ``Settings.fall_multiple`` times the
-work that it can do at its current speed. Each scheduler therefore accumulates credit for its next job to such
-a worker over time, at a pace that is proportional to the number of own jobs that a worker at full speed
-completes per microsecond. "Own" jobs are those of this scheduler.
+A worker in slow start fails if, within ``Settings.tip_after_us``, all schedulers together send it more than
+``Settings.fall_multiple`` times the work that it can do at its current speed. Each scheduler therefore
+accumulates credit for its next job to such a worker over time, at a pace that is proportional to the number
+of own jobs that a worker at full speed completes per microsecond. "Own" jobs are those of this scheduler.
 """
 
 from robinhill.placement.decision_state import DecisionState
 from robinhill.placement.records import WorkerRecord
 
 BUDGET_DIVISOR = 2  # the pace uses half of ``fall_multiple``, as random peaks of the load exceed the mean
-UNUSED_TURNS = 1000  # initial age, in turns of the rotation, of a worker that must be chosen next
+# Initial age of a worker that must be chosen next, in turns of the rotation (one job for each worker).
+UNUSED_TURNS = 1000
 
 
 class SlowStart:
