--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -25,8 +25,8 @@
 
 # Time from the first byte of a request to its last; for the first request it starts with the accept.
 REQUEST_TIMEOUT_S = 2.5
-# Extension of REQUEST_TIMEOUT_S for data that arrives just before it expires, and of the keep-alive time on a
-# connection that is not idle.
+# Extension of REQUEST_TIMEOUT_S if data has arrived just before the timeout expires, and of the keep-alive
+# time if the connection is not idle when that time ends.
 REQUEST_GRACE_S = 0.05
 LINGER_S = 3.0  # how long further data is read and discarded after the last response
 # How long a connection must have waited for a complete request, or received no data while it closes, before
@@ -51,8 +51,8 @@
     ANSWERED = "answered"  # a response with Connection: close was written, or the keep-alive time expired
     EXCESS_DATA = "excess"  # the peer sent more data after an unanswered request than the server buffers
     REQUEST_TIMEOUT = "late"  # no complete request arrived within REQUEST_TIMEOUT_S
-    # The connection was idle while operators drained this scheduler, or while another process superseded this
-    # one.
+    # The connection was idle during an operator's drain of this scheduler, or after the scheduler's other
+    # process had begun to accept connections instead of this process.
     RETIRED = "retired"
     SHUTDOWN = "leaving"  # this process shuts down
     CAPACITY = "room"  # the connection's descriptor was needed for a new connection
@@ -66,13 +66,13 @@
     SILENT = 1  # the connection has waited for a complete request for at least MIN_SILENCE_S
     IDLE = 2  # between requests; none of them was a job, a worker's callback or an operator's call
     TOO_YOUNG = 3  # a request or its response may be in transit
-    # Between requests, at least one of which was a job, a worker's callback or an operator's call. The peer
-    # would have to open a new connection for its next request.
+    # Between requests, at least one of which was a job, a worker's callback or an operator's call. If the
+    # connection is evicted, the peer has to open a new one for its next request.
     IDLE_SERVED = 4
 
 
 class _LingeringTransport:
-    """A transport whose ``close`` continues to read until the peer closes or ``LINGER_S`` has passed.
+    """A transport that, after ``close``, reads and discards data until the peer closes or for ``LINGER_S``.
 
     Closing a socket while data is unread sends a TCP reset, which can destroy the response in transit to the
     peer.
@@ -90,7 +90,7 @@
         self._connection.close_gracefully(CloseReason.ANSWERED)
 
     def pause_reading(self) -> None:
-        """Stop reading for aiohttp's backpressure, except where the peer's close would then go undetected."""
+        """Stop reading, as aiohttp requests when its buffer is full; `Connection.pause` has an exception."""
         self._connection.pause()
 
 
@@ -117,7 +117,8 @@
             None  # resolved with whether this process has begun to answer the adopted request
         )
         self.handed_over = False  # whether another process has taken over the connection
-        self.dropped = False  # whether `drop` was called; the descriptor closes in the loop's next iteration
+        # Whether `drop` was called; the descriptor closes in the event loop's iteration after that call.
+        self.dropped = False
         # The event loop's time (s) at which the phase was entered or, while closing, data last arrived.
         self._phase, self._phase_start = _Phase.WAITING, loop.time()
         # Whether data was received that belongs to no request whose answer has begun.
@@ -137,7 +138,7 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Stop the timer and unregister the connection.
 
-        Also makes a call of `adopt` return False if it still waits for the answer to its request to begin.
+        If a call of `adopt` still waits for its request's answer to begin, that call returns False.
         """
         self._raw_transport = None
         self._enter_phase(_Phase.CLOSING)
@@ -147,7 +148,10 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Pass data on to the HTTP parser; discard it while closing and after excess data."""
+        """Pass received data on to the HTTP parser.
+
+        Data is discarded while the connection is closing, and once the peer has sent excess data.
+        """
         if self._phase is _Phase.CLOSING:
             self._phase_start = self._loop.time()
             return
@@ -179,7 +183,7 @@
             self._discard_excess()
 
     def pause(self) -> None:
-        """Stop reading. While a request is being answered, continue to read and discard the data instead."""
+        """Stop reading; if a request is being answered, read and discard further data instead of stopping."""
         if self._raw_transport and self._phase is _Phase.BUSY:
             self._discard_excess()
         elif self._raw_transport:
@@ -242,7 +246,10 @@
         self._timer = self._loop.call_later(LINGER_S, self._raw_transport.abort)
 
     def drop(self) -> None:
-        """Close at once. May be called only if `eviction_rank` has returned a rank for this connection."""
+        """Close without flushing or lingering.
+
+        May be called only if `eviction_rank` has returned a rank for this connection.
+        """
         self.dropped = True
         if self._raw_transport:
             self._record_close(CloseReason.CAPACITY)
@@ -251,10 +258,11 @@
     def eviction_rank(self, now: float) -> tuple[EvictionRank, float] | None:
         """The eviction rank of this connection and the start of its phase; None if it can't be evicted.
 
-        ``now`` is the event loop's time. The connections with the lowest pairs are evicted first; a
-        connection with a complete request is not evicted. Idle connections that have carried jobs rank last:
-        their clients would lose no request, but would have to connect again. They rank even behind the
-        connections that are too young to be evicted, as those become evictable soon.
+        ``now`` is the event loop's time in seconds. The connections with the lowest pairs are evicted first;
+        a connection with a complete request is not evicted. Idle connections that have carried jobs, workers'
+        callbacks or operators' calls (`IDLE_SERVED`) rank last: a close loses no request, but their peers
+        would have to connect again. They rank even behind the connections that are too young to be evicted
+        (`TOO_YOUNG`), as the latter become evictable soon.
         """
         if self._raw_transport is None or self.dropped or self._phase is _Phase.BUSY:
             return None
@@ -312,7 +320,7 @@
         return True
 
     def resume_after_handover(self) -> None:
-        """Resume reading, which `pause_for_handover` has stopped, as the hand-over did not take place."""
+        """Resume reading after `pause_for_handover`, if the hand-over did not take place."""
         if self._raw_transport:
             self._raw_transport.resume_reading()
 
@@ -380,7 +388,7 @@
         """Close the connection if no complete request has arrived; answer a partial request with status 408.
 
         A complete request whose answer has not begun extends the timeout by ``REQUEST_GRACE_S``; so does
-        unread data, but only if ``grace`` is True, which it is for the first expiry.
+        unread data, but only at the first expiry: ``grace`` is False when the extended timeout expires.
         """
         if self._raw_transport is None or self._phase is not _Phase.WAITING:
             return
@@ -415,7 +423,7 @@
             super()._process_keepalive()
 
     def peer_address(self) -> str:
-        """The peer's IP address, ``?`` where it is not known."""
+        """The peer's IP address, or ``?`` if it is not known or the connection has closed."""
         return str((self._raw_transport.get_extra_info("peername") or "?")[0]) if self._raw_transport else "?"
 
 
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -37,8 +37,8 @@
 READY = "/ready"
 READINESS_SETTLE_S = 0.5  # how long the front still opens connections after a failed readiness check
 IDLE_SWEEP_INTERVAL_S = 0.25  # interval at which idle connections are closed during an operator's drain
-# After this time, clients whose requests are rejected during the shutdown may retry. Two retries at this
-# interval outlast the restart of another scheduler.
+# Delay that the answers to requests rejected during the shutdown ask clients to observe before a retry. Two
+# retries at this interval outlast the restart of another scheduler.
 SHUTDOWN_RETRY_AFTER_US = 700_000
 
 Json = dict[str, Any]
@@ -78,8 +78,8 @@
         self.deliver = deliver
         self.deadlines_us = tuple(c.deadline_us for c in config.settings.classes)
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
-        # Whether the start of this process still waits for the lease on the endpoint list; requests are
-        # queued while there is none.
+        # Whether this process, after its start, still waits for its first lease on the endpoint list;
+        # requests are queued while the process has no lease.
         self.awaiting_endpoint_list = False
         # Whether this process still has to receive the records that schedulers share; False if none are
         # shared.
@@ -109,7 +109,8 @@
     async def close(self) -> None:
         """Reject new requests and close all connections.
 
-        If no request is pending, connections are drained first. Otherwise they are closed without a drain.
+        If no request is pending, connections are drained first (`Listener.drain`), so that requests in
+        transit still receive an answer. If requests are pending, connections are closed without a drain.
         """
         self.shutting_down = self.rejects_new_requests = True
         if not self.pending_count:
@@ -121,8 +122,9 @@
         path = request.rel_url.raw_path
         if request.method == "GET" and path == READY:
             # The connection is closed after a readiness check, as an idle connection would only occupy a
-            # descriptor. A superseded process answers that it is ready: its successor has the same address,
-            # and a failed check would make the front stop sending clients to that address.
+            # descriptor. A superseded process (one whose successor accepts connections instead) answers that
+            # it is ready: its successor has the same address, and a failed check would make the front stop
+            # sending clients to that address.
             ready = self.ready or (self.superseded and not self.drained_by_operators)
             return self._respond(Answer(200 if ready else 503, b"", close=True))
         if adopted := connection_of(request).take_adopted_request():
@@ -168,7 +170,7 @@
 
     async def _job(self, request: web.BaseRequest) -> web.StreamResponse:
         # If this process was stalled, the request may have arrived at any time since the stall began. The
-        # earliest possible time of arrival counts.
+        # earliest of these times is taken as its arrival.
         arrived_us = self.catch_up.earliest_arrival_us() if self.catch_up else self.clock.now_us()
         body = await request.read()
         job = protocol.decode_request(
@@ -212,7 +214,7 @@
     # Hand-over between two processes
 
     def set_budget(self, budget: int) -> None:
-        """Set the maximum number of open connections, and evict connections above it where possible."""
+        """Set the maximum number of open connections, and evict connections in excess of it if possible."""
         self._listener.set_budget(budget)
 
     def set_superseded(self, superseded: bool, budget: int) -> None:
@@ -227,9 +229,9 @@
 
     @property
     def is_quiescent(self) -> bool:
-        """Whether no request is pending, partially received or possibly in transit.
+        """Whether all responses are sent, and no request is pending, partially received or in transit.
 
-        Responses that are not fully sent also count as pending.
+        A request counts as in transit while one may be: see `Connection.is_idle`.
         """
         now = asyncio.get_running_loop().time()
         return not self.pending_count and not any(c.has_pending_work(now) for c in self._listener.open)
--- a/robinhill/net/clients/listener.py
+++ b/robinhill/net/clients/listener.py
@@ -37,8 +37,8 @@
 ACCEPT_PAUSE_S = 0.05  # delay before connections are accepted again when no descriptor is free
 DRAIN_POLL_S = 0.01  # interval at which a drain checks the connections
 DRAIN_TIMEOUT_S = REQUEST_TIMEOUT_S + REQUEST_GRACE_S
-# How long a drain waits, once no work is pending, for peers to close their connections first. A process that
-# exits resets connections with unread data.
+# How long a drain waits, once no work is pending, for peers to close their connections before this process
+# exits: the exit would reset connections that have unread data.
 PEER_CLOSE_WAIT_S = 0.25
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -165,7 +165,7 @@
         started = last_pending = self._loop.time()
         while True:
             if self._socket and self.accepting:
-                # Connections in the kernel's accept queue would be reset when the socket is closed.
+                # Closing the socket would reset the connections that are still in the kernel's accept queue.
                 self._accept()
             now = self._loop.time()
             for connection in list(self.open):
@@ -200,8 +200,8 @@
         assert self._socket
         for _ in range(ACCEPT_BATCH_CONNECTIONS):
             if len(self.open) + self._connecting >= self.budget:
-                # A dropped connection keeps its descriptor until the event loop's next iteration, so that
-                # nothing is accepted in this iteration even if connections are dropped.
+                # A dropped connection keeps its descriptor until the event loop's next iteration. Even if
+                # connections are dropped, further ones are therefore accepted only in a later iteration.
                 if not self._free_capacity():
                     self._pause_accepting()
                 return
@@ -210,8 +210,9 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as e:
-                # The process is out of descriptors in spite of the budget, or out of memory. asyncio's own
-                # server would retry at once, and log a traceback for each connection in the accept queue.
+                # The process is out of descriptors in spite of the budget, or out of memory. Accepting is
+                # paused: asyncio's own server would retry at once, and log a traceback for each connection in
+                # the accept queue.
                 log.error("accept_failed", extra={"why": str(e), "open": len(self.open)})
                 self._free_capacity()
                 self._pause_accepting()
@@ -237,8 +238,8 @@
     def _evict(self) -> bool:
         """Drop up to ``ACCEPT_BATCH_CONNECTIONS`` connections of the lowest ranks, below `TOO_YOUNG`.
 
-        If all connections with a rank are idle and have served requests (`IDLE_SERVED`), a single one is
-        dropped. Returns whether a connection was dropped.
+        If all evictable connections have the rank `IDLE_SERVED`, and no accepted connection is still being
+        set up, a single one is dropped. Returns whether a connection was dropped.
         """
         now = self._loop.time()
         ranked = [(rank, c) for c in self.open if (rank := c.eviction_rank(now)) is not None]
@@ -246,8 +247,8 @@
         evicted = [c for (rank, _), c in ranked[:ACCEPT_BATCH_CONNECTIONS] if rank < EvictionRank.TOO_YOUNG]
         only_served = bool(ranked) and ranked[0][0][0] is EvictionRank.IDLE_SERVED
         if not evicted and not self._connecting and only_served:
-            # No IDLE_SERVED connection is dropped while a connection is being accepted: the new connection
-            # may send no request, and then has a lower rank, so that it is dropped first.
+            # No IDLE_SERVED connection is dropped while an accepted connection is being set up: if the new
+            # connection sends no request, it gets a lower rank than IDLE_SERVED and is dropped first.
             evicted = [c for _, c in ranked[:1]]
         for connection in evicted:
             connection.drop()
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -2,7 +2,8 @@
 
 A process is stalled while it is stopped, swapped out or blocked in its event loop. Discovery may have sent
 messages during the stall (the backlog). They must be handled before this process decides about requests or
-sends them: the actors that do so query this module, and wait while the process catches up with the backlog.
+sends them: the actors that decide or send query this module, and wait while the process handles the backlog
+(while it is *catching up*).
 """
 
 import asyncio
@@ -14,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-# Number of event loop iterations until data in the kernel's buffers has become messages in the dispatcher's
-# mailbox, even if its connection has yet to be accepted.
+# Number of event loop iterations after which data in the kernel's buffers has been read and has become
+# messages in the dispatcher's mailbox, even if the data's connection has yet to be accepted.
 READ_ITERATIONS = 10
-# Number of event loop iterations until the endpoint actors have handled a message that is in the dispatcher's
-# mailbox.
+# Number of event loop iterations after which the endpoint actors (one for each worker) have handled the
+# effects of a message that was in the dispatcher's mailbox.
 WRITE_ITERATIONS = 4
 # Limit of the event loop iterations of one catch-up: a discovery server that sends without end must not
 # delay this process forever.
@@ -35,7 +36,8 @@
         self.stall_detector = StallDetector(clock.now_us())
         # Number of event loop iterations since a stall was detected; 0 while the process is not catching up.
         self.iterations = 0
-        # Number of consecutive iterations, up to the latest, in which no data from discovery was unread.
+        # Number of iterations since data from discovery was last found unread or, if none was, since the
+        # stall was detected.
         self.quiet_iterations = 0
         self._timer: asyncio.TimerHandle | None = None
 
@@ -50,7 +52,7 @@
             self._timer.cancel()
 
     def has_unread_input(self) -> bool:
-        """Whether messages that arrived during a stall may still be unread."""
+        """Whether messages that arrived during a stall may not have reached the dispatcher's mailbox yet."""
         return self.is_catching_up() and self.quiet_iterations < READ_ITERATIONS
 
     def is_catching_up(self) -> bool:
--- a/robinhill/net/discovery/list_watcher.py
+++ b/robinhill/net/discovery/list_watcher.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeAddress:
-    """Close the open watch, and open one at this address of discovery; no effect if it is unchanged."""
+    """Close the open watch, and open one at the address ``discovery``; no effect if that is in use."""
 
     discovery: Address
 
@@ -53,11 +53,11 @@
 
 
 class EndpointListWatcher(Actor[ChangeAddress]):
-    """Keeps exactly one call to discovery open, or scheduled, once started.
+    """Keeps exactly one call to discovery open, or scheduled, once this actor is started.
 
     Lists and the end of each call are reported to ``report_list``, and events that extend or limit the lease
-    on the list to ``report_lease_event``. The end of a call is ``EndpointListReceived(None)``; it is not
-    reported if discovery was silent, or if an agent beside the scheduler pushes the lists.
+    on the list to ``report_lease_event``. The end of a call is reported as ``EndpointListReceived(None)``,
+    except if discovery was silent, or if an agent on the scheduler's host pushes the lists.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.report_list = report_list
         self.report_lease_event = report_lease_event
         self.catch_up: CatchUp | None = None  # None: stalls are not detected
-        self._response_started = False  # discovery has answered the open call with status 200
+        self._response_started = False  # whether discovery has answered the open call with status 200
         # Transport of the open call's connection; None until discovery has answered the call.
         self._transport: asyncio.BaseTransport | None = None
         self._watch_task: asyncio.Task[None] | None = None
@@ -147,8 +147,9 @@
             query["after"] = str(self.version)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            # By default aiohttp repeats a call at once if its connection ends without a response. That would
-            # bypass the schedule's delay, and all schedulers would repeat their calls at the same time.
+            # By default aiohttp repeats a call at once if its connection ends without a response. Such a
+            # repeat would bypass the schedule's delay, and after a failure of discovery all schedulers would
+            # repeat their calls at the same time.
             session._retry_connection = False
             url = f"http://{self.discovery}/v1/endpoints"
             call = session.get(url, params=query, allow_redirects=False)
@@ -181,8 +182,9 @@
     def _on_unchanged(self, is_first: bool) -> None:
         """Handle an empty line, which confirms that the list is unchanged since ``version``.
 
-        It confirms nothing while ``version`` is None. An empty line that is the first message of a call is
-        also reported as a list without changes, which notifies the dispatcher that discovery has answered.
+        While ``version`` is None, an empty line confirms nothing. An empty line that is the first message of
+        a call is also reported as a list without changes, which notifies the dispatcher that discovery has
+        answered.
         """
         if self.version is not None:
             self.report_lease_event(ListConfirmed(self.version, self.schedule.last_received_us))
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -26,17 +26,18 @@
 
 Json = dict[str, Any]
 
-# How long the successor waits for each answer of the predecessor. The wait is limited, as the reason for the
-# replacement may be that the predecessor hangs.
+# How long the successor waits for each answer of the predecessor. The wait is limited because the predecessor
+# may be replaced for the very reason that it hangs.
 PREDECESSOR_TIMEOUT_S = 2.5
-# How long this process waits for another one to apply an operator's call, which must be answered within 1 s.
+# How long this process waits until another process has applied an operator's call. The operator must receive
+# the answer to the call within 1 s.
 OPERATOR_CALL_TIMEOUT_S = 0.7
 
 
 class HandoverDelegate(Protocol):
     """The functions of the scheduler that the hand-over calls.
 
-    Each ``body`` is JSON that was written by the other process, which may be of any version.
+    Each ``body`` is JSON from the other process, which may run another version of robinhill.
     """
 
     def export_endpoint_list(self) -> EndpointListExport:
@@ -72,7 +73,7 @@
         self.delegate = delegate
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
-        # Set once this process serves. Questions that it receives earlier are answered after that.
+        # Set once this process accepts connections. Questions received before that are answered after it.
         self.serving = asyncio.Event()
         self._state_exported = False  # whether the successor has asked for this process's state
         self._successor_serves = False  # whether the successor accepts connections
@@ -101,8 +102,8 @@
     async def ask_predecessor(self, question: str) -> Mapping[str, Any] | None:
         """Ask the predecessor a question of `QuestionName` and return the body of its answer.
 
-        If it does not answer within `PREDECESSOR_TIMEOUT_S` or the link is lost, close the link and return
-        None.
+        If the predecessor does not answer within `PREDECESSOR_TIMEOUT_S`, or the link to it is lost, this
+        method closes the link and returns None.
         """
         assert self.predecessor
         try:
@@ -153,7 +154,7 @@
         log.info("successor_serving")
         self._successor_serves = True
         self.delegate.set_superseded(True)
-        self._socket.withdraw()  # the successor replaces the socket's file by its own
+        self._socket.withdraw()  # the successor replaces this process's socket file with its own
 
     # As either process
 
@@ -195,8 +196,8 @@
     async def relay_operator_call(self, call: str, body: Json) -> bool:
         """Forward an operator's call to the processes of `live_links`, one after another.
 
-        Returns False once one of them rejects the call or does not apply it within `OPERATOR_CALL_TIMEOUT_S`;
-        a process that has exited does not count.
+        Returns False as soon as one of them rejects the call or does not apply it within
+        `OPERATOR_CALL_TIMEOUT_S`. A process that has exited is skipped, and does not make the call fail.
         """
         for link in self.live_links:
             try:
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -3,8 +3,9 @@
 This module creates and accepts connections; ``process_link`` exchanges messages on them.
 
 The socket's file is in the scheduler's state folder and belongs to the process that serves clients. In a
-hand-over, the successor replaces the predecessor's file by a rename before the predecessor exits. So during a
-hand-over the file is never missing, and never refers to a process that has exited.
+hand-over, the successor renames its own socket file to the name of the predecessor's, and so replaces it,
+before the predecessor exits. During a hand-over the file is therefore never missing, and never refers to a
+process that has exited.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 SOCKET_NAME = "robinhill.sock"
-MAX_PATH_BYTES = 100  # for the path of a Unix socket; the system allows 107 bytes
+MAX_PATH_BYTES = 100  # maximum length of a Unix socket's path that is used; the system allows 107 bytes
 CONNECT_TIMEOUT_S = 1.0
 
 
@@ -77,7 +78,7 @@
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def withdraw(self) -> None:
-        """Stop listening. The socket's file is not removed, as it may be the successor's file by now."""
+        """Stop listening. The socket's file stays, as the successor may have replaced it with its own file."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
--- a/robinhill/net/handover/messages.py
+++ b/robinhill/net/handover/messages.py
@@ -1,8 +1,8 @@
 """Names and bodies of the messages in which a process hands its state to its successor.
 
-The two processes of a scheduler may be of different versions, and either may be the newer one. So the meaning
-of a key never changes, and a reader ignores unknown keys. A *question* is a request that the other process
-answers once.
+The two processes of a scheduler may run different versions of robinhill, and either version may be the newer
+one. For this reason the meaning of a key never changes, and a process ignores unknown keys in the messages it
+receives. A *question* is a request that the other process answers once.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 class QuestionName:
     """Names of the questions that one process sends the other; the names are the same in all versions.
 
-    A question with any other name relays an operator's call of that name.
+    A question with a name that is not listed below relays an operator's call of that name.
     """
 
     ENDPOINT_LIST = "hello"  # asks the predecessor for an `EndpointListExport`
@@ -31,20 +31,22 @@
 
 
 class EndpointListExport(TypedDict):
-    """The answer to ``QuestionName.ENDPOINT_LIST``: what a successor needs to watch discovery itself.
+    """The answer to ``QuestionName.ENDPOINT_LIST``.
+
+    With it, the successor can continue the watch on discovery and the lease on the endpoint list.
 
     Times ending in ``_us`` are microseconds of the predecessor's clock.
     """
 
     clock_anchor_ns: int  # the predecessor's Unix time minus the host's monotonic time
-    list_confirmed_us: int | None  # when discovery last confirmed the list; None: it has not
+    list_confirmed_us: int | None  # when discovery last confirmed the list; None: never confirmed
     list_until_us: int  # end of the lease on the list
     discovery: str  # address of the discovery service that sent the list
     known: KnownEndpoints
 
 
 class StateExport(TypedDict):
-    """The answer to ``QuestionName.STATE``: what a successor needs to decide as the predecessor does."""
+    """The answer to ``QuestionName.STATE``: the state for the successor to decide as the predecessor does."""
 
     decider: Mapping[str, object]  # the dispatcher's state
     drained: bool  # whether operators have drained the scheduler
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -37,8 +37,8 @@
     """A question has no answer because the link was closed.
 
     The other process has exited or sent a message that this process can't handle, or this process has closed
-    the link. ``sent``: True if the other process may have received the complete question, False if it can't
-    have.
+    the link. ``sent``: True if the other process may have received the complete question, False if that is
+    impossible.
     """
 
     def __init__(self, sent: bool) -> None:
@@ -90,8 +90,8 @@
     """An encoded message that has yet to be sent."""
 
     data: bytes
-    fd: int | None = None  # descriptor to pass with the message; this process closes it after that
-    question: int = NO_QUESTION  # number of the question
+    fd: int | None = None  # descriptor to pass with the message; this process closes it after sending
+    question: int = NO_QUESTION  # number of the question; NO_QUESTION for an answer
 
 
 class ProcessLink:
@@ -118,7 +118,7 @@
         self._sent: set[int] = set()  # numbers of pending questions that the other process may have received
         self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
         self._buffer = bytearray()  # received bytes of an incomplete line
-        # Received descriptors, in the order of their questions, whose questions are not fully received yet.
+        # Descriptors that arrived before the last byte of their questions, in the order of the questions.
         self._fds: deque[int] = deque()
         self._loop.add_reader(sock, self._read)
         self._writer = supervisor.spawn(self._write(), "link")
@@ -176,9 +176,9 @@
                     self._sent.add(outgoing.question)  # the question's last byte may be sent from here on
                 await self._loop.sock_sendall(self.sock, data)
             except OSError as e:
-                # The other process has exited, but messages that it wrote before that may still be unread.
-                # Their descriptors are open in no other process, so this method does not close the link:
-                # `_read` does so at the end of the stream.
+                # The other process has exited, but messages that it wrote before its exit may still be
+                # unread. The descriptors passed with those messages are open in no other process, and closing
+                # the link would lose them. `_read` therefore closes the link, at the end of the stream.
                 log.debug("process_link_broken", extra={"why": str(e)})
                 self._sent.discard(outgoing.question)
                 return
@@ -234,6 +234,9 @@
             self._outbox.put_nowait(_Outgoing(Answer(question.number, body).encode()))
 
     def _close_malformed(self, error: Exception) -> None:
-        """Close the link to a process whose messages this version can't handle, as if it had exited."""
+        """Close the link, as if the other process had exited, because its message can't be handled.
+
+        It may run another version of robinhill, with messages that this version does not know.
+        """
         log.error("process_link_malformed", exc_info=error)
         self.close()
--- a/robinhill/net/operators/disabled_workers.py
+++ b/robinhill/net/operators/disabled_workers.py
@@ -1,4 +1,4 @@
-"""The store of workers that operators have disabled: a file in $TMPDIR, which a restart does not remove.
+"""The store of the workers that operators have disabled: a file in $TMPDIR, which outlasts process restarts.
 
 Workers are identified by their IDs on the endpoint list. Nothing is sent to a disabled worker.
 """
@@ -21,7 +21,7 @@
         self.folder = folder
 
     def load(self) -> set[str]:
-        """Return the IDs as last saved; an empty set if none were, or if the file can't be read.
+        """Return the IDs of the last `save`; an empty set if there was none, or if the file can't be read.
 
         An unreadable file is logged as an error.
         """
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -64,8 +64,8 @@
 class OperatorServer:
     """Serves the operators' address.
 
-    ``budget`` is the maximum number of open connections. It is separate from that of client connections, so
-    that operators can connect while clients use up theirs.
+    ``budget`` is the maximum number of open connections to this address. Client connections have a budget of
+    their own, so that operators can connect while the clients' budget is used up.
     """
 
     def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: OperatorCalls) -> None:
--- a/robinhill/net/workers/attempt.py
+++ b/robinhill/net/workers/attempt.py
@@ -16,8 +16,8 @@
 class Phase(Enum):
     """The progress of an attempt's HTTP exchange."""
 
-    CONNECTING = auto()  # no byte of the request is written
-    WRITE_STARTED = auto()  # the request may be written, in part or completely
+    CONNECTING = auto()  # no byte of the request was written
+    WRITE_STARTED = auto()  # a part or all of the request may have been written
     ACCEPTED = auto()  # the worker has answered 202
 
 
@@ -26,9 +26,9 @@
     """One attempt at a worker, from its start to its end or its release to another process.
 
     Times are microseconds of the process's clock. The attempt is cancelled at the worker at ``until_us``, and
-    ends at ``deadline_us``, the client's deadline, even if the cancel is unanswered. No byte is written from
-    ``write_until_us`` on, or once ``client_waiting`` returns False, which means that the client has
-    disconnected or was answered.
+    ends at ``deadline_us``, the client's deadline, even if the cancel is unanswered. The request's first byte
+    is written only before ``write_until_us``, and only while ``client_waiting`` returns True; it returns
+    False once the client has disconnected or was answered.
     """
 
     job: int  # the dispatcher's number of the request
@@ -43,7 +43,7 @@
     connection: "WorkerConnection | None" = None  # carries the request; None until its first byte is written
     fully_written: bool = False  # whether the last byte of the request is written
     exchange: asyncio.Task[Any] | None = None  # sends the request; None if another process has sent it
-    timer: asyncio.TimerHandle | None = None  # runs until ``until_us``
+    timer: asyncio.TimerHandle | None = None  # fires at ``until_us``
     ended: bool = False  # whether the attempt's outcome was reported, or the attempt was released
     cancel_requested: bool = False
 
--- a/robinhill/net/workers/client.py
+++ b/robinhill/net/workers/client.py
@@ -26,7 +26,8 @@
 # How long an exchange waits for the response to an attempt that has already ended, or for the end of an error
 # response's body.
 LINGER_S = 2.0
-_REJECTION_STATUSES = (503, 504)  # with the header NOT_PROCESSED, each states that the job did not run
+# A response with one of these statuses and the header NOT_PROCESSED states that the job did not run.
+_REJECTION_STATUSES = (503, 504)
 _MALFORMED_RESPONSE_ERRORS = (aiohttp.ClientPayloadError, aiohttp.ClientResponseError)
 
 
@@ -103,12 +104,12 @@
                     await _discard_body(response)
             elif connection is not None:
                 self.record_close("unexpected_answer")
-                # The worker may have received the job and drops it when the connection is closed.
+                # The worker may have received the job; closing the connection makes the worker drop it.
                 connection.close()
         return response
 
     def _failed(self, attempt: WorkerAttempt, error: Exception) -> Outcome | None:
-        """Log a failed exchange; return the outcome, or None if the worker has accepted the job before."""
+        """Log a failed exchange; return its outcome, or None if the worker had already accepted the job."""
         malformed = isinstance(error, _MALFORMED_RESPONSE_ERRORS) or type(error) is TimeoutError
         event = "malformed_response" if malformed else "attempt_connection_failed"
         level = logging.WARNING if malformed else logging.DEBUG
@@ -164,7 +165,10 @@
             return False
 
     def replace_session(self) -> aiohttp.ClientSession:
-        """Use new connections for all later calls; return the old session, which the caller must close."""
+        """Use new connections for all later calls.
+
+        Returns the session with the old connections, which the caller must close.
+        """
         self.record_close("idle")
         old, self.session = self.session, self._new_session()
         return old
@@ -175,7 +179,7 @@
 
 
 async def close_after(session: aiohttp.ClientSession, pending: Iterable[asyncio.Task[Any]]) -> None:
-    """Close a session once the tasks that use it are done."""
+    """Close a session once the ``pending`` tasks, which use its connections, are done."""
     if tasks := list(pending):
         await asyncio.wait(tasks)
     await session.close()
--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -1,4 +1,4 @@
-"""Connections to a worker: aiohttp's, with checks that a job is sent neither twice nor after its expiry.
+"""Connections to a worker: they extend aiohttp's with checks against sending a job twice or after its expiry.
 
 A connection is closed if it receives data while no response is expected. Right before the first byte of an
 attempt is written, the ``WriteGuard`` checks again whether the attempt may be sent.
@@ -28,10 +28,10 @@
     """Decides right before an attempt is written whether it may be sent, and is notified of the write."""
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until this process has handled discovery's messages that arrived while it was stalled."""
+        """Wait until all messages from discovery that arrived while this process was stalled are handled."""
 
     def check_sendable(self, attempt: WorkerAttempt) -> None:
-        """Raise NotWrittenError if the attempt, of which no byte is written, may no longer be sent."""
+        """Raise NotWrittenError if the attempt, of which no byte was written yet, may no longer be sent."""
 
     def timeout_header(self, attempt: WorkerAttempt) -> str:
         """The value of the attempt's timeout header: the time until this scheduler cancels the attempt."""
@@ -43,7 +43,7 @@
         """Called when the attempt's last byte is written."""
 
 
-# The attempt whose request the current task sends, and its guard; None for cancels and health checks.
+# The guard and the attempt whose job the current task POSTs; None in tasks that cancel or check the health.
 current_attempt: ContextVar[tuple[WriteGuard, WorkerAttempt] | None] = ContextVar(
     "current attempt", default=None
 )
@@ -64,7 +64,8 @@
     def reusable(self) -> bool:
         """Whether the connection may carry another request.
 
-        This call aborts the connection if the kernel holds unread data, which no request has asked for.
+        Reading this property aborts the connection if the kernel holds unread data, as that data can't be the
+        response to any request.
         """
         return self.is_connected() and not self.should_close and not self._abort_if_unread()
 
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -43,7 +43,7 @@
 # Share of the worker's keep-alive time after which an idle connection is closed here. It is below 1 so that
 # no request is sent while the worker closes the same idle connection.
 MAX_IDLE_SHARE = 0.6
-MAX_REMEMBERED_ENDINGS = 4096  # callbacks that ended attempts; the oldest are forgotten first
+MAX_REMEMBERED_ENDINGS = 4096  # maximum size of `Endpoint.ending_callbacks`; the oldest are removed first
 # Outcome of an attempt whose worker reports by callback that the job has ended without a result.
 _OUTCOMES = {JobState.FAILED: Outcome.ERROR, JobState.RETURNED: Outcome.FULL, JobState.LOST: Outcome.RESET}
 
@@ -151,13 +151,13 @@
     # Checks right before a write (WriteGuard)
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until this process has handled discovery's messages that arrived while it was stalled."""
+        """Wait until all messages from discovery that arrived while this process was stalled are handled."""
         # The event loop reads available data in each iteration, so one check per iteration is enough.
         while self.policy.catch_up and self.policy.catch_up.is_catching_up():  # noqa: ASYNC110
             await asyncio.sleep(0)
 
     def check_sendable(self, attempt: WorkerAttempt) -> None:
-        """Raise NotWrittenError if the attempt, of which no byte is written, may no longer be sent."""
+        """Raise NotWrittenError if the attempt, of which no byte was written yet, may no longer be sent."""
         now, list_lease = self.clock.now_us(), self.policy.list_lease
         if not attempt.client_waiting():
             raise NotWrittenError(Outcome.NOT_SENT)
@@ -167,9 +167,9 @@
             raise NotWrittenError(Outcome.CANCELLED)
         if list_lease and not list_lease.is_valid(now):
             raise NotWrittenError(Outcome.CONNECT_FAILED)  # does not count as a failure of the worker
-        # Nothing is sent to a worker that is draining, removed or cordoned. A repeat of a keyed request must
-        # also be written within the time for which workers drop duplicates of it (``write_until_us``): later
-        # they would run the job again.
+        # Nothing is sent to a worker that is draining, removed or cordoned. A retry of a request with an
+        # idempotency key must also be written before ``write_until_us`` if the job may already have run:
+        # workers drop duplicates of the request until then, and would run the job again after that.
         if not self._accepts_sends() or now >= attempt.write_until_us:
             raise NotWrittenError(Outcome.CONNECT_FAILED)
 
@@ -237,8 +237,8 @@
         exchange = attempt.exchange
         if exchange and not exchange.done():
             # A callback or a timeout has ended the attempt before the response to its POST. If the response
-            # (202) still arrives, the connection becomes reusable. A silent worker never sends the response,
-            # which is why the wait is limited.
+            # (202) still arrives, the connection becomes reusable. The wait for it is limited, because an
+            # unresponsive worker never sends it.
             linger_s = 0.0 if attempt.phase is Phase.CONNECTING else LINGER_S
             asyncio.get_running_loop().call_later(linger_s, exchange.cancel)
         if self.attempts.get(attempt.request.id) is attempt:
@@ -259,8 +259,9 @@
             self._end(attempt, Outcome.COMPLETED, event.result)
         else:
             outcome = _OUTCOMES[event.state]
-            # If a callback with the same state has ended an earlier attempt of this request, this callback
-            # may be a retransmission of that one. It does not prove that this attempt never ran.
+            # If a callback with the same state has ended an earlier attempt of this request, the present
+            # callback may be a retransmission of the earlier callback. It then does not prove that the
+            # present attempt never ran.
             if outcome.never_ran and (event.id, event.state) in self.ending_callbacks:
                 outcome = Outcome.RESET
             self._remember_ending(event.id, event.state)
@@ -304,8 +305,8 @@
     def _cancel(self, attempt: WorkerAttempt, outcome: Outcome) -> None:
         """Cancel the attempt at the worker, then end the attempt with ``outcome``.
 
-        The order keeps the request from being in flight twice: its next attempt starts only after the end of
-        this one was reported.
+        This order prevents two attempts of the request from running at the same time: the next attempt starts
+        only after the end of the cancelled attempt was reported.
         """
         if attempt.active:
             attempt.cancel_requested = True
@@ -392,8 +393,7 @@
         self._retire_if_removed()
 
     def _on_check_health(self, _: CheckHealth) -> None:
-        # The endpoint of a removed worker may be closed with its connections at any time, so that no check is
-        # started.
+        # No check is started at a removed worker, as its endpoint and connections may be closed at any time.
         if self.destination.lifecycle is Lifecycle.REMOVED:
             self.report(HealthCheckEnded(self.destination.instance_id, False))
         else:
--- a/robinhill/net/workers/messages.py
+++ b/robinhill/net/workers/messages.py
@@ -18,8 +18,9 @@
     """Start an attempt.
 
     At ``until_us`` the attempt expires and is cancelled at the worker; at ``deadline_us``, the client's
-    deadline, it ends even if the cancel is unanswered. No byte is written from ``write_until_us`` on, or once
-    ``client_waiting`` returns False, which means that the client has disconnected or was answered.
+    deadline, the attempt ends even if the cancel is unanswered. The request's first byte is written only
+    before ``write_until_us``, and only while ``client_waiting`` returns True; it returns False once the
+    client has disconnected or was answered.
     """
 
     job: int
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonUnwritten:
-    """End an attempt whose client has disconnected, provided that no byte of its request is written."""
+    """End an attempt whose client has disconnected, if no byte of the request was written to the worker."""
 
     job: int
     attempt: int
@@ -62,7 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseAttempt:
-    """Release a request's attempt for another process, if the worker has accepted the attempt.
+    """Stop tracking a request's attempt, so that another process of this scheduler can continue it.
+
+    The attempt is released only if the worker has accepted it and no cancel of it was requested.
 
     The endpoint replies with ``AttemptReleased``.
     """
@@ -73,7 +76,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ResumeAttempt:
-    """Continue an attempt that another process has released, and that its worker has accepted."""
+    """Continue an attempt that the scheduler's other process has released; its worker has accepted the job.
+
+    ``sent_us`` is the time at which that process started the attempt; for ``until_us`` and ``deadline_us``
+    see `StartAttempt`.
+    """
 
     job: int
     attempt: int
@@ -87,8 +94,9 @@
 class RequestReturned:
     """The worker has returned a request without running it, by a callback to this scheduler's other process.
 
-    If this process receives a callback that returns the same request, that callback may be a retransmission
-    of the earlier one. It therefore does not prove that a later attempt at this worker never ran.
+    If this process later receives a callback that returns the same request, the later callback may be a
+    retransmission of the callback to the other process. The later callback therefore does not prove that a
+    later attempt at this worker never ran.
     """
 
     request_id: str
@@ -124,7 +132,8 @@
 class HealthCheckEnded:
     """A health check has ended; ``alive`` is whether the worker answered it, with any status.
 
-    Without a check, ``alive`` is False for a removed worker and True for a disabled or cordoned one.
+    Removed, disabled and cordoned workers are not checked: ``alive`` is False for a removed worker and True
+    for a disabled or cordoned one.
     """
 
     instance_id: str
