--- a/robinhill/net/clients/connection.py
+++ b/robinhill/net/clients/connection.py
@@ -90,7 +90,10 @@
         self._connection.close_gracefully(CloseReason.ANSWERED)
 
     def pause_reading(self) -> None:
-        """Stop reading, as aiohttp requests when its buffer is full; `Connection.pause` has an exception."""
+        """Stop reading when aiohttp's buffer is full.
+
+        While a request is being answered, reading continues: the peer's close would otherwise go undetected.
+        """
         self._connection.pause()
 
 
@@ -114,10 +117,10 @@
         # A request that the predecessor process has read and this process must answer; None if there is none.
         self._adopted_request: object = None
         self._adoption_begun: asyncio.Future[bool] | None = (
-            None  # resolved with whether this process has begun to answer the adopted request
+            None  # its result is whether this process has begun to answer the adopted request
         )
         self.handed_over = False  # whether another process has taken over the connection
-        # Whether `drop` was called; the descriptor closes in the event loop's iteration after that call.
+        # Whether `drop` was called; the descriptor is closed in the event loop's iteration after the call.
         self.dropped = False
         # The event loop's time (s) at which the phase was entered or, while closing, data last arrived.
         self._phase, self._phase_start = _Phase.WAITING, loop.time()
@@ -126,7 +129,7 @@
         # Whether the peer sent more data after an unanswered request than the server buffers.
         self._discards_excess = False
         self._raw_transport: asyncio.Transport | None = None  # None unless the connection is open
-        self._timer: asyncio.TimerHandle | None = None  # ends the phase that it was started in
+        self._timer: asyncio.TimerHandle | None = None  # time limit of the current phase; None if it has none
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, and start the time limit for its first request."""
@@ -288,7 +291,11 @@
             self.close_gracefully(CloseReason.RETIRED)
 
     def is_idle(self, now: float) -> bool:
-        """Whether the connection carries no request, not even in part, and has no unread data."""
+        """Whether the connection carries no request, not even in part, and has no unread data.
+
+        A connection that waits for its first request is idle only after ``MIN_SILENCE_S`` without data, as
+        the request may be in transit until then.
+        """
         silent = self._phase is _Phase.IDLE or (
             self._phase is _Phase.WAITING
             and not self._has_new_bytes
--- a/robinhill/net/clients/inbound.py
+++ b/robinhill/net/clients/inbound.py
@@ -231,7 +231,7 @@
     def is_quiescent(self) -> bool:
         """Whether all responses are sent, and no request is pending, partially received or in transit.
 
-        A request counts as in transit while one may be: see `Connection.is_idle`.
+        A request counts as in transit while it may be: see `Connection.is_idle`.
         """
         now = asyncio.get_running_loop().time()
         return not self.pending_count and not any(c.has_pending_work(now) for c in self._listener.open)
--- a/robinhill/net/discovery/catch_up.py
+++ b/robinhill/net/discovery/catch_up.py
@@ -42,7 +42,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start to record a heartbeat every ``HEARTBEAT_INTERVAL_US``."""
+        """Start to record a heartbeat every ``HEARTBEAT_INTERVAL_US``; a late heartbeat indicates a stall."""
         self.stall_detector.record_heartbeat(self.clock.now_us())
         self._schedule()
 
--- a/robinhill/net/handover/handover.py
+++ b/robinhill/net/handover/handover.py
@@ -73,7 +73,7 @@
         self.delegate = delegate
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
-        # Set once this process accepts connections. Questions received before that are answered after it.
+        # Set by `start_serving`. Questions that the other process sends earlier are answered after that call.
         self.serving = asyncio.Event()
         self._state_exported = False  # whether the successor has asked for this process's state
         self._successor_serves = False  # whether the successor accepts connections
--- a/robinhill/net/handover/handover_socket.py
+++ b/robinhill/net/handover/handover_socket.py
@@ -78,7 +78,7 @@
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def withdraw(self) -> None:
-        """Stop listening. The socket's file stays, as the successor may have replaced it with its own file."""
+        """Stop listening. The socket's file stays, as it may already be the file of the successor."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
--- a/robinhill/net/handover/messages.py
+++ b/robinhill/net/handover/messages.py
@@ -46,7 +46,10 @@
 
 
 class StateExport(TypedDict):
-    """The answer to ``QuestionName.STATE``: the state for the successor to decide as the predecessor does."""
+    """The answer to ``QuestionName.STATE``.
+
+    With it, the successor makes the same decisions as the predecessor would.
+    """
 
     decider: Mapping[str, object]  # the dispatcher's state
     drained: bool  # whether operators have drained the scheduler
--- a/robinhill/net/handover/process_link.py
+++ b/robinhill/net/handover/process_link.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """A question.
+    """A question from one process of the scheduler to the other.
 
     ``name`` states what is asked, and ``body`` has the arguments. ``has_fd``: whether a file descriptor is
     passed with the question.
@@ -114,7 +114,8 @@
         self.lost = asyncio.Event()  # set once the link is closed
         self._loop = asyncio.get_running_loop()
         self._question_numbers = count(1)
-        self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}  # answers by question number
+        # Answers that have not arrived yet, by question number.
+        self._pending: dict[int, asyncio.Future[Mapping[str, Any]]] = {}
         self._sent: set[int] = set()  # numbers of pending questions that the other process may have received
         self._outbox: asyncio.Queue[_Outgoing] = asyncio.Queue()
         self._buffer = bytearray()  # received bytes of an incomplete line
--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -1,7 +1,7 @@
 """The HTTP server for operators' calls, on its own listener, with one call per connection.
 
-This module defines the paths and methods of operators' calls, and the functions in `OperatorCalls` carry them
-out. A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
+This module defines the paths and methods of the calls; the functions in `OperatorCalls` carry out the calls.
+A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
 """
 
 import logging
--- a/robinhill/net/workers/client.py
+++ b/robinhill/net/workers/client.py
@@ -188,7 +188,7 @@
 async def _discard_body(response: ClientResponse) -> None:
     """Read and discard a response's body, so that its connection can be reused.
 
-    Raises ClientPayloadError, which closes the connection, where the body exceeds ``MAX_BODY_BYTES``.
+    Raises ClientPayloadError, which closes the connection, if the body exceeds ``MAX_BODY_BYTES``.
     """
     remaining = protocol.MAX_BODY_BYTES
     async for data in response.content.iter_any():
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -40,8 +40,8 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the worker's keep-alive time after which an idle connection is closed here. It is below 1 so that
-# no request is sent while the worker closes the same idle connection.
+# Share of the worker's keep-alive time after which this scheduler closes an idle connection. It is below 1 so
+# that no request is sent on a connection that the worker is about to close.
 MAX_IDLE_SHARE = 0.6
 MAX_REMEMBERED_ENDINGS = 4096  # maximum size of `Endpoint.ending_callbacks`; the oldest are removed first
 # Outcome of an attempt whose worker reports by callback that the job has ended without a result.
@@ -250,7 +250,7 @@
     def _on_job_event(self, event: JobEvent) -> None:
         attempt = self.attempts.get(event.id)
         if attempt is None or attempt.phase is Phase.CONNECTING:
-            return  # the callback is late, repeated or unknown: it concerns no attempt in flight here
+            return  # the callback is late, repeated or unknown: it concerns no attempt in flight
         if event.state is JobState.STARTED:
             self.report(AttemptProgress(attempt.job, attempt.number))
         elif event.state is JobState.RUNNING:
@@ -286,8 +286,8 @@
             self._end(attempt, Outcome.TIMEOUT)
         else:
             self._cancel(attempt, Outcome.TIMEOUT)
-            # A cancel at a silent worker lasts until the cancel's timeout, but the client must be answered by
-            # its deadline. The timer is therefore set again, to end the attempt at the deadline.
+            # A cancel at an unresponsive worker lasts until the cancel's timeout, but the client must be
+            # answered by its deadline. The timer is therefore set again, to end the attempt at the deadline.
             attempt.until_us = attempt.deadline_us
             self._set_timer(attempt)
 
