--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -104,7 +104,7 @@
 
 
 class WorkerConnector(aiohttp.TCPConnector):
-    """A connection pool without a limit; it reuses only connections that are `WorkerConnection.reusable`."""
+    """A pool of any number of connections; it reuses only those that are `WorkerConnection.reusable`."""
 
     def __init__(self, max_idle_s: float, record_close: Callable[[str], None]) -> None:
         super().__init__(limit=0, limit_per_host=0, keepalive_timeout=max_idle_s)
--- a/robinhill/net/workers/endpoint.py
+++ b/robinhill/net/workers/endpoint.py
@@ -95,7 +95,7 @@
         None  # whether cordons, and the lease on them, allow sends to a worker; None: cordons are not in use
     )
     list_lease: ListLease | None = None  # the lease on the endpoint list; None: no lease is required
-    catch_up: CatchUp | None = None  # delays sends after a stall; None: stalls are not detected
+    catch_up: CatchUp | None = None  # delays sends after this process stalled; None: no detection
 
 
 class Endpoint(Actor[EndpointMessage]):
@@ -382,7 +382,7 @@
         self.attempts[message.request.id] = attempt
         self._set_timer(attempt)
 
-    # The worker
+    # The worker's address, health and connections
 
     def _on_listed(self, destination: ListedEndpoint) -> None:
         moved = destination.host_port != self.destination.host_port
