--- a/robinhill/net/operators/server.py
+++ b/robinhill/net/operators/server.py
@@ -1,7 +1,7 @@
 """The HTTP server for operators' calls, on its own listener, with one call per connection.
 
-This module defines the paths and methods of operators' calls, and the functions in `OperatorCalls` carry them
-out. A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
+This module defines the paths and methods of the calls; the functions in `OperatorCalls` carry out the calls.
+A status of 2xx means that the call succeeded, 4xx and 5xx that it failed.
 """
 
 import logging
@@ -64,8 +64,8 @@
 class OperatorServer:
     """Serves the operators' address.
 
-    ``budget`` is the maximum number of open connections. It is separate from that of client connections, so
-    that operators can connect while clients use up theirs.
+    ``budget`` is the maximum number of open connections to this address. Client connections have a budget of
+    their own, so that operators can connect while the clients' budget is used up.
     """
 
     def __init__(self, address: Address, budget: int, supervisor: Supervisor, calls: OperatorCalls) -> None:
