--- a/robinhill/control/actions.py
+++ b/robinhill/control/actions.py
@@ -2,8 +2,8 @@
 clock, carries out the actions.
 
 A *voter* and an *observer* each have a replica of the group's records, and only voters take part in
-majorities. An observer is a scheduler; its *lease* is valid while the newest state of a majority of voters
-that it knows is not older than a configured bound.
+majorities. An observer is a scheduler. An observer's *lease* is valid while the newest state of a majority of
+voters that the observer knows is not older than a configured bound.
 """
 
 from dataclasses import dataclass
--- a/robinhill/control/change_coordinator.py
+++ b/robinhill/control/change_coordinator.py
@@ -105,7 +105,7 @@
         )
 
     def end_barrier(self, origin: str, end: wire.BarrierEnd) -> None:
-        """Stop tracking a barrier of another voter, which needs no further status of the barrier."""
+        """Stop tracking a barrier of another voter, as that voter needs no further status of the barrier."""
         self.observer_progress.untrack(BarrierId(origin, end.number))
 
     def voter_unlinked(self, name: str) -> None:
--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -124,7 +124,11 @@
         self._confirmed = max(self._confirmed, min(count, self.sent))
 
     def draw(self) -> tuple[list[bytes], bool]:
-        """Return the encoded messages that may be sent now, and whether a heartbeat reply is among them."""
+        """Return the encoded messages that are due, and whether a heartbeat reply is among them.
+
+        The messages counted in `sent` are due while the send window has room. A heartbeat reply is due once
+        the changes that the reply covers are sent.
+        """
         messages: list[bytes] = []
         while (data := self._draw_records()) is not None:
             messages.append(data)
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -14,7 +14,7 @@
 
 MAX_RECORDS_PER_MESSAGE = 256
 SOFT_MAX_MESSAGE_BYTES = 32 << 10
-"""Size of the keys and values in a message at which no further record is added to the message."""
+"""Total size of the keys and values in a message at which no further record is added to the message."""
 
 RecordName = tuple[str, str]
 
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -9,7 +9,7 @@
 A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
 as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
 of its observers lags. Under `hold` it is also in force once the bound and its margins (`with_slack`) have
-passed since it was accepted, as every lease that does not cover the change has expired by then.
+passed since it was accepted, as by then the lease of every observer that may not know the change has expired.
 """
 
 from dataclasses import dataclass, field
@@ -90,9 +90,10 @@
     # Changes
 
     def ensure_capacity(self) -> None:
-        """At a limit, drop the oldest accepted batch. The caller calls this before each write.
+        """Drop the oldest accepted batch if `MAX_BATCHES` or `MAX_TRACKED_CHANGES` is reached.
 
-        Raises ChangesFull if no batch is accepted.
+        The caller calls this before each write. Raises ChangesFull if a limit is reached and no batch is
+        accepted.
         """
         if self._tracked_changes < MAX_TRACKED_CHANGES and len(self.batches) < MAX_BATCHES:
             return
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -27,7 +27,8 @@
 """The receiver closes a link on which a larger message arrives."""
 
 MAX_LAGGING_NAMES = 16
-"""Limit of the names of lagging observers in a message; their count is always complete."""
+"""Maximum number of names of lagging observers in a message; the message's ``lagging_count`` also includes
+the observers that are not named."""
 
 
 class VoterIncarnation(NamedTuple):
@@ -71,7 +72,8 @@
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="barrier"):
-    """Asks how many of the receiver's observers have not applied all changes that the receiver stores now.
+    """Asks how many of the receiver's observers have not applied all changes that the receiver has stored
+    when it receives the barrier.
 
     The sender has sent the changes that the barrier covers on the same ordered link before the barrier.
     ``number``: chosen by the sender, and repeated in each `BarrierStatus`. ``urgent``: the request covers
@@ -123,7 +125,7 @@
 
     The sender still waits for these observers to apply its changes, although their leases have expired.
     A voter that knows a later join of one of them replies with `Migrated`. The reply is needed if an earlier
-    `Migrated` was lost, or arrived before the join that it supersedes.
+    `Migrated` was lost, or arrived before the earlier join that the `Migrated` supersedes.
     """
 
     observers: tuple[ObserverJoin, ...]
@@ -223,7 +225,7 @@
 class RangePart(msgspec.Struct, frozen=True, array_like=True):
     """Some of the voter's records in a range whose digests differed.
 
-    ``index``: number of the range. ``last``: the voter has sent all its records of the range.
+    ``index``: number of the range. ``last``: with this part, the voter has sent all its records of the range.
     """
 
     index: int
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -6,7 +6,7 @@
 valid lease a scheduler sends no jobs in the `hold` mode, and continues to send in the `serve` mode. The
 observer's state never moves back in time: its replica only grows by merging (`replica_sync`), the time as of
 which it knows a majority's state only advances (`lease`), and replies of a new primary voter renew the lease
-only once the observer and the voter have exchanged the records that the other lacked.
+only once the observer and the voter have sent each other the records that the other side lacked.
 
 All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
 monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
--- a/robinhill/control/observer_links.py
+++ b/robinhill/control/observer_links.py
@@ -183,7 +183,7 @@
             self._outbox.send(link, wire.Heartbeat(number))
 
     def heartbeats_due_us(self) -> Iterator[int]:
-        """Times at which the next heartbeat of each link is due."""
+        """Times at which the next heartbeat is due on each link whose voter has accepted a join."""
         return (state.next_heartbeat_us for state in self.by_link.values() if state.welcomed)
 
     def is_silent(self, mono_us: int, link: Link) -> bool:
--- a/robinhill/control/observer_progress.py
+++ b/robinhill/control/observer_progress.py
@@ -8,7 +8,7 @@
 goodbye, until
 
 - the observer has confirmed the change to this voter, or another voter reports that the observer has
-  synchronized with it by a later join (`migrated_away`) or said goodbye;
+  synchronized with that other voter by a later join (`migrated_away`) or said goodbye to it;
 - a later incarnation of the same name has joined, which implies that the earlier process has ended;
 - under `hold` (a scheduler without a lease sends no jobs), the observer's lease has certainly expired: a
   lease lasts at most the bound after the voter's last reply, and `with_slack` adds margins to the bound;
--- a/robinhill/control/options.py
+++ b/robinhill/control/options.py
@@ -19,7 +19,8 @@
 from robinhill.mesh.options import Name, VoterPlace
 
 MAX_VOTERS = 13
-"""Limits the cost of the full mesh: each pair of voters has a link, and each change is sent to all voters."""
+"""Maximum number of voters. It limits the cost of the full mesh: each pair of voters has a link, and each
+change is sent to all voters."""
 
 HEARTBEATS_PER_BOUND = 4
 """Heartbeats that an observer sends to its primary voter within the bound; the lease stays valid if two
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -40,8 +40,9 @@
 
     @property
     def written_position(self) -> int:
-        """Position in our log up to which all changes were sent to the voter, so they precede later messages.
+        """Position in our log up to which all changes were sent to the voter.
 
+        The voter receives these changes before any message that is sent on the link later.
         0 until the first comparison has determined which records the voter lacks, and while any record that a
         comparison found the voter to lack is still to be sent.
         """
@@ -58,7 +59,8 @@
 
 
 class _RequiredRounds(NamedTuple):
-    """The number of comparisons that ``session`` must have completed before a voter may be complete again."""
+    """The number of comparisons that ``session`` must have completed before a voter may be removed from
+    `IncompleteVoters`."""
 
     session: Session
     rounds: int
@@ -87,7 +89,8 @@
         self._required[voter] = _RequiredRounds(session, session.anti_entropy.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
-        """Return whether an incomplete voter is complete, as a comparison shows that we have all its records.
+        """Return whether an incomplete voter has become complete: a comparison that began after the rejection
+        shows that we have all records of the voter.
 
         The voter is then removed from this set, so True is returned once after each rejection.
         """
@@ -166,7 +169,8 @@
         self._outbox = outbox
         self._sent_by_another = sent_by_another
         self._backoff = Backoff(rng)
-        # Monotonic time since when all voters use the newest list; None if not all of them are known to.
+        # Monotonic time since when all voters have used the newest list of voters; None if this voter doesn't
+        # know that all of them use it.
         self._agreed_since_us: int | None = None
 
     @property
@@ -211,7 +215,8 @@
         self._backoff.connected(voter.dialed or name)
 
     def closed(self, mono_us: int, link: Link) -> str | None:
-        """Remove a link. Returns the other voter's name if the link was its current one, otherwise None."""
+        """Remove a link. Returns the other voter's name if the link was the current link to that voter,
+        otherwise None."""
         voter = self.by_link.pop(link, None)
         if voter is None:
             return None
@@ -261,7 +266,10 @@
     def record_incarnations(
         self, incarnations: Iterable[wire.VoterIncarnation]
     ) -> list[wire.VoterIncarnation]:
-        """Record the incarnations that another voter reports. Returns those newer than the known ones."""
+        """Record the incarnations that another voter reports.
+
+        Returns the incarnations that are higher than the last known incarnation of the same voter.
+        """
         newer = [voter for voter in incarnations if voter.name in self.names and self._is_newer(voter)]
         for voter in newer:
             self._incarnations[voter.name] = voter
