--- a/robinhill/control/change_feed.py
+++ b/robinhill/control/change_feed.py
@@ -64,7 +64,8 @@
         self._confirmed = 0
         self._differing_ranges: list[int] = []
         self._current_range = 0
-        self._unsent_records: list[Record] | None = None  # of the current range; None: no range is being sent
+        # Records of the current range that are not sent yet; None: no range is being sent.
+        self._unsent_records: list[Record] | None = None
         # Head of the replica's log when the comparison in progress began; 0: the comparison is skipped; None:
         # no comparison is in progress.
         self._compared_position: int | None = None
@@ -89,8 +90,8 @@
     def compare(self, now_us: int, digests: Digests) -> None:
         """Begin to send the records of the ranges whose digests differ from those of the voter's replica.
 
-        If the observer is synchronized but has not confirmed all changes, the comparison is skipped. Raises
-        JoinRefused for a wrong number of digests.
+        If the observer is synchronized but has not confirmed all changes, the comparison is skipped, as it
+        might show the unconfirmed changes as differences. Raises JoinRefused for a wrong number of digests.
         """
         if len(digests.digests) != RANGES * DIGEST_BYTES:
             raise JoinRefused("the digests have the wrong length, expected 8 bytes for each of 256 ranges")
--- a/robinhill/control/changelog.py
+++ b/robinhill/control/changelog.py
@@ -40,8 +40,10 @@
         self.urgent_head = 0
         self.bulk_head = 0
         self.messages_encoded = 0
-        self._urgent_positions: dict[RecordName, int] = {}  # in ascending order of positions
-        self._encoded: dict[tuple[int, bool], EncodedChanges] = {}  # by cursor and urgency
+        # Position of the last change of each urgent record, in ascending order of positions.
+        self._urgent_positions: dict[RecordName, int] = {}
+        # The next message for a reader, by the reader's cursor and by whether the message has urgent changes.
+        self._encoded: dict[tuple[int, bool], EncodedChanges] = {}
         for record in replica.snapshot():
             self.note([record])
 
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -3,8 +3,9 @@
 
 Changes that arrive in quick succession share a batch. For each batch, this voter sends one *barrier* to each
 other voter: a request to report how many of the receiver's observers *lag*, that is, have not applied the
-batch's changes yet. The reply is a *status*. Two modes determine what a scheduler does while it has no lease:
-it sends no jobs (`hold`), or it continues to send (`serve`).
+batch's changes yet. The reply is a *status*. A scheduler has a lease while the state of a majority of voters
+that the scheduler knows is not older than the configured *bound*. Two modes determine what a scheduler does
+while it has no lease: it sends no jobs (`hold`), or it continues to send (`serve`).
 
 A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
 as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
--- a/robinhill/control/messages.py
+++ b/robinhill/control/messages.py
@@ -27,8 +27,8 @@
 """The receiver closes a link on which a larger message arrives."""
 
 MAX_LAGGING_NAMES = 16
-"""Maximum number of names of lagging observers in a message; the message's ``lagging_count`` also includes
-the observers that are not named."""
+"""Maximum number of names of lagging observers and voters in a message; the message's ``lagging_count`` also
+includes those that are not named."""
 
 
 class VoterIncarnation(NamedTuple):
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -33,8 +33,8 @@
 """Maximum interval between two comparisons while this replica lacks a record that it has rejected."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
-"""Differs from every confirmation that can be sent. Set as the last confirmation, it causes the next one to
-be sent even if nothing has changed."""
+"""Differs from every confirmation that can be sent. Set as the last confirmation, it causes the next
+confirmation to be sent even if nothing has changed."""
 
 RecordName = tuple[str, str]
 
@@ -152,7 +152,9 @@
         """Begin another comparison if one is due.
 
         The next comparison is due within `REPAIR_INTERVAL_US` after the last one, or within `REPAIR_RETRY_US`
-        if this replica lacks a record that it has rejected. The intervals are random.
+        if this replica lacks a record that it has rejected. Each interval is drawn at random between half of
+        the maximum and the maximum; once the replica rejects a record, at most `REPAIR_RETRY_US` of the
+        current interval remain.
         """
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
