--- a/robinhill/control/backoff.py
+++ b/robinhill/control/backoff.py
@@ -6,8 +6,8 @@
 
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
-"""Maximum wait between two attempts to connect to a voter. It is a quarter of the 4 s within which a region
-must be synchronized again after a partition heals."""
+"""Maximum wait between two attempts to connect to a voter. It is a quarter of the 4 s within which the
+replicas in a region must be synchronized again after a network partition heals."""
 
 CONNECT_TIMEOUT_US = 1_000_000
 """A connection attempt without a result for longer than this counts as failed."""
--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -9,8 +9,9 @@
 
 A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
 as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
-of its observers lags. Under `hold` it is also in force once the bound and its margins (`with_slack`) have
-passed since it was accepted, as by then the lease of every observer that may not know the change has expired.
+of its observers lags. Under `hold` it is also in force once the bound, with margins for clock drift and for
+jobs in transit to a worker (`with_slack`), has passed since it was accepted, as by then the lease of every
+observer that may not know the change has expired.
 """
 
 from dataclasses import dataclass, field
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -307,8 +307,8 @@
         """Join the voter of this link as the primary voter.
 
         The voter's replies do not renew the lease until the replica is synchronized with the voter. Records
-        are dropped first if there was no valid lease for so long that other processes may have dropped the
-        records as expired.
+        are dropped first if there was no valid lease for so long that other processes may have removed items
+        and then dropped the records of the removal as expired, as this replica could restore these items.
         """
         without_lease_us = mono_us - self._lease_changed_us
         if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, without_lease_us):
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -81,10 +81,11 @@
     # The primary voter
 
     def clear(self, without_lease_us: int) -> None:
-        """Drop the position, and all records of the kinds of which other processes may have dropped records
-        as expired.
+        """Drop the position, and all records of the kinds whose lifetime may have passed while the observer
+        had no valid lease.
 
-        ``without_lease_us``: how long the observer has had no valid lease.
+        Other processes may have dropped records of these kinds as expired. ``without_lease_us``: how long the
+        observer has had no valid lease.
         """
         self.replica.clear(without_lease_us)
         self.feed_position = FeedPosition()
