--- a/robinhill/control/commit_tracker.py
+++ b/robinhill/control/commit_tracker.py
@@ -3,13 +3,15 @@
 
 Changes that arrive in quick succession share a batch. For each batch, this voter sends one *barrier* to each
 other voter: a request to report how many of the receiver's observers *lag*, that is, have not applied the
-batch's changes yet. The reply is a *status*. Two modes determine what a scheduler does while it has no lease:
-it sends no jobs (`hold`), or it continues to send (`serve`).
+batch's changes yet. The reply is a *status*. A scheduler has a lease while the state of a majority of voters
+that the scheduler knows is not older than the configured *bound*. Two modes determine what a scheduler does
+while it has no lease: it sends no jobs (`hold`), or it continues to send (`serve`).
 
 A change is *accepted* once a majority of voters has stored it (`robinhill.mesh.acceptance`); under `serve`,
 as soon as this voter has stored it. An accepted change is *in force* once each voter has reported that none
-of its observers lags. Under `hold` it is also in force once the bound and its margins (`with_slack`) have
-passed since it was accepted, as every lease that does not cover the change has expired by then.
+of its observers lags. Under `hold` it is also in force once the bound, with margins for clock drift and for
+jobs in transit to a worker (`with_slack`), has passed since it was accepted, as by then the lease of every
+observer that may not know the change has expired.
 """
 
 from dataclasses import dataclass, field
@@ -90,9 +92,10 @@
     # Changes
 
     def ensure_capacity(self) -> None:
-        """At a limit, drop the oldest accepted batch. The caller calls this before each write.
+        """Drop the oldest accepted batch if `MAX_BATCHES` or `MAX_TRACKED_CHANGES` is reached.
 
-        Raises ChangesFull if no batch is accepted.
+        The caller calls this before each write. Raises ChangesFull if a limit is reached and no batch is
+        accepted.
         """
         if self._tracked_changes < MAX_TRACKED_CHANGES and len(self.batches) < MAX_BATCHES:
             return
--- a/robinhill/control/observer.py
+++ b/robinhill/control/observer.py
@@ -6,7 +6,7 @@
 valid lease a scheduler sends no jobs in the `hold` mode, and continues to send in the `serve` mode. The
 observer's state never moves back in time: its replica only grows by merging (`replica_sync`), the time as of
 which it knows a majority's state only advances (`lease`), and replies of a new primary voter renew the lease
-only once the observer and the voter have exchanged the records that the other lacked.
+only once the observer and the voter have sent each other the records that the other side lacked.
 
 All times are microseconds: ``now_us`` is Unix time that never steps back, ``mono_us`` is this process's
 monotonic clock. After each call the caller carries out the returned actions in order; it calls `tick` at
@@ -307,8 +307,8 @@
         """Join the voter of this link as the primary voter.
 
         The voter's replies do not renew the lease until the replica is synchronized with the voter. Records
-        are dropped first if there was no valid lease for so long that other processes may have dropped the
-        records as expired.
+        are dropped first if there was no valid lease for so long that other processes may have removed items
+        and then dropped the records of the removal as expired, as this replica could restore these items.
         """
         without_lease_us = mono_us - self._lease_changed_us
         if not self.lease.is_valid(mono_us) and self.replica.stale(now_us, without_lease_us):
--- a/robinhill/control/replica_sync.py
+++ b/robinhill/control/replica_sync.py
@@ -33,8 +33,8 @@
 """Maximum interval between two comparisons while this replica lacks a record that it has rejected."""
 
 NOT_CONFIRMED = wire.Applied(-1, -1, -1)
-"""Differs from every confirmation that can be sent. Set as the last confirmation, it causes the next one to
-be sent even if nothing has changed."""
+"""Differs from every confirmation that can be sent. Set as the last confirmation, it causes the next
+confirmation to be sent even if nothing has changed."""
 
 RecordName = tuple[str, str]
 
@@ -81,10 +81,11 @@
     # The primary voter
 
     def clear(self, without_lease_us: int) -> None:
-        """Drop the position, and all records of the kinds of which other processes may have dropped records
-        as expired.
+        """Drop the position, and all records of the kinds whose lifetime may have passed while the observer
+        had no valid lease.
 
-        ``without_lease_us``: how long the observer has had no valid lease.
+        Other processes may have dropped records of these kinds as expired. ``without_lease_us``: how long the
+        observer has had no valid lease.
         """
         self.replica.clear(without_lease_us)
         self.feed_position = FeedPosition()
@@ -152,7 +153,9 @@
         """Begin another comparison if one is due.
 
         The next comparison is due within `REPAIR_INTERVAL_US` after the last one, or within `REPAIR_RETRY_US`
-        if this replica lacks a record that it has rejected. The intervals are random.
+        if this replica lacks a record that it has rejected. Each interval is drawn at random between half of
+        the maximum and the maximum; once the replica rejects a record, at most `REPAIR_RETRY_US` of the
+        current interval remain.
         """
         if self.rejected:
             self._repair_due_us = min(self._repair_due_us, mono_us + REPAIR_RETRY_US)
