--- a/robinhill/admission/accounts.py
+++ b/robinhill/admission/accounts.py
@@ -13,7 +13,8 @@
 
 USAGE_DECAY_US = 600_000_000  # time constant of the exponential decay of served work
 ESTABLISHED_JOBS = 3  # a tenant gets a queue of its own after this number of served jobs
-RATIO_STEP = 0.2  # weight of a new job in the tenant's mean cost ratio
+RATIO_STEP = 0.2  # weight of the job that ended last in the tenant's mean cost ratio
+# The ratio of a single job is limited to the range from MIN_RATIO to MAX_RATIO.
 MIN_RATIO = 0.02
 MAX_RATIO = 500.0
 # The scale of the counts grows with time (forward decay, see `Accounts.scale`). Once it exceeds this value,
@@ -30,7 +31,7 @@
     queue: Queue
     limiter: RateLimiter | None
     pinned: bool = False  # the operators' file names the tenant
-    count: float = 0.0  # served work (us), each amount multiplied by the scale of its time, `Accounts.scale`
+    count: float = 0.0  # served work (us); each job's work is multiplied by `Accounts.scale` when it is added
     error: float = 0.0  # part of `count` copied from the replaced account, possibly another tenant's work
     jobs: int = 0  # number of served jobs
     ratio: float = 1.0  # mean ratio of the running time of the tenant's jobs to the mean of their class
--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -70,8 +70,8 @@
         self._estimate = WaitEstimate(
             settings, self.costs, self.throughput, self.round_robin, random.Random(seed)
         )
-        # By class, the longest time from arrival to deadline that any request has had. It is taken as the
-        # time that a client's first request has, as opposed to a retry.
+        # By class, the longest time from arrival to deadline that any request has had. A client's first
+        # request is assumed to have this time, and a request with less time is assumed to be a retry.
         self._first_attempt_time_us = [0] * len(settings.classes)
         self._queue_deadlines: list[tuple[int, int]] = []  # a heap of (deadline, ticket number)
         self._costs_corrected_us = 0
@@ -263,7 +263,10 @@
         self._actions = []
 
     def _finish_event(self) -> list[Action]:
-        """Admit queued requests in round-robin order as far as the windows allow; returns all actions."""
+        """Admit queued requests in round-robin order as far as the windows allow.
+
+        Returns all actions of the current event.
+        """
         if self.round_robin.length and not self.suspended:
             self.round_robin.quantum_us = max(self.costs.by_class)
             while ticket := self.round_robin.dequeue(self.now, self.windows.open, self.windows.has_capacity):
@@ -414,8 +417,8 @@
     def _is_admitted_at_once(self, ticket: Ticket) -> bool:
         """Whether a request bypasses the queues.
 
-        It does if nothing is queued and its window has capacity, or if admission control is disabled. It also
-        does if its queue deadline has passed; the decision module then rejects it.
+        A request does if nothing is queued and the window of its class has capacity, or if admission control
+        is disabled. It also does if its queue deadline has passed; the decision module then rejects it.
         """
         has_capacity = not self.round_robin.length and self.windows.has_capacity(ticket.job_class)
         return has_capacity or not self.options.enabled or ticket.queue_deadline_us <= self.now
--- a/robinhill/admission/callers.py
+++ b/robinhill/admission/callers.py
@@ -9,7 +9,7 @@
 from robinhill.admission.options import AdmissionOptions
 
 SECRET_BYTES = 16
-MAX_CACHED_ADDRESSES = 4_096  # use about 1 MB of memory
+MAX_CACHED_ADDRESSES = 4_096  # a cache of this number of addresses uses about 1 MB of memory
 UNKNOWN = "unknown"  # tenant of callers without a valid IP address
 
 
--- a/robinhill/admission/estimate.py
+++ b/robinhill/admission/estimate.py
@@ -4,9 +4,9 @@
 from math import exp
 
 UNKNOWN_COST_US = 1_000_000.0  # assumed cost of a class before any of its jobs has ended
-COST_STEP = 1 / 16  # weight of a new job in the mean of its class
+COST_STEP = 1 / 16  # weight of the job that ended last in the mean running time of its class
 SMOOTHING_US = 1_000_000  # time constant of the average number of running jobs
-MIN_TENANT_RATIO = 0.02
+MIN_TENANT_RATIO = 0.02  # a tenant's ratio below this value is raised to it in `Costs.learn`
 MAX_SAMPLE_FACTOR = 4  # a single job counts as at most this multiple of the mean of its class
 
 
--- a/robinhill/admission/exported_state.py
+++ b/robinhill/admission/exported_state.py
@@ -47,7 +47,10 @@
 
 
 def export_state(admission: Admission) -> Json:
-    """The state as JSON values, including the secret, so that both processes compute equal tenant hashes."""
+    """The state of admission control as JSON values.
+
+    It includes the secret, so that both processes compute equal tenant hashes.
+    """
     return {
         "secret": admission.secret.hex(),
         "costs": admission.costs.by_class,
--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -71,14 +71,14 @@
     tenants: dict[Name, Tenant] = {}
     limits: Limits = Limits()
     queued: Annotated[int, Meta(ge=1, le=100_000)] = 2_000  # limit on all queued requests together
-    # Tenants without a queue of their own share `queues` queues; each of them may use `hand` of these.
+    # Tenants without a queue of their own share `queues` queues; each such tenant may use `hand` of these.
     queues: Annotated[int, Meta(ge=1, le=4_096)] = 64
     hand: Annotated[int, Meta(ge=1, le=16)] = 4
     accounts: Annotated[int, Meta(ge=8, le=65_536)] = 512  # limit of accounts of tenants not in ``tenants``
     # The share of admitted work that all tenants in shared queues get together while requests of tenants with
     # their own queue are queued.
     newcomers: Annotated[float, Meta(gt=0, lt=1)] = 0.25
-    retry_after_cap_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 60_000
+    retry_after_cap_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 60_000  # maximum Retry-After of rejections
 
     def __post_init__(self) -> None:
         if self.hand > self.queues:
--- a/robinhill/admission/promises.py
+++ b/robinhill/admission/promises.py
@@ -139,7 +139,7 @@
             pending.append(_PendingMeasurement(now, wait_us, class_queue.removed_work_us + work_ahead_us))
 
     def record_progress(self, now: int, class_queue: ClassQueue) -> None:
-        """End the measurements of promised waits that are complete, and count each by its accuracy.
+        """End each measurement that is complete, and count its promised wait as accurate, short or long.
 
         Must be called after work was removed from the class queue.
         """
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -13,7 +13,8 @@
 
 DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's negative deficit
 RATE_SMOOTHING_US = 3_000_000  # time constant of the exponential decay of admitted work and queueing time
-RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its fair rate
+# After this queueing time, a queue's measured rate weighs as much as the rate that its weight entitles it to.
+RATE_PRIOR_US = 1_000_000
 MAX_SAVED_QUANTA = 4.0  # upper limit of the deficit of a queue, in quanta of the queue
 # Lower limit of the estimated share of a class in its queue's rate, as a class with less priority weight may
 # have had no request admitted recently.
@@ -28,8 +29,8 @@
     job_class: int
     tenant: int
     name: str
-    network: int
-    fingerprint: int
+    network: int  # index of the caller's network in the options; -1: none
+    fingerprint: int  # identifies the caller, see `Caller` in callers.py
     queue: "Queue"
     cost_us: float  # the charged work: an estimate until the job's running time exceeds it or the job ends
     arrived_us: int
@@ -76,12 +77,13 @@
     weight: float = 1.0
     is_shared: bool = False
     class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
-    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # with `Ticket.returning`
+    # The queued requests with `Ticket.returning`, by number.
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)
     returning_work_us: float = 0.0  # estimated work of the requests in `returning`
-    length: int = 0
+    length: int = 0  # number of queued requests
     work_us: float = 0.0  # estimated work of the queued requests
     deficit_us: float = 0.0  # work that may still be admitted in this round; negative: a debt
-    round: int = 0  # last round whose quantum an empty queue has received
+    round: int = 0  # for an empty queue: the last round whose quantum it has received
     settled_us: int = 0  # time from which a negative deficit decays: when the queue last became empty
     users: int = 0  # requests in this queue, or admitted from it and not yet answered
     promises: int = 0  # open retry promises for this queue
@@ -182,7 +184,7 @@
         return self._tenant_weight * self.newcomers / (1 - self.newcomers) / max(1, self._shared_count)
 
     def share(self, queue: Queue) -> float:
-        """The share of all admitted work that a queue gets as long as no active queue becomes empty.
+        """The share of all admitted work that a queue gets as long as the same queues remain active.
 
         An inactive queue is treated as if it were active.
         """
@@ -262,7 +264,7 @@
 
     @staticmethod
     def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
-        """The next request of a queue, chosen for ``job_class``.
+        """The request to admit next from a queue that was selected because it has requests of ``job_class``.
 
         The oldest queued retry at its promised time comes first, whatever its class, if requests of that
         class may be admitted in the current round.
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -12,13 +12,15 @@
 
 MAX_IMMEDIATE_PLACEMENT_US = 20_000  # a longer wait from admission to first attempt shrinks `Window.size`
 INITIAL_SIZE = 8.0
-MIN_SIZE = 1.0  # of both limits, so that the decision module has a request whenever a worker becomes free
-MAX_UNPLACED_REQUESTS = 32.0
+# Minimum of `Window.size` and `Window.slots`: with it, the decision module has an admitted request whenever a
+# worker becomes free.
+MIN_SIZE = 1.0
+MAX_UNPLACED_REQUESTS = 32.0  # maximum of `Window.size`
 SHRINK_FACTOR = 2 / 3
 MIN_SHRINK_INTERVAL_US = 50_000  # requests admitted together that all wait shrink `Window.size` only once
 INITIAL_SLOTS = 64.0
-SLOTS_PER_IMMEDIATE_START = 0.1
-SLOTS_PER_WAIT = 0.5
+SLOTS_PER_IMMEDIATE_START = 0.1  # smallest step by which `slots` grows when a job starts immediately
+SLOTS_PER_WAIT = 0.5  # step by which `slots` shrinks when a job had to wait at its worker
 # When a job had to wait at its worker, `slots` is capped at this multiple of the requests that occupy a slot.
 MAX_SLOTS_FACTOR = 1.25
 # The start delay of a job is the time from sending its first attempt to its start at the worker. The base
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -77,7 +77,8 @@
         )
         self.traffic_recorder: TrafficRecorder | None = None  # records arrivals and rejections
         self._tracked: dict[int, _TrackedRequest] = {}  # by the number that admission control uses
-        self._numbers: dict[str, int] = {}  # by request id; of requests with equal ids, that of the first
+        # By request id, the number of the request; if several requests have the same id, that of the first.
+        self._numbers: dict[str, int] = {}
         self._next_number = 1
         self._due_us: int | None = None  # time at which the pending timer fires; None: no timer pending
         self._handlers: dict[type, Callable[[int, Any], None]] = {
--- a/robinhill/net/dispatcher/decision_timers.py
+++ b/robinhill/net/dispatcher/decision_timers.py
@@ -17,7 +17,7 @@
         self._due_us: dict[TimerDue, int] = {}
 
     def set(self, after_us: int, tag: str) -> None:
-        """Set a timer that is due after ``after_us``."""
+        """Set a timer that is due after ``after_us`` microseconds; ``tag`` identifies it when it is due."""
         timer = TimerDue(tag)
         self._due_us[timer] = self.clock.now_us() + after_us
         asyncio.get_running_loop().call_later(after_us / 1e6, self.notify, timer)
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -151,7 +151,7 @@
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
-        """Allow sending only where cordons do; must be called before ``start``.
+        """Send only to workers to which the cordons allow sending; must be called before ``start``.
 
         ``may_send`` is called immediately before each write to a worker, and returns whether cordons allow
         it. ``on_list_changed`` is called after each endpoint list is applied. ``send_lease`` returns whether
@@ -332,7 +332,7 @@
     def _record_idempotency_key(
         self, request: JobRequest, attempt: tuple[int, int], instance_id: str
     ) -> None:
-        """Record the group of workers that drop duplicates of a keyed request once it is sent."""
+        """Record, for a keyed request being sent, which workers drop its duplicates, and until when."""
         job_class = self.config.settings.classes[request.job_class]
         if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -50,7 +50,8 @@
         self.destinations: dict[str, ListedEndpoint] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.catch_up: CatchUp | None = None  # detects stalls; None: stalls are not detected
-        # Called immediately before each write to a worker; None: all writes are allowed.
+        # Called immediately before each write to a worker; returns whether the write is allowed. None: all
+        # writes are allowed.
         self.may_send: Callable[[ListedEndpoint], bool] | None = None
         self.traffic_recorder: TrafficRecorder | None = None
         self._zones = list(config.zones)
--- a/robinhill/net/dispatcher/in_flight.py
+++ b/robinhill/net/dispatcher/in_flight.py
@@ -23,14 +23,14 @@
 class InFlightRequest:
     """A request that needs an answer or has an attempt in flight."""
 
-    job: int
+    job: int  # the number by which the decision module refers to the request
     request: JobRequest
     deadline_us: int
     reply: asyncio.Future[Answer]
-    answer_pending: bool = True
+    answer_pending: bool = True  # False: answered, or the client has disconnected
     attempts_in_flight: set[int] = field(default_factory=set)
     started_us: int = 0  # when the latest attempt was first reported to run; 0: not reported
-    endpoints: list[str] = field(default_factory=list)  # by attempt, the instance id of its worker
+    endpoints: list[str] = field(default_factory=list)  # worker's instance id, indexed by attempt number
     # Instance id, outcome and duration of each attempt that has ended, for the log.
     attempt_summaries: list[str] = field(default_factory=list)
     last_outcome: api.Outcome | None = None  # outcome of the last attempt that ended in this process
@@ -93,7 +93,7 @@
         self.numbers[request_id] = in_flight.job
 
     def find(self, request: JobRequest) -> InFlightRequest | None:
-        """The entry of this request object; None without one, even if a request with the same id has one."""
+        """The entry of this request object; None if only another request with the same id has an entry."""
         in_flight = self.by_number.get(self.numbers.get(request.id, 0))
         return in_flight if in_flight and in_flight.request is request else None
 
--- a/robinhill/net/dispatcher/messages.py
+++ b/robinhill/net/dispatcher/messages.py
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAddressChanged:
-    """The address of discovery that the discovery watch calls has changed at ``at_us``."""
+    """At ``at_us``, the discovery watch has switched to another address of discovery."""
 
     at_us: int
 
