--- a/robinhill/admission/admission.py
+++ b/robinhill/admission/admission.py
@@ -74,7 +74,7 @@
         # request is assumed to have this time, and a request with less time is assumed to be a retry.
         self._first_attempt_time_us = [0] * len(settings.classes)
         self._queue_deadlines: list[tuple[int, int]] = []  # a heap of (deadline, ticket number)
-        self._costs_corrected_us = 0
+        self._costs_corrected_us = 0  # time at which `tick` last corrected the costs of long-running jobs
         self._longest: tuple[int, Queue | None] = (0, None)  # (time of the lookup, longest queue)
         self._actions: list[Action] = []
         self.configure(0, options)
@@ -495,8 +495,9 @@
         return queue
 
     def _evict_newest(self, ticket: Ticket) -> bool:
-        """Make room for ``ticket`` by rejecting the newest request of the longest queue.
+        """Make room for ``ticket`` by rejecting a request of the longest queue.
 
+        The rejected request is the newest one of the class with the least priority weight in that queue.
         Returns False, with nothing rejected, if the longest queue is not longer than the queue of ``ticket``
         would be with ``ticket`` added. The length of a queue is its queued work divided by its weight.
         """
--- a/robinhill/admission/options.py
+++ b/robinhill/admission/options.py
@@ -45,7 +45,7 @@
 class Network(Struct, frozen=True, forbid_unknown_fields=True):
     """A network: the tenant of its callers that send no tenant header, and the limits on all its callers.
 
-    The limits apply to the callers together.
+    The limits apply to all callers of the network combined, not to each caller.
     """
 
     network: str
--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -1,9 +1,10 @@
 """Fair queueing of requests: deficit round robin by work across queues, priority weight across classes.
 
 After Shreedhar and Varghese, "Efficient fair queueing using deficit round robin" (1996). In each round
-each queue gets a quantum of work in proportion to its weight. Among the queues with quantum left, those with
-a request of the highest priority weight are served first, in turns. A queue that has used up its quantum is
-not served before the next round.
+each queue gets a quantum of work in proportion to its weight. The deficit of a queue is the work that may
+still be admitted from it in the round. Among the queues with a positive deficit, those with a request of the
+highest priority weight are served first, in turns. A queue without a positive deficit is not served before
+the next round.
 """
 
 from collections import OrderedDict
@@ -16,8 +17,8 @@
 # After this queueing time, a queue's measured rate weighs as much as the rate that its weight entitles it to.
 RATE_PRIOR_US = 1_000_000
 MAX_SAVED_QUANTA = 4.0  # upper limit of the deficit of a queue, in quanta of the queue
-# Lower limit of the estimated share of a class in its queue's rate, as a class with less priority weight may
-# have had no request admitted recently.
+# Lower limit of the estimated share of a class in its queue's rate. A class with less priority weight may
+# have had no request admitted recently, and its rate would otherwise be estimated as 0.
 MIN_CLASS_RATE_SHARE = 0.05
 
 
@@ -275,7 +276,7 @@
         return next(iter(queue.class_queues[job_class].tickets.values()))
 
     def newest(self, queue: Queue) -> Ticket:
-        """The newest request of the class with the least priority weight that the queue contains."""
+        """The newest of those requests in the queue whose class has the least priority weight."""
         job_class = next(c for c in reversed(self.class_order) if queue.is_queued(c))
         return next(reversed(queue.class_queues[job_class].tickets.values()))
 
--- a/robinhill/admission/report.py
+++ b/robinhill/admission/report.py
@@ -8,7 +8,7 @@
 
 
 def report(admission: Admission) -> dict[str, Any]:
-    """The state of queues, windows, limits and accounts. Operators' tools rely on the keys."""
+    """The state of queues, windows, limits and accounts. Operators' tools rely on its keys."""
     return {
         "queued": admission.round_robin.length,
         "let_in": admission.admitted,
--- a/robinhill/admission/wait_estimate.py
+++ b/robinhill/admission/wait_estimate.py
@@ -10,8 +10,8 @@
 from robinhill.api import JobClass, Settings
 
 # A job's latency objective is extended by `stretch`, a setting of its class, times its running time. As the
-# job itself needs one running time, (stretch - 1) times the running time is left for waiting; a job may be
-# queued for this multiple of that time, in addition to the class's constant latency objective.
+# job itself needs one running time, (stretch - 1) times the running time is left for waiting. A job may be
+# queued for STRETCH_FACTOR times that remainder, in addition to the class's constant latency objective.
 STRETCH_FACTOR = 1.5
 # A caller that retries at its promised time is expected to be queued for at most this share of the time for
 # which its request may be queued, see `WaitEstimate.patience_us`.
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -1,8 +1,8 @@
 """The dispatcher: the actor that passes events to the decision module and performs its actions.
 
 It owns the decision module (``Balancer``), the requests in flight, the endpoints and the lease on the
-endpoint list. It leaves the choice of workers to the decision module, and does I/O only through endpoints and
-through the clients' reply futures.
+endpoint list. While this lease is lost, no job is sent. The dispatcher leaves the choice of workers to the
+decision module, and does I/O only through endpoints and through the clients' reply futures.
 """
 
 import asyncio
@@ -105,8 +105,9 @@
         # Called with workers' reports about requests that this process does not have, or that are in transit
         # to the other process of this scheduler.
         self.forward_event: Callable[[JobEvent], None] = lambda _: None
+        # None: admission control is not configured.
         self.notify_admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = None
-        self.on_list_changed: Callable[[], None] | None = None
+        self.on_list_changed: Callable[[], None] | None = None  # called after each endpoint list is applied
         self.traffic_recorder: TrafficRecorder | None = None
         self._tenant_numbers = {name: number for number, name in enumerate(config.tenants)}
         # True: no message is handled until all that discovery sent during a stall of this process is read.
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -83,7 +83,11 @@
         )
 
     def apply(self, received: EndpointList, complete: bool) -> None:
-        """Apply changes to the list, or a complete list, which removes workers that it does not contain."""
+        """Apply a received list.
+
+        If ``complete``, workers that it does not contain are removed; otherwise it contains only the entries
+        that have changed.
+        """
         if complete:
             names = {destination.instance_id for destination in received.endpoints}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
