--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -39,7 +39,8 @@
     admitted_us: int = 0  # 0: still queued
     first_attempt_us: int = 0  # 0: no attempt sent yet
     started_us: int = 0  # 0: no start of execution reported
-    returning: bool = False  # a retry at the promised time, which was sent to the client as Retry-After
+    # A retry whose client has waited as told by Retry-After; it takes precedence in its queue.
+    returning: bool = False
     in_window: bool = False  # the request occupies a slot of its window
 
 
@@ -58,7 +59,7 @@
     promised_us: float = 0.0  # estimated work of rejected requests with an open retry promise
     return_share: float = 1.0  # average share of promises whose clients return
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
-    # Work that is no longer ahead, since the process started: admitted, dropped, or of expired promises.
+    # Work removed since the process started: of admitted and dropped requests, and of expired promises.
     removed_work_us: float = 0.0
 
     @property
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -96,11 +96,12 @@
 
     Most classes have no such restriction, and share the window for all workers.
 
-    The decision module places requests of higher priority weight first. So requests of a class may be
-    admitted in addition to unplaced requests of classes with less weight, until their tenants have used up
-    their quantum of the current round of deficit round robin. A new round starts only if all unplaced
-    requests together are below the limit. Otherwise large tenants' requests would be admitted round after
-    round, and unplaced requests with less weight would starve behind them.
+    The decision module places requests of higher priority weight first, so an unplaced request delays no
+    request of a class with more weight. Within a round of deficit round robin (queues.py), the limit on
+    unplaced requests is therefore compared with the number in classes of at least the same weight. A new
+    round starts only if the number of unplaced requests in all classes is below the limit. Otherwise large
+    tenants' requests would be admitted round after round, and unplaced requests with less weight would starve
+    behind them.
     """
 
     classes: Sequence[JobClass]
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -273,8 +273,8 @@
     def _adopt(self, now: int, message: AdoptReleased) -> None:
         """Adopt a request with its caller.
 
-        If the other process had admitted the request, it is tracked. Otherwise it is admitted or queued here
-        like a new request, with its original time of arrival.
+        If the other process had admitted the request, this process tracks it as admitted. Otherwise this
+        process admits or queues it like a new request, with its original time of arrival.
         """
         caller = exported_state.import_caller(message.state["caller"])
         if waiting := message.state.get("waiting"):
