--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -39,7 +39,8 @@
     admitted_us: int = 0  # 0: still queued
     first_attempt_us: int = 0  # 0: no attempt sent yet
     started_us: int = 0  # 0: no start of execution reported
-    # A retry whose client has waited as told by Retry-After; it takes precedence in its queue.
+    # The request is a retry whose client has waited for most of the promised wait; it takes precedence in its
+    # queue.
     returning: bool = False
     in_window: bool = False  # the request occupies a slot of its window
 
@@ -268,7 +269,7 @@
     def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
         """The request to admit next from a queue that was selected because it has requests of ``job_class``.
 
-        The oldest queued retry at its promised time comes first, whatever its class, if requests of that
+        The oldest queued request with `Ticket.returning` comes first, whatever its class, if requests of that
         class may be admitted in the current round.
         """
         returning = next(iter(queue.returning.values()), None)
--- a/robinhill/admission/window.py
+++ b/robinhill/admission/window.py
@@ -99,9 +99,9 @@
     The decision module places requests of higher priority weight first, so an unplaced request delays no
     request of a class with more weight. Within a round of deficit round robin (queues.py), the limit on
     unplaced requests is therefore compared with the number in classes of at least the same weight. A new
-    round starts only if the number of unplaced requests in all classes is below the limit. Otherwise large
-    tenants' requests would be admitted round after round, and unplaced requests with less weight would starve
-    behind them.
+    round starts only if the number of unplaced requests in all classes of the window is below the limit.
+    Otherwise large tenants' requests would be admitted round after round, and unplaced requests with less
+    weight would starve behind them.
     """
 
     classes: Sequence[JobClass]
