--- a/robinhill/admission/queues.py
+++ b/robinhill/admission/queues.py
@@ -1,9 +1,10 @@
 """Fair queueing of requests: deficit round robin by work across queues, priority weight across classes.
 
 After Shreedhar and Varghese, "Efficient fair queueing using deficit round robin" (1996). In each round
-each queue gets a quantum of work in proportion to its weight. Among the queues with quantum left, those with
-a request of the highest priority weight are served first, in turns. A queue that has used up its quantum is
-not served before the next round.
+each queue gets a quantum of work in proportion to its weight. The deficit of a queue is the work that may
+still be admitted from it in the round. Among the queues with a positive deficit, those with a request of the
+highest priority weight are served first, in turns. A queue without a positive deficit is not served before
+the next round.
 """
 
 from collections import OrderedDict
@@ -13,10 +14,11 @@
 
 DEBT_DECAY_US = 10_000_000  # time constant of the exponential decay of an empty queue's negative deficit
 RATE_SMOOTHING_US = 3_000_000  # time constant of the exponential decay of admitted work and queueing time
-RATE_PRIOR_US = 1_000_000  # queueing time after which a queue's measured rate weighs as much as its fair rate
+# After this queueing time, a queue's measured rate weighs as much as the rate that its weight entitles it to.
+RATE_PRIOR_US = 1_000_000
 MAX_SAVED_QUANTA = 4.0  # upper limit of the deficit of a queue, in quanta of the queue
-# Lower limit of the estimated share of a class in its queue's rate, as a class with less priority weight may
-# have had no request admitted recently.
+# Lower limit of the estimated share of a class in its queue's rate. A class with less priority weight may
+# have had no request admitted recently, and its rate would otherwise be estimated as 0.
 MIN_CLASS_RATE_SHARE = 0.05
 
 
@@ -28,8 +30,8 @@
     job_class: int
     tenant: int
     name: str
-    network: int
-    fingerprint: int
+    network: int  # index of the caller's network in the options; -1: none
+    fingerprint: int  # identifies the caller, see `Caller` in callers.py
     queue: "Queue"
     cost_us: float  # the charged work: an estimate until the job's running time exceeds it or the job ends
     arrived_us: int
@@ -37,7 +39,9 @@
     admitted_us: int = 0  # 0: still queued
     first_attempt_us: int = 0  # 0: no attempt sent yet
     started_us: int = 0  # 0: no start of execution reported
-    returning: bool = False  # a retry at the promised time, which was sent to the client as Retry-After
+    # The request is a retry whose client has waited for most of the promised wait; it takes precedence in its
+    # queue.
+    returning: bool = False
     in_window: bool = False  # the request occupies a slot of its window
 
 
@@ -56,7 +60,7 @@
     promised_us: float = 0.0  # estimated work of rejected requests with an open retry promise
     return_share: float = 1.0  # average share of promises whose clients return
     admitted_work_us: float = 0.0  # admitted work, decayed exponentially
-    # Work that is no longer ahead, since the process started: admitted, dropped, or of expired promises.
+    # Work removed since the process started: of admitted and dropped requests, and of expired promises.
     removed_work_us: float = 0.0
 
     @property
@@ -76,12 +80,13 @@
     weight: float = 1.0
     is_shared: bool = False
     class_queues: dict[int, ClassQueue] = field(default_factory=dict)  # by class
-    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)  # with `Ticket.returning`
+    # The queued requests with `Ticket.returning`, by number.
+    returning: OrderedDict[int, Ticket] = field(default_factory=OrderedDict)
     returning_work_us: float = 0.0  # estimated work of the requests in `returning`
-    length: int = 0
+    length: int = 0  # number of queued requests
     work_us: float = 0.0  # estimated work of the queued requests
     deficit_us: float = 0.0  # work that may still be admitted in this round; negative: a debt
-    round: int = 0  # last round whose quantum an empty queue has received
+    round: int = 0  # for an empty queue: the last round whose quantum it has received
     settled_us: int = 0  # time from which a negative deficit decays: when the queue last became empty
     users: int = 0  # requests in this queue, or admitted from it and not yet answered
     promises: int = 0  # open retry promises for this queue
@@ -182,7 +187,7 @@
         return self._tenant_weight * self.newcomers / (1 - self.newcomers) / max(1, self._shared_count)
 
     def share(self, queue: Queue) -> float:
-        """The share of all admitted work that a queue gets as long as no active queue becomes empty.
+        """The share of all admitted work that a queue gets as long as the same queues remain active.
 
         An inactive queue is treated as if it were active.
         """
@@ -262,9 +267,9 @@
 
     @staticmethod
     def _next_ticket(queue: Queue, job_class: int, is_open: Callable[[int], bool]) -> Ticket:
-        """The next request of a queue, chosen for ``job_class``.
+        """The request to admit next from a queue that was selected because it has requests of ``job_class``.
 
-        The oldest queued retry at its promised time comes first, whatever its class, if requests of that
+        The oldest queued request with `Ticket.returning` comes first, whatever its class, if requests of that
         class may be admitted in the current round.
         """
         returning = next(iter(queue.returning.values()), None)
@@ -273,7 +278,7 @@
         return next(iter(queue.class_queues[job_class].tickets.values()))
 
     def newest(self, queue: Queue) -> Ticket:
-        """The newest request of the class with the least priority weight that the queue contains."""
+        """The newest of those requests in the queue whose class has the least priority weight."""
         job_class = next(c for c in reversed(self.class_order) if queue.is_queued(c))
         return next(reversed(queue.class_queues[job_class].tickets.values()))
 
--- a/robinhill/net/dispatcher/admission.py
+++ b/robinhill/net/dispatcher/admission.py
@@ -77,7 +77,8 @@
         )
         self.traffic_recorder: TrafficRecorder | None = None  # records arrivals and rejections
         self._tracked: dict[int, _TrackedRequest] = {}  # by the number that admission control uses
-        self._numbers: dict[str, int] = {}  # by request id; of requests with equal ids, that of the first
+        # By request id, the number of the request; if several requests have the same id, that of the first.
+        self._numbers: dict[str, int] = {}
         self._next_number = 1
         self._due_us: int | None = None  # time at which the pending timer fires; None: no timer pending
         self._handlers: dict[type, Callable[[int, Any], None]] = {
@@ -272,8 +273,8 @@
     def _adopt(self, now: int, message: AdoptReleased) -> None:
         """Adopt a request with its caller.
 
-        If the other process had admitted the request, it is tracked. Otherwise it is admitted or queued here
-        like a new request, with its original time of arrival.
+        If the other process had admitted the request, this process tracks it as admitted. Otherwise this
+        process admits or queues it like a new request, with its original time of arrival.
         """
         caller = exported_state.import_caller(message.state["caller"])
         if waiting := message.state.get("waiting"):
--- a/robinhill/net/dispatcher/dispatcher.py
+++ b/robinhill/net/dispatcher/dispatcher.py
@@ -1,8 +1,8 @@
 """The dispatcher: the actor that passes events to the decision module and performs its actions.
 
 It owns the decision module (``Balancer``), the requests in flight, the endpoints and the lease on the
-endpoint list. It leaves the choice of workers to the decision module, and does I/O only through endpoints and
-through the clients' reply futures.
+endpoint list. While this lease is lost, no job is sent. The dispatcher leaves the choice of workers to the
+decision module, and does I/O only through endpoints and through the clients' reply futures.
 """
 
 import asyncio
@@ -105,8 +105,9 @@
         # Called with workers' reports about requests that this process does not have, or that are in transit
         # to the other process of this scheduler.
         self.forward_event: Callable[[JobEvent], None] = lambda _: None
+        # None: admission control is not configured.
         self.notify_admission: Callable[[FirstAttemptSent | ExecutionStarted], None] | None = None
-        self.on_list_changed: Callable[[], None] | None = None
+        self.on_list_changed: Callable[[], None] | None = None  # called after each endpoint list is applied
         self.traffic_recorder: TrafficRecorder | None = None
         self._tenant_numbers = {name: number for number, name in enumerate(config.tenants)}
         # True: no message is handled until all that discovery sent during a stall of this process is read.
@@ -151,7 +152,7 @@
         on_list_changed: Callable[[], None],
         send_lease: Callable[[], bool] | None = None,
     ) -> None:
-        """Allow sending only where cordons do; must be called before ``start``.
+        """Send only to workers to which the cordons allow sending; must be called before ``start``.
 
         ``may_send`` is called immediately before each write to a worker, and returns whether cordons allow
         it. ``on_list_changed`` is called after each endpoint list is applied. ``send_lease`` returns whether
@@ -332,7 +333,7 @@
     def _record_idempotency_key(
         self, request: JobRequest, attempt: tuple[int, int], instance_id: str
     ) -> None:
-        """Record the group of workers that drop duplicates of a keyed request once it is sent."""
+        """Record, for a keyed request being sent, which workers drop its duplicates, and until when."""
         job_class = self.config.settings.classes[request.job_class]
         if request.key and job_class.repeat is api.Repeat.KEYED and instance_id in self.table.destinations:
             now = self.clock.now_us()
--- a/robinhill/net/dispatcher/endpoint_table.py
+++ b/robinhill/net/dispatcher/endpoint_table.py
@@ -50,7 +50,8 @@
         self.destinations: dict[str, ListedEndpoint] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.catch_up: CatchUp | None = None  # detects stalls; None: stalls are not detected
-        # Called immediately before each write to a worker; None: all writes are allowed.
+        # Called immediately before each write to a worker; returns whether the write is allowed. None: all
+        # writes are allowed.
         self.may_send: Callable[[ListedEndpoint], bool] | None = None
         self.traffic_recorder: TrafficRecorder | None = None
         self._zones = list(config.zones)
@@ -82,7 +83,11 @@
         )
 
     def apply(self, received: EndpointList, complete: bool) -> None:
-        """Apply changes to the list, or a complete list, which removes workers that it does not contain."""
+        """Apply a received list.
+
+        If ``complete``, workers that it does not contain are removed; otherwise it contains only the entries
+        that have changed.
+        """
         if complete:
             names = {destination.instance_id for destination in received.endpoints}
             for removed in [d for d in self.destinations.values() if d.instance_id not in names]:
