--- a/robinhill/control/voter.py
+++ b/robinhill/control/voter.py
@@ -189,8 +189,8 @@
     # Time
 
     def tick(self, now_us: int, mono_us: int) -> list[Action]:
-        """Do the work that is due: expiry of records and links, connections, settling of a changed list of
-        voters, and sending of pending messages."""
+        """Do the work that is due: expiry of records and links, connections, removal of earlier voter lists
+        (`VoterLinks.settle`), and sending of pending messages."""
         if mono_us >= self._collect_due_us:
             self._collect_due_us = mono_us + COLLECT_INTERVAL_US
             self._collect(now_us, mono_us)
--- a/robinhill/control/voter_links.py
+++ b/robinhill/control/voter_links.py
@@ -89,8 +89,8 @@
         self._required[voter] = _RequiredRounds(session, session.anti_entropy.rounds + 2)
 
     def recovered(self, voter: str, session: Session) -> bool:
-        """Return whether an incomplete voter has become complete: a comparison that began after the rejection
-        shows that we have all records of the voter.
+        """Return whether an incomplete voter has become complete: a comparison that began after we rejected
+        the voter's record shows that we have all records of the voter.
 
         The voter is then removed from this set, so True is returned once after each rejection.
         """
--- a/robinhill/mesh/freshness.py
+++ b/robinhill/mesh/freshness.py
@@ -269,10 +269,9 @@
         return self.quorum.majority_moment(self._counting_moments, counts_self=self._caught_up)
 
     def _majority_of_others(self) -> bool:
-        """Whether the other schedulers that meet both of the following conditions are a majority.
+        """Whether other schedulers that counted towards majorities and knew our incarnation are a majority.
 
-        We know the scheduler as of a moment when it counted towards majorities, and when it knew our
-        incarnation.
+        A scheduler is included if we know its state as of a moment when both conditions held.
         """
         return self.quorum.has_majority(
             {peer for peer in self._names if peer != self.me and self._known_since_introduced(peer)}
--- a/robinhill/net/workers/connection.py
+++ b/robinhill/net/workers/connection.py
@@ -137,7 +137,7 @@
             guard, attempt = current
             await guard.wait_until_caught_up()
             guard.check_sendable(attempt)
-            # Even a new connection may have been closed or have received data while the guard waited.
+            # Even a new connection may have been closed or have received data during `wait_until_caught_up`.
             if not connection.reusable:
                 raise NotWrittenError(Outcome.CONNECT_FAILED)
             attempt.connection = connection
--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -52,7 +52,9 @@
 
     @classmethod
     def from_settings(cls, settings: api.Settings, version: int) -> "ListLease":
-        """Create a lease on the configured list of this version; it is not valid before its first renewal.
+        """Create a lease on the list from the configuration; it is not valid before its first renewal.
+
+        ``version``: the version of that list.
 
         Each renewal lasts at least until a watch without messages has timed out and the next call has had
         ``RENEWAL_MARGIN_US`` to respond. With a shorter poll interval, the lease would otherwise end between
@@ -75,7 +77,7 @@
         self.origin, self.version, self.confirmed_us = ListOrigin.DISCOVERY, version, received_us
         until_us = received_us + self.duration_us
         if self.address_changed_us is not None and received_us < self.address_changed_us:
-            # The message is from the previous address.
+            # The message is from discovery's previous address.
             until_us = min(until_us, self.address_changed_us + ADDRESS_CHANGE_BOUND_US)
         else:
             self.address_changed_us = None
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -38,7 +38,8 @@
 # After a call that discovery has not answered, discovery counts as having been unreachable until this long
 # before the end of the call, but at least until its start. The lease on the list lasts
 # ``LIST_CHANGE_BOUND_US`` (or less, with a shorter poll interval) from that time on. Without a shorter poll
-# interval it then ends after a next call that begins within ``MIN_SPREAD_US`` has timed out.
+# interval, the lease therefore remains valid until the next call has timed out, provided that the next call
+# begins within ``MIN_SPREAD_US``.
 UNANSWERED_CALL_OUTAGE_US = LIST_CHANGE_BOUND_US - CALL_TIMEOUT_US - MIN_SPREAD_US
 
 
@@ -52,7 +53,7 @@
     lists_pushed: bool
     rng: random.Random
     fleet_size: int
-    change_bound_us: int = LIST_CHANGE_BOUND_US  # time after which a change of the list takes effect
+    change_bound_us: int = LIST_CHANGE_BOUND_US  # time until a change that discovery received takes effect
     due_us: int = 0  # deadline for receiving the next list; an outage of discovery extends it
     # When the open call last received a complete list or an empty line; 0: it has received neither yet.
     last_received_us: int = 0
@@ -103,7 +104,7 @@
         elif self.failed_calls > 1 and now_us - self.called_us < QUEUED_CALL_MIN_US:
             # Discovery is down. The deadline can be extended, as changes that discovery receives during an
             # outage take effect only after it is reachable again. A single quick failure may be a network
-            # fault, and a call that waited in the queue has reached discovery: neither extends the deadline.
+            # fault, and a call that waited in discovery's queue has reached it: neither extends the deadline.
             self.due_us = self.called_us + self.change_bound_us
         self.failed_calls += 1
         return self._agent_wait_us() if self.lists_pushed else self._random_wait_us(now_us)
