--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -2,7 +2,7 @@
 
 Each message of discovery (a list, changes, or an empty line) renews the lease. A change of the list takes
 effect a fixed time after discovery has received it, even for a scheduler that has not received the change. If
-discovery is unreachable when it receives the change, the fixed time begins when it is reachable again. A
+discovery is unreachable when it receives the change, that time begins when discovery is reachable again. A
 scheduler may therefore use a list only for a limited time after discovery has last confirmed it. The age of a
 list counts from discovery's last message, never from the start of the process that uses the list, and a list
 of unknown age has no lease. Without a valid lease no job is sent: requests are queued for as long as an
@@ -57,8 +57,8 @@
         ``version``: the version of that list.
 
         Each renewal lasts at least until a watch without messages has timed out and the next call has had
-        ``RENEWAL_MARGIN_US`` to respond. With a shorter poll interval, the lease would otherwise end between
-        two messages of a watch.
+        ``RENEWAL_MARGIN_US`` to respond. Without this minimum, a short poll interval, which shortens the
+        lease, would let it end between two messages of a watch.
         """
         duration_us = max(WATCH_SILENCE_TIMEOUT_US + RENEWAL_MARGIN_US, list_change_bound_us(settings))
         return cls(duration_us, version=version)
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -41,7 +41,8 @@
     last_send: int = 0
     # Time from send to completion of own jobs at this worker, without a prior.
     own_time: DecayingMean = field(default_factory=DecayingMean)
-    age_weight: float = -1.0  # cost (negative) per own send since the last one to this worker
+    # Negative cost of the worker for each own send, to any worker, since the last own send to this worker.
+    age_weight: float = -1.0
     slow_start_until_us: int = 0  # end of the slow start; 0 or past: the worker is not in slow start
     ejected_until_us: float = 0  # infinite while the endpoint list does not show the worker as ready
     in_flight: set[AttemptKey] = field(default_factory=set)  # own attempts at this worker
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -48,6 +48,7 @@
     """Computes when a call to discovery begins, and when an open call counts as broken.
 
     ``lists_pushed``: the calls go to a local agent that pushes lists, instead of to discovery itself.
+    ``fleet_size``: the number of schedulers.
     """
 
     lists_pushed: bool
@@ -104,7 +105,8 @@
         elif self.failed_calls > 1 and now_us - self.called_us < QUEUED_CALL_MIN_US:
             # Discovery is down. The deadline can be extended, as changes that discovery receives during an
             # outage take effect only after it is reachable again. A single quick failure may be a network
-            # fault, and a call that waited in discovery's queue has reached it: neither extends the deadline.
+            # fault, and a call that waited in discovery's queue has reached discovery: neither extends the
+            # deadline.
             self.due_us = self.called_us + self.change_bound_us
         self.failed_calls += 1
         return self._agent_wait_us() if self.lists_pushed else self._random_wait_us(now_us)
@@ -139,7 +141,7 @@
 
 
 def list_change_bound_us(settings: api.Settings) -> int:
-    """Time after which a change of the list takes effect (us): at most the poll interval of the settings."""
+    """Time until a received change takes effect (us): ``LIST_CHANGE_BOUND_US`` or a shorter poll interval."""
     return min(LIST_CHANGE_BOUND_US, settings.poll_interval_us)
 
 
