--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -3,8 +3,9 @@
 Times are microseconds. Values are smoothed over the slow-start window (``Settings.slow_start_us``), or over
 ``placement.statistics.SMOOTHING_SAMPLES`` samples. "Own" jobs are those that this scheduler itself has
 received or sent. "Usable" workers are those that the endpoint list shows as ready, even if this scheduler has
-ejected them. For times per unit of work, the unit is a microsecond of a job's work hint or, for a job without
-a hint, a microsecond of the mean job time of its class.
+ejected them. A "bound" job class is restricted to workers of some machine types or zones. For times per unit
+of work, the unit is a microsecond of a job's work hint or, for a job without a hint, a microsecond of the
+mean job time of its class.
 """
 
 from collections.abc import Iterable
@@ -72,7 +73,8 @@
         # For each class, the longest time until the client's deadline (us) that any request has had on
         # arrival. Clients are assumed to set this time for their first requests.
         self.max_time_left_us = [0] * classes
-        self.unretried_answers = 0  # number of own rejections and failures that no retry has followed yet
+        # Number of requests that this scheduler has rejected or failed and that no retry has followed yet.
+        self.unretried_answers = 0
 
     def spent_us(self, request: api.Request) -> int:
         """Return the time that the client has spent before this request (us).
@@ -177,8 +179,9 @@
     def counted_gap_share(self, now: int) -> float:
         """The share of the time between own jobs that remains if each gap is capped at ``tip_after_us``.
 
-        It is at least 0.5. Slow start divides its pace by this share, because it caps the gaps that earn
-        credit at ``Settings.tip_after_us``.
+        It is at least 0.5. A worker in slow start earns credit for its next job during these gaps, in each
+        for at most ``Settings.tip_after_us``. The pace of the credit is divided by this share, to make up for
+        the cap.
         """
         tip = self.settings.tip_after_us
         return max(0.5, -expm1(-self.rate * tip / (US_PER_S * self.window_share(now))))
@@ -218,6 +221,9 @@
 
         For a zone other than this scheduler's, the prior of the mean is ``tick_us`` instead of 0, and
         ``crossing_us`` is added. ``tick_us`` / 16 is added for every zone, so that no wait is 0.
+
+        ``tick_us``: longest time between checks of the queue; ``crossing_us``: the price of sending a job to
+        another zone, converted to waiting time.
         """
         waits = []
         for number, zone in self.zones.items():
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -29,9 +29,9 @@
     def record_failure(self, now: int, attempt: Attempt, outcome: api.Outcome) -> None:
         """Count a failure of an attempt, and eject the worker if it is an outlier.
 
-        It must not be called for a rejection by a full worker, nor for a late answer that is not presumed
-        lost.
-        Without ejection, a worker that fails fast would look fast and attract more jobs.
+        It must not be called for a rejection by a full worker, nor for an attempt that timed out or was to be
+        cancelled, unless the worker's answer is presumed lost. Without ejection, a worker that fails fast
+        would look fast and attract more jobs.
         """
         state, worker = self.state, attempt.worker
         worker.add_failure(outcome is api.Outcome.ERROR)
--- a/robinhill/placement/records.py
+++ b/robinhill/placement/records.py
@@ -37,7 +37,7 @@
     # Expected time from send to completion of a job. Its prior is the mean of the worker's kind of machine.
     job_time_us: float
     # Number of the last own send to this worker, counted over all workers. Before the first send to the
-    # worker it is a number that determines when the rotation chooses the worker.
+    # worker it is an initial value: the lower it is, the sooner the worker is chosen.
     last_send: int = 0
     # Time from send to completion of own jobs at this worker, without a prior.
     own_time: DecayingMean = field(default_factory=DecayingMean)
