--- a/robinhill/placement/list_lease.py
+++ b/robinhill/placement/list_lease.py
@@ -24,7 +24,7 @@
 # Time allowed for the next call to discovery to respond after a watch without messages has timed out.
 RENEWAL_MARGIN_US = 1_000_000
 # A change of discovery's address takes effect after this time: messages from the previous address extend the
-# lease no further.
+# lease to at most this long after the change.
 ADDRESS_CHANGE_BOUND_US = 4_000_000
 UNKNOWN_AGE_MS = -1
 
--- a/robinhill/placement/outliers.py
+++ b/robinhill/placement/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: ejection of failing workers, health checks of unresponsive workers, and lost answers.
+"""Outlier detection: ejects failing workers, checks the health of unresponsive ones, detects lost answers.
 
 Only jobs of this scheduler ("own" jobs) count as evidence about a worker. The ejection time doubles with each
-consecutive ejection, and at most half of all workers are ejected at a time.
+consecutive ejection. No worker is ejected while half or more of all workers are ejected already.
 """
 
 from math import inf
@@ -48,7 +48,7 @@
     def eject(self, now: int, worker: WorkerRecord, reason: str) -> None:
         """Eject the worker for a time that doubles with each consecutive ejection, up to a maximum.
 
-        Nothing happens if half of all workers are ejected already.
+        Nothing happens if half or more of all workers are ejected already.
         """
         workers, settings = self.state.workers, self.state.settings
         ejected = sum(now < other.ejected_until_us < inf for other in workers.values())
@@ -89,7 +89,9 @@
         """Handle the result of a health check.
 
         After ``HEALTH_CHECKS`` failures the worker is ejected, and its jobs that are safe to repeat are
-        cancelled so that other workers can run them: a machine that has crashed never reports their end.
+        cancelled so that other workers can run them: a machine that has crashed never reports their end. A
+        check does not count as failed if the worker has responded to an own job since the checks began, or if
+        it has no own attempts in flight.
         """
         state = self.state
         worker = state.workers.get(event.address)
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -72,7 +72,7 @@
         return 0 if self.lists_pushed else self._random_wait_us(now_us)
 
     def record_address_change(self, now_us: int) -> None:
-        """Reset the deadline and the failures, because discovery has a new address.
+        """Reset the deadline and the count of failed calls, because discovery has a new address.
 
         The caller must start a call to the new address at once.
         """
@@ -87,7 +87,7 @@
         self.last_received_us, self.failed_calls = now_us, 0
 
     def silence_deadline_us(self) -> int:
-        """Time at which the open call counts as broken unless a message is received before (us)."""
+        """Time at which the open call counts as broken unless a list or an empty line arrives before (us)."""
         if self.last_received_us:
             return self.last_received_us + WATCH_SILENCE_TIMEOUT_US
         return self.called_us + CALL_TIMEOUT_US
