--- a/robinhill/placement/estimates.py
+++ b/robinhill/placement/estimates.py
@@ -103,7 +103,7 @@
         self.jobs = job_times
         self.unknown_job_us = unknown_job_us
         self.window_us = settings.slow_start_us
-        self.started_us = 0
+        self.started_us = 0  # when the observation of jobs began; set by `start`
         self.rate = US_PER_S / settings.slow_start_us  # own jobs a second
         self.rate_updated_us = 0
         self.zones: dict[int, ZoneWait] = {}
--- a/robinhill/placement/watch_schedule.py
+++ b/robinhill/placement/watch_schedule.py
@@ -87,7 +87,7 @@
         self.last_received_us, self.failed_calls = now_us, 0
 
     def silence_deadline_us(self) -> int:
-        """Time at which the open call counts as broken unless a list or an empty line arrives before (us)."""
+        """Time at which the open call counts as broken (us), unless a complete list or empty line arrives."""
         if self.last_received_us:
             return self.last_received_us + WATCH_SILENCE_TIMEOUT_US
         return self.called_us + CALL_TIMEOUT_US
